--- a/src/ctl/request_log.cc
+++ b/src/ctl/request_log.cc
@@ -106,7 +106,7 @@
   } else if (is_served(story)) {
     ++account.served;
   } else if (story.answer == "0") {
-    ++account.client_left;
+    ++account.client_disconnected;
   } else if (story.answer == "503" || story.answer == "429") {
     ++account.refused;
   } else {
@@ -157,7 +157,7 @@
 }
 
 double route_account::nines() const {
-  const auto owed = requests - client_left;
+  const auto owed = requests - client_disconnected;
   const auto lost = owed - served;
   if (lost == 0) {
     return most_nines;
@@ -215,10 +215,10 @@
     out << std::left << std::setw(name_width) << route.route << std::right
         << std::setw(figure_width) << route.requests << std::setw(figure_width) << route.served
         << std::setw(figure_width) << route.nines() << std::setw(figure_width) << route.refused
-        << std::setw(figure_width) << route.failed << std::setw(figure_width) << route.client_left
-        << std::setw(figure_width) << route.unanswered << std::setw(figure_width) << route.repeats
-        << std::setw(figure_width) << route.median_lost_ms << std::setw(figure_width)
-        << route.longest_lost_ms << "\n";
+        << std::setw(figure_width) << route.failed << std::setw(figure_width)
+        << route.client_disconnected << std::setw(figure_width) << route.unanswered
+        << std::setw(figure_width) << route.repeats << std::setw(figure_width)
+        << route.median_lost_ms << std::setw(figure_width) << route.longest_lost_ms << "\n";
   }
   for (const auto& lost : account.causes) {
     out << std::setw(figure_width) << lost.requests << "  " << lost.route << "  " << lost.cause
--- a/src/ctl/request_log.h
+++ b/src/ctl/request_log.h
@@ -49,7 +49,7 @@
   std::size_t refused = 0;
   /// Other failures, streams broken off among them.
   std::size_t failed = 0;
-  std::size_t client_left = 0;
+  std::size_t client_disconnected = 0;
   /// No answer stands in the log.
   std::size_t unanswered = 0;
   std::size_t repeats = 0;
--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -112,14 +112,14 @@
                       .Register(registry);
   for (std::size_t ring = 0; ring < model::ring_count; ++ring) {
     by_ring.Add({{"ring", std::string(model::name_of(static_cast<model::ring>(ring)))}})
-        .Increment(static_cast<double>(counts.calls_by_ring[ring]));
+        .Increment(static_cast<double>(counts.calls_by_locality[ring]));
   }
   add_count(registry, "spurrack_residency_refused_total",
             "Requests turned away because no region allowed to them could serve them.",
-            counts.turned_away_by_residency);
+            counts.refused_by_residency);
   add_count(registry, "spurrack_residency_confined_total",
             "Requests sent farther than an available replica outside the regions allowed to them.",
-            counts.kept_from_nearer_by_residency);
+            counts.confined_by_residency);
 }
 
 void add_planned_stop(Registry& registry, const serving::serving_counters& counts) {
@@ -130,29 +130,30 @@
   const auto add = [&](const char* outcome, std::uint64_t value) {
     outcomes.Add({{"outcome", outcome}}).Increment(static_cast<double>(value));
   };
-  add("taken", counts.taken_while_stopping);
+  add("taken", counts.accepted_while_stopping);
   add("refused", counts.refused_while_stopping);
   add("ended_unsent", counts.ended_while_stopping);
-  add("given_up", counts.given_up_at_stop);
+  add("given_up", counts.aborted_at_stop);
 }
 
 void add_second_chances(Registry& registry, const serving::dispatcher& dispatcher) {
   const auto& counts = dispatcher.counts();
   const auto add = count_adder(registry);
-  add("spurrack_repeats_total", "Requests sent to a second replica.", counts.repeats);
+  add("spurrack_repeats_total", "Requests sent to a second replica.", counts.retries);
   add("spurrack_repeats_denied_total", "Repeats beyond this node's share of the bound.",
-      counts.repeats_denied);
+      counts.retries_denied);
   add("spurrack_repeats_borrowed_total", "Repeats that waited for what other nodes lent.",
-      counts.repeats_borrowed);
+      counts.retries_on_transferred_budget);
   add("spurrack_ended_at_lost_replicas_total",
       "Requests ended before their time because their replica was found lost.",
-      counts.ended_at_lost_replicas);
+      counts.ended_at_down_replicas);
   add("spurrack_replica_ejections_total", "Replicas paused on the reports of two nodes.",
       dispatcher.replicas().ejections());
   add("spurrack_replica_restarts_total", "Replicas seen to start again under their id.",
       counts.replica_restarts);
   add("spurrack_calls_at_earlier_lives_total",
-      "Requests found to be at a replica that had started again.", counts.calls_at_earlier_lives);
+      "Requests found to be at a replica that had started again.",
+      counts.calls_at_earlier_incarnations);
   add("spurrack_replicas_of_unknown_services_total",
       "Entries of replicas that named a service which is not configured.",
       counts.replicas_of_unknown_services);
@@ -278,10 +279,10 @@
       counts.permits_void);
   add("spurrack_permit_waits_total",
       "Requests that waited for a replica that names a limit or asked for a pause.",
-      dispatcher.counts().awaited_places);
+      dispatcher.counts().slot_waits);
   add("spurrack_permit_refusals_total",
       "Requests refused since no such replica takes them in their time.",
-      dispatcher.counts().refused_without_place);
+      dispatcher.counts().refused_without_slot);
   add_gauge(registry, "spurrack_limited_replicas",
             "Replicas that name how many requests a second they take.",
             static_cast<double>(dispatcher.limits().limited()));
@@ -328,11 +329,11 @@
       counts.streams_resumed);
   add_engines(registry, dispatcher.engine_counts());
   add("spurrack_clients_judged_slow_total", "Streams whose client took too little for a while.",
-      counts.clients_judged_slow);
+      counts.slow_clients);
   add("spurrack_streams_let_go_total", "Streams let go at their replica until their client reads.",
-      counts.streams_let_go);
+      counts.streams_suspended);
   add("spurrack_streams_taken_up_total", "Streams taken up again after they were let go.",
-      counts.streams_taken_up);
+      counts.suspended_streams_resumed);
   add_gauge(registry, "spurrack_active_routed_requests", "Requests on published routes under way.",
             static_cast<double>(dispatcher.active()));
 }
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -224,10 +224,10 @@
   }
   const auto& counts = node_.serving()->counts();
   logging::write(logging::severity::info, "stopped",
-                 {{"taken", std::to_string(counts.taken_while_stopping)},
+                 {{"taken", std::to_string(counts.accepted_while_stopping)},
                   {"refused", std::to_string(counts.refused_while_stopping)},
                   {"ended_unsent", std::to_string(counts.ended_while_stopping)},
-                  {"given_up", std::to_string(counts.given_up_at_stop)}});
+                  {"given_up", std::to_string(counts.aborted_at_stop)}});
 }
 
 void runtime::watch_signals() {
@@ -265,7 +265,7 @@
   }
   if (settings_.node.serving) {
     exit_latest_ =
-        base::boot_clock::now() + settings_.node.serving->stop_longest + last_answers_time;
+        base::boot_clock::now() + settings_.node.serving->max_stop_duration + last_answers_time;
   }
   post(node::stop_requested{});
 }
--- a/src/daemon/serving_adapters.cc
+++ b/src/daemon/serving_adapters.cc
@@ -44,7 +44,7 @@
           io, endpoints.listen, codec,
           {budget_, flow::client_connections(limits.resources.descriptors)},
           {[post](serving::request_arrived arrived) { post(std::move(arrived)); },
-           [post](serving::client_left left) { post(left); },
+           [post](serving::client_disconnected left) { post(left); },
            [post](serving::client_window window) { post(window); }})),
       replicas_(upstream::make_replica_client(io, codec, limits, budget_, post)),
       readiness_(http::make_operator_server(
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -31,13 +31,13 @@
   return text;
 }
 
-const char* reason_text(leave_reason why) {
+const char* reason_text(disconnect_reason why) {
   switch (why) {
-  case leave_reason::unread:
+  case disconnect_reason::unread:
     return "the client took nothing for too long";
-  case leave_reason::no_memory:
+  case disconnect_reason::no_memory:
     return "the client read slowest while memory was short";
-  case leave_reason::closed:
+  case disconnect_reason::closed:
     break;
   }
   return "the client left";
@@ -78,9 +78,9 @@
       crash_news_(crash_ledger_, self.node, random),
       stages_(
           self, replicas_, settings, [this] { return next_call_++; }, life, record_),
-      stop_(settings.stop_takes) {
+      stop_(settings.stop_admission) {
   replicas_.set_limits(limits_);
-  replicas_.set_statements(statements_);
+  replicas_.set_self_reports(statements_);
 }
 
 void dispatcher::set_peers(std::vector<fleet_peer> alive, std::size_t known) {
@@ -326,10 +326,10 @@
 
 // --- ends ----------------------------------------------------------------------------------------
 
-void dispatcher::on(const client_left& what, base::time_point now) {
+void dispatcher::on(const client_disconnected& what, base::time_point now) {
   const auto found = active_.find(what.client);
   if (found != active_.end()) {
-    finish(found->second, status::client_gone, reason_text(what.why), now);
+    finish(found->second, status::client_gone, reason_text(what.reason), now);
   }
 }
 
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -110,7 +110,7 @@
   [[nodiscard]] const engine_directory_counts& engine_counts() const { return directory_.counts(); }
   [[nodiscard]] const replica_news_counts& news() const { return news_.counts(); }
   [[nodiscard]] const lending_counts& lending() const { return lending_.counts(); }
-  [[nodiscard]] const replica_statements::statement_exchange& statements() const {
+  [[nodiscard]] const replica_statements::self_report_exchange& statements() const {
     return statements_;
   }
   [[nodiscard]] const rate_limits::limit_exchange& limits() const { return limits_; }
@@ -219,7 +219,7 @@
   };
 
   void on(const request_arrived& what, base::time_point now);
-  void on(const client_left& what, base::time_point now);
+  void on(const client_disconnected& what, base::time_point now);
   void on(const client_window& what, base::time_point now);
   void on(const call_failed& what, base::time_point now);
   void on(const answer_paused& what, base::time_point now);
@@ -229,7 +229,7 @@
   void on(const stream_bytes& what, base::time_point now);
   void on(const stream_closed& what, base::time_point now);
   void on(const stage_call_ended& what, base::time_point now);
-  void on(const statement_heard& what, base::time_point now);
+  void on(const self_report_received& what, base::time_point now);
   void on(const replica_probed& what, base::time_point now);
 
   void admit(const request_arrived& what, std::shared_ptr<const model::route> route,
@@ -315,7 +315,7 @@
   /// requests looked at that wait for a place.
   void advance_statements(base::time_point now);
   /// Reports what replicas say of themselves that was not known before.
-  void record_statements();
+  void record_self_report_changes();
   [[nodiscard]] std::optional<replica_statements::published_replica>
   find_published(const base::replica_id& id) const;
   /// @return what is asked of the replicas of its service for a request.
@@ -484,7 +484,7 @@
   std::uint64_t seen_changes_ = 0;
   base::call_id next_call_ = 1;
   distance from_here_;
-  replica_statements::statement_exchange statements_;
+  replica_statements::self_report_exchange statements_;
   rate_limits::limit_exchange limits_;
   replica_table replicas_;
   least_loaded_chooser plain_replicas_;
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -171,7 +171,7 @@
     return;
   }
   const auto call = close_call(*request);
-  if (what.fate == call_fate::not_sent) {
+  if (what.failure == call_failure::not_sent) {
     replicas_.note_unreachable(call.replica, now);
     --request->sent;
     record(base::event_kind::stage_retried, *request, call.replica.text(), "not reached");
@@ -185,7 +185,7 @@
     return;
   }
   request->may_have_run = true;
-  const bool lacked_memory = what.fate == call_fate::no_memory;
+  const bool lacked_memory = what.failure == call_failure::no_memory;
   if (lacked_memory) {
     // The replica did not fail: it may be chosen again.
     request->tried.erase(call.replica);
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -43,7 +43,7 @@
   case probe_result::connected:
     crash_watch_.note_connected(what.replica, now);
     break;
-  case probe_result::silent:
+  case probe_result::unresponsive:
     crash_watch_.note_silent(what.replica);
     break;
   }
--- a/src/dispatch/dispatcher_places.cc
+++ b/src/dispatch/dispatcher_places.cc
@@ -126,7 +126,7 @@
 
 void dispatcher::refuse_without_place(active_request& request, base::duration wait,
                                       base::time_point now) {
-  ++counters_.refused_without_place;
+  ++counters_.refused_without_slot;
   leave_place_queue(request);
   const auto reason = "replicas take no more now, a place is expected after " +
                       std::to_string(base::to_milliseconds(wait)) + " ms";
@@ -208,7 +208,7 @@
     refuse_without_place(request, *wait, now);
     return true;
   }
-  ++counters_.awaited_places;
+  ++counters_.slot_waits;
   record(base::event_kind::replica_limit, request, request.service,
          "waits for a place behind " + std::to_string(ahead) + " requests, " +
              std::to_string(base::to_milliseconds(*wait)) + " ms expected");
--- a/src/dispatch/dispatcher_readers.cc
+++ b/src/dispatch/dispatcher_readers.cc
@@ -42,7 +42,7 @@
   request.window_closed = false;
   request.slow_reader_due.reset();
   if (std::exchange(request.let_go, false)) {
-    ++counters_.streams_taken_up;
+    ++counters_.suspended_streams_resumed;
     record(base::event_kind::stage_retried, request, "", "the client reads on");
     send_to_replica(request, now);
   } else if (request.call) {
@@ -72,7 +72,7 @@
 
 void dispatcher::judge_slow(active_request& request) {
   if (!std::exchange(request.judged_slow, true)) {
-    ++counters_.clients_judged_slow;
+    ++counters_.slow_clients;
     record(base::event_kind::client_slow, request, request.call ? request.call->replica.text() : "",
            std::to_string(request.events.events()) + " events passed on");
   }
@@ -91,7 +91,7 @@
   // A stopping node may be gone before the client reads on; what is buffered can still be read.
   const bool may_wait = !stop_.has_begun() && can_be_let_go(request);
   if (!may_wait || !may_send_again(request, now)) {
-    commands_.emplace_back(widen_window{request.client});
+    commands_.emplace_back(read_ahead{request.client});
     // Without memory now the call stays paused; it is looked at again.
     request.slow_reader_due = now + longest_rest;
     return;
@@ -103,7 +103,7 @@
   request.events.restart();
   count_partial_event(request);
   request.let_go = true;
-  ++counters_.streams_let_go;
+  ++counters_.streams_suspended;
   record(base::event_kind::stage_cancelled, request, call.replica.text(),
          "let go until the client reads on");
 }
--- a/src/dispatch/dispatcher_replica_lives.cc
+++ b/src/dispatch/dispatcher_replica_lives.cc
@@ -73,7 +73,7 @@
   call.replica = earlier_life_of(replica);
   clients_at_[call.replica].insert(request.client);
   call.life_ended_at = now;
-  ++counters_.calls_at_earlier_lives;
+  ++counters_.calls_at_earlier_incarnations;
   if (!request.window_closed) {
     call.stalls_at = now;
     schedule_check(request);
@@ -87,7 +87,7 @@
     call.life_ended_at.reset();
     call.stalls_at = now + life_confirm_time;
   } else if (now >= decided_at) {
-    ++counters_.ended_at_lost_replicas;
+    ++counters_.ended_at_down_replicas;
     answer_failed(request, status::bad_gateway, "the replica started again", now);
   } else {
     call.stalls_at = decided_at;
--- a/src/dispatch/dispatcher_residency.cc
+++ b/src/dispatch/dispatcher_residency.cc
@@ -41,7 +41,7 @@
   if (!refusal) {
     return false;
   }
-  ++counters_.turned_away_by_residency;
+  ++counters_.refused_by_residency;
   record(base::event_kind::residency_refused, request, request.route->name, refusal->reason);
   refuse(request.client, request.content->id, status::unavailable, refusal->reason,
          refusal->waiting_helps ? settings_.retry_after : base::duration{});
@@ -52,7 +52,7 @@
 void dispatcher::note_way(const active_request& request, const replica_state& chosen,
                           base::time_point now) {
   const auto ring = from_here_.ring_to(chosen.record->zone);
-  ++counters_.calls_by_ring[static_cast<std::size_t>(ring)];
+  ++counters_.calls_by_locality[static_cast<std::size_t>(ring)];
   if (!request.permitted_regions.is_restricted() || request.sent > 1) {
     return;
   }
@@ -61,7 +61,7 @@
     return from_here_.ring_to(state->record->zone) < ring;
   });
   if (is_kept) {
-    ++counters_.kept_from_nearer_by_residency;
+    ++counters_.confined_by_residency;
     record(base::event_kind::residency_confined, request, chosen.record->id.text(),
            "a nearer replica lies outside the regions allowed");
   }
--- a/src/dispatch/dispatcher_second_chances.cc
+++ b/src/dispatch/dispatcher_second_chances.cc
@@ -38,10 +38,10 @@
     return false;
   }
   if (!retries_.take(request.service, now)) {
-    ++counters_.repeats_denied;
+    ++counters_.retries_denied;
     return false;
   }
-  ++counters_.repeats;
+  ++counters_.retries;
   return true;
 }
 
@@ -99,7 +99,7 @@
     }
     const auto ending = *std::exchange(request.awaits_loan, std::nullopt);
     if (may_send_again(request, now)) {
-      ++counters_.repeats_borrowed;
+      ++counters_.retries_on_transferred_budget;
       record(base::event_kind::stage_retried, request, request.service, "with a loan");
       send_again(request, now);
     } else {
@@ -186,7 +186,7 @@
   } else if (!call.found_lost_at) {
     call.found_lost_at = now;
   } else if (now - *call.found_lost_at >= loss_confirm_time) {
-    ++counters_.ended_at_lost_replicas;
+    ++counters_.ended_at_down_replicas;
     answer_failed(request, status::bad_gateway, "the replica is lost", now);
     return;
   }
--- a/src/dispatch/dispatcher_stop.cc
+++ b/src/dispatch/dispatcher_stop.cc
@@ -60,7 +60,7 @@
     return false;
   }
   if (stop_.takes(work_ahead_of(request, now), now)) {
-    ++counters_.taken_while_stopping;
+    ++counters_.accepted_while_stopping;
     return false;
   }
   ++counters_.refused_while_stopping;
@@ -82,7 +82,7 @@
 }
 
 void dispatcher::give_up_all(base::time_point now) {
-  counters_.given_up_at_stop += active_.size();
+  counters_.aborted_at_stop += active_.size();
   while (!active_.empty()) {
     give_up(active_.begin()->second, "stopped before it ended", now);
   }
--- a/src/dispatch/stop_plan.h
+++ b/src/dispatch/stop_plan.h
@@ -27,7 +27,7 @@
 /// Not thread-safe.
 class stop_plan {
  public:
-  explicit stop_plan(const stop_windows& windows = {}) : windows_(windows) {}
+  explicit stop_plan(const stop_admission_windows& windows = {}) : windows_(windows) {}
 
   /// @param must_end_at what has not ended by then is given up.
   void begin(base::time_point now, base::time_point must_end_at);
@@ -44,7 +44,7 @@
     base::time_point must_end_at;
   };
 
-  stop_windows windows_;
+  stop_admission_windows windows_;
   std::optional<stop_times> times_;
 };
 
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -100,7 +100,7 @@
   bool broken = false;
   bool gone = false;
   /// Set where the client was given up: nothing more is written.
-  std::optional<serving::leave_reason> given_up;
+  std::optional<serving::disconnect_reason> given_up;
   bool watch_ended = false;
   /// Bytes are being written, which others must not overtake.
   bool writing = false;
@@ -206,7 +206,7 @@
     }
   }
 
-  void carry_out(serving::widen_window wanted) override {
+  void carry_out(serving::read_ahead wanted) override {
     const auto found = exchanges_.find(wanted.client);
     if (found != exchanges_.end() &&
         resources_.budget->has_room(flow::byte_use::buffered_stream,
@@ -279,7 +279,7 @@
       tell(client, client.window.close(base::boot_clock::now()));
     }
     if (client.given_up || !client.counted.grow(flow::byte_use::stream_event, size)) {
-      give_up(client, serving::leave_reason::no_memory);
+      give_up(client, serving::disconnect_reason::no_memory);
       return;
     }
     push(client, {std::move(bytes), nullptr, size});
@@ -297,7 +297,7 @@
 
   /// Ends an answer as not whole and returns what it holds, except for the bytes being written,
   /// which follow when the write has ended.
-  void give_up(exchange& client, serving::leave_reason why) {
+  void give_up(exchange& client, serving::disconnect_reason why) {
     if (client.given_up) {
       return;
     }
@@ -341,7 +341,7 @@
     std::size_t freed = 0;
     for (auto next = slow.begin(); next != slow.end() && freed < bytes; ++next) {
       freed += next->client->window.unread();
-      give_up(*next->client, serving::leave_reason::no_memory);
+      give_up(*next->client, serving::disconnect_reason::no_memory);
     }
   }
 
@@ -489,7 +489,7 @@
     exchanges_.erase(client);
     note_end(*waiting);
     if (!whole) {
-      observer_.on_left({client, waiting->given_up.value_or(serving::leave_reason::closed)});
+      observer_.on_left({client, waiting->given_up.value_or(serving::disconnect_reason::closed)});
     }
     // Ends the watch, which must not outlive the connection.
     boost::system::error_code ignored;
@@ -502,8 +502,8 @@
 
   void note_end(const exchange& ended) {
     readers_.paused += ended.window.closed_for(base::boot_clock::now());
-    readers_.ended_unread += ended.given_up == serving::leave_reason::unread ? 1 : 0;
-    readers_.ended_for_memory += ended.given_up == serving::leave_reason::no_memory ? 1 : 0;
+    readers_.ended_unread += ended.given_up == serving::disconnect_reason::unread ? 1 : 0;
+    readers_.ended_for_memory += ended.given_up == serving::disconnect_reason::no_memory ? 1 : 0;
   }
 
   static serving::raw_request raw_of(beast_http::request<beast_http::string_body>& message,
@@ -571,7 +571,7 @@
           asio::buffer(bytes.data() + written, turn), await_into(error));
       stream.expires_never();
       if (error == beast::error::timeout) {
-        waiting.given_up = serving::leave_reason::unread;
+        waiting.given_up = serving::disconnect_reason::unread;
       }
       if (error || waiting.gone || waiting.given_up) {
         co_return false;
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -18,7 +18,7 @@
 /// What the listener hands on. Called on the thread of the io_context.
 struct ingress_observer {
   std::function<void(serving::request_arrived)> on_request;
-  std::function<void(serving::client_left)> on_left;
+  std::function<void(serving::client_disconnected)> on_left;
   std::function<void(serving::client_window)> on_window;
 };
 
@@ -54,7 +54,7 @@
   virtual void carry_out(serving::respond wanted) = 0;
   virtual void carry_out(serving::open_stream wanted) = 0;
   virtual void carry_out(serving::stream_data wanted) = 0;
-  virtual void carry_out(serving::widen_window wanted) = 0;
+  virtual void carry_out(serving::read_ahead wanted) = 0;
   virtual void carry_out(serving::end_stream wanted) = 0;
 
   /// Bounds for requests that begin from now on.
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -325,7 +325,7 @@
     stop_began_ = now;
     disturbed_at_ = now;
     if (serving_) {
-      serving_->begin_stop(now, now + settings_.serving->stop_longest);
+      serving_->begin_stop(now, now + settings_.serving->max_stop_duration);
     }
     record(base::event_kind::node_stopping, {}, settings_.self.node.text(), "");
   }
@@ -379,7 +379,7 @@
 }
 
 bool node::must_end_serving(base::time_point now) const {
-  return serving_ && now - stop_began_ >= settings_.serving->stop_longest;
+  return serving_ && now - stop_began_ >= settings_.serving->max_stop_duration;
 }
 
 void node::check_serving_stop(base::time_point now) {
--- a/src/quarantine/crash_ledger.cc
+++ b/src/quarantine/crash_ledger.cc
@@ -252,7 +252,7 @@
     others += is_recent && !knows(record, end) && !is_explained(end, record) ? 1 : 0;
   }
   const auto further = 2 * others / record.ends.size();
-  return std::min(limits_.quarantine + further, limits_.quarantine_among_many);
+  return std::min(limits_.quarantine + further, limits_.quarantine_with_unrelated_exits);
 }
 
 standing crash_ledger::standing_of(const crash_record& record, base::time_point now) const {
@@ -261,7 +261,7 @@
     return standing::free;
   }
   const bool is_tried = weight < limits_.quarantine || weight < ends_needed(record, now) ||
-                        (weight < limits_.quarantine_among_many && has_double(record)) ||
+                        (weight < limits_.quarantine_with_unrelated_exits && has_double(record)) ||
                         now - record.newest() >= hold_after(weight);
   return is_tried ? standing::one_attempt : standing::held_back;
 }
@@ -280,7 +280,7 @@
 
 /// One that ended more replicas than it takes was tried again already.
 base::duration crash_ledger::hold_after(std::size_t ends) const {
-  return ends > limits_.quarantine_among_many ? quarantine_memory : first_hold;
+  return ends > limits_.quarantine_with_unrelated_exits ? quarantine_memory : first_hold;
 }
 
 bool crash_ledger::is_over(const crash_record& record, base::time_point now) const {
--- a/src/rate_limits/limit_exchange.cc
+++ b/src/rate_limits/limit_exchange.cc
@@ -23,7 +23,7 @@
 } // namespace
 
 limit_exchange::limit_exchange(serving::fleet_peer self,
-                               const replica_statements::statement_exchange& statements,
+                               const replica_statements::self_report_exchange& statements,
                                replica_statements::replica_lookup lookup, base::incarnation life)
     : self_(std::move(self)), statements_(&statements), lookup_(std::move(lookup)),
       next_question_(life) {
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -43,7 +43,8 @@
  public:
   /// @param statements what replicas name; must outlive this object.
   /// @param life start of this process, as a number higher than that of every earlier life.
-  limit_exchange(serving::fleet_peer self, const replica_statements::statement_exchange& statements,
+  limit_exchange(serving::fleet_peer self,
+                 const replica_statements::self_report_exchange& statements,
                  replica_statements::replica_lookup lookup, base::incarnation life);
 
   /// Takes over the nodes that are alive, without this one. @param known other nodes known at all:
@@ -69,7 +70,7 @@
 
   /// This process was paused: what it held and issued is void.
   void resume_after_pause(base::time_point now);
-  /// Takes in questions and permits; `statement_exchange` has taken in the limits before.
+  /// Takes in questions and permits; `self_report_exchange` has taken in the limits before.
   void handle(const base::node_id& sender, const wire::rate_limits& message, base::time_point now);
   /// Asks and issues what is due.
   void advance(base::time_point now);
@@ -105,7 +106,7 @@
   [[nodiscard]] double pace_of(double per_second) const;
 
   serving::fleet_peer self_;
-  const replica_statements::statement_exchange* statements_;
+  const replica_statements::self_report_exchange* statements_;
   replica_statements::replica_lookup lookup_;
   std::map<base::replica_id, permit_stock> stocks_;
   std::map<base::replica_id, permit_issuer> issuers_;
--- a/src/replica_statements/limit_book.cc
+++ b/src/replica_statements/limit_book.cc
@@ -36,7 +36,7 @@
     return false;
   }
   const bool loosens = is_stricter(known.per_second, notice.per_second);
-  if (loosens && notice.call_began <= known.heard_at) {
+  if (loosens && notice.call_started_at <= known.heard_at) {
     return false;
   }
   known = {life, notice.per_second, known.version + 1, now};
--- a/src/replica_statements/limit_book.h
+++ b/src/replica_statements/limit_book.h
@@ -33,7 +33,7 @@
   /// Nothing: the answer names no limit.
   std::optional<double> per_second;
   /// When its call began: the answer was given later than that.
-  base::time_point call_began;
+  base::time_point call_started_at;
 };
 
 /// Not thread-safe.
--- a/src/replica_statements/statement_exchange.cc
+++ b/src/replica_statements/statement_exchange.cc
@@ -83,10 +83,10 @@
 
 } // namespace
 
-statement_exchange::statement_exchange(replica_lookup lookup, base::random_source& random)
+self_report_exchange::self_report_exchange(replica_lookup lookup, base::random_source& random)
     : lookup_(std::move(lookup)), random_(&random) {}
 
-void statement_exchange::set_peers(const std::vector<serving::fleet_peer>& alive) {
+void self_report_exchange::set_peers(const std::vector<serving::fleet_peer>& alive) {
   peers_.clear();
   for (const auto& peer : alive) {
     peers_.push_back(peer.address);
@@ -95,9 +95,9 @@
 
 // --- what replicas say ---------------------------------------------------------------------------
 
-void statement_exchange::hear(const base::replica_id& replica,
-                              const serving::replica_statement& said, base::time_point call_began,
-                              base::time_point now) {
+void self_report_exchange::hear(const base::replica_id& replica,
+                                const serving::replica_self_report& said,
+                                base::time_point call_started_at, base::time_point now) {
   using matter = belief_change::matter;
   if (said.limit.unreadable) {
     note_unreadable(replica, matter::limit, counts_.unreadable, now);
@@ -116,16 +116,16 @@
   }
   const auto published = lookup_(replica);
   if (published && concerns_limit) {
-    hear_limit(replica, *published, said.limit, call_began, now);
+    hear_limit(replica, *published, said.limit, call_started_at, now);
   }
   if (published && said.leaving) {
     hear_leaving(replica, *published, now);
   }
 }
 
-void statement_exchange::note_unreadable(const base::replica_id& replica,
-                                         belief_change::matter what, std::uint64_t& count,
-                                         base::time_point now) {
+void self_report_exchange::note_unreadable(const base::replica_id& replica,
+                                           belief_change::matter what, std::uint64_t& count,
+                                           base::time_point now) {
   ++count;
   const auto [told, is_first] = unreadable_told_at_.try_emplace({replica, what}, now);
   if (is_first || now - told->second >= unreadable_period) {
@@ -134,19 +134,19 @@
   }
 }
 
-void statement_exchange::hear_limit(const base::replica_id& replica,
-                                    const published_replica& published,
-                                    const serving::named_limit& said, base::time_point call_began,
-                                    base::time_point now) {
-  if (limits_.hear(replica, published.life, {said.per_second, call_began}, now)) {
+void self_report_exchange::hear_limit(const base::replica_id& replica,
+                                      const published_replica& published,
+                                      const serving::announced_limit& said,
+                                      base::time_point call_started_at, base::time_point now) {
+  if (limits_.hear(replica, published.life, {said.per_second, call_started_at}, now)) {
     changed_limits_[replica] = times_told;
     changes_.push_back(
         {belief_change::matter::limit, replica, limits_.limit_of(replica), false, "the replica"});
   }
 }
 
-void statement_exchange::hear_leaving(const base::replica_id& replica,
-                                      const published_replica& published, base::time_point now) {
+void self_report_exchange::hear_leaving(const base::replica_id& replica,
+                                        const published_replica& published, base::time_point now) {
   const departure_book::key leaving{replica, published.process};
   if (!departures_.includes(leaving)) {
     ++counts_.departures_heard;
@@ -154,8 +154,9 @@
   }
 }
 
-void statement_exchange::note_departure(const departure_book::key& leaving, base::time_point since,
-                                        const std::string& source, base::time_point now) {
+void self_report_exchange::note_departure(const departure_book::key& leaving,
+                                          base::time_point since, const std::string& source,
+                                          base::time_point now) {
   if (departures_.note(leaving, since, source, now)) {
     ++counts_.departures;
     changed_departures_[leaving] = times_told;
@@ -164,8 +165,8 @@
   }
 }
 
-void statement_exchange::merge(const base::node_id& sender, const wire::named_limit& told,
-                               base::time_point now) {
+void self_report_exchange::merge(const base::node_id& sender, const wire::named_limit& told,
+                                 base::time_point now) {
   const base::replica_id replica(told.replica());
   const auto published = lookup_(replica);
   if (!published || published->life != told.life_mark()) {
@@ -184,8 +185,8 @@
 }
 
 /// Also of processes that this node does not know: its list may be older than the sender's.
-void statement_exchange::merge(const base::node_id& sender, const wire::replica_departure& told,
-                               base::time_point now) {
+void self_report_exchange::merge(const base::node_id& sender, const wire::replica_departure& told,
+                                 base::time_point now) {
   if (told.process_mark() != 0) {
     const auto age = std::chrono::milliseconds(told.age_milliseconds());
     note_departure({base::replica_id(told.replica()), told.process_mark()}, now - age,
@@ -193,7 +194,7 @@
   }
 }
 
-void statement_exchange::forget(const base::replica_id& replica) {
+void self_report_exchange::forget(const base::replica_id& replica) {
   limits_.forget(replica);
   changed_limits_.erase(replica);
   std::erase_if(unreadable_told_at_,
@@ -202,13 +203,13 @@
 
 // --- messages ------------------------------------------------------------------------------------
 
-wire::named_limit statement_exchange::limit_message(const base::replica_id& replica,
-                                                    base::time_point now) const {
+wire::named_limit self_report_exchange::limit_message(const base::replica_id& replica,
+                                                      base::time_point now) const {
   const auto* record = limits_.find(replica);
   return record == nullptr ? wire::named_limit{} : to_wire(replica, *record, now);
 }
 
-void statement_exchange::send_to_some(const wire::rate_limits& news, std::size_t receivers) {
+void self_report_exchange::send_to_some(const wire::rate_limits& news, std::size_t receivers) {
   auto left = peers_;
   for (std::size_t sent = 0; sent < receivers && !left.empty(); ++sent) {
     wire::outgoing message{base::take_random(left, *random_), {}};
@@ -218,7 +219,7 @@
   }
 }
 
-void statement_exchange::tell(base::time_point now) {
+void self_report_exchange::tell(base::time_point now) {
   if ((changed_limits_.empty() && changed_departures_.empty()) || now < next_tell_) {
     return;
   }
@@ -240,12 +241,12 @@
   }
 }
 
-bool statement_exchange::is_published(const departure_book::key& process) const {
+bool self_report_exchange::is_published(const departure_book::key& process) const {
   const auto published = lookup_(process.replica);
   return published && published->process == process.process;
 }
 
-void statement_exchange::review_departures(base::time_point now) {
+void self_report_exchange::review_departures(base::time_point now) {
   std::vector<departure_book::key> published;
   for (const auto& [process, known] : departures_.all()) {
     if (is_published(process)) {
@@ -258,13 +259,13 @@
   departures_.forget_old(now);
 }
 
-void statement_exchange::add_limits_to_remind(wire::rate_limits& news, base::time_point now) {
+void self_report_exchange::add_limits_to_remind(wire::rate_limits& news, base::time_point now) {
   take_in_turn(limits_.all(), limit_reminded_last_, most_records, [&](const auto& entry) {
     *news.add_limits() = to_wire(entry.first, entry.second, now);
   });
 }
 
-void statement_exchange::add_departures_to_remind(wire::rate_limits& news, base::time_point now) {
+void self_report_exchange::add_departures_to_remind(wire::rate_limits& news, base::time_point now) {
   take_in_turn(departures_.all(), departure_reminded_last_, most_records, [&](const auto& entry) {
     // Of one that no list names any more nobody needs to be told.
     if (is_published(entry.first)) {
@@ -273,7 +274,7 @@
   });
 }
 
-void statement_exchange::remind(base::time_point now) {
+void self_report_exchange::remind(base::time_point now) {
   if ((limits_.empty() && departures_.empty()) || now < next_reminder_) {
     return;
   }
@@ -288,12 +289,12 @@
   }
 }
 
-void statement_exchange::advance(base::time_point now) {
+void self_report_exchange::advance(base::time_point now) {
   tell(now);
   remind(now);
 }
 
-std::optional<base::time_point> statement_exchange::next_wakeup() const {
+std::optional<base::time_point> self_report_exchange::next_wakeup() const {
   std::optional<base::time_point> earliest;
   const auto consider = [&](base::time_point when) {
     earliest = earliest ? std::min(*earliest, when) : when;
@@ -307,8 +308,8 @@
   return earliest;
 }
 
-void statement_exchange::handle(const base::node_id& sender, const wire::rate_limits& message,
-                                base::time_point now) {
+void self_report_exchange::handle(const base::node_id& sender, const wire::rate_limits& message,
+                                  base::time_point now) {
   for (const auto& told : message.limits()) {
     merge(sender, told, now);
   }
--- a/src/replica_statements/statement_exchange.h
+++ b/src/replica_statements/statement_exchange.h
@@ -11,7 +11,7 @@
 #include "fleet_view/peer_directory.h"
 #include "replica_statements/departure_book.h"
 #include "replica_statements/limit_book.h"
-#include "serving/replica_statement.h"
+#include "serving/replica_self_report.h"
 #include "wire/outgoing.h"
 #include "wire/peer.pb.h"
 
@@ -63,19 +63,19 @@
 };
 
 /// Not thread-safe.
-class statement_exchange {
+class self_report_exchange {
  public:
   /// @param random must outlive this object.
-  statement_exchange(replica_lookup lookup, base::random_source& random);
+  self_report_exchange(replica_lookup lookup, base::random_source& random);
 
   /// Takes over the nodes that are alive, without this one.
   void set_peers(const std::vector<serving::fleet_peer>& alive);
   [[nodiscard]] const limit_book& limits() const { return limits_; }
   [[nodiscard]] const departure_book& departures() const { return departures_; }
 
-  /// Takes in what an answer of a replica says. @param call_began when its call was made.
-  void hear(const base::replica_id& replica, const serving::replica_statement& said,
-            base::time_point call_began, base::time_point now);
+  /// Takes in what an answer of a replica says. @param call_started_at when its call was made.
+  void hear(const base::replica_id& replica, const serving::replica_self_report& said,
+            base::time_point call_started_at, base::time_point now);
   /// A replica is gone or has started again. That a process of it leaves is remembered for longer.
   void forget(const base::replica_id& replica);
 
@@ -97,7 +97,7 @@
   using untold_departures = std::map<departure_book::key, std::size_t>;
 
   void hear_limit(const base::replica_id& replica, const published_replica& published,
-                  const serving::named_limit& said, base::time_point call_began,
+                  const serving::announced_limit& said, base::time_point call_started_at,
                   base::time_point now);
   void hear_leaving(const base::replica_id& replica, const published_replica& published,
                     base::time_point now);
--- a/src/replicas/replica_backoff.cc
+++ b/src/replicas/replica_backoff.cc
@@ -32,8 +32,8 @@
   return !starts_slowly || in_flight < slow_start_->earlier_calls + slow_start_->allowed;
 }
 
-void replica_backoff::note_answer(base::time_point call_began, std::uint32_t slots) {
-  if (!slow_start_ || call_began < until_) {
+void replica_backoff::note_answer(base::time_point call_started_at, std::uint32_t slots) {
+  if (!slow_start_ || call_started_at < until_) {
     return;
   }
   slow_start_->allowed = std::min(slow_start_->allowed + calls_per_answer, std::max(1U, slots));
--- a/src/replicas/replica_backoff.h
+++ b/src/replicas/replica_backoff.h
@@ -28,8 +28,8 @@
   [[nodiscard]] bool is_active(base::time_point now) const { return now < until_; }
   /// @return whether one more call may be made beside those that are under way.
   [[nodiscard]] bool permits_call(std::uint32_t in_flight, base::time_point now) const;
-  /// An answer came that asks for no pause. @param call_began when its call was made.
-  void note_answer(base::time_point call_began, std::uint32_t slots);
+  /// An answer came that asks for no pause. @param call_started_at when its call was made.
+  void note_answer(base::time_point call_started_at, std::uint32_t slots);
   /// The replica turned a call away without asking for a pause: calls begin with one again.
   void note_turned_away();
   /// A call ended. @param in_flight those that are left.
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -179,7 +179,7 @@
   for (auto& [id, state] : replicas_) {
     const auto& zone = state.record->zone;
     if (evacuated_.contains(zone) && !zones.contains(zone)) {
-      turn_cold(state, settings_.cold_after_evacuation, now);
+      turn_cold(state, settings_.cold_time_after_evacuation, now);
     }
   }
   evacuated_ = zones;
@@ -444,14 +444,14 @@
   state->unreachable_at = now;
   changed_.insert(id);
   state->next_pause = state->next_pause == base::duration{}
-                          ? settings_.unreachable_pause
-                          : std::min(state->next_pause * 2, settings_.unreachable_pause_longest);
+                          ? settings_.unreachable_backoff
+                          : std::min(state->next_pause * 2, settings_.max_unreachable_backoff);
   state->paused_until = now + state->next_pause;
 }
 
 void replica_table::note_full(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    state->paused_until = std::max(state->paused_until, now + settings_.full_pause);
+    state->paused_until = std::max(state->paused_until, now + settings_.full_backoff);
     state->backoff.note_turned_away();
   }
 }
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -80,7 +80,7 @@
   void set_limits(rate_limits::limit_exchange& limits) { limits_ = &limits; }
   /// Has all nodes know what replicas say of themselves; without it this is not told.
   /// @param statements must outlive the table.
-  void set_statements(replica_statements::statement_exchange& statements) {
+  void set_self_reports(replica_statements::self_report_exchange& statements) {
     statements_ = &statements;
   }
   /// Nodes that are alive, this one among them, by zone.
@@ -165,7 +165,7 @@
 
   void call_started(const base::replica_id& id, base::time_point now);
   /// The head of an answer says something of its replica. What an earlier life said is passed over.
-  void note_statement(const statement_heard& heard, base::time_point now);
+  void note_self_report(const self_report_received& heard, base::time_point now);
   /// @return whether a process of a replica said that it leaves, to this node or another.
   [[nodiscard]] bool says_it_leaves(const replica_state& state) const;
   /// @return pauses that were asked for since the last call.
@@ -237,7 +237,7 @@
   /// A replica is published in another process than before: what the one before asked for is over.
   static void note_process(replica_state& state);
   void forget_statements(const base::replica_id& id);
-  void note_backoff(replica_state& state, const statement_heard& heard, base::time_point now);
+  void note_backoff(replica_state& state, const self_report_received& heard, base::time_point now);
   /// @return whether a request has not tried a replica yet and is permitted there.
   [[nodiscard]] bool could_serve(const replica_demand& demand, const replica_state& state) const;
   [[nodiscard]] std::vector<const replica_state*>
@@ -291,7 +291,7 @@
   std::set<base::zone_id> evacuated_;
   std::shared_ptr<const model::serving_configuration> configuration_;
   rate_limits::limit_exchange* limits_ = nullptr;
-  replica_statements::statement_exchange* statements_ = nullptr;
+  replica_statements::self_report_exchange* statements_ = nullptr;
   std::vector<backoff_change> backoff_changes_;
   std::uint64_t backoffs_ = 0;
   /// When the latest of all pauses that were asked for ends.
--- a/src/replicas/replica_table_reports.cc
+++ b/src/replicas/replica_table_reports.cc
@@ -97,7 +97,7 @@
   const bool rests = state->paused_until > now;
   if (!rests && is_lost(id, now) && may_eject(state->record->service, now)) {
     ++ejections_;
-    state->next_pause = std::max(state->next_pause, settings_.unreachable_pause);
+    state->next_pause = std::max(state->next_pause, settings_.unreachable_backoff);
     state->paused_until = now + state->next_pause;
     state->ejected_until = state->paused_until;
   }
--- a/src/replicas/replica_table_statements.cc
+++ b/src/replicas/replica_table_statements.cc
@@ -56,26 +56,26 @@
   return least;
 }
 
-void replica_table::note_statement(const statement_heard& heard, base::time_point now) {
+void replica_table::note_self_report(const self_report_received& heard, base::time_point now) {
   auto* state = mutable_find(heard.replica);
-  if (state == nullptr || is_at_earlier_life(heard.replica, heard.call_began)) {
+  if (state == nullptr || is_at_earlier_life(heard.replica, heard.call_started_at)) {
     return;
   }
   if (statements_ != nullptr) {
-    statements_->hear(heard.replica, heard.said, heard.call_began, now);
+    statements_->hear(heard.replica, heard.report, heard.call_started_at, now);
   }
-  if (heard.said.load) {
-    note_load(heard.replica, *heard.said.load, now);
+  if (heard.report.load) {
+    note_load(heard.replica, *heard.report.load, now);
   }
-  note_cold(heard.replica, heard.said.cold_for, now);
+  note_cold(heard.replica, heard.report.cold_for, now);
   note_backoff(*state, heard, now);
 }
 
-void replica_table::note_backoff(replica_state& state, const statement_heard& heard,
+void replica_table::note_backoff(replica_state& state, const self_report_received& heard,
                                  base::time_point now) {
-  const auto& span = heard.said.backoff.span;
+  const auto& span = heard.report.backoff.span;
   if (!span) {
-    state.backoff.note_answer(heard.call_began, state.record->slots);
+    state.backoff.note_answer(heard.call_started_at, state.record->slots);
     return;
   }
   // The answered call does not count as under way any more.
--- a/src/serving/counters.h
+++ b/src/serving/counters.h
@@ -44,28 +44,28 @@
   latency_histogram first_byte;
   std::uint64_t calls = 0;
   /// Calls by how far their replica is: `model::ring`.
-  std::array<std::uint64_t, model::ring_count> calls_by_ring{};
+  std::array<std::uint64_t, model::ring_count> calls_by_locality{};
   /// Requests that no replica in the regions allowed could serve.
-  std::uint64_t turned_away_by_residency = 0;
+  std::uint64_t refused_by_residency = 0;
   /// Requests sent farther than a replica that was available outside the regions allowed.
-  std::uint64_t kept_from_nearer_by_residency = 0;
-  std::uint64_t repeats = 0;
-  std::uint64_t repeats_denied = 0;
+  std::uint64_t confined_by_residency = 0;
+  std::uint64_t retries = 0;
+  std::uint64_t retries_denied = 0;
   /// Repeats that waited for what other nodes lent.
-  std::uint64_t repeats_borrowed = 0;
+  std::uint64_t retries_on_transferred_budget = 0;
   /// Requests ended before their time because their replica was found lost.
-  std::uint64_t ended_at_lost_replicas = 0;
+  std::uint64_t ended_at_down_replicas = 0;
   /// Replicas seen to start again under their id, and requests that were at their earlier life.
   std::uint64_t replica_restarts = 0;
-  std::uint64_t calls_at_earlier_lives = 0;
+  std::uint64_t calls_at_earlier_incarnations = 0;
   /// Replicas that name a service which is not configured.
   std::uint64_t replicas_of_unknown_services = 0;
   /// Of a planned stop: requests that arrived after it began and were taken or refused, those ended
   /// before they were sent to a replica, and those given up when the process had to end.
-  std::uint64_t taken_while_stopping = 0;
+  std::uint64_t accepted_while_stopping = 0;
   std::uint64_t refused_while_stopping = 0;
   std::uint64_t ended_while_stopping = 0;
-  std::uint64_t given_up_at_stop = 0;
+  std::uint64_t aborted_at_stop = 0;
   /// Ends of replicas that were laid to a request under way there, each request counted.
   std::uint64_t crashes_under_requests = 0;
   /// Requests refused since replicas ended under them, and times a request began to be held back.
@@ -75,16 +75,16 @@
   std::uint64_t requests_cleared = 0;
   /// Requests that waited for a place at replicas that name limits or asked for pauses, and those
   /// refused since none could come in their time.
-  std::uint64_t awaited_places = 0;
-  std::uint64_t refused_without_place = 0;
+  std::uint64_t slot_waits = 0;
+  std::uint64_t refused_without_slot = 0;
   std::uint64_t stage_pieces = 0;
   std::uint64_t results_freed = 0;
   std::uint64_t streams_resumed = 0;
   /// Streams whose client took too little for a while.
-  std::uint64_t clients_judged_slow = 0;
+  std::uint64_t slow_clients = 0;
   /// Streams let go at their replica until their client reads on, and those taken up again.
-  std::uint64_t streams_let_go = 0;
-  std::uint64_t streams_taken_up = 0;
+  std::uint64_t streams_suspended = 0;
+  std::uint64_t suspended_streams_resumed = 0;
 };
 
 } // namespace spurrack::serving
--- a/src/serving/events.h
+++ b/src/serving/events.h
@@ -4,7 +4,7 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "serving/replica_statement.h"
+#include "serving/replica_self_report.h"
 #include "serving/request.h"
 
 #include <cstdint>
@@ -26,15 +26,15 @@
   base::time_point arrived_at;
 };
 /// Why a client got no more of its answer.
-enum class leave_reason : std::uint8_t {
+enum class disconnect_reason : std::uint8_t {
   closed,    ///< It closed its connection, or the connection broke.
   unread,    ///< It took nothing for too long.
   no_memory, ///< It was the slowest reader when an answer found no room.
 };
 /// A client's connection ended before its answer was complete.
-struct client_left {
+struct client_disconnected {
   base::caller_id client = 0;
-  leave_reason why = leave_reason::closed;
+  disconnect_reason reason = disconnect_reason::closed;
 };
 /// A client of a stream takes less than its replica gives, or has caught up.
 struct client_window {
@@ -44,7 +44,7 @@
 };
 
 /// What is known of a call that brought no answer.
-enum class call_fate : std::uint8_t {
+enum class call_failure : std::uint8_t {
   not_sent,     ///< No byte was written to the replica.
   may_have_run, ///< Bytes were written; whether the replica worked on them is not known.
   no_memory,    ///< The replica answers, but this node has no memory to gather the answer.
@@ -52,7 +52,7 @@
 /// A call ended without an answer.
 struct call_failed {
   base::call_id call = 0;
-  call_fate fate = call_fate::may_have_run;
+  call_failure failure = call_failure::may_have_run;
 };
 /// Bytes of an answer that are counted against the memory of this process for as long as it lives.
 class held_memory {
@@ -98,13 +98,13 @@
 /// Why a piece brought no result.
 enum class piece_fault : std::uint8_t {
   none,
-  late,       ///< Its time was over at its turn.
-  input_gone, ///< A result it needs no longer exists.
-  no_room,    ///< The replica has no room for the result.
-  error,      ///< The replica could not make it.
-  not_run,    ///< The replica took no call; nothing was done.
-  lost,       ///< The call brought no answer.
-  expired,    ///< Its time was over before it was handed to a replica.
+  late,          ///< Its time was over at its turn.
+  input_gone,    ///< A result it needs no longer exists.
+  out_of_memory, ///< The replica has no room for the result.
+  error,         ///< The replica could not make it.
+  not_run,       ///< The replica took no call; nothing was done.
+  lost,          ///< The call brought no answer.
+  expired,       ///< Its time was over before it was handed to a replica.
 };
 /// Result of one piece.
 struct piece_outcome {
@@ -127,23 +127,23 @@
 };
 
 /// The head of an answer of any kind came: what it says of its replica, before its body is read.
-struct statement_heard {
+struct self_report_received {
   base::replica_id replica;
   /// When its call was made: the replica said so later than that.
-  base::time_point call_began;
-  replica_statement said;
+  base::time_point call_started_at;
+  replica_self_report report;
 };
 
 /// What came of asking a replica for a connection.
 enum class probe_result : std::uint8_t {
-  connected, ///< Something listens at its address.
-  refused,   ///< Nothing does.
-  silent,    ///< No answer in time, or another error: nothing is known.
+  connected,    ///< Something listens at its address.
+  refused,      ///< Nothing does.
+  unresponsive, ///< No answer in time, or another error: nothing is known.
 };
 /// A replica was asked for a connection.
 struct replica_probed {
   base::replica_id replica;
-  probe_result result = probe_result::silent;
+  probe_result result = probe_result::unresponsive;
 };
 
 // --- commands ------------------------------------------------------------------------------------
@@ -237,7 +237,7 @@
   std::string bytes;
 };
 /// Take in what the replica gives although the client does not read, as far as memory allows.
-struct widen_window {
+struct read_ahead {
   base::caller_id client = 0;
 };
 struct end_stream {
@@ -246,12 +246,13 @@
   bool complete = false;
 };
 
-using event = std::variant<request_arrived, client_left, client_window, call_failed, answer_paused,
-                           answer_resumed, call_answered, stream_opened, stream_bytes,
-                           stream_closed, stage_call_ended, statement_heard, replica_probed>;
+using event =
+    std::variant<request_arrived, client_disconnected, client_window, call_failed, answer_paused,
+                 answer_resumed, call_answered, stream_opened, stream_bytes, stream_closed,
+                 stage_call_ended, self_report_received, replica_probed>;
 using command = std::variant<start_call, cancel_call, pause_call, resume_call, start_stage_call,
                              free_results, close_connections, probe_replica, respond, open_stream,
-                             stream_data, widen_window, end_stream>;
+                             stream_data, read_ahead, end_stream>;
 using command_list = std::vector<command>;
 
 } // namespace spurrack::serving
--- a/src/serving/replica_statement.h
+++ b/src/serving/replica_self_report.h
@@ -17,7 +17,7 @@
 };
 
 /// What an answer says of the requests that its replica takes from all nodes together.
-struct named_limit {
+struct announced_limit {
   /// Requests a second; nothing where it names no limit.
   std::optional<double> per_second;
   /// It names a limit that cannot be read; what it named before stands.
@@ -25,20 +25,20 @@
 };
 
 /// What an answer says of the time for which its replica wants nothing from this node.
-struct asked_backoff {
+struct requested_backoff {
   /// From the answer on; nothing where it asks for none.
   std::optional<base::duration> span;
   /// It asks for one that cannot be read.
   bool unreadable = false;
 };
 
-struct replica_statement {
+struct replica_self_report {
   /// It leaves: it wants no new requests any more.
   bool leaving = false;
   /// It says of its leaving what cannot be read.
   bool leaving_unreadable = false;
-  asked_backoff backoff;
-  named_limit limit;
+  requested_backoff backoff;
+  announced_limit limit;
   std::optional<replica_load> load;
   /// It tells a load that cannot be read; what it told before stands, with its age.
   bool load_unreadable = false;
--- a/src/serving/request_codec.h
+++ b/src/serving/request_codec.h
@@ -63,8 +63,8 @@
   [[nodiscard]] virtual answer_head read_answer(raw_answer raw) const = 0;
   /// Reads what any answer of a replica says of the replica itself.
   /// @return nothing where another process than the replica that was meant gave it.
-  [[nodiscard]] virtual std::optional<replica_statement>
-  read_statement(const raw_answer& raw) const = 0;
+  [[nodiscard]] virtual std::optional<replica_self_report>
+  read_self_report(const raw_answer& raw) const = 0;
   /// @return the request an answer says it belongs to; nothing where it does not say.
   [[nodiscard]] virtual std::optional<std::string>
   answered_request(const header_list& headers) const = 0;
--- a/src/serving/settings.h
+++ b/src/serving/settings.h
@@ -36,7 +36,7 @@
 };
 
 /// For how long a stopping node takes new requests, besides weighing each one.
-struct stop_windows {
+struct stop_admission_windows {
   /// Within this time clients are led to other nodes: two looks at the readiness, a second apart,
   /// and half a second for the answers. Streams are taken no longer, since how long they last is
   /// known least and nothing mends a cut one.
@@ -58,7 +58,7 @@
   /// would hold back one in 200.
   std::size_t quarantine = 4;
   /// The same where half as many replicas or more end without it: chance does that to one in 8,000.
-  std::size_t quarantine_among_many = 5;
+  std::size_t quarantine_with_unrelated_exits = 5;
 };
 
 struct serving_settings {
@@ -70,7 +70,7 @@
   cold_bounds cold;
   /// Replicas of a zone that is given back after an evacuation are taken for cold for this time:
   /// two of their usual reports of 1.2 s and the way of the news.
-  base::duration cold_after_evacuation = std::chrono::milliseconds(3000);
+  base::duration cold_time_after_evacuation = std::chrono::milliseconds(3000);
   /// How long a request that found no replica is told to stay away.
   base::duration retry_after = std::chrono::milliseconds(300);
   /// A replica has fetched the results a request needs this long after it got the request; 0 waits
@@ -81,21 +81,21 @@
   /// How long the first piece of a batch waits for others to join it.
   base::duration batch_wait = std::chrono::milliseconds(10);
   /// A replica that could not be reached gets nothing for this time; doubles up to the longest.
-  base::duration unreachable_pause = std::chrono::milliseconds(400);
-  base::duration unreachable_pause_longest = std::chrono::seconds(4);
+  base::duration unreachable_backoff = std::chrono::milliseconds(400);
+  base::duration max_unreachable_backoff = std::chrono::seconds(4);
   /// A replica that said it is full gets nothing for this time.
-  base::duration full_pause = std::chrono::milliseconds(60);
+  base::duration full_backoff = std::chrono::milliseconds(60);
   /// A connection of a request that may run only once has rested no longer than this.
-  base::duration freshest_idle = std::chrono::milliseconds(1500);
+  base::duration single_run_max_idle_time = std::chrono::milliseconds(1500);
   /// A connection of any other request has rested no longer than this.
-  base::duration longest_rest = std::chrono::seconds(30);
+  base::duration max_idle_time = std::chrono::seconds(30);
   /// Longest time to open a connection to a replica.
   base::duration connect_timeout = std::chrono::milliseconds(500);
   quarantine_limits quarantine;
-  stop_windows stop_takes;
+  stop_admission_windows stop_admission;
   /// A stopping node takes only what it expects to end within this time, and gives up what is left
   /// after it.
-  base::duration stop_longest = std::chrono::milliseconds(7400);
+  base::duration max_stop_duration = std::chrono::milliseconds(7400);
 };
 
 } // namespace spurrack::serving
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -186,7 +186,7 @@
   cold.allowance = section->number("cold_allowance", 0, 1e6, cold.allowance);
   constexpr double usual_grace_seconds = 8;
   const double grace = section->number("stop_grace_s", 1, 600, usual_grace_seconds);
-  serving.stop_longest = base::from_seconds(std::max(grace - end_margin_seconds, grace / 2));
+  serving.max_stop_duration = base::from_seconds(std::max(grace - end_margin_seconds, grace / 2));
   constexpr double bytes_of_megabyte = 1e6;
   auto& resources = serving.resources;
   const double usual_megabytes = static_cast<double>(resources.memory_bytes) / bytes_of_megabyte;
@@ -211,7 +211,8 @@
   }
   result.node.serving = serving;
   result.node.stop_linger = std::chrono::milliseconds(1'500);
-  result.node.stop_linger_longest = std::min(serving.stop_longest, serving.stop_takes.requests);
+  result.node.stop_linger_longest =
+      std::min(serving.max_stop_duration, serving.stop_admission.requests);
   result.node.resync_wait = std::chrono::milliseconds(300);
   result.node.service_timing = read_watch_timing(*section);
   section->finish();
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -119,7 +119,7 @@
     return;
   }
   switch (outcome.fault) {
-  case piece_fault::no_room:
+  case piece_fault::out_of_memory:
     --pieces_.at(ticket).attempts;
     requeue(ticket, outcome.fault);
     break;
@@ -153,7 +153,7 @@
     replicas_->note_success(replica, now);
     note_pace(ended, now);
     for (std::size_t index = 0; index < ended.tickets.size(); ++index) {
-      if (answer.pieces[index].fault == piece_fault::no_room) {
+      if (answer.pieces[index].fault == piece_fault::out_of_memory) {
         note_no_room(ended, now);
       }
       hold_result(ended, index, answer.pieces[index], now);
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -156,16 +156,16 @@
                        codec_->encode(wanted),
                        wanted.content->id.text(),
                        wanted.streaming,
-                       {{}, settings_.longest_rest}};
+                       {{}, settings_.max_idle_time}};
     if (wanted.runs_at_most_once) {
-      call.rest = {surplus_settle_time, settings_.freshest_idle};
+      call.rest = {surplus_settle_time, settings_.single_run_max_idle_time};
     }
     asio::co_spawn(*io_, run_request(open(wanted.call), std::move(call)), asio::detached);
   }
 
   void start(serving::start_stage_call wanted) override {
     outgoing_call call{wanted.call,  wanted.target, codec_->encode(wanted),
-                       std::nullopt, false,         {surplus_settle_time, settings_.longest_rest}};
+                       std::nullopt, false,         {surplus_settle_time, settings_.max_idle_time}};
     auto state = open(wanted.call);
     asio::co_spawn(*io_, run_pieces(std::move(state), std::move(call), std::move(wanted)),
                    asio::detached);
@@ -177,7 +177,7 @@
                        codec_->encode(wanted),
                        std::nullopt,
                        false,
-                       {surplus_settle_time, settings_.longest_rest}};
+                       {surplus_settle_time, settings_.max_idle_time}};
     asio::co_spawn(*io_, run_free(std::move(call)), asio::detached);
   }
 
@@ -304,7 +304,7 @@
   asio::awaitable<void> run_probe(serving::call_target target) {
     const auto link = std::make_shared<connection>(*io_);
     const auto error = co_await open_connection(target.address, *link);
-    auto result = serving::probe_result::silent;
+    auto result = serving::probe_result::unresponsive;
     if (!error) {
       result = serving::probe_result::connected;
       pool_.give_back(target.address, link, usual_rest - rest_margin, base::boot_clock::now());
@@ -425,11 +425,11 @@
   /// Reads the head of an answer, and passes on what it says of its replica.
   serving::answer_head head_of(const response_parser& parser, const outgoing_call& call) {
     auto raw = raw_of(parser);
-    auto said = codec_->read_statement(raw);
+    auto said = codec_->read_self_report(raw);
     if (said) {
       counters_.unreadable_loads += said->load_unreadable ? 1 : 0;
       said->closing = said->closing || !parser.keep_alive();
-      handler_(serving::statement_heard{call.target.replica, call.began, *said});
+      handler_(serving::self_report_received{call.target.replica, call.began, *said});
     }
     return codec_->read_answer(std::move(raw));
   }
@@ -460,11 +460,12 @@
     }
   }
 
-  static serving::call_fate fate_of(const std::shared_ptr<call_state>& state) {
+  static serving::call_failure fate_of(const std::shared_ptr<call_state>& state) {
     if (state->lacked_memory) {
-      return serving::call_fate::no_memory;
+      return serving::call_failure::no_memory;
     }
-    return state->sent_anything ? serving::call_fate::may_have_run : serving::call_fate::not_sent;
+    return state->sent_anything ? serving::call_failure::may_have_run
+                                : serving::call_failure::not_sent;
   }
 
   asio::awaitable<void> run_request(std::shared_ptr<call_state> state, outgoing_call call) {
--- a/tests/ctl/request_log_test.cc
+++ b/tests/ctl/request_log_test.cc
@@ -71,7 +71,7 @@
   BOOST_TEST(read_route.served == 98);
   BOOST_TEST(read_route.refused == 1);
   BOOST_TEST(read_route.failed == 1);
-  BOOST_TEST(read_route.client_left == 1);
+  BOOST_TEST(read_route.client_disconnected == 1);
   BOOST_TEST(read_route.repeats == 1);
   BOOST_TEST(read_route.nines() == 1.699, boost::test_tools::tolerance(0.001));
   BOOST_TEST(read_route.longest_lost_ms == 5'000);
--- a/tests/dispatch/client_leaves_test.cc
+++ b/tests/dispatch/client_leaves_test.cc
@@ -35,7 +35,7 @@
 
   /// The client leaves; whatever is sent later would be for nobody.
   void leave() {
-    happen(client_left{1});
+    happen(client_disconnected{1});
     calls_before_ = all<start_call>().size();
     stage_calls_before_ = all<start_stage_call>().size();
   }
--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -50,7 +50,7 @@
 
 BOOST_AUTO_TEST_CASE(an_unsafe_request_that_may_have_run_is_never_sent_again) {
   arrive(1, "/unsafe/x");
-  happen(call_failed{last<start_call>().call, call_fate::may_have_run});
+  happen(call_failed{last<start_call>().call, call_failure::may_have_run});
   BOOST_TEST(all<start_call>().size() == 1);
   BOOST_TEST(last<respond>().status == 502);
 }
@@ -58,7 +58,7 @@
 BOOST_AUTO_TEST_CASE(an_unsafe_request_that_was_not_sent_goes_elsewhere) {
   arrive(1, "/unsafe/x");
   const auto first = last<start_call>();
-  happen(call_failed{first.call, call_fate::not_sent});
+  happen(call_failed{first.call, call_failure::not_sent});
   const auto second = last<start_call>();
   BOOST_TEST(second.call != first.call);
   BOOST_TEST(second.target.replica != first.target.replica);
@@ -78,7 +78,7 @@
 
 BOOST_AUTO_TEST_CASE(never_not_run_after_an_attempt_that_may_have_run) {
   arrive(1, "/safe/x");
-  happen(call_failed{last<start_call>().call, call_fate::may_have_run});
+  happen(call_failed{last<start_call>().call, call_failure::may_have_run});
   happen(call_answered{last<start_call>().call, full_head(), ""});
   BOOST_TEST(last<respond>().status == 502);
 }
@@ -117,7 +117,7 @@
 
 BOOST_AUTO_TEST_CASE(a_client_that_leaves_ends_its_call_at_once) {
   arrive(1, "/stream/x");
-  happen(client_left{1});
+  happen(client_disconnected{1});
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
   BOOST_TEST(all<respond>().empty());
 }
@@ -253,7 +253,7 @@
   BOOST_TEST(all<free_results>().size() == 1);
   happen(stage_call_ended{
       second, stage_call_ended::result::answered, {{piece_fault::input_gone, ""}}});
-  happen(client_left{1});
+  happen(client_disconnected{1});
   commands.clear();
   play(2);
   BOOST_TEST(all<free_results>().empty());
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -55,7 +55,7 @@
   BOOST_TEST(zone_of(last<start_call>()) == "a");
   // The other zone is the only one left, and then none is.
   evacuate("b");
-  happen(call_failed{last<start_call>().call, call_fate::may_have_run});
+  happen(call_failed{last<start_call>().call, call_failure::may_have_run});
   BOOST_TEST(all<start_call>().size() == 1U);
   BOOST_TEST(last<respond>().status == 502U);
 }
@@ -114,7 +114,7 @@
   pass(milliseconds(50));
   BOOST_TEST(all<start_stage_call>().size() == 2U);
   BOOST_TEST(last<start_stage_call>().target.replica.text() != name);
-  happen(client_left{1});
+  happen(client_disconnected{1});
   pass(milliseconds(50));
   for (const auto& freed : all<free_results>()) {
     BOOST_TEST(freed.maker.address != first.target.address);
@@ -131,7 +131,7 @@
   }
   // Nothing of the allowance has been saved up yet.
   BOOST_TEST(zones_of_calls() == std::set<std::string>{"b"}, boost::test_tools::per_element());
-  pass(serving_settings{}.cold_after_evacuation);
+  pass(serving_settings{}.cold_time_after_evacuation);
   commands.clear();
   for (base::caller_id client = 11; client <= 20; ++client) {
     arrive(client, "/stream/x");
--- a/tests/dispatch/lost_replica_test.cc
+++ b/tests/dispatch/lost_replica_test.cc
@@ -170,7 +170,7 @@
   BOOST_TEST(all<start_call>().size() == 2);
   happen(call_answered{last<start_call>().call, good_head(), "second"});
   BOOST_TEST(last<respond>().body == "second");
-  BOOST_TEST(subject.counts().repeats_borrowed == 1U);
+  BOOST_TEST(subject.counts().retries_on_transferred_budget == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(calls_without_progress_ask_for_a_loan_and_are_made_elsewhere_with_it,
@@ -206,7 +206,7 @@
                         borrowing_driver) {
   arrive(1, "/safe/x");
   happen(call_answered{last<start_call>().call, good_head(500), "first"});
-  happen(client_left{1});
+  happen(client_disconnected{1});
   answer(question_asked(), 1000);
   BOOST_TEST(all<start_call>().size() == 1);
   BOOST_TEST(subject.active() == 0);
--- a/tests/dispatch/planned_stop_repeats_test.cc
+++ b/tests/dispatch/planned_stop_repeats_test.cc
@@ -65,7 +65,7 @@
   BOOST_TEST(last<respond>().body == "failed");
   BOOST_TEST(subject.active() == 0);
   // Nor is anything taken from the share of repeats for what is not sent.
-  BOOST_TEST(subject.counts().repeats == 0U);
+  BOOST_TEST(subject.counts().retries == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_stream_whose_client_pauses_is_not_let_go_while_stopping) {
@@ -74,8 +74,8 @@
   go_on(call, seconds(2));
   happen(client_window{10, false});
   pass(milliseconds(1'600));
-  BOOST_TEST(subject.counts().streams_let_go == 0U);
-  BOOST_TEST(last<widen_window>().client == 10U);
+  BOOST_TEST(subject.counts().streams_suspended == 0U);
+  BOOST_TEST(last<read_ahead>().client == 10U);
   happen(client_window{10, true});
   next_event(call);
   happen(stream_closed{call, true});
--- a/tests/dispatch/planned_stop_requests_test.cc
+++ b/tests/dispatch/planned_stop_requests_test.cc
@@ -17,7 +17,7 @@
   const auto calls = all<start_call>().size();
   arrive(10, "/fixed/x");
   BOOST_TEST(all<start_call>().size() == calls + 1);
-  BOOST_TEST(subject.counts().taken_while_stopping == 1U);
+  BOOST_TEST(subject.counts().accepted_while_stopping == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(a_stream_that_arrives_too_late_is_refused_at_once) {
@@ -112,8 +112,8 @@
       });
     }
     node.subject.give_up_all(node.now);
-    BOOST_TEST(node.subject.counts().given_up_at_stop == 0U);
-    BOOST_TEST(node.subject.counts().taken_while_stopping > 0U);
+    BOOST_TEST(node.subject.counts().aborted_at_stop == 0U);
+    BOOST_TEST(node.subject.counts().accepted_while_stopping > 0U);
     BOOST_TEST(node.subject.counts().refused_while_stopping > 0U);
   }
 }
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -81,7 +81,7 @@
   BOOST_REQUIRE(all<start_call>().size() == 2);
   happen(call_answered{last<start_call>().call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
-  BOOST_TEST(subject.counts().calls_at_earlier_lives == 1U);
+  BOOST_TEST(subject.counts().calls_at_earlier_incarnations == 1U);
   BOOST_TEST(subject.counts().replica_restarts == 1U);
 }
 
@@ -120,7 +120,7 @@
 BOOST_AUTO_TEST_CASE(a_failure_at_the_earlier_life_is_none_of_the_one_that_began) {
   const auto call = call_at_a("/unsafe/x", 1);
   restart("plain");
-  happen(call_failed{call, call_fate::may_have_run});
+  happen(call_failed{call, call_failure::may_have_run});
   BOOST_TEST(last<respond>().status == 502);
   BOOST_TEST(state("plain-a").failure_share == 0);
   BOOST_TEST((state("plain-a").paused_until <= now));
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -136,7 +136,7 @@
   BOOST_TEST(retry_after() == "");
   BOOST_TEST(subject.active() == 0U);
   BOOST_TEST(zones_of_calls().empty());
-  BOOST_TEST(subject.counts().turned_away_by_residency == 2U);
+  BOOST_TEST(subject.counts().refused_by_residency == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(a_region_that_nobody_knows_allows_nothing) {
@@ -191,7 +191,7 @@
 BOOST_AUTO_TEST_CASE(second_attempts_and_resumed_streams_stay_there) {
   hold_routes({"west"});
   arrive(1, "/safe/x");
-  happen(call_failed{last<start_call>().call, call_fate::may_have_run});
+  happen(call_failed{last<start_call>().call, call_failure::may_have_run});
   arrive(2, "/stream/x");
   const auto stream = last<start_call>().call;
   happen(stream_opened{stream, good_head()});
@@ -230,11 +230,11 @@
 
 BOOST_AUTO_TEST_CASE(requests_kept_from_a_nearer_replica_are_counted) {
   arrive(1, "/safe/x");
-  BOOST_TEST(subject.counts().kept_from_nearer_by_residency == 0U);
+  BOOST_TEST(subject.counts().confined_by_residency == 0U);
   hold_routes({"south"});
   arrive(2, "/safe/x");
-  BOOST_TEST(subject.counts().kept_from_nearer_by_residency == 1U);
-  const auto& rings = subject.counts().calls_by_ring;
+  BOOST_TEST(subject.counts().confined_by_residency == 1U);
+  const auto& rings = subject.counts().calls_by_locality;
   BOOST_TEST(rings[static_cast<std::size_t>(model::ring::zone)] == 1U);
   BOOST_TEST(rings[static_cast<std::size_t>(model::ring::elsewhere)] == 1U);
 }
@@ -341,10 +341,10 @@
         calls[calls.size() - 1 - drawn_.below(std::min<std::size_t>(8, calls.size()))];
     switch (drawn_.below(6)) {
     case 0:
-      happen(call_failed{call.call, call_fate::may_have_run});
+      happen(call_failed{call.call, call_failure::may_have_run});
       break;
     case 1:
-      happen(call_failed{call.call, call_fate::not_sent});
+      happen(call_failed{call.call, call_failure::not_sent});
       break;
     case 2:
       happen(call_answered{call.call, full_head(), ""});
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -191,12 +191,12 @@
   }
 
   /// The head of the answer to a call of any kind says something of its replica.
-  void say(base::call_id call, const replica_statement& said) {
+  void say(base::call_id call, const replica_self_report& said) {
     const auto& made = made_calls_.at(call);
-    happen(statement_heard{made.replica, made.at, said});
+    happen(self_report_received{made.replica, made.at, said});
   }
   /// A call is answered whole, with what the replica says of itself.
-  void answer(base::call_id call, const replica_statement& said, const answer_head& head) {
+  void answer(base::call_id call, const replica_self_report& said, const answer_head& head) {
     say(call, said);
     happen(call_answered{call, head, ""});
   }
--- a/tests/dispatch/slow_reader_test.cc
+++ b/tests/dispatch/slow_reader_test.cc
@@ -47,7 +47,7 @@
   BOOST_TEST(passed_on() == "id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
   BOOST_TEST(last<end_stream>().complete);
   BOOST_TEST(all<start_call>().size() == 1U);
-  BOOST_TEST(subject.counts().clients_judged_slow == 0U);
+  BOOST_TEST(subject.counts().slow_clients == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_resting_stream_is_no_stalled_replica) {
@@ -73,7 +73,7 @@
   close_window();
   pass(milliseconds(1'600));
   BOOST_TEST(last<cancel_call>().call == first.call);
-  BOOST_TEST(subject.counts().streams_let_go == 1U);
+  BOOST_TEST(subject.counts().streams_suspended == 1U);
   pass(seconds(8));
   BOOST_TEST(all<start_call>().size() == 1U);
   BOOST_TEST(all<end_stream>().empty());
@@ -89,7 +89,7 @@
   BOOST_TEST(passed_on() == "id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
   BOOST_TEST(all<open_stream>().size() == 1U);
   BOOST_TEST(last<end_stream>().complete);
-  BOOST_TEST(subject.counts().streams_taken_up == 1U);
+  BOOST_TEST(subject.counts().suspended_streams_resumed == 1U);
   BOOST_TEST(subject.active() == 0U);
 }
 
@@ -97,17 +97,17 @@
   const auto call = begin("/fixed/x");
   close_window();
   pass(milliseconds(1'600));
-  BOOST_TEST(last<widen_window>().client == 1U);
+  BOOST_TEST(last<read_ahead>().client == 1U);
   BOOST_TEST(all<cancel_call>().empty());
   // Memory may come later: it is asked for again while the window stays closed.
   pass(milliseconds(1'600));
-  BOOST_TEST(all<widen_window>().size() == 2U);
+  BOOST_TEST(all<read_ahead>().size() == 2U);
   open_window();
   BOOST_TEST(last<resume_call>().call == call.call);
   pass(seconds(5));
-  BOOST_TEST(all<widen_window>().size() == 2U);
+  BOOST_TEST(all<read_ahead>().size() == 2U);
   BOOST_TEST(all<start_call>().size() == 1U);
-  BOOST_TEST(subject.counts().clients_judged_slow == 1U);
+  BOOST_TEST(subject.counts().slow_clients == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(without_a_repeat_left_it_is_buffered) {
@@ -120,16 +120,16 @@
   happen(stream_bytes{second.call, "id: 2\ndata: y\n\n"});
   close_window();
   pass(milliseconds(1'600));
-  BOOST_TEST(last<widen_window>().client == 1U);
+  BOOST_TEST(last<read_ahead>().client == 1U);
   BOOST_TEST(all<start_call>().size() == 2U);
-  BOOST_TEST(subject.counts().streams_let_go == 1U);
+  BOOST_TEST(subject.counts().streams_suspended == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(a_client_that_leaves_while_let_go_gets_nothing_sent) {
   begin("/stream/x");
   close_window();
   pass(milliseconds(1'600));
-  happen(client_left{1, leave_reason::unread});
+  happen(client_disconnected{1, disconnect_reason::unread});
   open_window();
   pass(seconds(3));
   BOOST_TEST(all<start_call>().size() == 1U);
@@ -139,7 +139,7 @@
 BOOST_AUTO_TEST_CASE(a_client_that_leaves_while_paused_ends_its_replicas_work_at_once) {
   const auto call = begin("/fixed/x");
   close_window();
-  happen(client_left{1});
+  happen(client_disconnected{1});
   BOOST_TEST(last<cancel_call>().call == call.call);
   BOOST_TEST(subject.active() == 0U);
 }
@@ -173,7 +173,7 @@
   happen(stream_bytes{call.call, "ta: y\n\n"});
   BOOST_TEST(budget->held() == 0U);
   happen(stream_bytes{call.call, "id: 3\nda"});
-  happen(client_left{1});
+  happen(client_disconnected{1});
   BOOST_TEST(budget->held() == 0U);
 }
 
@@ -220,10 +220,10 @@
 BOOST_AUTO_TEST_CASE(an_answer_given_up_for_memory_says_nothing_of_its_replica) {
   arrive(1, "/safe/x");
   const auto first = last<start_call>();
-  happen(call_failed{first.call, call_fate::no_memory});
+  happen(call_failed{first.call, call_failure::no_memory});
   // It may be made again, also where it was.
   BOOST_REQUIRE(all<start_call>().size() == 2U);
-  happen(call_failed{last<start_call>().call, call_fate::no_memory});
+  happen(call_failed{last<start_call>().call, call_failure::no_memory});
   BOOST_TEST(last<respond>().status == 502U);
   BOOST_TEST(subject.replicas().find(first.target.replica)->failure_share == 0);
 }
--- a/tests/node/planned_stop_test.cc
+++ b/tests/node/planned_stop_test.cc
@@ -15,12 +15,12 @@
 
 /// A node that is told how long its stop may last.
 struct stopping_node : driven_node {
-  explicit stopping_node(base::duration stop_longest = milliseconds(7'300))
-      : driven_node(settings_with(stop_longest), milliseconds(10)) {}
+  explicit stopping_node(base::duration max_stop_duration = milliseconds(7'300))
+      : driven_node(settings_with(max_stop_duration), milliseconds(10)) {}
 
-  static node::node_settings settings_with(base::duration stop_longest) {
+  static node::node_settings settings_with(base::duration max_stop_duration) {
     auto settings = usual_settings();
-    settings.serving->stop_longest = stop_longest;
+    settings.serving->max_stop_duration = max_stop_duration;
     settings.stop_linger = milliseconds(1'500);
     settings.stop_linger_longest = milliseconds(3'500);
     return settings;
--- a/tests/node/suspension_test.cc
+++ b/tests/node/suspension_test.cc
@@ -124,7 +124,7 @@
 
 BOOST_AUTO_TEST_CASE(a_loss_of_a_call_in_the_sleep_is_laid_to_no_request_without_proof) {
   suspend();
-  happen(serving::event(serving::call_failed{2, serving::call_fate::may_have_run}));
+  happen(serving::event(serving::call_failed{2, serving::call_failure::may_have_run}));
   BOOST_TEST(subject.serving()->crashes().empty());
   happen(serving::event(
       serving::replica_probed{base::replica_id("plain-a"), serving::probe_result::connected}));
--- a/tests/platform/http_codec_test.cc
+++ b/tests/platform/http_codec_test.cc
@@ -138,7 +138,7 @@
                                  {"Content-Length", "2"},
                                  {"Content-Type", "text/plain"}}};
   const auto head = codec->read_answer(raw);
-  const auto said = codec->read_statement(raw).value();
+  const auto said = codec->read_self_report(raw).value();
   BOOST_TEST(head.sealed);
   BOOST_TEST(!head.not_executed);
   BOOST_TEST(said.closing);
@@ -158,7 +158,7 @@
   const auto codec = platform::make_http_codec();
   for (const std::string text : {"3,1,8", "3, 1, 8", "3,1,8,", "3,1,8,100", "3,1,8,soon",
                                  "3,1,8,-5", "3,1,8,1e99,7,x", "3,1,8,99999999999999999999"}) {
-    const auto head = codec->read_statement({200, {{"X-Replica-Load", text}}}).value();
+    const auto head = codec->read_self_report({200, {{"X-Replica-Load", text}}}).value();
     BOOST_TEST_CONTEXT(text) {
       BOOST_REQUIRE(head.load.has_value());
       BOOST_TEST(head.load->running == 3);
@@ -174,13 +174,13 @@
   for (const std::string text :
        {"", " ", ",", ",,", "3", "3,1", "many,1,8", "3,-1,8", "3,1,8.5", "3;1;8", "+3,1,8",
         "99999999999,1,8", "4000000000,1,8", "3,100001,8", "3 1 8", "nan,0,8"}) {
-    const auto head = codec->read_statement({200, {{"X-Replica-Load", text}}}).value();
+    const auto head = codec->read_self_report({200, {{"X-Replica-Load", text}}}).value();
     BOOST_TEST_CONTEXT(text) {
       BOOST_TEST(!head.load.has_value());
       BOOST_TEST(head.load_unreadable);
     }
   }
-  const auto silent = codec->read_statement({200, {}}).value();
+  const auto silent = codec->read_self_report({200, {}}).value();
   BOOST_TEST(!silent.load.has_value());
   BOOST_TEST(!silent.load_unreadable);
 }
@@ -188,7 +188,7 @@
 BOOST_AUTO_TEST_CASE(an_answer_names_what_its_replica_takes) {
   const auto codec = platform::make_http_codec();
   const auto named = [&](const std::string& text) {
-    return codec->read_statement({200, {{"Server-Limit", text}}}).value().limit;
+    return codec->read_self_report({200, {{"Server-Limit", text}}}).value().limit;
   };
   for (const auto& [text, value] : std::vector<std::pair<std::string, double>>{
            {"0", 0}, {"0.2", 0.2}, {"1", 1}, {" 3.5 ", 3.5}, {"1000", 1000}}) {
@@ -201,11 +201,11 @@
     BOOST_TEST(named(text).unreadable, text);
   }
   const auto twice =
-      codec->read_statement({200, {{"Server-Limit", "1"}, {"Server-Limit", "2"}}}).value();
+      codec->read_self_report({200, {{"Server-Limit", "1"}, {"Server-Limit", "2"}}}).value();
   BOOST_TEST(twice.limit.unreadable);
   // Another process has the address: it says nothing of the replica that was meant.
-  BOOST_TEST(!codec->read_statement({421, {{"Server-Limit", "3"}}}).has_value());
-  const auto silent = codec->read_statement({200, {}}).value();
+  BOOST_TEST(!codec->read_self_report({421, {{"Server-Limit", "3"}}}).has_value());
+  const auto silent = codec->read_self_report({200, {}}).value();
   BOOST_TEST(!silent.limit.unreadable);
   BOOST_TEST(!silent.limit.per_second);
   const auto head = codec->read_answer({200, {{"Server-Limit", "1"}, {"A", "b"}}});
@@ -217,18 +217,18 @@
   const auto codec = platform::make_http_codec();
   const auto cold_for = [&](const std::string& text) {
     return base::to_milliseconds(
-        codec->read_statement({200, {{"X-Cold-Ms", text}}}).value().cold_for);
+        codec->read_self_report({200, {{"X-Cold-Ms", text}}}).value().cold_for);
   };
   BOOST_TEST(cold_for("2500") == 2500);
   BOOST_TEST(cold_for("-1") == 0);
   BOOST_TEST(cold_for("soon") == 0);
-  BOOST_TEST(base::to_milliseconds(codec->read_statement({200, {}}).value().cold_for) == 0);
+  BOOST_TEST(base::to_milliseconds(codec->read_self_report({200, {}}).value().cold_for) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_of_any_status_says_that_its_replica_leaves) {
   const auto codec = platform::make_http_codec();
   const auto read = [&](unsigned status, const header_list& headers) {
-    return codec->read_statement({status, headers}).value();
+    return codec->read_self_report({status, headers}).value();
   };
   for (const unsigned status : {200U, 204U, 409U, 429U, 500U, 503U}) {
     BOOST_TEST(read(status, {{"Server-Leaving", "1"}}).leaving, status);
@@ -250,7 +250,7 @@
 BOOST_AUTO_TEST_CASE(a_503_names_the_time_in_which_its_replica_wants_nothing) {
   const auto codec = platform::make_http_codec();
   const auto asked = [&](unsigned status, const header_list& headers) {
-    return codec->read_statement({status, headers}).value().backoff;
+    return codec->read_self_report({status, headers}).value().backoff;
   };
   const auto seconds_of = [&](const std::string& text) {
     const auto span = asked(503, {{"Retry-After", text}}).span;
--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -438,7 +438,7 @@
     auto* replica = replica_at(wanted.target.address);
     if (replica == nullptr || !replica->is_up) {
       nodes[node].calls.erase(wanted.call);
-      nodes[node].subject->handle(call_failed{wanted.call, call_fate::not_sent}, now);
+      nodes[node].subject->handle(call_failed{wanted.call, call_failure::not_sent}, now);
       return;
     }
     if (replica->id != wanted.target.replica) {
@@ -494,7 +494,7 @@
     if (has_head) {
       node.subject->handle(stream_closed{call, false}, now);
     } else {
-      node.subject->handle(call_failed{call, call_fate::may_have_run}, now);
+      node.subject->handle(call_failed{call, call_failure::may_have_run}, now);
     }
   }
 
--- a/tests/quarantine/quarantine_policies_test.cc
+++ b/tests/quarantine/quarantine_policies_test.cc
@@ -101,7 +101,7 @@
   drawn.limits = {};
   drawn.limits.one_attempt = never;
   drawn.route_pause = seconds(10);
-  drawn.limits.quarantine = drawn.limits.quarantine_among_many = never;
+  drawn.limits.quarantine = drawn.limits.quarantine_with_unrelated_exits = never;
   const auto pause = play("pause of the route, 10 s", drawn);
   drawn.route_pause = {};
   drawn.limits = {};
--- a/tests/rate_limits/limited_calls_test.cc
+++ b/tests/rate_limits/limited_calls_test.cc
@@ -18,8 +18,8 @@
     subject.update(world.content, now);
   }
 
-  static replica_statement limited(double per_second) {
-    replica_statement said;
+  static replica_self_report limited(double per_second) {
+    replica_self_report said;
     said.limit.per_second = per_second;
     return said;
   }
@@ -61,13 +61,13 @@
       node.pass(milliseconds(20));
       const auto calls = node.all<start_call>();
       for (; failed < calls.size(); ++failed) {
-        node.happen(call_failed{calls[failed].call, call_fate::may_have_run});
+        node.happen(call_failed{calls[failed].call, call_failure::may_have_run});
       }
     }
   }
   const auto sent = node.called_since(before).size();
   BOOST_TEST(static_cast<double>(sent) <= 2 * (30 * limit + 5), sent << " sends in 30 s");
-  BOOST_TEST(node.subject.counts().repeats > 0U);
+  BOOST_TEST(node.subject.counts().retries > 0U);
 }
 
 BOOST_AUTO_TEST_CASE(calls_with_pieces_and_freed_results_keep_the_limit) {
@@ -185,7 +185,7 @@
               dispatcher_driver::good_head());
   node.arrive(2, "/safe/");
   node.pass(milliseconds(2500));
-  replica_statement said;
+  replica_self_report said;
   said.limit.unreadable = true;
   node.answer(node.last<start_call>().call, said, dispatcher_driver::good_head());
   BOOST_TEST(node.subject.limits().limited() == 1U);
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -410,7 +410,7 @@
     auto& replica = replicas[place];
     const auto head =
         is_turned_away ? dispatcher_driver::full_head() : dispatcher_driver::good_head();
-    replica_statement said;
+    replica_self_report said;
     said.limit.per_second = replica.limit;
     said.leaving = replica.is_leaving;
     if (is_turned_away) {
@@ -432,7 +432,7 @@
       if (said.backoff.span) {
         replicas[place].pauses.push_back({index, now, now + *said.backoff.span});
       }
-      node.subject->handle(statement_heard{replicas[place].id, began, said}, now);
+      node.subject->handle(self_report_received{replicas[place].id, began, said}, now);
       node.subject->handle(call_answered{call, head, "body"}, now);
       node.wakes_at = now;
     };
--- a/tests/rate_limits/permit_node.h
+++ b/tests/rate_limits/permit_node.h
@@ -23,11 +23,11 @@
     statements_.set_peers(alive);
     permits_.set_peers(alive, known);
   }
-  void hear(const base::replica_id& replica, const serving::named_limit& said,
-            base::time_point call_began, base::time_point now) {
-    serving::replica_statement statement;
+  void hear(const base::replica_id& replica, const serving::announced_limit& said,
+            base::time_point call_started_at, base::time_point now) {
+    serving::replica_self_report statement;
     statement.limit = said;
-    statements_.hear(replica, statement, call_began, now);
+    statements_.hear(replica, statement, call_started_at, now);
   }
   void forget(const base::replica_id& replica) {
     statements_.forget(replica);
@@ -48,11 +48,11 @@
     return messages;
   }
 
-  [[nodiscard]] replica_statements::statement_exchange& statements() { return statements_; }
+  [[nodiscard]] replica_statements::self_report_exchange& statements() { return statements_; }
   [[nodiscard]] limit_exchange& permits() { return permits_; }
 
  private:
-  replica_statements::statement_exchange statements_;
+  replica_statements::self_report_exchange statements_;
   limit_exchange permits_;
 };
 
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -10,14 +10,14 @@
 
 namespace {
 
-replica_statement leaving() {
-  replica_statement said;
+replica_self_report leaving() {
+  replica_self_report said;
   said.leaving = true;
   return said;
 }
 
-replica_statement backoff_of(base::duration span) {
-  replica_statement said;
+replica_self_report backoff_of(base::duration span) {
+  replica_self_report said;
   said.backoff.span = span;
   return said;
 }
@@ -31,7 +31,7 @@
   }
 
   /// Answers all calls with pieces that were made since the last time.
-  void make_pieces(const replica_statement& said = {}) {
+  void make_pieces(const replica_self_report& said = {}) {
     const auto calls = all<start_stage_call>();
     for (; answered_ < calls.size(); ++answered_) {
       const auto& call = calls[answered_];
@@ -175,7 +175,7 @@
   const auto before = node.commands.size();
   for (const auto& call : first) {
     if (call.target.replica != resting) {
-      node.happen(call_failed{call.call, call_fate::may_have_run});
+      node.happen(call_failed{call.call, call_failure::may_have_run});
     }
   }
   node.pass(milliseconds(2'900));
@@ -239,7 +239,7 @@
   stated_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
-  replica_statement said;
+  replica_self_report said;
   said.leaving_unreadable = true;
   said.backoff.unreadable = true;
   node.answer(call.call, said, dispatcher_driver::good_head());
--- a/tests/replicas/replica_evidence_test.cc
+++ b/tests/replicas/replica_evidence_test.cc
@@ -127,7 +127,7 @@
 BOOST_AUTO_TEST_CASE(the_way_back_is_one_request) {
   say(0, "x", replica_sign::silent);
   say(0, "y", replica_sign::silent);
-  now += settings.unreachable_pause;
+  now += settings.unreachable_backoff;
   BOOST_TEST(is_candidate(0));
   table.call_started(id(0), now);
   BOOST_TEST(!is_candidate(0));
--- a/tests/replicas/replica_lives_test.cc
+++ b/tests/replicas/replica_lives_test.cc
@@ -154,7 +154,7 @@
   restart();
   BOOST_TEST(is_candidate(r0));
   table.note_unreachable(r0, now);
-  BOOST_TEST((state().paused_until == now + settings.unreachable_pause));
+  BOOST_TEST((state().paused_until == now + settings.unreachable_backoff));
 }
 
 BOOST_FIXTURE_TEST_CASE(one_that_left_takes_work_in_its_next_life, reborn_table) {
--- a/tests/stage_work/stage_pool_test.cc
+++ b/tests/stage_work/stage_pool_test.cc
@@ -327,7 +327,7 @@
   submit("r1", std::chrono::seconds(1), 400'000);
   const auto call = pump().front();
   auto ended = answered(call);
-  ended.pieces.front() = {piece_fault::no_room, {}};
+  ended.pieces.front() = {piece_fault::out_of_memory, {}};
   pool.on_call_ended(ended, now);
   BOOST_TEST(pump().empty());
   restart();
