--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -229,12 +229,12 @@
       counts.requests_cleared);
   add("spurrack_crash_news_sent_total",
       "Messages to other nodes on requests under which replicas ended.",
-      dispatcher.crash_news().messages);
+      dispatcher.crash_reports().sent_messages);
   add("spurrack_crash_news_heard_total",
       "Records of other nodes on requests under which replicas ended.",
-      dispatcher.crash_news().taken_in);
+      dispatcher.crash_reports().received_records);
   add("spurrack_crash_news_malformed_total", "Such records that could not be read, passed over.",
-      dispatcher.crash_news().malformed);
+      dispatcher.crash_reports().malformed_records);
   add_gauge(registry, "spurrack_suspected_requests",
             "Requests that this node knows replicas to have ended under.",
             static_cast<double>(dispatcher.crashes().all().size()));
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -154,13 +154,13 @@
   return {{"costs", std::move(rows)}};
 }
 
-std::string_view name_of(quarantine::standing standing) {
-  switch (standing) {
-  case quarantine::standing::one_attempt:
+std::string_view name_of(quarantine::quarantine_state state) {
+  switch (state) {
+  case quarantine::quarantine_state::single_attempt:
     return "one attempt";
-  case quarantine::standing::held_back:
+  case quarantine::quarantine_state::quarantined:
     return "held back";
-  case quarantine::standing::free:
+  case quarantine::quarantine_state::unrestricted:
     break;
   }
   return "free";
@@ -169,18 +169,19 @@
 json::object quarantine_document(const node::node& subject, base::time_point now) {
   json::array requests;
   if (const auto* serving = subject.serving()) {
-    const auto& ledger = serving->crashes();
-    for (const auto& [digest, record] : ledger.all()) {
-      json::array ends;
-      for (const auto& seen : record.ends) {
-        ends.push_back(json::object{{"replica", seen.replica.text()},
-                                    {"age_ms", base::to_milliseconds(now - seen.at)}});
+    const auto& registry = serving->crashes();
+    for (const auto& [digest, record] : registry.all()) {
+      json::array exits;
+      for (const auto& observation : record.exits) {
+        exits.push_back(json::object{{"replica", observation.replica.text()},
+                                     {"age_ms", base::to_milliseconds(now - observation.at)}});
       }
-      requests.push_back(json::object{{"digest", digest.text()},
-                                      {"standing", name_of(ledger.standing_of(digest, now))},
-                                      {"ends", record.ends.size()},
-                                      {"newest_ms", base::to_milliseconds(now - record.newest())},
-                                      {"replicas", std::move(ends)}});
+      requests.push_back(
+          json::object{{"digest", digest.text()},
+                       {"standing", name_of(registry.quarantine_state_of(digest, now))},
+                       {"ends", record.exits.size()},
+                       {"newest_ms", base::to_milliseconds(now - record.last_update_at())},
+                       {"replicas", std::move(exits)}});
     }
   }
   return {{"requests", std::move(requests)}};
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -74,8 +74,8 @@
       plain_replicas_(replicas_, from_here_, random), directory_(self, settings.regions, replicas_),
       engines_(replicas_, directory_, from_here_, plain_replicas_), retries_(settings.retry),
       lending_(retries_, self.zone, random, life),
-      news_(replicas_, self.zone, settings.regions, random), crash_ledger_(settings.quarantine),
-      crash_news_(crash_ledger_, self.node, random),
+      news_(replicas_, self.zone, settings.regions, random), crash_registry_(settings.quarantine),
+      crash_report_exchange_(crash_registry_, self.node, random),
       stages_(
           self, replicas_, settings, [this] { return next_call_++; }, life, record_),
       stop_(settings.stop_admission) {
@@ -94,7 +94,7 @@
   directory_.set_peers(alive);
   lending_.set_peers(alive);
   news_.set_peers(alive);
-  crash_news_.set_peers(alive);
+  crash_report_exchange_.set_peers(alive);
   statements_.set_peers(alive);
   limits_.set_peers(alive, known);
   stages_.set_peers(std::move(alive));
@@ -481,7 +481,7 @@
   if (const auto news = news_.next_wakeup()) {
     consider(*news);
   }
-  if (const auto news = crash_news_.next_wakeup()) {
+  if (const auto news = crash_report_exchange_.next_wakeup()) {
     consider(*news);
   }
   if (!awaiting_loans_.empty()) {
@@ -504,7 +504,7 @@
   auto engines = directory_.take_messages();
   auto lending = lending_.take_messages();
   auto news = news_.take_messages();
-  auto crashes = crash_news_.take_messages();
+  auto crashes = crash_report_exchange_.take_messages();
   auto limits = limits_.take_messages();
   auto statements = statements_.take_messages();
   for (auto* more : {&engines, &lending, &news, &crashes, &limits, &statements}) {
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -14,9 +14,9 @@
 #include "engines/engine_chooser.h"
 #include "engines/engine_directory.h"
 #include "flow/byte_budget.h"
-#include "quarantine/crash_ledger.h"
-#include "quarantine/crash_news.h"
-#include "quarantine/crash_watch.h"
+#include "quarantine/crash_detector.h"
+#include "quarantine/crash_registry.h"
+#include "quarantine/crash_report_exchange.h"
 #include "quarantine/request_digest.h"
 #include "rate_limits/limit_exchange.h"
 #include "replicas/distance.h"
@@ -90,7 +90,7 @@
                    base::time_point now);
   /// This process was paused, or its machine suspended, for `gap`: others are asked what it missed,
   /// and the silence of replicas meanwhile says nothing of them.
-  void resume_after_pause(base::duration gap, base::time_point now);
+  void resume_after_suspension(base::duration gap, base::time_point now);
   /// Lets a request go that is held back. @return whether anything spoke against it.
   bool release_request(const quarantine::request_digest& digest, base::time_point now);
   /// Gives up what is past its time and hands out what waits.
@@ -114,9 +114,9 @@
     return statements_;
   }
   [[nodiscard]] const rate_limits::limit_exchange& limits() const { return limits_; }
-  [[nodiscard]] const quarantine::crash_ledger& crashes() const { return crash_ledger_; }
-  [[nodiscard]] const quarantine::crash_news_counts& crash_news() const {
-    return crash_news_.counts();
+  [[nodiscard]] const quarantine::crash_registry& crashes() const { return crash_registry_; }
+  [[nodiscard]] const quarantine::crash_report_counts& crash_reports() const {
+    return crash_report_exchange_.counts();
   }
 
  private:
@@ -125,7 +125,7 @@
     base::call_id id = 0;
     base::replica_id replica;
     /// The end of the life it was made at, should that come.
-    replica_end life_end = 0;
+    replica_exit incarnation_exit = 0;
     base::time_point started;
     /// Where the replica shows no progress until then, the call is made elsewhere.
     std::optional<base::time_point> stalls_at;
@@ -376,11 +376,11 @@
   void end_failed(active_request& request, const failed_ending& ending, base::time_point now);
   /// A call ended without a whole answer: finds out whether its replica ended with it.
   void note_lost_call(const active_request& request, const base::replica_id& replica,
-                      replica_end life_end, base::time_point now);
+                      replica_exit incarnation_exit, base::time_point now);
   /// @param evidence what showed that a replica ended, for the log.
   void note_replica_ended(const base::replica_id& replica, const char* evidence,
                           base::time_point now);
-  void note_end_under(const quarantine::ended_call& call, const base::replica_id& replica,
+  void note_end_under(const quarantine::lost_call& call, const base::replica_id& replica,
                       const char* evidence, base::time_point now);
   /// Tells other nodes what has changed, and forgets what is over.
   void advance_crashes(base::time_point now);
@@ -390,8 +390,8 @@
   void withdraw_end(const base::replica_id& replica, base::time_point now);
   /// A run of a request came to an end and its replica lives.
   void note_survived(const active_request& request, base::time_point now);
-  [[nodiscard]] quarantine::standing standing_of(const active_request& request,
-                                                 base::time_point now) const;
+  [[nodiscard]] quarantine::quarantine_state quarantine_state_of(const active_request& request,
+                                                                 base::time_point now) const;
   /// Refuses a request that is held back. @return whether it was refused.
   bool refuse_in_quarantine(active_request& request, base::time_point now);
   /// A request is held back from now on: those of it that wait or have shown nothing yet end.
@@ -493,9 +493,9 @@
   retry_share retries_;
   retry_lending lending_;
   replica_news news_;
-  quarantine::crash_watch crash_watch_;
-  quarantine::crash_ledger crash_ledger_;
-  quarantine::crash_news crash_news_;
+  quarantine::crash_detector crash_detector_;
+  quarantine::crash_registry crash_registry_;
+  quarantine::crash_report_exchange crash_report_exchange_;
   base::time_point next_crash_expiry_;
   std::vector<quarantine::request_digest> newly_held_back_;
   stage_exchange stages_;
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -95,7 +95,7 @@
   ++request.sent;
   request.call = open_call{wanted.call,
                            chosen->record->id,
-                           end_of_life(*chosen->record),
+                           exit_id_of(*chosen->record),
                            now,
                            std::nullopt,
                            std::nullopt,
@@ -191,7 +191,7 @@
     request->tried.erase(call.replica);
   } else {
     replicas_.note_failure(call.replica, now);
-    note_lost_call(*request, call.replica, call.life_end, now);
+    note_lost_call(*request, call.replica, call.incarnation_exit, now);
   }
   record(base::event_kind::stage_retried, *request, call.replica.text(),
          lacked_memory ? "no memory for the answer" : "no answer" + identity_text(*request));
@@ -389,7 +389,7 @@
     return;
   }
   replicas_.note_failure(call.replica, now);
-  note_lost_call(*request, call.replica, call.life_end, now);
+  note_lost_call(*request, call.replica, call.incarnation_exit, now);
   record(base::event_kind::stage_retried, *request, call.replica.text(),
          "the stream broke off" + identity_text(*request));
   repeat_or_fail(*request, now);
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -24,13 +24,14 @@
 // --- finding out ---------------------------------------------------------------------------------
 
 void dispatcher::note_lost_call(const active_request& request, const base::replica_id& replica,
-                                replica_end life_end, base::time_point now) {
+                                replica_exit incarnation_exit, base::time_point now) {
   const auto* state = replicas_.find(replica);
   // One that leaves as planned ends too, and no request is to blame.
   if (state == nullptr || state->record->draining || state->left) {
     return;
   }
-  if (crash_watch_.note_lost_call(replica, {digest_of(request), {life_end, now, replica}}, now)) {
+  if (crash_detector_.note_lost_call(replica,
+                                     {digest_of(request), {incarnation_exit, now, replica}}, now)) {
     commands_.emplace_back(probe_replica{{replica, state->record->address}});
   }
 }
@@ -41,16 +42,16 @@
     note_replica_ended(what.replica, "it refuses connections", now);
     break;
   case probe_result::connected:
-    crash_watch_.note_connected(what.replica, now);
+    crash_detector_.note_connected(what.replica, now);
     break;
   case probe_result::unresponsive:
-    crash_watch_.note_silent(what.replica);
+    crash_detector_.note_probe_failed(what.replica);
     break;
   }
 }
 
 void dispatcher::find_ended_replicas(base::time_point now) {
-  for (const auto& replica : crash_watch_.watched()) {
+  for (const auto& replica : crash_detector_.watched_replicas()) {
     if (replicas_.find(replica) == nullptr) {
       note_replica_ended(replica, "it is published no longer", now);
     }
@@ -59,23 +60,23 @@
 
 void dispatcher::note_replica_ended(const base::replica_id& replica, const char* evidence,
                                     base::time_point now) {
-  for (const auto& call : crash_watch_.take_ended(replica)) {
+  for (const auto& call : crash_detector_.take_lost_calls(replica)) {
     note_end_under(call, replica, evidence, now);
   }
 }
 
-void dispatcher::note_end_under(const quarantine::ended_call& call, const base::replica_id& replica,
+void dispatcher::note_end_under(const quarantine::lost_call& call, const base::replica_id& replica,
                                 const char* evidence, base::time_point now) {
-  const auto change = crash_ledger_.note_end(call.digest, call.seen, now);
-  if (!change.is_news) {
+  const auto change = crash_registry_.note_exit(call.digest, call.exit, now);
+  if (!change.has_new_information) {
     return;
   }
   ++counters_.crashes_under_requests;
   record_(base::event_kind::request_crashed_replica, {}, replica.text(),
           "request digest " + call.digest.text() + ", " + evidence + ", its call ended " +
-              std::to_string(base::to_milliseconds(now - call.seen.at)) + " ms ago, " +
-              std::to_string(crash_ledger_.ends_of(call.digest)) + " ends under it");
-  crash_news_.note_changed(call.digest);
+              std::to_string(base::to_milliseconds(now - call.exit.at)) + " ms ago, " +
+              std::to_string(crash_registry_.counted_exits_of(call.digest)) + " ends under it");
+  crash_report_exchange_.note_changed(call.digest);
   if (change.begins_quarantine) {
     newly_held_back_.push_back(call.digest);
   }
@@ -83,7 +84,7 @@
 
 void dispatcher::handle_peer(const base::network_address& address, const wire::crash_news& message,
                              base::time_point now) {
-  for (const auto& learned : crash_news_.handle(address, message, now)) {
+  for (const auto& learned : crash_report_exchange_.handle(address, message, now)) {
     if (learned.begins_quarantine) {
       newly_held_back_.push_back(learned.digest);
     }
@@ -93,29 +94,29 @@
 void dispatcher::advance_crashes(base::time_point now) {
   if (now >= next_crash_expiry_) {
     next_crash_expiry_ = now + crash_expiry_period;
-    crash_watch_.forget_old(now);
-    crash_ledger_.expire(now);
+    crash_detector_.drop_expired(now);
+    crash_registry_.expire(now);
   }
   // Not where it is learned: the request that is being looked at there may be among those ended.
   for (const auto& digest : std::exchange(newly_held_back_, {})) {
     quarantine_request(digest, now);
   }
-  crash_news_.advance(now);
+  crash_report_exchange_.advance(now);
 }
 
 // --- letting go ----------------------------------------------------------------------------------
 
 void dispatcher::withdraw_end(const base::replica_id& replica, base::time_point now) {
-  if (crash_ledger_.empty()) {
+  if (crash_registry_.empty()) {
     return;
   }
   const auto* state = replicas_.find(replica);
   if (state == nullptr) {
     return;
   }
-  const auto end = end_of_life(*state->record);
-  const auto ended_at = crash_ledger_.find_end(end);
-  if (ended_at && now - *ended_at >= withdrawal_time && crash_ledger_.withdraw(end, now)) {
+  const auto end = exit_id_of(*state->record);
+  const auto ended_at = crash_registry_.exit_time_of(end);
+  if (ended_at && now - *ended_at >= withdrawal_time && crash_registry_.withdraw(end, now)) {
     record_(base::event_kind::request_cleared, {}, replica.text(),
             "the replica is heard in the life that seemed over " +
                 std::to_string(base::to_milliseconds(now - *ended_at)) + " ms ago");
@@ -123,46 +124,46 @@
 }
 
 void dispatcher::note_survived(const active_request& request, base::time_point now) {
-  if (crash_ledger_.empty()) {
+  if (crash_registry_.empty()) {
     return;
   }
   const auto& digest = digest_of(request);
-  if (crash_ledger_.note_survived(digest, now)) {
+  if (crash_registry_.note_survived(digest, now)) {
     ++counters_.requests_cleared;
     record(base::event_kind::request_cleared, request, "",
            "request digest " + digest.text() + ", a run of it ended and its replica lives");
-    crash_news_.note_changed(digest);
+    crash_report_exchange_.note_changed(digest);
   }
 }
 
 bool dispatcher::release_request(const quarantine::request_digest& digest, base::time_point now) {
-  const bool was_known = crash_ledger_.release(digest, now);
+  const bool was_known = crash_registry_.release(digest, now);
   if (was_known) {
     record_(base::event_kind::request_cleared, {}, "",
             "request digest " + digest.text() + ", let go by an operator");
-    crash_news_.note_changed(digest);
+    crash_report_exchange_.note_changed(digest);
   }
   return was_known;
 }
 
 // --- holding back --------------------------------------------------------------------------------
 
-quarantine::standing dispatcher::standing_of(const active_request& request,
-                                             base::time_point now) const {
-  return crash_ledger_.empty() ? quarantine::standing::free
-                               : crash_ledger_.standing_of(digest_of(request), now);
+quarantine::quarantine_state dispatcher::quarantine_state_of(const active_request& request,
+                                                             base::time_point now) const {
+  return crash_registry_.empty() ? quarantine::quarantine_state::unrestricted
+                                 : crash_registry_.quarantine_state_of(digest_of(request), now);
 }
 
 bool dispatcher::refuse_in_quarantine(active_request& request, base::time_point now) {
-  if (standing_of(request, now) != quarantine::standing::held_back) {
+  if (quarantine_state_of(request, now) != quarantine::quarantine_state::quarantined) {
     return false;
   }
   const auto& digest = digest_of(request);
-  crash_ledger_.note_asked(digest, now);
+  crash_registry_.note_refused(digest, now);
   ++counters_.refused_in_quarantine;
   record(base::event_kind::request_quarantined, request, "",
-         "request digest " + digest.text() + ", " + std::to_string(crash_ledger_.ends_of(digest)) +
-             " ends under it");
+         "request digest " + digest.text() + ", " +
+             std::to_string(crash_registry_.counted_exits_of(digest)) + " ends under it");
   if (request.may_have_run || request.stream_begun) {
     answer_failed(request, status::bad_gateway, quarantine_reason, now);
     return true;
@@ -175,15 +176,16 @@
 
 void dispatcher::quarantine_request(const quarantine::request_digest& digest,
                                     base::time_point now) {
-  const auto* known = crash_ledger_.find(digest);
+  const auto* known = crash_registry_.find(digest);
   if (known == nullptr) {
     return;
   }
   ++counters_.quarantines;
   record_(base::event_kind::request_quarantined, {}, "",
           "request digest " + digest.text() + ", held back from now on, " +
-              std::to_string(crash_ledger_.ends_of(digest)) + " ends under it, the latest " +
-              std::to_string(base::to_milliseconds(now - known->newest())) + " ms ago");
+              std::to_string(crash_registry_.counted_exits_of(digest)) +
+              " ends under it, the latest " +
+              std::to_string(base::to_milliseconds(now - known->last_update_at())) + " ms ago");
   std::vector<base::caller_id> clients;
   for (const auto& [client, request] : active_) {
     const bool shows_events = request.call && request.latest_event_at > request.call->started;
--- a/src/dispatch/dispatcher_stages.cc
+++ b/src/dispatch/dispatcher_stages.cc
@@ -31,7 +31,8 @@
   common.due = request.arrived + request.route->target_latency - time_ahead;
   common.deadline = request.ends_at;
   common.permitted_regions = request.permitted_regions;
-  common.single_attempt = standing_of(request, now) != quarantine::standing::free;
+  common.single_attempt =
+      quarantine_state_of(request, now) != quarantine::quarantine_state::unrestricted;
   if (step.start_after.empty()) {
     common.piece_key = request.content->piece_key;
   } else {
@@ -95,7 +96,7 @@
   for (const auto& lost : stages_.take_lost()) {
     const auto owner = tickets_.find(lost.ticket);
     if (owner != tickets_.end()) {
-      note_lost_call(active_.at(owner->second), lost.replica, lost.life_end, now);
+      note_lost_call(active_.at(owner->second), lost.replica, lost.incarnation_exit, now);
     }
   }
   const auto results = stages_.take_finished();
--- a/src/quarantine/crash_watch.cc
+++ b/src/quarantine/crash_detector.cc
@@ -1,4 +1,4 @@
-#include "quarantine/crash_watch.h"
+#include "quarantine/crash_detector.h"
 
 #include <utility>
 
@@ -7,31 +7,31 @@
 
 /// A replica that took a connection is not asked again within this time: where replicas reset a
 /// part of their connections, one new connection a second is all that this costs.
-constexpr base::duration ask_again_after = std::chrono::seconds(1);
+constexpr base::duration probe_interval = std::chrono::seconds(1);
 /// A replica that ended is off the list within about four seconds, or listed in another life: two
 /// and a half times that, since the list may lag.
-constexpr base::duration watch_time = std::chrono::seconds(10);
+constexpr base::duration watch_duration = std::chrono::seconds(10);
 /// Calls kept of one replica: the most that one runs at once.
-constexpr std::size_t most_calls = 128;
+constexpr std::size_t max_calls_per_replica = 128;
 
 } // namespace
 
-bool crash_watch::note_lost_call(const base::replica_id& replica, const ended_call& call,
-                                 base::time_point now) {
+bool crash_detector::note_lost_call(const base::replica_id& replica, const lost_call& call,
+                                    base::time_point now) {
   auto& watched = replicas_[replica];
-  if (watched.calls.size() < most_calls) {
+  if (watched.calls.size() < max_calls_per_replica) {
     watched.calls.push_back(call);
   }
-  watched.newest = now;
-  const bool was_connected = watched.connected_at && now - *watched.connected_at < ask_again_after;
-  if (watched.is_asked || was_connected) {
+  watched.last_update_at = now;
+  const bool was_connected = watched.connected_at && now - *watched.connected_at < probe_interval;
+  if (watched.is_probe_pending || was_connected) {
     return false;
   }
-  watched.is_asked = true;
+  watched.is_probe_pending = true;
   return true;
 }
 
-std::vector<ended_call> crash_watch::take_ended(const base::replica_id& replica) {
+std::vector<lost_call> crash_detector::take_lost_calls(const base::replica_id& replica) {
   const auto found = replicas_.find(replica);
   if (found == replicas_.end()) {
     return {};
@@ -41,27 +41,28 @@
   return calls;
 }
 
-void crash_watch::note_connected(const base::replica_id& replica, base::time_point now) {
+void crash_detector::note_connected(const base::replica_id& replica, base::time_point now) {
   const auto found = replicas_.find(replica);
   if (found != replicas_.end()) {
-    found->second.is_asked = false;
+    found->second.is_probe_pending = false;
     found->second.connected_at = now;
   }
 }
 
-void crash_watch::note_silent(const base::replica_id& replica) {
+void crash_detector::note_probe_failed(const base::replica_id& replica) {
   const auto found = replicas_.find(replica);
   if (found != replicas_.end()) {
-    found->second.is_asked = false;
+    found->second.is_probe_pending = false;
   }
 }
 
-void crash_watch::forget_old(base::time_point now) {
-  std::erase_if(replicas_,
-                [&](const auto& entry) { return now - entry.second.newest >= watch_time; });
+void crash_detector::drop_expired(base::time_point now) {
+  std::erase_if(replicas_, [&](const auto& entry) {
+    return now - entry.second.last_update_at >= watch_duration;
+  });
 }
 
-std::vector<base::replica_id> crash_watch::watched() const {
+std::vector<base::replica_id> crash_detector::watched_replicas() const {
   std::vector<base::replica_id> ids;
   for (const auto& [id, watched] : replicas_) {
     ids.push_back(id);
--- /dev/null
+++ b/src/quarantine/crash_registry.cc
@@ -0,0 +1,315 @@
+#include "quarantine/crash_registry.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace spurrack::quarantine {
+namespace {
+
+/// A request with fewer ends than quarantine takes is free again after this time without another:
+/// callers retry within seconds, jobs that are scheduled within minutes.
+constexpr base::duration suspicion_lifetime = std::chrono::minutes(10);
+/// A request that is held back may be tried once more when its caller has been away this long: by
+/// then whoever runs the replicas may have mended them.
+constexpr base::duration first_quarantine_duration = std::chrono::hours(1);
+/// What is known of a request that was held back is forgotten this long after it last came or a
+/// replica last ended under it.
+constexpr base::duration quarantine_record_lifetime = std::chrono::hours(24);
+/// Ends kept of one request; more would not change how it is treated.
+constexpr std::size_t max_exits_per_record = 12;
+/// Lives heard after they were taken for over; the oldest gives way.
+constexpr std::size_t max_refuted_exits = 64;
+
+/// Ends that this long ago are not compared with those under one request: a request that comes
+/// again has shown what it does by then.
+constexpr base::duration comparison_window = std::chrono::seconds(30);
+
+/// Ends that are remembered beside the records; a bound on memory, 30 a second for 30 s.
+constexpr std::size_t max_indexed_exits = 1024;
+
+/// Lives that were taken for over and were heard since, and when.
+using refuted_exit_times = std::map<replica_exit, base::time_point>;
+
+/// @return whether the life was heard after it seemed to end. It may end later all the same.
+bool is_refuted_exit(const refuted_exit_times& refuted, const exit_observation& observation) {
+  const auto found = refuted.find(observation.exit);
+  return found != refuted.end() && observation.at <= found->second;
+}
+
+bool knows(const crash_record& record, replica_exit exit) {
+  return std::any_of(record.exits.begin(), record.exits.end(),
+                     [&](const exit_observation& known) { return known.exit == exit; });
+}
+
+} // namespace
+
+base::time_point crash_record::last_exit_at() const {
+  base::time_point latest{};
+  for (const auto& observation : exits) {
+    latest = std::max(latest, observation.at);
+  }
+  return latest;
+}
+
+base::time_point crash_record::last_update_at() const {
+  return std::max({last_exit_at(), survived_at.value_or(base::time_point{}), last_refused_at});
+}
+
+crash_record& crash_registry::record_of(const request_digest& digest) {
+  const auto found = records_.find(digest);
+  if (found != records_.end()) {
+    return found->second;
+  }
+  evict_least_suspected();
+  auto& record = records_[digest];
+  record.digest = digest;
+  return record;
+}
+
+void crash_registry::evict_least_suspected() {
+  if (records_.size() < max_records) {
+    return;
+  }
+  const auto least_suspected =
+      std::min_element(records_.begin(), records_.end(), [](const auto& left, const auto& right) {
+        return std::pair(left.second.exits.size(), left.second.last_update_at()) <
+               std::pair(right.second.exits.size(), right.second.last_update_at());
+      });
+  records_.erase(least_suspected);
+  explanations_are_stale_ = true;
+}
+
+void crash_registry::merge_exits(const std::vector<exit_observation>& received,
+                                 base::time_point now) {
+  for (const auto& observation : received) {
+    const bool is_recent = now - observation.at < comparison_window;
+    if (is_recent && !is_refuted_exit(refuted_exits_, observation) &&
+        exits_.size() < max_indexed_exits) {
+      exits_.try_emplace(observation.exit, observation.at);
+    }
+  }
+}
+
+std::vector<exit_observation> crash_registry::latest_exits(std::size_t most,
+                                                           base::time_point now) const {
+  std::vector<exit_observation> latest;
+  for (const auto& [exit, at] : exits_) {
+    if (now - at < comparison_window) {
+      latest.push_back({exit, at});
+    }
+  }
+  std::sort(latest.begin(), latest.end(),
+            [](const auto& left, const auto& right) { return left.at > right.at; });
+  latest.resize(std::min(latest.size(), most));
+  return latest;
+}
+
+registry_change crash_registry::add(crash_record& record,
+                                    const std::vector<exit_observation>& observations,
+                                    base::time_point now) {
+  registry_change change;
+  const bool was_quarantined = quarantine_state_of(record, now) == quarantine_state::quarantined;
+  change.is_refuted = !observations.empty() && record.survived_at.has_value();
+  for (const auto& observation : observations) {
+    const bool is_refuted = record.survived_at && observation.at <= *record.survived_at;
+    change.is_refuted = change.is_refuted && is_refuted;
+    if (is_refuted || knows(record, observation.exit) ||
+        is_refuted_exit(refuted_exits_, observation)) {
+      continue;
+    }
+    if (record.exits.size() == max_exits_per_record) {
+      break;
+    }
+    record.exits.push_back(observation);
+    if (exits_.size() < max_indexed_exits) {
+      exits_.try_emplace(observation.exit, observation.at);
+    }
+    change.has_new_information = true;
+    explanations_are_stale_ = true;
+  }
+  record.was_broadcast = record.was_broadcast || record.exits.size() >= limits_.single_attempt;
+  change.begins_quarantine =
+      !was_quarantined && quarantine_state_of(record, now) == quarantine_state::quarantined;
+  return change;
+}
+
+registry_change crash_registry::note_exit(const request_digest& digest,
+                                          const exit_observation& observation,
+                                          base::time_point now) {
+  return add(record_of(digest), {observation}, now);
+}
+
+bool crash_registry::note_survived(const request_digest& digest, base::time_point now) {
+  const auto found = records_.find(digest);
+  if (found == records_.end()) {
+    return false;
+  }
+  auto& record = found->second;
+  const bool had_exits = !record.exits.empty();
+  record.exits.clear();
+  record.survived_at = now;
+  explanations_are_stale_ = true;
+  return had_exits;
+}
+
+bool crash_registry::release(const request_digest& digest, base::time_point now) {
+  return note_survived(digest, now);
+}
+
+registry_change crash_registry::merge(const crash_record& received, base::time_point now) {
+  if (received.exits.empty() && !records_.contains(received.digest)) {
+    return {};
+  }
+  auto& record = record_of(received.digest);
+  bool is_cleared = false;
+  if (received.survived_at && received.survived_at > record.survived_at) {
+    record.survived_at = received.survived_at;
+    is_cleared = std::erase_if(record.exits, [&](const exit_observation& observation) {
+                   return observation.at <= *record.survived_at;
+                 }) > 0;
+    explanations_are_stale_ = true;
+  }
+  auto change = add(record, received.exits, now);
+  change.has_new_information = change.has_new_information || is_cleared;
+  return change;
+}
+
+bool crash_registry::withdraw(replica_exit exit, base::time_point now) {
+  if (exits_.erase(exit) == 0) {
+    return false;
+  }
+  if (refuted_exits_.size() == max_refuted_exits) {
+    refuted_exits_.erase(std::min_element(
+        refuted_exits_.begin(), refuted_exits_.end(),
+        [](const auto& left, const auto& right) { return left.second < right.second; }));
+  }
+  refuted_exits_[exit] = now;
+  explanations_are_stale_ = true;
+  for (auto& [digest, record] : records_) {
+    std::erase_if(record.exits,
+                  [&](const exit_observation& observation) { return observation.exit == exit; });
+  }
+  return true;
+}
+
+std::optional<base::time_point> crash_registry::exit_time_of(replica_exit exit) const {
+  const auto found = exits_.find(exit);
+  return found == exits_.end() ? std::nullopt : std::optional(found->second);
+}
+
+const crash_record* crash_registry::find(const request_digest& digest) const {
+  const auto found = records_.find(digest);
+  return found == records_.end() ? nullptr : &found->second;
+}
+
+std::size_t crash_registry::counted_exits_of(const request_digest& digest) const {
+  const auto* record = find(digest);
+  return record == nullptr ? 0 : counted_exits(*record);
+}
+
+void crash_registry::update_explanations() const {
+  explanations_are_stale_ = false;
+  explaining_exit_counts_.clear();
+  for (const auto& [digest, record] : records_) {
+    if (record.exits.size() < limits_.quarantine) {
+      continue;
+    }
+    for (const auto& observation : record.exits) {
+      auto& most = explaining_exit_counts_[observation.exit];
+      most = std::max(most, record.exits.size());
+    }
+  }
+}
+
+bool crash_registry::is_explained(replica_exit exit, const crash_record& record) const {
+  if (explanations_are_stale_) {
+    update_explanations();
+  }
+  const auto found = explaining_exit_counts_.find(exit);
+  return found != explaining_exit_counts_.end() && found->second > record.exits.size();
+}
+
+/// Up to 128 requests share a replica, and those that were sent on from one may share the next with
+/// the guilty one too. Ends that a request known for more explains do not count, unless two others
+/// remain: then this request is likely guilty as well.
+std::size_t crash_registry::counted_exits(const crash_record& record) const {
+  const auto all = record.exits.size();
+  if (all < limits_.single_attempt) {
+    return all;
+  }
+  const auto unexplained = static_cast<std::size_t>(std::count_if(
+      record.exits.begin(), record.exits.end(), [&](const exit_observation& observation) {
+        return !is_explained(observation.exit, record);
+      }));
+  return unexplained < limits_.single_attempt ? unexplained : all;
+}
+
+bool crash_registry::has_indistinguishable_record(const crash_record& record) const {
+  return std::any_of(records_.begin(), records_.end(), [&](const auto& entry) {
+    const auto& other = entry.second;
+    return other.digest != record.digest && other.exits.size() == record.exits.size() &&
+           std::all_of(
+               record.exits.begin(), record.exits.end(),
+               [&](const exit_observation& observation) { return knows(other, observation.exit); });
+  });
+}
+
+std::size_t crash_registry::exits_required(const crash_record& record, base::time_point now) const {
+  std::size_t unrelated_exits = 0;
+  for (const auto& [exit, at] : exits_) {
+    const bool is_recent = now - at < comparison_window;
+    unrelated_exits += is_recent && !knows(record, exit) && !is_explained(exit, record) ? 1 : 0;
+  }
+  const auto additional = 2 * unrelated_exits / record.exits.size();
+  return std::min(limits_.quarantine + additional, limits_.quarantine_with_unrelated_exits);
+}
+
+quarantine_state crash_registry::quarantine_state_of(const crash_record& record,
+                                                     base::time_point now) const {
+  const auto counted = counted_exits(record);
+  if (counted < limits_.single_attempt) {
+    return quarantine_state::unrestricted;
+  }
+  const bool may_be_tried =
+      counted < limits_.quarantine || counted < exits_required(record, now) ||
+      (counted < limits_.quarantine_with_unrelated_exits && has_indistinguishable_record(record)) ||
+      now - record.last_update_at() >= quarantine_duration(counted);
+  return may_be_tried ? quarantine_state::single_attempt : quarantine_state::quarantined;
+}
+
+quarantine_state crash_registry::quarantine_state_of(const request_digest& digest,
+                                                     base::time_point now) const {
+  const auto* record = find(digest);
+  return record == nullptr ? quarantine_state::unrestricted : quarantine_state_of(*record, now);
+}
+
+void crash_registry::note_refused(const request_digest& digest, base::time_point now) {
+  const auto found = records_.find(digest);
+  if (found != records_.end()) {
+    found->second.last_refused_at = now;
+  }
+}
+
+/// One that ended more replicas than it takes was tried again already.
+base::duration crash_registry::quarantine_duration(std::size_t exits) const {
+  return exits > limits_.quarantine_with_unrelated_exits ? quarantine_record_lifetime
+                                                         : first_quarantine_duration;
+}
+
+bool crash_registry::is_expired(const crash_record& record, base::time_point now) const {
+  const bool was_quarantined = record.exits.size() >= limits_.quarantine;
+  return now - record.last_update_at() >=
+         (was_quarantined ? quarantine_record_lifetime : suspicion_lifetime);
+}
+
+void crash_registry::expire(base::time_point now) {
+  const auto forgotten =
+      std::erase_if(records_, [&](const auto& entry) { return is_expired(entry.second, now); });
+  explanations_are_stale_ = explanations_are_stale_ || forgotten > 0;
+  std::erase_if(exits_,
+                [&](const auto& entry) { return now - entry.second >= suspicion_lifetime; });
+  std::erase_if(refuted_exits_,
+                [&](const auto& entry) { return now - entry.second >= suspicion_lifetime; });
+}
+
+} // namespace spurrack::quarantine
--- /dev/null
+++ b/src/quarantine/crash_report_exchange.cc
@@ -0,0 +1,265 @@
+#include "quarantine/crash_report_exchange.h"
+
+#include "base/hashing.h"
+
+#include <algorithm>
+
+namespace spurrack::quarantine {
+namespace {
+
+/// Nodes that are told of a first end: one may be lost or cut off, and views of the fleet differ.
+constexpr std::size_t aggregator_count = 3;
+/// Nodes that each node passes a change on to. Of a large fleet one in 400 misses it, and hears the
+/// reminder.
+constexpr std::size_t fanout = 6;
+/// The first change is told at once, the next after this time: with the bounds on nodes and records
+/// 15 kB a second at the most, and only while replicas go on ending.
+constexpr base::duration change_interval = std::chrono::milliseconds(200);
+/// Records in one message, 50 to 100 bytes each.
+constexpr std::size_t max_records_per_message = 8;
+/// A random node is reminded of what all should know; a third of the time within which nodes in
+/// contact learn of each other's news.
+constexpr base::duration reminder_interval = std::chrono::milliseconds(1000);
+/// A node that starts or was paused asks this many nodes, so often and this long apart.
+constexpr std::size_t query_fanout = 2;
+constexpr std::size_t query_count = 3;
+constexpr base::duration query_interval = std::chrono::milliseconds(300);
+/// Ends of replicas in one message, 15 bytes each: those of some seconds where a replica ends twice
+/// a second.
+constexpr std::size_t max_exits_per_message = 12;
+/// Records that a node which asks is told.
+constexpr std::size_t max_records_per_reply = 32;
+
+std::uint32_t age_of(base::time_point when, base::time_point now) {
+  return static_cast<std::uint32_t>(std::max<std::int64_t>(0, base::to_milliseconds(now - when)));
+}
+
+void add_to(wire::replica_crash& said, const exit_observation& observation, base::time_point now) {
+  said.set_replica_end(observation.exit);
+  said.set_age_milliseconds(age_of(observation.at, now));
+  said.set_replica(observation.replica.text());
+}
+
+void add_to(wire::crash_news& news, const crash_record& record, base::time_point now) {
+  auto& said = *news.add_records();
+  said.set_request_digest(record.digest.bytes());
+  for (const auto& observation : record.exits) {
+    add_to(*said.add_crashes(), observation, now);
+  }
+  if (record.survived_at) {
+    said.set_survived(true);
+    said.set_survived_age_milliseconds(age_of(*record.survived_at, now));
+  }
+}
+
+base::time_point time_at_age(base::time_point now, std::uint32_t age_milliseconds) {
+  return now - std::chrono::milliseconds(age_milliseconds);
+}
+
+template <typename crash_list>
+std::vector<exit_observation> exits_from_wire(const crash_list& crashes, base::time_point now) {
+  std::vector<exit_observation> exits;
+  for (const auto& crash : crashes) {
+    exits.push_back({crash.replica_end(), time_at_age(now, crash.age_milliseconds()),
+                     base::replica_id(crash.replica())});
+  }
+  return exits;
+}
+
+/// @return nothing where the message holds no digest.
+std::optional<crash_record> from_wire(const wire::crash_record& said, base::time_point now) {
+  const auto digest = request_digest::from_bytes(said.request_digest());
+  if (!digest) {
+    return std::nullopt;
+  }
+  crash_record record;
+  record.digest = *digest;
+  record.exits = exits_from_wire(said.crashes(), now);
+  if (said.survived()) {
+    record.survived_at = time_at_age(now, said.survived_age_milliseconds());
+  }
+  return record;
+}
+
+} // namespace
+
+crash_report_exchange::crash_report_exchange(crash_registry& registry, base::node_id self,
+                                             base::random_source& random)
+    : registry_(&registry), self_(std::move(self)), random_(&random) {}
+
+void crash_report_exchange::set_peers(const std::vector<serving::fleet_peer>& alive) {
+  nodes_.assign({self_});
+  addresses_.clear();
+  for (const auto& peer : alive) {
+    nodes_.push_back(peer.node);
+    addresses_[peer.node] = peer.address;
+  }
+}
+
+void crash_report_exchange::begin_queries(base::time_point now) {
+  has_queried_ = true;
+  queries_left_ = query_count;
+  next_query_at_ = now;
+}
+
+void crash_report_exchange::send_queries(base::time_point now) {
+  if (!has_queried_ && !addresses_.empty()) {
+    begin_queries(now);
+  }
+  if (!next_query_at_ || now < *next_query_at_) {
+    return;
+  }
+  --queries_left_;
+  next_query_at_ = queries_left_ > 0 ? std::optional(now + query_interval) : std::nullopt;
+  for (const auto& to : random_peers(query_fanout)) {
+    wire::crash_news query;
+    query.set_wants_all(true);
+    send(to, std::move(query), now);
+  }
+}
+
+std::vector<base::network_address> crash_report_exchange::random_peers(std::size_t count) const {
+  std::vector<base::network_address> candidates;
+  for (const auto& [node, address] : addresses_) {
+    candidates.push_back(address);
+  }
+  std::vector<base::network_address> chosen;
+  while (chosen.size() < count && !candidates.empty()) {
+    chosen.push_back(base::take_random(candidates, *random_));
+  }
+  return chosen;
+}
+
+std::vector<base::network_address>
+crash_report_exchange::aggregators_of(const request_digest& digest) const {
+  std::vector<base::network_address> aggregators;
+  for (const auto& node : base::rendezvous_top(digest.bytes(), nodes_, aggregator_count)) {
+    if (node != self_) {
+      aggregators.push_back(addresses_.at(node));
+    }
+  }
+  return aggregators;
+}
+
+void crash_report_exchange::send_changes(base::time_point now) {
+  if (changed_digests_.empty() || now < next_changes_at_) {
+    return;
+  }
+  next_changes_at_ = now + change_interval;
+  std::map<base::network_address, wire::crash_news> news;
+  const auto to_all = random_peers(fanout);
+  for (std::size_t taken = 0; taken < max_records_per_message && !changed_digests_.empty();
+       ++taken) {
+    const auto* record = registry_->find(*changed_digests_.begin());
+    if (record != nullptr) {
+      for (const auto& to : record->was_broadcast ? to_all : aggregators_of(record->digest)) {
+        add_to(news[to], *record, now);
+      }
+    }
+    changed_digests_.erase(changed_digests_.begin());
+  }
+  for (auto& [to, message] : news) {
+    send(to, std::move(message), now);
+  }
+}
+
+std::vector<const crash_record*> crash_report_exchange::broadcast_records(std::size_t most) const {
+  std::vector<const crash_record*> broadcast;
+  for (const auto& [digest, record] : registry_->all()) {
+    if (record.was_broadcast) {
+      broadcast.push_back(&record);
+    }
+  }
+  std::sort(broadcast.begin(), broadcast.end(), [](const auto* left, const auto* right) {
+    return left->last_update_at() > right->last_update_at();
+  });
+  broadcast.resize(std::min(broadcast.size(), most));
+  return broadcast;
+}
+
+void crash_report_exchange::send_reminder(base::time_point now) {
+  if (now < next_reminder_at_ || registry_->empty()) {
+    return;
+  }
+  next_reminder_at_ = now + reminder_interval;
+  wire::crash_news news;
+  for (const auto* record : broadcast_records(max_records_per_message)) {
+    add_to(news, *record, now);
+  }
+  if (news.records_size() == 0) {
+    return;
+  }
+  for (const auto& to : random_peers(1)) {
+    send(to, news, now);
+  }
+}
+
+void crash_report_exchange::send(const base::network_address& to, wire::crash_news news,
+                                 base::time_point now) {
+  for (const auto& observation : registry_->latest_exits(max_exits_per_message, now)) {
+    add_to(*news.add_latest_ends(), observation, now);
+  }
+  wire::outgoing message{to, {}};
+  *message.message.mutable_crash_news() = std::move(news);
+  outgoing_messages_.push_back(std::move(message));
+  ++counts_.sent_messages;
+}
+
+void crash_report_exchange::advance(base::time_point now) {
+  send_queries(now);
+  send_changes(now);
+  send_reminder(now);
+}
+
+std::optional<base::time_point> crash_report_exchange::next_wakeup() const {
+  std::optional<base::time_point> earliest = next_query_at_;
+  const auto consider = [&](base::time_point when) {
+    earliest = earliest ? std::min(*earliest, when) : when;
+  };
+  if (!changed_digests_.empty()) {
+    consider(next_changes_at_);
+  }
+  if (!registry_->empty()) {
+    consider(next_reminder_at_);
+  }
+  return earliest;
+}
+
+std::vector<learned_record> crash_report_exchange::handle(const base::network_address& sender,
+                                                          const wire::crash_news& message,
+                                                          base::time_point now) {
+  std::vector<learned_record> learned;
+  wire::crash_news reply;
+  registry_->merge_exits(exits_from_wire(message.latest_ends(), now), now);
+  for (const auto& said : message.records()) {
+    const auto record = from_wire(said, now);
+    if (!record) {
+      ++counts_.malformed_records;
+      continue;
+    }
+    ++counts_.received_records;
+    const auto change = registry_->merge(*record, now);
+    const auto* known = registry_->find(record->digest);
+    if (change.is_refuted && known != nullptr) {
+      add_to(reply, *known, now);
+    }
+    if (!change.has_new_information) {
+      continue;
+    }
+    learned.push_back({record->digest, change.begins_quarantine});
+    if (known != nullptr && known->was_broadcast) {
+      note_changed(record->digest);
+    }
+  }
+  if (message.wants_all()) {
+    for (const auto* record : broadcast_records(max_records_per_reply)) {
+      add_to(reply, *record, now);
+    }
+  }
+  if (reply.records_size() > 0) {
+    send(sender, std::move(reply), now);
+  }
+  return learned;
+}
+
+} // namespace spurrack::quarantine
--- a/src/quarantine/crash_news.h
+++ b/src/quarantine/crash_report_exchange.h
@@ -11,7 +11,7 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "fleet_view/peer_directory.h"
-#include "quarantine/crash_ledger.h"
+#include "quarantine/crash_registry.h"
 #include "wire/outgoing.h"
 #include "wire/peer.pb.h"
 
@@ -25,11 +25,11 @@
 namespace spurrack::quarantine {
 
 /// Messages sent and records received, for metrics.
-struct crash_news_counts {
-  std::uint64_t messages = 0;
-  std::uint64_t taken_in = 0;
+struct crash_report_counts {
+  std::uint64_t sent_messages = 0;
+  std::uint64_t received_records = 0;
   /// Records that could not be read, passed over.
-  std::uint64_t malformed = 0;
+  std::uint64_t malformed_records = 0;
 };
 
 /// A request of which something was learned from another node.
@@ -39,18 +39,18 @@
 };
 
 /// Not thread-safe. Messages gather until they are taken.
-class crash_news {
+class crash_report_exchange {
  public:
   /// @param ledger source of what is told, takes in what others tell; must outlive this object, as
   ///        must `random`.
-  crash_news(crash_ledger& ledger, base::node_id self, base::random_source& random);
+  crash_report_exchange(crash_registry& registry, base::node_id self, base::random_source& random);
 
   /// All nodes that are alive, of all regions: a request may come again anywhere.
   void set_peers(const std::vector<serving::fleet_peer>& alive);
   /// What this node knows of a request has changed.
-  void note_changed(const request_digest& digest) { changed_.insert(digest); }
+  void note_changed(const request_digest& digest) { changed_digests_.insert(digest); }
   /// This process was paused: asks others for what it missed.
-  void resume_after_pause(base::time_point now) { begin_asking(now); }
+  void resume_after_suspension(base::time_point now) { begin_queries(now); }
   /// Sends what is due.
   void advance(base::time_point now);
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
@@ -58,34 +58,35 @@
   std::vector<learned_record> handle(const base::network_address& sender,
                                      const wire::crash_news& message, base::time_point now);
 
-  [[nodiscard]] wire::outbox take_messages() { return std::exchange(messages_, {}); }
-  [[nodiscard]] const crash_news_counts& counts() const { return counts_; }
+  [[nodiscard]] wire::outbox take_messages() { return std::exchange(outgoing_messages_, {}); }
+  [[nodiscard]] const crash_report_counts& counts() const { return counts_; }
 
  private:
-  void begin_asking(base::time_point now);
-  void ask(base::time_point now);
-  void tell_changed(base::time_point now);
-  void remind(base::time_point now);
+  void begin_queries(base::time_point now);
+  void send_queries(base::time_point now);
+  void send_changes(base::time_point now);
+  void send_reminder(base::time_point now);
   [[nodiscard]] std::vector<base::network_address> random_peers(std::size_t count) const;
-  [[nodiscard]] std::vector<base::network_address> keepers_of(const request_digest& digest) const;
+  [[nodiscard]] std::vector<base::network_address>
+  aggregators_of(const request_digest& digest) const;
   /// @return records that every node is told, the newest first.
-  [[nodiscard]] std::vector<const crash_record*> shared_records(std::size_t most) const;
+  [[nodiscard]] std::vector<const crash_record*> broadcast_records(std::size_t most) const;
   void send(const base::network_address& to, wire::crash_news news, base::time_point now);
 
-  crash_ledger* ledger_;
+  crash_registry* registry_;
   base::node_id self_;
   base::random_source* random_;
   std::vector<base::node_id> nodes_;
   std::map<base::node_id, base::network_address> addresses_;
-  std::set<request_digest> changed_;
-  base::time_point next_message_;
-  base::time_point next_reminder_;
+  std::set<request_digest> changed_digests_;
+  base::time_point next_changes_at_;
+  base::time_point next_reminder_at_;
   /// When this node asks next for what it missed; nothing once it has asked often enough.
-  std::optional<base::time_point> next_question_;
-  std::size_t questions_left_ = 0;
-  bool has_asked_ = false;
-  wire::outbox messages_;
-  crash_news_counts counts_;
+  std::optional<base::time_point> next_query_at_;
+  std::size_t queries_left_ = 0;
+  bool has_queried_ = false;
+  wire::outbox outgoing_messages_;
+  crash_report_counts counts_;
 };
 
 } // namespace spurrack::quarantine
--- a/src/replicas/replica_lives.h
+++ b/src/replicas/replica_lives.h
@@ -43,8 +43,8 @@
 };
 
 /// Names the end of one life of a replica: a hash of its id and its start, equal on all nodes.
-using replica_end = std::uint64_t;
-[[nodiscard]] replica_end end_of_life(const model::replica& record);
+using replica_exit = std::uint64_t;
+[[nodiscard]] replica_exit exit_id_of(const model::replica& record);
 
 /// @return a short mark of a replica's life for messages between nodes: equal for equal lives, 0
 ///         where the replica does not tell its life.
--- a/src/serving/settings.h
+++ b/src/serving/settings.h
@@ -48,11 +48,11 @@
   base::duration requests = std::chrono::milliseconds(3'500);
 };
 
-/// How many ends under one request change how it is treated; see `quarantine/crash_ledger`.
+/// How many ends under one request change how it is treated; see `quarantine/crash_registry`.
 struct quarantine_limits {
   /// It may be sent once in each try, and no more: each try shows one thing, and two nodes that do
   /// not know of each other yet end two replicas instead of four.
-  std::size_t one_attempt = 2;
+  std::size_t single_attempt = 2;
   /// It is held back, where few replicas end without it. Where a sixth of all runs end with their
   /// replica for other reasons, chance does the same to one harmless request in 1,300; three ends
   /// would hold back one in 200.
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -70,7 +70,7 @@
   /// A replica started again: what its earlier life had of pieces and results is lost.
   void on_restarted(const base::replica_id& replica, base::time_point now);
   /// This process was paused for `gap`: calls under way are given that much more time.
-  void resume_after_pause(base::duration gap) { pool_.resume_after_pause(gap); }
+  void resume_after_suspension(base::duration gap) { pool_.resume_after_suspension(gap); }
   /// @return whether calls for pieces are under way.
   [[nodiscard]] bool has_calls_under_way() const { return pool_.has_calls_under_way(); }
 
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -140,7 +140,7 @@
       auto& piece = found->second;
       ++piece.lost_calls;
       piece.rests_until = piece.lost_calls >= lost_calls_before_alone ? now + lost_piece_rest : now;
-      lost_.push_back({ticket, ended.call.target.replica, ended.life_end});
+      lost_.push_back({ticket, ended.call.target.replica, ended.incarnation_exit});
     }
   }
 }
@@ -383,7 +383,7 @@
   open_call open;
   open.service = name;
   open.started = now;
-  open.life_end = end_of_life(*replica.record);
+  open.incarnation_exit = exit_id_of(*replica.record);
   open.call.call = next_call_();
   open.call.target = {replica.record->id, replica.record->address};
   for (const auto& position : batch) {
--- a/tests/quarantine/crash_news_test.cc
+++ b/tests/quarantine/crash_news_test.cc
@@ -1,5 +1,5 @@
 /// How nodes tell each other of requests under which replicas ended, and what that costs.
-#include "quarantine/crash_news.h"
+#include "quarantine/crash_report_exchange.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -24,8 +24,8 @@
 
   std::string name;
   base::seeded_random random;
-  crash_ledger ledger;
-  crash_news news;
+  crash_registry ledger;
+  crash_report_exchange news;
 };
 
 /// Nodes that tell each other, with messages that take 1 ms.
@@ -52,9 +52,9 @@
     node.news.set_peers(others);
   }
 
-  void note(std::size_t index, std::uint8_t request, replica_end end) {
+  void note(std::size_t index, std::uint8_t request, replica_exit end) {
     auto& node = *nodes[index];
-    node.ledger.note_end(some_digest(request), {end, now}, now);
+    node.ledger.note_exit(some_digest(request), {end, now}, now);
     node.news.note_changed(some_digest(request));
   }
 
@@ -84,7 +84,7 @@
     return static_cast<std::size_t>(
         std::count_if(nodes.begin(), nodes.end(), [&](const auto& node) {
           const auto* record = node->ledger.find(some_digest(request));
-          return record != nullptr && record->ends.size() >= ends;
+          return record != nullptr && record->exits.size() >= ends;
         }));
   }
 
@@ -172,7 +172,7 @@
   auto& node = *fleet.nodes[0];
   const auto learned = node.news.handle(base::network_address("n1"), message, fleet.now);
   BOOST_TEST(learned.size() == 1U);
-  BOOST_TEST(node.news.counts().malformed == 1U);
+  BOOST_TEST(node.news.counts().malformed_records == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/quarantine/quarantine_policies_test.cc
+++ b/tests/quarantine/quarantine_policies_test.cc
@@ -99,7 +99,7 @@
   drawn.limits = {1, never, never};
   const auto one_at_a_time = play("one replica a try, no count", drawn);
   drawn.limits = {};
-  drawn.limits.one_attempt = never;
+  drawn.limits.single_attempt = never;
   drawn.route_pause = seconds(10);
   drawn.limits.quarantine = drawn.limits.quarantine_with_unrelated_exits = never;
   const auto pause = play("pause of the route, 10 s", drawn);
