--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -159,7 +159,7 @@
       counts.replicas_of_unknown_services);
   add("spurrack_replica_news_other_lives_total",
       "Reports of other nodes on another life of a replica, passed over.",
-      dispatcher.news().of_other_lives);
+      dispatcher.news().of_other_incarnations);
   add("spurrack_replica_news_sent_total", "Messages on replicas in trouble to other nodes.",
       dispatcher.news().messages);
   add("spurrack_replica_news_heard_total", "Reports of other nodes on replicas in trouble.",
@@ -245,25 +245,27 @@
   const auto& counts = dispatcher.statements().counts();
   const auto add = count_adder(registry);
   add("spurrack_statement_messages_total",
-      "Messages to other nodes on what replicas say of themselves.", counts.messages);
+      "Messages to other nodes on what replicas say of themselves.", counts.sent_messages);
   add("spurrack_limits_unreadable_total",
-      "Answers that named a limit of their replica which cannot be read.", counts.unreadable);
+      "Answers that named a limit of their replica which cannot be read.",
+      counts.unreadable_limits);
   add("spurrack_limit_news_other_lives_total",
       "News of other nodes on another life of a limited replica, passed over.",
-      counts.of_other_lives);
+      counts.of_other_incarnations);
   add("spurrack_replica_departures_total",
       "Replicas that this node learned to be leaving from an answer, its own or another node's.",
-      counts.departures);
+      counts.drain_announcements);
   add("spurrack_replica_departures_heard_total",
-      "Of these, replicas that said so to this node first.", counts.departures_heard);
+      "Of these, replicas that said so to this node first.",
+      counts.drain_announcements_from_replicas);
   add("spurrack_replica_departures_unreadable_total",
       "Answers that said of the leaving of their replica what cannot be read.",
-      counts.leaving_unreadable);
+      counts.unreadable_drain_announcements);
   add("spurrack_replica_backoffs_total",
       "Answers by which a replica asked this node for a pause, or for a longer one.",
       dispatcher.replicas().backoffs());
   add("spurrack_replica_backoffs_unreadable_total",
-      "Answers that asked for a pause which cannot be read.", counts.backoff_unreadable);
+      "Answers that asked for a pause which cannot be read.", counts.unreadable_backoffs);
 }
 
 void add_limits(Registry& registry, const serving::dispatcher& dispatcher) {
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -194,7 +194,7 @@
     for (const auto& [replica, record] : limits.book().all()) {
       const auto* stock = limits.stock_of(replica);
       json::object row{{"replica", replica.text()},
-                       {"heard_ms", base::to_milliseconds(now - record.heard_at)},
+                       {"heard_ms", base::to_milliseconds(now - record.last_reported_at)},
                        {"version", record.version},
                        {"issuer", limits.issuer_of(replica).text()},
                        {"permits_held", stock == nullptr ? 0 : stock->held(now)},
@@ -210,10 +210,10 @@
 json::object unavailable_document(const node::node& subject, base::time_point now) {
   json::array replicas;
   if (const auto* serving = subject.serving()) {
-    for (const auto& [process, known] : serving->statements().departures().all()) {
+    for (const auto& [process, known] : serving->statements().drain_announcements().all()) {
       replicas.push_back(json::object{{"replica", process.replica.text()},
                                       {"why", "leaves"},
-                                      {"since_ms", base::to_milliseconds(now - known.since)},
+                                      {"since_ms", base::to_milliseconds(now - known.announced_at)},
                                       {"left_ms", nullptr},
                                       {"said_by", known.source}});
     }
--- a/src/dispatch/dispatcher_statements.cc
+++ b/src/dispatch/dispatcher_statements.cc
@@ -6,37 +6,37 @@
 namespace spurrack::serving {
 namespace {
 
-using replica_statements::belief_change;
+using replica_statements::self_report_change;
 
-base::event_kind kind_of(belief_change::matter what) {
+base::event_kind kind_of(self_report_change::topic what) {
   switch (what) {
-  case belief_change::matter::leaving:
+  case self_report_change::topic::drain:
     return base::event_kind::replica_leaving;
-  case belief_change::matter::backoff:
+  case self_report_change::topic::backoff:
     return base::event_kind::replica_backoff;
-  case belief_change::matter::limit:
+  case self_report_change::topic::limit:
     break;
   }
   return base::event_kind::replica_limit;
 }
 
-std::string unreadable_text(belief_change::matter what) {
+std::string unreadable_text(self_report_change::topic what) {
   switch (what) {
-  case belief_change::matter::leaving:
+  case self_report_change::topic::drain:
     return "what it says of its leaving cannot be read";
-  case belief_change::matter::backoff:
+  case self_report_change::topic::backoff:
     return "the pause that it asks for cannot be read";
-  case belief_change::matter::limit:
+  case self_report_change::topic::limit:
     break;
   }
   return "its limit cannot be read, the one before stands";
 }
 
-std::string text_of(const belief_change& change) {
-  if (change.unreadable) {
-    return unreadable_text(change.what);
+std::string text_of(const self_report_change& change) {
+  if (change.is_unreadable) {
+    return unreadable_text(change.about);
   }
-  if (change.what == belief_change::matter::leaving) {
+  if (change.about == self_report_change::topic::drain) {
     return "leaves, says " + change.source;
   }
   if (!change.per_second) {
@@ -74,9 +74,9 @@
 
 void dispatcher::record_self_report_changes() {
   for (const auto& change : statements_.take_changes()) {
-    record_(kind_of(change.what), {}, change.replica.text(), text_of(change));
-    if (change.what == belief_change::matter::leaving) {
-      stages_.on_departure();
+    record_(kind_of(change.about), {}, change.replica.text(), text_of(change));
+    if (change.about == self_report_change::topic::drain) {
+      stages_.on_drain_announced();
     }
   }
   for (const auto& change : replicas_.take_backoff_changes()) {
--- a/src/dispatch/replica_news.h
+++ b/src/dispatch/replica_news.h
@@ -23,7 +23,7 @@
   std::uint64_t messages = 0;
   std::uint64_t taken_in = 0;
   /// Reports on another life of a replica than the one this node knows, which were passed over.
-  std::uint64_t of_other_lives = 0;
+  std::uint64_t of_other_incarnations = 0;
 };
 
 /// Not thread-safe. Messages gather until they are taken.
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -13,7 +13,7 @@
 #include "fleet_view/peer_directory.h"
 #include "rate_limits/permit_issuer.h"
 #include "rate_limits/permit_stock.h"
-#include "replica_statements/statement_exchange.h"
+#include "replica_statements/self_report_exchange.h"
 #include "wire/outgoing.h"
 #include "wire/peer.pb.h"
 
@@ -52,7 +52,9 @@
   void set_peers(const std::vector<serving::fleet_peer>& alive, std::size_t known);
   /// @return whether any replica names a limit, or did of late.
   [[nodiscard]] bool any() const { return !book().empty(); }
-  [[nodiscard]] const replica_statements::limit_book& book() const { return statements_->limits(); }
+  [[nodiscard]] const replica_statements::limit_registry& book() const {
+    return statements_->limits();
+  }
   /// @return replicas that name a limit.
   [[nodiscard]] std::size_t limited() const;
 
--- a/src/replica_statements/departure_book.h
+++ b/src/replica_statements/drain_registry.h
@@ -18,46 +18,46 @@
 namespace spurrack::replica_statements {
 
 /// Tells processes of a replica apart: a hash of its id, its start and its address, never 0.
-using process_mark = std::uint32_t;
+using process_fingerprint = std::uint32_t;
 
 /// One process of a replica that leaves.
-struct departure {
+struct drain_announcement {
   /// When a node heard it from the replica first, as far as this node knows.
-  base::time_point since;
+  base::time_point announced_at;
   /// Who said so: the replica itself, or another node.
   std::string source;
   /// Latest time at which the replica was published as this process, or this node learned of it.
-  base::time_point seen_at;
+  base::time_point last_seen_at;
 };
 
 /// Not thread-safe.
-class departure_book {
+class drain_registry {
  public:
   struct key {
     base::replica_id replica;
-    process_mark process = 0;
+    process_fingerprint process = 0;
     auto operator<=>(const key&) const = default;
   };
 
   /// @return whether this node did not know it.
-  bool note(const key& leaving, base::time_point since, const std::string& source,
-            base::time_point now);
+  bool note_drain(const key& draining, base::time_point announced_at, const std::string& source,
+                  base::time_point now);
   /// A replica is published as this process.
   void note_published(const key& published, base::time_point now);
   /// Forgets what was neither published nor heard for long.
-  void forget_old(base::time_point now);
+  void drop_expired(base::time_point now);
 
   /// Asked for each replica of a service at each choice: nearly all are told apart by their mark.
   [[nodiscard]] bool includes(const key& process) const {
-    return marks_.contains(process.process) && known_.contains(process);
+    return fingerprints_.contains(process.process) && known_.contains(process);
   }
   [[nodiscard]] bool empty() const { return known_.empty(); }
-  [[nodiscard]] const std::map<key, departure>& all() const { return known_; }
+  [[nodiscard]] const std::map<key, drain_announcement>& all() const { return known_; }
 
  private:
-  std::map<key, departure> known_;
+  std::map<key, drain_announcement> known_;
   /// Marks of those.
-  std::unordered_set<process_mark> marks_;
+  std::unordered_set<process_fingerprint> fingerprints_;
 };
 
 } // namespace spurrack::replica_statements
--- a/src/replica_statements/limit_book.h
+++ b/src/replica_statements/limit_registry.h
@@ -16,20 +16,20 @@
 namespace spurrack::replica_statements {
 
 /// Tells lives of a replica apart; 0 where it is not known.
-using life_mark = std::uint32_t;
+using incarnation_fingerprint = std::uint32_t;
 
 /// What is known of one life of a replica.
 struct limit_record {
-  life_mark life = 0;
+  incarnation_fingerprint incarnation = 0;
   /// Requests a second from all nodes together; nothing: it names no limit any more.
   std::optional<double> per_second;
   std::uint64_t version = 0;
   /// The latest answer that said so, at any node.
-  base::time_point heard_at;
+  base::time_point last_reported_at;
 };
 
 /// What an answer of a replica says.
-struct limit_notice {
+struct limit_announcement {
   /// Nothing: the answer names no limit.
   std::optional<double> per_second;
   /// When its call began: the answer was given later than that.
@@ -37,19 +37,19 @@
 };
 
 /// Not thread-safe.
-class limit_book {
+class limit_registry {
  public:
   /// Takes in what an answer says. A limit that stood when the call began may have been named after
   /// the answer was given: such an answer does not loosen it.
   /// @return whether this changes what is known.
-  bool hear(const base::replica_id& replica, life_mark life, const limit_notice& notice,
-            base::time_point now);
+  bool record_answer(const base::replica_id& replica, incarnation_fingerprint incarnation,
+                     const limit_announcement& announcement, base::time_point now);
   /// Takes in what another node told.
   /// @return whether others may not know it yet.
-  bool merge(const base::replica_id& replica, const limit_record& told);
+  bool merge(const base::replica_id& replica, const limit_record& received);
   void forget(const base::replica_id& replica) { records_.erase(replica); }
   /// Forgets limits that were lifted long enough ago for everybody to know.
-  void forget_lifted(base::time_point now);
+  void drop_lifted(base::time_point now);
 
   /// @return null where the replica has named no limit of late.
   [[nodiscard]] const limit_record* find(const base::replica_id& replica) const;
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -12,7 +12,7 @@
 #include "base/time.h"
 #include "model/serving_records.h"
 #include "rate_limits/limit_exchange.h"
-#include "replica_statements/statement_exchange.h"
+#include "replica_statements/self_report_exchange.h"
 #include "replicas/cold_limit.h"
 #include "replicas/replica_evidence.h"
 #include "replicas/replica_index.h"
--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -75,7 +75,8 @@
   const auto found =
       std::find_if(candidates.begin(), candidates.end(), [&](const replica_state* state) {
         const auto* record = limits_->book().find(state->record->id);
-        return record != nullptr && record->per_second && now - record->heard_at >= doubted_after;
+        return record != nullptr && record->per_second &&
+               now - record->last_reported_at >= doubted_after;
       });
   return found == candidates.end() ? nullptr : *found;
 }
--- a/src/replicas/replica_table_statements.cc
+++ b/src/replicas/replica_table_statements.cc
@@ -25,8 +25,8 @@
 }
 
 bool replica_table::says_it_leaves(const replica_state& state) const {
-  return statements_ != nullptr && !statements_->departures().empty() &&
-         statements_->departures().includes({state.record->id, state.process});
+  return statements_ != nullptr && !statements_->drain_announcements().empty() &&
+         statements_->drain_announcements().includes({state.record->id, state.process});
 }
 
 bool replica_table::may_be_sent(const replica_state& state, base::time_point now) const {
@@ -62,7 +62,7 @@
     return;
   }
   if (statements_ != nullptr) {
-    statements_->hear(heard.replica, heard.report, heard.call_started_at, now);
+    statements_->record_self_report(heard.replica, heard.report, heard.call_started_at, now);
   }
   if (heard.report.load) {
     note_load(heard.replica, *heard.report.load, now);
--- a/src/serving/replica_self_report.h
+++ b/src/serving/replica_self_report.h
@@ -21,7 +21,7 @@
   /// Requests a second; nothing where it names no limit.
   std::optional<double> per_second;
   /// It names a limit that cannot be read; what it named before stands.
-  bool unreadable = false;
+  bool is_unreadable = false;
 };
 
 /// What an answer says of the time for which its replica wants nothing from this node.
@@ -29,24 +29,24 @@
   /// From the answer on; nothing where it asks for none.
   std::optional<base::duration> span;
   /// It asks for one that cannot be read.
-  bool unreadable = false;
+  bool is_unreadable = false;
 };
 
 struct replica_self_report {
   /// It leaves: it wants no new requests any more.
-  bool leaving = false;
+  bool is_draining = false;
   /// It says of its leaving what cannot be read.
-  bool leaving_unreadable = false;
+  bool is_drain_unreadable = false;
   requested_backoff backoff;
   announced_limit limit;
   std::optional<replica_load> load;
   /// It tells a load that cannot be read; what it told before stands, with its age.
-  bool load_unreadable = false;
+  bool is_load_unreadable = false;
   /// How much longer it stays cold; 0 where it does not say.
   base::duration cold_for{};
   /// It closes the connection, as leaving replicas do, and others now and then: no decision reads
   /// it.
-  bool closing = false;
+  bool closes_connection = false;
 };
 
 } // namespace spurrack::serving
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -66,7 +66,7 @@
   /// Replicas came, went or changed.
   void on_replicas_changed() { replicas_changed_ = true; }
   /// Some replica said that it leaves: the others are divided anew, so that nothing waits for it.
-  void on_departure() { shards_are_stale_ = true; }
+  void on_drain_announced() { shards_are_stale_ = true; }
   /// A replica started again: what its earlier life had of pieces and results is lost.
   void on_restarted(const base::replica_id& replica, base::time_point now);
   /// This process was paused for `gap`: calls under way are given that much more time.
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -427,8 +427,8 @@
     auto raw = raw_of(parser);
     auto said = codec_->read_self_report(raw);
     if (said) {
-      counters_.unreadable_loads += said->load_unreadable ? 1 : 0;
-      said->closing = said->closing || !parser.keep_alive();
+      counters_.unreadable_loads += said->is_load_unreadable ? 1 : 0;
+      said->closes_connection = said->closes_connection || !parser.keep_alive();
       handler_(serving::self_report_received{call.target.replica, call.began, *said});
     }
     return codec_->read_answer(std::move(raw));
--- a/tests/platform/http_codec_test.cc
+++ b/tests/platform/http_codec_test.cc
@@ -141,7 +141,7 @@
   const auto said = codec->read_self_report(raw).value();
   BOOST_TEST(head.sealed);
   BOOST_TEST(!head.not_executed);
-  BOOST_TEST(said.closing);
+  BOOST_TEST(said.closes_connection);
   BOOST_REQUIRE(said.load.has_value());
   BOOST_TEST(said.load->running == 3);
   BOOST_TEST(said.load->slots == 8);
@@ -164,7 +164,7 @@
       BOOST_TEST(head.load->running == 3);
       BOOST_TEST(head.load->waiting == 1);
       BOOST_TEST(head.load->slots == 8);
-      BOOST_TEST(!head.load_unreadable);
+      BOOST_TEST(!head.is_load_unreadable);
     }
   }
 }
@@ -177,12 +177,12 @@
     const auto head = codec->read_self_report({200, {{"X-Replica-Load", text}}}).value();
     BOOST_TEST_CONTEXT(text) {
       BOOST_TEST(!head.load.has_value());
-      BOOST_TEST(head.load_unreadable);
+      BOOST_TEST(head.is_load_unreadable);
     }
   }
   const auto silent = codec->read_self_report({200, {}}).value();
   BOOST_TEST(!silent.load.has_value());
-  BOOST_TEST(!silent.load_unreadable);
+  BOOST_TEST(!silent.is_load_unreadable);
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_names_what_its_replica_takes) {
@@ -193,20 +193,20 @@
   for (const auto& [text, value] : std::vector<std::pair<std::string, double>>{
            {"0", 0}, {"0.2", 0.2}, {"1", 1}, {" 3.5 ", 3.5}, {"1000", 1000}}) {
     BOOST_TEST(named(text).per_second.value_or(-1) == value, text);
-    BOOST_TEST(!named(text).unreadable, text);
+    BOOST_TEST(!named(text).is_unreadable, text);
   }
   for (const std::string text :
        {"", " ", "few", "-1", "nan", "inf", "-inf", "1e300", "1,2", "1 2", "0x10"}) {
     BOOST_TEST(!named(text).per_second, text);
-    BOOST_TEST(named(text).unreadable, text);
+    BOOST_TEST(named(text).is_unreadable, text);
   }
   const auto twice =
       codec->read_self_report({200, {{"Server-Limit", "1"}, {"Server-Limit", "2"}}}).value();
-  BOOST_TEST(twice.limit.unreadable);
+  BOOST_TEST(twice.limit.is_unreadable);
   // Another process has the address: it says nothing of the replica that was meant.
   BOOST_TEST(!codec->read_self_report({421, {{"Server-Limit", "3"}}}).has_value());
   const auto silent = codec->read_self_report({200, {}}).value();
-  BOOST_TEST(!silent.limit.unreadable);
+  BOOST_TEST(!silent.limit.is_unreadable);
   BOOST_TEST(!silent.limit.per_second);
   const auto head = codec->read_answer({200, {{"Server-Limit", "1"}, {"A", "b"}}});
   BOOST_TEST(value_of(head.headers, "Server-Limit").empty());
@@ -231,17 +231,17 @@
     return codec->read_self_report({status, headers}).value();
   };
   for (const unsigned status : {200U, 204U, 409U, 429U, 500U, 503U}) {
-    BOOST_TEST(read(status, {{"Server-Leaving", "1"}}).leaving, status);
+    BOOST_TEST(read(status, {{"Server-Leaving", "1"}}).is_draining, status);
   }
-  BOOST_TEST(read(200, {{"server-leaving", " 1 "}}).leaving);
-  BOOST_TEST(read(200, {{"Server-Leaving", "1"}, {"Server-Leaving", "1"}}).leaving);
+  BOOST_TEST(read(200, {{"server-leaving", " 1 "}}).is_draining);
+  BOOST_TEST(read(200, {{"Server-Leaving", "1"}, {"Server-Leaving", "1"}}).is_draining);
   for (const std::string text : {"", " ", "0", "yes", "-1", "1.0", "1e300", "true"}) {
     const auto said = read(200, {{"Server-Leaving", text}});
-    BOOST_TEST(!said.leaving, text);
-    BOOST_TEST(said.leaving_unreadable, text);
+    BOOST_TEST(!said.is_draining, text);
+    BOOST_TEST(said.is_drain_unreadable, text);
   }
-  BOOST_TEST(!read(200, {}).leaving);
-  BOOST_TEST(!read(200, {}).leaving_unreadable);
+  BOOST_TEST(!read(200, {}).is_draining);
+  BOOST_TEST(!read(200, {}).is_drain_unreadable);
   const auto head = codec->read_answer({200, {{"Server-Leaving", "1"}, {"A", "b"}}});
   BOOST_TEST(value_of(head.headers, "Server-Leaving").empty());
   BOOST_TEST(value_of(head.headers, "A") == "b");
@@ -266,14 +266,14 @@
                                  "Thu, 03 Dec 2026 09:00:00 GMT"}) {
     const auto backoff = asked(503, {{"Retry-After", text}});
     BOOST_TEST(!backoff.span, text);
-    BOOST_TEST(backoff.unreadable, text);
+    BOOST_TEST(backoff.is_unreadable, text);
   }
-  BOOST_TEST(asked(503, {{"Retry-After", "1"}, {"Retry-After", "2"}}).unreadable);
+  BOOST_TEST(asked(503, {{"Retry-After", "1"}, {"Retry-After", "2"}}).is_unreadable);
   BOOST_TEST(!asked(503, {}).span);
-  BOOST_TEST(!asked(503, {}).unreadable);
+  BOOST_TEST(!asked(503, {}).is_unreadable);
   for (const unsigned status : {200U, 429U, 500U}) {
     BOOST_TEST(!asked(status, {{"Retry-After", "3"}}).span, status);
-    BOOST_TEST(!asked(status, {{"Retry-After", "soon"}}).unreadable, status);
+    BOOST_TEST(!asked(status, {{"Retry-After", "soon"}}).is_unreadable, status);
   }
   // With or without the word that the request has not run.
   BOOST_TEST(asked(503, {{"Retry-After", "3"}, {"X-Not-Executed", "1"}}).span.has_value());
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -412,7 +412,7 @@
         is_turned_away ? dispatcher_driver::full_head() : dispatcher_driver::good_head();
     replica_self_report said;
     said.limit.per_second = replica.limit;
-    said.leaving = replica.is_leaving;
+    said.is_draining = replica.is_leaving;
     if (is_turned_away) {
       said.backoff.span = replica.pause;
     }
@@ -426,7 +426,7 @@
       if (said.limit.per_second) {
         replicas[place].told.try_emplace(index, now);
       }
-      if (said.leaving) {
+      if (said.is_draining) {
         replicas[place].told_leaving.try_emplace(index, now);
       }
       if (said.backoff.span) {
--- a/tests/rate_limits/permit_node.h
+++ b/tests/rate_limits/permit_node.h
@@ -3,7 +3,7 @@
 
 #include "base/random.h"
 #include "rate_limits/limit_exchange.h"
-#include "replica_statements/statement_exchange.h"
+#include "replica_statements/self_report_exchange.h"
 
 #include <utility>
 #include <vector>
@@ -27,7 +27,7 @@
             base::time_point call_started_at, base::time_point now) {
     serving::replica_self_report statement;
     statement.limit = said;
-    statements_.hear(replica, statement, call_started_at, now);
+    statements_.record_self_report(replica, statement, call_started_at, now);
   }
   void forget(const base::replica_id& replica) {
     statements_.forget(replica);
--- a/tests/replica_statements/limit_book_test.cc
+++ b/tests/replica_statements/limit_book_test.cc
@@ -1,5 +1,5 @@
 /// What nodes believe of a replica's limit, in whatever order the news comes.
-#include "replica_statements/limit_book.h"
+#include "replica_statements/limit_registry.h"
 
 #include "base/random.h"
 
@@ -15,7 +15,7 @@
 namespace {
 
 const base::replica_id replica("r");
-constexpr life_mark life = 7;
+constexpr incarnation_fingerprint life = 7;
 const base::time_point start{std::chrono::hours(1)};
 
 } // namespace
@@ -23,28 +23,29 @@
 BOOST_AUTO_TEST_SUITE(limit_book_test)
 
 BOOST_AUTO_TEST_CASE(an_answer_without_a_limit_says_nothing_of_a_replica_that_named_none) {
-  limit_book book;
-  BOOST_TEST(!book.hear(replica, life, {std::nullopt, start}, start));
+  limit_registry book;
+  BOOST_TEST(!book.record_answer(replica, life, {std::nullopt, start}, start));
   BOOST_TEST(book.empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_late_answer_from_before_does_not_lift_a_limit) {
-  limit_book book;
-  book.hear(replica, life, {2.0, start}, start + seconds(1));
-  BOOST_TEST(
-      !book.hear(replica, life, {std::nullopt, start + milliseconds(900)}, start + seconds(3)));
+  limit_registry book;
+  book.record_answer(replica, life, {2.0, start}, start + seconds(1));
+  BOOST_TEST(!book.record_answer(replica, life, {std::nullopt, start + milliseconds(900)},
+                                 start + seconds(3)));
   BOOST_TEST(book.limit_of(replica).value_or(0) == 2.0);
-  BOOST_TEST(book.hear(replica, life, {std::nullopt, start + seconds(2)}, start + seconds(3)));
+  BOOST_TEST(
+      book.record_answer(replica, life, {std::nullopt, start + seconds(2)}, start + seconds(3)));
   BOOST_TEST(!book.limit_of(replica));
 }
 
 BOOST_AUTO_TEST_CASE(a_stricter_limit_holds_at_once_and_a_looser_one_from_a_later_call) {
-  limit_book book;
-  book.hear(replica, life, {2.0, start}, start + seconds(1));
-  BOOST_TEST(book.hear(replica, life, {1.0, start}, start + seconds(1)));
-  BOOST_TEST(!book.hear(replica, life, {4.0, start}, start + seconds(2)));
+  limit_registry book;
+  book.record_answer(replica, life, {2.0, start}, start + seconds(1));
+  BOOST_TEST(book.record_answer(replica, life, {1.0, start}, start + seconds(1)));
+  BOOST_TEST(!book.record_answer(replica, life, {4.0, start}, start + seconds(2)));
   BOOST_TEST(book.limit_of(replica).value_or(0) == 1.0);
-  BOOST_TEST(book.hear(replica, life, {4.0, start + seconds(2)}, start + seconds(3)));
+  BOOST_TEST(book.record_answer(replica, life, {4.0, start + seconds(2)}, start + seconds(3)));
   BOOST_TEST(book.limit_of(replica).value_or(0) == 4.0);
 }
 
@@ -56,7 +57,7 @@
   }
   base::seeded_random random(3);
   for (int round = 0; round < 200; ++round) {
-    limit_book book;
+    limit_registry book;
     book.merge(replica, news.front());
     auto left = news;
     left.push_back(news[random.below(news.size())]);
@@ -71,7 +72,7 @@
   for (const bool lifted_first : {true, false}) {
     const limit_record lifted{life, std::nullopt, 2, start};
     const limit_record named{life, 5.0, 2, start};
-    limit_book book;
+    limit_registry book;
     book.merge(replica, {life, 1.0, 1, start});
     book.merge(replica, lifted_first ? lifted : named);
     book.merge(replica, lifted_first ? named : lifted);
@@ -80,28 +81,28 @@
 }
 
 BOOST_AUTO_TEST_CASE(what_a_node_heard_itself_since_goes_before_older_news_of_a_higher_version) {
-  limit_book book;
-  book.hear(replica, life, {1.0, start}, start + seconds(5));
+  limit_registry book;
+  book.record_answer(replica, life, {1.0, start}, start + seconds(5));
   BOOST_TEST(book.merge(replica, {life, std::nullopt, 9, start}));
   BOOST_TEST(book.limit_of(replica).value_or(0) == 1.0);
   BOOST_TEST(book.find(replica)->version == 10U);
 }
 
 BOOST_AUTO_TEST_CASE(a_new_life_has_named_nothing) {
-  limit_book book;
-  book.hear(replica, life, {1.0, start}, start);
-  BOOST_TEST(book.hear(replica, life + 1, {3.0, start}, start));
+  limit_registry book;
+  book.record_answer(replica, life, {1.0, start}, start);
+  BOOST_TEST(book.record_answer(replica, life + 1, {3.0, start}, start));
   BOOST_TEST(book.limit_of(replica).value_or(0) == 3.0);
   BOOST_TEST(book.find(replica)->version == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(a_lifted_limit_is_forgotten_after_a_while) {
-  limit_book book;
-  book.hear(replica, life, {1.0, start}, start);
-  book.hear(replica, life, {std::nullopt, start + seconds(1)}, start + seconds(1));
-  book.forget_lifted(start + seconds(5));
+  limit_registry book;
+  book.record_answer(replica, life, {1.0, start}, start);
+  book.record_answer(replica, life, {std::nullopt, start + seconds(1)}, start + seconds(1));
+  book.drop_lifted(start + seconds(5));
   BOOST_TEST(!book.empty());
-  book.forget_lifted(start + seconds(12));
+  book.drop_lifted(start + seconds(12));
   BOOST_TEST(book.empty());
 }
 
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -12,7 +12,7 @@
 
 replica_self_report leaving() {
   replica_self_report said;
-  said.leaving = true;
+  said.is_draining = true;
   return said;
 }
 
@@ -240,12 +240,12 @@
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
   replica_self_report said;
-  said.leaving_unreadable = true;
-  said.backoff.unreadable = true;
+  said.is_drain_unreadable = true;
+  said.backoff.is_unreadable = true;
   node.answer(call.call, said, dispatcher_driver::good_head());
   BOOST_TEST(node.last<respond>().status == 200U);
-  BOOST_TEST(node.subject.statements().counts().leaving_unreadable == 1U);
-  BOOST_TEST(node.subject.statements().counts().backoff_unreadable == 1U);
+  BOOST_TEST(node.subject.statements().counts().unreadable_drain_announcements == 1U);
+  BOOST_TEST(node.subject.statements().counts().unreadable_backoffs == 1U);
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 30; ++client) {
     node.arrive(client, "/safe/");
