--- a/src/serving/decision_recorder.h
+++ b/src/serving/decision_recorder.h
@@ -1,4 +1,4 @@
-/// How the serving path tells its decisions to the time line and the log.
+/// Callback with which the serving path records its decisions on the timeline and in the log.
 #pragma once
 
 #include "base/event_log.h"
@@ -9,8 +9,8 @@
 
 namespace spurrack::serving {
 
-/// Called at each decision. `subject` names the replica, route or status concerned; `detail` the
-/// inputs that decided, with their age or version.
+/// Called at each decision. `subject` names the replica, route or status concerned; `detail` names
+/// the inputs of the decision with their age or version.
 using decision_recorder =
     std::function<void(base::event_kind, const base::request_id&, const std::string& subject,
                        const std::string& detail)>;
--- a/src/serving/events.h
+++ b/src/serving/events.h
@@ -1,5 +1,5 @@
-/// What happens to the serving path and what it asks for: the seam between its decisions and the
-/// connections to clients and replicas.
+/// Events that the serving path receives from the connections to clients and replicas, and commands
+/// that it gives them.
 #pragma once
 
 #include "base/ids.h"
@@ -18,43 +18,43 @@
 
 // --- events --------------------------------------------------------------------------------------
 
-/// A request was read whole.
+/// A request was read completely.
 struct request_arrived {
   base::caller_id client = 0;
   std::shared_ptr<const request_content> content;
-  /// When its head reached this machine; deadlines count from here.
+  /// Time at which the head of the request reached this machine; its deadline counts from here.
   base::time_point arrived_at;
 };
-/// Why a client got no more of its answer.
+/// Why a client's connection ended before its answer was complete.
 enum class disconnect_reason : std::uint8_t {
-  closed,    ///< It closed its connection, or the connection broke.
-  unread,    ///< It took nothing for too long.
-  no_memory, ///< It was the slowest reader when an answer found no room.
+  closed,    ///< The client closed its connection, or the connection broke.
+  unread,    ///< The client did not read for too long.
+  no_memory, ///< The client was the slowest reader when memory for answers ran out.
 };
 /// A client's connection ended before its answer was complete.
 struct client_disconnected {
   base::caller_id client = 0;
   disconnect_reason reason = disconnect_reason::closed;
 };
-/// A client of a stream takes less than its replica gives, or has caught up.
+/// The client of a stream reads more slowly than its replica sends, or has caught up.
 struct client_window {
   base::caller_id client = 0;
-  /// Whether the replica's side may be read on.
+  /// Whether the serving path may read on from the replica.
   bool open = true;
 };
 
-/// What is known of a call that brought no answer.
+/// What is known of a call that ended without an answer.
 enum class call_failure : std::uint8_t {
   not_sent,     ///< No byte was written to the replica.
-  may_have_run, ///< Bytes were written; whether the replica worked on them is not known.
-  no_memory,    ///< The replica answers, but this node has no memory to gather the answer.
+  may_have_run, ///< Bytes were written; it is unknown whether the replica ran the request.
+  no_memory,    ///< The replica answered, but this node has no memory to buffer the answer.
 };
 /// A call ended without an answer.
 struct call_failed {
   base::call_id call = 0;
   call_failure failure = call_failure::may_have_run;
 };
-/// Bytes of an answer that are counted against the memory of this process for as long as it lives.
+/// Counts the bytes of an answer against the memory budget of this process until it is destroyed.
 class held_memory {
  public:
   held_memory() = default;
@@ -62,21 +62,21 @@
   held_memory& operator=(const held_memory&) = delete;
   virtual ~held_memory() = default;
 };
-/// An answer arrives and is not read on, since there is no memory for it now: that nothing more is
-/// heard says nothing of its replica.
+/// Reading an answer is paused because there is no memory for it: the missing progress is no
+/// evidence against the replica.
 struct answer_paused {
   base::call_id call = 0;
 };
-/// There is memory again for an answer that was paused: it is read on.
+/// Reading a paused answer goes on because there is memory for it again.
 struct answer_resumed {
   base::call_id call = 0;
 };
-/// A replica answered whole.
+/// A replica gave a complete answer.
 struct call_answered {
   base::call_id call = 0;
   answer_head head;
   std::string body;
-  /// Goes with the body; may be null.
+  /// Memory reservation of the body, kept as long as the body; may be null.
   std::shared_ptr<const held_memory> held = nullptr;
 };
 /// The head of a streamed answer arrived.
@@ -91,56 +91,57 @@
 /// A streamed answer ended.
 struct stream_closed {
   base::call_id call = 0;
-  /// It ended as its framing says a whole answer ends.
+  /// Whether the end of the stream matches its framing, so that the answer is complete.
   bool complete = false;
 };
 
-/// Why a piece brought no result.
+/// Why a piece has no result.
 enum class piece_fault : std::uint8_t {
   none,
-  late,          ///< Its time was over at its turn.
-  input_gone,    ///< A result it needs no longer exists.
-  out_of_memory, ///< The replica has no room for the result.
-  error,         ///< The replica could not make it.
-  not_run,       ///< The replica took no call; nothing was done.
-  lost,          ///< The call brought no answer.
-  expired,       ///< Its time was over before it was handed to a replica.
-};
-/// Result of one piece.
+  late,          ///< Its deadline had passed when the replica came to run it.
+  input_gone,    ///< A result that it needs no longer exists.
+  out_of_memory, ///< The replica has no free memory for the result.
+  error,         ///< The replica failed to compute it.
+  not_run,       ///< The replica did not accept the call; nothing ran.
+  lost,          ///< The call ended without an answer.
+  expired,       ///< Its deadline passed before it was sent to a replica.
+};
+/// Outcome of one piece.
 struct piece_outcome {
   piece_fault fault = piece_fault::none;
-  /// Where the result lies; empty where there is a fault.
+  /// Handle under which the result is stored; empty if there is a fault.
   std::string handle;
 };
-/// A call that holds pieces ended.
+/// A call with pieces ended.
 struct stage_call_ended {
   base::call_id call = 0;
   enum class result : std::uint8_t {
-    answered,    ///< `pieces` holds one outcome for each piece, in the order asked.
-    refused,     ///< The replica is full or leaving and did nothing.
+    answered,    ///< `pieces` holds one outcome for each piece, in the order of the call.
+    refused,     ///< The replica is full or draining and ran nothing.
     misdirected, ///< Another replica has this address.
-    failed,      ///< No answer; the pieces may have been made.
+    failed,      ///< No answer; the pieces may have been computed.
     not_sent,    ///< No byte was written.
   };
   result how = result::failed;
   std::vector<piece_outcome> pieces;
 };
 
-/// The head of an answer of any kind came: what it says of its replica, before its body is read.
+/// The head of an answer of any kind arrived. Carries what the answer reports of its replica; the
+/// body is not read yet.
 struct self_report_received {
   base::replica_id replica;
-  /// When its call was made: the replica said so later than that.
+  /// Time at which the call was made; the replica wrote the report later.
   base::time_point call_started_at;
   replica_self_report report;
 };
 
-/// What came of asking a replica for a connection.
+/// Result of opening a connection to a replica.
 enum class probe_result : std::uint8_t {
-  connected,    ///< Something listens at its address.
-  refused,      ///< Nothing does.
-  unresponsive, ///< No answer in time, or another error: nothing is known.
+  connected,    ///< A process listens at its address.
+  refused,      ///< No process listens at its address.
+  unresponsive, ///< No connection in time, or another error: the state of the replica is unknown.
 };
-/// A replica was asked for a connection.
+/// A probe of a replica ended.
 struct replica_probed {
   base::replica_id replica;
   probe_result result = probe_result::unresponsive;
@@ -148,35 +149,37 @@
 
 // --- commands ------------------------------------------------------------------------------------
 
-/// Who is called.
+/// Replica that a call goes to.
 struct call_target {
   base::replica_id replica;
   base::network_address address;
 };
-/// Send a request to a replica.
+/// Sends a request to a replica.
 struct start_call {
   base::call_id call = 0;
   call_target target;
   std::shared_ptr<const request_content> content;
-  /// What is left of the time the client waits.
+  /// Time until the client's deadline.
   base::duration time_left{};
-  /// Empty where the request belongs to no tenant.
+  /// Empty if the request belongs to no tenant.
   std::string tenant;
-  /// The answer is passed on as it comes; otherwise it is gathered whole.
+  /// Whether the answer is forwarded as it arrives; otherwise it is buffered until complete.
   bool streaming = false;
-  /// An ambiguous close must not happen for want of care: use a connection that is fresh enough.
+  /// Whether the request may run only once: then it is sent on a connection that was idle only
+  /// briefly, since a close by the replica would leave unknown whether the request ran.
   bool runs_at_most_once = false;
+  /// Identifier of the last event that the client has received, if the call resumes a stream.
   std::optional<std::uint64_t> resume_after;
-  /// 0 (first) to 9 (last); nothing where the replica's default serves.
+  /// 0 (most urgent) to 9 (least urgent); std::nullopt for the replica's default.
   std::optional<std::uint32_t> urgency;
-  /// Results of the stages the request needs, in order.
+  /// Handles of the stage results that the request needs, in order.
   std::vector<std::string> inputs;
 };
-/// Give up a call of either kind: close its connection, ignore what still comes.
+/// Cancels a call with a request or with pieces: closes its connection and ignores further bytes.
 struct cancel_call {
   base::call_id call = 0;
 };
-/// Read no more of a streamed answer until further notice.
+/// Stops reading a streamed answer until `resume_call`.
 struct pause_call {
   base::call_id call = 0;
 };
@@ -189,7 +192,7 @@
   std::uint32_t stage = 0;
   std::uint32_t piece = 0;
   base::duration time_left{};
-  /// Set for stages that need no results of others.
+  /// Set for stages that need no results of other stages; empty otherwise.
   std::string piece_key;
   std::vector<std::string> inputs;
 };
@@ -198,35 +201,36 @@
   call_target target;
   std::vector<piece_item> items;
 };
-/// Results that nobody needs any more.
+/// Frees results of stages that are no longer needed.
 struct free_results {
-  /// Replica that made them.
+  /// Replica that computed the results.
   call_target maker;
   std::vector<std::string> handles;
 };
 
-/// Close the connections that rest at an address: the process there is another one now.
+/// Closes the idle connections to an address, since another process now listens there.
 struct close_connections {
   base::network_address address;
 };
 
-/// Ask a replica for a connection, which is kept for later calls.
+/// Opens a connection to a replica to learn whether it runs, and keeps the connection for later
+/// calls.
 struct probe_replica {
   call_target target;
 };
 
-/// Answer a client with a whole answer.
+/// Sends a complete answer to a client.
 struct respond {
   base::caller_id client = 0;
-  /// The request, where the answer is spurrack's own and not a replica's.
+  /// Id of the request if spurrack itself answers; std::nullopt if the answer is a replica's.
   std::optional<base::request_id> own_answer_to;
   unsigned status = 0;
   header_list headers;
   std::string body;
-  /// Goes with the body; may be null.
+  /// Memory reservation of the body, kept as long as the body; may be null.
   std::shared_ptr<const held_memory> held = nullptr;
 };
-/// Begin a streamed answer.
+/// Begins a streamed answer.
 struct open_stream {
   base::caller_id client = 0;
   unsigned status = 0;
@@ -236,13 +240,14 @@
   base::caller_id client = 0;
   std::string bytes;
 };
-/// Take in what the replica gives although the client does not read, as far as memory allows.
+/// Reads on from the replica and buffers the stream although the client does not read, as far as
+/// memory allows.
 struct read_ahead {
   base::caller_id client = 0;
 };
 struct end_stream {
   base::caller_id client = 0;
-  /// Where not, the connection is broken off so that the answer cannot look complete.
+  /// If false, the connection is reset so that the client cannot take the answer for complete.
   bool complete = false;
 };
 
--- a/src/serving/replica_self_report.h
+++ b/src/serving/replica_self_report.h
@@ -1,5 +1,5 @@
-/// What a replica says of itself with an answer, besides the answer: one typed value, decoded in
-/// one place from every kind of answer.
+/// What a replica reports of itself in the head of an answer: one typed value, decoded in one place
+/// from every kind of answer.
 #pragma once
 
 #include "base/time.h"
@@ -9,43 +9,44 @@
 
 namespace spurrack::serving {
 
-/// Load of a replica as it told it with an answer.
+/// Load that a replica reports in an answer: requests that run, requests that wait, and slots.
 struct replica_load {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 0;
 };
 
-/// What an answer says of the requests that its replica takes from all nodes together.
+/// Rate limit that a replica announces in an answer. It bounds the requests of all nodes together.
 struct announced_limit {
-  /// Requests a second; nothing where it names no limit.
+  /// Requests per second; std::nullopt if the answer announces no limit.
   std::optional<double> per_second;
-  /// It names a limit that cannot be read; what it named before stands.
+  /// The answer announces a limit that cannot be parsed; the earlier limit stays in effect.
   bool is_unreadable = false;
 };
 
-/// What an answer says of the time for which its replica wants nothing from this node.
+/// Backoff that a replica requests from this node in an answer (Retry-After).
 struct requested_backoff {
-  /// From the answer on; nothing where it asks for none.
+  /// Counted from the answer; std::nullopt if the answer requests no backoff.
   std::optional<base::duration> span;
-  /// It asks for one that cannot be read.
+  /// The answer requests a backoff that cannot be parsed.
   bool is_unreadable = false;
 };
 
+/// All that one answer reports of its replica.
 struct replica_self_report {
-  /// It leaves: it wants no new requests any more.
+  /// The replica drains: it accepts no new requests.
   bool is_draining = false;
-  /// It says of its leaving what cannot be read.
+  /// The answer holds a drain announcement that cannot be parsed.
   bool is_drain_unreadable = false;
   requested_backoff backoff;
   announced_limit limit;
   std::optional<replica_load> load;
-  /// It tells a load that cannot be read; what it told before stands, with its age.
+  /// The answer reports a load that cannot be parsed; the earlier load is kept, with its age.
   bool is_load_unreadable = false;
-  /// How much longer it stays cold; 0 where it does not say.
+  /// Time for which the replica stays cold; 0 if the answer does not report it.
   base::duration cold_for{};
-  /// It closes the connection, as leaving replicas do, and others now and then: no decision reads
-  /// it.
+  /// The replica closes the connection after the answer. Draining replicas do that and other
+  /// replicas now and then, so no decision depends on it.
   bool closes_connection = false;
 };
 
--- a/src/serving/request.h
+++ b/src/serving/request.h
@@ -1,5 +1,6 @@
-/// A client's request as the serving path sees it: what is passed on unchanged and what decides how
-/// it is served. The format on the wire is the matter of a `request_codec`.
+/// A client's request and the head of a replica's answer, as the serving path sees them: the parts
+/// that are forwarded unchanged and the parts that decide how the request is served. A
+/// `request_codec` translates them from and to the wire format.
 #pragma once
 
 #include "base/ids.h"
@@ -19,13 +20,13 @@
 };
 using header_list = std::vector<header>;
 
-/// A part of a prompt that requests may share.
+/// A part of a prompt that several requests may have in common.
 struct prompt_part {
   std::string id;
   std::uint32_t tokens = 0;
 };
 
-/// Everything known of a request once it is read whole. Immutable afterwards.
+/// Content of a request that was read completely. Immutable after that.
 struct request_content {
   std::string method;
   /// Path with the query, byte for byte as the client sent it.
@@ -34,45 +35,45 @@
   std::string path;
   /// Host without a port, in lower case.
   std::string host;
-  /// Header fields that are passed on as they are.
+  /// Header fields that are forwarded unchanged.
   header_list headers;
   std::string body;
   bool has_body = false;
 
   base::request_id id;
-  /// How long the client waits, counted from the arrival of the request.
+  /// Time that the client waits for the answer, counted from the arrival of the request.
   std::optional<base::duration> time_allowed;
-  /// Empty where the client sent none.
+  /// Empty if the client sent no key.
   std::string api_key;
-  /// Identifier of the last event the client has, where it takes up a stream.
+  /// Identifier of the last event that the client has received, if it resumes a stream.
   std::optional<std::uint64_t> resume_after;
   std::string model;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t output_tokens = 0;
-  /// Parts of the prompt, in order; the last belongs to this request or its session alone.
+  /// Parts of the prompt, in order; no other request or session shares the last part.
   std::vector<prompt_part> prompt_parts;
-  /// Pieces of each stage of the route.
+  /// Number of pieces of each stage of the route.
   std::vector<std::uint32_t> pieces;
   std::string piece_key;
 
-  /// @return tokens of the prompt that no other request shares.
+  /// @return number of prompt tokens that no other request shares.
   [[nodiscard]] std::uint32_t own_tokens() const {
     return prompt_parts.empty() ? prompt_tokens : prompt_parts.back().tokens;
   }
 };
 
-/// What a replica's answer says of the request, besides its bytes.
+/// The head of a replica's answer.
 struct answer_head {
   unsigned status = 0;
-  /// Header fields that are passed on to the client.
+  /// Header fields that are forwarded to the client.
   header_list headers;
-  /// The replica vouches for the answer.
+  /// The replica marked the answer with its seal.
   bool sealed = false;
-  /// The replica did not run the request and never will.
+  /// The replica did not run the request and will not run it later.
   bool not_executed = false;
   /// Another replica has this address.
   bool misdirected = false;
-  /// The body is encoded, although nobody asked for it.
+  /// The body has a content encoding, although the call did not ask for one.
   bool encoded = false;
 };
 
--- a/src/serving/request_codec.h
+++ b/src/serving/request_codec.h
@@ -1,5 +1,5 @@
-/// The format in which clients and replicas speak, behind one narrow interface: names of header
-/// fields, paths and bodies are known to its implementation alone.
+/// Codec for the wire format of clients and replicas. Only its implementation knows the names of
+/// header fields, the paths and the format of bodies.
 #pragma once
 
 #include "serving/events.h"
@@ -20,28 +20,29 @@
   bool has_body = false;
 };
 
-/// An answer's head as the HTTP layer read it.
+/// The head of an answer as the HTTP layer read it.
 struct raw_answer {
   unsigned status = 0;
   header_list headers;
 };
 
-/// What a call looks like on the wire.
+/// A call to a replica in its wire format.
 struct encoded_call {
   std::string method;
   std::string target;
-  /// Without fields that frame the body or concern the connection.
+  /// Without the fields that frame the body or control the connection.
   header_list headers;
   std::string body;
   bool has_body = false;
 };
 
-/// A request that breaks the format.
+/// A request that does not follow the wire format.
 struct bad_request {
+  /// Sent to the client.
   std::string reason;
 };
 
-/// Contract: stateless; the same input gives the same output.
+/// Implementations are stateless: equal input gives equal output.
 class request_codec {
  public:
   request_codec() = default;
@@ -49,26 +50,27 @@
   request_codec& operator=(const request_codec&) = delete;
   virtual ~request_codec() = default;
 
-  /// Reads a client's request.
+  /// Decodes a request of a client.
   [[nodiscard]] virtual std::variant<request_content, bad_request>
   read_request(raw_request raw) const = 0;
-  /// @return header fields of an answer of spurrack's own to a request.
+  /// @return the header fields of an answer that spurrack itself gives to a request.
   [[nodiscard]] virtual header_list own_answer_headers(const base::request_id& id) const = 0;
 
   [[nodiscard]] virtual encoded_call encode(const start_call& call) const = 0;
   [[nodiscard]] virtual encoded_call encode(const start_stage_call& call) const = 0;
-  [[nodiscard]] virtual encoded_call encode(const free_results& wanted) const = 0;
+  [[nodiscard]] virtual encoded_call encode(const free_results& results) const = 0;
 
-  /// Reads the head of any answer of a replica.
+  /// Decodes the head of an answer of a replica.
   [[nodiscard]] virtual answer_head read_answer(raw_answer raw) const = 0;
-  /// Reads what any answer of a replica says of the replica itself.
-  /// @return nothing where another process than the replica that was meant gave it.
+  /// Decodes what an answer reports of its replica.
+  /// @return std::nullopt if another process than the addressed replica gave the answer.
   [[nodiscard]] virtual std::optional<replica_self_report>
   read_self_report(const raw_answer& raw) const = 0;
-  /// @return the request an answer says it belongs to; nothing where it does not say.
+  /// @return id of the request that the answer names; std::nullopt if it names none.
   [[nodiscard]] virtual std::optional<std::string>
   answered_request(const header_list& headers) const = 0;
-  /// @return one outcome for each piece asked; nothing where the body is not an answer to the call.
+  /// Decodes the answer to a call with pieces.
+  /// @return one outcome for each piece of the call; std::nullopt if the body does not match it.
   [[nodiscard]] virtual std::optional<std::vector<piece_outcome>>
   read_pieces(const start_stage_call& call, const std::string& body) const = 0;
 };
