--- a/src/quarantine/crash_detector.cc
+++ b/src/quarantine/crash_detector.cc
@@ -5,13 +5,14 @@
 namespace spurrack::quarantine {
 namespace {
 
-/// A replica that took a connection is not asked again within this time: where replicas reset a
-/// part of their connections, one new connection a second is all that this costs.
+/// Minimum time between a successful probe of a replica and the next probe: if replicas reset some
+/// of their connections, probes cost one new connection per second at most.
 constexpr base::duration probe_interval = std::chrono::seconds(1);
-/// A replica that ended is off the list within about four seconds, or listed in another life: two
-/// and a half times that, since the list may lag.
+/// Time for which lost calls are kept. A replica that exited is removed from the published list, or
+/// listed in another incarnation, within about four seconds; two and a half times that, since the
+/// list may lag.
 constexpr base::duration watch_duration = std::chrono::seconds(10);
-/// Calls kept of one replica: the most that one runs at once.
+/// Lost calls kept for one replica: the maximum number that a replica runs at once.
 constexpr std::size_t max_calls_per_replica = 128;
 
 } // namespace
@@ -22,7 +23,7 @@
   if (watched.calls.size() < max_calls_per_replica) {
     watched.calls.push_back(call);
   }
-  watched.last_update_at = now;
+  watched.last_lost_call_at = now;
   const bool was_connected = watched.connected_at && now - *watched.connected_at < probe_interval;
   if (watched.is_probe_pending || was_connected) {
     return false;
@@ -58,7 +59,7 @@
 
 void crash_detector::drop_expired(base::time_point now) {
   std::erase_if(replicas_, [&](const auto& entry) {
-    return now - entry.second.last_update_at >= watch_duration;
+    return now - entry.second.last_lost_call_at >= watch_duration;
   });
 }
 
--- a/src/quarantine/crash_detector.h
+++ b/src/quarantine/crash_detector.h
@@ -1,6 +1,6 @@
-/// Calls that ended without a whole answer, until it is known whether their replica ended. A cut
-/// link, a connection that was reset and a replica that breaks answers off look the same at first;
-/// the replica is asked for a connection, and what is published of it is watched. No I/O.
+/// Keeps calls that ended without a complete answer until it is known whether their replica exited.
+/// A partitioned link, a connection reset and a replica that aborts answers look the same at first,
+/// so the replica is probed with a connection and its published record is watched. No I/O.
 #pragma once
 
 #include "base/ids.h"
@@ -16,7 +16,7 @@
 
 namespace spurrack::quarantine {
 
-/// A request whose call ended with its replica.
+/// A call that ended without a complete answer, with the exit of its replica that may explain it.
 struct lost_call {
   request_digest digest;
   exit_observation exit;
@@ -25,28 +25,29 @@
 /// Not thread-safe.
 class crash_detector {
  public:
-  /// A call ended without a whole answer at a replica that was to serve on.
-  /// @return whether the replica is to be asked for a connection now.
+  /// Records a call that ended without a complete answer at a replica that was not draining.
+  /// @return whether the caller must probe the replica now.
   bool note_lost_call(const base::replica_id& replica, const lost_call& call, base::time_point now);
-  /// The replica refuses connections, is another process by now, or is published no longer.
-  /// @return the requests that it ended under.
+  /// Returns and clears the lost calls of a replica that exited: it refuses connections, has
+  /// restarted, or is no longer published.
   std::vector<lost_call> take_lost_calls(const base::replica_id& replica);
-  /// The replica took a connection: it lives, or has started again, which is published soon.
+  /// Records that the replica accepted a connection: it runs, or has restarted, which its published
+  /// record shows soon.
   void note_connected(const base::replica_id& replica, base::time_point now);
-  /// The replica could not be asked.
+  /// Records that a probe failed without a result.
   void note_probe_failed(const base::replica_id& replica);
-  /// Forgets calls of which nothing more will be learned.
+  /// Drops lost calls that can no longer be explained by an exit.
   void drop_expired(base::time_point now);
-  /// @return replicas with calls whose end is not explained yet.
+  /// @return replicas with lost calls that are not explained yet.
   [[nodiscard]] std::vector<base::replica_id> watched_replicas() const;
 
  private:
   struct watched_replica {
     std::vector<lost_call> calls;
     bool is_probe_pending = false;
-    /// It took a connection then.
+    /// Time at which the replica last accepted a probe.
     std::optional<base::time_point> connected_at;
-    base::time_point last_update_at;
+    base::time_point last_lost_call_at;
   };
   std::map<base::replica_id, watched_replica> replicas_;
 };
--- a/src/quarantine/crash_registry.cc
+++ b/src/quarantine/crash_registry.cc
@@ -6,31 +6,32 @@
 namespace spurrack::quarantine {
 namespace {
 
-/// A request with fewer ends than quarantine takes is free again after this time without another:
-/// callers retry within seconds, jobs that are scheduled within minutes.
+/// Time without another exit after which a request with too few exits for quarantine is no longer
+/// suspected: clients retry within seconds, scheduled jobs within minutes.
 constexpr base::duration suspicion_lifetime = std::chrono::minutes(10);
-/// A request that is held back may be tried once more when its caller has been away this long: by
-/// then whoever runs the replicas may have mended them.
+/// Time without an arrival after which a quarantined request may be tried once more: the operators
+/// of the replicas may have repaired them in this time.
 constexpr base::duration first_quarantine_duration = std::chrono::hours(1);
-/// What is known of a request that was held back is forgotten this long after it last came or a
-/// replica last ended under it.
+/// Time after the last exit, surviving run or refusal after which the record of a request that was
+/// quarantined is dropped.
 constexpr base::duration quarantine_record_lifetime = std::chrono::hours(24);
-/// Ends kept of one request; more would not change how it is treated.
+/// Exits kept for one request; more would not change its quarantine state.
 constexpr std::size_t max_exits_per_record = 12;
-/// Lives heard after they were taken for over; the oldest gives way.
+/// Withdrawn exits that are kept; the oldest one is evicted.
 constexpr std::size_t max_refuted_exits = 64;
 
-/// Ends that this long ago are not compared with those under one request: a request that comes
-/// again has shown what it does by then.
+/// Exits older than this are not compared with the exits under one request: a request that is sent
+/// repeatedly has shown its effect within this time.
 constexpr base::duration comparison_window = std::chrono::seconds(30);
 
-/// Ends that are remembered beside the records; a bound on memory, 30 a second for 30 s.
+/// Exits indexed over all records, a bound on memory: 30 per second for 30 s.
 constexpr std::size_t max_indexed_exits = 1024;
 
-/// Lives that were taken for over and were heard since, and when.
+/// Exits that were withdrawn, with the time at which the replica was found to be running.
 using refuted_exit_times = std::map<replica_exit, base::time_point>;
 
-/// @return whether the life was heard after it seemed to end. It may end later all the same.
+/// @return whether the replica was in contact after the observed exit. A later exit of the same
+///         incarnation is not refuted.
 bool is_refuted_exit(const refuted_exit_times& refuted, const exit_observation& observation) {
   const auto found = refuted.find(observation.exit);
   return found != refuted.end() && observation.at <= found->second;
@@ -229,9 +230,9 @@
   return found != explaining_exit_counts_.end() && found->second > record.exits.size();
 }
 
-/// Up to 128 requests share a replica, and those that were sent on from one may share the next with
-/// the guilty one too. Ends that a request known for more explains do not count, unless two others
-/// remain: then this request is likely guilty as well.
+/// Up to 128 requests share a replica, and requests that are retried after an exit may share the
+/// next replica with the request that caused it. Exits explained by a request with more exits do
+/// not count, unless two unexplained exits remain: then this request is likely a cause as well.
 std::size_t crash_registry::counted_exits(const crash_record& record) const {
   const auto all = record.exits.size();
   if (all < limits_.single_attempt) {
@@ -290,7 +291,8 @@
   }
 }
 
-/// One that ended more replicas than it takes was tried again already.
+/// A request with more exits than any quarantine limit has been tried again after its quarantine
+/// and crashed its replica again, so that it stays quarantined for longer.
 base::duration crash_registry::quarantine_duration(std::size_t exits) const {
   return exits > limits_.quarantine_with_unrelated_exits ? quarantine_record_lifetime
                                                          : first_quarantine_duration;
--- a/src/quarantine/crash_report_exchange.cc
+++ b/src/quarantine/crash_report_exchange.cc
@@ -7,48 +7,51 @@
 namespace spurrack::quarantine {
 namespace {
 
-/// Nodes that are told of a first end: one may be lost or cut off, and views of the fleet differ.
+/// Nodes that a first exit is reported to: a node may be down or partitioned, and views of the
+/// fleet differ.
 constexpr std::size_t aggregator_count = 3;
-/// Nodes that each node passes a change on to. Of a large fleet one in 400 misses it, and hears the
-/// reminder.
+/// Random nodes to which each node forwards a change. In a large fleet one node in 400 misses the
+/// change and receives it with a reminder.
 constexpr std::size_t fanout = 6;
-/// The first change is told at once, the next after this time: with the bounds on nodes and records
-/// 15 kB a second at the most, and only while replicas go on ending.
+/// Minimum time between two batches of changes; the first batch is sent at once. With the bounds on
+/// nodes and records this limits the traffic to 15 kB per second, while replicas continue to exit.
 constexpr base::duration change_interval = std::chrono::milliseconds(200);
 /// Records in one message, 50 to 100 bytes each.
 constexpr std::size_t max_records_per_message = 8;
-/// A random node is reminded of what all should know; a third of the time within which nodes in
-/// contact learn of each other's news.
+/// Interval between reminders, each to one random node: a third of the time within which nodes in
+/// contact learn of each other's reports.
 constexpr base::duration reminder_interval = std::chrono::milliseconds(1000);
-/// A node that starts or was paused asks this many nodes, so often and this long apart.
+/// Nodes that a node queries for missed records after its start or a suspension, number of rounds
+/// of queries, and time between two rounds.
 constexpr std::size_t query_fanout = 2;
 constexpr std::size_t query_count = 3;
 constexpr base::duration query_interval = std::chrono::milliseconds(300);
-/// Ends of replicas in one message, 15 bytes each: those of some seconds where a replica ends twice
-/// a second.
+/// Exits in one message beside the records, 15 bytes each: the exits of some seconds if two
+/// replicas exit per second.
 constexpr std::size_t max_exits_per_message = 12;
-/// Records that a node which asks is told.
+/// Records in the reply to a query.
 constexpr std::size_t max_records_per_reply = 32;
 
 std::uint32_t age_of(base::time_point when, base::time_point now) {
   return static_cast<std::uint32_t>(std::max<std::int64_t>(0, base::to_milliseconds(now - when)));
 }
 
-void add_to(wire::replica_crash& said, const exit_observation& observation, base::time_point now) {
-  said.set_replica_end(observation.exit);
-  said.set_age_milliseconds(age_of(observation.at, now));
-  said.set_replica(observation.replica.text());
+void add_to(wire::replica_crash& wire_record, const exit_observation& observation,
+            base::time_point now) {
+  wire_record.set_replica_end(observation.exit);
+  wire_record.set_age_milliseconds(age_of(observation.at, now));
+  wire_record.set_replica(observation.replica.text());
 }
 
-void add_to(wire::crash_news& news, const crash_record& record, base::time_point now) {
-  auto& said = *news.add_records();
-  said.set_request_digest(record.digest.bytes());
+void add_to(wire::crash_news& report, const crash_record& record, base::time_point now) {
+  auto& wire_record = *report.add_records();
+  wire_record.set_request_digest(record.digest.bytes());
   for (const auto& observation : record.exits) {
-    add_to(*said.add_crashes(), observation, now);
+    add_to(*wire_record.add_crashes(), observation, now);
   }
   if (record.survived_at) {
-    said.set_survived(true);
-    said.set_survived_age_milliseconds(age_of(*record.survived_at, now));
+    wire_record.set_survived(true);
+    wire_record.set_survived_age_milliseconds(age_of(*record.survived_at, now));
   }
 }
 
@@ -66,17 +69,17 @@
   return exits;
 }
 
-/// @return nothing where the message holds no digest.
-std::optional<crash_record> from_wire(const wire::crash_record& said, base::time_point now) {
-  const auto digest = request_digest::from_bytes(said.request_digest());
+/// @return std::nullopt if the record holds no valid digest.
+std::optional<crash_record> from_wire(const wire::crash_record& wire_record, base::time_point now) {
+  const auto digest = request_digest::from_bytes(wire_record.request_digest());
   if (!digest) {
     return std::nullopt;
   }
   crash_record record;
   record.digest = *digest;
-  record.exits = exits_from_wire(said.crashes(), now);
-  if (said.survived()) {
-    record.survived_at = time_at_age(now, said.survived_age_milliseconds());
+  record.exits = exits_from_wire(wire_record.crashes(), now);
+  if (wire_record.survived()) {
+    record.survived_at = time_at_age(now, wire_record.survived_age_milliseconds());
   }
   return record;
 }
@@ -146,19 +149,19 @@
     return;
   }
   next_changes_at_ = now + change_interval;
-  std::map<base::network_address, wire::crash_news> news;
+  std::map<base::network_address, wire::crash_news> reports;
   const auto to_all = random_peers(fanout);
   for (std::size_t taken = 0; taken < max_records_per_message && !changed_digests_.empty();
        ++taken) {
     const auto* record = registry_->find(*changed_digests_.begin());
     if (record != nullptr) {
       for (const auto& to : record->was_broadcast ? to_all : aggregators_of(record->digest)) {
-        add_to(news[to], *record, now);
+        add_to(reports[to], *record, now);
       }
     }
     changed_digests_.erase(changed_digests_.begin());
   }
-  for (auto& [to, message] : news) {
+  for (auto& [to, message] : reports) {
     send(to, std::move(message), now);
   }
 }
@@ -182,25 +185,25 @@
     return;
   }
   next_reminder_at_ = now + reminder_interval;
-  wire::crash_news news;
+  wire::crash_news reminder;
   for (const auto* record : broadcast_records(max_records_per_message)) {
-    add_to(news, *record, now);
+    add_to(reminder, *record, now);
   }
-  if (news.records_size() == 0) {
+  if (reminder.records_size() == 0) {
     return;
   }
   for (const auto& to : random_peers(1)) {
-    send(to, news, now);
+    send(to, reminder, now);
   }
 }
 
-void crash_report_exchange::send(const base::network_address& to, wire::crash_news news,
+void crash_report_exchange::send(const base::network_address& to, wire::crash_news report,
                                  base::time_point now) {
   for (const auto& observation : registry_->latest_exits(max_exits_per_message, now)) {
-    add_to(*news.add_latest_ends(), observation, now);
+    add_to(*report.add_latest_ends(), observation, now);
   }
   wire::outgoing message{to, {}};
-  *message.message.mutable_crash_news() = std::move(news);
+  *message.message.mutable_crash_news() = std::move(report);
   outgoing_messages_.push_back(std::move(message));
   ++counts_.sent_messages;
 }
@@ -231,8 +234,8 @@
   std::vector<learned_record> learned;
   wire::crash_news reply;
   registry_->merge_exits(exits_from_wire(message.latest_ends(), now), now);
-  for (const auto& said : message.records()) {
-    const auto record = from_wire(said, now);
+  for (const auto& wire_record : message.records()) {
+    const auto record = from_wire(wire_record, now);
     if (!record) {
       ++counts_.malformed_records;
       continue;
--- a/src/quarantine/crash_report_exchange.h
+++ b/src/quarantine/crash_report_exchange.h
@@ -1,10 +1,11 @@
-/// Tells other nodes under which requests replicas ended, and takes in what they tell. No I/O.
+/// Exchanges crash records with other nodes. No I/O.
 ///
-/// An end under a request that has no other is told to three nodes, the keepers of that request,
-/// chosen by rendezvous hashing over all nodes: ends that different nodes saw meet there. Once two
-/// ends are known every node is told, from one to the next (epidemic broadcast), so what a node
-/// sends does not grow with the fleet. Only change is sent, and a reminder a second while any
-/// request has two ends: it reaches nodes that missed a message, were cut off or started anew.
+/// The first exit under a request is reported to three nodes, the aggregators of this request,
+/// chosen by rendezvous hashing over all nodes: exits that different nodes observed meet there.
+/// Once two exits are known, the record spreads to all nodes by gossip, so the traffic of a node
+/// does not grow with the fleet. Nodes send only changed records, and one reminder per second while
+/// any request has had two exits: reminders reach nodes that missed a message, were partitioned or
+/// restarted.
 #pragma once
 
 #include "base/ids.h"
@@ -24,37 +25,42 @@
 
 namespace spurrack::quarantine {
 
-/// Messages sent and records received, for metrics.
+/// Counters of the exchange, for metrics.
 struct crash_report_counts {
   std::uint64_t sent_messages = 0;
   std::uint64_t received_records = 0;
-  /// Records that could not be read, passed over.
+  /// Records that could not be parsed and were skipped.
   std::uint64_t malformed_records = 0;
 };
 
-/// A request of which something was learned from another node.
+/// A request whose record changed because of a message from another node.
 struct learned_record {
   request_digest digest;
   bool begins_quarantine = false;
 };
 
-/// Not thread-safe. Messages gather until they are taken.
+/// Not thread-safe. Messages are queued until `take_messages`.
 class crash_report_exchange {
  public:
-  /// @param ledger source of what is told, takes in what others tell; must outlive this object, as
-  ///        must `random`.
+  /// @param registry source of sent records and target of received records; must outlive this
+  ///        object.
+  /// @param random must outlive this object.
   crash_report_exchange(crash_registry& registry, base::node_id self, base::random_source& random);
 
-  /// All nodes that are alive, of all regions: a request may come again anywhere.
+  /// Replaces the peers with all live nodes of all regions, since a request may be sent again to
+  /// any node.
   void set_peers(const std::vector<serving::fleet_peer>& alive);
-  /// What this node knows of a request has changed.
+  /// Schedules the record of a request for sending because it changed at this node.
   void note_changed(const request_digest& digest) { changed_digests_.insert(digest); }
-  /// This process was paused: asks others for what it missed.
+  /// Schedules queries to other nodes for the records that this process missed while suspended.
   void resume_after_suspension(base::time_point now) { begin_queries(now); }
-  /// Sends what is due.
+  /// Queues the messages that are due.
   void advance(base::time_point now);
+  /// @return time at which `advance` is due; std::nullopt if nothing is scheduled.
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
-  /// @return what was learned.
+  /// Merges the records of a message. Queues a reply if the sender asks for all records or holds
+  /// exits that a later surviving run refutes.
+  /// @return the requests whose records changed.
   std::vector<learned_record> handle(const base::network_address& sender,
                                      const wire::crash_news& message, base::time_point now);
 
@@ -69,9 +75,9 @@
   [[nodiscard]] std::vector<base::network_address> random_peers(std::size_t count) const;
   [[nodiscard]] std::vector<base::network_address>
   aggregators_of(const request_digest& digest) const;
-  /// @return records that every node is told, the newest first.
+  /// @return up to `most` of the records that are sent to all nodes, the latest update first.
   [[nodiscard]] std::vector<const crash_record*> broadcast_records(std::size_t most) const;
-  void send(const base::network_address& to, wire::crash_news news, base::time_point now);
+  void send(const base::network_address& to, wire::crash_news report, base::time_point now);
 
   crash_registry* registry_;
   base::node_id self_;
@@ -81,7 +87,7 @@
   std::set<request_digest> changed_digests_;
   base::time_point next_changes_at_;
   base::time_point next_reminder_at_;
-  /// When this node asks next for what it missed; nothing once it has asked often enough.
+  /// Time of the next query for missed records; std::nullopt once all queries are sent.
   std::optional<base::time_point> next_query_at_;
   std::size_t queries_left_ = 0;
   bool has_queried_ = false;
--- a/src/quarantine/request_digest.cc
+++ b/src/quarantine/request_digest.cc
@@ -16,7 +16,8 @@
   void operator()(EVP_MD_CTX* context) const { EVP_MD_CTX_free(context); }
 };
 
-/// Hashes parts so that no two lists of parts give the same bytes: each goes behind its length.
+/// Hashes a list of parts. The length of each part is hashed before the part, so that two different
+/// lists never hash the same bytes.
 class part_hash {
  public:
   part_hash() : context_(EVP_MD_CTX_new()) {
--- a/src/quarantine/request_digest.h
+++ b/src/quarantine/request_digest.h
@@ -1,6 +1,6 @@
-/// What makes two requests the same one that comes again: method, host, path with its query, body
-/// and who asks. Identifiers, deadlines, other header fields and where a stream is taken up differ
-/// from try to try and do not count.
+/// Digest by which a request is recognized when a client sends it again. It covers the tenant, the
+/// method, the host, the path with its query and the body. Request ids, deadlines, other header
+/// fields and the resume position of a stream differ between attempts and are left out.
 #pragma once
 
 #include "serving/request.h"
@@ -17,20 +17,21 @@
 
 namespace spurrack::quarantine {
 
-/// The first 128 bits of a SHA-256. A caller cannot choose a request whose digest is that of
-/// another caller's, since its own name is part of what is hashed and collisions cannot be found.
+/// The first 128 bits of a SHA-256 hash. A tenant cannot construct a request with the digest of
+/// another tenant's request, since the hash covers the name of the tenant and finding a collision
+/// is infeasible.
 class request_digest {
  public:
   static constexpr std::size_t byte_count = 16;
 
   request_digest() = default;
   explicit request_digest(const std::array<std::uint8_t, byte_count>& bytes) : bytes_(bytes) {}
-  /// @return nothing where the bytes of a message are no digest.
+  /// @return std::nullopt if the bytes do not have the length of a digest.
   static std::optional<request_digest> from_bytes(std::string_view bytes);
-  /// @return nothing where the text is no digest as `text` gives it.
+  /// @return std::nullopt if the text is not 32 hexadecimal digits.
   static std::optional<request_digest> from_text(std::string_view text);
 
-  /// @return the bytes as messages carry them.
+  /// @return the bytes as messages between nodes carry them.
   [[nodiscard]] std::string bytes() const;
   /// @return 32 hexadecimal digits, for logs and operators.
   [[nodiscard]] std::string text() const;
@@ -40,8 +41,8 @@
   std::array<std::uint8_t, byte_count> bytes_{};
 };
 
-/// @param tenant whom the request's key belongs to; empty where the route is public.
-/// @return the digest of a request. About 2 microseconds for each 1,000 bytes of its body.
+/// Computes the digest of a request, in about 2 microseconds per 1,000 bytes of its body.
+/// @param tenant owner of the request's API key; empty if the route is public.
 [[nodiscard]] request_digest digest_of(const serving::request_content& content,
                                        std::string_view tenant);
 
