--- a/src/replica_statements/drain_registry.cc
+++ b/src/replica_statements/drain_registry.cc
@@ -5,7 +5,8 @@
 namespace spurrack::replica_statements {
 namespace {
 
-/// Longer than a store is away, and than its older copies are old.
+/// Time for which a draining process is remembered after it was last published: longer than an
+/// outage of the store and longer than the age of a restored copy.
 constexpr base::duration retention_time = std::chrono::minutes(5);
 
 } // namespace
--- a/src/replica_statements/drain_registry.h
+++ b/src/replica_statements/drain_registry.h
@@ -1,8 +1,9 @@
-/// Replicas that said in an answer that they leave. No I/O.
+/// Registry of replica processes that announced in an answer that they drain. No I/O.
 ///
-/// A process that leaves does not come back: what it said holds whatever the published list says of
-/// it, and is remembered for a while after the list names it no longer, because a store that was
-/// away or came back from an older copy may name it once more.
+/// A process that drains does not accept requests again: its announcement stays in effect even if
+/// the published list shows the process as ready. It is kept for some time after the list no longer
+/// contains the process, because a store that recovers from an outage or is restored from an older
+/// copy may publish the process again.
 #pragma once
 
 #include "base/ids.h"
@@ -17,16 +18,18 @@
 
 namespace spurrack::replica_statements {
 
-/// Tells processes of a replica apart: a hash of its id, its start and its address, never 0.
+/// Distinguishes the processes of a replica: a hash of its id, its start time and its address,
+/// never 0.
 using process_fingerprint = std::uint32_t;
 
-/// One process of a replica that leaves.
+/// Drain announcement of one process of a replica.
 struct drain_announcement {
-  /// When a node heard it from the replica first, as far as this node knows.
+  /// Earliest known time at which a node received the announcement from the replica.
   base::time_point announced_at;
-  /// Who said so: the replica itself, or another node.
+  /// Sender of the announcement, for logs: the replica, or the node that forwarded it.
   std::string source;
-  /// Latest time at which the replica was published as this process, or this node learned of it.
+  /// Time at which the process was last published, or at which this node learned of the
+  /// announcement.
   base::time_point last_seen_at;
 };
 
@@ -39,15 +42,16 @@
     auto operator<=>(const key&) const = default;
   };
 
-  /// @return whether this node did not know it.
+  /// Records that a process drains. @return whether the announcement is new to this node.
   bool note_drain(const key& draining, base::time_point announced_at, const std::string& source,
                   base::time_point now);
-  /// A replica is published as this process.
+  /// Prolongs the announcement of a process that is still published.
   void note_published(const key& published, base::time_point now);
-  /// Forgets what was neither published nor heard for long.
+  /// Drops announcements of processes that have not been published for 5 minutes.
   void drop_expired(base::time_point now);
 
-  /// Asked for each replica of a service at each choice: nearly all are told apart by their mark.
+  /// Called for each replica of a service at each choice of a replica: the lookup of the
+  /// fingerprint rejects nearly all processes without a search by replica id.
   [[nodiscard]] bool includes(const key& process) const {
     return fingerprints_.contains(process.process) && known_.contains(process);
   }
@@ -56,7 +60,7 @@
 
  private:
   std::map<key, drain_announcement> known_;
-  /// Marks of those.
+  /// Fingerprints of all processes in `known_`.
   std::unordered_set<process_fingerprint> fingerprints_;
 };
 
--- a/src/replica_statements/limit_registry.cc
+++ b/src/replica_statements/limit_registry.cc
@@ -6,10 +6,10 @@
 namespace spurrack::replica_statements {
 namespace {
 
-/// A limit that was lifted is remembered for this time, so that late news does not bring it back.
+/// Time for which a lifted limit is remembered, so that a late report does not restore the limit.
 constexpr base::duration lifted_limit_lifetime = std::chrono::seconds(10);
-/// Ages that other nodes tell are younger by the time of a message: what this node heard itself
-/// counts as newer only where it is newer by more.
+/// Maximum delay of a message. The ages in messages do not include this delay, so a report that
+/// this node has is newer than a received one only if it is newer by more than this.
 constexpr base::duration message_delay = std::chrono::milliseconds(250);
 
 bool is_stricter(const std::optional<double>& left, const std::optional<double>& right) {
--- a/src/replica_statements/limit_registry.h
+++ b/src/replica_statements/limit_registry.h
@@ -1,9 +1,10 @@
-/// What replicas name as the requests a second that they take from all nodes together, as this node
-/// knows it. No I/O.
+/// Rate limits that replicas announce for the requests of all nodes together, as this node knows
+/// them. No I/O.
 ///
-/// Nodes tell each other what they heard, late, twice or in another order. A record carries a
-/// version that rises with each change which some node heard from the replica itself, so that old
-/// news loses whenever it comes; of two changes that were heard at once the stricter one holds.
+/// Nodes exchange the limits that they receive; messages may arrive late, twice or out of order. A
+/// record carries a version that increases with each change that a node receives from the replica
+/// itself, so that an older record never replaces a newer one. If two nodes receive different
+/// changes at the same version, the stricter limit wins.
 #pragma once
 
 #include "base/ids.h"
@@ -15,45 +16,46 @@
 
 namespace spurrack::replica_statements {
 
-/// Tells lives of a replica apart; 0 where it is not known.
+/// Distinguishes the incarnations of a replica; 0 if the incarnation is unknown.
 using incarnation_fingerprint = std::uint32_t;
 
-/// What is known of one life of a replica.
+/// Limit of one incarnation of a replica.
 struct limit_record {
   incarnation_fingerprint incarnation = 0;
-  /// Requests a second from all nodes together; nothing: it names no limit any more.
+  /// Requests per second from all nodes together; std::nullopt if the replica lifted its limit.
   std::optional<double> per_second;
   std::uint64_t version = 0;
-  /// The latest answer that said so, at any node.
+  /// Time of the latest answer with this limit, at any node.
   base::time_point last_reported_at;
 };
 
-/// What an answer of a replica says.
+/// Limit that an answer of a replica announces.
 struct limit_announcement {
-  /// Nothing: the answer names no limit.
+  /// Requests per second; std::nullopt if the answer announces no limit.
   std::optional<double> per_second;
-  /// When its call began: the answer was given later than that.
+  /// Time at which the call began; the replica wrote the answer later.
   base::time_point call_started_at;
 };
 
 /// Not thread-safe.
 class limit_registry {
  public:
-  /// Takes in what an answer says. A limit that stood when the call began may have been named after
-  /// the answer was given: such an answer does not loosen it.
-  /// @return whether this changes what is known.
+  /// Records the limit of an answer. An answer loosens a limit only if its call began after the
+  /// limit was last reported: otherwise the replica may have set the limit after it wrote the
+  /// answer.
+  /// @return whether the record changed.
   bool record_answer(const base::replica_id& replica, incarnation_fingerprint incarnation,
                      const limit_announcement& announcement, base::time_point now);
-  /// Takes in what another node told.
-  /// @return whether others may not know it yet.
+  /// Merges the record of another node.
+  /// @return whether other nodes may not know the result yet.
   bool merge(const base::replica_id& replica, const limit_record& received);
   void forget(const base::replica_id& replica) { records_.erase(replica); }
-  /// Forgets limits that were lifted long enough ago for everybody to know.
+  /// Drops limits that were lifted so long ago that all nodes know it.
   void drop_lifted(base::time_point now);
 
-  /// @return null where the replica has named no limit of late.
+  /// @return null if the replica has announced no limit, or lifted its limit long ago.
   [[nodiscard]] const limit_record* find(const base::replica_id& replica) const;
-  /// @return the limit in force; nothing where there is none.
+  /// @return the limit in effect; std::nullopt if there is none.
   [[nodiscard]] std::optional<double> limit_of(const base::replica_id& replica) const;
   [[nodiscard]] const std::map<base::replica_id, limit_record>& all() const { return records_; }
   [[nodiscard]] bool empty() const { return records_.empty(); }
--- a/src/replica_statements/self_report_exchange.cc
+++ b/src/replica_statements/self_report_exchange.cc
@@ -6,58 +6,61 @@
 namespace spurrack::replica_statements {
 namespace {
 
-/// Nodes that each node passes a change on to, so often, and the time between: of 300 nodes one in
-/// some thousands misses it, and messages may be lost.
+/// Number of random nodes to which each node sends a change, number of times, and time between two
+/// sends: of 300 nodes one in some thousands misses a change, and messages may be lost.
 constexpr std::size_t fanout = 4;
 constexpr std::size_t sends_per_change = 2;
 constexpr base::duration change_interval = std::chrono::milliseconds(100);
-/// Random nodes are reminded of what all should know: one that started, or that missed a message,
-/// hears of it within the three seconds in which nodes in contact learn of each other's news.
+/// Interval between reminders and number of random nodes that receive each: a node that started or
+/// missed a message receives a report within the three seconds in which nodes in contact learn of
+/// each other's reports.
 constexpr base::duration reminder_interval = std::chrono::milliseconds(1000);
 constexpr std::size_t reminder_fanout = 3;
-/// What cannot be read is reported once in this time for each replica.
+/// Minimum time between two log records on self-reports of one replica and topic that cannot be
+/// parsed.
 constexpr base::duration unreadable_report_interval = std::chrono::minutes(1);
-/// Records of each kind in one message, about 30 bytes each.
+/// Limits and drain announcements in one message, maximum of each; about 30 bytes each.
 constexpr std::size_t max_records_per_message = 16;
 
 std::uint32_t age_in_milliseconds(base::time_point earlier, base::time_point now) {
-  return static_cast<std::uint32_t>(std::max<std::int64_t>(0, base::to_milliseconds(now - earlier)));
+  return static_cast<std::uint32_t>(
+      std::max<std::int64_t>(0, base::to_milliseconds(now - earlier)));
 }
 
 wire::named_limit to_wire(const base::replica_id& replica, const limit_record& record,
                           base::time_point now) {
-  wire::named_limit said;
-  said.set_replica(replica.text());
-  said.set_life_mark(record.incarnation);
-  said.set_per_second(record.per_second.value_or(0));
-  said.set_lifted(!record.per_second);
-  said.set_version(record.version);
-  said.set_age_milliseconds(age_in_milliseconds(record.last_reported_at, now));
-  return said;
+  wire::named_limit wire_record;
+  wire_record.set_replica(replica.text());
+  wire_record.set_life_mark(record.incarnation);
+  wire_record.set_per_second(record.per_second.value_or(0));
+  wire_record.set_lifted(!record.per_second);
+  wire_record.set_version(record.version);
+  wire_record.set_age_milliseconds(age_in_milliseconds(record.last_reported_at, now));
+  return wire_record;
 }
 
-limit_record from_wire(const wire::named_limit& said, base::time_point now) {
+limit_record from_wire(const wire::named_limit& wire_record, base::time_point now) {
   limit_record record;
-  record.incarnation = said.life_mark();
-  if (!said.lifted()) {
-    record.per_second = said.per_second();
+  record.incarnation = wire_record.life_mark();
+  if (!wire_record.lifted()) {
+    record.per_second = wire_record.per_second();
   }
-  record.version = said.version();
-  record.last_reported_at = now - std::chrono::milliseconds(said.age_milliseconds());
+  record.version = wire_record.version();
+  record.last_reported_at = now - std::chrono::milliseconds(wire_record.age_milliseconds());
   return record;
 }
 
 wire::replica_departure to_wire(const drain_registry::key& draining,
                                 const drain_announcement& known, base::time_point now) {
-  wire::replica_departure said;
-  said.set_replica(draining.replica.text());
-  said.set_process_mark(draining.process);
-  said.set_age_milliseconds(age_in_milliseconds(known.announced_at, now));
-  return said;
+  wire::replica_departure wire_record;
+  wire_record.set_replica(draining.replica.text());
+  wire_record.set_process_mark(draining.process);
+  wire_record.set_age_milliseconds(age_in_milliseconds(known.announced_at, now));
+  return wire_record;
 }
 
-/// Takes up to `most` entries of a map after `last`, from its begin on after its end, and moves
-/// `last` to the latest.
+/// Visits up to `most` entries of a map after `last`, continuing at its beginning after its end,
+/// and sets `last` to the key of the last visited entry.
 template <typename map, typename key, typename visitor>
 void visit_round_robin(const map& entries, key& last, std::size_t most, const visitor& visit) {
   auto next = entries.upper_bound(last);
@@ -71,7 +74,8 @@
   }
 }
 
-/// Takes up to `most` entries that are to be told, and drops those that were told often enough.
+/// Visits up to `most` pending entries, decrements their remaining sends, and erases entries
+/// without remaining sends.
 template <typename map, typename visitor>
 void take_pending(map& pending, std::size_t most, const visitor& visit) {
   std::size_t visited = 0;
@@ -93,33 +97,33 @@
   }
 }
 
-// --- what replicas say ---------------------------------------------------------------------------
+// --- self-reports in answers ---------------------------------------------------------------------
 
 void self_report_exchange::record_self_report(const base::replica_id& replica,
-                                              const serving::replica_self_report& said,
+                                              const serving::replica_self_report& report,
                                               base::time_point call_started_at,
                                               base::time_point now) {
   using topic = self_report_change::topic;
-  if (said.limit.is_unreadable) {
+  if (report.limit.is_unreadable) {
     note_unreadable(replica, topic::limit, counts_.unreadable_limits, now);
   }
-  if (said.is_drain_unreadable) {
+  if (report.is_drain_unreadable) {
     note_unreadable(replica, topic::drain, counts_.unreadable_drain_announcements, now);
   }
-  if (said.backoff.is_unreadable) {
+  if (report.backoff.is_unreadable) {
     note_unreadable(replica, topic::backoff, counts_.unreadable_backoffs, now);
   }
-  // Most answers say nothing that all nodes should know.
+  // Most answers report nothing that concerns other nodes.
   const bool concerns_limit =
-      !said.limit.is_unreadable && (said.limit.per_second || limits_.find(replica) != nullptr);
-  if (!concerns_limit && !said.is_draining) {
+      !report.limit.is_unreadable && (report.limit.per_second || limits_.find(replica) != nullptr);
+  if (!concerns_limit && !report.is_draining) {
     return;
   }
   const auto published = lookup_(replica);
   if (published && concerns_limit) {
-    record_limit(replica, *published, said.limit, call_started_at, now);
+    record_limit(replica, *published, report.limit, call_started_at, now);
   }
-  if (published && said.is_draining) {
+  if (published && report.is_draining) {
     record_drain(replica, *published, now);
   }
 }
@@ -137,9 +141,9 @@
 
 void self_report_exchange::record_limit(const base::replica_id& replica,
                                         const published_replica& published,
-                                        const serving::announced_limit& said,
+                                        const serving::announced_limit& announced,
                                         base::time_point call_started_at, base::time_point now) {
-  if (limits_.record_answer(replica, published.incarnation, {said.per_second, call_started_at},
+  if (limits_.record_answer(replica, published.incarnation, {announced.per_second, call_started_at},
                             now)) {
     pending_limits_[replica] = sends_per_change;
     unreported_changes_.push_back({self_report_change::topic::limit, replica,
@@ -187,7 +191,8 @@
   }
 }
 
-/// Also of processes that this node does not know: its list may be older than the sender's.
+/// Announcements of processes that this node does not know are recorded as well: its published list
+/// may be older than the list of the sender.
 void self_report_exchange::merge(const base::node_id& sender,
                                  const wire::replica_departure& received, base::time_point now) {
   if (received.process_mark() != 0) {
@@ -274,7 +279,7 @@
                                                   base::time_point now) {
   visit_round_robin(drains_.all(), last_reminded_drain_, max_records_per_message,
                     [&](const auto& entry) {
-                      // Of one that no list names any more nobody needs to be told.
+                      // No node needs the announcement of a process that is no longer published.
                       if (is_published(entry.first)) {
                         *message.add_departures() = to_wire(entry.first, entry.second, now);
                       }
--- a/src/replica_statements/self_report_exchange.h
+++ b/src/replica_statements/self_report_exchange.h
@@ -1,8 +1,8 @@
-/// Keeps what replicas say of themselves to all nodes, and has all nodes know of it. No I/O:
-/// messages are gathered.
+/// Keeps the self-reports of replicas that concern all nodes (rate limits and drain announcements)
+/// and distributes them to all nodes. No I/O: messages are queued.
 ///
-/// What an answer says is passed on from node to node (epidemic broadcast), on change and with a
-/// reminder a second, so that nodes that missed a message or started hear of it too.
+/// Self-reports spread by gossip: a node sends each change, and one reminder per second, so that
+/// nodes that missed a message or have just started receive the reports as well.
 #pragma once
 
 #include "base/ids.h"
@@ -26,39 +26,39 @@
 
 namespace spurrack::replica_statements {
 
-/// What is published of a replica, as far as it matters here.
+/// The published attributes of a replica that the exchange needs.
 struct published_replica {
   base::zone_id zone;
   incarnation_fingerprint incarnation = 0;
   process_fingerprint process = 0;
 };
-/// @return nothing where the replica is not published.
+/// @return std::nullopt if the replica is not published.
 using replica_lookup = std::function<std::optional<published_replica>(const base::replica_id&)>;
 
-/// This node believes something else of a replica than before, or cannot read what it says.
+/// A change of what this node knows of a replica, or a self-report that cannot be parsed.
 struct self_report_change {
   enum class topic : std::uint8_t { limit, drain, backoff };
   topic about = topic::limit;
   base::replica_id replica;
-  /// The limit in force; of no meaning for other matters.
+  /// The limit in effect; meaningful only if `about` is `topic::limit`.
   std::optional<double> per_second;
   bool is_unreadable = false;
-  /// Who said so: the replica itself, or another node.
+  /// Sender of the report, for logs: the replica, or the node that forwarded it.
   std::string source;
 };
 
-/// For metrics.
+/// Counters of the exchange, for metrics.
 struct self_report_counts {
   std::uint64_t sent_messages = 0;
-  /// Answers that named a limit which cannot be read, said of leaving what cannot be read, and
-  /// asked for a pause which cannot be read.
+  /// Answers with a limit, a drain announcement or a requested backoff that cannot be parsed.
   std::uint64_t unreadable_limits = 0;
   std::uint64_t unreadable_drain_announcements = 0;
   std::uint64_t unreadable_backoffs = 0;
-  /// News of another life of a replica than the one this node knows, which was passed over.
+  /// Reports on another incarnation of a replica than the one this node knows; they are ignored.
   std::uint64_t of_other_incarnations = 0;
-  /// Processes of replicas that this node learned to be leaving, and those that it heard so itself.
+  /// Drain announcements that were new to this node.
   std::uint64_t drain_announcements = 0;
+  /// Drain announcements that this node received from the replica before any other node sent them.
   std::uint64_t drain_announcements_from_replicas = 0;
 };
 
@@ -68,22 +68,26 @@
   /// @param random must outlive this object.
   self_report_exchange(replica_lookup lookup, base::random_source& random);
 
-  /// Takes over the nodes that are alive, without this one.
+  /// Replaces the peers with the live nodes, without this node.
   void set_peers(const std::vector<serving::fleet_peer>& alive);
   [[nodiscard]] const limit_registry& limits() const { return limits_; }
   [[nodiscard]] const drain_registry& drain_announcements() const { return drains_; }
 
-  /// Takes in what an answer of a replica says. @param call_started_at when its call was made.
-  void record_self_report(const base::replica_id& replica, const serving::replica_self_report& said,
+  /// Records what an answer reports of its replica. @param call_started_at when the call was made.
+  void record_self_report(const base::replica_id& replica,
+                          const serving::replica_self_report& report,
                           base::time_point call_started_at, base::time_point now);
-  /// A replica is gone or has started again. That a process of it leaves is remembered for longer.
+  /// Drops the limit and the log intervals of a replica that is no longer published or has
+  /// restarted. Its drain announcements are kept for longer.
   void forget(const base::replica_id& replica);
 
+  /// Merges the reports of another node.
   void handle(const base::node_id& sender, const wire::rate_limits& message, base::time_point now);
-  /// Tells what is due.
+  /// Queues the messages that are due.
   void advance(base::time_point now);
+  /// @return time at which `advance` is due; std::nullopt if nothing is scheduled.
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
-  /// @return what this node believes of the limit of a replica, for a message that names it.
+  /// @return the limit record of a replica in its wire format, for messages about this replica.
   [[nodiscard]] wire::named_limit limit_message(const base::replica_id& replica,
                                                 base::time_point now) const;
 
@@ -94,29 +98,30 @@
   [[nodiscard]] const self_report_counts& counts() const { return counts_; }
 
  private:
-  /// Something that others may not know yet, and how often it is still to be told.
+  /// Changes that other nodes may not know yet, with the number of times they are still to be sent.
   using pending_limits = std::map<base::replica_id, std::size_t>;
   using pending_drains = std::map<drain_registry::key, std::size_t>;
 
   void record_limit(const base::replica_id& replica, const published_replica& published,
-                    const serving::announced_limit& said, base::time_point call_started_at,
+                    const serving::announced_limit& announced, base::time_point call_started_at,
                     base::time_point now);
   void record_drain(const base::replica_id& replica, const published_replica& published,
                     base::time_point now);
-  /// Counts what cannot be read, and reports it once in a while for each replica.
+  /// Counts a self-report that cannot be parsed, and queues it for the log at most once a minute
+  /// for each replica and topic.
   void note_unreadable(const base::replica_id& replica, self_report_change::topic about,
                        std::uint64_t& count, base::time_point now);
   void merge(const base::node_id& sender, const wire::named_limit& received, base::time_point now);
   void merge(const base::node_id& sender, const wire::replica_departure& received,
              base::time_point now);
-  void add_drain_announcement(const drain_registry::key& draining, base::time_point since,
+  void add_drain_announcement(const drain_registry::key& draining, base::time_point announced_at,
                               const std::string& source, base::time_point now);
-  /// Passes on what has changed.
+  /// Sends pending changes to random peers.
   void send_changes(base::time_point now);
   void send_reminder(base::time_point now);
   void add_limits_to_reminder(wire::rate_limits& message, base::time_point now);
   void add_drains_to_reminder(wire::rate_limits& message, base::time_point now);
-  /// Marks the departures of processes that are published, and forgets those of old.
+  /// Prolongs the drain announcements of processes that are published and drops expired ones.
   void refresh_drains(base::time_point now);
   [[nodiscard]] bool is_published(const drain_registry::key& process) const;
   void send_to_random_peers(const wire::rate_limits& message, std::size_t receivers);
@@ -128,12 +133,12 @@
   std::vector<base::network_address> peers_;
   pending_limits pending_limits_;
   pending_drains pending_drains_;
-  /// When something of a replica that cannot be read was reported last.
+  /// Time at which a self-report that cannot be parsed was last queued for the log.
   std::map<std::pair<base::replica_id, self_report_change::topic>, base::time_point>
       unreadable_reported_at_;
   base::time_point next_changes_at_;
   base::time_point next_reminder_at_;
-  /// Places among the records from which the next reminder goes on.
+  /// Keys after which the next reminder continues.
   base::replica_id last_reminded_limit_;
   drain_registry::key last_reminded_drain_;
   std::vector<self_report_change> unreported_changes_;
