--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -1,6 +1,6 @@
-/// A fleet of dispatchers before replicas that end when they run a certain request, in virtual
-/// time. Messages between nodes take 2 ms; replicas that ended refuse connections, lapse from the
-/// list later and are back after 1.5 to 2 s.
+/// A fleet of dispatchers in front of replicas that crash when they run certain requests, in
+/// virtual time. Messages between nodes take 2 ms; crashed replicas refuse connections, are removed
+/// from the published list later and restart after 1.5 to 2 s.
 #pragma once
 
 #include "serving_fixture.h"
@@ -18,31 +18,31 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How a fleet is drawn.
+/// Parameters of a random fleet.
 struct crash_fleet_settings {
   std::uint64_t seed = 1;
   std::size_t nodes = 6;
   unsigned replicas = 12;
-  /// Replicas that make the pieces of the two stages of `/staged/`, beside those.
+  /// Additional replicas that compute the pieces of the two stages of `/staged/`.
   unsigned stage_replicas = 0;
-  /// A replica starts again under its id and tells another start; otherwise under a new id.
-  bool keeps_ids = false;
+  /// A crashed replica restarts under its id with a new start time; otherwise under a new id.
+  bool keeps_ids_on_restart = false;
   quarantine_limits limits = {};
-  /// Calls of a route are refused for this time once two replicas ended under its calls within it,
-  /// by the nodes' doors; 0: never.
+  /// Nodes refuse all requests while the second latest crash is younger than this; 0 for never.
   base::duration route_pause{};
 };
 
-/// What became of the tries of one request.
-struct try_counts {
-  std::size_t tries = 0;
+/// Outcomes of the attempts of one request.
+struct attempt_counts {
+  std::size_t attempts = 0;
   std::size_t served = 0;
-  /// Answered 503: not run.
+  /// Answered with 503: not run.
   std::size_t refused = 0;
   std::size_t failed = 0;
-  /// Refused since replicas had ended under it, and of these those told when to come back.
-  std::size_t held_back = 0;
-  std::size_t told_to_return = 0;
+  /// Refused because the request is quarantined.
+  std::size_t quarantined = 0;
+  /// Refused because the request is quarantined, with a Retry-After header.
+  std::size_t told_retry_after = 0;
 };
 
 struct crash_fleet : virtual_time {
@@ -62,26 +62,27 @@
     }
   }
 
-  /// Begins a new life of a node, which knows nothing.
+  /// Starts or restarts a node, with empty state.
   void start_node(std::size_t index) {
     auto& node = nodes[index];
-    ++node.life;
+    ++node.incarnation;
     node.calls.clear();
     node.stage_calls.clear();
     node.random =
-        std::make_unique<base::seeded_random>(settings.seed * 1000 + index * 10 + node.life);
+        std::make_unique<base::seeded_random>(settings.seed * 1000 + index * 10 + node.incarnation);
     serving_settings limits;
     limits.retry = {0.2, 40, seconds(10)};
     limits.quarantine = settings.limits;
-    node.subject = std::make_unique<dispatcher>(peer_number(index), limits, *node.random, node.life,
-                                                [](auto, const auto&, const auto&, const auto&) {});
+    node.subject =
+        std::make_unique<dispatcher>(peer_number(index), limits, *node.random, node.incarnation,
+                                     [](auto, const auto&, const auto&, const auto&) {});
     node.subject->update(world.content, now);
     for (std::size_t other = 0; other < nodes.size(); ++other) {
       update_peers(other);
     }
   }
 
-  /// Has one try of a request arrive at a node.
+  /// Sends one attempt of a request to a node.
   base::caller_id arrive(std::size_t node, const std::string& path, const std::string& body) {
     auto content = std::make_shared<request_content>();
     content->method = "POST";
@@ -99,19 +100,19 @@
     }
     bodies[requests] = body;
     bodies_by_id[content->id] = body;
-    ++counts[body].tries;
+    ++counts[body].attempts;
     paths[requests] = path;
     if (route_is_paused()) {
       ++counts[body].refused;
-      ++refused_by_pause;
+      ++refused_by_route_pause;
       return requests;
     }
     nodes[node].subject->handle(request_arrived{requests, content, now}, now);
     return requests;
   }
 
-  /// Has a request come again at drawn nodes, every 100 to 500 ms.
-  void keep_asking(const std::string& path, const std::string& body, base::duration span) {
+  /// Sends a request to random nodes every 100 to 500 ms.
+  void send_repeatedly(const std::string& path, const std::string& body, base::duration span) {
     const auto end = now + span;
     while (now < end) {
       arrive(random.below(nodes.size()), path, body);
@@ -123,7 +124,7 @@
     const auto end = now + span;
     while (now < end) {
       now += milliseconds(1);
-      serve_innocents();
+      send_harmless_requests();
       happen_due();
       for (std::size_t index = 0; index < nodes.size(); ++index) {
         advance(index);
@@ -131,7 +132,7 @@
     }
   }
 
-  /// Ends a replica and all calls at it.
+  /// Crashes a replica and aborts all of its calls.
   void crash(unsigned index) {
     auto& replica = replicas[index];
     if (!replica.is_up) {
@@ -139,12 +140,12 @@
     }
     replica.is_up = false;
     ++crashes;
-    latest_crashes.push_back(now);
+    crash_times.push_back(now);
     for (const auto& [node, call] : std::exchange(replica.calls, {})) {
-      break_off(node, call);
+      abort_call(node, call);
     }
     const base::replica_id id = replica.id;
-    if (!settings.keeps_ids) {
+    if (!settings.keeps_ids_on_restart) {
       later(milliseconds(1800), [this, id] {
         world.remove_replica(id.text());
         publish();
@@ -153,21 +154,21 @@
     later(milliseconds(1500 + random.below(500)), [this, index] { start_replica(index); });
   }
 
-  /// Resets all connections to a replica, which lives on.
+  /// Resets all connections to a replica, which keeps running.
   void reset(unsigned index) {
     for (const auto& [node, call] : std::exchange(replicas[index].calls, {})) {
-      break_off(node, call);
+      abort_call(node, call);
     }
   }
 
-  /// @return a replica that is drawn.
-  unsigned some_replica() { return static_cast<unsigned>(random.below(replicas.size())); }
+  /// @return index of a random replica.
+  unsigned random_replica() { return static_cast<unsigned>(random.below(replicas.size())); }
 
-  /// @return requests that are held back at some node, by their bodies.
-  [[nodiscard]] std::set<std::string> held_back() const {
+  /// @return bodies of the requests that any node refused because they were quarantined.
+  [[nodiscard]] std::set<std::string> quarantined() const {
     std::set<std::string> found;
     for (const auto& [body, count] : counts) {
-      if (count.held_back > 0) {
+      if (count.quarantined > 0) {
         found.insert(body);
       }
     }
@@ -176,15 +177,15 @@
 
   [[nodiscard]] dispatcher& node(std::size_t index) { return *nodes[index].subject; }
 
-  /// @return sends of a request that reached a replica later than `span` after the third end under
-  ///         it.
-  [[nodiscard]] std::size_t sends_after_third_end(const std::string& body,
-                                                  base::duration span) const {
-    const auto ended = ends_under.find(body);
-    if (ended == ends_under.end() || ended->second.size() < 3) {
+  /// @return number of sends of a request that reached a replica later than `span` after the third
+  ///         exit under this request.
+  [[nodiscard]] std::size_t sends_after_third_exit(const std::string& body,
+                                                   base::duration span) const {
+    const auto exits = exits_under.find(body);
+    if (exits == exits_under.end() || exits->second.size() < 3) {
       return 0;
     }
-    const auto since = ended->second[2] + span;
+    const auto since = exits->second[2] + span;
     const auto& sent = reached.at(body);
     return static_cast<std::size_t>(
         std::count_if(sent.begin(), sent.end(), [&](auto at) { return at > since; }));
@@ -193,39 +194,40 @@
   crash_fleet_settings settings;
   published_world world;
   base::seeded_random random;
-  /// Bodies of requests that end each replica which begins to run them.
-  std::set<std::string> guilty;
-  /// Bodies of requests whose pieces end each replica that begins to make them.
-  std::set<std::string> guilty_in_stages;
-  /// Other requests a second that arrive at drawn nodes, each with a body of its own.
-  std::size_t innocents_a_second = 0;
-  std::string innocent_path = "/stream/";
-  /// Whether callers whose request failed or was refused come again, up to three times.
-  bool comes_again = false;
+  /// Bodies of requests that crash each replica which runs them.
+  std::set<std::string> crashing_bodies;
+  /// Bodies of requests whose pieces crash each replica which computes them.
+  std::set<std::string> bodies_crashing_in_stages;
+  /// Harmless requests per second at random nodes, each with a different body.
+  std::size_t harmless_per_second = 0;
+  std::string harmless_path = "/stream/";
+  /// Whether clients retry harmless requests that failed or were refused, up to three times.
+  bool clients_retry = false;
   std::size_t crashes = 0;
-  std::size_t refused_by_pause = 0;
-  /// Times at which replicas ended under a request, and at which it reached replicas.
-  std::map<std::string, std::vector<base::time_point>> ends_under;
+  std::size_t refused_by_route_pause = 0;
+  /// Times at which replicas crashed under a request, by its body.
+  std::map<std::string, std::vector<base::time_point>> exits_under;
+  /// Times at which a request reached replicas, by its body.
   std::map<std::string, std::vector<base::time_point>> reached;
-  std::map<std::string, try_counts> counts;
-  /// Nodes that no message reaches or leaves.
-  std::set<std::size_t> cut_off;
-  /// Nodes whose messages on requests that end replicas are lost, as those of an older build.
-  std::set<std::size_t> older_build;
+  std::map<std::string, attempt_counts> counts;
+  /// Nodes that neither send nor receive messages.
+  std::set<std::size_t> partitioned;
+  /// Nodes that neither send nor receive crash reports, as if they ran an older build.
+  std::set<std::size_t> nodes_of_older_build;
 
   struct emulated_replica {
     base::replica_id id;
     std::string service;
     std::string address;
     bool is_up = false;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::set<std::pair<std::size_t, base::call_id>> calls;
   };
   struct emulated_node {
     std::unique_ptr<base::seeded_random> random;
     std::unique_ptr<dispatcher> subject;
-    base::incarnation life = 0;
-    /// Whether a stream has shown its head, by call.
+    base::incarnation incarnation = 0;
+    /// Calls in flight, with whether the head of the stream has arrived.
     std::map<base::call_id, bool> calls;
     std::set<base::call_id> stage_calls;
   };
@@ -238,8 +240,8 @@
 
   [[nodiscard]] bool route_is_paused() const {
     constexpr std::size_t crashes_for_pause = 2;
-    return latest_crashes.size() >= crashes_for_pause &&
-           now - *(latest_crashes.end() - crashes_for_pause) < settings.route_pause;
+    return crash_times.size() >= crashes_for_pause &&
+           now - *(crash_times.end() - crashes_for_pause) < settings.route_pause;
   }
 
   void update_peers(std::size_t index) {
@@ -261,20 +263,21 @@
 
   void start_replica(unsigned index) {
     auto& replica = replicas[index];
-    ++replica.life;
+    ++replica.incarnation;
     replica.is_up = true;
     replica.address = "10.1.0." + std::to_string(index + 1) + ":80";
     const auto name = replica.service + "-" + std::to_string(index);
-    const auto id = settings.keeps_ids ? name : name + "-" + std::to_string(replica.life);
+    const auto id =
+        settings.keeps_ids_on_restart ? name : name + "-" + std::to_string(replica.incarnation);
     replica.id = base::replica_id(id);
     world.add_life(id, replica.service, index % 2 == 0 ? "a" : "b", replica.address,
-                   settings.keeps_ids ? 1000 + replica.life : 0);
+                   settings.keeps_ids_on_restart ? 1000 + replica.incarnation : 0);
     publish();
   }
 
-  void serve_innocents() {
-    if (innocents_a_second > 0 && random.below(1000) < innocents_a_second) {
-      arrive(random.below(nodes.size()), innocent_path, "innocent-" + std::to_string(requests + 1));
+  void send_harmless_requests() {
+    if (harmless_per_second > 0 && random.below(1000) < harmless_per_second) {
+      arrive(random.below(nodes.size()), harmless_path, "innocent-" + std::to_string(requests + 1));
     }
   }
 
@@ -282,7 +285,7 @@
     auto& node = nodes[index];
     node.subject->advance(now);
     for (auto& command : node.subject->take_commands()) {
-      std::visit([&](const auto& wanted) { carry_out(index, wanted); }, command);
+      std::visit([&](const auto& wanted) { execute(index, wanted); }, command);
     }
     for (auto& message : node.subject->take_messages()) {
       later(milliseconds(2), [this, index, message] { deliver(index, message); });
@@ -290,29 +293,29 @@
   }
 
   template <typename other_command>
-  void carry_out(std::size_t /*node*/, const other_command& /*wanted*/) {}
+  void execute(std::size_t /*node*/, const other_command& /*wanted*/) {}
 
-  void carry_out(std::size_t node, const start_call& wanted) {
-    const auto life = nodes[node].life;
-    later(milliseconds(1), [this, node, life, wanted] {
-      if (nodes[node].life == life) {
-        reach(node, wanted);
+  void execute(std::size_t node, const start_call& wanted) {
+    const auto incarnation = nodes[node].incarnation;
+    later(milliseconds(1), [this, node, incarnation, wanted] {
+      if (nodes[node].incarnation == incarnation) {
+        reach_replica(node, wanted);
       }
     });
     nodes[node].calls[wanted.call] = false;
   }
 
-  void carry_out(std::size_t node, const start_stage_call& wanted) {
-    const auto life = nodes[node].life;
-    later(milliseconds(1), [this, node, life, wanted] {
-      if (nodes[node].life == life) {
-        reach_stage(node, wanted);
+  void execute(std::size_t node, const start_stage_call& wanted) {
+    const auto incarnation = nodes[node].incarnation;
+    later(milliseconds(1), [this, node, incarnation, wanted] {
+      if (nodes[node].incarnation == incarnation) {
+        reach_stage_replica(node, wanted);
       }
     });
     nodes[node].stage_calls.insert(wanted.call);
   }
 
-  void reach_stage(std::size_t node, const start_stage_call& wanted) {
+  void reach_stage_replica(std::size_t node, const start_stage_call& wanted) {
     auto* replica = replica_at(wanted.target.address);
     if (replica == nullptr || !replica->is_up || replica->id != wanted.target.replica) {
       end_stage_call({node, wanted.call}, stage_call_ended::result::not_sent, 0);
@@ -327,8 +330,8 @@
     }
     for (const auto& body : called) {
       reached[body].push_back(now);
-      if (guilty_in_stages.contains(body)) {
-        crash_soon(index, body);
+      if (bodies_crashing_in_stages.contains(body)) {
+        schedule_crash(index, body);
       }
     }
     later(milliseconds(200), [this, index, key, count = wanted.items.size()] {
@@ -351,18 +354,18 @@
     node.subject->handle(ended, now);
   }
 
-  /// A replica begins to run what it cannot bear.
-  void crash_soon(unsigned index, const std::string& body) {
-    const auto life = replicas[index].life;
-    later(milliseconds(20 + random.below(100)), [this, index, life, body] {
-      if (replicas[index].is_up && replicas[index].life == life) {
-        ends_under[body].push_back(now);
+  /// Crashes a replica after 20 to 120 ms unless it has exited before.
+  void schedule_crash(unsigned index, const std::string& body) {
+    const auto incarnation = replicas[index].incarnation;
+    later(milliseconds(20 + random.below(100)), [this, index, incarnation, body] {
+      if (replicas[index].is_up && replicas[index].incarnation == incarnation) {
+        exits_under[body].push_back(now);
         crash(index);
       }
     });
   }
 
-  void carry_out(std::size_t node, const cancel_call& wanted) {
+  void execute(std::size_t node, const cancel_call& wanted) {
     nodes[node].calls.erase(wanted.call);
     nodes[node].stage_calls.erase(wanted.call);
     for (auto& replica : replicas) {
@@ -370,10 +373,10 @@
     }
   }
 
-  void carry_out(std::size_t node, const probe_replica& wanted) {
-    const auto life = nodes[node].life;
-    later(milliseconds(1), [this, node, life, wanted] {
-      if (nodes[node].life != life) {
+  void execute(std::size_t node, const probe_replica& wanted) {
+    const auto incarnation = nodes[node].incarnation;
+    later(milliseconds(1), [this, node, incarnation, wanted] {
+      if (nodes[node].incarnation != incarnation) {
         return;
       }
       const auto* replica = replica_at(wanted.target.address);
@@ -385,10 +388,10 @@
     });
   }
 
-  void carry_out(std::size_t /*node*/, const respond& answer) {
+  void execute(std::size_t /*node*/, const respond& answer) {
     auto& count = counts[bodies.at(answer.client)];
     if (answer.status != 200) {
-      come_again(answer.client);
+      retry(answer.client);
     }
     if (answer.status != 503) {
       ++(answer.status == 200 ? count.served : count.failed);
@@ -396,25 +399,25 @@
     }
     ++count.refused;
     if (answer.body.find("held back") != std::string::npos) {
-      ++count.held_back;
-      count.told_to_return +=
+      ++count.quarantined;
+      count.told_retry_after +=
           std::any_of(answer.headers.begin(), answer.headers.end(),
                       [](const auto& field) { return field.name == "Retry-After"; });
     }
   }
 
-  void carry_out(std::size_t /*node*/, const end_stream& end) {
+  void execute(std::size_t /*node*/, const end_stream& end) {
     auto& count = counts[bodies.at(end.client)];
     ++(end.complete ? count.served : count.failed);
     if (!end.complete) {
-      come_again(end.client);
+      retry(end.client);
     }
   }
 
-  void come_again(base::caller_id client) {
-    constexpr std::size_t most_tries = 4;
+  void retry(base::caller_id client) {
+    constexpr std::size_t max_attempts = 4;
     const auto body = bodies.at(client);
-    if (!comes_again || guilty.contains(body) || counts[body].tries >= most_tries) {
+    if (!clients_retry || crashing_bodies.contains(body) || counts[body].attempts >= max_attempts) {
       return;
     }
     later(milliseconds(50 + random.below(200)), [this, body, path = paths.at(client)] {
@@ -431,7 +434,7 @@
     return nullptr;
   }
 
-  void reach(std::size_t node, const start_call& wanted) {
+  void reach_replica(std::size_t node, const start_call& wanted) {
     if (!nodes[node].calls.contains(wanted.call)) {
       return;
     }
@@ -465,8 +468,8 @@
     nodes[key.first].calls[key.second] = true;
     nodes[key.first].subject->handle(stream_opened{key.second, dispatcher_driver::good_head()},
                                      now);
-    if (guilty.contains(body)) {
-      crash_soon(index, body);
+    if (crashing_bodies.contains(body)) {
+      schedule_crash(index, body);
       return;
     }
     later(milliseconds(300 + random.below(900)), [this, index, key] { end_run(index, key); });
@@ -482,7 +485,7 @@
     node.subject->handle(stream_closed{key.second, true}, now);
   }
 
-  void break_off(std::size_t index, base::call_id call) {
+  void abort_call(std::size_t index, base::call_id call) {
     auto& node = nodes[index];
     end_stage_call({index, call}, stage_call_ended::result::failed, 0);
     const auto found = node.calls.find(call);
@@ -501,16 +504,16 @@
   void deliver(std::size_t from, const wire::outgoing& sent) {
     const auto sender = peer_number(from);
     for (std::size_t index = 0; index < nodes.size(); ++index) {
-      const bool is_reached = !cut_off.contains(from) && !cut_off.contains(index);
-      const bool is_lost = sent.message.has_crash_news() &&
-                           (older_build.contains(from) || older_build.contains(index));
+      const bool is_reached = !partitioned.contains(from) && !partitioned.contains(index);
+      const bool is_lost = sent.message.has_crash_news() && (nodes_of_older_build.contains(from) ||
+                                                             nodes_of_older_build.contains(index));
       if (peer_number(index).address == sent.to && is_reached && !is_lost) {
-        hand_over(*nodes[index].subject, sender, sent.message);
+        deliver_to(*nodes[index].subject, sender, sent.message);
       }
     }
   }
 
-  void hand_over(dispatcher& receiver, const fleet_peer& sender, const wire::envelope& message) {
+  void deliver_to(dispatcher& receiver, const fleet_peer& sender, const wire::envelope& message) {
     if (message.has_stage_work()) {
       receiver.handle_peer(sender.node, message.stage_work(), now);
     } else if (message.has_engine_news()) {
@@ -530,7 +533,7 @@
   std::map<base::caller_id, std::string> paths;
   std::map<base::request_id, std::string> bodies_by_id;
   std::size_t handles = 0;
-  std::vector<base::time_point> latest_crashes;
+  std::vector<base::time_point> crash_times;
   base::caller_id requests = 0;
 };
 
--- a/tests/quarantine/crash_ledger_test.cc
+++ b/tests/quarantine/crash_ledger_test.cc
@@ -1,4 +1,4 @@
-/// What a node knows of requests under which replicas ended.
+/// Registry of requests under which replicas crashed: quarantine states, merging, expiry, eviction.
 #include "quarantine/crash_registry.h"
 
 #include <boost/test/unit_test.hpp>
@@ -24,19 +24,20 @@
   return request_digest(bytes);
 }
 
-/// Lays the ends with the given numbers to a request, one a second.
-void note(crash_registry& ledger, unsigned request, std::initializer_list<replica_exit> ends) {
-  for (const auto end : ends) {
-    const base::time_point at = start + seconds(end);
-    ledger.note_exit(digest(request), {end, at}, at);
+/// Records exits with the given ids under a request; the id is also the time of the exit in
+/// seconds.
+void note(crash_registry& registry, unsigned request, std::initializer_list<replica_exit> exits) {
+  for (const auto exit : exits) {
+    const base::time_point at = start + seconds(exit);
+    registry.note_exit(digest(request), {exit, at}, at);
   }
 }
 
-crash_record record_of(unsigned request, const std::vector<replica_exit>& ends) {
+crash_record record_of(unsigned request, const std::vector<replica_exit>& exits) {
   crash_record record;
   record.digest = digest(request);
-  for (const auto end : ends) {
-    record.exits.push_back({end, start + seconds(end)});
+  for (const auto exit : exits) {
+    record.exits.push_back({exit, start + seconds(exit)});
   }
   return record;
 }
@@ -45,151 +46,152 @@
 
 BOOST_AUTO_TEST_SUITE(crash_ledger_test)
 
-BOOST_AUTO_TEST_CASE(a_request_is_free_then_sent_once_a_try_then_held_back) {
-  crash_registry ledger;
+BOOST_AUTO_TEST_CASE(more_exits_restrict_a_request_to_a_single_attempt_and_then_quarantine_it) {
+  crash_registry registry;
   const auto now = start + seconds(10);
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::unrestricted));
-  note(ledger, 1, {1});
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::unrestricted));
-  note(ledger, 1, {2});
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
-  note(ledger, 1, {3, 4});
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
-}
-
-BOOST_AUTO_TEST_CASE(an_end_that_several_nodes_saw_counts_once) {
-  crash_registry ledger;
-  note(ledger, 1, {1, 1, 1, 1});
-  ledger.merge(record_of(1, {1}), start + seconds(5));
-  BOOST_TEST(ledger.counted_exits_of(digest(1)) == 1U);
-}
-
-BOOST_AUTO_TEST_CASE(what_nodes_know_merges_to_the_same_in_any_order) {
-  std::vector<crash_record> told{record_of(1, {1, 2}), record_of(1, {2, 3}), record_of(1, {4}),
-                                 record_of(1, {1})};
-  told[3].survived_at = start + milliseconds(1500);
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::unrestricted));
+  note(registry, 1, {1});
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::unrestricted));
+  note(registry, 1, {2});
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
+  note(registry, 1, {3, 4});
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
+}
+
+BOOST_AUTO_TEST_CASE(an_exit_reported_by_several_nodes_counts_once) {
+  crash_registry registry;
+  note(registry, 1, {1, 1, 1, 1});
+  registry.merge(record_of(1, {1}), start + seconds(5));
+  BOOST_TEST(registry.counted_exits_of(digest(1)) == 1U);
+}
+
+BOOST_AUTO_TEST_CASE(records_merge_to_the_same_result_in_any_order) {
+  std::vector<crash_record> records{record_of(1, {1, 2}), record_of(1, {2, 3}), record_of(1, {4}),
+                                    record_of(1, {1})};
+  records[3].survived_at = start + milliseconds(1500);
   std::mt19937 order(7);
   for (int round = 0; round < 20; ++round) {
-    std::shuffle(told.begin(), told.end(), order);
-    crash_registry ledger;
-    for (const auto& one : told) {
-      ledger.merge(one, start + seconds(10));
+    std::shuffle(records.begin(), records.end(), order);
+    crash_registry registry;
+    for (const auto& record : records) {
+      registry.merge(record, start + seconds(10));
     }
-    BOOST_TEST(ledger.counted_exits_of(digest(1)) == 3U);
+    BOOST_TEST(registry.counted_exits_of(digest(1)) == 3U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_run_that_ends_well_clears_all_ends_before_it_also_told_later) {
-  crash_registry ledger;
-  note(ledger, 1, {1, 2, 3, 4});
-  BOOST_TEST(ledger.note_survived(digest(1), start + seconds(5)));
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), start + seconds(6)) ==
+BOOST_AUTO_TEST_CASE(a_surviving_run_clears_earlier_exits_and_refutes_late_reports) {
+  crash_registry registry;
+  note(registry, 1, {1, 2, 3, 4});
+  BOOST_TEST(registry.note_survived(digest(1), start + seconds(5)));
+  BOOST_TEST((registry.quarantine_state_of(digest(1), start + seconds(6)) ==
               quarantine_state::unrestricted));
-  const auto change = ledger.merge(record_of(1, {1, 2, 3, 4}), start + seconds(6));
+  const auto change = registry.merge(record_of(1, {1, 2, 3, 4}), start + seconds(6));
   BOOST_TEST(change.is_refuted);
   BOOST_TEST(!change.has_new_information);
-  BOOST_TEST(ledger.counted_exits_of(digest(1)) == 0U);
+  BOOST_TEST(registry.counted_exits_of(digest(1)) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(ends_shared_with_one_that_is_known_for_more_do_not_count) {
-  crash_registry ledger;
-  note(ledger, 1, {1, 2, 3, 4, 5});
-  note(ledger, 2, {1, 2, 3, 4});
+BOOST_AUTO_TEST_CASE(exits_explained_by_a_request_with_more_exits_do_not_count) {
+  crash_registry registry;
+  note(registry, 1, {1, 2, 3, 4, 5});
+  note(registry, 2, {1, 2, 3, 4});
   const auto now = start + seconds(10);
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
-  BOOST_TEST((ledger.quarantine_state_of(digest(2), now) == quarantine_state::unrestricted));
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
+  BOOST_TEST((registry.quarantine_state_of(digest(2), now) == quarantine_state::unrestricted));
 }
 
-BOOST_AUTO_TEST_CASE(two_with_the_same_ends_are_tried_until_they_differ) {
-  crash_registry ledger;
-  note(ledger, 1, {1, 2, 3, 4});
-  note(ledger, 2, {1, 2, 3, 4});
+BOOST_AUTO_TEST_CASE(two_requests_with_equal_exits_keep_a_single_attempt_until_they_differ) {
+  crash_registry registry;
+  note(registry, 1, {1, 2, 3, 4});
+  note(registry, 2, {1, 2, 3, 4});
   const auto now = start + seconds(10);
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
-  BOOST_TEST((ledger.quarantine_state_of(digest(2), now) == quarantine_state::single_attempt));
-  note(ledger, 1, {5});
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
-  BOOST_TEST((ledger.quarantine_state_of(digest(2), now) == quarantine_state::unrestricted));
-}
-
-BOOST_AUTO_TEST_CASE(a_second_guilty_one_is_found_although_it_shared_an_end_with_the_first) {
-  crash_registry ledger;
-  note(ledger, 1, {1, 2, 3, 4, 5});
-  note(ledger, 2, {1, 6, 7, 8});
-  BOOST_TEST((ledger.quarantine_state_of(digest(2), start + seconds(10)) ==
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
+  BOOST_TEST((registry.quarantine_state_of(digest(2), now) == quarantine_state::single_attempt));
+  note(registry, 1, {5});
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
+  BOOST_TEST((registry.quarantine_state_of(digest(2), now) == quarantine_state::unrestricted));
+}
+
+BOOST_AUTO_TEST_CASE(a_second_crashing_request_is_quarantined_although_it_shares_an_exit) {
+  crash_registry registry;
+  note(registry, 1, {1, 2, 3, 4, 5});
+  note(registry, 2, {1, 6, 7, 8});
+  BOOST_TEST((registry.quarantine_state_of(digest(2), start + seconds(10)) ==
               quarantine_state::quarantined));
 }
 
-BOOST_AUTO_TEST_CASE(where_as_many_end_without_it_more_is_needed) {
-  crash_registry ledger;
-  note(ledger, 1, {1, 2, 3, 4});
+BOOST_AUTO_TEST_CASE(unrelated_exits_raise_the_number_of_exits_required) {
+  crash_registry registry;
+  note(registry, 1, {1, 2, 3, 4});
   const base::time_point now = start + seconds(10);
-  ledger.merge_exits({{21, now}, {22, now}, {23, now}, {24, now}}, now);
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
-  note(ledger, 1, {5});
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
+  registry.merge_exits({{21, now}, {22, now}, {23, now}, {24, now}}, now);
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
+  note(registry, 1, {5});
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
 }
 
-BOOST_AUTO_TEST_CASE(an_end_that_was_none_is_withdrawn_and_not_taken_in_again) {
-  crash_registry ledger;
-  note(ledger, 1, {1, 2, 3, 4});
+BOOST_AUTO_TEST_CASE(a_withdrawn_exit_is_removed_and_not_merged_again) {
+  crash_registry registry;
+  note(registry, 1, {1, 2, 3, 4});
   const auto now = start + seconds(10);
-  BOOST_TEST(ledger.withdraw(3, now));
-  BOOST_TEST(!ledger.withdraw(3, now));
-  ledger.merge(record_of(1, {3}), now);
-  BOOST_TEST(ledger.counted_exits_of(digest(1)) == 3U);
-}
-
-/// Seen: a replica was published no longer for a while and heard again in the same life; when it
-/// did end later, nothing was laid to any request, and a sixth replica ended under a guilty one.
-BOOST_AUTO_TEST_CASE(a_life_that_seemed_over_once_may_end_later) {
-  crash_registry ledger;
-  note(ledger, 1, {1, 2, 3});
-  ledger.withdraw(3, start + seconds(10));
+  BOOST_TEST(registry.withdraw(3, now));
+  BOOST_TEST(!registry.withdraw(3, now));
+  registry.merge(record_of(1, {3}), now);
+  BOOST_TEST(registry.counted_exits_of(digest(1)) == 3U);
+}
+
+/// Guards against a withdrawal that hides later exits: a replica was missing from the published
+/// list for some time and in contact again in the same incarnation. When it exited later, the exit
+/// was attributed to no request, and a sixth replica exited under a crashing request.
+BOOST_AUTO_TEST_CASE(a_later_exit_of_a_withdrawn_incarnation_counts) {
+  crash_registry registry;
+  note(registry, 1, {1, 2, 3});
+  registry.withdraw(3, start + seconds(10));
   const base::time_point later = start + seconds(20);
-  ledger.note_exit(digest(2), {3, later}, later);
-  BOOST_TEST(ledger.counted_exits_of(digest(2)) == 1U);
-  ledger.merge_exits({{3, later}}, later);
-  BOOST_TEST(ledger.latest_exits(8, later).front().exit == 3U);
+  registry.note_exit(digest(2), {3, later}, later);
+  BOOST_TEST(registry.counted_exits_of(digest(2)) == 1U);
+  registry.merge_exits({{3, later}}, later);
+  BOOST_TEST(registry.latest_exits(8, later).front().exit == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(it_is_held_back_for_as_long_as_it_comes_and_tried_once_after) {
-  crash_registry ledger;
-  note(ledger, 1, {1, 2, 3, 4});
+BOOST_AUTO_TEST_CASE(quarantine_lasts_while_the_request_arrives_and_then_allows_a_single_attempt) {
+  crash_registry registry;
+  note(registry, 1, {1, 2, 3, 4});
   base::time_point now = start + minutes(59);
-  ledger.expire(now);
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
-  ledger.note_refused(digest(1), now);
+  registry.expire(now);
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
+  registry.note_refused(digest(1), now);
   now += minutes(59);
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
   now += minutes(2);
-  ledger.expire(now);
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
-  ledger.note_exit(digest(1), {50, now}, now);
-  ledger.note_exit(digest(1), {51, now}, now);
+  registry.expire(now);
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
+  registry.note_exit(digest(1), {50, now}, now);
+  registry.note_exit(digest(1), {51, now}, now);
   now += hours(23);
-  ledger.expire(now);
-  BOOST_TEST((ledger.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
+  registry.expire(now);
+  BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
 }
 
-BOOST_AUTO_TEST_CASE(one_end_is_forgotten_after_minutes) {
-  crash_registry ledger;
-  note(ledger, 1, {1});
-  ledger.expire(start + minutes(11));
-  BOOST_TEST(ledger.empty());
+BOOST_AUTO_TEST_CASE(a_single_exit_expires_after_minutes) {
+  crash_registry registry;
+  note(registry, 1, {1});
+  registry.expire(start + minutes(11));
+  BOOST_TEST(registry.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_flood_of_requests_with_one_end_pushes_out_none_with_more) {
-  crash_registry ledger;
-  note(ledger, 1, {1, 2, 3, 4});
-  note(ledger, 2, {1, 2});
+BOOST_AUTO_TEST_CASE(a_flood_of_requests_with_one_exit_evicts_no_request_with_more) {
+  crash_registry registry;
+  note(registry, 1, {1, 2, 3, 4});
+  note(registry, 2, {1, 2});
   for (unsigned number = 3; number < 3 + 2 * crash_registry::max_records; ++number) {
     const base::time_point at = start + seconds(10);
-    ledger.note_exit(digest(number), {1000 + number, at}, at);
+    registry.note_exit(digest(number), {1000 + number, at}, at);
   }
-  BOOST_TEST(ledger.all().size() == crash_registry::max_records);
-  BOOST_TEST(ledger.find(digest(1))->exits.size() == 4U);
-  BOOST_TEST(ledger.find(digest(2))->exits.size() == 2U);
+  BOOST_TEST(registry.all().size() == crash_registry::max_records);
+  BOOST_TEST(registry.find(digest(1))->exits.size() == 4U);
+  BOOST_TEST(registry.find(digest(2))->exits.size() == 2U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/quarantine/crashing_request_test.cc
+++ b/tests/quarantine/crashing_request_test.cc
@@ -1,10 +1,8 @@
-/// A request under which each replica ends that begins to run it comes again and again, at any node
-/// and under new ids. Seen: 45 replicas ended under one such request, two a second, and up to ten
-/// other requests broke off with each. How it came about: every try was new to the node that took
-/// it, so it was sent to replicas as often as its route allows, by every node. Cause: what is
-/// learned when a replica ends was kept of the replica and never of the request. Proved here:
-/// nothing else ends replicas, and a fleet without that knowledge loses 60 to 90 of them in 20
-/// seconds.
+/// Guards against a request that crashes every replica which runs it and is sent repeatedly, to any
+/// node and under new ids. 45 replicas exited under one such request, two per second, and each exit
+/// broke up to ten other requests: every node kept crashes only per replica, so each attempt was
+/// new to the node that received it and was sent as often as its route allows. In these fleets
+/// nothing else crashes replicas; without the crash registry 60 to 90 replicas exit in 20 seconds.
 #include "crash_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,120 +12,120 @@
 
 namespace {
 
-/// Within this time nodes in contact know what others know.
+/// Time within which nodes in contact learn of each other's reports.
 constexpr base::duration contact_time = seconds(3);
-/// Sends that are allowed later than that after the third end.
-constexpr std::size_t most_late_sends = 3;
-/// Replicas that one request which comes again may end in all: three, and what is on its way to
-/// others when the third ends.
-constexpr std::size_t most_ends = 5;
+/// Maximum number of sends later than `contact_time` after the third exit.
+constexpr std::size_t max_late_sends = 3;
+/// Maximum number of replicas that one crashing request may crash: three, and those to which the
+/// request is on its way when the third replica exits.
+constexpr std::size_t max_exits = 5;
 
-/// Each seed draws other nodes, times and replicas.
+/// Each seed gives other nodes, times and replicas.
 constexpr std::uint64_t seed_count = 20;
 
-void check_is_found(const crash_fleet& fleet, const std::string& body, std::size_t ends_allowed) {
-  const auto ended = fleet.ends_under.find(body);
-  BOOST_TEST(fleet.sends_after_third_end(body, contact_time) <= most_late_sends);
-  BOOST_TEST((ended == fleet.ends_under.end() ? 0 : ended->second.size()) <= ends_allowed);
+void check_bounded(const crash_fleet& fleet, const std::string& body, std::size_t allowed_exits) {
+  const auto exits = fleet.exits_under.find(body);
+  BOOST_TEST(fleet.sends_after_third_exit(body, contact_time) <= max_late_sends);
+  BOOST_TEST((exits == fleet.exits_under.end() ? 0 : exits->second.size()) <= allowed_exits);
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(crashing_request_test)
 
-BOOST_AUTO_TEST_CASE(it_ends_few_replicas_however_often_it_comes_again) {
+BOOST_AUTO_TEST_CASE(few_replicas_crash_if_a_request_is_sent_repeatedly) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed});
-    fleet.guilty = {"guilty"};
-    fleet.innocents_a_second = 20;
+    fleet.crashing_bodies = {"guilty"};
+    fleet.harmless_per_second = 20;
     fleet.run(seconds(3));
-    fleet.keep_asking("/stream/", "guilty", seconds(20));
+    fleet.send_repeatedly("/stream/", "guilty", seconds(20));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      BOOST_TEST(fleet.sends_after_third_end("guilty", contact_time) <= most_late_sends);
-      BOOST_TEST(fleet.ends_under["guilty"].size() <= most_ends);
+      BOOST_TEST(fleet.sends_after_third_exit("guilty", contact_time) <= max_late_sends);
+      BOOST_TEST(fleet.exits_under["guilty"].size() <= max_exits);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(so_it_is_where_replicas_start_again_under_their_ids) {
+BOOST_AUTO_TEST_CASE(few_replicas_crash_if_they_restart_under_the_same_ids) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed, 6, 12, 0, true});
-    fleet.guilty = {"guilty"};
-    fleet.innocents_a_second = 20;
-    fleet.keep_asking("/stream/", "guilty", seconds(20));
+    fleet.crashing_bodies = {"guilty"};
+    fleet.harmless_per_second = 20;
+    fleet.send_repeatedly("/stream/", "guilty", seconds(20));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      check_is_found(fleet, "guilty", most_ends);
+      check_bounded(fleet, "guilty", max_exits);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(so_it_is_where_each_node_sends_it_once_only) {
+BOOST_AUTO_TEST_CASE(few_replicas_crash_if_each_node_sends_the_request_once) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed});
-    fleet.guilty = {"guilty"};
-    fleet.keep_asking("/fixed/", "guilty", seconds(20));
+    fleet.crashing_bodies = {"guilty"};
+    fleet.send_repeatedly("/fixed/", "guilty", seconds(20));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      check_is_found(fleet, "guilty", most_ends);
+      check_bounded(fleet, "guilty", max_exits);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(the_caller_is_told_at_once_that_it_has_not_run_and_not_to_come_back) {
+BOOST_AUTO_TEST_CASE(the_client_is_refused_at_once_without_a_time_to_return) {
   crash_fleet fleet;
-  fleet.guilty = {"guilty"};
-  fleet.keep_asking("/stream/", "guilty", seconds(10));
+  fleet.crashing_bodies = {"guilty"};
+  fleet.send_repeatedly("/stream/", "guilty", seconds(10));
   const auto before = fleet.counts["guilty"];
   fleet.arrive(0, "/stream/", "guilty");
   fleet.run(milliseconds(1));
   const auto& after = fleet.counts["guilty"];
-  BOOST_TEST(after.held_back == before.held_back + 1);
-  BOOST_TEST(after.told_to_return == 0U);
+  BOOST_TEST(after.quarantined == before.quarantined + 1);
+  BOOST_TEST(after.told_retry_after == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(one_whose_pieces_end_replicas_is_found_too) {
+BOOST_AUTO_TEST_CASE(a_request_whose_pieces_crash_replicas_is_quarantined) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed, 6, 6, 6});
-    fleet.guilty_in_stages = {"guilty"};
-    fleet.innocents_a_second = 10;
-    fleet.innocent_path = "/staged/";
-    fleet.comes_again = true;
+    fleet.bodies_crashing_in_stages = {"guilty"};
+    fleet.harmless_per_second = 10;
+    fleet.harmless_path = "/staged/";
+    fleet.clients_retry = true;
     fleet.run(seconds(3));
-    fleet.keep_asking("/staged/", "guilty", seconds(20));
+    fleet.send_repeatedly("/staged/", "guilty", seconds(20));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      check_is_found(fleet, "guilty", most_ends);
-      BOOST_TEST(fleet.held_back() == std::set<std::string>{"guilty"},
+      check_bounded(fleet, "guilty", max_exits);
+      BOOST_TEST(fleet.quarantined() == std::set<std::string>{"guilty"},
                  boost::test_tools::per_element());
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(one_that_reaches_all_nodes_at_once_ends_no_second_round) {
+BOOST_AUTO_TEST_CASE(a_request_sent_to_all_nodes_at_once_reaches_no_replica_again) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed});
-    fleet.guilty = {"guilty"};
+    fleet.crashing_bodies = {"guilty"};
     for (std::size_t node = 0; node < fleet.settings.nodes; ++node) {
       fleet.arrive(node, "/stream/", "guilty");
     }
     fleet.run(seconds(4));
     const auto first_round = fleet.reached["guilty"].size();
-    fleet.keep_asking("/stream/", "guilty", seconds(10));
+    fleet.send_repeatedly("/stream/", "guilty", seconds(10));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      // Both attempts of each node, where the ends of all come in the same moment.
+      // Both attempts of each node, if all exits occur at the same time.
       BOOST_TEST(first_round <= 2 * fleet.settings.nodes);
       BOOST_TEST(fleet.reached["guilty"].size() == first_round);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(ten_of_them_at_once_are_each_found) {
+BOOST_AUTO_TEST_CASE(ten_crashing_requests_at_once_crash_few_replicas_each) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed, 6, 40});
-    fleet.innocents_a_second = 20;
+    fleet.harmless_per_second = 20;
     for (unsigned number = 0; number < 10; ++number) {
-      fleet.guilty.insert("guilty-" + std::to_string(number));
+      fleet.crashing_bodies.insert("guilty-" + std::to_string(number));
     }
     for (unsigned round = 0; round < 100; ++round) {
-      for (const auto& body : fleet.guilty) {
+      for (const auto& body : fleet.crashing_bodies) {
         if (fleet.random.below(4) == 0) {
           fleet.arrive(fleet.random.below(fleet.settings.nodes), "/stream/", body);
         }
@@ -135,57 +133,57 @@
       fleet.run(milliseconds(100));
     }
     BOOST_TEST_CONTEXT("seed " << seed) {
-      for (const auto& body : fleet.guilty) {
-        check_is_found(fleet, body, most_ends + 1);
+      for (const auto& body : fleet.crashing_bodies) {
+        check_bounded(fleet, body, max_exits + 1);
       }
-      for (const auto& body : fleet.held_back()) {
-        BOOST_TEST(fleet.guilty.contains(body));
+      for (const auto& body : fleet.quarantined()) {
+        BOOST_TEST(fleet.crashing_bodies.contains(body));
       }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(requests_beside_it_are_not_held_back) {
+BOOST_AUTO_TEST_CASE(harmless_requests_beside_a_crashing_request_are_not_quarantined) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed, 6, 4});
-    fleet.guilty = {"guilty"};
-    fleet.innocents_a_second = 60;
-    fleet.comes_again = true;
-    fleet.keep_asking("/stream/", "guilty", seconds(15));
+    fleet.crashing_bodies = {"guilty"};
+    fleet.harmless_per_second = 60;
+    fleet.clients_retry = true;
+    fleet.send_repeatedly("/stream/", "guilty", seconds(15));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      BOOST_TEST(fleet.held_back() == std::set<std::string>{"guilty"},
+      BOOST_TEST(fleet.quarantined() == std::set<std::string>{"guilty"},
                  boost::test_tools::per_element());
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_held_back_where_replicas_end_for_other_reasons) {
+BOOST_AUTO_TEST_CASE(no_request_is_quarantined_if_replicas_exit_for_other_reasons) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed, 6, 8, 0, seed % 2 == 0});
-    fleet.innocents_a_second = 60;
-    fleet.comes_again = true;
+    fleet.harmless_per_second = 60;
+    fleet.clients_retry = true;
     for (unsigned round = 0; round < 60; ++round) {
       if (fleet.random.below(2) == 0) {
-        fleet.crash(fleet.some_replica());
+        fleet.crash(fleet.random_replica());
       } else {
-        fleet.reset(fleet.some_replica());
+        fleet.reset(fleet.random_replica());
       }
-      // The same request of many callers under one key.
+      // The same request, sent by many clients with one API key.
       fleet.arrive(fleet.random.below(fleet.settings.nodes), "/stream/", "common");
       fleet.run(milliseconds(300));
     }
     BOOST_TEST_CONTEXT("seed " << seed) {
       BOOST_TEST(fleet.crashes > 10U);
-      BOOST_TEST(fleet.held_back().empty());
+      BOOST_TEST(fleet.quarantined().empty());
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(connections_that_are_reset_are_laid_to_no_request) {
+BOOST_AUTO_TEST_CASE(connection_resets_are_attributed_to_no_request) {
   crash_fleet fleet;
-  fleet.innocents_a_second = 60;
+  fleet.harmless_per_second = 60;
   for (unsigned round = 0; round < 100; ++round) {
-    fleet.reset(fleet.some_replica());
+    fleet.reset(fleet.random_replica());
     fleet.run(milliseconds(100));
   }
   for (std::size_t node = 0; node < fleet.settings.nodes; ++node) {
@@ -193,20 +191,20 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(nodes_that_start_again_or_were_cut_off_hear_of_it_within_contact_time) {
+BOOST_AUTO_TEST_CASE(restarted_and_partitioned_nodes_learn_of_the_request_within_contact_time) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed});
-    fleet.guilty = {"guilty"};
-    fleet.cut_off = {5};
-    for (std::size_t tries = 0; tries < 10; ++tries) {
-      fleet.arrive(tries % 3, "/stream/", "guilty");
+    fleet.crashing_bodies = {"guilty"};
+    fleet.partitioned = {5};
+    for (std::size_t attempt = 0; attempt < 10; ++attempt) {
+      fleet.arrive(attempt % 3, "/stream/", "guilty");
       fleet.run(milliseconds(300));
     }
     const auto before = fleet.reached["guilty"].size();
     for (std::size_t node = 0; node < 3; ++node) {
       fleet.start_node(node);
     }
-    fleet.cut_off.clear();
+    fleet.partitioned.clear();
     fleet.run(contact_time);
     for (std::size_t node = 0; node < fleet.settings.nodes; ++node) {
       fleet.arrive(node, "/stream/", "guilty");
@@ -218,34 +216,34 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(nodes_that_cannot_hear_of_it_are_bounded_by_what_they_saw) {
+BOOST_AUTO_TEST_CASE(nodes_without_reports_are_bounded_by_their_own_observations) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed});
-    fleet.guilty = {"guilty"};
-    fleet.older_build = {3, 4, 5};
-    fleet.keep_asking("/stream/", "guilty", seconds(20));
+    fleet.crashing_bodies = {"guilty"};
+    fleet.nodes_of_older_build = {3, 4, 5};
+    fleet.send_repeatedly("/stream/", "guilty", seconds(20));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      BOOST_TEST(fleet.ends_under["guilty"].size() <=
-                 most_ends + 3 * quarantine_limits{}.quarantine);
+      BOOST_TEST(fleet.exits_under["guilty"].size() <=
+                 max_exits + 3 * quarantine_limits{}.quarantine);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_operator_lets_one_go_on_all_nodes) {
+BOOST_AUTO_TEST_CASE(a_release_by_an_operator_takes_effect_on_all_nodes) {
   crash_fleet fleet;
-  fleet.guilty = {"guilty"};
-  fleet.keep_asking("/stream/", "guilty", seconds(5));
-  fleet.guilty.clear();
+  fleet.crashing_bodies = {"guilty"};
+  fleet.send_repeatedly("/stream/", "guilty", seconds(5));
+  fleet.crashing_bodies.clear();
   const auto digest = fleet.node(0).crashes().all().begin()->first;
   BOOST_TEST(fleet.node(0).release_request(digest, fleet.now));
   fleet.run(seconds(1));
-  const auto held_back = fleet.counts["guilty"].held_back;
+  const auto quarantined = fleet.counts["guilty"].quarantined;
   for (std::size_t node = 0; node < fleet.settings.nodes; ++node) {
     fleet.arrive(node, "/stream/", "guilty");
   }
-  // Longer than a run that is taken up elsewhere once.
+  // Longer than a run that is resumed once at another replica.
   fleet.run(seconds(5));
-  BOOST_TEST(fleet.counts["guilty"].held_back == held_back);
+  BOOST_TEST(fleet.counts["guilty"].quarantined == quarantined);
   BOOST_TEST(fleet.counts["guilty"].served == fleet.settings.nodes);
 }
 
--- a/tests/quarantine/quarantine_policies_test.cc
+++ b/tests/quarantine/quarantine_policies_test.cc
@@ -1,5 +1,6 @@
-/// Ways to stop a request that ends replicas, on the same drawn fleets: what each costs in
-/// replicas, in time and in harmless requests. docs/design/quarantine.md tells what follows.
+/// Compares policies against a request that crashes replicas on the same random fleets: exits of
+/// replicas, time to the last exit, and refused harmless requests. docs/design/quarantine.md
+/// discusses the results.
 #include "crash_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -16,108 +17,114 @@
 
 /// Sums over all seeds.
 struct policy_outcome {
-  std::size_t ends = 0;
-  std::size_t most_ends = 0;
+  std::size_t exits = 0;
+  std::size_t max_exits = 0;
   std::size_t late_sends = 0;
-  double seconds_to_last_end = 0;
-  /// Harmless requests that were refused as held back or by a pause, on days with a guilty request
-  /// and on days on which replicas end for other reasons.
+  double seconds_to_last_exit = 0;
+  /// Harmless requests that were refused by quarantine or by a route pause in runs with a crashing
+  /// request.
   std::size_t refused_beside = 0;
+  /// The same in runs in which replicas crash for other reasons.
   std::size_t refused_without = 0;
   std::size_t harmless = 0;
 };
 
-std::size_t refused_harmless(const crash_fleet& fleet) {
+std::size_t count_refused_harmless(const crash_fleet& fleet) {
   std::size_t refused = 0;
   for (const auto& [body, count] : fleet.counts) {
-    if (!fleet.guilty.contains(body)) {
+    if (!fleet.crashing_bodies.contains(body)) {
       refused +=
-          fleet.settings.route_pause > base::duration::zero() ? count.refused : count.held_back;
+          fleet.settings.route_pause > base::duration::zero() ? count.refused : count.quarantined;
     }
   }
   return refused;
 }
 
-void add_guilty_day(crash_fleet_settings drawn, bool shares, policy_outcome& sum) {
-  crash_fleet fleet(drawn);
-  if (!shares) {
-    fleet.older_build = {0, 1, 2, 3, 4, 5};
+void add_day_with_crashing_request(crash_fleet_settings settings, bool shares_reports,
+                                   policy_outcome& totals) {
+  crash_fleet fleet(settings);
+  if (!shares_reports) {
+    fleet.nodes_of_older_build = {0, 1, 2, 3, 4, 5};
   }
-  fleet.guilty = {"guilty"};
-  fleet.innocents_a_second = 20;
-  fleet.comes_again = true;
-  fleet.keep_asking("/stream/", "guilty", seconds(20));
-  const auto& ends = fleet.ends_under["guilty"];
-  sum.ends += ends.size();
-  sum.most_ends = std::max(sum.most_ends, ends.size());
-  sum.late_sends = std::max(sum.late_sends, fleet.sends_after_third_end("guilty", seconds(3)));
-  sum.seconds_to_last_end += ends.empty() ? 0 : base::to_seconds(ends.back() - ends.front());
-  sum.refused_beside += refused_harmless(fleet);
-  sum.harmless += fleet.counts.size() - 1;
+  fleet.crashing_bodies = {"guilty"};
+  fleet.harmless_per_second = 20;
+  fleet.clients_retry = true;
+  fleet.send_repeatedly("/stream/", "guilty", seconds(20));
+  const auto& exits = fleet.exits_under["guilty"];
+  totals.exits += exits.size();
+  totals.max_exits = std::max(totals.max_exits, exits.size());
+  totals.late_sends =
+      std::max(totals.late_sends, fleet.sends_after_third_exit("guilty", seconds(3)));
+  totals.seconds_to_last_exit += exits.empty() ? 0 : base::to_seconds(exits.back() - exits.front());
+  totals.refused_beside += count_refused_harmless(fleet);
+  totals.harmless += fleet.counts.size() - 1;
 }
 
-void add_crash_day(crash_fleet_settings drawn, bool shares, policy_outcome& sum) {
-  crash_fleet fleet(drawn);
-  if (!shares) {
-    fleet.older_build = {0, 1, 2, 3, 4, 5};
+void add_day_with_unrelated_crashes(crash_fleet_settings settings, bool shares_reports,
+                                    policy_outcome& totals) {
+  crash_fleet fleet(settings);
+  if (!shares_reports) {
+    fleet.nodes_of_older_build = {0, 1, 2, 3, 4, 5};
   }
-  fleet.innocents_a_second = 20;
-  fleet.comes_again = true;
+  fleet.harmless_per_second = 20;
+  fleet.clients_retry = true;
   for (unsigned round = 0; round < 20; ++round) {
-    fleet.crash(fleet.some_replica());
+    fleet.crash(fleet.random_replica());
     fleet.run(seconds(1));
   }
-  sum.refused_without += refused_harmless(fleet);
+  totals.refused_without += count_refused_harmless(fleet);
 }
 
-policy_outcome play(const std::string& name, crash_fleet_settings drawn, bool shares = true) {
-  policy_outcome sum;
+policy_outcome run_policy(const std::string& name, crash_fleet_settings settings,
+                          bool shares_reports = true) {
+  policy_outcome totals;
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
-    drawn.seed = seed;
-    add_guilty_day(drawn, shares, sum);
-    add_crash_day(drawn, shares, sum);
+    settings.seed = seed;
+    add_day_with_crashing_request(settings, shares_reports, totals);
+    add_day_with_unrelated_crashes(settings, shares_reports, totals);
   }
   std::ostringstream row;
   row << std::setw(28) << std::left << name << " ends " << std::fixed << std::setprecision(1)
-      << static_cast<double>(sum.ends) / seed_count << " (most " << sum.most_ends
-      << "), late sends at most " << sum.late_sends << ", last end after "
-      << sum.seconds_to_last_end / seed_count << " s, harmless refused beside it "
-      << sum.refused_beside << " of " << sum.harmless << ", without one " << sum.refused_without;
+      << static_cast<double>(totals.exits) / seed_count << " (most " << totals.max_exits
+      << "), late sends at most " << totals.late_sends << ", last end after "
+      << totals.seconds_to_last_exit / seed_count << " s, harmless refused beside it "
+      << totals.refused_beside << " of " << totals.harmless << ", without one "
+      << totals.refused_without;
   BOOST_TEST_MESSAGE(row.str());
-  return sum;
+  return totals;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(quarantine_policies_test)
 
-BOOST_AUTO_TEST_CASE(a_shared_count_by_digest_costs_least) {
+BOOST_AUTO_TEST_CASE(a_shared_exit_count_costs_the_fewest_exits_and_refusals) {
   constexpr std::size_t never = 1'000;
-  crash_fleet_settings drawn;
-  drawn.limits = {never, never, never};
-  const auto nothing = play("nothing", drawn);
-  drawn.limits = {1, never, never};
-  const auto one_at_a_time = play("one replica a try, no count", drawn);
-  drawn.limits = {};
-  drawn.limits.single_attempt = never;
-  drawn.route_pause = seconds(10);
-  drawn.limits.quarantine = drawn.limits.quarantine_with_unrelated_exits = never;
-  const auto pause = play("pause of the route, 10 s", drawn);
-  drawn.route_pause = {};
-  drawn.limits = {};
-  const auto alone = play("count, each node alone", drawn, false);
-  drawn.limits = {2, 3, 3};
-  const auto at_three = play("count of all, 3 ends", drawn);
-  drawn.limits = {};
-  const auto in_force = play("count of all, 4 or 5 ends", drawn);
+  crash_fleet_settings settings;
+  settings.limits = {never, never, never};
+  const auto no_policy = run_policy("nothing", settings);
+  settings.limits = {1, never, never};
+  const auto single_attempt_only = run_policy("one replica a try, no count", settings);
+  settings.limits = {};
+  settings.limits.single_attempt = never;
+  settings.route_pause = seconds(10);
+  settings.limits.quarantine = settings.limits.quarantine_with_unrelated_exits = never;
+  const auto route_pause_only = run_policy("pause of the route, 10 s", settings);
+  settings.route_pause = {};
+  settings.limits = {};
+  const auto per_node_count = run_policy("count, each node alone", settings, false);
+  settings.limits = {2, 3, 3};
+  const auto limit_of_three = run_policy("count of all, 3 ends", settings);
+  settings.limits = {};
+  const auto current_policy = run_policy("count of all, 4 or 5 ends", settings);
 
-  for (const auto& other : {nothing, one_at_a_time, alone}) {
-    BOOST_TEST(in_force.ends < other.ends);
+  for (const auto& other : {no_policy, single_attempt_only, per_node_count}) {
+    BOOST_TEST(current_policy.exits < other.exits);
   }
-  BOOST_TEST(in_force.refused_beside + in_force.refused_without <
-             pause.refused_beside + pause.refused_without);
-  BOOST_TEST(in_force.refused_without <= at_three.refused_without);
-  BOOST_TEST(in_force.most_ends <= 5U);
+  BOOST_TEST(current_policy.refused_beside + current_policy.refused_without <
+             route_pause_only.refused_beside + route_pause_only.refused_without);
+  BOOST_TEST(current_policy.refused_without <= limit_of_three.refused_without);
+  BOOST_TEST(current_policy.max_exits <= 5U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/quarantine/request_digest_test.cc
+++ b/tests/quarantine/request_digest_test.cc
@@ -1,4 +1,4 @@
-/// What makes two requests the same one that comes again.
+/// Which parts of a request its digest covers, and the text and byte forms of the digest.
 #include "quarantine/request_digest.h"
 
 #include <boost/test/unit_test.hpp>
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(request_digest_test)
 
-BOOST_AUTO_TEST_CASE(ids_deadlines_fields_and_resumption_do_not_count) {
+BOOST_AUTO_TEST_CASE(ids_deadlines_header_fields_and_resume_positions_do_not_change_the_digest) {
   const auto first = some_request();
   auto again = first;
   again.id = base::request_id("r2");
@@ -34,7 +34,7 @@
   BOOST_TEST((digest_of(first, "t") == digest_of(again, "t")));
 }
 
-BOOST_AUTO_TEST_CASE(path_caller_and_body_count) {
+BOOST_AUTO_TEST_CASE(method_host_path_body_and_tenant_change_the_digest) {
   const auto base_digest = digest_of(some_request(), "t");
   auto other_path = some_request();
   other_path.target = "/a/b?c=2";
@@ -50,7 +50,7 @@
   BOOST_TEST((digest_of(some_request(), "t2") != base_digest));
 }
 
-BOOST_AUTO_TEST_CASE(moving_bytes_between_parts_makes_another_request) {
+BOOST_AUTO_TEST_CASE(moving_bytes_between_parts_changes_the_digest) {
   auto left = some_request();
   auto right = some_request();
   left.target = "/ab";
@@ -60,7 +60,7 @@
   BOOST_TEST((digest_of(left, "t") != digest_of(right, "t")));
 }
 
-BOOST_AUTO_TEST_CASE(text_and_bytes_are_read_back_and_malformed_ones_refused) {
+BOOST_AUTO_TEST_CASE(text_and_bytes_round_trip_and_malformed_input_is_rejected) {
   const auto digest = digest_of(some_request(), "t");
   BOOST_TEST((request_digest::from_text(digest.text()) == digest));
   BOOST_TEST((request_digest::from_bytes(digest.bytes()) == digest));
--- a/tests/replica_statements/leaving_replica_test.cc
+++ b/tests/replica_statements/leaving_replica_test.cc
@@ -27,7 +27,7 @@
 BOOST_AUTO_TEST_SUITE(leaving_replica_test)
 
 // Guards against requests to a replica from a node that had passed on its word that it leaves.
-BOOST_AUTO_TEST_CASE(a_node_that_was_told_sends_a_leaving_replica_nothing) {
+BOOST_AUTO_TEST_CASE(a_node_sends_nothing_after_it_received_a_drain_announcement) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
     fleet.load(40, seconds(3));
@@ -39,7 +39,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(all_nodes_stop_soon_after_one_was_told) {
+BOOST_AUTO_TEST_CASE(all_nodes_stop_soon_after_one_node_received_a_drain_announcement) {
   struct scenario {
     std::size_t nodes;
     double lost;
@@ -65,7 +65,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(what_a_replica_said_outlives_the_list) {
+BOOST_AUTO_TEST_CASE(a_drain_announcement_outlives_the_published_list) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
   fleet.begin_leaving(0);
@@ -96,7 +96,7 @@
   BOOST_TEST(fleet.sent_after_leaving_was_told(0) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(another_life_and_another_address_begin_clean) {
+BOOST_AUTO_TEST_CASE(a_new_incarnation_or_address_is_not_draining) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
   fleet.begin_leaving(0);
@@ -118,7 +118,7 @@
   BOOST_TEST(fleet.arrived_since(0, published) > 10U);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_starts_hears_of_it) {
+BOOST_AUTO_TEST_CASE(a_started_node_learns_of_the_drain) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
   fleet.begin_leaving(0);
@@ -130,7 +130,7 @@
   BOOST_TEST(fleet.arrived_since(0, known + seconds(1)) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(all_replicas_of_a_zone_leave_in_turn) {
+BOOST_AUTO_TEST_CASE(all_replicas_of_a_zone_drain_in_turn_without_failed_requests) {
   limited_fleet fleet({.nodes = 6, .zones = 2, .replicas = 8});
   fleet.load(60, seconds(3));
   for (unsigned replica = 0; replica < 8; replica += 2) {
--- a/tests/replica_statements/limit_book_test.cc
+++ b/tests/replica_statements/limit_book_test.cc
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_SUITE(limit_book_test)
 
-BOOST_AUTO_TEST_CASE(an_answer_without_a_limit_says_nothing_of_a_replica_that_named_none) {
+BOOST_AUTO_TEST_CASE(an_answer_without_a_limit_creates_no_record) {
   limit_registry book;
   BOOST_TEST(!book.record_answer(replica, life, {std::nullopt, start}, start));
   BOOST_TEST(book.empty());
@@ -39,7 +39,7 @@
   BOOST_TEST(!book.limit_of(replica));
 }
 
-BOOST_AUTO_TEST_CASE(a_stricter_limit_holds_at_once_and_a_looser_one_from_a_later_call) {
+BOOST_AUTO_TEST_CASE(a_stricter_limit_applies_at_once_and_a_looser_limit_only_from_a_later_call) {
   limit_registry book;
   book.record_answer(replica, life, {2.0, start}, start + seconds(1));
   BOOST_TEST(book.record_answer(replica, life, {1.0, start}, start + seconds(1)));
@@ -49,7 +49,7 @@
   BOOST_TEST(book.limit_of(replica).value_or(0) == 4.0);
 }
 
-BOOST_AUTO_TEST_CASE(news_in_any_order_leads_to_the_same_belief) {
+BOOST_AUTO_TEST_CASE(records_in_any_order_merge_to_the_same_limit) {
   std::vector<limit_record> news;
   const std::vector<std::optional<double>> named{3.0, 1.0, std::nullopt, 6.0, 2.0};
   for (std::size_t index = 0; index < named.size(); ++index) {
@@ -68,7 +68,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(of_two_changes_heard_at_once_the_stricter_one_holds) {
+BOOST_AUTO_TEST_CASE(of_two_changes_at_the_same_version_the_stricter_limit_wins) {
   for (const bool lifted_first : {true, false}) {
     const limit_record lifted{life, std::nullopt, 2, start};
     const limit_record named{life, 5.0, 2, start};
@@ -80,7 +80,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(what_a_node_heard_itself_since_goes_before_older_news_of_a_higher_version) {
+BOOST_AUTO_TEST_CASE(a_later_own_report_overrides_an_older_report_of_a_higher_version) {
   limit_registry book;
   book.record_answer(replica, life, {1.0, start}, start + seconds(5));
   BOOST_TEST(book.merge(replica, {life, std::nullopt, 9, start}));
@@ -88,7 +88,7 @@
   BOOST_TEST(book.find(replica)->version == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_life_has_named_nothing) {
+BOOST_AUTO_TEST_CASE(a_new_incarnation_starts_without_a_limit) {
   limit_registry book;
   book.record_answer(replica, life, {1.0, start}, start);
   BOOST_TEST(book.record_answer(replica, life + 1, {3.0, start}, start));
@@ -96,7 +96,7 @@
   BOOST_TEST(book.find(replica)->version == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_lifted_limit_is_forgotten_after_a_while) {
+BOOST_AUTO_TEST_CASE(a_lifted_limit_is_dropped_after_its_lifetime) {
   limit_registry book;
   book.record_answer(replica, life, {1.0, start}, start);
   book.record_answer(replica, life, {std::nullopt, start + seconds(1)}, start + seconds(1));
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -10,7 +10,7 @@
 BOOST_AUTO_TEST_SUITE(replica_pauses_test)
 
 // Guards against requests to a replica in a time for which it had asked the node for a pause.
-BOOST_AUTO_TEST_CASE(a_node_that_was_asked_for_a_pause_sends_nothing_in_it) {
+BOOST_AUTO_TEST_CASE(a_node_sends_nothing_during_a_requested_backoff) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
     fleet.load(40, seconds(3));
@@ -27,7 +27,7 @@
 }
 
 // Guards against sends to replicas in their pauses where all others rest too.
-BOOST_AUTO_TEST_CASE(pauses_are_kept_where_all_replicas_asked_for_one) {
+BOOST_AUTO_TEST_CASE(backoffs_are_respected_if_all_replicas_requested_one) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .replicas = 4});
     fleet.load(60, seconds(3));
@@ -42,7 +42,7 @@
 }
 
 // Guards against a burst on a replica from all that waited, as its pause ends.
-BOOST_AUTO_TEST_CASE(a_replica_gets_few_requests_at_once_as_its_pause_ends) {
+BOOST_AUTO_TEST_CASE(few_requests_are_sent_at_once_when_a_backoff_ends) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .nodes = 2, .replicas = 1});
     fleet.load(100, seconds(2));
@@ -57,7 +57,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(callers_are_told_when_pauses_end) {
+BOOST_AUTO_TEST_CASE(refused_clients_are_told_when_backoffs_end) {
   limited_fleet fleet({.replicas = 2});
   fleet.load(20, seconds(2));
   for (const unsigned replica : {0U, 1U}) {
@@ -74,7 +74,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(other_nodes_learn_of_a_pause_as_load) {
+BOOST_AUTO_TEST_CASE(other_nodes_learn_of_a_backoff_as_load) {
   // Reports on replicas stay in a region; without regions, in a zone.
   limited_fleet fleet({.zones = 1});
   fleet.load(40, seconds(3));
@@ -93,7 +93,7 @@
   BOOST_TEST(fleet.arrived_since(0, begun) > 15U);
 }
 
-BOOST_AUTO_TEST_CASE(a_pause_dies_with_the_life_and_the_address_that_asked_for_it) {
+BOOST_AUTO_TEST_CASE(a_backoff_ends_with_the_incarnation_or_address_that_requested_it) {
   limited_fleet fleet({.replicas = 2});
   fleet.load(20, seconds(2));
   fleet.turn_away(0, seconds(1), seconds(60));
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/self_report_policies_test.cc
@@ -88,9 +88,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(statement_ways_test)
+BOOST_AUTO_TEST_SUITE(self_report_policies_test)
 
-BOOST_AUTO_TEST_CASE(all_stop_sooner_where_all_are_told_that_a_replica_leaves) {
+BOOST_AUTO_TEST_CASE(nodes_stop_sooner_if_drain_announcements_are_forwarded) {
   for (const std::size_t nodes : {6U, 86U}) {
     const auto alone = play_leaving(nodes, each_for_itself);
     const auto told = play_leaving(nodes, all_are_told);
@@ -104,7 +104,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(fewer_are_turned_away_where_pauses_are_told_as_load) {
+BOOST_AUTO_TEST_CASE(fewer_requests_are_refused_if_backoffs_are_shared_as_load) {
   for (const std::size_t nodes : {6U, 86U}) {
     const auto alone = play_pauses(nodes, each_for_itself);
     const auto told = play_pauses(nodes, all_are_told);
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -63,7 +63,7 @@
 
 BOOST_AUTO_TEST_SUITE(stated_calls_test)
 
-BOOST_AUTO_TEST_CASE(a_refusal_and_an_error_say_that_the_replica_leaves) {
+BOOST_AUTO_TEST_CASE(refusals_and_errors_announce_a_drain) {
   for (const unsigned status : {503U, 500U, 429U}) {
     stated_node node;
     node.arrive(1, "/safe/");
@@ -79,7 +79,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(the_head_of_a_stream_says_so_before_the_stream_ends) {
+BOOST_AUTO_TEST_CASE(the_head_of_a_stream_announces_a_drain_before_the_stream_ends) {
   stated_node node;
   node.arrive(1, "/stream/");
   const auto call = node.last<start_call>();
@@ -98,7 +98,7 @@
   BOOST_TEST(node.last<start_call>().resume_after.value_or(0) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_whole_answer_says_so_with_its_head) {
+BOOST_AUTO_TEST_CASE(the_head_of_a_buffered_answer_announces_a_drain) {
   stated_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
@@ -112,7 +112,7 @@
   BOOST_TEST(node.last<respond>().status == 200U);
 }
 
-BOOST_AUTO_TEST_CASE(pieces_and_freed_results_do_not_go_to_a_replica_that_leaves) {
+BOOST_AUTO_TEST_CASE(pieces_and_freed_results_are_not_sent_to_a_draining_replica) {
   stated_node node;
   node.time_allowed = seconds(60);
   node.arrive(1, "/staged/", {3, 1});
@@ -136,7 +136,7 @@
   BOOST_TEST(calls.front().content->id.text() == "r1");
 }
 
-BOOST_AUTO_TEST_CASE(pieces_and_freed_results_wait_for_the_end_of_a_pause) {
+BOOST_AUTO_TEST_CASE(pieces_and_freed_results_wait_for_the_end_of_a_backoff) {
   stated_node node;
   node.time_allowed = seconds(60);
   node.world.remove_replica("pool-b");
@@ -160,7 +160,7 @@
   BOOST_TEST(!node.all<free_results>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(repeats_go_to_none_that_asked_for_a_pause) {
+BOOST_AUTO_TEST_CASE(retries_avoid_replicas_that_requested_a_backoff) {
   stated_node node;
   for (base::caller_id client = 1; client < 30; ++client) {
     node.arrive(client, "/safe/");
@@ -182,7 +182,7 @@
   BOOST_TEST(node.sent_to(resting, before) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_from_before_lifts_no_pause) {
+BOOST_AUTO_TEST_CASE(an_answer_to_an_earlier_call_ends_no_backoff) {
   stated_node node;
   for (base::caller_id client = 1; client < 30; ++client) {
     node.arrive(client, "/safe/");
@@ -206,7 +206,7 @@
   BOOST_TEST(node.sent_to(resting, before) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_503_of_a_replica_that_ran_the_request_asks_for_a_pause_too) {
+BOOST_AUTO_TEST_CASE(a_503_of_a_replica_that_ran_the_request_requests_a_backoff) {
   stated_node node;
   node.arrive(1, "/unsafe/");
   const auto call = node.last<start_call>();
@@ -219,7 +219,7 @@
   BOOST_TEST(node.sent_to(call.target.replica, before) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_names_a_limit_pauses_and_leaves_in_one_answer) {
+BOOST_AUTO_TEST_CASE(one_answer_may_announce_a_limit_a_backoff_and_a_drain) {
   stated_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
@@ -235,7 +235,7 @@
   BOOST_TEST(node.sent_to(call.target.replica, before) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_read_changes_nothing_and_is_counted) {
+BOOST_AUTO_TEST_CASE(unparsable_self_reports_are_counted_and_change_nothing) {
   stated_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
@@ -253,7 +253,7 @@
   BOOST_TEST(node.sent_to(call.target.replica, before) > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(what_an_earlier_life_said_is_passed_over) {
+BOOST_AUTO_TEST_CASE(self_reports_of_an_earlier_incarnation_are_ignored) {
   stated_node node;
   node.world.add_life("plain-a", "plain", "a", "10.2.0.1:80", 1000);
   node.world.remove_replica("plain-b");
@@ -274,7 +274,7 @@
 
 // --- all replicas rest ---------------------------------------------------------------------------
 
-BOOST_AUTO_TEST_CASE(a_request_waits_for_a_pause_that_ends_in_its_time) {
+BOOST_AUTO_TEST_CASE(a_request_waits_for_a_backoff_that_ends_before_its_deadline) {
   stated_node node;
   node.world.remove_replica("plain-b");
   node.subject.update(node.world.content, node.now);
@@ -288,7 +288,7 @@
   BOOST_TEST(node.sent_to(base::replica_id("plain-a"), before) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_is_refused_at_once_where_no_pause_ends_in_its_time) {
+BOOST_AUTO_TEST_CASE(a_request_is_refused_at_once_if_no_backoff_ends_before_its_deadline) {
   stated_node node;
   node.world.remove_replica("plain-b");
   node.subject.update(node.world.content, node.now);
@@ -307,7 +307,7 @@
   BOOST_TEST(std::stod(named->value) >= 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(stages_are_not_begun_for_replicas_that_rest_beyond_the_time_of_a_request) {
+BOOST_AUTO_TEST_CASE(stages_are_not_started_if_all_replicas_back_off_beyond_the_deadline) {
   stated_node node;
   for (const std::string id : {"llm-a", "llm-b"}) {
     node.arrive(id == "llm-a" ? 1 : 2, "/fixed/");
@@ -319,7 +319,7 @@
   BOOST_TEST(node.all<start_stage_call>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(at_the_end_of_a_pause_the_urgent_come_first_and_not_all_at_once) {
+BOOST_AUTO_TEST_CASE(urgent_requests_go_first_and_gradually_when_a_backoff_ends) {
   stated_node node;
   node.world.add_route("/urgent/", wire::ROUTE_SAFE, "plain").set_priority(0);
   node.world.add_route("/usual/", wire::ROUTE_SAFE, "plain").set_priority(5);
