--- a/tests/replica_statements/leaving_replica_test.cc
+++ b/tests/replica_statements/leaving_replica_test.cc
@@ -1,7 +1,8 @@
-/// Replicas that say in their answers that they leave, whatever the published list says of them.
+/// Replicas that announce in their answers that they drain, whatever the published list shows.
 ///
-/// Seen: a model replica said so while the list could not be changed, and nodes that had passed
-/// such answers on sent it requests 3 and 4 s later; two of six nodes went on as before.
+/// Guards against requests to a draining replica: a model replica announced its drain while the
+/// list could not be changed, and nodes that had forwarded such answers sent it requests 3 and 4 s
+/// later; two of six nodes did not react at all.
 #include "limited_fleet.h"
 
 using namespace spurrack;
@@ -9,24 +10,26 @@
 
 namespace {
 
-/// All nodes of a fleet on healthy links have stopped within this time, and within the other one
-/// where every third message is lost.
-constexpr base::duration healthy_bound = milliseconds(500);
-constexpr base::duration lossy_bound = seconds(2);
+/// Time within which all nodes stop sending to a draining replica if no message is lost.
+constexpr base::duration bound_on_healthy_links = milliseconds(500);
+/// The same if every third message is lost.
+constexpr base::duration bound_on_lossy_links = seconds(2);
 
-/// @return requests that any node sent a replica later than that after a node was told.
-std::size_t sent_later_than(const limited_fleet& fleet, unsigned replica, base::duration bound) {
+/// @return number of requests that any node sent to a replica later than `bound` after a node
+///         received its drain announcement.
+std::size_t sends_after_bound(const limited_fleet& fleet, unsigned replica, base::duration bound) {
   const auto& arrivals = fleet.replicas[replica].arrivals;
   const auto since = fleet.first_told_leaving(replica) + bound;
-  return static_cast<std::size_t>(std::count_if(
-      arrivals.begin(), arrivals.end(), [&](const auto& one) { return one.sent_at > since; }));
+  return static_cast<std::size_t>(
+      std::count_if(arrivals.begin(), arrivals.end(),
+                    [&](const auto& arrival) { return arrival.sent_at > since; }));
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(leaving_replica_test)
 
-// Guards against requests to a replica from a node that had passed on its word that it leaves.
+// Guards against requests to a draining replica from a node that forwarded its announcement.
 BOOST_AUTO_TEST_CASE(a_node_sends_nothing_after_it_received_a_drain_announcement) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
@@ -42,25 +45,26 @@
 BOOST_AUTO_TEST_CASE(all_nodes_stop_soon_after_one_node_received_a_drain_announcement) {
   struct scenario {
     std::size_t nodes;
-    double lost;
+    double lost_share;
     base::duration bound;
   };
-  const std::vector<scenario> scenarios{{2, 0, healthy_bound},   {6, 0, healthy_bound},
-                                        {86, 0, healthy_bound},  {6, 0.33, lossy_bound},
-                                        {86, 0.33, lossy_bound}, {300, 0.33, lossy_bound}};
-  for (const auto& [nodes, lost, bound] : scenarios) {
+  const std::vector<scenario> scenarios{
+      {2, 0, bound_on_healthy_links},   {6, 0, bound_on_healthy_links},
+      {86, 0, bound_on_healthy_links},  {6, 0.33, bound_on_lossy_links},
+      {86, 0.33, bound_on_lossy_links}, {300, 0.33, bound_on_lossy_links}};
+  for (const auto& [nodes, lost_share, bound] : scenarios) {
     for (std::uint64_t seed = 1; seed <= (nodes > 86 ? 1U : 5U); ++seed) {
       limited_fleet fleet({.seed = seed,
                            .nodes = nodes,
                            .zones = 4,
                            .replicas = 4,
-                           .lost_messages = lost,
+                           .lost_messages = lost_share,
                            .step = milliseconds(2)});
       fleet.load(100, seconds(2));
       fleet.begin_leaving(0);
       fleet.load(100, seconds(6));
-      BOOST_TEST(sent_later_than(fleet, 0, bound) == 0U,
-                 nodes << " nodes, loss " << lost << ", seed " << seed);
+      BOOST_TEST(sends_after_bound(fleet, 0, bound) == 0U,
+                 nodes << " nodes, loss " << lost_share << ", seed " << seed);
     }
   }
 }
@@ -70,8 +74,8 @@
   fleet.load(40, seconds(3));
   fleet.begin_leaving(0);
   fleet.load(40, seconds(3));
-  // The list names it as ready once more, then not at all, then again as the same process: a store
-  // that was away, or came back from an older copy.
+  // The list shows the replica as ready, then not at all, then again as the same process: a store
+  // that recovered from an outage or was restored from an older copy.
   fleet.publish(0);
   fleet.update_nodes();
   fleet.load(40, seconds(3));
@@ -82,7 +86,7 @@
   fleet.update_nodes();
   fleet.load(40, seconds(10));
   BOOST_TEST(fleet.sent_after_leaving_was_told(0) == 0U);
-  BOOST_TEST(sent_later_than(fleet, 0, healthy_bound) == 0U);
+  BOOST_TEST(sends_after_bound(fleet, 0, bound_on_healthy_links) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_late_answer_without_the_word_lifts_nothing) {
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -1,7 +1,8 @@
-/// Replicas that turn requests away and name a time in which they want nothing from that node.
+/// Replicas that refuse requests and request a backoff from the node.
 ///
-/// Seen: four of twelve model replicas named 3 s, and got 3 to 5 requests in that time from nodes
-/// that had passed their answers on; one got more than any that served.
+/// Guards against requests during a requested backoff: four of twelve model replicas requested 3 s
+/// and received 3 to 5 requests in that time from nodes that had forwarded their answers; one
+/// received more requests than any replica that served.
 #include "limited_fleet.h"
 
 using namespace spurrack;
@@ -9,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(replica_pauses_test)
 
-// Guards against requests to a replica in a time for which it had asked the node for a pause.
+// Guards against requests to a replica during a backoff that it requested from the node.
 BOOST_AUTO_TEST_CASE(a_node_sends_nothing_during_a_requested_backoff) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
@@ -26,7 +27,7 @@
   }
 }
 
-// Guards against sends to replicas in their pauses where all others rest too.
+// Guards against sends to replicas during their backoffs if all other replicas back off as well.
 BOOST_AUTO_TEST_CASE(backoffs_are_respected_if_all_replicas_requested_one) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .replicas = 4});
@@ -41,7 +42,7 @@
   }
 }
 
-// Guards against a burst on a replica from all that waited, as its pause ends.
+// Guards against a burst of all waiting requests when the backoff of a replica ends.
 BOOST_AUTO_TEST_CASE(few_requests_are_sent_at_once_when_a_backoff_ends) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .nodes = 2, .replicas = 1});
@@ -50,7 +51,7 @@
     fleet.load(100, milliseconds(900));
     const auto begun = fleet.now;
     fleet.load(100, seconds(1));
-    // Two nodes, each of which begins with one; answers take 20 to 80 ms.
+    // Two nodes, each of which starts with one request; answers take 20 to 80 ms.
     const auto within = fleet.most_within(0, milliseconds(20), begun, false);
     BOOST_TEST(within <= 8U, within << " in 20 ms, seed " << seed);
     BOOST_TEST(fleet.arrived_since(0, begun) > 40U, "seed " << seed);
@@ -75,7 +76,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(other_nodes_learn_of_a_backoff_as_load) {
-  // Reports on replicas stay in a region; without regions, in a zone.
+  // Reports on replicas are sent only within a region, or within a zone if there are no regions.
   limited_fleet fleet({.zones = 1});
   fleet.load(40, seconds(3));
   fleet.turn_away(0, seconds(4), seconds(3));
@@ -86,7 +87,7 @@
     learned += state.told_backoff_until > fleet.now && state.told_backoff_load > 0;
   }
   BOOST_TEST(learned >= 4U);
-  // They go on themselves, and stop believing it when the pauses are over.
+  // The other nodes keep sending, and drop the reported backoffs when they have ended.
   fleet.load(40, seconds(8));
   const auto begun = fleet.now;
   fleet.load(40, seconds(10));
--- a/tests/replica_statements/self_report_policies_test.cc
+++ b/tests/replica_statements/self_report_policies_test.cc
@@ -1,5 +1,6 @@
-/// Two ways to act on what a replica says: each node on what it has heard itself, or all on what
-/// any has heard. The same drawn fleets; where no node hears another, all messages are lost.
+/// Compares two policies for self-reports of replicas on the same random fleets: each node acts
+/// only on the answers that it receives itself (all messages between nodes are lost), or nodes
+/// forward the reports to each other.
 #include "limited_fleet.h"
 
 #include <iomanip>
@@ -10,60 +11,61 @@
 
 namespace {
 
-constexpr std::uint64_t drawn_fleets = 8;
-constexpr double each_for_itself = 1;
-constexpr double all_are_told = 0;
+constexpr std::uint64_t random_fleets = 8;
+constexpr double all_messages_lost = 1;
+constexpr double no_messages_lost = 0;
 
-/// What became of a replica that leaves, over all drawn fleets.
-struct leaving_figures {
-  /// Requests that any node sent it after one node was told.
+/// Results for a draining replica over all random fleets.
+struct drain_figures {
+  /// Requests that any node sent to the replica after one node received its drain announcement, per
+  /// fleet.
   double sent_after = 0;
-  /// Time from that moment to the last of them, in seconds.
-  double stopped_after = 0;
+  /// Maximum time from the announcement to the last of these requests, in seconds.
+  double last_send_after = 0;
 };
 
-leaving_figures play_leaving(std::size_t nodes, double lost) {
-  leaving_figures figures;
-  for (std::uint64_t seed = 1; seed <= drawn_fleets; ++seed) {
+drain_figures run_drain(std::size_t nodes, double lost_share) {
+  drain_figures figures;
+  for (std::uint64_t seed = 1; seed <= random_fleets; ++seed) {
     limited_fleet fleet({.seed = seed,
                          .nodes = nodes,
                          .zones = 4,
                          .replicas = 12,
-                         .lost_messages = lost,
+                         .lost_messages = lost_share,
                          .step = milliseconds(2)});
     fleet.load(60, seconds(2));
     fleet.begin_leaving(0);
     fleet.load(60, seconds(8));
-    const auto told = fleet.first_told_leaving(0);
-    for (const auto& one : fleet.replicas[0].arrivals) {
-      if (one.sent_at > told) {
-        figures.sent_after += 1.0 / drawn_fleets;
-        figures.stopped_after =
-            std::max(figures.stopped_after, base::to_seconds(one.sent_at - told));
+    const auto announced_at = fleet.first_told_leaving(0);
+    for (const auto& arrival : fleet.replicas[0].arrivals) {
+      if (arrival.sent_at > announced_at) {
+        figures.sent_after += 1.0 / random_fleets;
+        figures.last_send_after =
+            std::max(figures.last_send_after, base::to_seconds(arrival.sent_at - announced_at));
       }
     }
   }
   return figures;
 }
 
-/// What became of requests while a third of the replicas turn all away.
-struct pause_figures {
-  double turned_away = 0;
-  double refused = 0;
-  /// The most that another replica got in a second, in parts of what each gets on average.
-  double most_elsewhere = 0;
+/// Results while a third of the replicas refuse all requests and request a backoff, per fleet.
+struct backoff_figures {
+  double refused_by_replicas = 0;
+  double refused_by_nodes = 0;
+  /// Maximum load of any other replica over one second, relative to the average load of a replica.
+  double max_load_elsewhere = 0;
 };
 
-pause_figures play_pauses(std::size_t nodes, double lost) {
+backoff_figures run_backoffs(std::size_t nodes, double lost_share) {
   constexpr double per_second = 120;
   constexpr unsigned replicas = 12;
-  pause_figures figures;
-  for (std::uint64_t seed = 1; seed <= drawn_fleets; ++seed) {
+  backoff_figures figures;
+  for (std::uint64_t seed = 1; seed <= random_fleets; ++seed) {
     limited_fleet fleet({.seed = seed,
                          .nodes = nodes,
                          .zones = 1,
                          .replicas = replicas,
-                         .lost_messages = lost,
+                         .lost_messages = lost_share,
                          .step = milliseconds(2)});
     fleet.load(per_second, seconds(2));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
@@ -73,15 +75,15 @@
     fleet.load(per_second, seconds(8));
     for (unsigned replica = 0; replica < replicas; ++replica) {
       if (replica < 4) {
-        figures.turned_away +=
-            static_cast<double>(fleet.arrived_since(replica, begun)) / drawn_fleets;
+        figures.refused_by_replicas +=
+            static_cast<double>(fleet.arrived_since(replica, begun)) / random_fleets;
       } else {
         const auto most = fleet.most_within(replica, seconds(1), begun, false);
-        figures.most_elsewhere =
-            std::max(figures.most_elsewhere, static_cast<double>(most) * replicas / per_second);
+        figures.max_load_elsewhere =
+            std::max(figures.max_load_elsewhere, static_cast<double>(most) * replicas / per_second);
       }
     }
-    figures.refused += static_cast<double>(fleet.counts.refused) / drawn_fleets;
+    figures.refused_by_nodes += static_cast<double>(fleet.counts.refused) / random_fleets;
   }
   return figures;
 }
@@ -92,29 +94,32 @@
 
 BOOST_AUTO_TEST_CASE(nodes_stop_sooner_if_drain_announcements_are_forwarded) {
   for (const std::size_t nodes : {6U, 86U}) {
-    const auto alone = play_leaving(nodes, each_for_itself);
-    const auto told = play_leaving(nodes, all_are_told);
+    const auto without_messages = run_drain(nodes, all_messages_lost);
+    const auto with_messages = run_drain(nodes, no_messages_lost);
     std::ostringstream table;
-    table << std::fixed << std::setprecision(2) << nodes << " nodes: sent after the word "
-          << alone.sent_after << " alone, " << told.sent_after << " told; the last after "
-          << alone.stopped_after << " s alone, " << told.stopped_after << " s told";
+    table << std::fixed << std::setprecision(2) << nodes << " nodes: sent after the announcement "
+          << without_messages.sent_after << " alone, " << with_messages.sent_after
+          << " told; the last after " << without_messages.last_send_after << " s alone, "
+          << with_messages.last_send_after << " s told";
     BOOST_TEST_MESSAGE(table.str());
-    BOOST_TEST(told.sent_after <= alone.sent_after);
-    BOOST_TEST(told.stopped_after <= 0.5);
+    BOOST_TEST(with_messages.sent_after <= without_messages.sent_after);
+    BOOST_TEST(with_messages.last_send_after <= 0.5);
   }
 }
 
 BOOST_AUTO_TEST_CASE(fewer_requests_are_refused_if_backoffs_are_shared_as_load) {
   for (const std::size_t nodes : {6U, 86U}) {
-    const auto alone = play_pauses(nodes, each_for_itself);
-    const auto told = play_pauses(nodes, all_are_told);
+    const auto without_messages = run_backoffs(nodes, all_messages_lost);
+    const auto with_messages = run_backoffs(nodes, no_messages_lost);
     std::ostringstream table;
     table << std::fixed << std::setprecision(2) << nodes << " nodes: turned away "
-          << alone.turned_away << " alone, " << told.turned_away << " told; refused "
-          << alone.refused << " and " << told.refused << "; most at another replica "
-          << alone.most_elsewhere << " and " << told.most_elsewhere << " times the average";
+          << without_messages.refused_by_replicas << " alone, " << with_messages.refused_by_replicas
+          << " told; refused " << without_messages.refused_by_nodes << " and "
+          << with_messages.refused_by_nodes << "; most at another replica "
+          << without_messages.max_load_elsewhere << " and " << with_messages.max_load_elsewhere
+          << " times the average";
     BOOST_TEST_MESSAGE(table.str());
-    BOOST_TEST(told.turned_away <= alone.turned_away);
+    BOOST_TEST(with_messages.refused_by_replicas <= without_messages.refused_by_replicas);
   }
 }
 
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -1,6 +1,5 @@
-/// What a replica says of itself holds for every kind of call: first sends, repeats, streams that
-/// are resumed, calls with pieces of stages, results that are freed; and it is heard with any
-/// answer.
+/// Self-reports of a replica apply to calls of every kind (first sends, retries, resumed streams,
+/// calls with pieces of stages, freed results), and are read from answers of every kind.
 #include "serving_fixture.h"
 
 using namespace spurrack;
@@ -10,32 +9,32 @@
 
 namespace {
 
-replica_self_report leaving() {
-  replica_self_report said;
-  said.is_draining = true;
-  return said;
+replica_self_report draining() {
+  replica_self_report report;
+  report.is_draining = true;
+  return report;
 }
 
-replica_self_report backoff_of(base::duration span) {
-  replica_self_report said;
-  said.backoff.span = span;
-  return said;
+replica_self_report backoff_report(base::duration span) {
+  replica_self_report report;
+  report.backoff.span = span;
+  return report;
 }
 
-/// One node before the replicas of a small world; what goes to each replica is counted.
-struct stated_node : dispatcher_driver {
-  /// @return calls of any kind that went to a replica since `first` commands.
+/// One node in front of a few replicas; counts the calls to each replica.
+struct self_report_node : dispatcher_driver {
+  /// @return number of calls of any kind to a replica among the commands from index `first` on.
   [[nodiscard]] std::size_t sent_to(const base::replica_id& replica, std::size_t first) const {
     const auto called = called_since(first);
     return static_cast<std::size_t>(std::count(called.begin(), called.end(), replica));
   }
 
-  /// Answers all calls with pieces that were made since the last time.
-  void make_pieces(const replica_self_report& said = {}) {
+  /// Answers all calls with pieces that have not been answered yet.
+  void answer_stage_calls(const replica_self_report& report = {}) {
     const auto calls = all<start_stage_call>();
     for (; answered_ < calls.size(); ++answered_) {
       const auto& call = calls[answered_];
-      say(call.call, said);
+      say(call.call, report);
       stage_call_ended ended{call.call, stage_call_ended::result::answered, {}};
       for (std::size_t piece = 0; piece < call.items.size(); ++piece) {
         ended.pieces.push_back(
@@ -45,7 +44,7 @@
     }
   }
 
-  /// Ends the latest call as a stream that is served whole.
+  /// Answers the latest call with a complete stream.
   void serve_stream() {
     const auto call = last<start_call>().call;
     say(call, {});
@@ -65,13 +64,13 @@
 
 BOOST_AUTO_TEST_CASE(refusals_and_errors_announce_a_drain) {
   for (const unsigned status : {503U, 500U, 429U}) {
-    stated_node node;
+    self_report_node node;
     node.arrive(1, "/safe/");
     const auto first = node.last<start_call>().target.replica;
     auto head = dispatcher_driver::good_head(status);
     head.not_executed = status != 500;
     const auto before = node.commands.size();
-    node.answer(node.last<start_call>().call, leaving(), head);
+    node.answer(node.last<start_call>().call, draining(), head);
     for (base::caller_id client = 2; client < 40; ++client) {
       node.arrive(client, "/safe/");
     }
@@ -80,10 +79,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_head_of_a_stream_announces_a_drain_before_the_stream_ends) {
-  stated_node node;
+  self_report_node node;
   node.arrive(1, "/stream/");
   const auto call = node.last<start_call>();
-  node.say(call.call, leaving());
+  node.say(call.call, draining());
   node.happen(stream_opened{call.call, dispatcher_driver::good_head()});
   node.happen(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
   const auto before = node.commands.size();
@@ -91,7 +90,7 @@
     node.arrive(client, "/stream/");
   }
   BOOST_TEST(node.sent_to(call.target.replica, before) == 0U);
-  // Its own stream goes on, and a resumed one goes elsewhere.
+  // The stream at the draining replica continues; a resumed stream goes to another replica.
   BOOST_TEST(node.all<cancel_call>().empty());
   node.happen(stream_closed{call.call, false});
   BOOST_TEST(node.sent_to(call.target.replica, before) == 0U);
@@ -99,10 +98,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_head_of_a_buffered_answer_announces_a_drain) {
-  stated_node node;
+  self_report_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
-  node.say(call.call, leaving());
+  node.say(call.call, draining());
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 20; ++client) {
     node.arrive(client, "/safe/");
@@ -113,46 +112,46 @@
 }
 
 BOOST_AUTO_TEST_CASE(pieces_and_freed_results_are_not_sent_to_a_draining_replica) {
-  stated_node node;
+  self_report_node node;
   node.time_allowed = seconds(60);
   node.arrive(1, "/staged/", {3, 1});
   node.pass(milliseconds(20));
   const auto maker = node.last<start_stage_call>().target.replica;
-  node.make_pieces(leaving());
+  node.answer_stage_calls(draining());
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 10; ++client) {
     node.arrive(client, "/staged/", {3, 1});
     for (int step = 0; step < 20; ++step) {
       node.pass(milliseconds(20));
-      node.make_pieces();
+      node.answer_stage_calls();
     }
     node.serve_stream();
   }
   BOOST_TEST(node.sent_to(maker, before) == 0U);
   BOOST_TEST(node.all<start_stage_call>().size() > 8U);
-  // Its results are used all the same: none is made again.
+  // The results of the draining replica are still used: none is recomputed.
   const auto calls = node.all<start_call>();
   BOOST_REQUIRE(!calls.empty());
   BOOST_TEST(calls.front().content->id.text() == "r1");
 }
 
 BOOST_AUTO_TEST_CASE(pieces_and_freed_results_wait_for_the_end_of_a_backoff) {
-  stated_node node;
+  self_report_node node;
   node.time_allowed = seconds(60);
   node.world.remove_replica("pool-b");
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/staged/", {3, 1});
   node.pass(milliseconds(20));
   const auto maker = node.last<start_stage_call>().target.replica;
-  node.make_pieces(backoff_of(seconds(2)));
+  node.answer_stage_calls(backoff_report(seconds(2)));
   const auto before = node.commands.size();
   node.pass(milliseconds(1'950));
   BOOST_TEST(node.sent_to(maker, before) == 0U);
   for (int step = 0; step < 100; ++step) {
     node.pass(milliseconds(20));
-    node.make_pieces();
+    node.answer_stage_calls();
   }
-  // The second stage is made after the pause, and what it has fetched is freed.
+  // The second stage runs after the backoff, and the results that it has fetched are freed.
   BOOST_REQUIRE(!node.all<start_call>().empty());
   BOOST_TEST(node.sent_to(maker, before) > 0U);
   node.serve_stream();
@@ -161,56 +160,56 @@
 }
 
 BOOST_AUTO_TEST_CASE(retries_avoid_replicas_that_requested_a_backoff) {
-  stated_node node;
+  self_report_node node;
   for (base::caller_id client = 1; client < 30; ++client) {
     node.arrive(client, "/safe/");
   }
   const auto first = node.all<start_call>();
-  const base::replica_id resting("plain-a");
+  const base::replica_id backed_off_replica("plain-a");
   for (const auto& call : first) {
-    if (call.target.replica == resting) {
-      node.answer(call.call, backoff_of(seconds(3)), dispatcher_driver::full_head());
+    if (call.target.replica == backed_off_replica) {
+      node.answer(call.call, backoff_report(seconds(3)), dispatcher_driver::full_head());
     }
   }
   const auto before = node.commands.size();
   for (const auto& call : first) {
-    if (call.target.replica != resting) {
+    if (call.target.replica != backed_off_replica) {
       node.happen(call_failed{call.call, call_failure::may_have_run});
     }
   }
   node.pass(milliseconds(2'900));
-  BOOST_TEST(node.sent_to(resting, before) == 0U);
+  BOOST_TEST(node.sent_to(backed_off_replica, before) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_to_an_earlier_call_ends_no_backoff) {
-  stated_node node;
+  self_report_node node;
   for (base::caller_id client = 1; client < 30; ++client) {
     node.arrive(client, "/safe/");
   }
-  const base::replica_id resting("plain-a");
+  const base::replica_id backed_off_replica("plain-a");
   std::vector<base::call_id> calls;
   for (const auto& call : node.all<start_call>()) {
-    if (call.target.replica == resting) {
+    if (call.target.replica == backed_off_replica) {
       calls.push_back(call.call);
     }
   }
   BOOST_REQUIRE(calls.size() > 3);
-  node.answer(calls[0], backoff_of(seconds(3)), dispatcher_driver::full_head());
+  node.answer(calls[0], backoff_report(seconds(3)), dispatcher_driver::full_head());
   const auto before = node.commands.size();
   node.answer(calls[1], {}, dispatcher_driver::good_head());
-  node.answer(calls[2], backoff_of(milliseconds(50)), dispatcher_driver::full_head());
+  node.answer(calls[2], backoff_report(milliseconds(50)), dispatcher_driver::full_head());
   node.pass(milliseconds(2'900));
   for (base::caller_id client = 100; client < 130; ++client) {
     node.arrive(client, "/safe/");
   }
-  BOOST_TEST(node.sent_to(resting, before) == 0U);
+  BOOST_TEST(node.sent_to(backed_off_replica, before) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_503_of_a_replica_that_ran_the_request_requests_a_backoff) {
-  stated_node node;
+  self_report_node node;
   node.arrive(1, "/unsafe/");
   const auto call = node.last<start_call>();
-  node.answer(call.call, backoff_of(seconds(3)), dispatcher_driver::good_head(503));
+  node.answer(call.call, backoff_report(seconds(3)), dispatcher_driver::good_head(503));
   BOOST_TEST(node.last<respond>().status == 503U);
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 30; ++client) {
@@ -220,13 +219,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(one_answer_may_announce_a_limit_a_backoff_and_a_drain) {
-  stated_node node;
+  self_report_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
-  auto said = leaving();
-  said.limit.per_second = 5;
-  said.backoff.span = milliseconds(300);
-  node.answer(call.call, said, dispatcher_driver::full_head());
+  auto report = draining();
+  report.limit.per_second = 5;
+  report.backoff.span = milliseconds(300);
+  node.answer(call.call, report, dispatcher_driver::full_head());
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 60; ++client) {
     node.arrive(client, "/safe/");
@@ -236,13 +235,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(unparsable_self_reports_are_counted_and_change_nothing) {
-  stated_node node;
+  self_report_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
-  replica_self_report said;
-  said.is_drain_unreadable = true;
-  said.backoff.is_unreadable = true;
-  node.answer(call.call, said, dispatcher_driver::good_head());
+  replica_self_report report;
+  report.is_drain_unreadable = true;
+  report.backoff.is_unreadable = true;
+  node.answer(call.call, report, dispatcher_driver::good_head());
   BOOST_TEST(node.last<respond>().status == 200U);
   BOOST_TEST(node.subject.statements().counts().unreadable_drain_announcements == 1U);
   BOOST_TEST(node.subject.statements().counts().unreadable_backoffs == 1U);
@@ -254,7 +253,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(self_reports_of_an_earlier_incarnation_are_ignored) {
-  stated_node node;
+  self_report_node node;
   node.world.add_life("plain-a", "plain", "a", "10.2.0.1:80", 1000);
   node.world.remove_replica("plain-b");
   node.subject.update(node.world.content, node.now);
@@ -263,23 +262,24 @@
   node.pass(milliseconds(10));
   node.world.add_life("plain-a", "plain", "a", "10.2.0.1:80", 2000);
   node.subject.update(node.world.content, node.now);
-  auto said = leaving();
-  said.backoff.span = seconds(60);
-  node.say(call.call, said);
+  auto report = draining();
+  report.backoff.span = seconds(60);
+  node.say(call.call, report);
   node.pass(milliseconds(10));
   const auto before = node.commands.size();
   node.arrive(2, "/safe/");
   BOOST_TEST(node.sent_to(base::replica_id("plain-a"), before) == 1U);
 }
 
-// --- all replicas rest ---------------------------------------------------------------------------
+// --- all replicas back off -----------------------------------------------------------------------
 
 BOOST_AUTO_TEST_CASE(a_request_waits_for_a_backoff_that_ends_before_its_deadline) {
-  stated_node node;
+  self_report_node node;
   node.world.remove_replica("plain-b");
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/safe/");
-  node.answer(node.last<start_call>().call, backoff_of(seconds(2)), dispatcher_driver::full_head());
+  node.answer(node.last<start_call>().call, backoff_report(seconds(2)),
+              dispatcher_driver::full_head());
   const auto before = node.commands.size();
   node.arrive(2, "/safe/");
   node.pass(milliseconds(1'950));
@@ -289,11 +289,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_request_is_refused_at_once_if_no_backoff_ends_before_its_deadline) {
-  stated_node node;
+  self_report_node node;
   node.world.remove_replica("plain-b");
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/safe/");
-  node.answer(node.last<start_call>().call, backoff_of(seconds(20)),
+  node.answer(node.last<start_call>().call, backoff_report(seconds(20)),
               dispatcher_driver::full_head());
   const auto before = node.all<respond>().size();
   node.arrive(2, "/safe/");
@@ -303,15 +303,15 @@
   const auto named = std::find_if(refused.headers.begin(), refused.headers.end(),
                                   [](const header& field) { return field.name == "Retry-After"; });
   BOOST_REQUIRE((named != refused.headers.end()));
-  // A third of the five seconds that the client waits, the most that it heeds.
+  // A third of the five seconds that the client waits, the longest time to return that is sent.
   BOOST_TEST(std::stod(named->value) >= 1.0);
 }
 
 BOOST_AUTO_TEST_CASE(stages_are_not_started_if_all_replicas_back_off_beyond_the_deadline) {
-  stated_node node;
+  self_report_node node;
   for (const std::string id : {"llm-a", "llm-b"}) {
     node.arrive(id == "llm-a" ? 1 : 2, "/fixed/");
-    node.answer(node.last<start_call>().call, backoff_of(seconds(20)),
+    node.answer(node.last<start_call>().call, backoff_report(seconds(20)),
                 dispatcher_driver::full_head());
   }
   node.arrive(3, "/staged/", {3, 1});
@@ -320,14 +320,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(urgent_requests_go_first_and_gradually_when_a_backoff_ends) {
-  stated_node node;
+  self_report_node node;
   node.world.add_route("/urgent/", wire::ROUTE_SAFE, "plain").set_priority(0);
   node.world.add_route("/usual/", wire::ROUTE_SAFE, "plain").set_priority(5);
   node.world.publish_configuration();
   node.world.remove_replica("plain-b");
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/usual/");
-  node.answer(node.last<start_call>().call, backoff_of(seconds(1)), dispatcher_driver::full_head());
+  node.answer(node.last<start_call>().call, backoff_report(seconds(1)),
+              dispatcher_driver::full_head());
   node.pass(milliseconds(500));
   for (base::caller_id client = 10; client < 20; ++client) {
     node.arrive(client, "/usual/");
@@ -338,7 +339,7 @@
   auto calls = node.all<start_call>();
   BOOST_REQUIRE(calls.size() == seen + 1);
   BOOST_TEST(calls.back().content->id.text() == "r20");
-  // One that comes now goes behind those who wait.
+  // A request that arrives now is queued behind the waiting requests.
   node.arrive(30, "/usual/");
   node.answer(calls.back().call, {}, dispatcher_driver::good_head());
   node.pass(milliseconds(30));
