--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -110,9 +110,7 @@
   [[nodiscard]] const engine_directory_counts& engine_counts() const { return directory_.counts(); }
   [[nodiscard]] const replica_news_counts& news() const { return news_.counts(); }
   [[nodiscard]] const lending_counts& lending() const { return lending_.counts(); }
-  [[nodiscard]] const replica_statements::self_report_exchange& statements() const {
-    return statements_;
-  }
+  [[nodiscard]] const self_reports::self_report_exchange& statements() const { return statements_; }
   [[nodiscard]] const rate_limits::limit_exchange& limits() const { return limits_; }
   [[nodiscard]] const quarantine::crash_registry& crashes() const { return crash_registry_; }
   [[nodiscard]] const quarantine::crash_report_counts& crash_reports() const {
@@ -316,7 +314,7 @@
   void advance_statements(base::time_point now);
   /// Reports what replicas say of themselves that was not known before.
   void record_self_report_changes();
-  [[nodiscard]] std::optional<replica_statements::published_replica>
+  [[nodiscard]] std::optional<self_reports::published_replica>
   find_published(const base::replica_id& id) const;
   /// @return what is asked of the replicas of its service for a request.
   [[nodiscard]] static replica_demand demand_of(const active_request& request);
@@ -484,7 +482,7 @@
   std::uint64_t seen_changes_ = 0;
   base::call_id next_call_ = 1;
   distance from_here_;
-  replica_statements::self_report_exchange statements_;
+  self_reports::self_report_exchange statements_;
   rate_limits::limit_exchange limits_;
   replica_table replicas_;
   least_loaded_chooser plain_replicas_;
--- a/src/dispatch/dispatcher_statements.cc
+++ b/src/dispatch/dispatcher_statements.cc
@@ -6,7 +6,7 @@
 namespace spurrack::serving {
 namespace {
 
-using replica_statements::self_report_change;
+using self_reports::self_report_change;
 
 base::event_kind kind_of(self_report_change::topic what) {
   switch (what) {
@@ -50,14 +50,14 @@
 
 } // namespace
 
-std::optional<replica_statements::published_replica>
+std::optional<self_reports::published_replica>
 dispatcher::find_published(const base::replica_id& id) const {
   const auto* state = replicas_.find(id);
   if (state == nullptr) {
     return std::nullopt;
   }
-  return replica_statements::published_replica{state->record->zone, life_mark_of(*state->record),
-                                               state->process};
+  return self_reports::published_replica{state->record->zone, life_mark_of(*state->record),
+                                         state->process};
 }
 
 void dispatcher::on(const self_report_received& what, base::time_point now) {
--- a/src/rate_limits/limit_exchange.cc
+++ b/src/rate_limits/limit_exchange.cc
@@ -23,8 +23,8 @@
 } // namespace
 
 limit_exchange::limit_exchange(serving::fleet_peer self,
-                               const replica_statements::self_report_exchange& statements,
-                               replica_statements::replica_lookup lookup, base::incarnation life)
+                               const self_reports::self_report_exchange& statements,
+                               self_reports::replica_lookup lookup, base::incarnation life)
     : self_(std::move(self)), statements_(&statements), lookup_(std::move(lookup)),
       next_question_(life) {
   set_peers({}, 0);
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -1,7 +1,7 @@
 /// Has replicas get no more requests a second from all nodes together than they name. No I/O:
 /// messages are gathered.
 ///
-/// `replica_statements` knows what replicas name. One node, found by rendezvous hashing among the
+/// `self_reports` knows what replicas name. One node, found by rendezvous hashing among the
 /// nodes of the replica's zone, issues permits for it at that pace, and each send takes one (leases
 /// of a shared rate, as in the paper on sharing networked resources that docs/design/rate-limits.md
 /// cites). Nodes that do not see each other issue by the part of the fleet that they see: more than
@@ -13,7 +13,7 @@
 #include "fleet_view/peer_directory.h"
 #include "rate_limits/permit_issuer.h"
 #include "rate_limits/permit_stock.h"
-#include "replica_statements/self_report_exchange.h"
+#include "self_reports/self_report_exchange.h"
 #include "wire/outgoing.h"
 #include "wire/peer.pb.h"
 
@@ -43,18 +43,15 @@
  public:
   /// @param statements what replicas name; must outlive this object.
   /// @param life start of this process, as a number higher than that of every earlier life.
-  limit_exchange(serving::fleet_peer self,
-                 const replica_statements::self_report_exchange& statements,
-                 replica_statements::replica_lookup lookup, base::incarnation life);
+  limit_exchange(serving::fleet_peer self, const self_reports::self_report_exchange& statements,
+                 self_reports::replica_lookup lookup, base::incarnation life);
 
   /// Takes over the nodes that are alive, without this one. @param known other nodes known at all:
   /// those that cannot be seen may be issuing on their own.
   void set_peers(const std::vector<serving::fleet_peer>& alive, std::size_t known);
   /// @return whether any replica names a limit, or did of late.
   [[nodiscard]] bool any() const { return !book().empty(); }
-  [[nodiscard]] const replica_statements::limit_registry& book() const {
-    return statements_->limits();
-  }
+  [[nodiscard]] const self_reports::limit_registry& book() const { return statements_->limits(); }
   /// @return replicas that name a limit.
   [[nodiscard]] std::size_t limited() const;
 
@@ -108,8 +105,8 @@
   [[nodiscard]] double pace_of(double per_second) const;
 
   serving::fleet_peer self_;
-  const replica_statements::self_report_exchange* statements_;
-  replica_statements::replica_lookup lookup_;
+  const self_reports::self_report_exchange* statements_;
+  self_reports::replica_lookup lookup_;
   std::map<base::replica_id, permit_stock> stocks_;
   std::map<base::replica_id, permit_issuer> issuers_;
   /// Replicas of which permits are wanted, in the order in which they are asked for.
--- a/src/replicas/replica_state.h
+++ b/src/replicas/replica_state.h
@@ -3,10 +3,10 @@
 
 #include "base/time.h"
 #include "model/serving_records.h"
-#include "replica_statements/drain_registry.h"
 #include "replicas/cold_limit.h"
 #include "replicas/replica_backoff.h"
 #include "replicas/replica_evidence.h"
+#include "self_reports/drain_registry.h"
 #include "serving/events.h"
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 struct replica_state {
   std::shared_ptr<const model::replica> record;
   /// Tells its process apart from others under the same id.
-  replica_statements::process_fingerprint process = 0;
+  self_reports::process_fingerprint process = 0;
   /// Calls of this node that are under way.
   std::uint32_t in_flight = 0;
   /// Load the replica reported last, and when.
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -12,12 +12,12 @@
 #include "base/time.h"
 #include "model/serving_records.h"
 #include "rate_limits/limit_exchange.h"
-#include "replica_statements/self_report_exchange.h"
 #include "replicas/cold_limit.h"
 #include "replicas/replica_evidence.h"
 #include "replicas/replica_index.h"
 #include "replicas/replica_lives.h"
 #include "replicas/replica_state.h"
+#include "self_reports/self_report_exchange.h"
 #include "serving/events.h"
 #include "serving/settings.h"
 
@@ -80,7 +80,7 @@
   void set_limits(rate_limits::limit_exchange& limits) { limits_ = &limits; }
   /// Has all nodes know what replicas say of themselves; without it this is not told.
   /// @param statements must outlive the table.
-  void set_self_reports(replica_statements::self_report_exchange& statements) {
+  void set_self_reports(self_reports::self_report_exchange& statements) {
     statements_ = &statements;
   }
   /// Nodes that are alive, this one among them, by zone.
@@ -291,7 +291,7 @@
   std::set<base::zone_id> evacuated_;
   std::shared_ptr<const model::serving_configuration> configuration_;
   rate_limits::limit_exchange* limits_ = nullptr;
-  replica_statements::self_report_exchange* statements_ = nullptr;
+  self_reports::self_report_exchange* statements_ = nullptr;
   std::vector<backoff_change> backoff_changes_;
   std::uint64_t backoffs_ = 0;
   /// When the latest of all pauses that were asked for ends.
--- a/src/replica_statements/drain_registry.cc
+++ b/src/self_reports/drain_registry.cc
@@ -1,8 +1,8 @@
-#include "replica_statements/drain_registry.h"
+#include "self_reports/drain_registry.h"
 
 #include <algorithm>
 
-namespace spurrack::replica_statements {
+namespace spurrack::self_reports {
 namespace {
 
 /// Time for which a draining process is remembered after it was last published: longer than an
@@ -38,4 +38,4 @@
   }
 }
 
-} // namespace spurrack::replica_statements
+} // namespace spurrack::self_reports
--- a/src/replica_statements/drain_registry.h
+++ b/src/self_reports/drain_registry.h
@@ -16,7 +16,7 @@
 #include <unordered_set>
 #include <utility>
 
-namespace spurrack::replica_statements {
+namespace spurrack::self_reports {
 
 /// Distinguishes the processes of a replica: a hash of its id, its start time and its address,
 /// never 0.
@@ -64,4 +64,4 @@
   std::unordered_set<process_fingerprint> fingerprints_;
 };
 
-} // namespace spurrack::replica_statements
+} // namespace spurrack::self_reports
--- a/src/replica_statements/limit_registry.cc
+++ b/src/self_reports/limit_registry.cc
@@ -1,9 +1,9 @@
-#include "replica_statements/limit_registry.h"
+#include "self_reports/limit_registry.h"
 
 #include <algorithm>
 #include <limits>
 
-namespace spurrack::replica_statements {
+namespace spurrack::self_reports {
 namespace {
 
 /// Time for which a lifted limit is remembered, so that a late report does not restore the limit.
@@ -93,4 +93,4 @@
   return record == nullptr ? std::nullopt : record->per_second;
 }
 
-} // namespace spurrack::replica_statements
+} // namespace spurrack::self_reports
--- a/src/replica_statements/limit_registry.h
+++ b/src/self_reports/limit_registry.h
@@ -14,7 +14,7 @@
 #include <map>
 #include <optional>
 
-namespace spurrack::replica_statements {
+namespace spurrack::self_reports {
 
 /// Distinguishes the incarnations of a replica; 0 if the incarnation is unknown.
 using incarnation_fingerprint = std::uint32_t;
@@ -64,4 +64,4 @@
   std::map<base::replica_id, limit_record> records_;
 };
 
-} // namespace spurrack::replica_statements
+} // namespace spurrack::self_reports
--- a/src/replica_statements/self_report_exchange.cc
+++ b/src/self_reports/self_report_exchange.cc
@@ -1,9 +1,9 @@
-#include "replica_statements/self_report_exchange.h"
+#include "self_reports/self_report_exchange.h"
 
 #include <algorithm>
 #include <iterator>
 
-namespace spurrack::replica_statements {
+namespace spurrack::self_reports {
 namespace {
 
 /// Number of random nodes to which each node sends a change, number of times, and time between two
@@ -330,4 +330,4 @@
   }
 }
 
-} // namespace spurrack::replica_statements
+} // namespace spurrack::self_reports
--- a/src/replica_statements/self_report_exchange.h
+++ b/src/self_reports/self_report_exchange.h
@@ -9,8 +9,8 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "fleet_view/peer_directory.h"
-#include "replica_statements/drain_registry.h"
-#include "replica_statements/limit_registry.h"
+#include "self_reports/drain_registry.h"
+#include "self_reports/limit_registry.h"
 #include "serving/replica_self_report.h"
 #include "wire/outgoing.h"
 #include "wire/peer.pb.h"
@@ -24,7 +24,7 @@
 #include <utility>
 #include <vector>
 
-namespace spurrack::replica_statements {
+namespace spurrack::self_reports {
 
 /// The published attributes of a replica that the exchange needs.
 struct published_replica {
@@ -146,4 +146,4 @@
   self_report_counts counts_;
 };
 
-} // namespace spurrack::replica_statements
+} // namespace spurrack::self_reports
--- a/tests/rate_limits/limit_exchange_test.cc
+++ b/tests/rate_limits/limit_exchange_test.cc
@@ -11,7 +11,7 @@
 
 using namespace spurrack;
 using namespace spurrack::rate_limits;
-using replica_statements::published_replica;
+using self_reports::published_replica;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
--- a/tests/rate_limits/limit_policies_test.cc
+++ b/tests/rate_limits/limit_policies_test.cc
@@ -117,7 +117,7 @@
       exchanges_.push_back(std::make_unique<permit_node>(
           all[node],
           [](const auto&) {
-            return replica_statements::published_replica{zone, 1, 1};
+            return self_reports::published_replica{zone, 1, 1};
           },
           *random_[node], node + 1));
       auto others = all;
--- a/tests/rate_limits/permit_node.h
+++ b/tests/rate_limits/permit_node.h
@@ -3,7 +3,7 @@
 
 #include "base/random.h"
 #include "rate_limits/limit_exchange.h"
-#include "replica_statements/self_report_exchange.h"
+#include "self_reports/self_report_exchange.h"
 
 #include <utility>
 #include <vector>
@@ -12,7 +12,7 @@
 
 class permit_node {
  public:
-  permit_node(const serving::fleet_peer& self, const replica_statements::replica_lookup& lookup,
+  permit_node(const serving::fleet_peer& self, const self_reports::replica_lookup& lookup,
               base::random_source& random, base::incarnation life)
       : statements_(lookup, random), permits_(self, statements_, lookup, life) {}
   permit_node(const permit_node&) = delete;
@@ -48,11 +48,11 @@
     return messages;
   }
 
-  [[nodiscard]] replica_statements::self_report_exchange& statements() { return statements_; }
+  [[nodiscard]] self_reports::self_report_exchange& statements() { return statements_; }
   [[nodiscard]] limit_exchange& permits() { return permits_; }
 
  private:
-  replica_statements::self_report_exchange statements_;
+  self_reports::self_report_exchange statements_;
   limit_exchange permits_;
 };
 
--- a/tests/replica_statements/limit_book_test.cc
+++ b/tests/replica_statements/limit_book_test.cc
@@ -1,5 +1,5 @@
 /// Merging of announced limits, in any order of answers and messages.
-#include "replica_statements/limit_registry.h"
+#include "self_reports/limit_registry.h"
 
 #include "base/random.h"
 
@@ -8,7 +8,7 @@
 #include <vector>
 
 using namespace spurrack;
-using namespace spurrack::replica_statements;
+using namespace spurrack::self_reports;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
--- a/tests/replica_statements/self_report_policies_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -90,7 +90,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(self_report_policies_test)
+BOOST_AUTO_TEST_SUITE(statement_ways_test)
 
 BOOST_AUTO_TEST_CASE(nodes_stop_sooner_if_drain_announcements_are_forwarded) {
   for (const std::size_t nodes : {6U, 86U}) {
