--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -242,7 +242,7 @@
 
 /// What replicas say of themselves with their answers.
 void add_statements(Registry& registry, const serving::dispatcher& dispatcher) {
-  const auto& counts = dispatcher.statements().counts();
+  const auto& counts = dispatcher.replica_self_reports().counts();
   const auto add = count_adder(registry);
   add("spurrack_statement_messages_total",
       "Messages to other nodes on what replicas say of themselves.", counts.sent_messages);
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -210,7 +210,8 @@
 json::object unavailable_document(const node::node& subject, base::time_point now) {
   json::array replicas;
   if (const auto* serving = subject.serving()) {
-    for (const auto& [process, known] : serving->statements().drain_announcements().all()) {
+    for (const auto& [process, known] :
+         serving->replica_self_reports().drain_announcements().all()) {
       replicas.push_back(json::object{{"replica", process.replica.text()},
                                       {"why", "leaves"},
                                       {"since_ms", base::to_milliseconds(now - known.announced_at)},
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -66,9 +66,9 @@
                        decision_recorder record)
     : self_(self), settings_(settings), record_(std::move(record)), random_(&random),
       from_here_(self.zone, settings.regions),
-      statements_([this](const base::replica_id& id) { return find_published(id); }, random),
+      self_reports_([this](const base::replica_id& id) { return find_published(id); }, random),
       limits_(
-          self, statements_, [this](const base::replica_id& id) { return find_published(id); },
+          self, self_reports_, [this](const base::replica_id& id) { return find_published(id); },
           life),
       replicas_(self.node, self.zone, settings, random),
       plain_replicas_(replicas_, from_here_, random), directory_(self, settings.regions, replicas_),
@@ -80,7 +80,7 @@
           self, replicas_, settings, [this] { return next_call_++; }, life, record_),
       stop_(settings.stop_admission) {
   replicas_.set_limits(limits_);
-  replicas_.set_self_reports(statements_);
+  replicas_.set_self_reports(self_reports_);
 }
 
 void dispatcher::set_peers(std::vector<fleet_peer> alive, std::size_t known) {
@@ -95,7 +95,7 @@
   lending_.set_peers(alive);
   news_.set_peers(alive);
   crash_report_exchange_.set_peers(alive);
-  statements_.set_peers(alive);
+  self_reports_.set_peers(alive);
   limits_.set_peers(alive, known);
   stages_.set_peers(std::move(alive));
 }
@@ -490,8 +490,8 @@
   if (const auto limits = limits_.next_wakeup()) {
     consider(*limits);
   }
-  if (const auto statements = statements_.next_wakeup()) {
-    consider(*statements);
+  if (const auto self_reports = self_reports_.next_wakeup()) {
+    consider(*self_reports);
   }
   if (!awaiting_places_.empty()) {
     consider(next_place_check_);
@@ -506,8 +506,8 @@
   auto news = news_.take_messages();
   auto crashes = crash_report_exchange_.take_messages();
   auto limits = limits_.take_messages();
-  auto statements = statements_.take_messages();
-  for (auto* more : {&engines, &lending, &news, &crashes, &limits, &statements}) {
+  auto self_reports = self_reports_.take_messages();
+  for (auto* more : {&engines, &lending, &news, &crashes, &limits, &self_reports}) {
     std::move(more->begin(), more->end(), std::back_inserter(messages));
   }
   return messages;
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -110,7 +110,9 @@
   [[nodiscard]] const engine_directory_counts& engine_counts() const { return directory_.counts(); }
   [[nodiscard]] const replica_news_counts& news() const { return news_.counts(); }
   [[nodiscard]] const lending_counts& lending() const { return lending_.counts(); }
-  [[nodiscard]] const self_reports::self_report_exchange& statements() const { return statements_; }
+  [[nodiscard]] const self_reports::self_report_exchange& replica_self_reports() const {
+    return self_reports_;
+  }
   [[nodiscard]] const rate_limits::limit_exchange& limits() const { return limits_; }
   [[nodiscard]] const quarantine::crash_registry& crashes() const { return crash_registry_; }
   [[nodiscard]] const quarantine::crash_report_counts& crash_reports() const {
@@ -482,7 +484,7 @@
   std::uint64_t seen_changes_ = 0;
   base::call_id next_call_ = 1;
   distance from_here_;
-  self_reports::self_report_exchange statements_;
+  self_reports::self_report_exchange self_reports_;
   rate_limits::limit_exchange limits_;
   replica_table replicas_;
   least_loaded_chooser plain_replicas_;
--- a/src/dispatch/dispatcher_places.cc
+++ b/src/dispatch/dispatcher_places.cc
@@ -23,7 +23,7 @@
 } // namespace
 
 void dispatcher::advance_statements(base::time_point now) {
-  statements_.advance(now);
+  self_reports_.advance(now);
   limits_.advance(now);
   const auto received = limits_.counts().permits_received;
   if (received != permits_seen_) {
--- a/src/dispatch/dispatcher_statements.cc
+++ b/src/dispatch/dispatcher_statements.cc
@@ -67,13 +67,13 @@
 
 void dispatcher::handle_peer(const base::node_id& sender, const wire::rate_limits& message,
                              base::time_point now) {
-  statements_.handle(sender, message, now);
+  self_reports_.handle(sender, message, now);
   limits_.handle(sender, message, now);
   record_self_report_changes();
 }
 
 void dispatcher::record_self_report_changes() {
-  for (const auto& change : statements_.take_changes()) {
+  for (const auto& change : self_reports_.take_changes()) {
     record_(kind_of(change.about), {}, change.replica.text(), text_of(change));
     if (change.about == self_report_change::topic::drain) {
       stages_.on_drain_announced();
--- a/src/rate_limits/limit_exchange.cc
+++ b/src/rate_limits/limit_exchange.cc
@@ -23,9 +23,9 @@
 } // namespace
 
 limit_exchange::limit_exchange(serving::fleet_peer self,
-                               const self_reports::self_report_exchange& statements,
+                               const self_reports::self_report_exchange& reports,
                                self_reports::replica_lookup lookup, base::incarnation life)
-    : self_(std::move(self)), statements_(&statements), lookup_(std::move(lookup)),
+    : self_(std::move(self)), self_reports_(&reports), lookup_(std::move(lookup)),
       next_question_(life) {
   set_peers({}, 0);
 }
@@ -130,7 +130,7 @@
     return;
   }
   auto& message = messages[issuer];
-  *message.add_limits() = statements_->limit_message(replica, now);
+  *message.add_limits() = self_reports_->limit_message(replica, now);
   auto& wanted = *message.add_wanted();
   wanted.set_replica(replica.text());
   wanted.set_number(next_question_);
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -41,9 +41,9 @@
 /// Not thread-safe.
 class limit_exchange {
  public:
-  /// @param statements what replicas name; must outlive this object.
+  /// @param reports what replicas name; must outlive this object.
   /// @param life start of this process, as a number higher than that of every earlier life.
-  limit_exchange(serving::fleet_peer self, const self_reports::self_report_exchange& statements,
+  limit_exchange(serving::fleet_peer self, const self_reports::self_report_exchange& reports,
                  self_reports::replica_lookup lookup, base::incarnation life);
 
   /// Takes over the nodes that are alive, without this one. @param known other nodes known at all:
@@ -51,7 +51,7 @@
   void set_peers(const std::vector<serving::fleet_peer>& alive, std::size_t known);
   /// @return whether any replica names a limit, or did of late.
   [[nodiscard]] bool any() const { return !book().empty(); }
-  [[nodiscard]] const self_reports::limit_registry& book() const { return statements_->limits(); }
+  [[nodiscard]] const self_reports::limit_registry& book() const { return self_reports_->limits(); }
   /// @return replicas that name a limit.
   [[nodiscard]] std::size_t limited() const;
 
@@ -105,7 +105,7 @@
   [[nodiscard]] double pace_of(double per_second) const;
 
   serving::fleet_peer self_;
-  const self_reports::self_report_exchange* statements_;
+  const self_reports::self_report_exchange* self_reports_;
   self_reports::replica_lookup lookup_;
   std::map<base::replica_id, permit_stock> stocks_;
   std::map<base::replica_id, permit_issuer> issuers_;
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -79,10 +79,8 @@
   /// @param limits must outlive the table.
   void set_limits(rate_limits::limit_exchange& limits) { limits_ = &limits; }
   /// Has all nodes know what replicas say of themselves; without it this is not told.
-  /// @param statements must outlive the table.
-  void set_self_reports(self_reports::self_report_exchange& statements) {
-    statements_ = &statements;
-  }
+  /// @param reports must outlive the table.
+  void set_self_reports(self_reports::self_report_exchange& reports) { self_reports_ = &reports; }
   /// Nodes that are alive, this one among them, by zone.
   void set_nodes(std::map<base::zone_id, std::vector<base::node_id>> by_zone) {
     cold_callers_.set_nodes(std::move(by_zone));
@@ -291,7 +289,7 @@
   std::set<base::zone_id> evacuated_;
   std::shared_ptr<const model::serving_configuration> configuration_;
   rate_limits::limit_exchange* limits_ = nullptr;
-  self_reports::self_report_exchange* statements_ = nullptr;
+  self_reports::self_report_exchange* self_reports_ = nullptr;
   std::vector<backoff_change> backoff_changes_;
   std::uint64_t backoffs_ = 0;
   /// When the latest of all pauses that were asked for ends.
--- a/src/replicas/replica_table_statements.cc
+++ b/src/replicas/replica_table_statements.cc
@@ -19,14 +19,14 @@
   if (limits_ != nullptr) {
     limits_->forget(id);
   }
-  if (statements_ != nullptr) {
-    statements_->forget(id);
+  if (self_reports_ != nullptr) {
+    self_reports_->forget(id);
   }
 }
 
 bool replica_table::says_it_leaves(const replica_state& state) const {
-  return statements_ != nullptr && !statements_->drain_announcements().empty() &&
-         statements_->drain_announcements().includes({state.record->id, state.process});
+  return self_reports_ != nullptr && !self_reports_->drain_announcements().empty() &&
+         self_reports_->drain_announcements().includes({state.record->id, state.process});
 }
 
 bool replica_table::may_be_sent(const replica_state& state, base::time_point now) const {
@@ -61,8 +61,8 @@
   if (state == nullptr || is_at_earlier_life(heard.replica, heard.call_started_at)) {
     return;
   }
-  if (statements_ != nullptr) {
-    statements_->record_self_report(heard.replica, heard.report, heard.call_started_at, now);
+  if (self_reports_ != nullptr) {
+    self_reports_->record_self_report(heard.replica, heard.report, heard.call_started_at, now);
   }
   if (heard.report.load) {
     note_load(heard.replica, *heard.report.load, now);
--- a/tests/rate_limits/limit_exchange_test.cc
+++ b/tests/rate_limits/limit_exchange_test.cc
@@ -66,7 +66,7 @@
   [[nodiscard]] std::size_t knowing(const base::replica_id& replica) const {
     return static_cast<std::size_t>(
         std::count_if(nodes.begin(), nodes.end(), [&](const auto& node) {
-          return node->statements().limits().limit_of(replica).has_value();
+          return node->replica_self_reports().limits().limit_of(replica).has_value();
         }));
   }
 
@@ -150,7 +150,7 @@
   unknown.set_life_mark(1);
   fleet.nodes[0]->handle(base::node_id("n1"), news, fleet.now);
   BOOST_TEST(!fleet.nodes[0]->permits().any());
-  BOOST_TEST(fleet.nodes[0]->statements().counts().of_other_incarnations == 2U);
+  BOOST_TEST(fleet.nodes[0]->replica_self_reports().counts().of_other_incarnations == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(permits_that_nobody_asked_for_are_void) {
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -243,8 +243,8 @@
   report.backoff.is_unreadable = true;
   node.answer(call.call, report, dispatcher_driver::good_head());
   BOOST_TEST(node.last<respond>().status == 200U);
-  BOOST_TEST(node.subject.statements().counts().unreadable_drain_announcements == 1U);
-  BOOST_TEST(node.subject.statements().counts().unreadable_backoffs == 1U);
+  BOOST_TEST(node.subject.replica_self_reports().counts().unreadable_drain_announcements == 1U);
+  BOOST_TEST(node.subject.replica_self_reports().counts().unreadable_backoffs == 1U);
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 30; ++client) {
     node.arrive(client, "/safe/");
