--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -31,13 +31,13 @@
   return text;
 }
 
-const char* reason_text(leave_reason why) {
+const char* reason_text(disconnect_reason why) {
   switch (why) {
-  case leave_reason::unread:
+  case disconnect_reason::unread:
     return "the client took nothing for too long";
-  case leave_reason::no_memory:
+  case disconnect_reason::no_memory:
     return "the client read slowest while memory was short";
-  case leave_reason::closed:
+  case disconnect_reason::closed:
     break;
   }
   return "the client left";
@@ -66,21 +66,21 @@
                        decision_recorder record)
     : self_(self), settings_(settings), record_(std::move(record)), random_(&random),
       from_here_(self.zone, settings.regions),
-      statements_([this](const base::replica_id& id) { return find_published(id); }, random),
+      self_reports_([this](const base::replica_id& id) { return find_published(id); }, random),
       limits_(
-          self, statements_, [this](const base::replica_id& id) { return find_published(id); },
+          self, self_reports_, [this](const base::replica_id& id) { return find_published(id); },
           life),
       replicas_(self.node, self.zone, settings, random),
       plain_replicas_(replicas_, from_here_, random), directory_(self, settings.regions, replicas_),
       engines_(replicas_, directory_, from_here_, plain_replicas_), retries_(settings.retry),
       lending_(retries_, self.zone, random, life),
-      news_(replicas_, self.zone, settings.regions, random), crash_ledger_(settings.quarantine),
-      crash_news_(crash_ledger_, self.node, random),
+      news_(replicas_, self.zone, settings.regions, random), crash_registry_(settings.quarantine),
+      crash_report_exchange_(crash_registry_, self.node, random),
       stages_(
           self, replicas_, settings, [this] { return next_call_++; }, life, record_),
-      stop_(settings.stop_takes) {
+      stop_(settings.stop_admission) {
   replicas_.set_limits(limits_);
-  replicas_.set_statements(statements_);
+  replicas_.set_self_reports(self_reports_);
 }
 
 void dispatcher::set_peers(std::vector<fleet_peer> alive, std::size_t known) {
@@ -94,8 +94,8 @@
   directory_.set_peers(alive);
   lending_.set_peers(alive);
   news_.set_peers(alive);
-  crash_news_.set_peers(alive);
-  statements_.set_peers(alive);
+  crash_report_exchange_.set_peers(alive);
+  self_reports_.set_peers(alive);
   limits_.set_peers(alive, known);
   stages_.set_peers(std::move(alive));
 }
@@ -326,10 +326,10 @@
 
 // --- ends ----------------------------------------------------------------------------------------
 
-void dispatcher::on(const client_left& what, base::time_point now) {
+void dispatcher::on(const client_disconnected& what, base::time_point now) {
   const auto found = active_.find(what.client);
   if (found != active_.end()) {
-    finish(found->second, status::client_gone, reason_text(what.why), now);
+    finish(found->second, status::client_gone, reason_text(what.reason), now);
   }
 }
 
@@ -481,7 +481,7 @@
   if (const auto news = news_.next_wakeup()) {
     consider(*news);
   }
-  if (const auto news = crash_news_.next_wakeup()) {
+  if (const auto news = crash_report_exchange_.next_wakeup()) {
     consider(*news);
   }
   if (!awaiting_loans_.empty()) {
@@ -490,8 +490,8 @@
   if (const auto limits = limits_.next_wakeup()) {
     consider(*limits);
   }
-  if (const auto statements = statements_.next_wakeup()) {
-    consider(*statements);
+  if (const auto self_reports = self_reports_.next_wakeup()) {
+    consider(*self_reports);
   }
   if (!awaiting_places_.empty()) {
     consider(next_place_check_);
@@ -504,10 +504,10 @@
   auto engines = directory_.take_messages();
   auto lending = lending_.take_messages();
   auto news = news_.take_messages();
-  auto crashes = crash_news_.take_messages();
+  auto crashes = crash_report_exchange_.take_messages();
   auto limits = limits_.take_messages();
-  auto statements = statements_.take_messages();
-  for (auto* more : {&engines, &lending, &news, &crashes, &limits, &statements}) {
+  auto self_reports = self_reports_.take_messages();
+  for (auto* more : {&engines, &lending, &news, &crashes, &limits, &self_reports}) {
     std::move(more->begin(), more->end(), std::back_inserter(messages));
   }
   return messages;
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -95,7 +95,7 @@
   ++request.sent;
   request.call = open_call{wanted.call,
                            chosen->record->id,
-                           end_of_life(*chosen->record),
+                           exit_id_of(*chosen->record),
                            now,
                            std::nullopt,
                            std::nullopt,
@@ -171,7 +171,7 @@
     return;
   }
   const auto call = close_call(*request);
-  if (what.fate == call_fate::not_sent) {
+  if (what.failure == call_failure::not_sent) {
     replicas_.note_unreachable(call.replica, now);
     --request->sent;
     record(base::event_kind::stage_retried, *request, call.replica.text(), "not reached");
@@ -185,13 +185,13 @@
     return;
   }
   request->may_have_run = true;
-  const bool lacked_memory = what.fate == call_fate::no_memory;
+  const bool lacked_memory = what.failure == call_failure::no_memory;
   if (lacked_memory) {
     // The replica did not fail: it may be chosen again.
     request->tried.erase(call.replica);
   } else {
     replicas_.note_failure(call.replica, now);
-    note_lost_call(*request, call.replica, call.life_end, now);
+    note_lost_call(*request, call.replica, call.incarnation_exit, now);
   }
   record(base::event_kind::stage_retried, *request, call.replica.text(),
          lacked_memory ? "no memory for the answer" : "no answer" + identity_text(*request));
@@ -389,7 +389,7 @@
     return;
   }
   replicas_.note_failure(call.replica, now);
-  note_lost_call(*request, call.replica, call.life_end, now);
+  note_lost_call(*request, call.replica, call.incarnation_exit, now);
   record(base::event_kind::stage_retried, *request, call.replica.text(),
          "the stream broke off" + identity_text(*request));
   repeat_or_fail(*request, now);
--- a/src/dispatch/dispatcher_second_chances.cc
+++ b/src/dispatch/dispatcher_second_chances.cc
@@ -30,7 +30,7 @@
 
 bool dispatcher::can_be_sent_again(const active_request& request, base::time_point now) const {
   return has_attempt_left(request, now) && has_time_before_stop(request, now) &&
-         standing_of(request, now) == quarantine::standing::free;
+         quarantine_state_of(request, now) == quarantine::quarantine_state::unrestricted;
 }
 
 bool dispatcher::may_send_again(active_request& request, base::time_point now) {
@@ -38,10 +38,10 @@
     return false;
   }
   if (!retries_.take(request.service, now)) {
-    ++counters_.repeats_denied;
+    ++counters_.retries_denied;
     return false;
   }
-  ++counters_.repeats;
+  ++counters_.retries;
   return true;
 }
 
@@ -99,7 +99,7 @@
     }
     const auto ending = *std::exchange(request.awaits_loan, std::nullopt);
     if (may_send_again(request, now)) {
-      ++counters_.repeats_borrowed;
+      ++counters_.retries_on_transferred_budget;
       record(base::event_kind::stage_retried, request, request.service, "with a loan");
       send_again(request, now);
     } else {
@@ -153,7 +153,7 @@
 
 /// Answers wait in the sockets of a process that wakes. Without this every call under way is taken
 /// for stalled before its answer is read: its replica is reported silent, and repeats are spent.
-void dispatcher::resume_after_pause(base::duration gap, base::time_point now) {
+void dispatcher::resume_after_suspension(base::duration gap, base::time_point now) {
   for (auto& [client, request] : active_) {
     if (request.call && request.call->stalls_at) {
       *request.call->stalls_at += gap;
@@ -162,9 +162,9 @@
       *request.slow_reader_due += gap;
     }
   }
-  stages_.resume_after_pause(gap);
-  crash_news_.resume_after_pause(now);
-  limits_.resume_after_pause(now);
+  stages_.resume_after_suspension(gap);
+  crash_report_exchange_.resume_after_suspension(now);
+  limits_.resume_after_suspension(now);
 }
 
 void dispatcher::on_stalled(active_request& request, base::time_point now) {
@@ -186,7 +186,7 @@
   } else if (!call.found_lost_at) {
     call.found_lost_at = now;
   } else if (now - *call.found_lost_at >= loss_confirm_time) {
-    ++counters_.ended_at_lost_replicas;
+    ++counters_.ended_at_down_replicas;
     answer_failed(request, status::bad_gateway, "the replica is lost", now);
     return;
   }
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -155,11 +155,11 @@
   last_event_ = now;
   record(base::event_kind::node_resumed_after_pause, {}, settings_.self.node.text(),
          std::to_string(base::to_milliseconds(gap)) + " ms");
-  membership_.resume_after_pause(now);
+  membership_.resume_after_suspension(now);
   executor_.set_hold(true);
   hold_until_ = now + settings_.resync_wait;
   if (serving_) {
-    serving_->resume_after_pause(gap, now);
+    serving_->resume_after_suspension(gap, now);
   }
   begin_resync(now);
 }
@@ -325,7 +325,7 @@
     stop_began_ = now;
     disturbed_at_ = now;
     if (serving_) {
-      serving_->begin_stop(now, now + settings_.serving->stop_longest);
+      serving_->begin_stop(now, now + settings_.serving->max_stop_duration);
     }
     record(base::event_kind::node_stopping, {}, settings_.self.node.text(), "");
   }
@@ -379,7 +379,7 @@
 }
 
 bool node::must_end_serving(base::time_point now) const {
-  return serving_ && now - stop_began_ >= settings_.serving->stop_longest;
+  return serving_ && now - stop_began_ >= settings_.serving->max_stop_duration;
 }
 
 void node::check_serving_stop(base::time_point now) {
--- /dev/null
+++ b/src/quarantine/crash_detector.cc
@@ -0,0 +1,74 @@
+#include "quarantine/crash_detector.h"
+
+#include <utility>
+
+namespace spurrack::quarantine {
+namespace {
+
+/// Minimum time between a successful probe of a replica and the next probe: if replicas reset some
+/// of their connections, probes cost one new connection per second at most.
+constexpr base::duration probe_interval = std::chrono::seconds(1);
+/// Time for which lost calls are kept. A replica that exited is removed from the published list, or
+/// listed in another incarnation, within about four seconds; two and a half times that, since the
+/// list may lag.
+constexpr base::duration watch_duration = std::chrono::seconds(10);
+/// Lost calls kept for one replica: the maximum number that a replica runs at once.
+constexpr std::size_t max_calls_per_replica = 128;
+
+} // namespace
+
+bool crash_detector::note_lost_call(const base::replica_id& replica, const lost_call& call,
+                                    base::time_point now) {
+  auto& watched = replicas_[replica];
+  if (watched.calls.size() < max_calls_per_replica) {
+    watched.calls.push_back(call);
+  }
+  watched.last_lost_call_at = now;
+  const bool was_connected = watched.connected_at && now - *watched.connected_at < probe_interval;
+  if (watched.is_probe_pending || was_connected) {
+    return false;
+  }
+  watched.is_probe_pending = true;
+  return true;
+}
+
+std::vector<lost_call> crash_detector::take_lost_calls(const base::replica_id& replica) {
+  const auto found = replicas_.find(replica);
+  if (found == replicas_.end()) {
+    return {};
+  }
+  auto calls = std::move(found->second.calls);
+  replicas_.erase(found);
+  return calls;
+}
+
+void crash_detector::note_connected(const base::replica_id& replica, base::time_point now) {
+  const auto found = replicas_.find(replica);
+  if (found != replicas_.end()) {
+    found->second.is_probe_pending = false;
+    found->second.connected_at = now;
+  }
+}
+
+void crash_detector::note_probe_failed(const base::replica_id& replica) {
+  const auto found = replicas_.find(replica);
+  if (found != replicas_.end()) {
+    found->second.is_probe_pending = false;
+  }
+}
+
+void crash_detector::drop_expired(base::time_point now) {
+  std::erase_if(replicas_, [&](const auto& entry) {
+    return now - entry.second.last_lost_call_at >= watch_duration;
+  });
+}
+
+std::vector<base::replica_id> crash_detector::watched_replicas() const {
+  std::vector<base::replica_id> ids;
+  for (const auto& [id, watched] : replicas_) {
+    ids.push_back(id);
+  }
+  return ids;
+}
+
+} // namespace spurrack::quarantine
--- /dev/null
+++ b/src/quarantine/crash_report_exchange.h
@@ -0,0 +1,98 @@
+/// Exchanges crash records with other nodes. No I/O.
+///
+/// The first exit under a request is reported to three nodes, the aggregators of this request,
+/// chosen by rendezvous hashing over all nodes: exits that different nodes observed meet there.
+/// Once two exits are known, the record spreads to all nodes by gossip, so the traffic of a node
+/// does not grow with the fleet. Nodes send only changed records, and one reminder per second while
+/// any request has had two exits: reminders reach nodes that missed a message, were partitioned or
+/// restarted.
+#pragma once
+
+#include "base/ids.h"
+#include "base/random.h"
+#include "base/time.h"
+#include "fleet_view/peer_directory.h"
+#include "quarantine/crash_registry.h"
+#include "wire/outgoing.h"
+#include "wire/peer.pb.h"
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <utility>
+#include <vector>
+
+namespace spurrack::quarantine {
+
+/// Counters of the exchange, for metrics.
+struct crash_report_counts {
+  std::uint64_t sent_messages = 0;
+  std::uint64_t received_records = 0;
+  /// Records that could not be parsed and were skipped.
+  std::uint64_t malformed_records = 0;
+};
+
+/// A request whose record changed because of a message from another node.
+struct learned_record {
+  request_digest digest;
+  bool begins_quarantine = false;
+};
+
+/// Not thread-safe. Messages are queued until `take_messages`.
+class crash_report_exchange {
+ public:
+  /// @param registry source of sent records and target of received records; must outlive this
+  ///        object.
+  /// @param random must outlive this object.
+  crash_report_exchange(crash_registry& registry, base::node_id self, base::random_source& random);
+
+  /// Replaces the peers with all live nodes of all regions, since a request may be sent again to
+  /// any node.
+  void set_peers(const std::vector<serving::fleet_peer>& alive);
+  /// Schedules the record of a request for sending because it changed at this node.
+  void note_changed(const request_digest& digest) { changed_digests_.insert(digest); }
+  /// Schedules queries to other nodes for the records that this process missed while suspended.
+  void resume_after_suspension(base::time_point now) { begin_queries(now); }
+  /// Queues the messages that are due.
+  void advance(base::time_point now);
+  /// @return time at which `advance` is due; std::nullopt if nothing is scheduled.
+  [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
+  /// Merges the records of a message. Queues a reply if the sender asks for all records or holds
+  /// exits that a later surviving run refutes.
+  /// @return the requests whose records changed.
+  std::vector<learned_record> handle(const base::network_address& sender,
+                                     const wire::crash_news& message, base::time_point now);
+
+  [[nodiscard]] wire::outbox take_messages() { return std::exchange(outgoing_messages_, {}); }
+  [[nodiscard]] const crash_report_counts& counts() const { return counts_; }
+
+ private:
+  void begin_queries(base::time_point now);
+  void send_queries(base::time_point now);
+  void send_changes(base::time_point now);
+  void send_reminder(base::time_point now);
+  [[nodiscard]] std::vector<base::network_address> random_peers(std::size_t count) const;
+  [[nodiscard]] std::vector<base::network_address>
+  aggregators_of(const request_digest& digest) const;
+  /// @return up to `most` of the records that are sent to all nodes, the latest update first.
+  [[nodiscard]] std::vector<const crash_record*> broadcast_records(std::size_t most) const;
+  void send(const base::network_address& to, wire::crash_news report, base::time_point now);
+
+  crash_registry* registry_;
+  base::node_id self_;
+  base::random_source* random_;
+  std::vector<base::node_id> nodes_;
+  std::map<base::node_id, base::network_address> addresses_;
+  std::set<request_digest> changed_digests_;
+  base::time_point next_changes_at_;
+  base::time_point next_reminder_at_;
+  /// Time of the next query for missed records; std::nullopt once all queries are sent.
+  std::optional<base::time_point> next_query_at_;
+  std::size_t queries_left_ = 0;
+  bool has_queried_ = false;
+  wire::outbox outgoing_messages_;
+  crash_report_counts counts_;
+};
+
+} // namespace spurrack::quarantine
--- /dev/null
+++ b/src/self_reports/drain_registry.h
@@ -0,0 +1,67 @@
+/// Registry of replica processes that announced in an answer that they drain. No I/O.
+///
+/// A process that drains does not accept requests again: its announcement stays in effect even if
+/// the published list shows the process as ready. It is kept for some time after the list no longer
+/// contains the process, because a store that recovers from an outage or is restored from an older
+/// copy may publish the process again.
+#pragma once
+
+#include "base/ids.h"
+#include "base/time.h"
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <unordered_set>
+#include <utility>
+
+namespace spurrack::self_reports {
+
+/// Distinguishes the processes of a replica: a hash of its id, its start time and its address,
+/// never 0.
+using process_fingerprint = std::uint32_t;
+
+/// Drain announcement of one process of a replica.
+struct drain_announcement {
+  /// Earliest known time at which a node received the announcement from the replica.
+  base::time_point announced_at;
+  /// Sender of the announcement, for logs: the replica, or the node that forwarded it.
+  std::string source;
+  /// Time at which the process was last published, or at which this node learned of the
+  /// announcement.
+  base::time_point last_seen_at;
+};
+
+/// Not thread-safe.
+class drain_registry {
+ public:
+  struct key {
+    base::replica_id replica;
+    process_fingerprint process = 0;
+    auto operator<=>(const key&) const = default;
+  };
+
+  /// Records that a process drains. @return whether the announcement is new to this node.
+  bool note_drain(const key& draining, base::time_point announced_at, const std::string& source,
+                  base::time_point now);
+  /// Prolongs the announcement of a process that is still published.
+  void note_published(const key& published, base::time_point now);
+  /// Drops announcements of processes that have not been published for 5 minutes.
+  void drop_expired(base::time_point now);
+
+  /// Called for each replica of a service at each choice of a replica: the lookup of the
+  /// fingerprint rejects nearly all processes without a search by replica id.
+  [[nodiscard]] bool includes(const key& process) const {
+    return fingerprints_.contains(process.process) && known_.contains(process);
+  }
+  [[nodiscard]] bool empty() const { return known_.empty(); }
+  [[nodiscard]] const std::map<key, drain_announcement>& all() const { return known_; }
+
+ private:
+  std::map<key, drain_announcement> known_;
+  /// Fingerprints of all processes in `known_`.
+  std::unordered_set<process_fingerprint> fingerprints_;
+};
+
+} // namespace spurrack::self_reports
--- /dev/null
+++ b/src/self_reports/self_report_exchange.h
@@ -0,0 +1,149 @@
+/// Keeps the self-reports of replicas that concern all nodes (rate limits and drain announcements)
+/// and distributes them to all nodes. No I/O: messages are queued.
+///
+/// Self-reports spread by gossip: a node sends each change, and one reminder per second, so that
+/// nodes that missed a message or have just started receive the reports as well.
+#pragma once
+
+#include "base/ids.h"
+#include "base/random.h"
+#include "base/time.h"
+#include "fleet_view/peer_directory.h"
+#include "self_reports/drain_registry.h"
+#include "self_reports/limit_registry.h"
+#include "serving/replica_self_report.h"
+#include "wire/outgoing.h"
+#include "wire/peer.pb.h"
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+namespace spurrack::self_reports {
+
+/// The published attributes of a replica that the exchange needs.
+struct published_replica {
+  base::zone_id zone;
+  incarnation_fingerprint incarnation = 0;
+  process_fingerprint process = 0;
+};
+/// @return std::nullopt if the replica is not published.
+using replica_lookup = std::function<std::optional<published_replica>(const base::replica_id&)>;
+
+/// A change of what this node knows of a replica, or a self-report that cannot be parsed.
+struct self_report_change {
+  enum class topic : std::uint8_t { limit, drain, backoff };
+  topic about = topic::limit;
+  base::replica_id replica;
+  /// The limit in effect; meaningful only if `about` is `topic::limit`.
+  std::optional<double> per_second;
+  bool is_unreadable = false;
+  /// Sender of the report, for logs: the replica, or the node that forwarded it.
+  std::string source;
+};
+
+/// Counters of the exchange, for metrics.
+struct self_report_counts {
+  std::uint64_t sent_messages = 0;
+  /// Answers with a limit, a drain announcement or a requested backoff that cannot be parsed.
+  std::uint64_t unreadable_limits = 0;
+  std::uint64_t unreadable_drain_announcements = 0;
+  std::uint64_t unreadable_backoffs = 0;
+  /// Reports on another incarnation of a replica than the one this node knows; they are ignored.
+  std::uint64_t of_other_incarnations = 0;
+  /// Drain announcements that were new to this node.
+  std::uint64_t drain_announcements = 0;
+  /// Drain announcements that this node received from the replica before any other node sent them.
+  std::uint64_t drain_announcements_from_replicas = 0;
+};
+
+/// Not thread-safe.
+class self_report_exchange {
+ public:
+  /// @param random must outlive this object.
+  self_report_exchange(replica_lookup lookup, base::random_source& random);
+
+  /// Replaces the peers with the live nodes, without this node.
+  void set_peers(const std::vector<serving::fleet_peer>& alive);
+  [[nodiscard]] const limit_registry& limits() const { return limits_; }
+  [[nodiscard]] const drain_registry& drain_announcements() const { return drains_; }
+
+  /// Records what an answer reports of its replica. @param call_started_at when the call was made.
+  void record_self_report(const base::replica_id& replica,
+                          const serving::replica_self_report& report,
+                          base::time_point call_started_at, base::time_point now);
+  /// Drops the limit and the log intervals of a replica that is no longer published or has
+  /// restarted. Its drain announcements are kept for longer.
+  void forget(const base::replica_id& replica);
+
+  /// Merges the reports of another node.
+  void handle(const base::node_id& sender, const wire::rate_limits& message, base::time_point now);
+  /// Queues the messages that are due.
+  void advance(base::time_point now);
+  /// @return time at which `advance` is due; std::nullopt if nothing is scheduled.
+  [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
+  /// @return the limit record of a replica in its wire format, for messages about this replica.
+  [[nodiscard]] wire::named_limit limit_message(const base::replica_id& replica,
+                                                base::time_point now) const;
+
+  [[nodiscard]] wire::outbox take_messages() { return std::exchange(outgoing_messages_, {}); }
+  [[nodiscard]] std::vector<self_report_change> take_changes() {
+    return std::exchange(unreported_changes_, {});
+  }
+  [[nodiscard]] const self_report_counts& counts() const { return counts_; }
+
+ private:
+  /// Changes that other nodes may not know yet, with the number of times they are still to be sent.
+  using pending_limits = std::map<base::replica_id, std::size_t>;
+  using pending_drains = std::map<drain_registry::key, std::size_t>;
+
+  void record_limit(const base::replica_id& replica, const published_replica& published,
+                    const serving::announced_limit& announced, base::time_point call_started_at,
+                    base::time_point now);
+  void record_drain(const base::replica_id& replica, const published_replica& published,
+                    base::time_point now);
+  /// Counts a self-report that cannot be parsed, and queues it for the log at most once a minute
+  /// for each replica and topic.
+  void note_unreadable(const base::replica_id& replica, self_report_change::topic about,
+                       std::uint64_t& count, base::time_point now);
+  void merge(const base::node_id& sender, const wire::named_limit& received, base::time_point now);
+  void merge(const base::node_id& sender, const wire::replica_departure& received,
+             base::time_point now);
+  void add_drain_announcement(const drain_registry::key& draining, base::time_point announced_at,
+                              const std::string& source, base::time_point now);
+  /// Sends pending changes to random peers.
+  void send_changes(base::time_point now);
+  void send_reminder(base::time_point now);
+  void add_limits_to_reminder(wire::rate_limits& message, base::time_point now);
+  void add_drains_to_reminder(wire::rate_limits& message, base::time_point now);
+  /// Prolongs the drain announcements of processes that are published and drops expired ones.
+  void refresh_drains(base::time_point now);
+  [[nodiscard]] bool is_published(const drain_registry::key& process) const;
+  void send_to_random_peers(const wire::rate_limits& message, std::size_t receivers);
+
+  replica_lookup lookup_;
+  base::random_source* random_;
+  limit_registry limits_;
+  drain_registry drains_;
+  std::vector<base::network_address> peers_;
+  pending_limits pending_limits_;
+  pending_drains pending_drains_;
+  /// Time at which a self-report that cannot be parsed was last queued for the log.
+  std::map<std::pair<base::replica_id, self_report_change::topic>, base::time_point>
+      unreadable_reported_at_;
+  base::time_point next_changes_at_;
+  base::time_point next_reminder_at_;
+  /// Keys after which the next reminder continues.
+  base::replica_id last_reminded_limit_;
+  drain_registry::key last_reminded_drain_;
+  std::vector<self_report_change> unreported_changes_;
+  wire::outbox outgoing_messages_;
+  self_report_counts counts_;
+};
+
+} // namespace spurrack::self_reports
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -119,7 +119,7 @@
     return;
   }
   switch (outcome.fault) {
-  case piece_fault::no_room:
+  case piece_fault::out_of_memory:
     --pieces_.at(ticket).attempts;
     requeue(ticket, outcome.fault);
     break;
@@ -140,7 +140,7 @@
       auto& piece = found->second;
       ++piece.lost_calls;
       piece.rests_until = piece.lost_calls >= lost_calls_before_alone ? now + lost_piece_rest : now;
-      lost_.push_back({ticket, ended.call.target.replica, ended.life_end});
+      lost_.push_back({ticket, ended.call.target.replica, ended.incarnation_exit});
     }
   }
 }
@@ -153,7 +153,7 @@
     replicas_->note_success(replica, now);
     note_pace(ended, now);
     for (std::size_t index = 0; index < ended.tickets.size(); ++index) {
-      if (answer.pieces[index].fault == piece_fault::no_room) {
+      if (answer.pieces[index].fault == piece_fault::out_of_memory) {
         note_no_room(ended, now);
       }
       hold_result(ended, index, answer.pieces[index], now);
@@ -383,7 +383,7 @@
   open_call open;
   open.service = name;
   open.started = now;
-  open.life_end = end_of_life(*replica.record);
+  open.incarnation_exit = exit_id_of(*replica.record);
   open.call.call = next_call_();
   open.call.target = {replica.record->id, replica.record->address};
   for (const auto& position : batch) {
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -290,7 +290,7 @@
   void wake(std::size_t index, base::duration gap) {
     auto& node = nodes[index];
     node.is_frozen = false;
-    node.subject->resume_after_pause(gap, now);
+    node.subject->resume_after_suspension(gap, now);
     for (const auto& what : std::exchange(held_back_[index], {})) {
       what();
     }
@@ -410,9 +410,9 @@
     auto& replica = replicas[place];
     const auto head =
         is_turned_away ? dispatcher_driver::full_head() : dispatcher_driver::good_head();
-    replica_statement said;
+    replica_self_report said;
     said.limit.per_second = replica.limit;
-    said.leaving = replica.is_leaving;
+    said.is_draining = replica.is_leaving;
     if (is_turned_away) {
       said.backoff.span = replica.pause;
     }
@@ -426,13 +426,13 @@
       if (said.limit.per_second) {
         replicas[place].told.try_emplace(index, now);
       }
-      if (said.leaving) {
+      if (said.is_draining) {
         replicas[place].told_leaving.try_emplace(index, now);
       }
       if (said.backoff.span) {
         replicas[place].pauses.push_back({index, now, now + *said.backoff.span});
       }
-      node.subject->handle(statement_heard{replicas[place].id, began, said}, now);
+      node.subject->handle(self_report_received{replicas[place].id, began, said}, now);
       node.subject->handle(call_answered{call, head, "body"}, now);
       node.wakes_at = now;
     };
