--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -275,7 +275,7 @@
   add("spurrack_permits_received_total", "Permits for limited replicas that this node got.",
       counts.permits_received);
   add("spurrack_permits_void_total", "Permits that came too late to be of use.",
-      counts.permits_void);
+      counts.permits_expired);
   add("spurrack_permit_waits_total",
       "Requests that waited for a replica that names a limit or asked for a pause.",
       dispatcher.counts().awaited_places);
@@ -290,18 +290,18 @@
 void add_engines(Registry& registry, const serving::engine_directory_counts& engines) {
   const auto add = count_adder(registry);
   add("spurrack_engine_sends_told_total", "Prompts reported to the account holder of their engine.",
-      engines.sends_told);
+      engines.reported_sends);
   add("spurrack_engine_waits_told_total", "Long waits at engines reported to the region.",
-      engines.loads_told);
+      engines.reported_backlogs);
   add("spurrack_engine_wait_receivers_left_out_total",
       "Nodes that no long wait was reported to, to keep the bound on bytes.",
-      engines.receivers_left_out);
+      engines.skipped_receivers);
   add("spurrack_engine_tokens_kept_total",
       "Prompt tokens that engines are expected to have kept, counted by their account holders.",
-      engines.tokens_kept);
+      engines.cached_prompt_tokens);
   add("spurrack_engine_tokens_to_read_total",
       "Prompt tokens that engines are expected to read, counted by their account holders.",
-      engines.tokens_to_read);
+      engines.tokens_to_prefill);
 }
 
 void add_serving(Registry& registry, const serving::dispatcher& dispatcher) {
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -197,7 +197,7 @@
                        {"version", record.version},
                        {"issuer", limits.issuer_of(replica).text()},
                        {"permits_held", stock == nullptr ? 0 : stock->held(now)},
-                       {"sent_in_4_s", stock == nullptr ? 0 : stock->sent_of_late(now)}};
+                       {"sent_in_4_s", stock == nullptr ? 0 : stock->recent_sends(now)}};
       row["per_second"] = record.per_second ? json::value(*record.per_second) : nullptr;
       replicas.push_back(std::move(row));
     }
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -2,7 +2,7 @@
 #include "dispatch/dispatcher.h"
 
 #include "dispatch/dispatcher_constants.h"
-#include "engines/part_placement.h"
+#include "engines/prefix_placement.h"
 
 #include <algorithm>
 #include <utility>
@@ -115,7 +115,7 @@
   note_way(request, *chosen, now);
   const auto allowed = time_to_progress(request, *chosen, now);
   if (is_engine(request.service)) {
-    directory_.note_sent(*chosen, prompt_send_of(*request.content), now);
+    directory_.note_sent(*chosen, sent_prompt_of(*request.content), now);
   }
   replicas_.call_started(chosen->record->id, now);
   ++counters_.calls;
@@ -135,7 +135,7 @@
     return target;
   }
   const auto expected = directory_.expected_wait(replica, now) +
-                        directory_.reading_time(request.content->prompt_tokens);
+                        directory_.prefill_time(request.content->prompt_tokens);
   return std::max(target, base::scaled(expected, engine_stall_factor));
 }
 
--- a/src/dispatch/dispatcher_places.cc
+++ b/src/dispatch/dispatcher_places.cc
@@ -52,7 +52,7 @@
                   [&](const replica_state* state) { return state->record->zone != request.zone; });
   }
   if (!limited.empty()) {
-    limits_.note_wanted(base::take_random(limited, *random_)->record->id, now);
+    limits_.note_unmet_demand(base::take_random(limited, *random_)->record->id, now);
   }
 }
 
@@ -69,7 +69,7 @@
   const auto asked = std::min(limited.size(), queue.size());
   const auto each = static_cast<std::uint32_t>((queue.size() + asked - 1) / asked);
   const auto turn =
-      static_cast<std::uint64_t>(now.time_since_epoch() / rate_limits::request_lifetime);
+      static_cast<std::uint64_t>(now.time_since_epoch() / rate_limits::query_lifetime);
   const auto first = (base::stable_hash(self_.node.text()) + turn) % limited.size();
   for (std::size_t index = 0; index < asked; ++index) {
     const auto* replica = limited[(first + index) % limited.size()];
--- a/src/engines/engine_account.cc
+++ b/src/engines/engine_accounting.cc
@@ -1,4 +1,4 @@
-#include "engines/engine_account.h"
+#include "engines/engine_accounting.h"
 
 namespace spurrack::serving {
 namespace {
@@ -13,7 +13,7 @@
 
 } // namespace
 
-bool kept_parts::use(const prompt_send& prompt) {
+bool prefix_cache_model::use(const sent_prompt& prompt) {
   if (prompt.own_tokens > 0) {
     by_use_.push_front({0, prompt.own_tokens});
     held_ += prompt.own_tokens;
@@ -35,7 +35,8 @@
   return was_kept;
 }
 
-std::uint64_t engine_account::take(const prompt_send& prompt, double rate, base::time_point now) {
+std::uint64_t engine_accounting::take(const sent_prompt& prompt, double rate,
+                                      base::time_point now) {
   const bool was_kept = parts_.use(prompt);
   const std::uint64_t unread =
       std::uint64_t{prompt.own_tokens} + (was_kept ? 0 : prompt.shared_tokens);
@@ -43,8 +44,8 @@
   return unread;
 }
 
-std::optional<std::uint32_t> engine_account::worth_telling(double rate,
-                                                           base::time_point now) const {
+std::optional<std::uint32_t> engine_accounting::backlog_to_report(double rate,
+                                                                  base::time_point now) const {
   const double unread = unread_.level(rate, now);
   const bool is_much = unread >= least_seconds_told * rate;
   const bool is_news = unread >= reported_.level(rate, now) + least_seconds_more * rate;
@@ -54,7 +55,7 @@
   return static_cast<std::uint32_t>(unread);
 }
 
-void engine_account::note_told(std::uint32_t tokens, double rate, base::time_point now) {
+void engine_accounting::note_reported(std::uint32_t tokens, double rate, base::time_point now) {
   reported_.raise_to(tokens, rate, now);
 }
 
--- a/src/engines/engine_account.h
+++ b/src/engines/engine_accounting.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/time.h"
-#include "engines/token_backlog.h"
+#include "engines/prefill_backlog.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -14,7 +14,7 @@
 namespace spurrack::serving {
 
 /// A prompt on its way to an engine.
-struct prompt_send {
+struct sent_prompt {
   std::uint32_t own_tokens = 0;
   /// Hash of the last shared part, 0 where nothing is shared, and tokens of all shared parts.
   std::uint64_t shared_part = 0;
@@ -22,15 +22,15 @@
 };
 
 /// Shared parts that an engine likely keeps: those used the longest ago give way. Not thread-safe.
-class kept_parts {
+class prefix_cache_model {
  public:
   /// @param capacity tokens, those of running requests among them.
-  explicit kept_parts(std::uint64_t capacity) : capacity_(capacity) {}
+  explicit prefix_cache_model(std::uint64_t capacity) : capacity_(capacity) {}
 
   /// The engine was sent a prompt: its parts and its own tokens are kept from now on.
   /// @return whether the shared parts were kept before.
-  bool use(const prompt_send& prompt);
-  [[nodiscard]] std::uint64_t held_tokens() const { return held_; }
+  bool use(const sent_prompt& prompt);
+  [[nodiscard]] std::uint64_t used_tokens() const { return held_; }
 
  private:
   struct entry {
@@ -46,25 +46,26 @@
 };
 
 /// Not thread-safe.
-class engine_account {
+class engine_accounting {
  public:
   /// @param memory_tokens of the engine.
-  explicit engine_account(std::uint64_t memory_tokens) : parts_(memory_tokens) {}
+  explicit engine_accounting(std::uint64_t memory_tokens) : parts_(memory_tokens) {}
 
   /// @param rate tokens that the engine reads in a second.
   /// @return tokens that it has to read of the prompt.
-  std::uint64_t take(const prompt_send& prompt, double rate, base::time_point now);
+  std::uint64_t take(const sent_prompt& prompt, double rate, base::time_point now);
   /// @return the unread tokens where they are to be reported: they are many, and clearly more than
   ///         the other nodes assume.
-  [[nodiscard]] std::optional<std::uint32_t> worth_telling(double rate, base::time_point now) const;
+  [[nodiscard]] std::optional<std::uint32_t> backlog_to_report(double rate,
+                                                               base::time_point now) const;
   /// The backlog was reported to the other nodes.
-  void note_told(std::uint32_t tokens, double rate, base::time_point now);
+  void note_reported(std::uint32_t tokens, double rate, base::time_point now);
 
  private:
-  kept_parts parts_;
-  token_backlog unread_;
+  prefix_cache_model parts_;
+  prefill_backlog unread_;
   /// What the other nodes assume, from the last report.
-  token_backlog reported_;
+  prefill_backlog reported_;
 };
 
 } // namespace spurrack::serving
--- a/src/engines/engine_chooser.cc
+++ b/src/engines/engine_chooser.cc
@@ -31,9 +31,9 @@
 constexpr base::duration other_region_time = std::chrono::milliseconds(50);
 
 /// @return the first home, the others of its zone, and homes elsewhere where the zone has too few.
-std::vector<const replica_state*> homes_near_first(const shared_beginning& beginning,
+std::vector<const replica_state*> homes_near_first(const shared_prompt_prefix& beginning,
                                                    std::vector<const replica_state*> engines) {
-  const auto first = homes_of(beginning, engines, 1);
+  const auto first = preferred_engines_of(beginning, engines, 1);
   if (first.empty()) {
     return {};
   }
@@ -41,8 +41,9 @@
   const auto elsewhere = std::partition(engines.begin(), engines.end(), [&](const auto* engine) {
     return engine->record->zone == zone;
   });
-  auto homes = homes_of(beginning, {engines.begin(), elsewhere}, most_homes);
-  const auto others = homes_of(beginning, {elsewhere, engines.end()}, most_homes - homes.size());
+  auto homes = preferred_engines_of(beginning, {engines.begin(), elsewhere}, most_homes);
+  const auto others =
+      preferred_engines_of(beginning, {elsewhere, engines.end()}, most_homes - homes.size());
   homes.insert(homes.end(), others.begin(), others.end());
   return homes;
 }
@@ -58,7 +59,7 @@
   return from_here_.ring_to(engine.record->zone) == model::ring::elsewhere;
 }
 
-const replica_state* engine_chooser::soonest_home(const shared_beginning& beginning,
+const replica_state* engine_chooser::soonest_home(const shared_prompt_prefix& beginning,
                                                   const std::vector<const replica_state*>& engines,
                                                   base::time_point now) const {
   std::vector<const replica_state*> free_engines;
@@ -67,11 +68,11 @@
       free_engines.push_back(engine);
     }
   }
-  const auto again = base::scaled(directory_->reading_time(beginning.tokens), reading_again_weight);
+  const auto again = base::scaled(directory_->prefill_time(beginning.tokens), reading_again_weight);
   const replica_state* best = nullptr;
   base::duration best_wait{};
-  const auto readers = directory_->readers_of_a_part(free_engines.size(), now);
-  free_engines = readers_of_first_part(beginning, std::move(free_engines), readers);
+  const auto readers = directory_->prefix_replica_count(free_engines.size(), now);
+  free_engines = engines_for_first_part(beginning, std::move(free_engines), readers);
   for (const auto* home : homes_near_first(beginning, std::move(free_engines))) {
     const auto wait =
         directory_->expected_wait(*home, now) + (best == nullptr ? base::duration{} : again);
@@ -88,8 +89,8 @@
     return without_prefix_->choose(demand, now);
   }
   auto candidates = replicas_->candidates_for(demand, now);
-  const auto beginning = shared_beginning_of(demand.content);
-  if (directory_->reading_time(beginning.tokens) > other_region_time) {
+  const auto beginning = shared_prompt_prefix_of(demand.content);
+  if (directory_->prefill_time(beginning.tokens) > other_region_time) {
     const auto* home = soonest_home(beginning, candidates, now);
     return home != nullptr ? home : without_prefix_->choose(demand, now);
   }
--- a/src/engines/engine_chooser.h
+++ b/src/engines/engine_chooser.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "engines/engine_directory.h"
-#include "engines/part_placement.h"
+#include "engines/prefix_placement.h"
 #include "replicas/distance.h"
 #include "replicas/replica_chooser.h"
 
@@ -30,7 +30,7 @@
  private:
   [[nodiscard]] bool is_elsewhere(const replica_state& engine) const;
   /// @return null where all engines are loaded.
-  [[nodiscard]] const replica_state* soonest_home(const shared_beginning& beginning,
+  [[nodiscard]] const replica_state* soonest_home(const shared_prompt_prefix& beginning,
                                                   const std::vector<const replica_state*>& engines,
                                                   base::time_point now) const;
 
--- a/src/engines/engine_directory.cc
+++ b/src/engines/engine_directory.cc
@@ -64,7 +64,7 @@
   accounts_.erase(engine);
 }
 
-const fleet_peer* engine_directory::account_holder_of(const model::replica& engine) const {
+const fleet_peer* engine_directory::accounting_node_of(const model::replica& engine) const {
   const auto seed = base::stable_hash(engine.id.text());
   const fleet_peer* best = nullptr;
   const bool self_is_near = regions_.same_region(engine.zone, self_.zone);
@@ -82,7 +82,7 @@
   return best;
 }
 
-void engine_directory::note_sent(const replica_state& engine, const prompt_send& prompt,
+void engine_directory::note_sent(const replica_state& engine, const sent_prompt& prompt,
                                  base::time_point now) {
   const auto& record = *engine.record;
   sent_.note(static_cast<double>(prompt.own_tokens) + prompt.shared_tokens, now);
@@ -91,7 +91,7 @@
   if (prompt.own_tokens + prompt.shared_tokens < least_tokens_told) {
     return;
   }
-  const auto* holder = account_holder_of(record);
+  const auto* holder = accounting_node_of(record);
   if (holder == nullptr) {
     take_in(record.id, prompt, now);
     return;
@@ -103,10 +103,10 @@
   told.set_shared_part(prompt.shared_part);
   told.set_shared_tokens(prompt.shared_tokens);
   messages_.push_back(std::move(message));
-  ++counts_.sends_told;
+  ++counts_.reported_sends;
 }
 
-void engine_directory::take_in(const base::replica_id& engine, const prompt_send& prompt,
+void engine_directory::take_in(const base::replica_id& engine, const sent_prompt& prompt,
                                base::time_point now) {
   const auto* known = replicas_->find(engine);
   if (known == nullptr) {
@@ -119,9 +119,9 @@
   auto& account = accounts_.try_emplace(engine, memory).first->second;
   const double rate = rate_.tokens_per_second();
   const auto unread = account.take(prompt, rate, now);
-  counts_.tokens_to_read += unread;
-  counts_.tokens_kept += std::uint64_t{prompt.own_tokens} + prompt.shared_tokens - unread;
-  if (const auto told = account.worth_telling(rate, now)) {
+  counts_.tokens_to_prefill += unread;
+  counts_.cached_prompt_tokens += std::uint64_t{prompt.own_tokens} + prompt.shared_tokens - unread;
+  if (const auto told = account.backlog_to_report(rate, now)) {
     tell_load(engine, *told, now);
   }
 }
@@ -137,8 +137,8 @@
     }
   }
   const auto reached = take_allowance(receivers.size(), now);
-  counts_.receivers_left_out += receivers.size() - reached;
-  accounts_.at(engine).note_told(tokens, rate, now);
+  counts_.skipped_receivers += receivers.size() - reached;
+  accounts_.at(engine).note_reported(tokens, rate, now);
   for (std::size_t told_nodes = 0; told_nodes < reached; ++told_nodes) {
     next_receiver_ = (next_receiver_ + 1) % receivers.size();
     auto message = message_to(receivers[next_receiver_]);
@@ -147,7 +147,7 @@
     told.set_unread_tokens(tokens);
     messages_.push_back(std::move(message));
   }
-  ++counts_.loads_told;
+  ++counts_.reported_backlogs;
 }
 
 std::size_t engine_directory::take_allowance(std::size_t receivers, base::time_point now) {
@@ -178,14 +178,15 @@
   if (known == believed_.end()) {
     return {};
   }
-  return reading_time(known->second.level(rate_.tokens_per_second(), now));
+  return prefill_time(known->second.level(rate_.tokens_per_second(), now));
 }
 
-base::duration engine_directory::reading_time(double tokens) const {
+base::duration engine_directory::prefill_time(double tokens) const {
   return base::from_seconds(tokens / rate_.tokens_per_second());
 }
 
-std::size_t engine_directory::readers_of_a_part(std::size_t engines, base::time_point now) const {
+std::size_t engine_directory::prefix_replica_count(std::size_t engines,
+                                                   base::time_point now) const {
   const auto few = engines / engines_a_reader;
   const double nodes = static_cast<double>(peers_.size()) + 1;
   const double busy = sent_.tokens_per_second(now) * nodes / rate_.tokens_per_second();
--- a/src/engines/engine_directory.h
+++ b/src/engines/engine_directory.h
@@ -9,8 +9,8 @@
 /// within a second or two. No I/O: messages are gathered.
 #pragma once
 
-#include "engines/engine_account.h"
-#include "engines/reading_rate.h"
+#include "engines/engine_accounting.h"
+#include "engines/prefill_rate.h"
 #include "engines/sending_rate.h"
 #include "fleet_view/peer_directory.h"
 #include "model/residency.h"
@@ -30,14 +30,14 @@
 
 struct engine_directory_counts {
   /// Prompts reported to the account holders of their engines.
-  std::uint64_t sends_told = 0;
+  std::uint64_t reported_sends = 0;
   /// Waits reported to the nodes of the region, and nodes left out to keep the bound on bytes.
-  std::uint64_t loads_told = 0;
-  std::uint64_t receivers_left_out = 0;
+  std::uint64_t reported_backlogs = 0;
+  std::uint64_t skipped_receivers = 0;
   /// Of prompts reported to this node as an account holder: tokens that the engine is expected to
   /// have kept, and those it has to read.
-  std::uint64_t tokens_kept = 0;
-  std::uint64_t tokens_to_read = 0;
+  std::uint64_t cached_prompt_tokens = 0;
+  std::uint64_t tokens_to_prefill = 0;
 };
 
 /// Not thread-safe. Messages gather until they are taken.
@@ -55,7 +55,7 @@
   void forget(const base::replica_id& engine);
 
   /// This node sends a prompt to an engine.
-  void note_sent(const replica_state& engine, const prompt_send& prompt, base::time_point now);
+  void note_sent(const replica_state& engine, const sent_prompt& prompt, base::time_point now);
   /// A prompt got its first event.
   void note_first_event(std::uint32_t own_tokens, base::duration took) {
     rate_.note(own_tokens, took);
@@ -66,13 +66,13 @@
   [[nodiscard]] base::duration expected_wait(const replica_state& engine,
                                              base::time_point now) const;
   /// @return time that reading takes, without a wait.
-  [[nodiscard]] base::duration reading_time(double tokens) const;
+  [[nodiscard]] base::duration prefill_time(double tokens) const;
 
   /// @param engines how many there are.
   /// @return how many of them read a part with which many prompts begin. Few in an idle fleet, by
   ///         what this node sent of late: there an engine gets a prompt so seldom that it would
   ///         read the part again for nearly each. All under a load, which is even then.
-  [[nodiscard]] std::size_t readers_of_a_part(std::size_t engines, base::time_point now) const;
+  [[nodiscard]] std::size_t prefix_replica_count(std::size_t engines, base::time_point now) const;
 
   [[nodiscard]] wire::outbox take_messages();
   [[nodiscard]] const engine_directory_counts& counts() const { return counts_; }
@@ -81,8 +81,8 @@
 
  private:
   /// @return the peer that holds an engine's account; null where this node does.
-  [[nodiscard]] const fleet_peer* account_holder_of(const model::replica& engine) const;
-  void take_in(const base::replica_id& engine, const prompt_send& prompt, base::time_point now);
+  [[nodiscard]] const fleet_peer* accounting_node_of(const model::replica& engine) const;
+  void take_in(const base::replica_id& engine, const sent_prompt& prompt, base::time_point now);
   void tell_load(const base::replica_id& engine, std::uint32_t tokens, base::time_point now);
   /// @return to how many of so many nodes a report may be sent now; counts the bytes.
   std::size_t take_allowance(std::size_t receivers, base::time_point now);
@@ -92,11 +92,11 @@
   const replica_table* replicas_;
   std::shared_ptr<const model::serving_configuration> configuration_;
   std::vector<fleet_peer> peers_;
-  reading_rate rate_;
+  prefill_rate rate_;
   sending_rate sent_;
-  std::unordered_map<base::replica_id, token_backlog> believed_;
+  std::unordered_map<base::replica_id, prefill_backlog> believed_;
   /// Engines whose account this node holds or held.
-  std::unordered_map<base::replica_id, engine_account> accounts_;
+  std::unordered_map<base::replica_id, engine_accounting> accounts_;
   /// Reports that may be sent now, one a receiver, and when they were counted last.
   double allowance_;
   base::time_point allowance_at_;
--- a/src/engines/token_backlog.h
+++ b/src/engines/prefill_backlog.h
@@ -8,7 +8,7 @@
 namespace spurrack::serving {
 
 /// Falls at the rate at which an engine reads. Not thread-safe.
-class token_backlog {
+class prefill_backlog {
  public:
   /// @param rate tokens that the engine reads in a second, here and below.
   /// @return tokens that are unread at `now`.
--- a/src/engines/reading_rate.cc
+++ b/src/engines/prefill_rate.cc
@@ -1,4 +1,4 @@
-#include "engines/reading_rate.h"
+#include "engines/prefill_rate.h"
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void reading_rate::note(std::uint32_t own_tokens, base::duration took) {
+void prefill_rate::note(std::uint32_t own_tokens, base::duration took) {
   if (own_tokens < least_tokens || took <= base::duration::zero()) {
     return;
   }
--- a/src/engines/reading_rate.h
+++ b/src/engines/prefill_rate.h
@@ -8,7 +8,7 @@
 namespace spurrack::serving {
 
 /// Near the best that calls have shown, since most calls also wait for others. Not thread-safe.
-class reading_rate {
+class prefill_rate {
  public:
   /// @param own_tokens tokens of the prompt that the engine cannot have kept.
   /// @param took from the sending to the first event.
--- a/src/engines/part_placement.cc
+++ b/src/engines/prefix_placement.cc
@@ -1,4 +1,4 @@
-#include "engines/part_placement.h"
+#include "engines/prefix_placement.h"
 
 #include "base/hashing.h"
 
@@ -28,8 +28,8 @@
 
 } // namespace
 
-shared_beginning shared_beginning_of(const request_content& content) {
-  shared_beginning found;
+shared_prompt_prefix shared_prompt_prefix_of(const request_content& content) {
+  shared_prompt_prefix found;
   const auto& parts = content.prompt_parts;
   if (parts.empty()) {
     return found;
@@ -45,15 +45,15 @@
   return found;
 }
 
-prompt_send prompt_send_of(const request_content& content) {
-  const auto beginning = shared_beginning_of(content);
+sent_prompt sent_prompt_of(const request_content& content) {
+  const auto beginning = shared_prompt_prefix_of(content);
   return {content.prompt_tokens - std::min(content.prompt_tokens, beginning.tokens),
           beginning.last_key, beginning.tokens};
 }
 
-std::vector<const replica_state*> readers_of_first_part(const shared_beginning& beginning,
-                                                        std::vector<const replica_state*> engines,
-                                                        std::size_t most) {
+std::vector<const replica_state*> engines_for_first_part(const shared_prompt_prefix& beginning,
+                                                         std::vector<const replica_state*> engines,
+                                                         std::size_t most) {
   const bool is_only_part = beginning.first_key == beginning.last_key;
   if (is_only_part || engines.size() <= most) {
     return engines;
@@ -68,9 +68,9 @@
   return engines;
 }
 
-std::vector<const replica_state*> homes_of(const shared_beginning& beginning,
-                                           const std::vector<const replica_state*>& engines,
-                                           std::size_t most) {
+std::vector<const replica_state*>
+preferred_engines_of(const shared_prompt_prefix& beginning,
+                     const std::vector<const replica_state*>& engines, std::size_t most) {
   auto ranked = ranks_of(engines, beginning.last_key);
   const auto wanted = std::min(most, ranked.size());
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(wanted),
--- a/src/engines/part_placement.h
+++ b/src/engines/prefix_placement.h
@@ -2,7 +2,7 @@
 /// without a message between them. Pure; docs/design/engines.md compares the ways.
 #pragma once
 
-#include "engines/engine_account.h"
+#include "engines/engine_accounting.h"
 #include "replicas/replica_table.h"
 #include "serving/request.h"
 
@@ -13,7 +13,7 @@
 namespace spurrack::serving {
 
 /// The parts of a prompt that others share.
-struct shared_beginning {
+struct shared_prompt_prefix {
   /// Hashes of the first and the last shared part; 0 where nothing is shared.
   std::uint64_t first_key = 0;
   std::uint64_t last_key = 0;
@@ -21,18 +21,18 @@
   std::uint32_t tokens = 0;
 };
 
-[[nodiscard]] shared_beginning shared_beginning_of(const request_content& content);
+[[nodiscard]] shared_prompt_prefix shared_prompt_prefix_of(const request_content& content);
 
 /// @return what is reported of a prompt to the account holder of its engine.
-[[nodiscard]] prompt_send prompt_send_of(const request_content& content);
+[[nodiscard]] sent_prompt sent_prompt_of(const request_content& content);
 
 /// The engines that read the first part of a prompt, for all prompts that begin with it. Which they
 /// are depends on the others as little as homes do.
 /// @param beginning shares something.
 /// @param most how many read it; all where there are no more.
 [[nodiscard]] std::vector<const replica_state*>
-readers_of_first_part(const shared_beginning& beginning, std::vector<const replica_state*> engines,
-                      std::size_t most);
+engines_for_first_part(const shared_prompt_prefix& beginning,
+                       std::vector<const replica_state*> engines, std::size_t most);
 
 /// @param beginning shares something.
 /// @param engines may all be given the prompt; their order does not matter.
@@ -41,7 +41,7 @@
 ///         among the engines given, so that the work is even. An engine that comes or goes changes
 ///         the homes of no other prompts.
 [[nodiscard]] std::vector<const replica_state*>
-homes_of(const shared_beginning& beginning, const std::vector<const replica_state*>& engines,
-         std::size_t most);
+preferred_engines_of(const shared_prompt_prefix& beginning,
+                     const std::vector<const replica_state*>& engines, std::size_t most);
 
 } // namespace spurrack::serving
--- a/src/flow/answer_memory.cc
+++ b/src/flow/answer_memory.cc
@@ -11,7 +11,8 @@
 bool answer_queue::first_needs_others() const {
   const auto others = waiting_bytes_ - waiting_.front()->bytes();
   const auto still_held = budget_->held() - others;
-  return first_wants_ > 0 && budget_->could_fit(byte_use::lone_answer, still_held + first_wants_);
+  return first_wants_ > 0 &&
+         budget_->is_within_limit(byte_use::lone_answer, still_held + first_wants_);
 }
 
 const answer_memory* answer_queue::youngest_holder() const {
@@ -53,7 +54,7 @@
 }
 
 memory_verdict answer_memory::grow(std::size_t wanted) {
-  const bool is_large = !queue_->budget_->could_fit(byte_use::whole_answer, bytes() + wanted);
+  const bool is_large = !queue_->budget_->is_within_limit(byte_use::whole_answer, bytes() + wanted);
   if (take(is_large ? byte_use::lone_answer : byte_use::whole_answer, wanted)) {
     return memory_verdict::granted;
   }
--- a/src/flow/byte_budget.cc
+++ b/src/flow/byte_budget.cc
@@ -30,7 +30,7 @@
   return names[static_cast<std::size_t>(use)];
 }
 
-double byte_budget::fullness() const {
+double byte_budget::utilization() const {
   return capacity_ == 0 ? 1.0 : static_cast<double>(held_) / static_cast<double>(capacity_);
 }
 
@@ -38,7 +38,7 @@
   return static_cast<std::size_t>(static_cast<double>(capacity_) * limits[index(use)]);
 }
 
-bool byte_budget::could_fit(byte_use use, std::size_t bytes) const {
+bool byte_budget::is_within_limit(byte_use use, std::size_t bytes) const {
   return bytes <= limit_of(use);
 }
 
--- a/src/flow/byte_budget.h
+++ b/src/flow/byte_budget.h
@@ -52,7 +52,7 @@
   /// not, or an event soon may not.
   [[nodiscard]] bool has_room(byte_use use, std::size_t bytes);
   /// @return whether `use` is granted up to `bytes` held in all.
-  [[nodiscard]] bool could_fit(byte_use use, std::size_t bytes) const;
+  [[nodiscard]] bool is_within_limit(byte_use use, std::size_t bytes) const;
   /// Takes bytes. @return false, with nothing taken, where there is no room; that is counted.
   [[nodiscard]] bool take(byte_holder holder, byte_use use, std::size_t bytes);
   void give_back(byte_holder holder, std::size_t bytes);
@@ -64,7 +64,7 @@
   [[nodiscard]] std::size_t held(byte_holder holder) const { return accounts_[index(holder)]; }
   [[nodiscard]] std::uint64_t refusals(byte_use use) const { return refusals_[index(use)]; }
   /// @return 0 where nothing is held, 1 where the budget is spent.
-  [[nodiscard]] double fullness() const;
+  [[nodiscard]] double utilization() const;
 
  private:
   template <typename kind>
--- a/src/flow/stream_window.h
+++ b/src/flow/stream_window.h
@@ -17,39 +17,39 @@
  public:
   /// Unread bytes at which a window closes while memory is plentiful: with events of 100 bytes
   /// every 20 ms a client may read nothing for 13 s before its replica notices.
-  static constexpr std::size_t widest_bytes = 65'536;
+  static constexpr std::size_t max_window_bytes = 65'536;
   /// The same once the budget is spent: one read from the replica.
-  static constexpr std::size_t narrowest_bytes = 8'192;
+  static constexpr std::size_t min_window_bytes = 8'192;
   /// A closed window opens at this part of its width, so that it does not open and close with each
   /// event.
-  static constexpr double opening_part = 0.5;
+  static constexpr double reopen_fraction = 0.5;
 
   explicit stream_window(base::time_point now) : last_progress_(now) {}
 
   /// Bytes were added for the client.
   /// @param fullness of the budget, 0 to 1: the fuller, the narrower the window.
-  window_change add(std::size_t bytes, double fullness, base::time_point now);
+  window_change add(std::size_t bytes, double utilization, base::time_point now);
   /// The client took bytes.
   window_change take(std::size_t bytes, base::time_point now);
   /// Lets the stream be buffered although the client does not read: bytes beyond the width
   /// no longer close the window, only `close` does.
-  window_change widen(base::time_point now);
+  window_change start_read_ahead(base::time_point now);
   /// Closes a window that was widened, since there is no memory for it.
   window_change close(base::time_point now);
 
   [[nodiscard]] bool is_open() const { return open_; }
-  [[nodiscard]] bool is_widened() const { return widened_; }
+  [[nodiscard]] bool is_reading_ahead() const { return widened_; }
   [[nodiscard]] std::size_t unread() const { return unread_; }
   /// @return how long bytes have waited of which the client took none.
-  [[nodiscard]] base::duration stalled_for(base::time_point now) const;
+  [[nodiscard]] base::duration stall_duration(base::time_point now) const;
   /// @return how long the window was closed, up to now.
-  [[nodiscard]] base::duration closed_for(base::time_point now) const;
+  [[nodiscard]] base::duration closed_duration(base::time_point now) const;
 
  private:
   void set_open(bool open, base::time_point now);
 
   std::size_t unread_ = 0;
-  std::size_t width_ = widest_bytes;
+  std::size_t width_ = max_window_bytes;
   bool open_ = true;
   bool widened_ = false;
   base::time_point last_progress_;
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -210,9 +210,9 @@
     const auto found = exchanges_.find(wanted.client);
     if (found != exchanges_.end() &&
         resources_.budget->has_room(flow::byte_use::buffered_stream,
-                                    flow::stream_window::widest_bytes)) {
+                                    flow::stream_window::max_window_bytes)) {
       auto& client = *found->second;
-      tell(client, client.window.widen(base::boot_clock::now()));
+      tell(client, client.window.start_read_ahead(base::boot_clock::now()));
     }
   }
 
@@ -249,7 +249,8 @@
     const auto size = added.rest().size();
     if (size > 0) {
       client.unwritten.push_back(std::move(added));
-      tell(client, client.window.add(size, resources_.budget->fullness(), base::boot_clock::now()));
+      tell(client,
+           client.window.add(size, resources_.budget->utilization(), base::boot_clock::now()));
     } else {
       client.counted.shrink(added.counted);
     }
@@ -274,7 +275,7 @@
   /// Events are counted here; whole answers are since they were gathered.
   void push_events(exchange& client, std::string bytes) {
     const auto size = bytes.size();
-    if (client.window.is_widened() &&
+    if (client.window.is_reading_ahead() &&
         !resources_.budget->has_room(flow::byte_use::buffered_stream, size)) {
       tell(client, client.window.close(base::boot_clock::now()));
     }
@@ -325,10 +326,10 @@
       exchange* client;
     };
     const auto spared =
-        use == flow::byte_use::stream_event ? 0 : flow::stream_window::widest_bytes * 2;
+        use == flow::byte_use::stream_event ? 0 : flow::stream_window::max_window_bytes * 2;
     std::vector<slow_reader> slow;
     for (const auto& [id, client] : exchanges_) {
-      const auto stalled = client->window.stalled_for(now);
+      const auto stalled = client->window.stall_duration(now);
       const auto unread = client->window.unread();
       if (stalled >= slow_reader_age && unread > spared && !client->given_up) {
         slow.push_back({static_cast<double>(unread) * base::to_seconds(stalled), client.get()});
@@ -501,7 +502,7 @@
   }
 
   void note_end(const exchange& ended) {
-    readers_.paused += ended.window.closed_for(base::boot_clock::now());
+    readers_.paused += ended.window.closed_duration(base::boot_clock::now());
     readers_.ended_unread += ended.given_up == serving::leave_reason::unread ? 1 : 0;
     readers_.ended_for_memory += ended.given_up == serving::leave_reason::no_memory ? 1 : 0;
   }
--- a/src/rate_limits/limit_exchange.cc
+++ b/src/rate_limits/limit_exchange.cc
@@ -102,8 +102,8 @@
   enqueue(replica);
 }
 
-void limit_exchange::note_wanted(const base::replica_id& replica, base::time_point now) {
-  stocks_[replica].note_wanted(now);
+void limit_exchange::note_unmet_demand(const base::replica_id& replica, base::time_point now) {
+  stocks_[replica].note_unmet_demand(now);
   enqueue(replica);
 }
 
@@ -121,7 +121,7 @@
 
 void limit_exchange::ask_for(const base::replica_id& replica, std::uint32_t count,
                              message_map& messages, base::time_point now) {
-  const bool is_waiting = stocks_[replica].is_waited_for(now);
+  const bool is_waiting = stocks_[replica].has_waiting_requests(now);
   const auto issuer = issuer_of(replica);
   if (issuer == self_.node) {
     issuers_.try_emplace(replica, now)
@@ -144,12 +144,12 @@
     if (stock == stocks_.end() || !book().limit_of(replica)) {
       return true;
     }
-    const bool in_vain = stock->second.asks_in_vain(now);
+    const bool in_vain = stock->second.has_unneeded_query(now);
     if (in_vain) {
-      stock->second.note_withdrawn();
+      stock->second.note_query_withdrawn();
       ask_for(replica, 0, messages, now);
     }
-    return in_vain || !stock->second.is_waited_for(now);
+    return in_vain || !stock->second.has_waiting_requests(now);
   });
 }
 
@@ -164,7 +164,7 @@
   for (const auto& replica : std::exchange(wanted_, {})) {
     const auto stock = stocks_.find(replica);
     const bool is_limited = stock != stocks_.end() && book().limit_of(replica).has_value();
-    const auto count = is_limited ? stock->second.to_ask(now) : 0;
+    const auto count = is_limited ? stock->second.permits_to_request(now) : 0;
     const auto issuer = issuer_of(replica);
     const bool has_room =
         messages.size() < most_asked || messages.contains(issuer) || issuer == self_.node;
@@ -177,7 +177,7 @@
       continue;
     }
     stock->second.note_asked(++next_question_, count, now);
-    if (stock->second.is_waited_for(now)) {
+    if (stock->second.has_waiting_requests(now)) {
       waited_for_.insert(replica);
     }
     ask_for(replica, count, messages, now);
@@ -209,7 +209,7 @@
       granted.set_number(grant.number);
       granted.set_count(grant.count);
     }
-    if (const auto next = issuer.next_issue()) {
+    if (const auto next = issuer.next_issue_at()) {
       next_issue_ = next_issue_ ? std::min(*next_issue_, *next) : *next;
     }
   }
@@ -220,7 +220,7 @@
                                   base::time_point now) {
   const auto stock = stocks_.find(replica);
   const bool is_wanted = stock != stocks_.end() && stock->second.add(grant, now);
-  (is_wanted ? counts_.permits_received : counts_.permits_void) += grant.count;
+  (is_wanted ? counts_.permits_received : counts_.permits_expired) += grant.count;
 }
 
 void limit_exchange::resume_after_pause(base::time_point now) {
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -35,7 +35,7 @@
   std::uint64_t permits_issued = 0;
   std::uint64_t permits_received = 0;
   /// Permits that came too late for the question that they answer.
-  std::uint64_t permits_void = 0;
+  std::uint64_t permits_expired = 0;
 };
 
 /// Not thread-safe.
@@ -63,7 +63,7 @@
   /// A request is sent.
   void note_sent(const base::replica_id& replica, base::time_point now);
   /// A request could go to a limited replica for which no permit is held.
-  void note_wanted(const base::replica_id& replica, base::time_point now);
+  void note_unmet_demand(const base::replica_id& replica, base::time_point now);
   /// So many requests wait for a limited replica that no other may be sent now.
   void note_waiting(const base::replica_id& replica, std::uint32_t count, base::time_point now);
 
--- a/src/rate_limits/permit_issuer.cc
+++ b/src/rate_limits/permit_issuer.cc
@@ -52,9 +52,9 @@
   std::erase_if(request.is_waiting ? others_ : waiting_, is_earlier);
   const auto earlier = std::find_if(queue.begin(), queue.end(), is_earlier);
   if (earlier == queue.end()) {
-    queue.push_back({std::move(request), now + request_lifetime});
+    queue.push_back({std::move(request), now + query_lifetime});
   } else {
-    *earlier = {std::move(request), now + request_lifetime};
+    *earlier = {std::move(request), now + query_lifetime};
   }
 }
 
@@ -84,7 +84,7 @@
   return grants;
 }
 
-std::optional<base::time_point> permit_issuer::next_issue() const {
+std::optional<base::time_point> permit_issuer::next_issue_at() const {
   if ((waiting_.empty() && others_.empty()) || rate_ <= 0) {
     return std::nullopt;
   }
--- a/src/rate_limits/permit_issuer.h
+++ b/src/rate_limits/permit_issuer.h
@@ -18,7 +18,7 @@
 inline constexpr base::duration permit_lifetime = std::chrono::milliseconds(200);
 /// A question that is not answered within this time is asked again, and stands no longer: the node
 /// may have ended, or its requests gone elsewhere.
-inline constexpr base::duration request_lifetime = std::chrono::milliseconds(800);
+inline constexpr base::duration query_lifetime = std::chrono::milliseconds(800);
 
 /// A node asks for permits.
 struct permit_request {
@@ -51,7 +51,7 @@
   /// @return what is handed out now.
   std::map<base::node_id, permit_grant> issue(base::time_point now);
   /// @return when more can be handed out; nothing where nobody asks.
-  [[nodiscard]] std::optional<base::time_point> next_issue() const;
+  [[nodiscard]] std::optional<base::time_point> next_issue_at() const;
 
  private:
   struct standing_request {
--- a/src/rate_limits/permit_stock.cc
+++ b/src/rate_limits/permit_stock.cc
@@ -45,7 +45,7 @@
   }
 }
 
-void permit_stock::note_wanted(base::time_point now) {
+void permit_stock::note_unmet_demand(base::time_point now) {
   is_lacking_ = true;
   count_wanted(now);
 }
@@ -65,7 +65,7 @@
   waiting_noted_at_ = now;
 }
 
-bool permit_stock::is_waited_for(base::time_point now) const {
+bool permit_stock::has_waiting_requests(base::time_point now) const {
   return waiting_ > 0 && now - waiting_noted_at_ < waiting_lifetime;
 }
 
@@ -73,28 +73,28 @@
   const bool is_old = now - span_began_ >= 2 * demand_span;
   const auto counted = is_old ? 0 : std::max(wanted_now_, wanted_before_);
   const auto by_flow = is_lacking_ || counted >= least_ahead ? counted : 0;
-  return is_waited_for(now) ? std::max(by_flow, waiting_) : by_flow;
+  return has_waiting_requests(now) ? std::max(by_flow, waiting_) : by_flow;
 }
 
-std::uint32_t permit_stock::to_ask(base::time_point now) const {
+std::uint32_t permit_stock::permits_to_request(base::time_point now) const {
   const auto in_hand = held(now);
   const std::size_t wanted = wanted_soon(now);
   if (wanted <= in_hand) {
     return 0;
   }
   const bool stands = question_ && question_->stands_until > now;
-  const bool is_urgent_enough = stands && (question_->is_waiting || !is_waited_for(now));
+  const bool is_urgent_enough = stands && (question_->is_waiting || !has_waiting_requests(now));
   const bool suffices = is_urgent_enough && in_hand + question_->awaited >= wanted;
   return suffices ? 0 : static_cast<std::uint32_t>(wanted - in_hand);
 }
 
-bool permit_stock::asks_in_vain(base::time_point now) const {
+bool permit_stock::has_unneeded_query(base::time_point now) const {
   const bool stands = question_ && question_->awaited > 0 && question_->stands_until > now;
   return stands && question_->is_waiting && wanted_soon(now) <= held(now);
 }
 
 void permit_stock::note_asked(std::uint64_t number, std::uint32_t count, base::time_point now) {
-  question_ = {number, count, is_waited_for(now), now + request_lifetime};
+  question_ = {number, count, has_waiting_requests(now), now + query_lifetime};
   is_lacking_ = false;
   if (first_question_ == 0) {
     first_question_ = number;
@@ -118,7 +118,7 @@
   first_question_ = 0;
 }
 
-std::size_t permit_stock::sent_of_late(base::time_point now) const {
+std::size_t permit_stock::recent_sends(base::time_point now) const {
   return static_cast<std::size_t>(std::count_if(
       sends_.begin(), sends_.end(), [&](const auto& at) { return now - at < shown_span; }));
 }
--- a/src/rate_limits/permit_stock.h
+++ b/src/rate_limits/permit_stock.h
@@ -20,21 +20,21 @@
   /// are asked for ahead.
   void take(base::time_point now);
   /// A request could be sent now, and no permit is held.
-  void note_wanted(base::time_point now);
+  void note_unmet_demand(base::time_point now);
   /// So many requests wait for this replica that no other may be sent now.
   void note_waiting(std::uint32_t count, base::time_point now);
   /// @return permits that a question now would ask for, which takes the place of the one before:
   ///         those that requests want in a short while and that are not held; 0 where the question
   ///         that stands asks for as many.
-  [[nodiscard]] std::uint32_t to_ask(base::time_point now) const;
+  [[nodiscard]] std::uint32_t permits_to_request(base::time_point now) const;
   /// @return whether permits are asked for that no request waits for any more.
-  [[nodiscard]] bool asks_in_vain(base::time_point now) const;
+  [[nodiscard]] bool has_unneeded_query(base::time_point now) const;
   /// The question that stands is withdrawn.
-  void note_withdrawn() { question_->awaited = 0; }
+  void note_query_withdrawn() { question_->awaited = 0; }
   /// They are asked for.
   void note_asked(std::uint64_t number, std::uint32_t count, base::time_point now);
   /// @return whether requests wait of late that no other replica may be sent.
-  [[nodiscard]] bool is_waited_for(base::time_point now) const;
+  [[nodiscard]] bool has_waiting_requests(base::time_point now) const;
   /// Takes in permits. @return whether they answer a question of this node.
   bool add(const permit_grant& grant, base::time_point now);
   /// This process was paused: permits are void, and so are those that are on their way.
@@ -43,7 +43,7 @@
   /// @return permits held.
   [[nodiscard]] std::size_t held(base::time_point now) const;
   /// @return sends within the last four seconds.
-  [[nodiscard]] std::size_t sent_of_late(base::time_point now) const;
+  [[nodiscard]] std::size_t recent_sends(base::time_point now) const;
 
  private:
   void count_wanted(base::time_point now);
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -31,7 +31,7 @@
 /// their turn: one write turn of the clients' side.
 constexpr std::size_t read_bytes = 16'384;
 /// The same once this part of the budget is held: no more than the narrowest window of a stream.
-constexpr std::size_t short_read_bytes = flow::stream_window::narrowest_bytes;
+constexpr std::size_t short_read_bytes = flow::stream_window::min_window_bytes;
 constexpr double plentiful_part = 0.5;
 /// An answer that finds no memory asks again after this time: a tenth of the least time after which
 /// a slow reader gives its memory up.
@@ -375,7 +375,7 @@
 
   /// @return bytes that one read of a connection may take.
   [[nodiscard]] std::size_t most_read_bytes() const {
-    return budget_->fullness() < plentiful_part ? read_bytes : short_read_bytes;
+    return budget_->utilization() < plentiful_part ? read_bytes : short_read_bytes;
   }
 
   /// Reads the rest of the body, as far as there is memory. @return whether it is whole.
--- a/tests/engines/engine_account_test.cc
+++ b/tests/engines/engine_accounting_test.cc
@@ -1,6 +1,6 @@
-#include "engines/engine_account.h"
+#include "engines/engine_accounting.h"
 
-#include "engines/reading_rate.h"
+#include "engines/prefill_rate.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -15,7 +15,7 @@
 BOOST_AUTO_TEST_SUITE(engine_account_test)
 
 BOOST_AUTO_TEST_CASE(shared_parts_are_read_once) {
-  engine_account account(400'000);
+  engine_accounting account(400'000);
   BOOST_TEST(account.take({500, 7, 10'000}, rate, start) == 10'500U);
   BOOST_TEST(account.take({600, 7, 10'000}, rate, start) == 600U);
   BOOST_TEST(account.take({600, 8, 10'000}, rate, start) == 10'600U);
@@ -23,18 +23,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(what_was_used_the_longest_ago_gives_way) {
-  kept_parts parts(25'000);
+  prefix_cache_model parts(25'000);
   BOOST_TEST(!parts.use({0, 1, 10'000}));
   BOOST_TEST(!parts.use({0, 2, 10'000}));
   BOOST_TEST(parts.use({0, 1, 10'000}));
   BOOST_TEST(!parts.use({4'000, 3, 10'000}));
-  BOOST_TEST(parts.held_tokens() <= 25'000U);
+  BOOST_TEST(parts.used_tokens() <= 25'000U);
   BOOST_TEST(parts.use({0, 3, 10'000}));
   BOOST_TEST(!parts.use({0, 2, 10'000}));
 }
 
 BOOST_AUTO_TEST_CASE(unread_tokens_fall_as_the_engine_reads) {
-  token_backlog unread;
+  prefill_backlog unread;
   unread.add(100'000, rate, start);
   BOOST_TEST(unread.level(rate, start + std::chrono::seconds(1)) == 50'000);
   unread.raise_to(30'000, rate, start + std::chrono::seconds(1));
@@ -43,22 +43,22 @@
 }
 
 BOOST_AUTO_TEST_CASE(only_a_long_wait_is_told_and_again_only_when_it_grew) {
-  engine_account account(400'000);
+  engine_accounting account(400'000);
   account.take({30'000, 0, 0}, rate, start);
-  BOOST_TEST(!account.worth_telling(rate, start));
+  BOOST_TEST(!account.backlog_to_report(rate, start));
   account.take({15'000, 0, 0}, rate, start);
-  BOOST_REQUIRE(account.worth_telling(rate, start));
-  BOOST_TEST(*account.worth_telling(rate, start) == 45'000U);
-  account.note_told(45'000, rate, start);
-  BOOST_TEST(!account.worth_telling(rate, start));
+  BOOST_REQUIRE(account.backlog_to_report(rate, start));
+  BOOST_TEST(*account.backlog_to_report(rate, start) == 45'000U);
+  account.note_reported(45'000, rate, start);
+  BOOST_TEST(!account.backlog_to_report(rate, start));
   account.take({5'000, 0, 0}, rate, start);
-  BOOST_TEST(!account.worth_telling(rate, start));
+  BOOST_TEST(!account.backlog_to_report(rate, start));
   account.take({6'000, 0, 0}, rate, start);
-  BOOST_TEST(account.worth_telling(rate, start).has_value());
+  BOOST_TEST(account.backlog_to_report(rate, start).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(the_rate_is_near_the_best_that_calls_show) {
-  reading_rate subject;
+  prefill_rate subject;
   for (int call = 0; call < 200; ++call) {
     // One call in ten finds its engine idle, the others wait as long again or three times.
     const int factor = call % 10 == 0 ? 1 : 2 + call % 2 * 2;
--- a/tests/engines/engine_directory_test.cc
+++ b/tests/engines/engine_directory_test.cc
@@ -2,7 +2,7 @@
 
 #include "engine_table.h"
 #include "engines/engine_chooser.h"
-#include "engines/part_placement.h"
+#include "engines/prefix_placement.h"
 #include "replicas/least_loaded_chooser.h"
 
 #include <boost/test/unit_test.hpp>
@@ -171,8 +171,8 @@
   std::uint64_t kept = 0;
   std::uint64_t to_read = 0;
   for (const auto& node : fleet.nodes) {
-    kept += node->counts().tokens_kept;
-    to_read += node->counts().tokens_to_read;
+    kept += node->counts().cached_prompt_tokens;
+    to_read += node->counts().tokens_to_prefill;
   }
   BOOST_TEST(kept == 27'000U);
   BOOST_TEST(to_read == 13'000U);
@@ -215,7 +215,7 @@
     const replica_demand demand{service, content, everywhere, fleet.nobody};
     const auto* planned = chooser.choose(demand, fleet.table.now);
     // Others send the first home so much that reading the part elsewhere is better.
-    fleet.nodes[0]->note_sent(*planned, prompt_send_of(content), fleet.table.now);
+    fleet.nodes[0]->note_sent(*planned, sent_prompt_of(content), fleet.table.now);
     const auto* sent = chooser.choose(demand, fleet.table.now);
     BOOST_TEST(sent->record->zone == planned->record->zone);
     moved += sent != planned ? 1 : 0;
@@ -248,7 +248,7 @@
     const auto node = static_cast<std::size_t>(prompt) % fleet.nodes.size();
     const auto* chosen = choosers[node]->choose(demand, fleet.table.now);
     first_second.insert(chosen->record->id);
-    fleet.nodes[node]->note_sent(*chosen, prompt_send_of(content), fleet.table.now);
+    fleet.nodes[node]->note_sent(*chosen, sent_prompt_of(content), fleet.table.now);
     fleet.carry();
     fleet.table.now += milliseconds(2);
   }
@@ -256,8 +256,8 @@
   BOOST_TEST(first_second.size() <= 4U);
   // When the demand is over, all nodes are back at the first home.
   fleet.table.now += std::chrono::seconds(20);
-  const auto beginning = shared_beginning_of(content);
-  const auto* home = homes_of(beginning, fleet.table.engines(), 1).front();
+  const auto beginning = shared_prompt_prefix_of(content);
+  const auto* home = preferred_engines_of(beginning, fleet.table.engines(), 1).front();
   for (auto& chooser : choosers) {
     BOOST_TEST(chooser->choose(demand, fleet.table.now) == home);
   }
@@ -266,26 +266,26 @@
 BOOST_AUTO_TEST_CASE(an_engine_that_started_again_keeps_nothing_and_has_nothing_to_read) {
   directory_fleet fleet(1);
   const auto& engine = fleet.engine("engine-3");
-  const prompt_send prompt{100, 77, 9'000};
+  const sent_prompt prompt{100, 77, 9'000};
   fleet.nodes[0]->note_sent(engine, prompt, fleet.table.now);
   fleet.nodes[0]->note_sent(engine, prompt, fleet.table.now);
-  BOOST_TEST(fleet.nodes[0]->counts().tokens_kept == 9'000U);
+  BOOST_TEST(fleet.nodes[0]->counts().cached_prompt_tokens == 9'000U);
   fleet.send(0, engine, 50'000);
   BOOST_TEST((fleet.wait_at(0, engine) > milliseconds(500)));
   fleet.nodes[0]->forget(engine.record->id);
   BOOST_TEST((fleet.wait_at(0, engine) == milliseconds(0)));
   fleet.nodes[0]->note_sent(engine, prompt, fleet.table.now);
-  BOOST_TEST(fleet.nodes[0]->counts().tokens_kept == 9'000U);
+  BOOST_TEST(fleet.nodes[0]->counts().cached_prompt_tokens == 9'000U);
   fleet.nodes[0]->note_sent(engine, prompt, fleet.table.now);
-  BOOST_TEST(fleet.nodes[0]->counts().tokens_kept == 18'000U);
+  BOOST_TEST(fleet.nodes[0]->counts().cached_prompt_tokens == 18'000U);
 }
 
 BOOST_AUTO_TEST_CASE(a_prompt_keeps_its_homes_when_one_of_them_starts_again) {
   directory_fleet fleet(1);
-  const shared_beginning beginning{77, 9'000};
+  const shared_prompt_prefix beginning{77, 9'000};
   const auto homes = [&] {
     std::vector<base::replica_id> found;
-    for (const auto* engine : homes_of(beginning, fleet.table.engines(), 3)) {
+    for (const auto* engine : preferred_engines_of(beginning, fleet.table.engines(), 3)) {
       found.push_back(engine->record->id);
     }
     return found;
--- a/tests/engines/placement_test.cc
+++ b/tests/engines/placement_test.cc
@@ -1,7 +1,7 @@
 #include "engine_fleet.h"
 #include "engine_table.h"
 #include "engines/engine_chooser.h"
-#include "engines/part_placement.h"
+#include "engines/prefix_placement.h"
 #include "replicas/least_loaded_chooser.h"
 
 #include <boost/test/unit_test.hpp>
@@ -28,7 +28,7 @@
   void sent(const replica_state& engine, const request_content& content,
             base::time_point now) override {
     if (talks_) {
-      directory_.note_sent(engine, prompt_send_of(content), now);
+      directory_.note_sent(engine, sent_prompt_of(content), now);
     }
   }
   void begun(const request_content& content, base::duration took) override {
@@ -56,8 +56,8 @@
 
  private:
   const replica_state* choose(const replica_demand& demand, base::time_point now) override {
-    const auto beginning = shared_beginning_of(demand.content);
-    const auto homes = homes_of(beginning, table_->candidates_for(demand, now), 1);
+    const auto beginning = shared_prompt_prefix_of(demand.content);
+    const auto homes = preferred_engines_of(beginning, table_->candidates_for(demand, now), 1);
     return homes.empty() ? nullptr : homes.front();
   }
 
--- a/tests/engines/part_placement_test.cc
+++ b/tests/engines/prefix_placement_test.cc
@@ -1,4 +1,4 @@
-#include "engines/part_placement.h"
+#include "engines/prefix_placement.h"
 
 #include "engine_table.h"
 
@@ -33,7 +33,7 @@
 
 base::replica_id first_home(const request_content& content,
                             const std::vector<const replica_state*>& engines) {
-  return homes_of(shared_beginning_of(content), engines, 1).front()->record->id;
+  return preferred_engines_of(shared_prompt_prefix_of(content), engines, 1).front()->record->id;
 }
 
 constexpr int prompts_with_one_first_part = 1'000;
@@ -58,21 +58,21 @@
   auto engines = table.engines();
   for (int number = 0; number < 50; ++number) {
     const auto beginning =
-        shared_beginning_of(prompt("first", 2'500, "last" + std::to_string(number)));
-    const auto homes = homes_of(beginning, engines, 30);
+        shared_prompt_prefix_of(prompt("first", 2'500, "last" + std::to_string(number)));
+    const auto homes = preferred_engines_of(beginning, engines, 30);
     std::reverse(engines.begin(), engines.end());
     std::rotate(engines.begin(), engines.begin() + number % 7, engines.end());
-    BOOST_TEST((homes_of(beginning, engines, 30) == homes));
+    BOOST_TEST((preferred_engines_of(beginning, engines, 30) == homes));
   }
 }
 
 BOOST_AUTO_TEST_CASE(all_homes_differ_and_no_more_are_given_than_there_are) {
   engine_table table(9);
-  const auto homes =
-      homes_of(shared_beginning_of(prompt("first", 2'500, "last")), table.engines(), 20);
+  const auto homes = preferred_engines_of(shared_prompt_prefix_of(prompt("first", 2'500, "last")),
+                                          table.engines(), 20);
   BOOST_TEST(homes.size() == 9U);
   BOOST_TEST((std::set<const replica_state*>(homes.begin(), homes.end()).size() == 9U));
-  BOOST_TEST(homes_of(shared_beginning_of(prompt("part")), {}, 4).empty());
+  BOOST_TEST(preferred_engines_of(shared_prompt_prefix_of(prompt("part")), {}, 4).empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_first_part_that_many_prompts_share_crowds_no_engine) {
@@ -97,7 +97,7 @@
   fewer.publish();
   for (int number = 0; number < 500; ++number) {
     const auto content = prompt("part" + std::to_string(number));
-    const auto before = homes_of(shared_beginning_of(content), table.engines(), 2);
+    const auto before = preferred_engines_of(shared_prompt_prefix_of(content), table.engines(), 2);
     const auto after = first_home(content, fewer.engines());
     if (before.front()->record->id == gone) {
       BOOST_TEST(after == before.back()->record->id);
@@ -126,25 +126,26 @@
   engine_table table(60);
   auto other = prompt("part");
   other.model = "n";
-  BOOST_TEST(shared_beginning_of(other).last_key != shared_beginning_of(prompt("part")).last_key);
+  BOOST_TEST(shared_prompt_prefix_of(other).last_key !=
+             shared_prompt_prefix_of(prompt("part")).last_key);
 }
 
 BOOST_AUTO_TEST_CASE(a_prompt_is_told_with_its_own_and_its_shared_tokens) {
-  const auto told = prompt_send_of(prompt("first", 2'500, "last"));
+  const auto told = sent_prompt_of(prompt("first", 2'500, "last"));
   BOOST_TEST(told.own_tokens == 500U);
   BOOST_TEST(told.shared_tokens == 5'500U);
-  BOOST_TEST(told.shared_part == shared_beginning_of(prompt("first", 2'500, "last")).last_key);
+  BOOST_TEST(told.shared_part == shared_prompt_prefix_of(prompt("first", 2'500, "last")).last_key);
   request_content without;
   without.prompt_tokens = 700;
-  BOOST_TEST(prompt_send_of(without).own_tokens == 700U);
-  BOOST_TEST(prompt_send_of(without).shared_part == 0U);
+  BOOST_TEST(sent_prompt_of(without).own_tokens == 700U);
+  BOOST_TEST(sent_prompt_of(without).shared_part == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(readers_of_a_first_part_are_a_part_of_more_of_them) {
   const engine_table table(200);
-  const auto beginning = shared_beginning_of(prompt("first", 2'500, "last"));
-  const auto few = readers_of_first_part(beginning, table.engines(), 16);
-  const auto more = readers_of_first_part(beginning, table.engines(), 32);
+  const auto beginning = shared_prompt_prefix_of(prompt("first", 2'500, "last"));
+  const auto few = engines_for_first_part(beginning, table.engines(), 16);
+  const auto more = engines_for_first_part(beginning, table.engines(), 32);
   BOOST_TEST(few.size() == 16U);
   BOOST_TEST(more.size() == 32U);
   const std::set<const replica_state*> all(more.begin(), more.end());
@@ -155,7 +156,7 @@
 BOOST_AUTO_TEST_CASE(a_prompt_with_one_shared_part_may_go_to_any_engine) {
   const engine_table table(200);
   const auto readers =
-      readers_of_first_part(shared_beginning_of(prompt("only")), table.engines(), 16);
+      engines_for_first_part(shared_prompt_prefix_of(prompt("only")), table.engines(), 16);
   BOOST_TEST(readers.size() == 200U);
 }
 
--- a/tests/flow/stream_window_test.cc
+++ b/tests/flow/stream_window_test.cc
@@ -19,7 +19,7 @@
   window_change add(std::size_t bytes) { return window.add(bytes, 0, now); }
 };
 
-constexpr auto widest = stream_window::widest_bytes;
+constexpr auto widest = stream_window::max_window_bytes;
 
 } // namespace
 
@@ -38,19 +38,19 @@
   BOOST_CHECK(window.take(1'000 + widest / 2 - 1, now) == window_change::none);
   now += milliseconds(300);
   BOOST_CHECK(window.take(1, now) == window_change::opened);
-  BOOST_CHECK(window.closed_for(now) == milliseconds(300));
+  BOOST_CHECK(window.closed_duration(now) == milliseconds(300));
 }
 
 BOOST_AUTO_TEST_CASE(it_is_narrower_where_memory_is_scarce) {
   BOOST_CHECK(window.add(widest / 2, 0.5, now) == window_change::closed);
   stream_window other(now);
-  BOOST_CHECK(other.add(stream_window::narrowest_bytes - 1, 1, now) == window_change::none);
+  BOOST_CHECK(other.add(stream_window::min_window_bytes - 1, 1, now) == window_change::none);
   BOOST_CHECK(other.add(1, 1, now) == window_change::closed);
 }
 
 BOOST_AUTO_TEST_CASE(a_widened_one_closes_only_for_want_of_memory) {
   add(widest);
-  BOOST_CHECK(window.widen(now) == window_change::opened);
+  BOOST_CHECK(window.start_read_ahead(now) == window_change::opened);
   BOOST_CHECK(add(10 * widest) == window_change::none);
   BOOST_CHECK(window.close(now) == window_change::closed);
   BOOST_CHECK(window.close(now) == window_change::none);
@@ -59,12 +59,12 @@
 
 BOOST_AUTO_TEST_CASE(only_bytes_that_wait_count_as_a_stall) {
   now += milliseconds(5'000);
-  BOOST_CHECK(window.stalled_for(now) == base::duration::zero());
+  BOOST_CHECK(window.stall_duration(now) == base::duration::zero());
   add(100);
   now += milliseconds(400);
-  BOOST_CHECK(window.stalled_for(now) == milliseconds(400));
+  BOOST_CHECK(window.stall_duration(now) == milliseconds(400));
   window.take(1, now);
-  BOOST_CHECK(window.stalled_for(now) == base::duration::zero());
+  BOOST_CHECK(window.stall_duration(now) == base::duration::zero());
 }
 
 BOOST_AUTO_TEST_CASE(changes_alternate_and_unread_bytes_add_up) {
@@ -77,8 +77,8 @@
       const auto bytes = random.below(40'000);
       auto change = window_change::none;
       if (random.below(2) == 0) {
-        const auto fullness = static_cast<double>(random.below(101)) / 100;
-        change = subject.add(bytes, fullness, now);
+        const auto utilization = static_cast<double>(random.below(101)) / 100;
+        change = subject.add(bytes, utilization, now);
         unread += bytes;
       } else {
         const auto taken = std::min<std::size_t>(bytes, unread);
--- a/tests/rate_limits/limit_exchange_test.cc
+++ b/tests/rate_limits/limit_exchange_test.cc
@@ -127,8 +127,8 @@
   for (; fleet.now - begun < seconds(10);) {
     for (auto& node : fleet.nodes) {
       const auto replica = fleet.random.below(140);
-      node->permits().note_wanted(base::replica_id("i-0123456789-" + std::to_string(replica)),
-                                  fleet.now);
+      node->permits().note_unmet_demand(base::replica_id("i-0123456789-" + std::to_string(replica)),
+                                        fleet.now);
     }
     fleet.run(milliseconds(100));
   }
@@ -162,7 +162,7 @@
   granted.set_count(50);
   fleet.nodes[0]->handle(base::node_id("n1"), news, fleet.now);
   BOOST_TEST(!fleet.nodes[0]->permits().may_send(limited, fleet.now));
-  BOOST_TEST(fleet.nodes[0]->permits().counts().permits_void == 50U);
+  BOOST_TEST(fleet.nodes[0]->permits().counts().permits_expired == 50U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/rate_limits/permit_issuer_test.cc
+++ b/tests/rate_limits/permit_issuer_test.cc
@@ -72,45 +72,45 @@
   issuer.set_rate(1, start);
   issuer.take(asks("a", 5), start);
   issuer.take({base::node_id("a"), 2, 1, false}, start);
-  BOOST_TEST(issuer.next_issue().has_value());
+  BOOST_TEST(issuer.next_issue_at().has_value());
   BOOST_TEST(issuer.issue(begun + seconds(2)).empty());
-  BOOST_TEST(!issuer.next_issue());
+  BOOST_TEST(!issuer.next_issue_at());
 }
 
 BOOST_AUTO_TEST_CASE(a_stock_asks_for_what_is_wanted_and_spends_it_in_time) {
   permit_stock stock;
-  BOOST_TEST(stock.to_ask(start) == 0U);
-  stock.note_wanted(start);
-  stock.note_wanted(start);
-  BOOST_TEST(stock.to_ask(start) == 2U);
+  BOOST_TEST(stock.permits_to_request(start) == 0U);
+  stock.note_unmet_demand(start);
+  stock.note_unmet_demand(start);
+  BOOST_TEST(stock.permits_to_request(start) == 2U);
   stock.note_asked(5, 2, start);
-  BOOST_TEST(stock.to_ask(start) == 0U);
+  BOOST_TEST(stock.permits_to_request(start) == 0U);
   BOOST_TEST(!stock.add({4, 1}, start));
   BOOST_TEST(stock.add({5, 1}, start));
   BOOST_TEST(stock.has_permit(start));
   BOOST_TEST(!stock.has_permit(start + permit_lifetime));
   stock.take(start);
   BOOST_TEST(!stock.has_permit(start));
-  BOOST_TEST(stock.sent_of_late(start) == 1U);
+  BOOST_TEST(stock.recent_sends(start) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(requests_that_wait_are_asked_for_anew_as_such) {
   permit_stock stock;
-  stock.note_wanted(start);
-  stock.note_asked(1, stock.to_ask(start), start);
+  stock.note_unmet_demand(start);
+  stock.note_asked(1, stock.permits_to_request(start), start);
   stock.note_waiting(1, start);
-  BOOST_TEST(stock.to_ask(start) == 1U);
+  BOOST_TEST(stock.permits_to_request(start) == 1U);
   stock.note_asked(2, 1, start);
-  BOOST_TEST(stock.to_ask(start) == 0U);
+  BOOST_TEST(stock.permits_to_request(start) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_pause_makes_permits_void_also_those_on_their_way) {
   permit_stock stock;
-  stock.note_wanted(start);
+  stock.note_unmet_demand(start);
   stock.note_asked(1, 1, start);
   stock.clear();
   BOOST_TEST(!stock.add({1, 1}, start));
-  stock.note_wanted(start);
+  stock.note_unmet_demand(start);
   stock.note_asked(2, 1, start);
   BOOST_TEST(!stock.add({1, 1}, start));
   BOOST_TEST(stock.add({2, 1}, start));
