--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -106,7 +106,7 @@
   [[nodiscard]] const replica_table& replicas() const { return replicas_; }
   [[nodiscard]] const stage_exchange& stages() const { return stages_; }
   /// @return engines whose account this node holds.
-  [[nodiscard]] std::size_t engine_accounts() const { return directory_.accounts(); }
+  [[nodiscard]] std::size_t engine_accounts() const { return directory_.accounted_engines(); }
   [[nodiscard]] const engine_directory_counts& engine_counts() const { return directory_.counts(); }
   [[nodiscard]] const replica_news_counts& news() const { return news_.counts(); }
   [[nodiscard]] const lending_counts& lending() const { return lending_.counts(); }
--- a/src/engines/engine_accounting.cc
+++ b/src/engines/engine_accounting.cc
@@ -7,56 +7,57 @@
 /// shared part anew costs, below which no prompt is sent to another engine. At 0.5 nodes send
 /// 1.9 kB a second as a mean under a burst and gain nothing, at 0.8 they send 1.5 (simulated
 /// callers of placement_test).
-constexpr double least_seconds_told = 0.8;
+constexpr double min_reported_seconds = 0.8;
 /// A backlog is reported again once it is so many seconds longer than what the other nodes assume.
-constexpr double least_seconds_more = 0.2;
+constexpr double min_reported_excess_seconds = 0.2;
 
 } // namespace
 
 bool prefix_cache_model::use(const sent_prompt& prompt) {
   if (prompt.own_tokens > 0) {
-    by_use_.push_front({0, prompt.own_tokens});
-    held_ += prompt.own_tokens;
+    lru_.push_front({0, prompt.own_tokens});
+    used_tokens_ += prompt.own_tokens;
   }
-  const auto known = found_.find(prompt.shared_part);
-  const bool was_kept = prompt.shared_part != 0 && known != found_.end();
-  if (was_kept) {
-    by_use_.splice(by_use_.begin(), by_use_, known->second);
-  } else if (prompt.shared_part != 0) {
-    by_use_.push_front({prompt.shared_part, prompt.shared_tokens});
-    found_[prompt.shared_part] = by_use_.begin();
-    held_ += prompt.shared_tokens;
+  const auto cached = entry_by_prefix_.find(prompt.shared_prefix);
+  const bool was_cached = prompt.shared_prefix != 0 && cached != entry_by_prefix_.end();
+  if (was_cached) {
+    lru_.splice(lru_.begin(), lru_, cached->second);
+  } else if (prompt.shared_prefix != 0) {
+    lru_.push_front({prompt.shared_prefix, prompt.shared_tokens});
+    entry_by_prefix_[prompt.shared_prefix] = lru_.begin();
+    used_tokens_ += prompt.shared_tokens;
   }
-  while (held_ > capacity_ && !by_use_.empty()) {
-    held_ -= by_use_.back().tokens;
-    found_.erase(by_use_.back().part);
-    by_use_.pop_back();
+  while (used_tokens_ > capacity_ && !lru_.empty()) {
+    used_tokens_ -= lru_.back().tokens;
+    entry_by_prefix_.erase(lru_.back().prefix);
+    lru_.pop_back();
   }
-  return was_kept;
+  return was_cached;
 }
 
-std::uint64_t engine_accounting::take(const sent_prompt& prompt, double rate,
-                                      base::time_point now) {
-  const bool was_kept = parts_.use(prompt);
-  const std::uint64_t unread =
-      std::uint64_t{prompt.own_tokens} + (was_kept ? 0 : prompt.shared_tokens);
-  unread_.add(static_cast<double>(unread), rate, now);
-  return unread;
+std::uint64_t engine_accounting::record_send(const sent_prompt& prompt, double rate,
+                                             base::time_point now) {
+  const bool was_cached = prefix_cache_.use(prompt);
+  const std::uint64_t uncached =
+      std::uint64_t{prompt.own_tokens} + (was_cached ? 0 : prompt.shared_tokens);
+  backlog_.add(static_cast<double>(uncached), rate, now);
+  return uncached;
 }
 
 std::optional<std::uint32_t> engine_accounting::backlog_to_report(double rate,
                                                                   base::time_point now) const {
-  const double unread = unread_.level(rate, now);
-  const bool is_much = unread >= least_seconds_told * rate;
-  const bool is_news = unread >= reported_.level(rate, now) + least_seconds_more * rate;
-  if (!is_much || !is_news) {
+  const double backlog = backlog_.level(rate, now);
+  const bool is_long = backlog >= min_reported_seconds * rate;
+  const bool exceeds_reported =
+      backlog >= reported_backlog_.level(rate, now) + min_reported_excess_seconds * rate;
+  if (!is_long || !exceeds_reported) {
     return std::nullopt;
   }
-  return static_cast<std::uint32_t>(unread);
+  return static_cast<std::uint32_t>(backlog);
 }
 
 void engine_accounting::note_reported(std::uint32_t tokens, double rate, base::time_point now) {
-  reported_.raise_to(tokens, rate, now);
+  reported_backlog_.raise_to(tokens, rate, now);
 }
 
 } // namespace spurrack::serving
--- a/src/engines/engine_chooser.h
+++ b/src/engines/engine_chooser.h
@@ -19,25 +19,26 @@
  public:
   /// @param replicas, directory must outlive this object.
   /// @param from_here tells which engines are near.
-  /// @param without_prefix chooses for prompts that share nothing, and where every engine is
+  /// @param fallback chooses for prompts that share nothing, and where every engine is
   ///        loaded; must outlive this object.
   engine_chooser(const replica_table& replicas, const engine_directory& directory,
-                 distance from_here, replica_chooser& without_prefix);
+                 distance from_here, replica_chooser& fallback);
 
   [[nodiscard]] const replica_state* choose(const replica_demand& demand,
                                             base::time_point now) override;
 
  private:
-  [[nodiscard]] bool is_elsewhere(const replica_state& engine) const;
+  [[nodiscard]] bool is_in_other_region(const replica_state& engine) const;
   /// @return null where all engines are loaded.
-  [[nodiscard]] const replica_state* soonest_home(const shared_prompt_prefix& beginning,
-                                                  const std::vector<const replica_state*>& engines,
-                                                  base::time_point now) const;
+  [[nodiscard]] const replica_state*
+  shortest_wait_engine(const shared_prompt_prefix& prefix,
+                       const std::vector<const replica_state*>& engines,
+                       base::time_point now) const;
 
   const replica_table* replicas_;
   const engine_directory* directory_;
   distance from_here_;
-  replica_chooser* without_prefix_;
+  replica_chooser* fallback_;
 };
 
 } // namespace spurrack::serving
--- a/src/engines/engine_directory.cc
+++ b/src/engines/engine_directory.cc
@@ -10,26 +10,26 @@
 
 /// Prompts of fewer tokens are not reported: an engine reads 50,000 a second, so these take some
 /// 20 ms.
-constexpr std::uint32_t least_tokens_told = 1'000;
+constexpr std::uint32_t min_reported_tokens = 1'000;
 /// Bytes of a message of one load with its envelope, as counted by placement_test, rounded up.
-constexpr double bytes_a_load = 150;
+constexpr double bytes_per_report = 150;
 /// Bytes a second that a node sends of loads as a mean. With its reports to account holders, some
 /// 500 at four prompts a second, it stays under 2 kB a second.
-constexpr double load_bytes_per_second = 1'000;
+constexpr double report_bytes_per_second = 1'000;
 /// Longest saved allowance, in seconds of that rate: enough for one message to each of 130 nodes.
 /// In a larger region each message reaches a part of the nodes in turn.
-constexpr double most_saved_seconds = 20;
-constexpr double receivers_per_second = load_bytes_per_second / bytes_a_load;
+constexpr double max_saved_seconds = 20;
+constexpr double reports_per_second = report_bytes_per_second / bytes_per_report;
 /// Of so many engines one reads a part with which many prompts begin, in an idle fleet. The number
 /// is the same on all nodes, so that they place a prompt alike.
-constexpr std::size_t engines_a_reader = 32;
+constexpr std::size_t engines_per_prefix_replica = 32;
 /// Fewer would be crowded by the prompts that happen to meet, and read the part seldom anyway.
-constexpr std::size_t least_readers = 16;
+constexpr std::size_t min_prefix_replicas = 16;
 /// The readers of a part would be busy for this part of their time at the most if all prompts of
 /// the fleet began with it; otherwise the fleet is not idle.
-constexpr double most_busy_reader = 0.5;
+constexpr double max_idle_utilization = 0.5;
 /// Tokens of memory of an engine whose service does not publish it.
-constexpr std::uint64_t usual_memory_tokens = 400'000;
+constexpr std::uint64_t default_memory_tokens = 400'000;
 
 wire::outgoing message_to(const base::network_address& address) {
   return {address, {}};
@@ -40,7 +40,7 @@
 engine_directory::engine_directory(fleet_peer self, model::zone_regions regions,
                                    const replica_table& replicas)
     : self_(std::move(self)), regions_(std::move(regions)), replicas_(&replicas),
-      allowance_(receivers_per_second * most_saved_seconds) {}
+      report_allowance_(reports_per_second * max_saved_seconds) {}
 
 void engine_directory::set_peers(std::vector<fleet_peer> alive) {
   peers_ = std::move(alive);
@@ -51,17 +51,17 @@
   configuration_ = std::move(configuration);
 }
 
-void engine_directory::forget_gone() {
-  const auto is_gone = [this](const auto& entry) {
+void engine_directory::forget_removed_engines() {
+  const auto is_removed = [this](const auto& entry) {
     return replicas_->find(entry.first) == nullptr;
   };
-  std::erase_if(believed_, is_gone);
-  std::erase_if(accounts_, is_gone);
+  std::erase_if(estimated_backlogs_, is_removed);
+  std::erase_if(accounting_by_engine_, is_removed);
 }
 
 void engine_directory::forget(const base::replica_id& engine) {
-  believed_.erase(engine);
-  accounts_.erase(engine);
+  estimated_backlogs_.erase(engine);
+  accounting_by_engine_.erase(engine);
 }
 
 const fleet_peer* engine_directory::accounting_node_of(const model::replica& engine) const {
@@ -85,29 +85,29 @@
 void engine_directory::note_sent(const replica_state& engine, const sent_prompt& prompt,
                                  base::time_point now) {
   const auto& record = *engine.record;
-  sent_.note(static_cast<double>(prompt.own_tokens) + prompt.shared_tokens, now);
+  sending_rate_.note(static_cast<double>(prompt.own_tokens) + prompt.shared_tokens, now);
   const double own = prompt.own_tokens;
-  believed_[record.id].add(own, rate_.tokens_per_second(), now);
-  if (prompt.own_tokens + prompt.shared_tokens < least_tokens_told) {
+  estimated_backlogs_[record.id].add(own, prefill_rate_.tokens_per_second(), now);
+  if (prompt.own_tokens + prompt.shared_tokens < min_reported_tokens) {
     return;
   }
-  const auto* holder = accounting_node_of(record);
-  if (holder == nullptr) {
-    take_in(record.id, prompt, now);
+  const auto* accounting_node = accounting_node_of(record);
+  if (accounting_node == nullptr) {
+    account_send(record.id, prompt, now);
     return;
   }
-  auto message = message_to(holder->address);
-  auto& told = *message.message.mutable_engine_news()->add_sends();
-  told.set_replica(record.id.text());
-  told.set_own_tokens(prompt.own_tokens);
-  told.set_shared_part(prompt.shared_part);
-  told.set_shared_tokens(prompt.shared_tokens);
+  auto message = message_to(accounting_node->address);
+  auto& report = *message.message.mutable_engine_news()->add_sends();
+  report.set_replica(record.id.text());
+  report.set_own_tokens(prompt.own_tokens);
+  report.set_shared_part(prompt.shared_prefix);
+  report.set_shared_tokens(prompt.shared_tokens);
   messages_.push_back(std::move(message));
   ++counts_.reported_sends;
 }
 
-void engine_directory::take_in(const base::replica_id& engine, const sent_prompt& prompt,
-                               base::time_point now) {
+void engine_directory::account_send(const base::replica_id& engine, const sent_prompt& prompt,
+                                    base::time_point now) {
   const auto* known = replicas_->find(engine);
   if (known == nullptr) {
     return;
@@ -115,83 +115,85 @@
   const auto* service =
       configuration_ ? configuration_->find_service(known->record->service) : nullptr;
   const auto published = service != nullptr && service->engine ? service->engine->memory_tokens : 0;
-  const auto memory = published > 0 ? published : usual_memory_tokens;
-  auto& account = accounts_.try_emplace(engine, memory).first->second;
-  const double rate = rate_.tokens_per_second();
-  const auto unread = account.take(prompt, rate, now);
+  const auto memory = published > 0 ? published : default_memory_tokens;
+  auto& accounting = accounting_by_engine_.try_emplace(engine, memory).first->second;
+  const double rate = prefill_rate_.tokens_per_second();
+  const auto unread = accounting.record_send(prompt, rate, now);
   counts_.tokens_to_prefill += unread;
   counts_.cached_prompt_tokens += std::uint64_t{prompt.own_tokens} + prompt.shared_tokens - unread;
-  if (const auto told = account.backlog_to_report(rate, now)) {
-    tell_load(engine, *told, now);
+  if (const auto report = accounting.backlog_to_report(rate, now)) {
+    report_backlog(engine, *report, now);
   }
 }
 
-void engine_directory::tell_load(const base::replica_id& engine, std::uint32_t tokens,
-                                 base::time_point now) {
-  const double rate = rate_.tokens_per_second();
-  believed_[engine].raise_to(tokens, rate, now);
+void engine_directory::report_backlog(const base::replica_id& engine, std::uint32_t tokens,
+                                      base::time_point now) {
+  const double rate = prefill_rate_.tokens_per_second();
+  estimated_backlogs_[engine].raise_to(tokens, rate, now);
   std::vector<base::network_address> receivers;
   for (const auto& peer : peers_) {
     if (regions_.same_region(peer.zone, self_.zone)) {
       receivers.push_back(peer.address);
     }
   }
-  const auto reached = take_allowance(receivers.size(), now);
-  counts_.skipped_receivers += receivers.size() - reached;
-  accounts_.at(engine).note_reported(tokens, rate, now);
-  for (std::size_t told_nodes = 0; told_nodes < reached; ++told_nodes) {
+  const auto granted = consume_allowance(receivers.size(), now);
+  counts_.skipped_receivers += receivers.size() - granted;
+  accounting_by_engine_.at(engine).note_reported(tokens, rate, now);
+  for (std::size_t sent = 0; sent < granted; ++sent) {
     next_receiver_ = (next_receiver_ + 1) % receivers.size();
     auto message = message_to(receivers[next_receiver_]);
-    auto& told = *message.message.mutable_engine_news()->add_loads();
-    told.set_replica(engine.text());
-    told.set_unread_tokens(tokens);
+    auto& report = *message.message.mutable_engine_news()->add_loads();
+    report.set_replica(engine.text());
+    report.set_unread_tokens(tokens);
     messages_.push_back(std::move(message));
   }
   ++counts_.reported_backlogs;
 }
 
-std::size_t engine_directory::take_allowance(std::size_t receivers, base::time_point now) {
-  const double gained = receivers_per_second * base::to_seconds(now - allowance_at_);
-  allowance_ = std::min(allowance_ + gained, receivers_per_second * most_saved_seconds);
-  allowance_at_ = now;
-  const auto taken = std::min(receivers, static_cast<std::size_t>(allowance_));
-  allowance_ -= static_cast<double>(taken);
+std::size_t engine_directory::consume_allowance(std::size_t receivers, base::time_point now) {
+  const double gained = reports_per_second * base::to_seconds(now - allowance_updated_at_);
+  report_allowance_ = std::min(report_allowance_ + gained, reports_per_second * max_saved_seconds);
+  allowance_updated_at_ = now;
+  const auto taken = std::min(receivers, static_cast<std::size_t>(report_allowance_));
+  report_allowance_ -= static_cast<double>(taken);
   return taken;
 }
 
 void engine_directory::handle(const wire::engine_news& news, base::time_point now) {
   for (const auto& send : news.sends()) {
-    take_in(base::replica_id(send.replica()),
-            {send.own_tokens(), send.shared_part(), send.shared_tokens()}, now);
+    account_send(base::replica_id(send.replica()),
+                 {send.own_tokens(), send.shared_part(), send.shared_tokens()}, now);
   }
   for (const auto& load : news.loads()) {
     const base::replica_id engine(load.replica());
     if (replicas_->find(engine) != nullptr) {
-      believed_[engine].raise_to(load.unread_tokens(), rate_.tokens_per_second(), now);
+      estimated_backlogs_[engine].raise_to(load.unread_tokens(), prefill_rate_.tokens_per_second(),
+                                           now);
     }
   }
 }
 
 base::duration engine_directory::expected_wait(const replica_state& engine,
                                                base::time_point now) const {
-  const auto known = believed_.find(engine.record->id);
-  if (known == believed_.end()) {
+  const auto known = estimated_backlogs_.find(engine.record->id);
+  if (known == estimated_backlogs_.end()) {
     return {};
   }
-  return prefill_time(known->second.level(rate_.tokens_per_second(), now));
+  return prefill_time(known->second.level(prefill_rate_.tokens_per_second(), now));
 }
 
 base::duration engine_directory::prefill_time(double tokens) const {
-  return base::from_seconds(tokens / rate_.tokens_per_second());
+  return base::from_seconds(tokens / prefill_rate_.tokens_per_second());
 }
 
 std::size_t engine_directory::prefix_replica_count(std::size_t engines,
                                                    base::time_point now) const {
-  const auto few = engines / engines_a_reader;
+  const auto replica_count = engines / engines_per_prefix_replica;
   const double nodes = static_cast<double>(peers_.size()) + 1;
-  const double busy = sent_.tokens_per_second(now) * nodes / rate_.tokens_per_second();
-  const bool is_idle = busy <= most_busy_reader * static_cast<double>(few);
-  return few >= least_readers && is_idle ? few : engines;
+  const double busy =
+      sending_rate_.tokens_per_second(now) * nodes / prefill_rate_.tokens_per_second();
+  const bool is_idle = busy <= max_idle_utilization * static_cast<double>(replica_count);
+  return replica_count >= min_prefix_replicas && is_idle ? replica_count : engines;
 }
 
 wire::outbox engine_directory::take_messages() {
--- a/src/engines/engine_directory.h
+++ b/src/engines/engine_directory.h
@@ -50,15 +50,15 @@
   void set_peers(std::vector<fleet_peer> alive);
   void set_configuration(std::shared_ptr<const model::serving_configuration> configuration);
   /// Forgets engines that are gone.
-  void forget_gone();
+  void forget_removed_engines();
   /// An engine started again: it keeps nothing and has nothing to read.
   void forget(const base::replica_id& engine);
 
   /// This node sends a prompt to an engine.
   void note_sent(const replica_state& engine, const sent_prompt& prompt, base::time_point now);
   /// A prompt got its first event.
-  void note_first_event(std::uint32_t own_tokens, base::duration took) {
-    rate_.note(own_tokens, took);
+  void note_first_event(std::uint32_t own_tokens, base::duration elapsed) {
+    prefill_rate_.note(own_tokens, elapsed);
   }
   void handle(const wire::engine_news& news, base::time_point now);
 
@@ -77,29 +77,30 @@
   [[nodiscard]] wire::outbox take_messages();
   [[nodiscard]] const engine_directory_counts& counts() const { return counts_; }
   /// @return engines whose account this node holds or held.
-  [[nodiscard]] std::size_t accounts() const { return accounts_.size(); }
+  [[nodiscard]] std::size_t accounted_engines() const { return accounting_by_engine_.size(); }
 
  private:
   /// @return the peer that holds an engine's account; null where this node does.
   [[nodiscard]] const fleet_peer* accounting_node_of(const model::replica& engine) const;
-  void take_in(const base::replica_id& engine, const sent_prompt& prompt, base::time_point now);
-  void tell_load(const base::replica_id& engine, std::uint32_t tokens, base::time_point now);
+  void account_send(const base::replica_id& engine, const sent_prompt& prompt,
+                    base::time_point now);
+  void report_backlog(const base::replica_id& engine, std::uint32_t tokens, base::time_point now);
   /// @return to how many of so many nodes a report may be sent now; counts the bytes.
-  std::size_t take_allowance(std::size_t receivers, base::time_point now);
+  std::size_t consume_allowance(std::size_t receivers, base::time_point now);
 
   fleet_peer self_;
   model::zone_regions regions_;
   const replica_table* replicas_;
   std::shared_ptr<const model::serving_configuration> configuration_;
   std::vector<fleet_peer> peers_;
-  prefill_rate rate_;
-  sending_rate sent_;
-  std::unordered_map<base::replica_id, prefill_backlog> believed_;
+  prefill_rate prefill_rate_;
+  sending_rate sending_rate_;
+  std::unordered_map<base::replica_id, prefill_backlog> estimated_backlogs_;
   /// Engines whose account this node holds or held.
-  std::unordered_map<base::replica_id, engine_accounting> accounts_;
+  std::unordered_map<base::replica_id, engine_accounting> accounting_by_engine_;
   /// Reports that may be sent now, one a receiver, and when they were counted last.
-  double allowance_;
-  base::time_point allowance_at_;
+  double report_allowance_;
+  base::time_point allowance_updated_at_;
   /// Place among the nodes of the region from which receivers are taken next.
   std::size_t next_receiver_ = 0;
   wire::outbox messages_;
--- a/src/engines/first_byte_model.cc
+++ b/src/engines/first_byte_model.cc
@@ -6,20 +6,20 @@
 namespace {
 
 /// Before enough calls have answered.
-constexpr base::duration usual_first_byte = std::chrono::milliseconds(300);
+constexpr base::duration default_first_byte_time = std::chrono::milliseconds(300);
 /// Weight that a call loses with each newer one: the last fifty or so count.
-constexpr double forgetting = 0.98;
+constexpr double decay_per_call = 0.98;
 /// Calls, by weight, before the line is trusted.
-constexpr double least_weight = 4;
+constexpr double min_weight = 4;
 
 } // namespace
 
-void first_byte_model::note(std::uint32_t tokens, base::duration took) {
+void first_byte_model::note(std::uint32_t tokens, base::duration elapsed) {
   for (auto* sum : {&weight_, &tokens_, &seconds_, &tokens_squared_, &tokens_by_seconds_}) {
-    *sum *= forgetting;
+    *sum *= decay_per_call;
   }
   const double length = tokens;
-  const double seconds = base::to_seconds(took);
+  const double seconds = base::to_seconds(elapsed);
   weight_ += 1;
   tokens_ += length;
   seconds_ += seconds;
@@ -28,14 +28,14 @@
 }
 
 base::duration first_byte_model::expected(std::uint32_t tokens) const {
-  if (weight_ < least_weight) {
-    return usual_first_byte;
+  if (weight_ < min_weight) {
+    return default_first_byte_time;
   }
   const double mean_tokens = tokens_ / weight_;
   const double mean_seconds = seconds_ / weight_;
-  const double spread = tokens_squared_ / weight_ - mean_tokens * mean_tokens;
-  const double joint = tokens_by_seconds_ / weight_ - mean_tokens * mean_seconds;
-  const double slope = spread > 1 ? std::max(0.0, joint / spread) : 0.0;
+  const double variance = tokens_squared_ / weight_ - mean_tokens * mean_tokens;
+  const double covariance = tokens_by_seconds_ / weight_ - mean_tokens * mean_seconds;
+  const double slope = variance > 1 ? std::max(0.0, covariance / variance) : 0.0;
   return base::from_seconds(std::max(0.0, mean_seconds + slope * (tokens - mean_tokens)));
 }
 
--- a/src/engines/first_byte_model.h
+++ b/src/engines/first_byte_model.h
@@ -12,7 +12,7 @@
 class first_byte_model {
  public:
   /// @param tokens of the prompt that no other request shares.
-  void note(std::uint32_t tokens, base::duration took);
+  void note(std::uint32_t tokens, base::duration elapsed);
   /// @return a usual time while too few calls were seen.
   [[nodiscard]] base::duration expected(std::uint32_t tokens) const;
 
--- a/src/engines/prefill_backlog.h
+++ b/src/engines/prefill_backlog.h
@@ -13,21 +13,21 @@
   /// @param rate tokens that the engine reads in a second, here and below.
   /// @return tokens that are unread at `now`.
   [[nodiscard]] double level(double rate, base::time_point now) const {
-    return std::max(0.0, tokens_ - rate * base::to_seconds(now - at_));
+    return std::max(0.0, tokens_ - rate * base::to_seconds(now - updated_at_));
   }
   void add(double tokens, double rate, base::time_point now) {
     tokens_ = level(rate, now) + tokens;
-    at_ = now;
+    updated_at_ = now;
   }
   /// A report of the account holder says that so many are unread.
   void raise_to(double tokens, double rate, base::time_point now) {
     tokens_ = std::max(level(rate, now), tokens);
-    at_ = now;
+    updated_at_ = now;
   }
 
  private:
   double tokens_ = 0;
-  base::time_point at_;
+  base::time_point updated_at_;
 };
 
 } // namespace spurrack::serving
--- a/src/engines/prefill_rate.h
+++ b/src/engines/prefill_rate.h
@@ -12,7 +12,7 @@
  public:
   /// @param own_tokens tokens of the prompt that the engine cannot have kept.
   /// @param took from the sending to the first event.
-  void note(std::uint32_t own_tokens, base::duration took);
+  void note(std::uint32_t own_tokens, base::duration elapsed);
   /// @return tokens a second.
   [[nodiscard]] double tokens_per_second() const { return rate_; }
 
--- a/src/engines/prefix_placement.h
+++ b/src/engines/prefix_placement.h
@@ -15,8 +15,8 @@
 /// The parts of a prompt that others share.
 struct shared_prompt_prefix {
   /// Hashes of the first and the last shared part; 0 where nothing is shared.
-  std::uint64_t first_key = 0;
-  std::uint64_t last_key = 0;
+  std::uint64_t first_part_hash = 0;
+  std::uint64_t last_part_hash = 0;
   /// Tokens of all shared parts.
   std::uint32_t tokens = 0;
 };
@@ -31,8 +31,8 @@
 /// @param beginning shares something.
 /// @param most how many read it; all where there are no more.
 [[nodiscard]] std::vector<const replica_state*>
-engines_for_first_part(const shared_prompt_prefix& beginning,
-                       std::vector<const replica_state*> engines, std::size_t most);
+engines_for_first_part(const shared_prompt_prefix& prefix,
+                       std::vector<const replica_state*> engines, std::size_t max_count);
 
 /// @param beginning shares something.
 /// @param engines may all be given the prompt; their order does not matter.
@@ -41,7 +41,7 @@
 ///         among the engines given, so that the work is even. An engine that comes or goes changes
 ///         the homes of no other prompts.
 [[nodiscard]] std::vector<const replica_state*>
-preferred_engines_of(const shared_prompt_prefix& beginning,
-                     const std::vector<const replica_state*>& engines, std::size_t most);
+preferred_engines_of(const shared_prompt_prefix& prefix,
+                     const std::vector<const replica_state*>& engines, std::size_t max_count);
 
 } // namespace spurrack::serving
--- a/src/engines/sending_rate.cc
+++ b/src/engines/sending_rate.cc
@@ -8,30 +8,31 @@
 
 /// A node of a large fleet sends one prompt in a few seconds: a shorter time would be mostly
 /// chance.
-constexpr base::duration memory_time = std::chrono::seconds(30);
+constexpr base::duration decay_time = std::chrono::seconds(30);
 /// The first prompts are taken to be those of this time.
-constexpr base::duration least_time = std::chrono::seconds(10);
+constexpr base::duration min_observed_time = std::chrono::seconds(10);
 
 } // namespace
 
-double sending_rate::remembered(base::time_point now) const {
-  return tokens_ * std::exp(-base::to_seconds(now - counted_at_) / base::to_seconds(memory_time));
+double sending_rate::decayed_tokens(base::time_point now) const {
+  return tokens_ * std::exp(-base::to_seconds(now - updated_at_) / base::to_seconds(decay_time));
 }
 
 void sending_rate::note(double tokens, base::time_point now) {
-  began_ = began_.value_or(now);
-  tokens_ = remembered(now) + tokens;
-  counted_at_ = now;
+  first_send_at_ = first_send_at_.value_or(now);
+  tokens_ = decayed_tokens(now) + tokens;
+  updated_at_ = now;
 }
 
 double sending_rate::tokens_per_second(base::time_point now) const {
-  if (!began_) {
+  if (!first_send_at_) {
     return 0;
   }
-  const auto watched = std::max<base::duration>(now - *began_, least_time);
-  const double memory = base::to_seconds(memory_time);
-  const double seconds = memory * (1 - std::exp(-base::to_seconds(watched) / memory));
-  return remembered(now) / seconds;
+  const auto observed = std::max<base::duration>(now - *first_send_at_, min_observed_time);
+  const double decay_seconds = base::to_seconds(decay_time);
+  const double seconds =
+      decay_seconds * (1 - std::exp(-base::to_seconds(observed) / decay_seconds));
+  return decayed_tokens(now) / seconds;
 }
 
 } // namespace spurrack::serving
--- a/src/engines/sending_rate.h
+++ b/src/engines/sending_rate.h
@@ -16,10 +16,10 @@
 
  private:
   /// @return what is left of the tokens counted.
-  [[nodiscard]] double remembered(base::time_point now) const;
+  [[nodiscard]] double decayed_tokens(base::time_point now) const;
 
-  std::optional<base::time_point> began_;
-  base::time_point counted_at_;
+  std::optional<base::time_point> first_send_at_;
+  base::time_point updated_at_;
   double tokens_ = 0;
 };
 
--- a/tests/engines/engine_accounting_test.cc
+++ b/tests/engines/engine_accounting_test.cc
@@ -16,10 +16,10 @@
 
 BOOST_AUTO_TEST_CASE(shared_parts_are_read_once) {
   engine_accounting account(400'000);
-  BOOST_TEST(account.take({500, 7, 10'000}, rate, start) == 10'500U);
-  BOOST_TEST(account.take({600, 7, 10'000}, rate, start) == 600U);
-  BOOST_TEST(account.take({600, 8, 10'000}, rate, start) == 10'600U);
-  BOOST_TEST(account.take({600, 0, 0}, rate, start) == 600U);
+  BOOST_TEST(account.record_send({500, 7, 10'000}, rate, start) == 10'500U);
+  BOOST_TEST(account.record_send({600, 7, 10'000}, rate, start) == 600U);
+  BOOST_TEST(account.record_send({600, 8, 10'000}, rate, start) == 10'600U);
+  BOOST_TEST(account.record_send({600, 0, 0}, rate, start) == 600U);
 }
 
 BOOST_AUTO_TEST_CASE(what_was_used_the_longest_ago_gives_way) {
@@ -44,16 +44,16 @@
 
 BOOST_AUTO_TEST_CASE(only_a_long_wait_is_told_and_again_only_when_it_grew) {
   engine_accounting account(400'000);
-  account.take({30'000, 0, 0}, rate, start);
+  account.record_send({30'000, 0, 0}, rate, start);
   BOOST_TEST(!account.backlog_to_report(rate, start));
-  account.take({15'000, 0, 0}, rate, start);
+  account.record_send({15'000, 0, 0}, rate, start);
   BOOST_REQUIRE(account.backlog_to_report(rate, start));
   BOOST_TEST(*account.backlog_to_report(rate, start) == 45'000U);
   account.note_reported(45'000, rate, start);
   BOOST_TEST(!account.backlog_to_report(rate, start));
-  account.take({5'000, 0, 0}, rate, start);
+  account.record_send({5'000, 0, 0}, rate, start);
   BOOST_TEST(!account.backlog_to_report(rate, start));
-  account.take({6'000, 0, 0}, rate, start);
+  account.record_send({6'000, 0, 0}, rate, start);
   BOOST_TEST(account.backlog_to_report(rate, start).has_value());
 }
 
--- a/tests/engines/engine_directory_test.cc
+++ b/tests/engines/engine_directory_test.cc
@@ -193,7 +193,7 @@
   load.set_replica(kept.text());
   load.set_unread_tokens(90'000);
   for (auto& node : fleet.nodes) {
-    node->forget_gone();
+    node->forget_removed_engines();
     node->handle(late, fleet.table.now);
     BOOST_TEST(node->take_messages().empty());
   }
--- a/tests/engines/prefix_placement_test.cc
+++ b/tests/engines/prefix_placement_test.cc
@@ -126,19 +126,20 @@
   engine_table table(60);
   auto other = prompt("part");
   other.model = "n";
-  BOOST_TEST(shared_prompt_prefix_of(other).last_key !=
-             shared_prompt_prefix_of(prompt("part")).last_key);
+  BOOST_TEST(shared_prompt_prefix_of(other).last_part_hash !=
+             shared_prompt_prefix_of(prompt("part")).last_part_hash);
 }
 
 BOOST_AUTO_TEST_CASE(a_prompt_is_told_with_its_own_and_its_shared_tokens) {
   const auto told = sent_prompt_of(prompt("first", 2'500, "last"));
   BOOST_TEST(told.own_tokens == 500U);
   BOOST_TEST(told.shared_tokens == 5'500U);
-  BOOST_TEST(told.shared_part == shared_prompt_prefix_of(prompt("first", 2'500, "last")).last_key);
+  BOOST_TEST(told.shared_prefix ==
+             shared_prompt_prefix_of(prompt("first", 2'500, "last")).last_part_hash);
   request_content without;
   without.prompt_tokens = 700;
   BOOST_TEST(sent_prompt_of(without).own_tokens == 700U);
-  BOOST_TEST(sent_prompt_of(without).shared_part == 0U);
+  BOOST_TEST(sent_prompt_of(without).shared_prefix == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(readers_of_a_first_part_are_a_part_of_more_of_them) {
