--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -284,7 +284,7 @@
       dispatcher.counts().refused_without_place);
   add_gauge(registry, "spurrack_limited_replicas",
             "Replicas that name how many requests a second they take.",
-            static_cast<double>(dispatcher.limits().limited()));
+            static_cast<double>(dispatcher.limits().limited_replicas()));
 }
 
 void add_engines(Registry& registry, const serving::engine_directory_counts& engines) {
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -190,7 +190,7 @@
   json::array replicas;
   if (const auto* serving = subject.serving()) {
     const auto& limits = serving->limits();
-    for (const auto& [replica, record] : limits.book().all()) {
+    for (const auto& [replica, record] : limits.announced_limits().all()) {
       const auto* stock = limits.stock_of(replica);
       json::object row{{"replica", replica.text()},
                        {"heard_ms", base::to_milliseconds(now - record.heard_at)},
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -131,7 +131,7 @@
   } else {
     replicas_.update(content.replicas(), now);
   }
-  directory_.forget_gone();
+  directory_.forget_removed_engines();
 }
 
 void dispatcher::handle(const event& what, base::time_point now) {
--- a/src/dispatch/dispatcher_places.cc
+++ b/src/dispatch/dispatcher_places.cc
@@ -42,7 +42,7 @@
 // --- asking --------------------------------------------------------------------------------------
 
 void dispatcher::want_permit(const active_request& request, base::time_point now) {
-  if (!limits_.any()) {
+  if (!limits_.has_limits()) {
     return;
   }
   auto limited = replicas_.short_of_permits(demand_of(request), now);
@@ -140,7 +140,7 @@
 }
 
 bool dispatcher::refuse_without_outlook(active_request& request, base::time_point now) {
-  const bool all_take_any = !limits_.any() && !replicas_.any_backoff(now);
+  const bool all_take_any = !limits_.has_limits() && !replicas_.any_backoff(now);
   if (all_take_any || !request.graph) {
     return false;
   }
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -209,8 +209,8 @@
   void carry_out(serving::widen_window wanted) override {
     const auto found = exchanges_.find(wanted.client);
     if (found != exchanges_.end() &&
-        resources_.budget->has_room(flow::byte_use::buffered_stream,
-                                    flow::stream_window::max_window_bytes)) {
+        resources_.budget->ensure_capacity(flow::byte_use::buffered_stream,
+                                           flow::stream_window::max_window_bytes)) {
       auto& client = *found->second;
       tell(client, client.window.start_read_ahead(base::boot_clock::now()));
     }
@@ -276,7 +276,7 @@
   void push_events(exchange& client, std::string bytes) {
     const auto size = bytes.size();
     if (client.window.is_reading_ahead() &&
-        !resources_.budget->has_room(flow::byte_use::buffered_stream, size)) {
+        !resources_.budget->ensure_capacity(flow::byte_use::buffered_stream, size)) {
       tell(client, client.window.close(base::boot_clock::now()));
     }
     if (client.given_up || !client.counted.grow(flow::byte_use::stream_event, size)) {
@@ -578,7 +578,7 @@
         co_return false;
       }
       written += taken;
-      tell(waiting, waiting.window.take(taken, base::boot_clock::now()));
+      tell(waiting, waiting.window.consume(taken, base::boot_clock::now()));
     }
     co_return true;
   }
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -244,7 +244,7 @@
       if (verdict == flow::memory_verdict::granted) {
         break;
       }
-      if (verdict == flow::memory_verdict::give_up) {
+      if (verdict == flow::memory_verdict::abort_answer) {
         state->lacked_memory = true;
         co_return false;
       }
