--- a/src/flow/byte_budget.cc
+++ b/src/flow/byte_budget.cc
@@ -11,10 +11,10 @@
 /// window of 8 KB and an event of 2 KB for each of 1,500 clients. Events that have been read come
 /// last, since refusing one breaks its stream off; a tenth is theirs alone, so that a large answer
 /// (8 MB of a budget of 10 MB) takes no event's room.
-constexpr std::array<double, byte_uses> limits{0.3, 0.4, 0.5, 0.55, 0.9, 1.0};
+constexpr std::array<double, byte_uses> use_limits{0.3, 0.4, 0.5, 0.55, 0.9, 1.0};
 /// Beyond this part the slowest readers are ended before an event would find no room: what they
 /// hold comes back a moment later.
-constexpr double relief_begins = 0.9;
+constexpr double relief_threshold = 0.9;
 
 } // namespace
 
@@ -35,54 +35,54 @@
 }
 
 std::size_t byte_budget::limit_of(byte_use use) const {
-  return static_cast<std::size_t>(static_cast<double>(capacity_) * limits[index(use)]);
+  return static_cast<std::size_t>(static_cast<double>(capacity_) * use_limits[index(use)]);
 }
 
 bool byte_budget::is_within_limit(byte_use use, std::size_t bytes) const {
   return bytes <= limit_of(use);
 }
 
-bool byte_budget::fits(byte_use use, std::size_t bytes) const {
+bool byte_budget::fits_now(byte_use use, std::size_t bytes) const {
   const auto limit = limit_of(use);
   return held_ <= limit && bytes <= limit - held_;
 }
 
-bool byte_budget::wants_relief(byte_use use, std::size_t bytes) const {
+bool byte_budget::needs_relief(byte_use use, std::size_t bytes) const {
   if (use == byte_use::stream_event) {
-    return static_cast<double>(held_ + bytes) > relief_begins * static_cast<double>(capacity_);
+    return static_cast<double>(held_ + bytes) > relief_threshold * static_cast<double>(capacity_);
   }
   const bool is_answer = use == byte_use::whole_answer || use == byte_use::lone_answer;
-  return is_answer && !fits(use, bytes);
+  return is_answer && !fits_now(use, bytes);
 }
 
-bool byte_budget::has_room(byte_use use, std::size_t bytes) {
+bool byte_budget::ensure_capacity(byte_use use, std::size_t bytes) {
   // Relief that itself asks for bytes must not ask for relief again.
-  if (relief_ && !asking_relief_ && wants_relief(use, bytes)) {
-    asking_relief_ = true;
+  if (relief_ && !is_requesting_relief_ && needs_relief(use, bytes)) {
+    is_requesting_relief_ = true;
     relief_(use, bytes);
-    asking_relief_ = false;
+    is_requesting_relief_ = false;
   }
-  return fits(use, bytes);
+  return fits_now(use, bytes);
 }
 
-bool byte_budget::take(byte_holder holder, byte_use use, std::size_t bytes) {
-  if (!has_room(use, bytes)) {
+bool byte_budget::acquire(byte_holder holder, byte_use use, std::size_t bytes) {
+  if (!ensure_capacity(use, bytes)) {
     ++refusals_[index(use)];
     return false;
   }
   held_ += bytes;
-  accounts_[index(holder)] += bytes;
+  held_by_holder_[index(holder)] += bytes;
   return true;
 }
 
-void byte_budget::give_back(byte_holder holder, std::size_t bytes) {
+void byte_budget::release(byte_holder holder, std::size_t bytes) {
   held_ -= bytes;
-  accounts_[index(holder)] -= bytes;
+  held_by_holder_[index(holder)] -= bytes;
 }
 
-void byte_budget::move(byte_holder from, byte_holder to, std::size_t bytes) {
-  accounts_[index(from)] -= bytes;
-  accounts_[index(to)] += bytes;
+void byte_budget::transfer(byte_holder from, byte_holder to, std::size_t bytes) {
+  held_by_holder_[index(from)] -= bytes;
+  held_by_holder_[index(to)] += bytes;
 }
 
 byte_reservation::byte_reservation(byte_reservation&& other) noexcept
@@ -100,7 +100,7 @@
 }
 
 bool byte_reservation::grow(byte_use use, std::size_t bytes) {
-  if (!budget_->take(holder_, use, bytes)) {
+  if (!budget_->acquire(holder_, use, bytes)) {
     return false;
   }
   bytes_ += bytes;
@@ -110,13 +110,13 @@
 void byte_reservation::shrink(std::size_t bytes) {
   const auto returned = std::min(bytes, bytes_);
   if (returned > 0) {
-    budget_->give_back(holder_, returned);
+    budget_->release(holder_, returned);
     bytes_ -= returned;
   }
 }
 
 void byte_reservation::move_to(byte_holder holder) {
-  budget_->move(holder_, holder, bytes_);
+  budget_->transfer(holder_, holder, bytes_);
   holder_ = holder;
 }
 
--- a/src/flow/byte_budget.h
+++ b/src/flow/byte_budget.h
@@ -39,29 +39,31 @@
 class byte_budget {
  public:
   /// Ends the slowest readers. @param use what room is wanted for. @param bytes how much of it.
-  using relief = std::function<void(byte_use use, std::size_t bytes)>;
+  using relief_callback = std::function<void(byte_use use, std::size_t bytes)>;
 
   explicit byte_budget(std::size_t capacity) : capacity_(capacity) {}
   byte_budget(const byte_budget&) = delete;
   byte_budget& operator=(const byte_budget&) = delete;
 
   /// Asked where an answer finds no room; may return bytes at once or later.
-  void set_relief(relief ask) { relief_ = std::move(ask); }
+  void set_relief(relief_callback callback) { relief_ = std::move(callback); }
 
   /// @return whether `use` may have `bytes` more now. Asks for relief where an answer may
   /// not, or an event soon may not.
-  [[nodiscard]] bool has_room(byte_use use, std::size_t bytes);
+  [[nodiscard]] bool ensure_capacity(byte_use use, std::size_t bytes);
   /// @return whether `use` is granted up to `bytes` held in all.
   [[nodiscard]] bool is_within_limit(byte_use use, std::size_t bytes) const;
   /// Takes bytes. @return false, with nothing taken, where there is no room; that is counted.
-  [[nodiscard]] bool take(byte_holder holder, byte_use use, std::size_t bytes);
-  void give_back(byte_holder holder, std::size_t bytes);
+  [[nodiscard]] bool acquire(byte_holder holder, byte_use use, std::size_t bytes);
+  void release(byte_holder holder, std::size_t bytes);
   /// Puts bytes from one account to another.
-  void move(byte_holder from, byte_holder to, std::size_t bytes);
+  void transfer(byte_holder from, byte_holder to, std::size_t bytes);
 
   [[nodiscard]] std::size_t capacity() const { return capacity_; }
   [[nodiscard]] std::size_t held() const { return held_; }
-  [[nodiscard]] std::size_t held(byte_holder holder) const { return accounts_[index(holder)]; }
+  [[nodiscard]] std::size_t held(byte_holder holder) const {
+    return held_by_holder_[index(holder)];
+  }
   [[nodiscard]] std::uint64_t refusals(byte_use use) const { return refusals_[index(use)]; }
   /// @return 0 where nothing is held, 1 where the budget is spent.
   [[nodiscard]] double utilization() const;
@@ -71,16 +73,16 @@
   static constexpr std::size_t index(kind value) {
     return static_cast<std::size_t>(value);
   }
-  [[nodiscard]] bool wants_relief(byte_use use, std::size_t bytes) const;
-  [[nodiscard]] bool fits(byte_use use, std::size_t bytes) const;
+  [[nodiscard]] bool needs_relief(byte_use use, std::size_t bytes) const;
+  [[nodiscard]] bool fits_now(byte_use use, std::size_t bytes) const;
   [[nodiscard]] std::size_t limit_of(byte_use use) const;
 
   std::size_t capacity_;
   std::size_t held_ = 0;
-  std::array<std::size_t, byte_holders> accounts_{};
+  std::array<std::size_t, byte_holders> held_by_holder_{};
   std::array<std::uint64_t, byte_uses> refusals_{};
-  relief relief_;
-  bool asking_relief_ = false;
+  relief_callback relief_;
+  bool is_requesting_relief_ = false;
 };
 
 /// Bytes taken of a budget for one holder; returned when it goes. One that was moved from holds
--- a/src/flow/stream_window.cc
+++ b/src/flow/stream_window.cc
@@ -5,41 +5,41 @@
 namespace spurrack::flow {
 namespace {
 
-std::size_t width_at(double utilization) {
-  const double left = std::clamp(1.0 - utilization, 0.0, 1.0);
-  const auto width = static_cast<std::size_t>(left * stream_window::max_window_bytes);
-  return std::max(width, stream_window::min_window_bytes);
+std::size_t window_size_at(double utilization) {
+  const double free_fraction = std::clamp(1.0 - utilization, 0.0, 1.0);
+  const auto size = static_cast<std::size_t>(free_fraction * stream_window::max_window_bytes);
+  return std::max(size, stream_window::min_window_bytes);
 }
 
 } // namespace
 
 void stream_window::set_open(bool open, base::time_point now) {
   if (open) {
-    closed_before_ += now - closed_since_;
+    total_closed_duration_ += now - closed_at_;
   } else {
-    closed_since_ = now;
+    closed_at_ = now;
   }
-  open_ = open;
+  is_open_ = open;
 }
 
 window_change stream_window::add(std::size_t bytes, double utilization, base::time_point now) {
   if (unread_ == 0) {
-    last_progress_ = now;
+    last_progress_at_ = now;
   }
   unread_ += bytes;
-  width_ = width_at(utilization);
-  if (!open_ || widened_ || unread_ < width_) {
+  size_ = window_size_at(utilization);
+  if (!is_open_ || is_reading_ahead_ || unread_ < size_) {
     return window_change::none;
   }
   set_open(false, now);
   return window_change::closed;
 }
 
-window_change stream_window::take(std::size_t bytes, base::time_point now) {
-  last_progress_ = now;
+window_change stream_window::consume(std::size_t bytes, base::time_point now) {
+  last_progress_at_ = now;
   unread_ -= std::min(bytes, unread_);
-  const auto opens_at = static_cast<std::size_t>(static_cast<double>(width_) * reopen_fraction);
-  if (open_ || unread_ > opens_at) {
+  const auto reopen_bytes = static_cast<std::size_t>(static_cast<double>(size_) * reopen_fraction);
+  if (is_open_ || unread_ > reopen_bytes) {
     return window_change::none;
   }
   set_open(true, now);
@@ -47,8 +47,8 @@
 }
 
 window_change stream_window::start_read_ahead(base::time_point now) {
-  widened_ = true;
-  if (open_) {
+  is_reading_ahead_ = true;
+  if (is_open_) {
     return window_change::none;
   }
   set_open(true, now);
@@ -56,8 +56,8 @@
 }
 
 window_change stream_window::close(base::time_point now) {
-  widened_ = false;
-  if (!open_) {
+  is_reading_ahead_ = false;
+  if (!is_open_) {
     return window_change::none;
   }
   set_open(false, now);
@@ -65,11 +65,12 @@
 }
 
 base::duration stream_window::stall_duration(base::time_point now) const {
-  return unread_ == 0 ? base::duration::zero() : base::duration(now - last_progress_);
+  return unread_ == 0 ? base::duration::zero() : base::duration(now - last_progress_at_);
 }
 
 base::duration stream_window::closed_duration(base::time_point now) const {
-  return closed_before_ + (open_ ? base::duration::zero() : base::duration(now - closed_since_));
+  return total_closed_duration_ +
+         (is_open_ ? base::duration::zero() : base::duration(now - closed_at_));
 }
 
 } // namespace spurrack::flow
--- a/src/flow/stream_window.h
+++ b/src/flow/stream_window.h
@@ -24,21 +24,21 @@
   /// event.
   static constexpr double reopen_fraction = 0.5;
 
-  explicit stream_window(base::time_point now) : last_progress_(now) {}
+  explicit stream_window(base::time_point now) : last_progress_at_(now) {}
 
   /// Bytes were added for the client.
   /// @param fullness of the budget, 0 to 1: the fuller, the narrower the window.
   window_change add(std::size_t bytes, double utilization, base::time_point now);
   /// The client took bytes.
-  window_change take(std::size_t bytes, base::time_point now);
+  window_change consume(std::size_t bytes, base::time_point now);
   /// Lets the stream be buffered although the client does not read: bytes beyond the width
   /// no longer close the window, only `close` does.
   window_change start_read_ahead(base::time_point now);
   /// Closes a window that was widened, since there is no memory for it.
   window_change close(base::time_point now);
 
-  [[nodiscard]] bool is_open() const { return open_; }
-  [[nodiscard]] bool is_reading_ahead() const { return widened_; }
+  [[nodiscard]] bool is_open() const { return is_open_; }
+  [[nodiscard]] bool is_reading_ahead() const { return is_reading_ahead_; }
   [[nodiscard]] std::size_t unread() const { return unread_; }
   /// @return how long bytes have waited of which the client took none.
   [[nodiscard]] base::duration stall_duration(base::time_point now) const;
@@ -49,12 +49,12 @@
   void set_open(bool open, base::time_point now);
 
   std::size_t unread_ = 0;
-  std::size_t width_ = max_window_bytes;
-  bool open_ = true;
-  bool widened_ = false;
-  base::time_point last_progress_;
-  base::time_point closed_since_;
-  base::duration closed_before_{};
+  std::size_t size_ = max_window_bytes;
+  bool is_open_ = true;
+  bool is_reading_ahead_ = false;
+  base::time_point last_progress_at_;
+  base::time_point closed_at_;
+  base::duration total_closed_duration_{};
 };
 
 } // namespace spurrack::flow
--- a/src/rate_limits/limit_exchange.cc
+++ b/src/rate_limits/limit_exchange.cc
@@ -9,28 +9,30 @@
 
 /// Part of a limit that is issued. With what an issuer saves up and the lifetime of a permit, the
 /// sends of any ten seconds stay below the limit.
-constexpr double issued_part_of_limit = 0.97;
+constexpr double issued_fraction_of_limit = 0.97;
 /// Permits a second for a replica that takes less, or nothing: only an answer tells that a limit is
 /// lifted.
-constexpr double least_pace = 0.1;
+constexpr double min_issue_rate = 0.1;
 /// Permits are asked for this often, of so many nodes at once: 4 kB a second at the most, however
 /// many replicas are limited.
-constexpr base::duration ask_period = std::chrono::milliseconds(50);
-constexpr std::size_t most_asked = 4;
+constexpr base::duration query_interval = std::chrono::milliseconds(50);
+constexpr std::size_t max_queried_nodes = 4;
 /// Permits for replicas that name no limit any more are forgotten this often.
-constexpr base::duration review_period = std::chrono::milliseconds(1000);
+constexpr base::duration cleanup_interval = std::chrono::milliseconds(1000);
 
 } // namespace
 
 limit_exchange::limit_exchange(serving::fleet_peer self,
                                const replica_statements::statement_exchange& statements,
-                               replica_statements::replica_lookup lookup, base::incarnation life)
+                               replica_statements::replica_lookup lookup,
+                               base::incarnation incarnation)
     : self_(std::move(self)), statements_(&statements), lookup_(std::move(lookup)),
-      next_question_(life) {
+      query_number_(incarnation) {
   set_peers({}, 0);
 }
 
-void limit_exchange::set_peers(const std::vector<serving::fleet_peer>& alive, std::size_t known) {
+void limit_exchange::set_peers(const std::vector<serving::fleet_peer>& alive,
+                               std::size_t known_peers) {
   peers_.clear();
   nodes_by_zone_.clear();
   nodes_.clear();
@@ -43,27 +45,28 @@
     add(peer);
     peers_.emplace(peer.node, peer);
   }
-  const double seen = static_cast<double>(nodes_.size()) / static_cast<double>(known + 1);
-  issued_part_ = seen > 0.5 ? 1 : seen;
+  const double visible_fraction =
+      static_cast<double>(nodes_.size()) / static_cast<double>(known_peers + 1);
+  issued_fraction_ = visible_fraction > 0.5 ? 1 : visible_fraction;
   issuer_by_replica_.clear();
   std::erase_if(issuers_, [&](const auto& entry) { return issuer_of(entry.first) != self_.node; });
 }
 
-double limit_exchange::pace_of(double per_second) const {
-  return std::max(least_pace, per_second * issued_part_of_limit * issued_part_);
+double limit_exchange::issue_rate_of(double per_second) const {
+  return std::max(min_issue_rate, per_second * issued_fraction_of_limit * issued_fraction_);
 }
 
 base::node_id limit_exchange::issuer_of(const base::replica_id& replica) const {
-  const auto known = issuer_by_replica_.find(replica);
-  if (known != issuer_by_replica_.end()) {
-    return known->second;
+  const auto cached = issuer_by_replica_.find(replica);
+  if (cached != issuer_by_replica_.end()) {
+    return cached->second;
   }
   const auto published = lookup_(replica);
-  const auto near = published ? nodes_by_zone_.find(published->zone) : nodes_by_zone_.end();
-  const auto& candidates = near == nodes_by_zone_.end() ? nodes_ : near->second;
-  auto chosen = base::rendezvous_top("rate_limit/" + replica.text(), candidates, 1).front();
-  issuer_by_replica_.emplace(replica, chosen);
-  return chosen;
+  const auto same_zone = published ? nodes_by_zone_.find(published->zone) : nodes_by_zone_.end();
+  const auto& candidates = same_zone == nodes_by_zone_.end() ? nodes_ : same_zone->second;
+  auto issuer = base::rendezvous_top("rate_limit/" + replica.text(), candidates, 1).front();
+  issuer_by_replica_.emplace(replica, issuer);
+  return issuer;
 }
 
 const permit_stock* limit_exchange::stock_of(const base::replica_id& replica) const {
@@ -71,8 +74,8 @@
   return found == stocks_.end() ? nullptr : &found->second;
 }
 
-std::size_t limit_exchange::limited() const {
-  const auto& records = book().all();
+std::size_t limit_exchange::limited_replicas() const {
+  const auto& records = announced_limits().all();
   return static_cast<std::size_t>(
       std::count_if(records.begin(), records.end(),
                     [](const auto& entry) { return entry.second.per_second.has_value(); }));
@@ -87,7 +90,7 @@
 // --- permits -------------------------------------------------------------------------------------
 
 bool limit_exchange::may_send(const base::replica_id& replica, base::time_point now) const {
-  if (!book().limit_of(replica)) {
+  if (!announced_limits().limit_of(replica)) {
     return true;
   }
   const auto* stock = stock_of(replica);
@@ -95,113 +98,115 @@
 }
 
 void limit_exchange::note_sent(const base::replica_id& replica, base::time_point now) {
-  if (!book().limit_of(replica)) {
+  if (!announced_limits().limit_of(replica)) {
     return;
   }
-  stocks_[replica].take(now);
-  enqueue(replica);
+  stocks_[replica].note_sent(now);
+  enqueue_query(replica);
 }
 
 void limit_exchange::note_unmet_demand(const base::replica_id& replica, base::time_point now) {
   stocks_[replica].note_unmet_demand(now);
-  enqueue(replica);
+  enqueue_query(replica);
 }
 
 void limit_exchange::note_waiting(const base::replica_id& replica, std::uint32_t count,
                                   base::time_point now) {
   stocks_[replica].note_waiting(count, now);
-  enqueue(replica);
+  enqueue_query(replica);
 }
 
-void limit_exchange::enqueue(const base::replica_id& replica) {
-  if (is_wanted_.insert(replica).second) {
-    wanted_.push_back(replica);
+void limit_exchange::enqueue_query(const base::replica_id& replica) {
+  if (queued_replicas_.insert(replica).second) {
+    replicas_to_query_.push_back(replica);
   }
 }
 
-void limit_exchange::ask_for(const base::replica_id& replica, std::uint32_t count,
-                             message_map& messages, base::time_point now) {
-  const bool is_waiting = stocks_[replica].has_waiting_requests(now);
+void limit_exchange::add_query(const base::replica_id& replica, std::uint32_t count,
+                               message_map& messages, base::time_point now) {
+  const bool has_waiting_requests = stocks_[replica].has_waiting_requests(now);
   const auto issuer = issuer_of(replica);
   if (issuer == self_.node) {
     issuers_.try_emplace(replica, now)
-        .first->second.take({self_.node, next_question_, count, is_waiting}, now);
-    next_issue_ = now;
+        .first->second.record_query({self_.node, query_number_, count, has_waiting_requests}, now);
+    next_issue_at_ = now;
     return;
   }
   auto& message = messages[issuer];
   *message.add_limits() = statements_->limit_message(replica, now);
   auto& wanted = *message.add_wanted();
   wanted.set_replica(replica.text());
-  wanted.set_number(next_question_);
+  wanted.set_number(query_number_);
   wanted.set_count(count);
-  wanted.set_is_waiting(is_waiting);
+  wanted.set_is_waiting(has_waiting_requests);
 }
 
-void limit_exchange::withdraw(message_map& messages, base::time_point now) {
-  std::erase_if(waited_for_, [&](const base::replica_id& replica) {
+void limit_exchange::withdraw_queries(message_map& messages, base::time_point now) {
+  std::erase_if(replicas_with_waiting_requests_, [&](const base::replica_id& replica) {
     const auto stock = stocks_.find(replica);
-    if (stock == stocks_.end() || !book().limit_of(replica)) {
+    if (stock == stocks_.end() || !announced_limits().limit_of(replica)) {
       return true;
     }
-    const bool in_vain = stock->second.has_unneeded_query(now);
-    if (in_vain) {
+    const bool is_unneeded = stock->second.has_unneeded_query(now);
+    if (is_unneeded) {
       stock->second.note_query_withdrawn();
-      ask_for(replica, 0, messages, now);
+      add_query(replica, 0, messages, now);
     }
-    return in_vain || !stock->second.has_waiting_requests(now);
+    return is_unneeded || !stock->second.has_waiting_requests(now);
   });
 }
 
-void limit_exchange::ask(base::time_point now) {
-  if ((wanted_.empty() && waited_for_.empty()) || now < next_ask_) {
+void limit_exchange::query_issuers(base::time_point now) {
+  if ((replicas_to_query_.empty() && replicas_with_waiting_requests_.empty()) ||
+      now < next_query_at_) {
     return;
   }
-  next_ask_ = now + ask_period;
+  next_query_at_ = now + query_interval;
   message_map messages;
-  withdraw(messages, now);
-  std::deque<base::replica_id> later;
-  for (const auto& replica : std::exchange(wanted_, {})) {
+  withdraw_queries(messages, now);
+  std::deque<base::replica_id> deferred;
+  for (const auto& replica : std::exchange(replicas_to_query_, {})) {
     const auto stock = stocks_.find(replica);
-    const bool is_limited = stock != stocks_.end() && book().limit_of(replica).has_value();
+    const bool is_limited =
+        stock != stocks_.end() && announced_limits().limit_of(replica).has_value();
     const auto count = is_limited ? stock->second.permits_to_request(now) : 0;
     const auto issuer = issuer_of(replica);
-    const bool has_room =
-        messages.size() < most_asked || messages.contains(issuer) || issuer == self_.node;
-    if (count > 0 && !has_room) {
-      later.push_back(replica);
+    const bool has_capacity =
+        messages.size() < max_queried_nodes || messages.contains(issuer) || issuer == self_.node;
+    if (count > 0 && !has_capacity) {
+      deferred.push_back(replica);
       continue;
     }
-    is_wanted_.erase(replica);
+    queued_replicas_.erase(replica);
     if (count == 0) {
       continue;
     }
-    stock->second.note_asked(++next_question_, count, now);
+    stock->second.note_query_sent(++query_number_, count, now);
     if (stock->second.has_waiting_requests(now)) {
-      waited_for_.insert(replica);
+      replicas_with_waiting_requests_.insert(replica);
     }
-    ask_for(replica, count, messages, now);
+    add_query(replica, count, messages, now);
   }
-  wanted_ = std::move(later);
+  replicas_to_query_ = std::move(deferred);
   send(std::move(messages));
 }
 
-void limit_exchange::issue(base::time_point now) {
-  if (!next_issue_ || now < *next_issue_) {
+void limit_exchange::issue_permits(base::time_point now) {
+  if (!next_issue_at_ || now < *next_issue_at_) {
     return;
   }
-  next_issue_.reset();
+  next_issue_at_.reset();
   message_map messages;
   for (auto& [replica, issuer] : issuers_) {
-    const auto limit = book().limit_of(replica);
+    const auto limit = announced_limits().limit_of(replica);
     if (!limit) {
       continue;
     }
-    issuer.set_rate(pace_of(*limit), now);
+    issuer.set_rate(issue_rate_of(*limit), now);
     for (const auto& [node, grant] : issuer.issue(now)) {
       counts_.permits_issued += grant.count;
       if (node == self_.node) {
-        take_permits(replica, grant, now);
+        record_grant(replica, grant, now);
         continue;
       }
       auto& granted = *messages[node].add_granted();
@@ -210,17 +215,17 @@
       granted.set_count(grant.count);
     }
     if (const auto next = issuer.next_issue_at()) {
-      next_issue_ = next_issue_ ? std::min(*next_issue_, *next) : *next;
+      next_issue_at_ = next_issue_at_ ? std::min(*next_issue_at_, *next) : *next;
     }
   }
   send(std::move(messages));
 }
 
-void limit_exchange::take_permits(const base::replica_id& replica, const permit_grant& grant,
+void limit_exchange::record_grant(const base::replica_id& replica, const permit_grant& grant,
                                   base::time_point now) {
   const auto stock = stocks_.find(replica);
-  const bool is_wanted = stock != stocks_.end() && stock->second.add(grant, now);
-  (is_wanted ? counts_.permits_received : counts_.permits_expired) += grant.count;
+  const bool answers_query = stock != stocks_.end() && stock->second.add(grant, now);
+  (answers_query ? counts_.permits_received : counts_.permits_expired) += grant.count;
 }
 
 void limit_exchange::resume_after_pause(base::time_point now) {
@@ -249,26 +254,27 @@
 }
 
 void limit_exchange::forget_unlimited(base::time_point now) {
-  if (stocks_.empty() || now < next_review_) {
+  if (stocks_.empty() || now < next_cleanup_at_) {
     return;
   }
-  next_review_ = now + review_period;
-  std::erase_if(stocks_, [&](const auto& entry) { return book().find(entry.first) == nullptr; });
+  next_cleanup_at_ = now + cleanup_interval;
+  std::erase_if(stocks_,
+                [&](const auto& entry) { return announced_limits().find(entry.first) == nullptr; });
 }
 
 void limit_exchange::advance(base::time_point now) {
-  ask(now);
-  issue(now);
+  query_issuers(now);
+  issue_permits(now);
   forget_unlimited(now);
 }
 
 std::optional<base::time_point> limit_exchange::next_wakeup() const {
-  std::optional<base::time_point> earliest = next_issue_;
-  const auto consider = [&](base::time_point when) {
-    earliest = earliest ? std::min(*earliest, when) : when;
+  std::optional<base::time_point> earliest = next_issue_at_;
+  const auto consider = [&](base::time_point at) {
+    earliest = earliest ? std::min(*earliest, at) : at;
   };
-  if (!wanted_.empty() || !waited_for_.empty()) {
-    consider(next_ask_);
+  if (!replicas_to_query_.empty() || !replicas_with_waiting_requests_.empty()) {
+    consider(next_query_at_);
   }
   return earliest;
 }
@@ -277,15 +283,16 @@
                             base::time_point now) {
   for (const auto& asked : message.wanted()) {
     const base::replica_id replica(asked.replica());
-    if (!book().limit_of(replica) || issuer_of(replica) != self_.node) {
+    if (!announced_limits().limit_of(replica) || issuer_of(replica) != self_.node) {
       continue;
     }
     issuers_.try_emplace(replica, now)
-        .first->second.take({sender, asked.number(), asked.count(), asked.is_waiting()}, now);
-    next_issue_ = now;
+        .first->second.record_query({sender, asked.number(), asked.count(), asked.is_waiting()},
+                                    now);
+    next_issue_at_ = now;
   }
   for (const auto& granted : message.granted()) {
-    take_permits(base::replica_id(granted.replica()), {granted.number(), granted.count()}, now);
+    record_grant(base::replica_id(granted.replica()), {granted.number(), granted.count()}, now);
   }
 }
 
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -44,16 +44,18 @@
   /// @param statements what replicas name; must outlive this object.
   /// @param life start of this process, as a number higher than that of every earlier life.
   limit_exchange(serving::fleet_peer self, const replica_statements::statement_exchange& statements,
-                 replica_statements::replica_lookup lookup, base::incarnation life);
+                 replica_statements::replica_lookup lookup, base::incarnation incarnation);
 
   /// Takes over the nodes that are alive, without this one. @param known other nodes known at all:
   /// those that cannot be seen may be issuing on their own.
-  void set_peers(const std::vector<serving::fleet_peer>& alive, std::size_t known);
+  void set_peers(const std::vector<serving::fleet_peer>& alive, std::size_t known_peers);
   /// @return whether any replica names a limit, or did of late.
-  [[nodiscard]] bool any() const { return !book().empty(); }
-  [[nodiscard]] const replica_statements::limit_book& book() const { return statements_->limits(); }
+  [[nodiscard]] bool has_limits() const { return !announced_limits().empty(); }
+  [[nodiscard]] const replica_statements::limit_book& announced_limits() const {
+    return statements_->limits();
+  }
   /// @return replicas that name a limit.
-  [[nodiscard]] std::size_t limited() const;
+  [[nodiscard]] std::size_t limited_replicas() const;
 
   /// A replica is gone or has started again.
   void forget(const base::replica_id& replica);
@@ -86,23 +88,23 @@
   using message_map = std::map<base::node_id, wire::rate_limits>;
 
   /// Has permits for a replica asked for.
-  void enqueue(const base::replica_id& replica);
+  void enqueue_query(const base::replica_id& replica);
   /// Asks for the permits that requests want.
-  void ask(base::time_point now);
+  void query_issuers(base::time_point now);
   /// Adds a question for a replica to the messages of its issuer, or takes it where that is this
   /// node. @param count 0 withdraws the question that stands.
-  void ask_for(const base::replica_id& replica, std::uint32_t count, message_map& messages,
-               base::time_point now);
+  void add_query(const base::replica_id& replica, std::uint32_t count, message_map& messages,
+                 base::time_point now);
   /// Withdraws questions that no request waits for any more: permits would become void.
-  void withdraw(message_map& messages, base::time_point now);
-  void issue(base::time_point now);
-  void take_permits(const base::replica_id& replica, const permit_grant& grant,
+  void withdraw_queries(message_map& messages, base::time_point now);
+  void issue_permits(base::time_point now);
+  void record_grant(const base::replica_id& replica, const permit_grant& grant,
                     base::time_point now);
   /// Forgets the permits for replicas that name no limit any more.
   void forget_unlimited(base::time_point now);
   void send(message_map messages);
   /// @return permits a second that are issued for a limit.
-  [[nodiscard]] double pace_of(double per_second) const;
+  [[nodiscard]] double issue_rate_of(double per_second) const;
 
   serving::fleet_peer self_;
   const replica_statements::statement_exchange* statements_;
@@ -110,22 +112,22 @@
   std::map<base::replica_id, permit_stock> stocks_;
   std::map<base::replica_id, permit_issuer> issuers_;
   /// Replicas of which permits are wanted, in the order in which they are asked for.
-  std::deque<base::replica_id> wanted_;
-  std::set<base::replica_id> is_wanted_;
+  std::deque<base::replica_id> replicas_to_query_;
+  std::set<base::replica_id> queued_replicas_;
   /// Replicas for which requests waited when permits were asked for last.
-  std::set<base::replica_id> waited_for_;
+  std::set<base::replica_id> replicas_with_waiting_requests_;
   std::map<base::node_id, serving::fleet_peer> peers_;
   std::map<base::zone_id, std::vector<base::node_id>> nodes_by_zone_;
   std::vector<base::node_id> nodes_;
   /// Part of a limit that the nodes seen from here issue.
-  double issued_part_ = 1;
+  double issued_fraction_ = 1;
   /// Found since the nodes changed last.
   mutable std::unordered_map<base::replica_id, base::node_id> issuer_by_replica_;
-  std::uint64_t next_question_;
-  base::time_point next_ask_;
+  std::uint64_t query_number_;
+  base::time_point next_query_at_;
   /// Nothing where nobody asks this node.
-  std::optional<base::time_point> next_issue_;
-  base::time_point next_review_;
+  std::optional<base::time_point> next_issue_at_;
+  base::time_point next_cleanup_at_;
   wire::outbox messages_;
   limit_counts counts_;
 };
--- a/src/rate_limits/permit_issuer.h
+++ b/src/rate_limits/permit_issuer.h
@@ -21,13 +21,13 @@
 inline constexpr base::duration query_lifetime = std::chrono::milliseconds(800);
 
 /// A node asks for permits.
-struct permit_request {
+struct permit_query {
   base::node_id node;
   /// Given back with the permits, by which the asking node knows what they answer.
   std::uint64_t number = 0;
-  std::uint32_t wanted = 1;
+  std::uint32_t count = 1;
   /// Requests wait there that no other replica may be sent now.
-  bool is_waiting = false;
+  bool has_waiting_requests = false;
 };
 
 /// Permits for one node.
@@ -47,32 +47,32 @@
   /// @param per_second permits a second from now on.
   void set_rate(double per_second, base::time_point now);
   /// A node asks; its earlier question stands no longer. One that wants none withdraws it.
-  void take(permit_request request, base::time_point now);
+  void record_query(permit_query query, base::time_point now);
   /// @return what is handed out now.
   std::map<base::node_id, permit_grant> issue(base::time_point now);
   /// @return when more can be handed out; nothing where nobody asks.
   [[nodiscard]] std::optional<base::time_point> next_issue_at() const;
 
  private:
-  struct standing_request {
-    permit_request asked;
-    base::time_point stands_until;
+  struct pending_query {
+    permit_query query;
+    base::time_point expires_at;
   };
-  using request_queue = std::deque<standing_request>;
+  using query_queue = std::deque<pending_query>;
 
   /// Brings what may be handed out up to `now`.
-  void settle(base::time_point now);
+  void accrue(base::time_point now);
   /// Hands out permits in turns, one a node.
-  void hand_out(request_queue& queue, std::map<base::node_id, permit_grant>& grants,
-                base::time_point now);
+  void grant_permits(query_queue& queue, std::map<base::node_id, permit_grant>& grants,
+                     base::time_point now);
 
   double rate_ = 0;
-  /// Permits that may be handed out, as of `settled_at_`.
-  double ready_ = 0;
-  base::time_point settled_at_;
+  /// Permits that may be handed out, as of `accrued_at_`.
+  double available_ = 0;
+  base::time_point accrued_at_;
   /// Nodes where requests wait come first.
-  request_queue waiting_;
-  request_queue others_;
+  query_queue urgent_queries_;
+  query_queue other_queries_;
 };
 
 } // namespace spurrack::rate_limits
--- a/src/rate_limits/permit_stock.cc
+++ b/src/rate_limits/permit_stock.cc
@@ -7,37 +7,37 @@
 
 /// Permits are asked for ahead for what requests want in this time: several ways between nodes, and
 /// well within the lifetime of a permit.
-constexpr base::duration demand_span = std::chrono::milliseconds(100);
+constexpr base::duration demand_window = std::chrono::milliseconds(100);
 /// Sends in that time from which on permits are asked for ahead: fewer would let most of these
 /// become void.
-constexpr std::uint32_t least_ahead = 2;
+constexpr std::uint32_t min_demand_to_prefetch = 2;
 /// Waiting requests are looked at more often than this.
-constexpr base::duration waiting_lifetime = std::chrono::milliseconds(60);
+constexpr base::duration waiting_report_lifetime = std::chrono::milliseconds(60);
 /// Sends are kept this long for operators.
-constexpr base::duration shown_span = std::chrono::seconds(4);
+constexpr base::duration recent_window = std::chrono::seconds(4);
 
 } // namespace
 
 std::size_t permit_stock::held(base::time_point now) const {
   std::size_t count = 0;
   for (const auto& batch : permits_) {
-    count += batch.void_at > now ? batch.count : 0;
+    count += batch.expires_at > now ? batch.count : 0;
   }
   return count;
 }
 
 bool permit_stock::has_permit(base::time_point now) const {
   return std::any_of(permits_.begin(), permits_.end(),
-                     [&](const held_permits& batch) { return batch.void_at > now; });
+                     [&](const held_permits& batch) { return batch.expires_at > now; });
 }
 
-void permit_stock::take(base::time_point now) {
-  count_wanted(now);
+void permit_stock::note_sent(base::time_point now) {
+  count_demand(now);
   sends_.push_back(now);
-  while (now - sends_.front() >= shown_span) {
+  while (now - sends_.front() >= recent_window) {
     sends_.pop_front();
   }
-  while (!permits_.empty() && permits_.front().void_at <= now) {
+  while (!permits_.empty() && permits_.front().expires_at <= now) {
     permits_.pop_front();
   }
   if (!permits_.empty() && --permits_.front().count == 0) {
@@ -46,67 +46,70 @@
 }
 
 void permit_stock::note_unmet_demand(base::time_point now) {
-  is_lacking_ = true;
-  count_wanted(now);
+  has_unmet_demand_ = true;
+  count_demand(now);
 }
 
-void permit_stock::count_wanted(base::time_point now) {
-  const auto past = now - span_began_;
-  if (past >= demand_span) {
-    wanted_before_ = past < 2 * demand_span ? wanted_now_ : 0;
-    wanted_now_ = 0;
-    span_began_ = now;
+void permit_stock::count_demand(base::time_point now) {
+  const auto elapsed = now - window_started_at_;
+  if (elapsed >= demand_window) {
+    demand_in_previous_window_ = elapsed < 2 * demand_window ? demand_in_current_window_ : 0;
+    demand_in_current_window_ = 0;
+    window_started_at_ = now;
   }
-  ++wanted_now_;
+  ++demand_in_current_window_;
 }
 
 void permit_stock::note_waiting(std::uint32_t count, base::time_point now) {
-  waiting_ = count;
-  waiting_noted_at_ = now;
+  waiting_requests_ = count;
+  waiting_reported_at_ = now;
 }
 
 bool permit_stock::has_waiting_requests(base::time_point now) const {
-  return waiting_ > 0 && now - waiting_noted_at_ < waiting_lifetime;
+  return waiting_requests_ > 0 && now - waiting_reported_at_ < waiting_report_lifetime;
 }
 
-std::uint32_t permit_stock::wanted_soon(base::time_point now) const {
-  const bool is_old = now - span_began_ >= 2 * demand_span;
-  const auto counted = is_old ? 0 : std::max(wanted_now_, wanted_before_);
-  const auto by_flow = is_lacking_ || counted >= least_ahead ? counted : 0;
-  return has_waiting_requests(now) ? std::max(by_flow, waiting_) : by_flow;
+std::uint32_t permit_stock::expected_demand(base::time_point now) const {
+  const bool is_stale = now - window_started_at_ >= 2 * demand_window;
+  const auto measured =
+      is_stale ? 0 : std::max(demand_in_current_window_, demand_in_previous_window_);
+  const auto flow_demand = has_unmet_demand_ || measured >= min_demand_to_prefetch ? measured : 0;
+  return has_waiting_requests(now) ? std::max(flow_demand, waiting_requests_) : flow_demand;
 }
 
 std::uint32_t permit_stock::permits_to_request(base::time_point now) const {
-  const auto in_hand = held(now);
-  const std::size_t wanted = wanted_soon(now);
-  if (wanted <= in_hand) {
+  const auto held_count = held(now);
+  const std::size_t demand = expected_demand(now);
+  if (demand <= held_count) {
     return 0;
   }
-  const bool stands = question_ && question_->stands_until > now;
-  const bool is_urgent_enough = stands && (question_->is_waiting || !has_waiting_requests(now));
-  const bool suffices = is_urgent_enough && in_hand + question_->awaited >= wanted;
-  return suffices ? 0 : static_cast<std::uint32_t>(wanted - in_hand);
+  const bool is_pending = query_ && query_->expires_at > now;
+  const bool has_matching_urgency =
+      is_pending && (query_->has_waiting_requests || !has_waiting_requests(now));
+  const bool is_sufficient = has_matching_urgency && held_count + query_->outstanding >= demand;
+  return is_sufficient ? 0 : static_cast<std::uint32_t>(demand - held_count);
 }
 
 bool permit_stock::has_unneeded_query(base::time_point now) const {
-  const bool stands = question_ && question_->awaited > 0 && question_->stands_until > now;
-  return stands && question_->is_waiting && wanted_soon(now) <= held(now);
+  const bool is_pending = query_ && query_->outstanding > 0 && query_->expires_at > now;
+  return is_pending && query_->has_waiting_requests && expected_demand(now) <= held(now);
 }
 
-void permit_stock::note_asked(std::uint64_t number, std::uint32_t count, base::time_point now) {
-  question_ = {number, count, has_waiting_requests(now), now + query_lifetime};
-  is_lacking_ = false;
-  if (first_question_ == 0) {
-    first_question_ = number;
+void permit_stock::note_query_sent(std::uint64_t number, std::uint32_t count,
+                                   base::time_point now) {
+  query_ = {number, count, has_waiting_requests(now), now + query_lifetime};
+  has_unmet_demand_ = false;
+  if (first_valid_query_number_ == 0) {
+    first_valid_query_number_ = number;
   }
 }
 
 bool permit_stock::add(const permit_grant& grant, base::time_point now) {
-  if (!question_ || grant.number < first_question_) {
+  if (!query_ || grant.number < first_valid_query_number_) {
     return false;
   }
-  if (grant.number == question_->number) {
-    question_->awaited -= std::min(question_->awaited, grant.count);
+  if (grant.number == query_->number) {
+    query_->outstanding -= std::min(query_->outstanding, grant.count);
   }
   permits_.push_back({grant.count, now + permit_lifetime});
   return true;
@@ -114,13 +117,13 @@
 
 void permit_stock::clear() {
   permits_.clear();
-  question_.reset();
-  first_question_ = 0;
+  query_.reset();
+  first_valid_query_number_ = 0;
 }
 
 std::size_t permit_stock::recent_sends(base::time_point now) const {
   return static_cast<std::size_t>(std::count_if(
-      sends_.begin(), sends_.end(), [&](const auto& at) { return now - at < shown_span; }));
+      sends_.begin(), sends_.end(), [&](const auto& at) { return now - at < recent_window; }));
 }
 
 } // namespace spurrack::rate_limits
--- a/src/rate_limits/permit_stock.h
+++ b/src/rate_limits/permit_stock.h
@@ -18,7 +18,7 @@
   [[nodiscard]] bool has_permit(base::time_point now) const;
   /// A request is sent: spends the permit that is void first. Where many are sent, the next permits
   /// are asked for ahead.
-  void take(base::time_point now);
+  void note_sent(base::time_point now);
   /// A request could be sent now, and no permit is held.
   void note_unmet_demand(base::time_point now);
   /// So many requests wait for this replica that no other may be sent now.
@@ -30,9 +30,9 @@
   /// @return whether permits are asked for that no request waits for any more.
   [[nodiscard]] bool has_unneeded_query(base::time_point now) const;
   /// The question that stands is withdrawn.
-  void note_query_withdrawn() { question_->awaited = 0; }
+  void note_query_withdrawn() { query_->outstanding = 0; }
   /// They are asked for.
-  void note_asked(std::uint64_t number, std::uint32_t count, base::time_point now);
+  void note_query_sent(std::uint64_t number, std::uint32_t count, base::time_point now);
   /// @return whether requests wait of late that no other replica may be sent.
   [[nodiscard]] bool has_waiting_requests(base::time_point now) const;
   /// Takes in permits. @return whether they answer a question of this node.
@@ -46,34 +46,34 @@
   [[nodiscard]] std::size_t recent_sends(base::time_point now) const;
 
  private:
-  void count_wanted(base::time_point now);
+  void count_demand(base::time_point now);
   /// @return permits that requests want in a short while.
-  [[nodiscard]] std::uint32_t wanted_soon(base::time_point now) const;
+  [[nodiscard]] std::uint32_t expected_demand(base::time_point now) const;
 
   /// Permits that came together.
   struct held_permits {
     std::uint32_t count = 0;
-    base::time_point void_at;
+    base::time_point expires_at;
   };
-  struct open_question {
+  struct pending_query {
     std::uint64_t number = 0;
-    std::uint32_t awaited = 0;
-    bool is_waiting = false;
-    base::time_point stands_until;
+    std::uint32_t outstanding = 0;
+    bool has_waiting_requests = false;
+    base::time_point expires_at;
   };
 
   std::deque<held_permits> permits_;
-  std::optional<open_question> question_;
+  std::optional<pending_query> query_;
   /// Number of the first question since permits were void; 0 before there is one.
-  std::uint64_t first_question_ = 0;
+  std::uint64_t first_valid_query_number_ = 0;
   /// Requests that wanted a permit in the span that is counted now and in the one before it.
-  base::time_point span_began_;
-  std::uint32_t wanted_now_ = 0;
-  std::uint32_t wanted_before_ = 0;
+  base::time_point window_started_at_;
+  std::uint32_t demand_in_current_window_ = 0;
+  std::uint32_t demand_in_previous_window_ = 0;
   /// A request lacked a permit since permits were asked for last.
-  bool is_lacking_ = false;
-  std::uint32_t waiting_ = 0;
-  base::time_point waiting_noted_at_;
+  bool has_unmet_demand_ = false;
+  std::uint32_t waiting_requests_ = 0;
+  base::time_point waiting_reported_at_;
   std::deque<base::time_point> sends_;
 };
 
--- a/tests/flow/answer_memory_test.cc
+++ b/tests/flow/answer_memory_test.cc
@@ -89,7 +89,7 @@
   }
   BOOST_CHECK(first->grow(400) == memory_verdict::wait);
   BOOST_CHECK(second->grow(400) == memory_verdict::wait);
-  BOOST_CHECK(third->grow(400) == memory_verdict::give_up);
+  BOOST_CHECK(third->grow(400) == memory_verdict::abort_answer);
   third.reset();
   BOOST_TEST(is_granted(*first, 400));
 }
@@ -123,8 +123,8 @@
     for (auto& answer : under_way) {
       const auto verdict = answer->grow(10);
       whole += answer->bytes() >= whole_size ? 1 : 0;
-      given_up += verdict == memory_verdict::give_up ? 1 : 0;
-      if (verdict == memory_verdict::give_up || answer->bytes() >= whole_size) {
+      given_up += verdict == memory_verdict::abort_answer ? 1 : 0;
+      if (verdict == memory_verdict::abort_answer || answer->bytes() >= whole_size) {
         answer.reset();
       }
     }
--- a/tests/flow/stream_window_test.cc
+++ b/tests/flow/stream_window_test.cc
@@ -27,7 +27,7 @@
 
 BOOST_AUTO_TEST_CASE(a_small_pause_does_not_close_it) {
   BOOST_CHECK(add(widest - 1) == window_change::none);
-  BOOST_CHECK(window.take(widest - 1, now) == window_change::none);
+  BOOST_CHECK(window.consume(widest - 1, now) == window_change::none);
   BOOST_TEST(window.is_open());
 }
 
@@ -35,9 +35,9 @@
   BOOST_CHECK(add(widest) == window_change::closed);
   // What was on its way still comes.
   BOOST_CHECK(add(1'000) == window_change::none);
-  BOOST_CHECK(window.take(1'000 + widest / 2 - 1, now) == window_change::none);
+  BOOST_CHECK(window.consume(1'000 + widest / 2 - 1, now) == window_change::none);
   now += milliseconds(300);
-  BOOST_CHECK(window.take(1, now) == window_change::opened);
+  BOOST_CHECK(window.consume(1, now) == window_change::opened);
   BOOST_CHECK(window.closed_duration(now) == milliseconds(300));
 }
 
@@ -54,7 +54,7 @@
   BOOST_CHECK(add(10 * widest) == window_change::none);
   BOOST_CHECK(window.close(now) == window_change::closed);
   BOOST_CHECK(window.close(now) == window_change::none);
-  BOOST_CHECK(window.take(11 * widest, now) == window_change::opened);
+  BOOST_CHECK(window.consume(11 * widest, now) == window_change::opened);
 }
 
 BOOST_AUTO_TEST_CASE(only_bytes_that_wait_count_as_a_stall) {
@@ -63,7 +63,7 @@
   add(100);
   now += milliseconds(400);
   BOOST_CHECK(window.stall_duration(now) == milliseconds(400));
-  window.take(1, now);
+  window.consume(1, now);
   BOOST_CHECK(window.stall_duration(now) == base::duration::zero());
 }
 
@@ -82,7 +82,7 @@
         unread += bytes;
       } else {
         const auto taken = std::min<std::size_t>(bytes, unread);
-        change = subject.take(taken, now);
+        change = subject.consume(taken, now);
         unread -= taken;
       }
       if (change != window_change::none) {
--- a/tests/rate_limits/limited_calls_test.cc
+++ b/tests/rate_limits/limited_calls_test.cc
@@ -52,7 +52,7 @@
     node.answer(node.last<start_call>().call, limited_node::limited(limit),
                 dispatcher_driver::good_head());
   }
-  BOOST_REQUIRE(node.subject.limits().limited() == 2U);
+  BOOST_REQUIRE(node.subject.limits().limited_replicas() == 2U);
   const auto before = node.commands.size();
   std::size_t failed = node.all<start_call>().size();
   for (base::caller_id client = 10; client < 70; ++client) {
@@ -188,7 +188,7 @@
   replica_statement said;
   said.limit.unreadable = true;
   node.answer(node.last<start_call>().call, said, dispatcher_driver::good_head());
-  BOOST_TEST(node.subject.limits().limited() == 1U);
+  BOOST_TEST(node.subject.limits().limited_replicas() == 1U);
   BOOST_TEST(node.subject.statements().counts().unreadable == 1U);
   BOOST_TEST(node.last<respond>().status == 200U);
 }
@@ -198,7 +198,7 @@
   node.arrive(1, "/unsafe/");
   node.answer(node.last<start_call>().call, limited_node::limited(3),
               dispatcher_driver::full_head());
-  BOOST_TEST(node.subject.limits().limited() == 1U);
+  BOOST_TEST(node.subject.limits().limited_replicas() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/rate_limits/limited_replica_test.cc
+++ b/tests/rate_limits/limited_replica_test.cc
@@ -156,7 +156,7 @@
   fleet.load(20, seconds(10));
   BOOST_TEST(fleet.counts.refused + fleet.counts.failed == 0U);
   BOOST_TEST(fleet.arrived_since(0, begun) + fleet.arrived_since(1, begun) > 150U);
-  BOOST_TEST(fleet.nodes[0].subject->limits().limited() == 0U);
+  BOOST_TEST(fleet.nodes[0].subject->limits().limited_replicas() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_replica_that_takes_nothing_is_asked_now_and_then_and_taken_back) {
