--- a/src/engines/engine_accounting.cc
+++ b/src/engines/engine_accounting.cc
@@ -3,12 +3,13 @@
 namespace spurrack::serving {
 namespace {
 
-/// A shorter backlog is not reported, in seconds of reading: about three times what reading a long
-/// shared part anew costs, below which no prompt is sent to another engine. At 0.5 nodes send
-/// 1.9 kB a second as a mean under a burst and gain nothing, at 0.8 they send 1.5 (simulated
-/// callers of placement_test).
+/// Shortest backlog that is reported, in seconds of prefill: about three times the cost of
+/// prefilling a long shared prefix again, below which no prompt is sent to another engine. With
+/// 0.5, nodes send 1.9 kB/s on average under a burst and gain nothing; with 0.8, they send 1.5 kB/s
+/// (simulated callers of placement_test).
 constexpr double min_reported_seconds = 0.8;
-/// A backlog is reported again once it is so many seconds longer than what the other nodes assume.
+/// A backlog is reported again once it is longer than the other nodes assume by this many seconds
+/// of prefill.
 constexpr double min_reported_excess_seconds = 0.2;
 
 } // namespace
--- a/src/engines/engine_accounting.h
+++ b/src/engines/engine_accounting.h
@@ -1,4 +1,4 @@
-/// Account of one engine at its account holder: what all nodes have sent it.
+/// Accounting of one engine at its accounting node: the prompts that all nodes have sent to it.
 #pragma once
 
 #include "base/time.h"
@@ -13,22 +13,26 @@
 
 namespace spurrack::serving {
 
-/// A prompt on its way to an engine.
+/// A prompt that was sent to an engine.
 struct sent_prompt {
+  /// Tokens that no other request shares.
   std::uint32_t own_tokens = 0;
-  /// Hash of the last shared part, 0 where nothing is shared, and tokens of all shared parts.
+  /// Hash of the last shared part, which identifies the prefix; 0 if the prompt shares no part.
   std::uint64_t shared_prefix = 0;
+  /// Tokens of all shared parts.
   std::uint32_t shared_tokens = 0;
 };
 
-/// Shared parts that an engine likely keeps: those used the longest ago give way. Not thread-safe.
+/// Estimates which shared prefixes an engine has cached. Evicts the least recently used entries.
+/// Not thread-safe.
 class prefix_cache_model {
  public:
-  /// @param capacity tokens, those of running requests among them.
+  /// @param capacity in tokens, including the tokens of running requests.
   explicit prefix_cache_model(std::uint64_t capacity) : capacity_(capacity) {}
 
-  /// The engine was sent a prompt: its parts and its own tokens are kept from now on.
-  /// @return whether the shared parts were kept before.
+  /// Records that the engine was sent a prompt: its shared prefix and its own tokens are cached
+  /// from now on.
+  /// @return whether the shared prefix was cached before.
   bool use(const sent_prompt& prompt);
   [[nodiscard]] std::uint64_t used_tokens() const { return used_tokens_; }
 
@@ -40,31 +44,33 @@
 
   std::uint64_t capacity_;
   std::uint64_t used_tokens_ = 0;
-  /// Used last first. Own tokens of prompts stand in it as part 0, which nothing finds.
+  /// Most recently used first. The own tokens of a prompt are an entry with prefix 0, which no
+  /// lookup finds.
   std::list<entry> lru_;
   std::unordered_map<std::uint64_t, std::list<entry>::iterator> entry_by_prefix_;
 };
 
-/// Not thread-safe.
+/// Prefix cache and prefill backlog of one engine. Not thread-safe.
 class engine_accounting {
  public:
-  /// @param memory_tokens of the engine.
+  /// @param memory_tokens capacity of the engine's memory, in tokens.
   explicit engine_accounting(std::uint64_t memory_tokens) : prefix_cache_(memory_tokens) {}
 
-  /// @param rate tokens that the engine reads in a second.
-  /// @return tokens that it has to read of the prompt.
+  /// Records a prompt that a node sent to the engine.
+  /// @param rate tokens that the engine prefills per second, here and below.
+  /// @return tokens of the prompt that the engine has to prefill.
   std::uint64_t record_send(const sent_prompt& prompt, double rate, base::time_point now);
-  /// @return the unread tokens where they are to be reported: they are many, and clearly more than
-  ///         the other nodes assume.
+  /// Returns the prefill backlog in tokens if it is long and clearly longer than the other nodes
+  /// assume, so that it has to be reported; std::nullopt otherwise.
   [[nodiscard]] std::optional<std::uint32_t> backlog_to_report(double rate,
                                                                base::time_point now) const;
-  /// The backlog was reported to the other nodes.
+  /// Records that a backlog was reported to the other nodes.
   void note_reported(std::uint32_t tokens, double rate, base::time_point now);
 
  private:
   prefix_cache_model prefix_cache_;
   prefill_backlog backlog_;
-  /// What the other nodes assume, from the last report.
+  /// Backlog that the other nodes assume, from the last report.
   prefill_backlog reported_backlog_;
 };
 
--- a/src/engines/engine_chooser.cc
+++ b/src/engines/engine_chooser.cc
@@ -9,28 +9,31 @@
 namespace spurrack::serving {
 namespace {
 
-/// An engine is passed over for a prompt above this load, in parts of its slots.
+/// Load from which on an engine is ignored for a prompt, as a fraction of its slots.
 constexpr double max_engine_load = 0.6;
-/// Homes of a part that are compared. Each is one more engine that may read it.
-/// They are in the zone of the first where it has as many: the stages of a request are made for
-/// that zone seconds before its prompt is sent, and waits that last less than the stages would move
-/// prompts away from their results, which then hold their room for longer. With 60 engines in five
-/// zones and all stage replicas busy, 6 in 100 long prompts were late instead of 24 with later
-/// homes in any zone.
+/// Number of preferred engines of a prefix that are compared. Each of them may prefill the prefix
+/// again. They are in the zone of the first one if it has enough engines: the stages of a request
+/// run for that zone seconds before its prompt is sent, and waits that last less than the stages
+/// would move prompts away from their stage results, which then occupy memory for longer. With 60
+/// engines in five zones and all stage replicas busy, 6 in 100 long prompts were late, compared to
+/// 24 in 100 with later preferred engines in any zone.
 constexpr std::size_t max_preferred_engines = 4;
-/// A later home must be better by this many times the reading of the shared tokens: what one prompt
-/// gains there, others that wait behind the second reading lose. Simulated in placement_test with
-/// 71 callers and 140 engines, a third of them evacuated under a burst: 1 has 6.4 M tokens read
-/// again and 1.7 in 100 long prompts begun after 1.3 s, 3 has 5.3 M and 1.0, no messages between
-/// callers 4.5 M and 1.6.
+/// The wait at a later preferred engine must be shorter by this many times the prefill time of the
+/// shared tokens: the time that one prompt gains there is lost by the prompts that wait behind the
+/// repeated prefill. Simulated in placement_test with 71 callers and 140 engines, a third of them
+/// evacuated under a burst: with a factor of 1, 6.4 M tokens are prefilled again and 1.7 in 100
+/// long prompts begin after more than 1.3 s; with 3, 5.3 M and 1.0; without messages between
+/// callers, 4.5 M and 1.6.
 constexpr double repeated_prefill_weight = 3.0;
-/// What sending a prompt to another region costs, in time of an engine: a way of some tens of
-/// milliseconds there and back, and the prompt's bytes. Shared parts that take longer to read have
-/// one home in the whole fleet: with homes in each of three regions, all three read 13,300 tokens
-/// that a few requests a minute share, a fifth of a second of an engine each time.
+/// Cost of sending a prompt to another region, as engine time: a round trip of some tens of
+/// milliseconds and the transfer of the prompt. A shared prefix that takes longer to prefill has
+/// its preferred engines chosen among all engines of the fleet: with preferred engines in each of
+/// three regions, all three regions prefilled 13,300 tokens that a few requests per minute share,
+/// each time a fifth of a second of an engine.
 constexpr base::duration other_region_cost = std::chrono::milliseconds(50);
 
-/// @return the first home, the others of its zone, and homes elsewhere where the zone has too few.
+/// Returns the first preferred engine, the next preferred ones of its zone, and preferred engines
+/// of other zones if its zone has too few.
 std::vector<const replica_state*>
 preferred_engines_near_first(const shared_prompt_prefix& prefix,
                              std::vector<const replica_state*> engines) {
@@ -42,8 +45,7 @@
   const auto zone_end = std::partition(engines.begin(), engines.end(), [&](const auto* engine) {
     return engine->record->zone == zone;
   });
-  auto preferred =
-      preferred_engines_of(prefix, {engines.begin(), zone_end}, max_preferred_engines);
+  auto preferred = preferred_engines_of(prefix, {engines.begin(), zone_end}, max_preferred_engines);
   const auto others = preferred_engines_of(prefix, {zone_end, engines.end()},
                                            max_preferred_engines - preferred.size());
   preferred.insert(preferred.end(), others.begin(), others.end());
@@ -106,8 +108,9 @@
   if (least_loaded == nullptr || !is_in_other_region(*least_loaded)) {
     return least_loaded;
   }
-  // The own region is loaded by more than the distance costs. Callers that come along for the same
-  // part meet at one engine there, instead of each having it read somewhere else.
+  // The own region is loaded by more than the cost of the distance. All callers that send prompts
+  // with this prefix to another region choose the same engine there; otherwise each of them would
+  // have the prefix prefilled by a different engine.
   const auto* engine = shortest_wait_engine(prefix, by_region.elsewhere, now);
   return engine != nullptr ? engine : least_loaded;
 }
--- a/src/engines/engine_chooser.h
+++ b/src/engines/engine_chooser.h
@@ -1,4 +1,4 @@
-/// Engine for a prompt: where its first event is expected first.
+/// Chooses the engine for a prompt: the one from which its first event is expected earliest.
 #pragma once
 
 #include "engines/engine_directory.h"
@@ -10,17 +10,19 @@
 
 namespace spurrack::serving {
 
-/// In an idle fleet prompts with the same first part go to a few engines. Among them, the first
-/// home of the shared parts, unless a later home would read all of the prompt sooner than the first
-/// gets to it. Later homes are in the zone of the first, as far as it has engines. Parts that take
-/// long to read have their homes anywhere in the fleet; for others, engines of other regions are
-/// looked at only where those of the own are loaded by more than the way costs. Not thread-safe.
+/// In an idle fleet, prompts with the same first part go to a few engines. Among these engines,
+/// chooses the first preferred engine of the shared prefix, unless a later preferred engine has a
+/// shorter expected wait even with the cost of prefilling the prefix there included. The later
+/// preferred engines are in the zone of the first one, as far as that zone has enough engines.
+/// Prefixes that take long to prefill have their preferred engines anywhere in the fleet; for
+/// shorter prefixes, engines of other regions are considered only if the engines of the own region
+/// are loaded by more than the cost of the distance. Not thread-safe.
 class engine_chooser final : public replica_chooser {
  public:
   /// @param replicas, directory must outlive this object.
-  /// @param from_here tells which engines are near.
-  /// @param fallback chooses for prompts that share nothing, and where every engine is
-  ///        loaded; must outlive this object.
+  /// @param from_here distance of zones from this node.
+  /// @param fallback chooses for prompts without a shared prefix, and if all engines are loaded;
+  ///        must outlive this object.
   engine_chooser(const replica_table& replicas, const engine_directory& directory,
                  distance from_here, replica_chooser& fallback);
 
@@ -29,7 +31,7 @@
 
  private:
   [[nodiscard]] bool is_in_other_region(const replica_state& engine) const;
-  /// @return null where all engines are loaded.
+  /// Returns the preferred engine with the shortest expected wait; null if all engines are loaded.
   [[nodiscard]] const replica_state*
   shortest_wait_engine(const shared_prompt_prefix& prefix,
                        const std::vector<const replica_state*>& engines,
--- a/src/engines/engine_directory.cc
+++ b/src/engines/engine_directory.cc
@@ -8,27 +8,29 @@
 namespace spurrack::serving {
 namespace {
 
-/// Prompts of fewer tokens are not reported: an engine reads 50,000 a second, so these take some
-/// 20 ms.
+/// Prompts of fewer tokens are not reported: an engine prefills 50,000 tokens per second, so these
+/// prompts take some 20 ms.
 constexpr std::uint32_t min_reported_tokens = 1'000;
-/// Bytes of a message of one load with its envelope, as counted by placement_test, rounded up.
+/// Bytes of a message with one backlog and its envelope, as counted by placement_test, rounded up.
 constexpr double bytes_per_report = 150;
-/// Bytes a second that a node sends of loads as a mean. With its reports to account holders, some
-/// 500 at four prompts a second, it stays under 2 kB a second.
+/// Bytes per second of backlog reports that a node sends on average. Together with its reports to
+/// accounting nodes, some 500 bytes per second at four prompts per second, a node stays under
+/// 2 kB/s.
 constexpr double report_bytes_per_second = 1'000;
-/// Longest saved allowance, in seconds of that rate: enough for one message to each of 130 nodes.
-/// In a larger region each message reaches a part of the nodes in turn.
+/// Largest unused allowance, in seconds of `reports_per_second`: enough for one message to each of
+/// 130 nodes. In a larger region each backlog is reported to a part of the nodes, in rotation.
 constexpr double max_saved_seconds = 20;
 constexpr double reports_per_second = report_bytes_per_second / bytes_per_report;
-/// Of so many engines one reads a part with which many prompts begin, in an idle fleet. The number
-/// is the same on all nodes, so that they place a prompt alike.
+/// In an idle fleet, one in this many engines prefills a first part that many prompts share. The
+/// number is the same on all nodes, so that they place a prompt alike.
 constexpr std::size_t engines_per_prefix_replica = 32;
-/// Fewer would be crowded by the prompts that happen to meet, and read the part seldom anyway.
+/// Fewer engines would be overloaded by prompts that arrive at the same time by chance; and in a
+/// fleet with so few engines a first part is rarely prefilled again anyway.
 constexpr std::size_t min_prefix_replicas = 16;
-/// The readers of a part would be busy for this part of their time at the most if all prompts of
-/// the fleet began with it; otherwise the fleet is not idle.
+/// The fleet is idle if the engines that prefill a first part would be busy for at most this
+/// fraction of their time even if all prompts of the fleet began with that part.
 constexpr double max_idle_utilization = 0.5;
-/// Tokens of memory of an engine whose service does not publish it.
+/// Memory, in tokens, of an engine whose service does not publish it.
 constexpr std::uint64_t default_memory_tokens = 400'000;
 
 wire::outgoing message_to(const base::network_address& address) {
@@ -118,9 +120,10 @@
   const auto memory = published > 0 ? published : default_memory_tokens;
   auto& accounting = accounting_by_engine_.try_emplace(engine, memory).first->second;
   const double rate = prefill_rate_.tokens_per_second();
-  const auto unread = accounting.record_send(prompt, rate, now);
-  counts_.tokens_to_prefill += unread;
-  counts_.cached_prompt_tokens += std::uint64_t{prompt.own_tokens} + prompt.shared_tokens - unread;
+  const auto uncached = accounting.record_send(prompt, rate, now);
+  counts_.tokens_to_prefill += uncached;
+  counts_.cached_prompt_tokens +=
+      std::uint64_t{prompt.own_tokens} + prompt.shared_tokens - uncached;
   if (const auto report = accounting.backlog_to_report(rate, now)) {
     report_backlog(engine, *report, now);
   }
@@ -140,8 +143,8 @@
   counts_.skipped_receivers += receivers.size() - granted;
   accounting_by_engine_.at(engine).note_reported(tokens, rate, now);
   for (std::size_t sent = 0; sent < granted; ++sent) {
-    next_receiver_ = (next_receiver_ + 1) % receivers.size();
-    auto message = message_to(receivers[next_receiver_]);
+    last_receiver_ = (last_receiver_ + 1) % receivers.size();
+    auto message = message_to(receivers[last_receiver_]);
     auto& report = *message.message.mutable_engine_news()->add_loads();
     report.set_replica(engine.text());
     report.set_unread_tokens(tokens);
--- a/src/engines/engine_directory.h
+++ b/src/engines/engine_directory.h
@@ -1,12 +1,13 @@
-/// What the fleet has sent its engines, shared between nodes; short prompts cause no message, and
-/// waits are reported only while engines have a backlog.
+/// Shares between nodes which prompts the fleet has sent to its engines. Short prompts cause no
+/// message, and waits are reported only while engines have a prefill backlog.
 ///
-/// Each engine has one account holder, found by rendezvous hashing among the live nodes of the
-/// engine's region. Every node reports to it each long prompt that it sends there; the account
-/// holder sums the unread tokens and reports them to all nodes of the region when the wait is long
-/// enough to choose another engine. What a node assumes decays at the rate at which engines read,
-/// so an account holder that dies, or a node that is cut off, leads back to placement by hash alone
-/// within a second or two. No I/O: messages are gathered.
+/// Each engine has one accounting node, chosen by rendezvous hashing among the live nodes of the
+/// engine's region. Every node reports each long prompt that it sends to the engine to the
+/// accounting node, which sums the prefill backlog and reports it to all nodes of the region if the
+/// wait is long enough to choose another engine. The backlog that a node assumes decays at the
+/// prefill rate, so that after the crash of an accounting node, or on a partitioned node, placement
+/// falls back to hashing alone within a second or two. No I/O: messages are queued until
+/// `take_messages`.
 #pragma once
 
 #include "engines/engine_accounting.h"
@@ -29,63 +30,73 @@
 namespace spurrack::serving {
 
 struct engine_directory_counts {
-  /// Prompts reported to the account holders of their engines.
+  /// Prompts reported to the accounting nodes of their engines.
   std::uint64_t reported_sends = 0;
-  /// Waits reported to the nodes of the region, and nodes left out to keep the bound on bytes.
+  /// Backlogs reported to the nodes of the region.
   std::uint64_t reported_backlogs = 0;
+  /// Nodes that a backlog was not reported to because of the limit on bytes per second.
   std::uint64_t skipped_receivers = 0;
-  /// Of prompts reported to this node as an account holder: tokens that the engine is expected to
-  /// have kept, and those it has to read.
+  /// Tokens of prompts reported to this node as an accounting node, by whether the engine is
+  /// expected to have them cached or has to prefill them.
   std::uint64_t cached_prompt_tokens = 0;
   std::uint64_t tokens_to_prefill = 0;
 };
 
-/// Not thread-safe. Messages gather until they are taken.
+/// Backlogs of engines, as estimated by one node. Not thread-safe.
 class engine_directory {
  public:
   /// @param replicas must outlive this object.
   engine_directory(fleet_peer self, model::zone_regions regions, const replica_table& replicas);
 
-  /// Takes over the nodes that are alive, without this one.
+  /// Replaces the set of live nodes, which excludes this node.
   void set_peers(std::vector<fleet_peer> alive);
   void set_configuration(std::shared_ptr<const model::serving_configuration> configuration);
-  /// Forgets engines that are gone.
+  /// Forgets engines that are no longer in the replica table.
   void forget_removed_engines();
-  /// An engine started again: it keeps nothing and has nothing to read.
+  /// Forgets the state of an engine that restarted: its cache and its backlog are empty.
   void forget(const base::replica_id& engine);
 
-  /// This node sends a prompt to an engine.
+  /// Records a prompt that this node sends to an engine, and reports a long one to the engine's
+  /// accounting node.
   void note_sent(const replica_state& engine, const sent_prompt& prompt, base::time_point now);
-  /// A prompt got its first event.
+  /// Records that a prompt got its first event.
+  /// @param elapsed since the prompt was sent.
   void note_first_event(std::uint32_t own_tokens, base::duration elapsed) {
     prefill_rate_.note(own_tokens, elapsed);
   }
+  /// Applies a message of another node: prompts sent to engines whose accounting node this node is,
+  /// and backlogs of engines.
   void handle(const wire::engine_news& news, base::time_point now);
 
-  /// @return time until an engine has read what it was sent, by this node's estimate.
+  /// Returns the time until an engine has prefilled the prompts that it was sent, as estimated by
+  /// this node.
   [[nodiscard]] base::duration expected_wait(const replica_state& engine,
                                              base::time_point now) const;
-  /// @return time that reading takes, without a wait.
+  /// Returns the time in which an idle engine prefills `tokens` tokens.
   [[nodiscard]] base::duration prefill_time(double tokens) const;
 
-  /// @param engines how many there are.
-  /// @return how many of them read a part with which many prompts begin. Few in an idle fleet, by
-  ///         what this node sent of late: there an engine gets a prompt so seldom that it would
-  ///         read the part again for nearly each. All under a load, which is even then.
+  /// Returns the number of engines that prefill a first part that many prompts share. In an idle
+  /// fleet, judging by the recent sends of this node, only a few engines do: each engine gets a
+  /// prompt so rarely that it would prefill the part again for nearly every prompt. Under load all
+  /// engines do, since the load is even then.
+  /// @param engines number of available engines.
   [[nodiscard]] std::size_t prefix_replica_count(std::size_t engines, base::time_point now) const;
 
   [[nodiscard]] wire::outbox take_messages();
   [[nodiscard]] const engine_directory_counts& counts() const { return counts_; }
-  /// @return engines whose account this node holds or held.
+  /// Returns the number of engines whose accounting node this node is or was.
   [[nodiscard]] std::size_t accounted_engines() const { return accounting_by_engine_.size(); }
 
  private:
-  /// @return the peer that holds an engine's account; null where this node does.
+  /// Returns the peer that is an engine's accounting node; null if this node is.
   [[nodiscard]] const fleet_peer* accounting_node_of(const model::replica& engine) const;
+  /// Records a prompt as the engine's accounting node, and reports the backlog if necessary.
   void account_send(const base::replica_id& engine, const sent_prompt& prompt,
                     base::time_point now);
+  /// Reports the backlog of an engine to the nodes of the region.
   void report_backlog(const base::replica_id& engine, std::uint32_t tokens, base::time_point now);
-  /// @return to how many of so many nodes a report may be sent now; counts the bytes.
+  /// Returns the number of receivers, out of `receivers`, that a report may be sent to now, and
+  /// deducts it from the allowance.
   std::size_t consume_allowance(std::size_t receivers, base::time_point now);
 
   fleet_peer self_;
@@ -96,13 +107,13 @@
   prefill_rate prefill_rate_;
   sending_rate sending_rate_;
   std::unordered_map<base::replica_id, prefill_backlog> estimated_backlogs_;
-  /// Engines whose account this node holds or held.
+  /// Engines whose accounting node this node is or was.
   std::unordered_map<base::replica_id, engine_accounting> accounting_by_engine_;
-  /// Reports that may be sent now, one a receiver, and when they were counted last.
+  /// Number of reports that may be sent, one per receiver, as of `allowance_updated_at_`.
   double report_allowance_;
   base::time_point allowance_updated_at_;
-  /// Place among the nodes of the region from which receivers are taken next.
-  std::size_t next_receiver_ = 0;
+  /// Index, among the nodes of the region, of the last node that a report was sent to.
+  std::size_t last_receiver_ = 0;
   wire::outbox messages_;
   engine_directory_counts counts_;
 };
--- a/src/engines/first_byte_model.cc
+++ b/src/engines/first_byte_model.cc
@@ -5,11 +5,11 @@
 namespace spurrack::serving {
 namespace {
 
-/// Before enough calls have answered.
+/// Expected time while too few calls were recorded.
 constexpr base::duration default_first_byte_time = std::chrono::milliseconds(300);
-/// Weight that a call loses with each newer one: the last fifty or so count.
+/// Factor on the weight of a call with each newer call: about the last fifty calls count.
 constexpr double decay_per_call = 0.98;
-/// Calls, by weight, before the line is trusted.
+/// Sum of the weights of calls from which on the regression is used.
 constexpr double min_weight = 4;
 
 } // namespace
--- a/src/engines/first_byte_model.h
+++ b/src/engines/first_byte_model.h
@@ -1,4 +1,4 @@
-/// Expected time of a call at an engine to its first byte, from the length of the prompt.
+/// Predicts the time of a call to an engine until its first byte, from the length of the prompt.
 #pragma once
 
 #include "base/time.h"
@@ -7,17 +7,19 @@
 
 namespace spurrack::serving {
 
-/// A line through what calls have shown, newer ones counting more: time = base + tokens x slope.
-/// Not thread-safe.
+/// Linear regression over completed calls, time = base + tokens x slope, in which newer calls weigh
+/// more. Not thread-safe.
 class first_byte_model {
  public:
+  /// Records a call.
   /// @param tokens of the prompt that no other request shares.
+  /// @param elapsed from sending the prompt to the first byte.
   void note(std::uint32_t tokens, base::duration elapsed);
-  /// @return a usual time while too few calls were seen.
+  /// Returns the expected time to the first byte; a default while too few calls were recorded.
   [[nodiscard]] base::duration expected(std::uint32_t tokens) const;
 
  private:
-  // Sums over the calls seen, each weighed by its age in calls.
+  // Sums over the recorded calls, each weighted by the number of calls after it.
   double weight_ = 0;
   double tokens_ = 0;
   double seconds_ = 0;
--- a/src/engines/prefill_backlog.h
+++ b/src/engines/prefill_backlog.h
@@ -1,4 +1,4 @@
-/// Tokens that an engine has been sent and has not read yet, by the estimate of one node.
+/// Tokens that an engine was sent and has not prefilled yet, as estimated by one node.
 #pragma once
 
 #include "base/time.h"
@@ -7,19 +7,20 @@
 
 namespace spurrack::serving {
 
-/// Falls at the rate at which an engine reads. Not thread-safe.
+/// Decreases at the prefill rate of the engine. Not thread-safe.
 class prefill_backlog {
  public:
-  /// @param rate tokens that the engine reads in a second, here and below.
-  /// @return tokens that are unread at `now`.
+  /// Returns the backlog in tokens at `now`.
+  /// @param rate tokens that the engine prefills per second, here and below.
   [[nodiscard]] double level(double rate, base::time_point now) const {
     return std::max(0.0, tokens_ - rate * base::to_seconds(now - updated_at_));
   }
+  /// Adds the tokens of a prompt that is sent to the engine.
   void add(double tokens, double rate, base::time_point now) {
     tokens_ = level(rate, now) + tokens;
     updated_at_ = now;
   }
-  /// A report of the account holder says that so many are unread.
+  /// Applies a report of the accounting node: the backlog is at least `tokens`.
   void raise_to(double tokens, double rate, base::time_point now) {
     tokens_ = std::max(level(rate, now), tokens);
     updated_at_ = now;
@@ -27,6 +28,7 @@
 
  private:
   double tokens_ = 0;
+  /// Time to which `tokens_` refers.
   base::time_point updated_at_;
 };
 
--- a/src/engines/prefill_rate.cc
+++ b/src/engines/prefill_rate.cc
@@ -5,13 +5,13 @@
 namespace spurrack::serving {
 namespace {
 
-/// Shorter prompts show the fixed part of a call, not the reading.
+/// The time of shorter prompts is mostly the fixed cost of a call, not the prefill.
 constexpr std::uint32_t min_tokens = 2'000;
-/// Share of a call in the rate where it was faster, and where it was slower: about one call in ten
-/// finds its engine idle.
+/// Weights of a call in the moving average, if it was faster or slower than the average: about one
+/// call in ten finds its engine idle.
 constexpr double faster_call_weight = 0.3;
 constexpr double slower_call_weight = 0.03;
-/// Bounds of what is believed, in tokens a second.
+/// Bounds of the estimate, in tokens per second.
 constexpr double min_rate = 5'000;
 constexpr double max_rate = 500'000;
 
--- a/src/engines/prefill_rate.h
+++ b/src/engines/prefill_rate.h
@@ -1,4 +1,4 @@
-/// Tokens of prompts that an engine reads in a second, learned from own calls.
+/// Estimates how many prompt tokens an engine prefills per second, from the calls of this node.
 #pragma once
 
 #include "base/time.h"
@@ -7,18 +7,20 @@
 
 namespace spurrack::serving {
 
-/// Near the best that calls have shown, since most calls also wait for others. Not thread-safe.
+/// Stays near the highest rate that calls have shown, since most calls also wait for others at the
+/// engine. Not thread-safe.
 class prefill_rate {
  public:
-  /// @param own_tokens tokens of the prompt that the engine cannot have kept.
-  /// @param took from the sending to the first event.
+  /// Records a call.
+  /// @param own_tokens tokens of the prompt that the engine cannot have cached.
+  /// @param elapsed from sending the prompt to its first event.
   void note(std::uint32_t own_tokens, base::duration elapsed);
-  /// @return tokens a second.
+  /// Returns the estimated prefill rate.
   [[nodiscard]] double tokens_per_second() const { return rate_; }
 
  private:
-  /// Before calls have shown another: a large engine reads some 50,000, so that a wait is expected
-  /// too long rather than too short.
+  /// Initial estimate, in tokens per second. A large engine prefills some 50,000, so that waits are
+  /// overestimated rather than underestimated.
   double rate_ = 30'000;
 };
 
--- a/src/engines/prefix_placement.h
+++ b/src/engines/prefix_placement.h
@@ -1,5 +1,5 @@
-/// Which engines keep the shared parts of a prompt: an order that every node computes alike,
-/// without a message between them. Pure; docs/design/engines.md compares the ways.
+/// Maps the shared prefix of a prompt to the engines that cache it, in an order that every node
+/// computes alike without messages. Pure functions; docs/design/engines.md compares alternatives.
 #pragma once
 
 #include "engines/engine_accounting.h"
@@ -12,34 +12,37 @@
 
 namespace spurrack::serving {
 
-/// The parts of a prompt that others share.
+/// The leading parts of a prompt that it has in common with other prompts.
 struct shared_prompt_prefix {
-  /// Hashes of the first and the last shared part; 0 where nothing is shared.
+  /// Hashes of the first and the last shared part; 0 if the prompt shares no part.
   std::uint64_t first_part_hash = 0;
   std::uint64_t last_part_hash = 0;
   /// Tokens of all shared parts.
   std::uint32_t tokens = 0;
 };
 
+/// Returns the shared prefix of a request's prompt: all parts but the last, or the only part.
 [[nodiscard]] shared_prompt_prefix shared_prompt_prefix_of(const request_content& content);
 
-/// @return what is reported of a prompt to the account holder of its engine.
+/// Returns the report on a request's prompt to the accounting node of its engine.
 [[nodiscard]] sent_prompt sent_prompt_of(const request_content& content);
 
-/// The engines that read the first part of a prompt, for all prompts that begin with it. Which they
-/// are depends on the others as little as homes do.
-/// @param beginning shares something.
-/// @param most how many read it; all where there are no more.
+/// Returns the engines that prefill the first part of a prompt, for all prompts that begin with
+/// that part; all engines if the first part is the only shared part. An engine that is added or
+/// removed replaces at most one of the engines returned.
+/// @param prefix must not be empty.
+/// @param max_count number of engines to return; all engines are returned if there are no more.
 [[nodiscard]] std::vector<const replica_state*>
 engines_for_first_part(const shared_prompt_prefix& prefix,
                        std::vector<const replica_state*> engines, std::size_t max_count);
 
-/// @param beginning shares something.
-/// @param engines may all be given the prompt; their order does not matter.
-/// @param most how many are wanted.
-/// @return the homes of the prompt, the first one first. Only the last shared part decides
-///         among the engines given, so that the work is even. An engine that comes or goes changes
-///         the homes of no other prompts.
+/// Returns the preferred engines of a prompt, in order of preference. Only the hash of the last
+/// shared part decides among the engines, so that the load is even. An engine that is added or
+/// removed does not change the order of the others, so that prompts that do not prefer it keep
+/// their preferred engines.
+/// @param prefix must not be empty.
+/// @param engines that the prompt may be sent to, in any order.
+/// @param max_count number of engines to return; fewer are returned if there are no more.
 [[nodiscard]] std::vector<const replica_state*>
 preferred_engines_of(const shared_prompt_prefix& prefix,
                      const std::vector<const replica_state*>& engines, std::size_t max_count);
--- a/src/engines/sending_rate.cc
+++ b/src/engines/sending_rate.cc
@@ -6,10 +6,10 @@
 namespace spurrack::serving {
 namespace {
 
-/// A node of a large fleet sends one prompt in a few seconds: a shorter time would be mostly
-/// chance.
+/// Time constant of the average. A node of a large fleet sends one prompt every few seconds, so
+/// that an average over a shorter time would be mostly noise.
 constexpr base::duration decay_time = std::chrono::seconds(30);
-/// The first prompts are taken to be those of this time.
+/// The first prompts count as the prompts of at least this time.
 constexpr base::duration min_observed_time = std::chrono::seconds(10);
 
 } // namespace
--- a/src/engines/sending_rate.h
+++ b/src/engines/sending_rate.h
@@ -1,4 +1,4 @@
-/// Tokens of prompts that this node sends in a second.
+/// Rate at which this node sends prompt tokens to engines.
 #pragma once
 
 #include "base/time.h"
@@ -7,15 +7,16 @@
 
 namespace spurrack::serving {
 
-/// A mean over the last half minute, those of late counting more. Not thread-safe.
+/// Exponentially weighted average over about half a minute. Not thread-safe.
 class sending_rate {
  public:
+  /// Records that a prompt of `tokens` tokens is sent.
   void note(double tokens, base::time_point now);
-  /// @return tokens a second; 0 before the first.
+  /// Returns the rate; 0 before the first prompt.
   [[nodiscard]] double tokens_per_second(base::time_point now) const;
 
  private:
-  /// @return what is left of the tokens counted.
+  /// Returns the sum of the sent tokens, each weighted by its age at `now`.
   [[nodiscard]] double decayed_tokens(base::time_point now) const;
 
   std::optional<base::time_point> first_send_at_;
--- a/src/flow/answer_memory.h
+++ b/src/flow/answer_memory.h
@@ -1,5 +1,5 @@
-/// Memory of whole answers while they are gathered: who waits for it, and what becomes of answers
-/// that hold some of it and wait for one another.
+/// Memory of whole answers while they are buffered: the queue of answers that wait for memory, and
+/// the resolution of deadlocks between answers that hold memory and wait for more.
 #pragma once
 
 #include "flow/byte_budget.h"
@@ -11,16 +11,16 @@
 
 namespace spurrack::flow {
 
-/// What became of a wish for memory.
+/// Result of a request for memory.
 enum class memory_verdict : std::uint8_t {
   granted,
-  wait,         ///< Ask again later; what is held stays.
-  abort_answer, ///< Give back what is held: an answer that began before needs it to become whole.
+  wait,         ///< Retry later; the memory held so far is kept.
+  abort_answer, ///< Return the memory held: an answer that has waited longer needs it to complete.
 };
 
 class answer_memory;
 
-/// The answers of one process that wait for memory, those that have waited longest first. Not
+/// The answers of one process that wait for memory, in the order in which they began to wait. Not
 /// thread-safe.
 class answer_queue {
  public:
@@ -30,23 +30,24 @@
 
  private:
   friend class answer_memory;
-  /// @return whether all memory of whole answers is held by such as wait for more.
+  /// Returns whether all memory of whole answers is held by answers that wait for more.
   [[nodiscard]] bool is_deadlocked() const;
-  /// @return whether the first lacks what the others hold, and that would be enough: where other
-  /// uses hold the memory, nothing is won by giving an answer up.
+  /// Returns whether the memory held by the other waiting answers would be enough for the first
+  /// one. If other uses hold the memory, aborting an answer does not help.
   [[nodiscard]] bool can_unblock_first() const;
-  /// @return the last of those that hold something; null where none does.
+  /// Returns the last answer in the queue that holds memory; null if none does.
   [[nodiscard]] const answer_memory* last_waiting_holder() const;
 
   std::shared_ptr<byte_budget> budget_;
   std::list<answer_memory*> waiting_;
-  /// Bytes that those hold.
+  /// Bytes that the answers in `waiting_` hold.
   std::size_t waiting_bytes_ = 0;
-  /// What the first of them did not get even of the reserve; 0 where it was not refused that.
+  /// Bytes that the first waiting answer was refused even from the reserve; 0 if it was not
+  /// refused.
   std::size_t first_unmet_bytes_ = 0;
 };
 
-/// Memory of one answer; returned when it goes.
+/// Memory of one answer; returned by the destructor.
 class answer_memory {
  public:
   explicit answer_memory(std::shared_ptr<answer_queue> queue);
@@ -54,24 +55,27 @@
   answer_memory(const answer_memory&) = delete;
   answer_memory& operator=(const answer_memory&) = delete;
 
-  /// Takes that many more bytes, or joins those that wait. An answer that by itself is larger than
-  /// the part of whole answers may have the budget up to its last reserve, and so may the first of
-  /// several that wait for one another.
+  /// Acquires more bytes, or appends the answer to the queue of waiting answers. An answer that by
+  /// itself exceeds the limit of `byte_use::whole_answer`, and the first of several answers that
+  /// wait for one another, may use the budget up to the limit of `byte_use::lone_answer`.
   [[nodiscard]] memory_verdict grow(std::size_t additional_bytes);
   [[nodiscard]] std::size_t bytes() const { return bytes_.bytes(); }
 
  private:
   [[nodiscard]] bool is_first() const { return queue_->waiting_.front() == this; }
+  /// Decides for a waiting answer while all memory of whole answers is held by waiting answers.
   [[nodiscard]] memory_verdict resolve_deadlock(std::size_t additional_bytes);
+  /// Acquires more bytes and leaves the queue. @return false, with nothing changed, if refused.
   bool try_grow(byte_use use, std::size_t additional_bytes);
   void enqueue();
-  /// @param held what it held while it waited.
+  /// Leaves the queue.
+  /// @param held bytes that this answer held while it waited.
   void dequeue(std::size_t held);
 
   std::shared_ptr<answer_queue> queue_;
   byte_reservation bytes_;
   bool is_waiting_ = false;
-  /// Where it stands among those that wait, while it does.
+  /// Position in the queue; valid while `is_waiting_`.
   std::list<answer_memory*>::iterator queue_position_;
 };
 
--- a/src/flow/byte_budget.cc
+++ b/src/flow/byte_budget.cc
@@ -6,14 +6,15 @@
 namespace spurrack::flow {
 namespace {
 
-/// Part of the capacity up to which each use is granted, in the order of `byte_use`. What can be
-/// refused or wait leaves almost half to the windows of streams: of 36 MB 16 MB, which is a narrow
-/// window of 8 KB and an event of 2 KB for each of 1,500 clients. Events that have been read come
-/// last, since refusing one breaks its stream off; a tenth is theirs alone, so that a large answer
-/// (8 MB of a budget of 10 MB) takes no event's room.
+/// Fraction of the capacity up to which each use is granted, in the order of `byte_use`. Uses that
+/// can be refused or can wait leave almost half to the windows of streams: 16 MB of 36 MB, which is
+/// a minimal window of 8 KB and an event of 2 KB for each of 1,500 clients. Events that have been
+/// read have the highest limit, since the refusal of an event breaks its stream off; a tenth is
+/// reserved for events, so that a large answer (8 MB of a budget of 10 MB) does not use the memory
+/// of events.
 constexpr std::array<double, byte_uses> use_limits{0.3, 0.4, 0.5, 0.55, 0.9, 1.0};
-/// Beyond this part the slowest readers are ended before an event would find no room: what they
-/// hold comes back a moment later.
+/// Fraction of the capacity beyond which an event requests relief before the budget is exhausted:
+/// the memory of the slowest readers, which are disconnected, is returned a moment later.
 constexpr double relief_threshold = 0.9;
 
 } // namespace
@@ -56,7 +57,7 @@
 }
 
 bool byte_budget::ensure_capacity(byte_use use, std::size_t bytes) {
-  // Relief that itself asks for bytes must not ask for relief again.
+  // A relief callback that itself acquires bytes must not be called recursively.
   if (relief_ && !is_requesting_relief_ && needs_relief(use, bytes)) {
     is_requesting_relief_ = true;
     relief_(use, bytes);
--- a/src/flow/byte_budget.h
+++ b/src/flow/byte_budget.h
@@ -1,5 +1,5 @@
-/// The memory that this process may spend on bytes of requests and answers: accounts by holder, and
-/// reservations that return what they took on every path.
+/// Memory that this process may use for bytes of requests and answers: accounts by holder, and
+/// reservations that return their bytes on every path.
 #pragma once
 
 #include <array>
@@ -11,52 +11,56 @@
 
 namespace spurrack::flow {
 
-/// Who holds bytes.
+/// Holder of bytes.
 enum class byte_holder : std::uint8_t {
   request_bodies,    ///< Bodies that are being read from clients.
-  kept_bodies,       ///< Bodies of requests under way, kept for the replica and a second attempt.
-  gathered_answers,  ///< Whole answers, from their first byte until the client has taken the last.
-  unwritten_streams, ///< Events that their client has not taken yet.
-  partial_events,    ///< Bytes of events that are not whole yet.
+  kept_bodies,       ///< Bodies of active requests, kept for the replica and for a retry.
+  gathered_answers,  ///< Whole answers, from their first byte until the client has read the last.
+  unwritten_streams, ///< Events that their client has not read yet.
+  partial_events,    ///< Bytes of incomplete events.
 };
 inline constexpr std::size_t byte_holders = 5;
 std::string_view name_of(byte_holder holder);
 
-/// What bytes are wanted for. What comes first gives way first: it is refused while later uses
-/// still get theirs.
+/// Use that bytes are acquired for, in ascending order of its limit: earlier uses are refused while
+/// later ones are still granted.
 enum class byte_use : std::uint8_t {
   large_body,      ///< A new request with a large body; can be refused as not run.
-  buffered_stream, ///< A stream that is read although its client does not read.
+  buffered_stream, ///< A stream that is read from its replica although its client does not read.
   small_body,      ///< A new request with a small body.
-  whole_answer,    ///< A whole answer that a replica gives.
-  lone_answer,     ///< One that fits in no other way (`answer_memory`).
+  whole_answer,    ///< A whole answer of a replica.
+  lone_answer,     ///< A whole answer that cannot complete within the limit (`answer_memory`).
   stream_event,    ///< An event that has been read from a replica.
 };
 inline constexpr std::size_t byte_uses = 6;
 std::string_view name_of(byte_use use);
 
-/// Not thread-safe. The sum of all accounts never exceeds the capacity.
+/// Accounts for bytes by holder and limits them by use. The sum of all accounts never exceeds the
+/// capacity. Not thread-safe.
 class byte_budget {
  public:
-  /// Ends the slowest readers. @param use what room is wanted for. @param bytes how much of it.
+  /// Disconnects the slowest readers to free memory.
+  /// @param use that lacks memory.
+  /// @param bytes that the use requests.
   using relief_callback = std::function<void(byte_use use, std::size_t bytes)>;
 
   explicit byte_budget(std::size_t capacity) : capacity_(capacity) {}
   byte_budget(const byte_budget&) = delete;
   byte_budget& operator=(const byte_budget&) = delete;
 
-  /// Asked where an answer finds no room; may return bytes at once or later.
+  /// Sets the callback for an answer that lacks memory; it may free bytes at once or later.
   void set_relief(relief_callback callback) { relief_ = std::move(callback); }
 
-  /// @return whether `use` may have `bytes` more now. Asks for relief where an answer may
-  /// not, or an event soon may not.
+  /// Returns whether `bytes` more would be granted to `use` now. Calls the relief callback before
+  /// that if an answer would be refused, or if an event soon would be.
   [[nodiscard]] bool ensure_capacity(byte_use use, std::size_t bytes);
-  /// @return whether `use` is granted up to `bytes` held in all.
+  /// Returns whether the limit of `use` allows `bytes` to be held in total.
   [[nodiscard]] bool is_within_limit(byte_use use, std::size_t bytes) const;
-  /// Takes bytes. @return false, with nothing taken, where there is no room; that is counted.
+  /// Acquires bytes for a holder. @return false, with no bytes acquired, if they exceed the limit
+  /// of the use; the refusal is counted.
   [[nodiscard]] bool acquire(byte_holder holder, byte_use use, std::size_t bytes);
   void release(byte_holder holder, std::size_t bytes);
-  /// Puts bytes from one account to another.
+  /// Moves bytes from one account to another.
   void transfer(byte_holder from, byte_holder to, std::size_t bytes);
 
   [[nodiscard]] std::size_t capacity() const { return capacity_; }
@@ -65,7 +69,7 @@
     return held_by_holder_[index(holder)];
   }
   [[nodiscard]] std::uint64_t refusals(byte_use use) const { return refusals_[index(use)]; }
-  /// @return 0 where nothing is held, 1 where the budget is spent.
+  /// Returns the fraction of the capacity that is held, 0 to 1.
   [[nodiscard]] double utilization() const;
 
  private:
@@ -85,8 +89,8 @@
   bool is_requesting_relief_ = false;
 };
 
-/// Bytes taken of a budget for one holder; returned when it goes. One that was moved from holds
-/// nothing and is only assigned or destroyed.
+/// Bytes acquired from a budget for one holder; the destructor returns them. A reservation that was
+/// moved from holds no bytes and may only be assigned to or destroyed.
 class byte_reservation {
  public:
   byte_reservation(std::shared_ptr<byte_budget> budget, byte_holder holder)
@@ -97,11 +101,11 @@
   byte_reservation(const byte_reservation&) = delete;
   byte_reservation& operator=(const byte_reservation&) = delete;
 
-  /// Takes more. @return false, with nothing changed, where the budget refuses.
+  /// Acquires more bytes. @return false, with nothing changed, if the budget refuses them.
   [[nodiscard]] bool grow(byte_use use, std::size_t bytes);
-  /// Returns some. @param bytes at most what is held is returned.
+  /// Returns bytes to the budget. @param bytes limited to the bytes held.
   void shrink(std::size_t bytes);
-  /// Puts what is held to another account.
+  /// Moves the bytes held to the account of another holder.
   void move_to(byte_holder holder);
   [[nodiscard]] std::size_t bytes() const { return bytes_; }
 
--- a/src/flow/resource_plan.cc
+++ b/src/flow/resource_plan.cc
@@ -5,21 +5,22 @@
 namespace spurrack::flow {
 namespace {
 
-/// An idle process and what it keeps of a fleet of 2,700 nodes (docs/CAPACITY.md: 13 and 32 MB).
+/// Memory of an idle process, and of its state for a fleet of 2,700 nodes (docs/CAPACITY.md: 13 and
+/// 32 MB).
 constexpr std::size_t baseline_bytes = 45'000'000;
-/// Part of the rest that is counted byte by byte. The other part is what comes with counted bytes
-/// and is not counted: buffers of connections, the allocator's unused room, what the kernel has
-/// received for this process. With 0.4 a process of 160 MB used 119 MB beside 1,398 slow clients,
-/// with 0.32 109 MB (slow_readers_test).
+/// Fraction of the remaining memory that the byte budget counts. The other part is overhead that
+/// comes with counted bytes and is not counted: connection buffers, unused memory of the allocator,
+/// data that the kernel has received for this process. With 0.4, a process limited to 160 MB used
+/// 119 MB with 1,398 slow clients; with 0.32, it used 109 MB (slow_readers_test).
 constexpr double counted_fraction = 0.32;
-/// A budget of less could not hold one large answer.
+/// A smaller budget could not hold one large answer.
 constexpr std::size_t min_budget_bytes = 10'000'000;
 
-/// Files, of which the platform keeps this many back.
+/// Descriptors for files, which the platform reserves.
 constexpr std::size_t file_descriptors = 200;
-/// Peers, the store, operators and resting connections to replicas.
+/// Descriptors for connections to peers, to the store, of operators, and idle ones to replicas.
 constexpr std::size_t own_descriptors = 900;
-/// A client's request needs its own connection and one to a replica.
+/// A request of a client needs the client's connection and one to a replica.
 constexpr std::size_t descriptors_per_client = 2;
 constexpr std::size_t min_client_connections = 16;
 
--- a/src/flow/resource_plan.h
+++ b/src/flow/resource_plan.h
@@ -1,16 +1,16 @@
-/// What the limits of a machine leave for requests and answers.
+/// Derives limits for requests and answers from the memory and the descriptors of the process.
 #pragma once
 
 #include <cstddef>
 
 namespace spurrack::flow {
 
-/// @param memory_bytes what the process may have in all.
-/// @return capacity of the process's byte budget.
+/// Returns the capacity of the byte budget of the process.
+/// @param memory_bytes that the process may use in total.
 std::size_t budget_capacity(std::size_t memory_bytes);
 
-/// @param descriptors what the process may have open in all.
-/// @return clients' connections that are taken at once.
+/// Returns the maximum number of concurrent client connections.
+/// @param descriptors that the process may have open in total.
 std::size_t client_connections(std::size_t descriptors);
 
 } // namespace spurrack::flow
--- a/src/flow/stream_window.h
+++ b/src/flow/stream_window.h
@@ -1,5 +1,5 @@
-/// The window of one stream: how many bytes its client may leave unread before reading from the
-/// replica is paused, and how long the client has taken nothing.
+/// Flow control window of one stream: the number of bytes that its client may leave unread before
+/// reading from the replica is paused, and the time for which the client has read nothing.
 #pragma once
 
 #include "base/time.h"
@@ -9,40 +9,40 @@
 
 namespace spurrack::flow {
 
-/// What a step did to a window.
+/// Effect of an operation on a window.
 enum class window_change : std::uint8_t { none, closed, opened };
 
-/// Not thread-safe.
+/// Starts open. Not thread-safe.
 class stream_window {
  public:
-  /// Unread bytes at which a window closes while memory is plentiful: with events of 100 bytes
-  /// every 20 ms a client may read nothing for 13 s before its replica notices.
+  /// Window size while memory is plentiful: with events of 100 bytes every 20 ms, a client may read
+  /// nothing for 13 s before reading from its replica is paused.
   static constexpr std::size_t max_window_bytes = 65'536;
-  /// The same once the budget is spent: one read from the replica.
+  /// Window size once the budget is exhausted: one read from the replica.
   static constexpr std::size_t min_window_bytes = 8'192;
-  /// A closed window opens at this part of its width, so that it does not open and close with each
-  /// event.
+  /// Fraction of the window size at which a closed window reopens: the margin keeps it from opening
+  /// and closing with each event.
   static constexpr double reopen_fraction = 0.5;
 
   explicit stream_window(base::time_point now) : last_progress_at_(now) {}
 
-  /// Bytes were added for the client.
-  /// @param fullness of the budget, 0 to 1: the fuller, the narrower the window.
+  /// Records bytes that were read from the replica for the client.
+  /// @param utilization of the byte budget, 0 to 1; the higher, the smaller the window.
   window_change add(std::size_t bytes, double utilization, base::time_point now);
-  /// The client took bytes.
+  /// Records bytes that the client read.
   window_change consume(std::size_t bytes, base::time_point now);
-  /// Lets the stream be buffered although the client does not read: bytes beyond the width
-  /// no longer close the window, only `close` does.
+  /// Opens the window and keeps it open whatever the client has left unread, until `close`: the
+  /// stream is buffered although its client does not read.
   window_change start_read_ahead(base::time_point now);
-  /// Closes a window that was widened, since there is no memory for it.
+  /// Ends reading ahead and closes the window, since there is no memory for it.
   window_change close(base::time_point now);
 
   [[nodiscard]] bool is_open() const { return is_open_; }
   [[nodiscard]] bool is_reading_ahead() const { return is_reading_ahead_; }
   [[nodiscard]] std::size_t unread() const { return unread_; }
-  /// @return how long bytes have waited of which the client took none.
+  /// Returns the time for which bytes have been unread without the client reading any.
   [[nodiscard]] base::duration stall_duration(base::time_point now) const;
-  /// @return how long the window was closed, up to now.
+  /// Returns the total time for which the window was closed, up to `now`.
   [[nodiscard]] base::duration closed_duration(base::time_point now) const;
 
  private:
@@ -52,8 +52,11 @@
   std::size_t size_ = max_window_bytes;
   bool is_open_ = true;
   bool is_reading_ahead_ = false;
+  /// Time at which the client last read bytes, or at which bytes first became unread after that.
   base::time_point last_progress_at_;
+  /// Time at which the window last closed.
   base::time_point closed_at_;
+  /// Total time of the periods for which the window was closed, without the current period.
   base::duration total_closed_duration_{};
 };
 
--- a/src/rate_limits/limit_exchange.cc
+++ b/src/rate_limits/limit_exchange.cc
@@ -7,17 +7,18 @@
 namespace spurrack::rate_limits {
 namespace {
 
-/// Part of a limit that is issued. With what an issuer saves up and the lifetime of a permit, the
-/// sends of any ten seconds stay below the limit.
+/// Fraction of a limit that is issued. It leaves a margin for the permits that an issuer
+/// accumulates and for the lifetime of a permit, so that the sends of any ten seconds stay below
+/// the limit.
 constexpr double issued_fraction_of_limit = 0.97;
-/// Permits a second for a replica that takes less, or nothing: only an answer tells that a limit is
-/// lifted.
+/// Lowest rate of permits per second, also for a replica that accepts fewer requests or none: only
+/// an answer of the replica shows that its limit is lifted.
 constexpr double min_issue_rate = 0.1;
-/// Permits are asked for this often, of so many nodes at once: 4 kB a second at the most, however
-/// many replicas are limited.
+/// Interval between rounds of queries, and number of nodes that one round queries: at most 4 kB/s,
+/// whatever the number of limited replicas.
 constexpr base::duration query_interval = std::chrono::milliseconds(50);
 constexpr std::size_t max_queried_nodes = 4;
-/// Permits for replicas that name no limit any more are forgotten this often.
+/// Interval between removals of permits for replicas that no longer announce a limit.
 constexpr base::duration cleanup_interval = std::chrono::milliseconds(1000);
 
 } // namespace
@@ -281,13 +282,13 @@
 
 void limit_exchange::handle(const base::node_id& sender, const wire::rate_limits& message,
                             base::time_point now) {
-  for (const auto& asked : message.wanted()) {
-    const base::replica_id replica(asked.replica());
+  for (const auto& query : message.wanted()) {
+    const base::replica_id replica(query.replica());
     if (!announced_limits().limit_of(replica) || issuer_of(replica) != self_.node) {
       continue;
     }
     issuers_.try_emplace(replica, now)
-        .first->second.record_query({sender, asked.number(), asked.count(), asked.is_waiting()},
+        .first->second.record_query({sender, query.number(), query.count(), query.is_waiting()},
                                     now);
     next_issue_at_ = now;
   }
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -1,11 +1,12 @@
-/// Has replicas get no more requests a second from all nodes together than they name. No I/O:
-/// messages are gathered.
+/// Keeps the requests per second that all nodes together send to a replica within the limit that
+/// the replica announces. No I/O: messages are queued until `take_messages`.
 ///
-/// `replica_statements` knows what replicas name. One node, found by rendezvous hashing among the
-/// nodes of the replica's zone, issues permits for it at that pace, and each send takes one (leases
-/// of a shared rate, as in the paper on sharing networked resources that docs/design/rate-limits.md
-/// cites). Nodes that do not see each other issue by the part of the fleet that they see: more than
-/// half of it issues all, any less its part, so that two halves keep the limit together.
+/// `replica_statements` provides the announced limits. One node, chosen by rendezvous hashing among
+/// the nodes of the replica's zone, issues permits for the replica at the announced rate, and each
+/// send spends one permit (leases of a shared rate, as in the paper on sharing networked resources
+/// that docs/design/rate-limits.md cites). In a partitioned fleet, an issuer scales the rate by the
+/// fraction of the fleet that it can reach: more than half of the fleet issues the whole limit, any
+/// smaller part its fraction, so that the two sides of a partition keep the limit together.
 #pragma once
 
 #include "base/ids.h"
@@ -34,76 +35,84 @@
   std::uint64_t messages = 0;
   std::uint64_t permits_issued = 0;
   std::uint64_t permits_received = 0;
-  /// Permits that came too late for the question that they answer.
+  /// Permits that arrived too late for the query that they answer.
   std::uint64_t permits_expired = 0;
 };
 
-/// Not thread-safe.
+/// Limits, permits and issuers as one node knows them. Not thread-safe.
 class limit_exchange {
  public:
-  /// @param statements what replicas name; must outlive this object.
-  /// @param life start of this process, as a number higher than that of every earlier life.
+  /// @param statements provides the limits that replicas announce; must outlive this object.
+  /// @param incarnation of this node; higher than that of every earlier incarnation.
   limit_exchange(serving::fleet_peer self, const replica_statements::statement_exchange& statements,
                  replica_statements::replica_lookup lookup, base::incarnation incarnation);
 
-  /// Takes over the nodes that are alive, without this one. @param known other nodes known at all:
-  /// those that cannot be seen may be issuing on their own.
+  /// Replaces the set of live nodes, which excludes this node.
+  /// @param known_peers number of all other nodes of the fleet, including unreachable nodes, which
+  ///        may issue permits on their own.
   void set_peers(const std::vector<serving::fleet_peer>& alive, std::size_t known_peers);
-  /// @return whether any replica names a limit, or did of late.
+  /// Returns whether any replica announces a limit or recently did.
   [[nodiscard]] bool has_limits() const { return !announced_limits().empty(); }
   [[nodiscard]] const replica_statements::limit_book& announced_limits() const {
     return statements_->limits();
   }
-  /// @return replicas that name a limit.
+  /// Returns the number of replicas that announce a limit.
   [[nodiscard]] std::size_t limited_replicas() const;
 
-  /// A replica is gone or has started again.
+  /// Forgets a replica that was removed or restarted.
   void forget(const base::replica_id& replica);
 
-  /// @return whether a replica may be sent a request now: it is not limited, or a permit is held.
+  /// Returns whether a request may be sent to a replica now: the replica is not limited, or this
+  /// node holds a permit.
   [[nodiscard]] bool may_send(const base::replica_id& replica, base::time_point now) const;
-  /// A request is sent.
+  /// Records that a request is sent, which spends a permit if the replica is limited.
   void note_sent(const base::replica_id& replica, base::time_point now);
-  /// A request could go to a limited replica for which no permit is held.
+  /// Records that a request could be sent to a limited replica but for the lack of a permit.
   void note_unmet_demand(const base::replica_id& replica, base::time_point now);
-  /// So many requests wait for a limited replica that no other may be sent now.
+  /// Records the number of requests that wait for a limited replica and cannot be sent to any other
+  /// now.
   void note_waiting(const base::replica_id& replica, std::uint32_t count, base::time_point now);
 
-  /// This process was paused: what it held and issued is void.
+  /// Discards the permits that this node holds or could issue, after a suspension of this process.
   void resume_after_pause(base::time_point now);
-  /// Takes in questions and permits; `statement_exchange` has taken in the limits before.
+  /// Processes queries and permits of another node. Requires that `statement_exchange` has
+  /// processed the limits of the message.
   void handle(const base::node_id& sender, const wire::rate_limits& message, base::time_point now);
-  /// Asks and issues what is due.
+  /// Sends the queries and issues the permits that are due.
   void advance(base::time_point now);
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
 
   [[nodiscard]] wire::outbox take_messages() { return std::exchange(messages_, {}); }
   [[nodiscard]] const limit_counts& counts() const { return counts_; }
-  /// @return the node that issues permits for a replica, as this node sees it.
+  /// Returns the node that issues permits for a replica, from the view of this node.
   [[nodiscard]] base::node_id issuer_of(const base::replica_id& replica) const;
-  /// @return null where this node has sent the replica nothing since it is limited.
+  /// Returns the permits held for a replica; null if this node has not needed any since the replica
+  /// is limited.
   [[nodiscard]] const permit_stock* stock_of(const base::replica_id& replica) const;
 
  private:
   using message_map = std::map<base::node_id, wire::rate_limits>;
 
-  /// Has permits for a replica asked for.
+  /// Queues a replica for which permits are to be queried.
   void enqueue_query(const base::replica_id& replica);
-  /// Asks for the permits that requests want.
+  /// Sends the queries for the permits that requests need.
   void query_issuers(base::time_point now);
-  /// Adds a question for a replica to the messages of its issuer, or takes it where that is this
-  /// node. @param count 0 withdraws the question that stands.
+  /// Adds a query for a replica to the message to its issuer, or records the query if this node is
+  /// the issuer.
+  /// @param count 0 withdraws the pending query.
   void add_query(const base::replica_id& replica, std::uint32_t count, message_map& messages,
                  base::time_point now);
-  /// Withdraws questions that no request waits for any more: permits would become void.
+  /// Withdraws queries whose waiting requests no longer need permits, which would expire unused.
   void withdraw_queries(message_map& messages, base::time_point now);
+  /// Issues the permits that are due as an issuer.
   void issue_permits(base::time_point now);
+  /// Adds permits to the stock of a replica, or counts them as expired.
   void record_grant(const base::replica_id& replica, const permit_grant& grant,
                     base::time_point now);
-  /// Forgets the permits for replicas that name no limit any more.
+  /// Forgets the permits for replicas that no longer announce a limit.
   void forget_unlimited(base::time_point now);
   void send(message_map messages);
-  /// @return permits a second that are issued for a limit.
+  /// Returns the permits per second that this node issues for a limit.
   [[nodiscard]] double issue_rate_of(double per_second) const;
 
   serving::fleet_peer self_;
@@ -111,21 +120,23 @@
   replica_statements::replica_lookup lookup_;
   std::map<base::replica_id, permit_stock> stocks_;
   std::map<base::replica_id, permit_issuer> issuers_;
-  /// Replicas of which permits are wanted, in the order in which they are asked for.
+  /// Replicas whose permits are to be queried, in the order of the queries.
   std::deque<base::replica_id> replicas_to_query_;
+  /// The elements of `replicas_to_query_`.
   std::set<base::replica_id> queued_replicas_;
-  /// Replicas for which requests waited when permits were asked for last.
+  /// Replicas for which requests waited at the last query.
   std::set<base::replica_id> replicas_with_waiting_requests_;
   std::map<base::node_id, serving::fleet_peer> peers_;
   std::map<base::zone_id, std::vector<base::node_id>> nodes_by_zone_;
   std::vector<base::node_id> nodes_;
-  /// Part of a limit that the nodes seen from here issue.
+  /// Fraction of a limit that is issued among the nodes that this node can reach.
   double issued_fraction_ = 1;
-  /// Found since the nodes changed last.
+  /// Cache of `issuer_of`, cleared when the set of live nodes changes.
   mutable std::unordered_map<base::replica_id, base::node_id> issuer_by_replica_;
+  /// Number of the last query; starts at the incarnation of this node.
   std::uint64_t query_number_;
   base::time_point next_query_at_;
-  /// Nothing where nobody asks this node.
+  /// std::nullopt if no query is pending at this node.
   std::optional<base::time_point> next_issue_at_;
   base::time_point next_cleanup_at_;
   wire::outbox messages_;
--- a/src/rate_limits/permit_issuer.cc
+++ b/src/rate_limits/permit_issuer.cc
@@ -7,13 +7,13 @@
 namespace spurrack::rate_limits {
 namespace {
 
-/// A node that takes over issues nothing for this time: permits of the node before it are void by
-/// then, and news of who issues has reached most nodes.
+/// Time for which a new issuer grants no permits: after it, permits of the earlier issuer have
+/// expired, and most nodes know the new issuer.
 constexpr base::duration handover_duration = std::chrono::milliseconds(1000);
-/// What is saved up while nobody asks: bursts are short beside the seconds over which a replica is
-/// spared.
+/// Time for which permits accrue without a query: bursts stay short compared to the seconds over
+/// which the load of a replica is limited.
 constexpr base::duration max_burst_time = std::chrono::milliseconds(100);
-/// Permits of high rates are handed out together this often, which bounds messages.
+/// Shortest interval between grants, which bounds the number of messages at high rates.
 constexpr base::duration issue_interval = std::chrono::milliseconds(10);
 
 } // namespace
--- a/src/rate_limits/permit_issuer.h
+++ b/src/rate_limits/permit_issuer.h
@@ -1,6 +1,6 @@
-/// Hands out permits for one limited replica at the pace that it names, to the nodes that ask. The
-/// node that issues is the only place where all sends of the fleet meet, so nothing is divided that
-/// one node may need whole. No I/O.
+/// Issues permits for one limited replica, at the rate that it announces, to the nodes that query
+/// them. Since a single node issues permits for all sends of the fleet, the limit is not split into
+/// fixed shares, and one node may use all of it. No I/O.
 #pragma once
 
 #include "base/ids.h"
@@ -13,44 +13,49 @@
 
 namespace spurrack::rate_limits {
 
-/// A permit that is not used within this time after it came is void: what a node saved up would be
-/// sent at once later.
+/// Time after its receipt at which an unused permit expires: a node that accumulated permits would
+/// send a burst later.
 inline constexpr base::duration permit_lifetime = std::chrono::milliseconds(200);
-/// A question that is not answered within this time is asked again, and stands no longer: the node
-/// may have ended, or its requests gone elsewhere.
+/// Time after which an unanswered query expires and is sent again: the querying node may have
+/// stopped, or its requests may have gone to other replicas.
 inline constexpr base::duration query_lifetime = std::chrono::milliseconds(800);
 
-/// A node asks for permits.
+/// Query of a node for permits.
 struct permit_query {
   base::node_id node;
-  /// Given back with the permits, by which the asking node knows what they answer.
+  /// Returned with the permits, so that the querying node can match them to the query.
   std::uint64_t number = 0;
+  /// Number of permits queried; 0 withdraws the earlier query of the node.
   std::uint32_t count = 1;
-  /// Requests wait there that no other replica may be sent now.
+  /// Whether requests wait at the node that cannot be sent to any other replica now.
   bool has_waiting_requests = false;
 };
 
-/// Permits for one node.
+/// Permits for one node, in answer to its query `number`.
 struct permit_grant {
   std::uint64_t number = 0;
   std::uint32_t count = 0;
 };
 
-/// Not thread-safe.
+/// Token bucket and queue of queries for one replica. Not thread-safe.
 class permit_issuer {
  public:
-  /// This node issues from now on; what another issued before may still be spent.
+  /// Starts as the issuer of the replica. Permits of an earlier issuer may still be spent, so none
+  /// are granted at first.
   explicit permit_issuer(base::time_point now) { restart(now); }
 
-  /// Nothing is saved up and no question stands: the node was paused, or has just taken over.
+  /// Discards pending queries and accrued permits, and grants none for a while: the node was
+  /// suspended, or has just become the issuer.
   void restart(base::time_point now);
-  /// @param per_second permits a second from now on.
+  /// Sets the rate at which permits accrue from now on.
+  /// @param per_second in permits per second.
   void set_rate(double per_second, base::time_point now);
-  /// A node asks; its earlier question stands no longer. One that wants none withdraws it.
+  /// Records a query, which replaces the earlier query of the same node. A query for 0 permits
+  /// withdraws the earlier one.
   void record_query(permit_query query, base::time_point now);
-  /// @return what is handed out now.
+  /// Grants the permits that are available to pending queries.
   std::map<base::node_id, permit_grant> issue(base::time_point now);
-  /// @return when more can be handed out; nothing where nobody asks.
+  /// Returns the time at which the next permit can be granted; std::nullopt if no query is pending.
   [[nodiscard]] std::optional<base::time_point> next_issue_at() const;
 
  private:
@@ -60,17 +65,17 @@
   };
   using query_queue = std::deque<pending_query>;
 
-  /// Brings what may be handed out up to `now`.
+  /// Adds the permits that have accrued up to `now`.
   void accrue(base::time_point now);
-  /// Hands out permits in turns, one a node.
+  /// Grants permits to the queries of a queue in round-robin order, one permit per turn.
   void grant_permits(query_queue& queue, std::map<base::node_id, permit_grant>& grants,
                      base::time_point now);
 
   double rate_ = 0;
-  /// Permits that may be handed out, as of `accrued_at_`.
+  /// Number of permits that may be granted, as of `accrued_at_`.
   double available_ = 0;
   base::time_point accrued_at_;
-  /// Nodes where requests wait come first.
+  /// Queries of nodes at which requests wait. They are served before `other_queries_`.
   query_queue urgent_queries_;
   query_queue other_queries_;
 };
--- a/src/rate_limits/permit_stock.cc
+++ b/src/rate_limits/permit_stock.cc
@@ -5,15 +5,15 @@
 namespace spurrack::rate_limits {
 namespace {
 
-/// Permits are asked for ahead for what requests want in this time: several ways between nodes, and
-/// well within the lifetime of a permit.
+/// Window over which demand is measured, and for which permits are queried ahead: several one-way
+/// delays between nodes, and well within the lifetime of a permit.
 constexpr base::duration demand_window = std::chrono::milliseconds(100);
-/// Sends in that time from which on permits are asked for ahead: fewer would let most of these
-/// become void.
+/// Demand per window from which on permits are queried ahead: with less demand most of them would
+/// expire.
 constexpr std::uint32_t min_demand_to_prefetch = 2;
-/// Waiting requests are looked at more often than this.
+/// Time for which a report of waiting requests is valid. The dispatcher reports more often.
 constexpr base::duration waiting_report_lifetime = std::chrono::milliseconds(60);
-/// Sends are kept this long for operators.
+/// Time for which sends are kept, for operators.
 constexpr base::duration recent_window = std::chrono::seconds(4);
 
 } // namespace
--- a/src/rate_limits/permit_stock.h
+++ b/src/rate_limits/permit_stock.h
@@ -1,5 +1,5 @@
-/// Permits for one limited replica that this node holds, and how many more its requests want. No
-/// I/O.
+/// Permits for one limited replica that this node holds, and the number of further permits that its
+/// requests need. No I/O.
 #pragma once
 
 #include "base/time.h"
@@ -16,47 +16,53 @@
 class permit_stock {
  public:
   [[nodiscard]] bool has_permit(base::time_point now) const;
-  /// A request is sent: spends the permit that is void first. Where many are sent, the next permits
-  /// are asked for ahead.
+  /// Records that a request is sent and spends the permit that expires first. The send counts as
+  /// demand, so that a node that sends many requests queries its next permits ahead.
   void note_sent(base::time_point now);
-  /// A request could be sent now, and no permit is held.
+  /// Records that a request could be sent to the replica now but for the lack of a permit.
   void note_unmet_demand(base::time_point now);
-  /// So many requests wait for this replica that no other may be sent now.
+  /// Records the number of requests that wait for this replica and cannot be sent to any other now.
   void note_waiting(std::uint32_t count, base::time_point now);
-  /// @return permits that a question now would ask for, which takes the place of the one before:
-  ///         those that requests want in a short while and that are not held; 0 where the question
-  ///         that stands asks for as many.
+  /// Returns the number of permits that a query sent now should ask for: the expected demand
+  /// without the permits held. Such a query replaces the pending one. Returns 0 if the pending
+  /// query already asks for enough.
   [[nodiscard]] std::uint32_t permits_to_request(base::time_point now) const;
-  /// @return whether permits are asked for that no request waits for any more.
+  /// Returns whether a query is pending for waiting requests although the permits held cover the
+  /// expected demand.
   [[nodiscard]] bool has_unneeded_query(base::time_point now) const;
-  /// The question that stands is withdrawn.
+  /// Records that the pending query is withdrawn. Requires a pending query.
   void note_query_withdrawn() { query_->outstanding = 0; }
-  /// They are asked for.
+  /// Records that a query for `count` permits is sent.
   void note_query_sent(std::uint64_t number, std::uint32_t count, base::time_point now);
-  /// @return whether requests wait of late that no other replica may be sent.
+  /// Returns whether requests were recently reported to wait that cannot be sent to any other
+  /// replica.
   [[nodiscard]] bool has_waiting_requests(base::time_point now) const;
-  /// Takes in permits. @return whether they answer a question of this node.
+  /// Adds permits.
+  /// @return false, with nothing added, if they do not answer a valid query of this node.
   bool add(const permit_grant& grant, base::time_point now);
-  /// This process was paused: permits are void, and so are those that are on their way.
+  /// Discards the permits held and the pending query, and causes permits in transit to be rejected:
+  /// this process was suspended.
   void clear();
 
-  /// @return permits held.
+  /// Returns the number of permits held.
   [[nodiscard]] std::size_t held(base::time_point now) const;
-  /// @return sends within the last four seconds.
+  /// Returns the number of sends within the last four seconds.
   [[nodiscard]] std::size_t recent_sends(base::time_point now) const;
 
  private:
+  /// Adds a request to the demand of the current window.
   void count_demand(base::time_point now);
-  /// @return permits that requests want in a short while.
+  /// Returns the number of permits that requests are expected to need shortly.
   [[nodiscard]] std::uint32_t expected_demand(base::time_point now) const;
 
-  /// Permits that came together.
+  /// Permits that were received together.
   struct held_permits {
     std::uint32_t count = 0;
     base::time_point expires_at;
   };
   struct pending_query {
     std::uint64_t number = 0;
+    /// Number of permits that have not been received yet.
     std::uint32_t outstanding = 0;
     bool has_waiting_requests = false;
     base::time_point expires_at;
@@ -64,13 +70,14 @@
 
   std::deque<held_permits> permits_;
   std::optional<pending_query> query_;
-  /// Number of the first question since permits were void; 0 before there is one.
+  /// Number of the first query since the last `clear`; 0 before that query.
   std::uint64_t first_valid_query_number_ = 0;
-  /// Requests that wanted a permit in the span that is counted now and in the one before it.
+  /// Start of the current demand window, and the number of requests that needed a permit in it and
+  /// in the window before.
   base::time_point window_started_at_;
   std::uint32_t demand_in_current_window_ = 0;
   std::uint32_t demand_in_previous_window_ = 0;
-  /// A request lacked a permit since permits were asked for last.
+  /// Whether a request lacked a permit since the last query.
   bool has_unmet_demand_ = false;
   std::uint32_t waiting_requests_ = 0;
   base::time_point waiting_reported_at_;
