--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -43,7 +43,7 @@
 class limit_exchange {
  public:
   /// @param statements provides the limits that replicas announce; must outlive this object.
-  /// @param incarnation of this node; higher than that of every earlier incarnation.
+  /// @param incarnation start of this process, as a number higher than every earlier incarnation.
   limit_exchange(serving::fleet_peer self, const replica_statements::statement_exchange& statements,
                  replica_statements::replica_lookup lookup, base::incarnation incarnation);
 
--- a/tests/engines/engine_fleet.h
+++ b/tests/engines/engine_fleet.h
@@ -1,5 +1,6 @@
-/// A fleet without network: callers with views of their own before engines with a simple memory.
-/// Compares ways to choose engines by the tokens that are read again and by how even the work is.
+/// Simulated fleet without a network: callers, each with its own view of the fleet, and engines
+/// with a simple prefix cache. Compares strategies to choose engines by the number of tokens that
+/// are prefilled again and by the balance of the load.
 #pragma once
 
 #include "base/random.h"
@@ -25,10 +26,10 @@
 
 namespace spurrack::serving {
 
-/// One kind of prompt: parts that are shared, tokens of its own and of the answer.
+/// Kind of prompt: its shared parts, its own tokens and the tokens of the answer.
 struct prompt_kind {
   double per_second = 0;
-  /// How many distinct parts there are and how long each is, by level.
+  /// Number of distinct parts of a level, and mean and spread of their length in tokens.
   struct level {
     std::uint32_t distinct = 1;
     double tokens = 0;
@@ -38,8 +39,8 @@
   double own_tokens = 0;
   double own_spread = 0;
   double output_tokens = 0;
-  /// Part of the requests that want one and the same prompt.
-  double hot_share = 0;
+  /// Fraction of the requests that have the same shared parts.
+  double hot_fraction = 0;
 };
 
 struct fleet_shape {
@@ -47,131 +48,134 @@
   std::size_t engines = 140;
   std::uint64_t memory_tokens = 460'000;
   double tokens_per_second = 48'200;
-  double seconds_a_token = 0.0035;
-  double seconds = 34;
+  double seconds_per_output_token = 0.0035;
+  double duration_seconds = 34;
   std::vector<prompt_kind> kinds;
-  /// One zone has so many engines fewer than the others.
-  std::size_t missing_in_one_zone = 0;
-  /// From then on a third of the engines takes nothing for some seconds, as every caller knows.
-  double evacuated_from = -1;
-  double evacuated_until = -1;
-  /// At this time a part of the engines is replaced by others with an empty memory.
+  /// Number of engines that one zone has fewer than the others.
+  std::size_t engines_missing_in_one_zone = 0;
+  /// Times, in seconds, between which a third of the engines is evacuated, as every caller knows;
+  /// -1 for no evacuation.
+  double evacuation_begins_at = -1;
+  double evacuation_ends_at = -1;
+  /// Time, in seconds, at which a fraction of the engines is replaced by engines with an empty
+  /// cache; -1 for no replacement.
   double replaced_at = -1;
-  double replaced_share = 0;
+  double replaced_fraction = 0;
   std::uint64_t seed = 1;
 };
 
-/// What a play showed.
-struct fleet_figures {
-  double read_tokens = 0;
-  /// Of shared parts that some engine had read before.
-  double again_tokens = 0;
-  /// Of those, of parts before the last shared one.
-  double again_first_level = 0;
-  double busiest_to_mean = 0;
-  /// Reading done by an engine of the busiest zone, by the mean of the zones.
-  double busiest_zone_to_mean = 0;
-  double mean_first_event = 0;
-  /// Of prompts of the first kind, 95 in 100.
-  double late_first_event = 0;
-  /// Most tokens of running requests that an engine held, in parts of its memory.
-  double fullest = 0;
-  /// Bytes that a node sent in a second of what nodes tell each other: the mean of all, of the
-  /// busiest node, and of the worst second of any.
-  double bytes_a_second = 0;
-  double most_bytes_a_second = 0;
-  double most_bytes_in_a_second = 0;
-  /// Share of prompts of the first kind that waited for longer than 1.3 s.
-  double late_share = 0;
+/// Result of one simulation.
+struct simulation_result {
+  double prefilled_tokens = 0;
+  /// Tokens of shared parts that some engine had prefilled before.
+  double repeated_tokens = 0;
+  /// Of the repeated tokens, tokens of parts before the last shared one.
+  double repeated_first_part_tokens = 0;
+  double max_to_mean_load = 0;
+  /// Prefill time per engine of the busiest zone, divided by the mean of the zones.
+  double max_zone_to_mean_load = 0;
+  double mean_first_event_seconds = 0;
+  /// 95th percentile over the prompts of the first kind.
+  double p95_first_event_seconds = 0;
+  /// Largest number of tokens of running requests at an engine, as a fraction of its memory.
+  double max_memory_utilization = 0;
+  /// Bytes per second of messages between nodes: mean over all nodes, mean of the busiest node, and
+  /// maximum over all nodes and seconds.
+  double mean_bytes_per_second = 0;
+  double max_bytes_per_second = 0;
+  double max_bytes_in_one_second = 0;
+  /// Fraction of the prompts of the first kind that waited for longer than 1.3 s.
+  double late_fraction = 0;
 };
 
-/// How a caller chooses, and what it is told of its calls.
-class engine_caller {
+/// Strategy of a caller: chooses engines and observes its calls.
+class caller_strategy {
  public:
-  engine_caller() = default;
-  engine_caller(const engine_caller&) = delete;
-  engine_caller& operator=(const engine_caller&) = delete;
-  virtual ~engine_caller() = default;
+  caller_strategy() = default;
+  caller_strategy(const caller_strategy&) = delete;
+  caller_strategy& operator=(const caller_strategy&) = delete;
+  virtual ~caller_strategy() = default;
 
   virtual replica_chooser& chooser() = 0;
-  virtual void sent(const replica_state& /*engine*/, const request_content& /*content*/,
-                    base::time_point /*now*/) {}
-  virtual void begun(const request_content& /*content*/, base::duration /*took*/) {}
+  virtual void note_sent(const replica_state& /*engine*/, const request_content& /*content*/,
+                         base::time_point /*now*/) {}
+  virtual void note_first_event(const request_content& /*content*/, base::duration /*elapsed*/) {}
   virtual void set_peers(const std::vector<fleet_peer>& /*peers*/) {}
   virtual void handle(const wire::engine_news& /*news*/, base::time_point /*now*/) {}
   virtual wire::outbox take_messages() { return {}; }
 };
 
-using make_caller = std::function<std::unique_ptr<engine_caller>(
+using strategy_factory = std::function<std::unique_ptr<caller_strategy>(
     const fleet_peer& self, const replica_table&, base::random_source&)>;
 
-/// Least recently used parts give way to new ones.
+/// Prefix cache of an engine; evicts the least recently used parts.
 class engine_memory {
  public:
   explicit engine_memory(std::uint64_t capacity) : capacity_(capacity) {}
 
-  /// @return whether the part is kept; uses it.
+  /// Marks a part as used. @return whether the part is cached.
   bool use(const std::string& part) {
-    const auto found = kept_.find(part);
-    if (found == kept_.end()) {
+    const auto found = entry_by_part_.find(part);
+    if (found == entry_by_part_.end()) {
       return false;
     }
-    order_.splice(order_.begin(), order_, found->second);
+    lru_.splice(lru_.begin(), lru_, found->second);
     return true;
   }
   void keep(const std::string& part, std::uint32_t tokens) {
     if (use(part)) {
       return;
     }
-    order_.emplace_front(part, tokens);
-    kept_[part] = order_.begin();
-    held_ += tokens;
-    while (held_ > capacity_ && order_.size() > 1) {
-      held_ -= order_.back().second;
-      kept_.erase(order_.back().first);
-      order_.pop_back();
+    lru_.emplace_front(part, tokens);
+    entry_by_part_[part] = lru_.begin();
+    used_tokens_ += tokens;
+    while (used_tokens_ > capacity_ && lru_.size() > 1) {
+      used_tokens_ -= lru_.back().second;
+      entry_by_part_.erase(lru_.back().first);
+      lru_.pop_back();
     }
   }
 
  private:
   using entry_list = std::list<std::pair<std::string, std::uint32_t>>;
   std::uint64_t capacity_;
-  std::uint64_t held_ = 0;
-  entry_list order_;
-  std::unordered_map<std::string, entry_list::iterator> kept_;
+  std::uint64_t used_tokens_ = 0;
+  entry_list lru_;
+  std::unordered_map<std::string, entry_list::iterator> entry_by_part_;
 };
 
 class engine_fleet {
  public:
-  engine_fleet(const fleet_shape& shape, const make_caller& make)
+  engine_fleet(const fleet_shape& shape, const strategy_factory& make_strategy)
       : shape_(shape), random_(shape.seed) {
-    std::size_t missing = 0;
+    std::size_t missing_engines = 0;
     for (std::size_t index = 0; index < shape.engines; ++index) {
-      if (zone_of(index) == zone_of(0) && missing < shape.missing_in_one_zone) {
-        ++missing;
+      if (zone_of(index) == zone_of(0) && missing_engines < shape.engines_missing_in_one_zone) {
+        ++missing_engines;
       } else {
         add_engine(index);
       }
     }
     for (std::size_t index = 0; index < shape.callers; ++index) {
       callers_.push_back(std::make_unique<caller>());
-      auto& made = *callers_.back();
-      made.random = std::make_unique<base::seeded_random>(shape.seed + index + 1);
-      made.table = std::make_unique<replica_table>(base::node_id("node-" + std::to_string(index)),
-                                                   zone_of(index), settings_, *made.random);
-      made.table->update(published_, base::time_point{});
-      made.self = {base::node_id("edge-some-zone-" + std::to_string(index)), zone_of(index),
-                   base::network_address(std::to_string(index))};
-      made.deciding = make(made.self, *made.table, *made.random);
+      auto& new_caller = *callers_.back();
+      new_caller.random = std::make_unique<base::seeded_random>(shape.seed + index + 1);
+      new_caller.table =
+          std::make_unique<replica_table>(base::node_id("node-" + std::to_string(index)),
+                                          zone_of(index), settings_, *new_caller.random);
+      new_caller.table->update(published_, base::time_point{});
+      new_caller.self = {base::node_id("edge-some-zone-" + std::to_string(index)), zone_of(index),
+                         base::network_address(std::to_string(index))};
+      new_caller.strategy = make_strategy(new_caller.self, *new_caller.table, *new_caller.random);
     }
-    introduce_callers();
+    connect_callers();
   }
 
-  fleet_figures play() {
+  simulation_result simulate() {
     schedule_arrivals();
-    if (shape_.evacuated_from >= 0) {
-      at(shape_.evacuated_from, [this] { set_evacuated({base::zone_id("z0")}); });
-      at(shape_.evacuated_until, [this] { set_evacuated({}); });
+    if (shape_.evacuation_begins_at >= 0) {
+      at(shape_.evacuation_begins_at, [this] { set_evacuated({base::zone_id("z0")}); });
+      at(shape_.evacuation_ends_at, [this] { set_evacuated({}); });
     }
     if (shape_.replaced_at >= 0) {
       at(shape_.replaced_at, [this] { replace_engines(); });
@@ -180,9 +184,9 @@
       const auto next = events_.top();
       events_.pop();
       now_ = next.when;
-      next.what();
+      next.action();
     }
-    return figures();
+    return collect_result();
   }
 
  private:
@@ -191,7 +195,7 @@
     base::zone_id zone;
     double speed = 1;
     engine_memory memory;
-    /// The reading of prompts, one after the other, is done then.
+    /// Time, in seconds, at which the prefill of all prompts, one after the other, is done.
     double free_at = 0;
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -201,18 +205,18 @@
   struct caller {
     fleet_peer self;
     std::size_t bytes_sent = 0;
-    /// Bytes of the running second, and the most of any.
-    std::size_t bytes_of_second = 0;
-    std::size_t most_bytes_a_second = 0;
+    /// Bytes sent in the current second, and the maximum over all seconds.
+    std::size_t bytes_in_current_second = 0;
+    std::size_t max_bytes_in_one_second = 0;
     long second = 0;
     std::unique_ptr<base::random_source> random;
     std::unique_ptr<replica_table> table;
-    std::unique_ptr<engine_caller> deciding;
+    std::unique_ptr<caller_strategy> strategy;
   };
   struct event {
     double when = 0;
     std::uint64_t order = 0;
-    std::function<void()> what;
+    std::function<void()> action;
     bool operator<(const event& other) const {
       return std::pair(other.when, other.order) < std::pair(when, order);
     }
@@ -225,8 +229,8 @@
     return base::time_point{} + std::chrono::hours(1) + base::from_seconds(now_);
   }
 
-  void at(double when, std::function<void()> what) {
-    events_.push({when, next_order_++, std::move(what)});
+  void at(double when, std::function<void()> action) {
+    events_.push({when, next_event_number_++, std::move(action)});
   }
 
   void add_engine(std::size_t index) {
@@ -250,7 +254,7 @@
 
   void replace_engines() {
     const auto count =
-        static_cast<std::size_t>(shape_.replaced_share * static_cast<double>(published_.size()));
+        static_cast<std::size_t>(shape_.replaced_fraction * static_cast<double>(published_.size()));
     for (std::size_t index = 0; index < count; ++index) {
       auto gone = published_.begin();
       std::advance(gone, random_.below(published_.size()));
@@ -263,20 +267,20 @@
     }
   }
 
-  double normal() {
-    double sum = 0;
-    for (int draw = 0; draw < 12; ++draw) {
-      sum += random_.unit();
+  double standard_normal() {
+    double total_busy = 0;
+    for (int sample = 0; sample < 12; ++sample) {
+      total_busy += random_.unit();
     }
-    return sum - 6;
+    return total_busy - 6;
   }
   std::uint32_t tokens_of(double mean, double spread) {
-    const double factor = std::exp(spread * normal() - spread * spread / 2);
+    const double factor = std::exp(spread * standard_normal() - spread * spread / 2);
     return static_cast<std::uint32_t>(std::clamp(mean * factor, 16.0, mean * 6));
   }
 
-  std::uint32_t length_of(const std::string& id, const prompt_kind::level& level) {
-    const auto [known, is_new] = lengths_.try_emplace(id, 0);
+  std::uint32_t part_length(const std::string& id, const prompt_kind::level& level) {
+    const auto [known, is_new] = part_lengths_.try_emplace(id, 0);
     if (is_new) {
       known->second = tokens_of(level.tokens, level.spread);
     }
@@ -288,20 +292,20 @@
     auto content = std::make_shared<request_content>();
     content->model = "m";
     std::string path = std::to_string(kind_index);
-    const bool hot = random_.unit() < kind.hot_share;
+    const bool is_hot = random_.unit() < kind.hot_fraction;
     for (const auto& level : kind.shared) {
-      path += "/" + std::to_string(hot ? 0 : random_.below(level.distinct));
-      // A part of a later level belongs to one of the level before, whoever asks.
+      path += "/" + std::to_string(is_hot ? 0 : random_.below(level.distinct));
+      // A part of a later level always follows the same part of the level before.
       if (level.distinct > 100 && kind.shared.size() > 1) {
-        const auto thing = hot ? 0 : random_.below(level.distinct);
+        const auto thing = is_hot ? 0 : random_.below(level.distinct);
         const auto parent =
             std::to_string(kind_index) + "/" + std::to_string(thing % kind.shared.front().distinct);
-        content->prompt_parts.front() = {parent, length_of(parent, kind.shared.front())};
+        content->prompt_parts.front() = {parent, part_length(parent, kind.shared.front())};
         path = parent + "/" + std::to_string(thing);
       }
-      content->prompt_parts.push_back({path, length_of(path, level)});
+      content->prompt_parts.push_back({path, part_length(path, level)});
     }
-    const auto own = "own-" + std::to_string(next_own_++);
+    const auto own = "own-" + std::to_string(next_own_part_++);
     content->prompt_parts.push_back({own, tokens_of(kind.own_tokens, kind.own_spread)});
     for (const auto& part : content->prompt_parts) {
       content->prompt_tokens += part.tokens;
@@ -316,32 +320,32 @@
       const double rate = shape_.kinds[kind].per_second;
       for (;;) {
         when += -std::log(1 - random_.unit()) / rate;
-        if (when > shape_.seconds) {
+        if (when > shape_.duration_seconds) {
           break;
         }
-        at(when, [this, kind] { arrive(kind); });
+        at(when, [this, kind] { send_prompt(kind); });
       }
     }
   }
 
-  void arrive(std::size_t kind) {
+  void send_prompt(std::size_t kind) {
     const auto content = draw_prompt(kind);
     auto& from = *callers_[random_.below(callers_.size())];
     const std::set<base::replica_id> none;
     const auto everywhere = model::residency::everywhere();
     const replica_demand demand{service_, *content, everywhere, none};
-    const auto* chosen = from.deciding->chooser().choose(demand, time_now());
+    const auto* chosen = from.strategy->chooser().choose(demand, time_now());
     if (chosen == nullptr) {
       return;
     }
     const auto id = chosen->record->id;
     from.table->call_started(id, time_now());
-    from.deciding->sent(*chosen, *content, time_now());
-    post_messages(from);
+    from.strategy->note_sent(*chosen, *content, time_now());
+    deliver_messages(from);
     run(kind, from, engines_.at(id.text()), content);
   }
 
-  void introduce_callers() {
+  void connect_callers() {
     for (auto& each : callers_) {
       std::vector<fleet_peer> others;
       for (const auto& other : callers_) {
@@ -349,14 +353,14 @@
           others.push_back(other->self);
         }
       }
-      each->deciding->set_peers(others);
+      each->strategy->set_peers(others);
     }
   }
 
-  /// Carries what a caller tells the others, two milliseconds later.
-  void post_messages(caller& from) {
-    for (auto& told : from.deciding->take_messages()) {
-      auto& message = told.message;
+  /// Delivers the messages of a caller after a delay of 2 ms.
+  void deliver_messages(caller& from) {
+    for (auto& outgoing : from.strategy->take_messages()) {
+      auto& message = outgoing.message;
       message.set_sender(from.self.node.text());
       message.set_sender_incarnation(1'791'999'664'651'219);
       message.set_sender_zone("zone-some-name");
@@ -366,10 +370,10 @@
       message.set_catalog_hash(~0ULL);
       message.set_sender_processor_share(0.12F);
       count_bytes(from, message.ByteSizeLong());
-      auto& to = *callers_.at(std::stoul(told.to.text()));
+      auto& to = *callers_.at(std::stoul(outgoing.to.text()));
       at(now_ + 0.002, [this, &to, news = message.engine_news()] {
-        to.deciding->handle(news, time_now());
-        post_messages(to);
+        to.strategy->handle(news, time_now());
+        deliver_messages(to);
       });
     }
   }
@@ -379,109 +383,112 @@
     const auto second = static_cast<long>(now_);
     if (second != from.second) {
       from.second = second;
-      from.bytes_of_second = 0;
+      from.bytes_in_current_second = 0;
     }
-    from.bytes_of_second += bytes;
-    from.most_bytes_a_second = std::max(from.most_bytes_a_second, from.bytes_of_second);
+    from.bytes_in_current_second += bytes;
+    from.max_bytes_in_one_second =
+        std::max(from.max_bytes_in_one_second, from.bytes_in_current_second);
   }
 
-  /// @return tokens that the engine reads of the prompt.
-  double missing_tokens(engine& where, const request_content& content) {
-    double missing = 0;
-    bool kept = true;
+  /// Returns the number of tokens of the prompt that the engine prefills, and caches its parts.
+  double tokens_to_prefill(engine& target, const request_content& content) {
+    double uncached_tokens = 0;
+    bool is_cached = true;
     for (std::size_t index = 0; index < content.prompt_parts.size(); ++index) {
       const auto& part = content.prompt_parts[index];
-      kept = kept && where.memory.use(part.id);
-      if (!kept) {
-        missing += part.tokens;
-        const bool is_shared = index + 1 < content.prompt_parts.size();
-        if (is_shared && !ever_read_.insert(part.id).second) {
-          again_tokens_ += part.tokens;
-          again_first_level_ += index + 2 < content.prompt_parts.size() ? part.tokens : 0;
+      is_cached = is_cached && target.memory.use(part.id);
+      if (!is_cached) {
+        uncached_tokens += part.tokens;
+        const bool is_shared_part = index + 1 < content.prompt_parts.size();
+        if (is_shared_part && !ever_prefilled_.insert(part.id).second) {
+          repeated_tokens_ += part.tokens;
+          repeated_first_part_tokens_ += index + 2 < content.prompt_parts.size() ? part.tokens : 0;
         }
-        where.memory.keep(part.id, part.tokens);
+        target.memory.keep(part.id, part.tokens);
       }
     }
-    return missing;
+    return uncached_tokens;
   }
 
-  void run(std::size_t kind, caller& from, engine& where,
+  void run(std::size_t kind, caller& from, engine& target,
            const std::shared_ptr<request_content>& content) {
-    const double missing = missing_tokens(where, *content);
-    const double reading = missing * where.speed / shape_.tokens_per_second;
-    read_tokens_ += missing;
-    where.busy += reading;
+    const double uncached_tokens = tokens_to_prefill(target, *content);
+    const double prefill_seconds = uncached_tokens * target.speed / shape_.tokens_per_second;
+    prefilled_tokens_ += uncached_tokens;
+    target.busy += prefill_seconds;
     const double sent_at = now_;
-    where.free_at = std::max(where.free_at, now_) + reading;
-    ++where.waiting;
+    target.free_at = std::max(target.free_at, now_) + prefill_seconds;
+    ++target.waiting;
     const auto total = content->prompt_tokens + content->output_tokens;
-    at(where.free_at, [this, kind, &from, &where, content, sent_at, total] {
-      --where.waiting;
-      ++where.running;
-      where.running_tokens += total;
-      fullest_ = std::max(fullest_, static_cast<double>(where.running_tokens) /
-                                        static_cast<double>(shape_.memory_tokens));
-      from.table->note_load(base::replica_id(where.name), {where.running, where.waiting, 64},
+    at(target.free_at, [this, kind, &from, &target, content, sent_at, total] {
+      --target.waiting;
+      ++target.running;
+      target.running_tokens += total;
+      max_memory_utilization_ =
+          std::max(max_memory_utilization_, static_cast<double>(target.running_tokens) /
+                                                static_cast<double>(shape_.memory_tokens));
+      from.table->note_load(base::replica_id(target.name), {target.running, target.waiting, 64},
                             time_now());
-      from.deciding->begun(*content, base::from_seconds(now_ - sent_at));
-      first_events_.push_back(now_ - sent_at);
+      from.strategy->note_first_event(*content, base::from_seconds(now_ - sent_at));
+      first_event_seconds_.push_back(now_ - sent_at);
       if (kind == 0) {
-        first_events_of_first_kind_.push_back(now_ - sent_at);
+        first_event_seconds_of_first_kind_.push_back(now_ - sent_at);
       }
-      const double answering =
-          content->output_tokens * shape_.seconds_a_token * (1 + 0.05 * where.running);
-      at(now_ + answering, [&from, &where, total] {
-        --where.running;
-        where.running_tokens -= total;
-        from.table->call_ended(base::replica_id(where.name));
+      const double decode_seconds =
+          content->output_tokens * shape_.seconds_per_output_token * (1 + 0.05 * target.running);
+      at(now_ + decode_seconds, [&from, &target, total] {
+        --target.running;
+        target.running_tokens -= total;
+        from.table->call_ended(base::replica_id(target.name));
       });
     });
   }
 
-  [[nodiscard]] fleet_figures figures() {
-    fleet_figures made;
-    made.read_tokens = read_tokens_;
-    made.again_tokens = again_tokens_;
-    made.again_first_level = again_first_level_;
-    double sum = 0;
-    double most = 0;
-    std::map<base::zone_id, double> by_zone;
-    std::map<base::zone_id, double> engines_of;
+  [[nodiscard]] simulation_result collect_result() {
+    simulation_result result;
+    result.prefilled_tokens = prefilled_tokens_;
+    result.repeated_tokens = repeated_tokens_;
+    result.repeated_first_part_tokens = repeated_first_part_tokens_;
+    double total_busy = 0;
+    double max_busy = 0;
+    std::map<base::zone_id, double> busy_by_zone;
+    std::map<base::zone_id, double> engines_by_zone;
     for (const auto& [name, each] : engines_) {
-      sum += each.busy;
-      most = std::max(most, each.busy);
-      by_zone[each.zone] += each.busy / each.speed;
-      ++engines_of[each.zone];
+      total_busy += each.busy;
+      max_busy = std::max(max_busy, each.busy);
+      busy_by_zone[each.zone] += each.busy / each.speed;
+      ++engines_by_zone[each.zone];
     }
-    double most_of_zone = 0;
-    double sum_of_zones = 0;
-    for (const auto& [zone, busy] : by_zone) {
-      const double of_an_engine = busy / engines_of[zone];
-      most_of_zone = std::max(most_of_zone, of_an_engine);
-      sum_of_zones += of_an_engine;
+    double max_zone_busy = 0;
+    double total_zone_busy = 0;
+    for (const auto& [zone, busy] : busy_by_zone) {
+      const double busy_per_engine = busy / engines_by_zone[zone];
+      max_zone_busy = std::max(max_zone_busy, busy_per_engine);
+      total_zone_busy += busy_per_engine;
     }
-    made.busiest_zone_to_mean = most_of_zone / (sum_of_zones / static_cast<double>(by_zone.size()));
-    made.busiest_to_mean = most / (sum / static_cast<double>(published_.size()));
-    for (const auto took : first_events_) {
-      made.mean_first_event += took / static_cast<double>(first_events_.size());
+    result.max_zone_to_mean_load =
+        max_zone_busy / (total_zone_busy / static_cast<double>(busy_by_zone.size()));
+    result.max_to_mean_load = max_busy / (total_busy / static_cast<double>(published_.size()));
+    for (const auto elapsed : first_event_seconds_) {
+      result.mean_first_event_seconds += elapsed / static_cast<double>(first_event_seconds_.size());
     }
-    std::sort(first_events_of_first_kind_.begin(), first_events_of_first_kind_.end());
-    const auto late =
-        std::count_if(first_events_of_first_kind_.begin(), first_events_of_first_kind_.end(),
-                      [](double took) { return took > 1.3; });
-    made.late_share =
-        static_cast<double>(late) / static_cast<double>(first_events_of_first_kind_.size());
-    made.late_first_event =
-        first_events_of_first_kind_.at(first_events_of_first_kind_.size() * 95 / 100);
-    made.fullest = fullest_;
+    std::sort(first_event_seconds_of_first_kind_.begin(), first_event_seconds_of_first_kind_.end());
+    const auto late = std::count_if(first_event_seconds_of_first_kind_.begin(),
+                                    first_event_seconds_of_first_kind_.end(),
+                                    [](double elapsed) { return elapsed > 1.3; });
+    result.late_fraction =
+        static_cast<double>(late) / static_cast<double>(first_event_seconds_of_first_kind_.size());
+    result.p95_first_event_seconds =
+        first_event_seconds_of_first_kind_.at(first_event_seconds_of_first_kind_.size() * 95 / 100);
+    result.max_memory_utilization = max_memory_utilization_;
     for (const auto& each : callers_) {
-      const double mean = static_cast<double>(each->bytes_sent) / shape_.seconds;
-      made.bytes_a_second += mean / static_cast<double>(callers_.size());
-      made.most_bytes_a_second = std::max(made.most_bytes_a_second, mean);
-      made.most_bytes_in_a_second =
-          std::max(made.most_bytes_in_a_second, static_cast<double>(each->most_bytes_a_second));
+      const double mean = static_cast<double>(each->bytes_sent) / shape_.duration_seconds;
+      result.mean_bytes_per_second += mean / static_cast<double>(callers_.size());
+      result.max_bytes_per_second = std::max(result.max_bytes_per_second, mean);
+      result.max_bytes_in_one_second = std::max(result.max_bytes_in_one_second,
+                                                static_cast<double>(each->max_bytes_in_one_second));
     }
-    return made;
+    return result;
   }
 
   fleet_shape shape_;
@@ -492,21 +499,22 @@
   std::map<std::string, engine> engines_;
   std::vector<std::unique_ptr<caller>> callers_;
   std::priority_queue<event> events_;
-  std::unordered_map<std::string, std::uint32_t> lengths_;
-  std::unordered_set<std::string> ever_read_;
-  std::vector<double> first_events_;
-  std::vector<double> first_events_of_first_kind_;
+  std::unordered_map<std::string, std::uint32_t> part_lengths_;
+  std::unordered_set<std::string> ever_prefilled_;
+  std::vector<double> first_event_seconds_;
+  std::vector<double> first_event_seconds_of_first_kind_;
   double now_ = 0;
-  std::uint64_t next_order_ = 0;
-  std::uint64_t next_own_ = 0;
+  std::uint64_t next_event_number_ = 0;
+  std::uint64_t next_own_part_ = 0;
   std::uint64_t next_engine_ = 0;
-  double read_tokens_ = 0;
-  double again_tokens_ = 0;
-  double again_first_level_ = 0;
-  double fullest_ = 0;
+  double prefilled_tokens_ = 0;
+  double repeated_tokens_ = 0;
+  double repeated_first_part_tokens_ = 0;
+  double max_memory_utilization_ = 0;
 };
 
-/// Three kinds as a large customer sends them: long shared beginnings, two levels, short questions.
+/// Three kinds of prompts of a large customer: long shared prefixes, shared prefixes of two levels,
+/// and short prompts.
 inline fleet_shape large_prompts(std::uint64_t seed) {
   fleet_shape shape;
   shape.seed = seed;
@@ -516,9 +524,9 @@
   return shape;
 }
 
-/// A region in which twice the usual number of callers asks for 1.8 times as much all day: prompts
-/// of two shared levels, of which four first parts serve half of the tokens.
-inline fleet_shape crowded_all_day(std::uint64_t seed) {
+/// Region in which twice the usual number of callers sends 1.8 times the usual load all day:
+/// prompts with two shared levels, of which four first parts make up half of the tokens.
+inline fleet_shape busy_region(std::uint64_t seed) {
   fleet_shape shape;
   shape.seed = seed;
   shape.callers = 59;
--- a/tests/engines/engine_table.h
+++ b/tests/engines/engine_table.h
@@ -1,4 +1,4 @@
-/// Engines as one node sees them, for tests.
+/// Replica table of one node with engines, for tests.
 #pragma once
 
 #include "base/random.h"
--- a/tests/engines/first_byte_model_test.cc
+++ b/tests/engines/first_byte_model_test.cc
@@ -9,36 +9,36 @@
 
 BOOST_AUTO_TEST_SUITE(first_byte_model_test)
 
-BOOST_AUTO_TEST_CASE(without_calls_a_usual_time_is_expected) {
+BOOST_AUTO_TEST_CASE(without_calls_the_default_time_is_expected) {
   BOOST_TEST((first_byte_model{}.expected(5000) == std::chrono::milliseconds(300)));
 }
 
 BOOST_AUTO_TEST_CASE(long_prompts_are_expected_to_take_longer) {
-  first_byte_model subject;
+  first_byte_model model;
   for (std::uint32_t call = 0; call < 20; ++call) {
     const auto tokens = 1000 * (1 + call % 4);
-    subject.note(tokens, std::chrono::milliseconds(50 + tokens / 40));
+    model.note(tokens, std::chrono::milliseconds(50 + tokens / 40));
   }
-  BOOST_TEST(std::abs(base::to_milliseconds(subject.expected(8000)) - 250) <= 2);
-  BOOST_TEST(std::abs(base::to_milliseconds(subject.expected(1000)) - 75) <= 2);
+  BOOST_TEST(std::abs(base::to_milliseconds(model.expected(8000)) - 250) <= 2);
+  BOOST_TEST(std::abs(base::to_milliseconds(model.expected(1000)) - 75) <= 2);
 }
 
 BOOST_AUTO_TEST_CASE(prompts_of_one_length_are_expected_to_take_the_mean) {
-  first_byte_model subject;
+  first_byte_model model;
   for (const int milliseconds : {100, 200, 100, 200, 100, 200}) {
-    subject.note(500, std::chrono::milliseconds(milliseconds));
+    model.note(500, std::chrono::milliseconds(milliseconds));
   }
-  const auto expected = base::to_milliseconds(subject.expected(4000));
+  const auto expected = base::to_milliseconds(model.expected(4000));
   BOOST_TEST(expected > 140);
   BOOST_TEST(expected < 160);
 }
 
-BOOST_AUTO_TEST_CASE(what_has_changed_since_counts_more) {
-  first_byte_model subject;
+BOOST_AUTO_TEST_CASE(recent_calls_weigh_more) {
+  first_byte_model model;
   for (int call = 0; call < 100; ++call) {
-    subject.note(500, std::chrono::milliseconds(call < 50 ? 1000 : 100));
+    model.note(500, std::chrono::milliseconds(call < 50 ? 1000 : 100));
   }
-  BOOST_TEST(base::to_milliseconds(subject.expected(500)) < 450);
+  BOOST_TEST(base::to_milliseconds(model.expected(500)) < 450);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/engines/prefix_placement_test.cc
+++ b/tests/engines/prefix_placement_test.cc
@@ -31,56 +31,58 @@
   return content;
 }
 
-base::replica_id first_home(const request_content& content,
-                            const std::vector<const replica_state*>& engines) {
+base::replica_id first_preferred_engine(const request_content& content,
+                                        const std::vector<const replica_state*>& engines) {
   return preferred_engines_of(shared_prompt_prefix_of(content), engines, 1).front()->record->id;
 }
 
-constexpr int prompts_with_one_first_part = 1'000;
+constexpr int prompts_per_first_part = 1'000;
 
-/// How many of many prompts that differ after the same first part have each engine as their first
-/// home.
-std::map<base::replica_id, int> prompts_by_home(const std::string& first, std::uint32_t tokens,
-                                                const std::vector<const replica_state*>& engines) {
+/// Returns, for each engine, the number of prompts that prefer it first, out of prompts with the
+/// same first part and distinct further parts.
+std::map<base::replica_id, int>
+prompts_by_engine(const std::string& first, std::uint32_t tokens,
+                  const std::vector<const replica_state*>& engines) {
   std::map<base::replica_id, int> prompts;
-  for (int last = 0; last < prompts_with_one_first_part; ++last) {
-    ++prompts[first_home(prompt(first, tokens, "last" + std::to_string(last)), engines)];
+  for (int last = 0; last < prompts_per_first_part; ++last) {
+    ++prompts[first_preferred_engine(prompt(first, tokens, "last" + std::to_string(last)),
+                                     engines)];
   }
   return prompts;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(part_placement_test)
+BOOST_AUTO_TEST_SUITE(prefix_placement_test)
 
-BOOST_AUTO_TEST_CASE(the_order_does_not_depend_on_how_engines_are_listed) {
+BOOST_AUTO_TEST_CASE(the_preference_does_not_depend_on_the_order_of_engines) {
   engine_table table(60);
   auto engines = table.engines();
   for (int number = 0; number < 50; ++number) {
-    const auto beginning =
+    const auto prefix =
         shared_prompt_prefix_of(prompt("first", 2'500, "last" + std::to_string(number)));
-    const auto homes = preferred_engines_of(beginning, engines, 30);
+    const auto preferred = preferred_engines_of(prefix, engines, 30);
     std::reverse(engines.begin(), engines.end());
     std::rotate(engines.begin(), engines.begin() + number % 7, engines.end());
-    BOOST_TEST((preferred_engines_of(beginning, engines, 30) == homes));
+    BOOST_TEST((preferred_engines_of(prefix, engines, 30) == preferred));
   }
 }
 
-BOOST_AUTO_TEST_CASE(all_homes_differ_and_no_more_are_given_than_there_are) {
+BOOST_AUTO_TEST_CASE(preferred_engines_are_distinct_and_at_most_all_engines) {
   engine_table table(9);
-  const auto homes = preferred_engines_of(shared_prompt_prefix_of(prompt("first", 2'500, "last")),
-                                          table.engines(), 20);
-  BOOST_TEST(homes.size() == 9U);
-  BOOST_TEST((std::set<const replica_state*>(homes.begin(), homes.end()).size() == 9U));
+  const auto preferred = preferred_engines_of(
+      shared_prompt_prefix_of(prompt("first", 2'500, "last")), table.engines(), 20);
+  BOOST_TEST(preferred.size() == 9U);
+  BOOST_TEST((std::set<const replica_state*>(preferred.begin(), preferred.end()).size() == 9U));
   BOOST_TEST(preferred_engines_of(shared_prompt_prefix_of(prompt("part")), {}, 4).empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_first_part_that_many_prompts_share_crowds_no_engine) {
+BOOST_AUTO_TEST_CASE(a_popular_first_part_overloads_no_engine) {
   for (const std::size_t count : {12U, 60U}) {
     const engine_table table(count);
-    const double mean = prompts_with_one_first_part / static_cast<double>(count);
+    const double mean = prompts_per_first_part / static_cast<double>(count);
     for (const std::uint32_t tokens : {200U, 2'500U}) {
-      const auto prompts = prompts_by_home("first", tokens, table.engines());
+      const auto prompts = prompts_by_engine("first", tokens, table.engines());
       BOOST_TEST(prompts.size() == count);
       for (const auto& [engine, number] : prompts) {
         BOOST_TEST(number <= 2 * mean, engine.text() << " of " << count);
@@ -89,17 +91,17 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_engine_that_leaves_moves_only_what_it_had) {
+BOOST_AUTO_TEST_CASE(removing_an_engine_moves_only_its_own_prompts) {
   engine_table table(60);
-  engine_table fewer(60);
-  const base::replica_id gone("engine-17");
-  fewer.remove(gone);
-  fewer.publish();
+  engine_table smaller_table(60);
+  const base::replica_id removed_id("engine-17");
+  smaller_table.remove(removed_id);
+  smaller_table.publish();
   for (int number = 0; number < 500; ++number) {
     const auto content = prompt("part" + std::to_string(number));
     const auto before = preferred_engines_of(shared_prompt_prefix_of(content), table.engines(), 2);
-    const auto after = first_home(content, fewer.engines());
-    if (before.front()->record->id == gone) {
+    const auto after = first_preferred_engine(content, smaller_table.engines());
+    if (before.front()->record->id == removed_id) {
       BOOST_TEST(after == before.back()->record->id);
     } else {
       BOOST_TEST(after == before.front()->record->id);
@@ -107,58 +109,61 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_engine_that_leaves_moves_no_other_prompt_with_the_same_first_part) {
+BOOST_AUTO_TEST_CASE(removing_an_engine_moves_no_other_prompt_with_the_same_first_part) {
   engine_table table(60);
-  engine_table fewer(60);
-  const base::replica_id gone("engine-17");
-  fewer.remove(gone);
-  fewer.publish();
+  engine_table smaller_table(60);
+  const base::replica_id removed_id("engine-17");
+  smaller_table.remove(removed_id);
+  smaller_table.publish();
   int moved = 0;
-  for (int number = 0; number < prompts_with_one_first_part; ++number) {
+  for (int number = 0; number < prompts_per_first_part; ++number) {
     const auto content = prompt("first", 2'500, "last" + std::to_string(number));
-    const auto before = first_home(content, table.engines());
-    moved += before != gone && first_home(content, fewer.engines()) != before ? 1 : 0;
+    const auto before = first_preferred_engine(content, table.engines());
+    moved +=
+        before != removed_id && first_preferred_engine(content, smaller_table.engines()) != before
+            ? 1
+            : 0;
   }
   BOOST_TEST(moved == 0);
 }
 
-BOOST_AUTO_TEST_CASE(models_do_not_share_parts) {
+BOOST_AUTO_TEST_CASE(prefixes_of_different_models_differ) {
   engine_table table(60);
-  auto other = prompt("part");
-  other.model = "n";
-  BOOST_TEST(shared_prompt_prefix_of(other).last_part_hash !=
+  auto other_model = prompt("part");
+  other_model.model = "n";
+  BOOST_TEST(shared_prompt_prefix_of(other_model).last_part_hash !=
              shared_prompt_prefix_of(prompt("part")).last_part_hash);
 }
 
-BOOST_AUTO_TEST_CASE(a_prompt_is_told_with_its_own_and_its_shared_tokens) {
-  const auto told = sent_prompt_of(prompt("first", 2'500, "last"));
-  BOOST_TEST(told.own_tokens == 500U);
-  BOOST_TEST(told.shared_tokens == 5'500U);
-  BOOST_TEST(told.shared_prefix ==
+BOOST_AUTO_TEST_CASE(a_report_contains_own_and_shared_tokens) {
+  const auto report = sent_prompt_of(prompt("first", 2'500, "last"));
+  BOOST_TEST(report.own_tokens == 500U);
+  BOOST_TEST(report.shared_tokens == 5'500U);
+  BOOST_TEST(report.shared_prefix ==
              shared_prompt_prefix_of(prompt("first", 2'500, "last")).last_part_hash);
-  request_content without;
-  without.prompt_tokens = 700;
-  BOOST_TEST(sent_prompt_of(without).own_tokens == 700U);
-  BOOST_TEST(sent_prompt_of(without).shared_prefix == 0U);
+  request_content no_shared_parts;
+  no_shared_parts.prompt_tokens = 700;
+  BOOST_TEST(sent_prompt_of(no_shared_parts).own_tokens == 700U);
+  BOOST_TEST(sent_prompt_of(no_shared_parts).shared_prefix == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(readers_of_a_first_part_are_a_part_of_more_of_them) {
+BOOST_AUTO_TEST_CASE(fewer_engines_for_a_first_part_are_a_subset_of_more_engines) {
   const engine_table table(200);
-  const auto beginning = shared_prompt_prefix_of(prompt("first", 2'500, "last"));
-  const auto few = engines_for_first_part(beginning, table.engines(), 16);
-  const auto more = engines_for_first_part(beginning, table.engines(), 32);
-  BOOST_TEST(few.size() == 16U);
-  BOOST_TEST(more.size() == 32U);
-  const std::set<const replica_state*> all(more.begin(), more.end());
-  BOOST_TEST(std::all_of(few.begin(), few.end(),
-                         [&](const auto* engine) { return all.contains(engine); }));
+  const auto prefix = shared_prompt_prefix_of(prompt("first", 2'500, "last"));
+  const auto few_engines = engines_for_first_part(prefix, table.engines(), 16);
+  const auto more_engines = engines_for_first_part(prefix, table.engines(), 32);
+  BOOST_TEST(few_engines.size() == 16U);
+  BOOST_TEST(more_engines.size() == 32U);
+  const std::set<const replica_state*> more_set(more_engines.begin(), more_engines.end());
+  BOOST_TEST(std::all_of(few_engines.begin(), few_engines.end(),
+                         [&](const auto* engine) { return more_set.contains(engine); }));
 }
 
-BOOST_AUTO_TEST_CASE(a_prompt_with_one_shared_part_may_go_to_any_engine) {
+BOOST_AUTO_TEST_CASE(a_prompt_with_one_shared_part_may_use_any_engine) {
   const engine_table table(200);
-  const auto readers =
+  const auto engines =
       engines_for_first_part(shared_prompt_prefix_of(prompt("only")), table.engines(), 16);
-  BOOST_TEST(readers.size() == 200U);
+  BOOST_TEST(engines.size() == 200U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
