--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -29,7 +29,7 @@
   unsigned replicas = 12;
   /// Time of a message between two nodes, and the share of them that is lost.
   base::duration message_time = milliseconds(2);
-  double lost_messages = 0;
+  double message_loss_rate = 0;
   /// Virtual time passes in steps of this length.
   base::duration step = milliseconds(1);
 };
@@ -71,7 +71,7 @@
     };
     std::vector<asked_pause> pauses;
     /// When each node passed on an answer that said that it leaves first.
-    std::map<std::size_t, base::time_point> told_leaving;
+    std::map<std::size_t, base::time_point> drain_announced_at;
     std::vector<arrival> arrivals;
     /// When each node first passed on an answer that named the limit.
     std::map<std::size_t, base::time_point> told;
@@ -125,7 +125,7 @@
     replica.limit.reset();
     replica.named_at.reset();
     replica.is_leaving = false;
-    replica.told_leaving.clear();
+    replica.drain_announced_at.clear();
     replica.told.clear();
     publish(index);
     update_nodes();
@@ -139,7 +139,7 @@
   }
 
   /// The answers of a replica say from now on that it leaves.
-  void begin_leaving(unsigned index) { replicas[index].is_leaving = true; }
+  void begin_draining(unsigned index) { replicas[index].is_leaving = true; }
 
   /// A replica turns all requests away for a while, and asks each node for a pause.
   void turn_away(unsigned index, base::duration span, base::duration pause) {
@@ -148,26 +148,26 @@
   }
 
   /// @return requests that a node sent to a replica after it had passed on that it leaves.
-  [[nodiscard]] std::size_t sent_after_leaving_was_told(unsigned index) const {
+  [[nodiscard]] std::size_t sends_after_drain_announcement(unsigned index) const {
     const auto& replica = replicas[index];
     return static_cast<std::size_t>(
         std::count_if(replica.arrivals.begin(), replica.arrivals.end(), [&](const arrival& one) {
-          const auto told = replica.told_leaving.find(one.node);
-          return told != replica.told_leaving.end() && one.sent_at > told->second;
+          const auto told = replica.drain_announced_at.find(one.node);
+          return told != replica.drain_announced_at.end() && one.sent_at > told->second;
         }));
   }
 
   /// @return when a node passed on first that a replica leaves; the end of time where none has.
-  [[nodiscard]] base::time_point first_told_leaving(unsigned index) const {
+  [[nodiscard]] base::time_point first_drain_announcement_at(unsigned index) const {
     base::time_point first = base::time_point::max();
-    for (const auto& [node, at] : replicas[index].told_leaving) {
+    for (const auto& [node, at] : replicas[index].drain_announced_at) {
       first = std::min(first, at);
     }
     return first;
   }
 
   /// @return requests that a node sent to a replica in a pause that it had been asked for.
-  [[nodiscard]] std::size_t sent_in_pauses(unsigned index) const {
+  [[nodiscard]] std::size_t sends_during_backoffs(unsigned index) const {
     const auto& replica = replicas[index];
     return static_cast<std::size_t>(
         std::count_if(replica.arrivals.begin(), replica.arrivals.end(), [&](const arrival& one) {
@@ -193,7 +193,7 @@
     node.wakes_at = now;
     for (auto& replica : replicas) {
       replica.told.erase(index);
-      replica.told_leaving.erase(index);
+      replica.drain_announced_at.erase(index);
       std::erase_if(replica.pauses, [&](const auto& one) { return one.node == index; });
     }
     for (std::size_t other = 0; other < nodes.size(); ++other) {
@@ -299,8 +299,8 @@
 
   /// @return the most requests in any span of `length` that ends after `since`, of nodes that were
   ///         told, or of all.
-  [[nodiscard]] std::size_t most_within(unsigned index, base::duration length,
-                                        base::time_point since, bool only_told) const {
+  [[nodiscard]] std::size_t max_arrivals_within(unsigned index, base::duration length,
+                                                base::time_point since, bool only_told) const {
     std::vector<base::time_point> times;
     for (const auto& one : replicas[index].arrivals) {
       if (one.is_told || !only_told) {
@@ -346,7 +346,7 @@
     for (auto& message : node.subject->take_messages()) {
       ++node.messages;
       node.message_bytes += message.message.ByteSizeLong();
-      if (random.unit() < settings.lost_messages) {
+      if (random.unit() < settings.message_loss_rate) {
         continue;
       }
       later(settings.message_time, [this, index, message] { deliver(index, message); });
@@ -427,7 +427,7 @@
         replicas[place].told.try_emplace(index, now);
       }
       if (said.leaving) {
-        replicas[place].told_leaving.try_emplace(index, now);
+        replicas[place].drain_announced_at.try_emplace(index, now);
       }
       if (said.backoff.span) {
         replicas[place].pauses.push_back({index, now, now + *said.backoff.span});
--- a/tests/rate_limits/limited_replica_test.cc
+++ b/tests/rate_limits/limited_replica_test.cc
@@ -21,7 +21,7 @@
 /// Checks what a replica got since its limit was known.
 void check_kept(const limited_fleet& fleet, unsigned replica, double limit, base::time_point since,
                 const std::string& what) {
-  const auto most = fleet.most_within(replica, seconds(4), since, true);
+  const auto most = fleet.max_arrivals_within(replica, seconds(4), since, true);
   BOOST_TEST(static_cast<double>(most) <= allowed_in_four_seconds(limit),
              what << ": " << most << " in 4 s at a limit of " << limit);
 }
@@ -67,7 +67,8 @@
     for (const unsigned replica : {0U, 1U}) {
       check_kept(fleet, replica, limit, known_at, what);
       // From nodes that have not passed an answer on too.
-      const auto all = fleet.most_within(replica, seconds(10), known_at + seconds(10), false);
+      const auto all =
+          fleet.max_arrivals_within(replica, seconds(10), known_at + seconds(10), false);
       BOOST_TEST(static_cast<double>(all) <= 10 * (limit + 2),
                  what << ": " << all << " in 10 s at a limit of " << limit);
       used += static_cast<double>(fleet.arrived_since(replica, begun));
--- a/tests/replica_statements/leaving_replica_test.cc
+++ b/tests/replica_statements/leaving_replica_test.cc
@@ -17,7 +17,7 @@
 /// @return requests that any node sent a replica later than that after a node was told.
 std::size_t sent_later_than(const limited_fleet& fleet, unsigned replica, base::duration bound) {
   const auto& arrivals = fleet.replicas[replica].arrivals;
-  const auto since = fleet.first_told_leaving(replica) + bound;
+  const auto since = fleet.first_drain_announcement_at(replica) + bound;
   return static_cast<std::size_t>(std::count_if(
       arrivals.begin(), arrivals.end(), [&](const auto& one) { return one.sent_at > since; }));
 }
@@ -31,10 +31,10 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
     fleet.load(40, seconds(3));
-    fleet.begin_leaving(0);
+    fleet.begin_draining(0);
     fleet.load(40, seconds(10));
-    BOOST_TEST(!fleet.replicas[0].told_leaving.empty());
-    BOOST_TEST(fleet.sent_after_leaving_was_told(0) == 0U, "seed " << seed);
+    BOOST_TEST(!fleet.replicas[0].drain_announced_at.empty());
+    BOOST_TEST(fleet.sends_after_drain_announcement(0) == 0U, "seed " << seed);
     BOOST_TEST(fleet.counts.refused + fleet.counts.failed == 0U, "seed " << seed);
   }
 }
@@ -54,10 +54,10 @@
                            .nodes = nodes,
                            .zones = 4,
                            .replicas = 4,
-                           .lost_messages = lost,
+                           .message_loss_rate = lost,
                            .step = milliseconds(2)});
       fleet.load(100, seconds(2));
-      fleet.begin_leaving(0);
+      fleet.begin_draining(0);
       fleet.load(100, seconds(6));
       BOOST_TEST(sent_later_than(fleet, 0, bound) == 0U,
                  nodes << " nodes, loss " << lost << ", seed " << seed);
@@ -68,7 +68,7 @@
 BOOST_AUTO_TEST_CASE(what_a_replica_said_outlives_the_list) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
-  fleet.begin_leaving(0);
+  fleet.begin_draining(0);
   fleet.load(40, seconds(3));
   // The list names it as ready once more, then not at all, then again as the same process: a store
   // that was away, or came back from an older copy.
@@ -81,36 +81,36 @@
   fleet.publish(0);
   fleet.update_nodes();
   fleet.load(40, seconds(10));
-  BOOST_TEST(fleet.sent_after_leaving_was_told(0) == 0U);
+  BOOST_TEST(fleet.sends_after_drain_announcement(0) == 0U);
   BOOST_TEST(sent_later_than(fleet, 0, healthy_bound) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_late_answer_without_the_word_lifts_nothing) {
   limited_fleet fleet;
   fleet.load(200, seconds(3));
-  fleet.begin_leaving(0);
+  fleet.begin_draining(0);
   fleet.load(200, milliseconds(200));
-  BOOST_REQUIRE(!fleet.replicas[0].told_leaving.empty());
+  BOOST_REQUIRE(!fleet.replicas[0].drain_announced_at.empty());
   fleet.replicas[0].is_leaving = false;
   fleet.load(200, seconds(5));
-  BOOST_TEST(fleet.sent_after_leaving_was_told(0) == 0U);
+  BOOST_TEST(fleet.sends_after_drain_announcement(0) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(another_life_and_another_address_begin_clean) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
-  fleet.begin_leaving(0);
+  fleet.begin_draining(0);
   fleet.load(40, seconds(3));
   fleet.restart_replica(0);
   const auto restarted = fleet.now;
   fleet.load(40, seconds(10));
   BOOST_TEST(fleet.arrived_since(0, restarted) > 10U);
-  fleet.begin_leaving(0);
+  fleet.begin_draining(0);
   fleet.load(40, seconds(3));
   auto& moved = fleet.replicas[0];
   moved.address = "10.1.9.9:80";
   moved.is_leaving = false;
-  moved.told_leaving.clear();
+  moved.drain_announced_at.clear();
   fleet.publish(0);
   fleet.update_nodes();
   const auto published = fleet.now;
@@ -121,7 +121,7 @@
 BOOST_AUTO_TEST_CASE(a_node_that_starts_hears_of_it) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
-  fleet.begin_leaving(0);
+  fleet.begin_draining(0);
   fleet.load(40, seconds(3));
   fleet.start_node(2);
   fleet.load(40, seconds(3));
@@ -134,11 +134,11 @@
   limited_fleet fleet({.nodes = 6, .zones = 2, .replicas = 8});
   fleet.load(60, seconds(3));
   for (unsigned replica = 0; replica < 8; replica += 2) {
-    fleet.begin_leaving(replica);
+    fleet.begin_draining(replica);
     fleet.load(60, seconds(3));
   }
   for (unsigned replica = 0; replica < 8; replica += 2) {
-    BOOST_TEST(fleet.sent_after_leaving_was_told(replica) == 0U);
+    BOOST_TEST(fleet.sends_after_drain_announcement(replica) == 0U);
   }
   BOOST_TEST(fleet.counts.refused + fleet.counts.failed == 0U);
 }
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -20,7 +20,8 @@
     fleet.load(40, seconds(15));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
       BOOST_TEST(!fleet.replicas[replica].pauses.empty());
-      BOOST_TEST(fleet.sent_in_pauses(replica) == 0U, "seed " << seed << ", replica " << replica);
+      BOOST_TEST(fleet.sends_during_backoffs(replica) == 0U,
+                 "seed " << seed << ", replica " << replica);
     }
     BOOST_TEST(fleet.counts.failed == 0U, "seed " << seed);
   }
@@ -36,7 +37,8 @@
     }
     fleet.load(60, seconds(12));
     for (unsigned replica = 0; replica < 4; ++replica) {
-      BOOST_TEST(fleet.sent_in_pauses(replica) == 0U, "seed " << seed << ", replica " << replica);
+      BOOST_TEST(fleet.sends_during_backoffs(replica) == 0U,
+                 "seed " << seed << ", replica " << replica);
     }
   }
 }
@@ -51,7 +53,7 @@
     const auto begun = fleet.now;
     fleet.load(100, seconds(1));
     // Two nodes, each of which begins with one; answers take 20 to 80 ms.
-    const auto within = fleet.most_within(0, milliseconds(20), begun, false);
+    const auto within = fleet.max_arrivals_within(0, milliseconds(20), begun, false);
     BOOST_TEST(within <= 8U, within << " in 20 ms, seed " << seed);
     BOOST_TEST(fleet.arrived_since(0, begun) > 40U, "seed " << seed);
   }
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -29,12 +29,12 @@
                          .nodes = nodes,
                          .zones = 4,
                          .replicas = 12,
-                         .lost_messages = lost,
+                         .message_loss_rate = lost,
                          .step = milliseconds(2)});
     fleet.load(60, seconds(2));
-    fleet.begin_leaving(0);
+    fleet.begin_draining(0);
     fleet.load(60, seconds(8));
-    const auto told = fleet.first_told_leaving(0);
+    const auto told = fleet.first_drain_announcement_at(0);
     for (const auto& one : fleet.replicas[0].arrivals) {
       if (one.sent_at > told) {
         figures.sent_after += 1.0 / drawn_fleets;
@@ -63,7 +63,7 @@
                          .nodes = nodes,
                          .zones = 1,
                          .replicas = replicas,
-                         .lost_messages = lost,
+                         .message_loss_rate = lost,
                          .step = milliseconds(2)});
     fleet.load(per_second, seconds(2));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
@@ -76,7 +76,7 @@
         figures.turned_away +=
             static_cast<double>(fleet.arrived_since(replica, begun)) / drawn_fleets;
       } else {
-        const auto most = fleet.most_within(replica, seconds(1), begun, false);
+        const auto most = fleet.max_arrivals_within(replica, seconds(1), begun, false);
         figures.most_elsewhere =
             std::max(figures.most_elsewhere, static_cast<double>(most) * replicas / per_second);
       }
