--- a/tests/replica_statements/leaving_replica_test.cc
+++ b/tests/replica_statements/leaving_replica_test.cc
@@ -91,7 +91,7 @@
   fleet.begin_draining(0);
   fleet.load(200, milliseconds(200));
   BOOST_REQUIRE(!fleet.replicas[0].drain_announced_at.empty());
-  fleet.replicas[0].is_leaving = false;
+  fleet.replicas[0].is_draining = false;
   fleet.load(200, seconds(5));
   BOOST_TEST(fleet.sends_after_drain_announcement(0) == 0U);
 }
@@ -109,7 +109,7 @@
   fleet.load(40, seconds(3));
   auto& moved = fleet.replicas[0];
   moved.address = "10.1.9.9:80";
-  moved.is_leaving = false;
+  moved.is_draining = false;
   moved.drain_announced_at.clear();
   fleet.publish(0);
   fleet.update_nodes();
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -15,11 +15,11 @@
     limited_fleet fleet({.seed = seed});
     fleet.load(40, seconds(3));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
-      fleet.turn_away(replica, seconds(8), seconds(3));
+      fleet.refuse_requests(replica, seconds(8), seconds(3));
     }
     fleet.load(40, seconds(15));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
-      BOOST_TEST(!fleet.replicas[replica].pauses.empty());
+      BOOST_TEST(!fleet.replicas[replica].requested_backoffs.empty());
       BOOST_TEST(fleet.sends_during_backoffs(replica) == 0U,
                  "seed " << seed << ", replica " << replica);
     }
@@ -33,7 +33,7 @@
     limited_fleet fleet({.seed = seed, .replicas = 4});
     fleet.load(60, seconds(3));
     for (unsigned replica = 0; replica < 4; ++replica) {
-      fleet.turn_away(replica, seconds(6), seconds(2));
+      fleet.refuse_requests(replica, seconds(6), seconds(2));
     }
     fleet.load(60, seconds(12));
     for (unsigned replica = 0; replica < 4; ++replica) {
@@ -48,7 +48,7 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .nodes = 2, .replicas = 1});
     fleet.load(100, seconds(2));
-    fleet.turn_away(0, milliseconds(50), seconds(1));
+    fleet.refuse_requests(0, milliseconds(50), seconds(1));
     fleet.load(100, milliseconds(900));
     const auto begun = fleet.now;
     fleet.load(100, seconds(1));
@@ -63,7 +63,7 @@
   limited_fleet fleet({.replicas = 2});
   fleet.load(20, seconds(2));
   for (const unsigned replica : {0U, 1U}) {
-    fleet.turn_away(replica, seconds(20), seconds(10));
+    fleet.refuse_requests(replica, seconds(20), seconds(10));
   }
   fleet.load(20, seconds(2));
   fleet.return_times.clear();
@@ -80,7 +80,7 @@
   // Reports on replicas stay in a region; without regions, in a zone.
   limited_fleet fleet({.zones = 1});
   fleet.load(40, seconds(3));
-  fleet.turn_away(0, seconds(4), seconds(3));
+  fleet.refuse_requests(0, seconds(4), seconds(3));
   fleet.load(40, seconds(2));
   std::size_t learned = 0;
   for (const auto& node : fleet.nodes) {
@@ -98,13 +98,13 @@
 BOOST_AUTO_TEST_CASE(a_pause_dies_with_the_life_and_the_address_that_asked_for_it) {
   limited_fleet fleet({.replicas = 2});
   fleet.load(20, seconds(2));
-  fleet.turn_away(0, seconds(1), seconds(60));
+  fleet.refuse_requests(0, seconds(1), seconds(60));
   fleet.load(20, seconds(2));
   fleet.restart_replica(0);
   auto begun = fleet.now;
   fleet.load(20, seconds(5));
   BOOST_TEST(fleet.arrived_since(0, begun) > 10U);
-  fleet.turn_away(0, seconds(1), seconds(60));
+  fleet.refuse_requests(0, seconds(1), seconds(60));
   fleet.load(20, seconds(2));
   fleet.replicas[0].address = "10.1.9.9:80";
   fleet.publish(0);
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -67,7 +67,7 @@
                          .step = milliseconds(2)});
     fleet.load(per_second, seconds(2));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
-      fleet.turn_away(replica, seconds(8), seconds(3));
+      fleet.refuse_requests(replica, seconds(8), seconds(3));
     }
     const auto begun = fleet.now;
     fleet.load(per_second, seconds(8));
