--- a/tests/flow/answer_memory_test.cc
+++ b/tests/flow/answer_memory_test.cc
@@ -1,4 +1,4 @@
-/// Whole answers that find no memory: large ones, and several that hold what the others need.
+/// Whole answers that lack memory: large ones, and several that hold memory and wait for more.
 #include "flow/answer_memory.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +13,7 @@
 
 constexpr std::size_t capacity = 1'000;
 
-struct gathering {
+struct answer_fixture {
   std::shared_ptr<byte_budget> budget = std::make_shared<byte_budget>(capacity);
   std::shared_ptr<answer_queue> queue = std::make_shared<answer_queue>(budget);
 
@@ -27,14 +27,14 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(answer_memory_test, gathering)
+BOOST_FIXTURE_TEST_SUITE(answer_memory_test, answer_fixture)
 
-BOOST_AUTO_TEST_CASE(an_answer_larger_than_its_part_fits_by_itself) {
-  const auto announced = begin();
-  BOOST_TEST(is_granted(*announced, 800));
+BOOST_AUTO_TEST_CASE(a_single_answer_may_exceed_the_limit_of_whole_answers) {
+  const auto answer = begin();
+  BOOST_TEST(is_granted(*answer, 800));
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_that_grows_beyond_its_part_fits_by_itself) {
+BOOST_AUTO_TEST_CASE(a_single_growing_answer_may_exceed_the_limit_of_whole_answers) {
   const auto answer = begin();
   for (int step = 0; step < 8; ++step) {
     BOOST_TEST(is_granted(*answer, 100));
@@ -42,12 +42,12 @@
   BOOST_TEST(answer->bytes() == 800U);
 }
 
-BOOST_AUTO_TEST_CASE(a_large_answer_waits_while_others_are_read_and_leaves_the_last_reserve) {
-  auto read_now = begin();
-  BOOST_TEST(is_granted(*read_now, 200));
+BOOST_AUTO_TEST_CASE(a_large_answer_waits_for_others_and_leaves_the_reserve_of_events) {
+  auto small = begin();
+  BOOST_TEST(is_granted(*small, 200));
   const auto large = begin();
   BOOST_CHECK(large->grow(800) == memory_verdict::wait);
-  read_now.reset();
+  small.reset();
   BOOST_TEST(is_granted(*large, 800));
   const auto next = begin();
   BOOST_CHECK(next->grow(1) == memory_verdict::wait);
@@ -55,16 +55,16 @@
   BOOST_TEST(event.grow(byte_use::stream_event, 100));
 }
 
-BOOST_AUTO_TEST_CASE(small_answers_keep_to_their_part) {
+BOOST_AUTO_TEST_CASE(small_answers_stay_within_their_limit) {
   const auto first = begin();
   BOOST_TEST(is_granted(*first, 500));
   const auto second = begin();
   BOOST_CHECK(second->grow(100) == memory_verdict::wait);
-  // The first can end by itself, so nothing is stuck.
+  // The first answer does not wait and can complete, so there is no deadlock.
   BOOST_CHECK(second->grow(100) == memory_verdict::wait);
 }
 
-BOOST_AUTO_TEST_CASE(of_answers_that_wait_for_one_another_the_first_gets_the_reserve) {
+BOOST_AUTO_TEST_CASE(of_deadlocked_answers_the_first_gets_the_reserve) {
   const auto first = begin();
   const auto second = begin();
   BOOST_TEST(is_granted(*first, 270));
@@ -72,20 +72,20 @@
   BOOST_CHECK(first->grow(200) == memory_verdict::wait);
   BOOST_CHECK(second->grow(200) == memory_verdict::wait);
   BOOST_TEST(is_granted(*first, 200));
-  // It may go on to its end; the second waits with what it has.
+  // The first answer can complete; the second one waits and keeps its memory.
   BOOST_CHECK(second->grow(200) == memory_verdict::wait);
   BOOST_TEST(second->bytes() == 270U);
 }
 
-BOOST_AUTO_TEST_CASE(where_the_reserve_is_too_small_the_youngest_gives_up) {
+BOOST_AUTO_TEST_CASE(if_the_reserve_is_too_small_the_last_answer_is_aborted) {
   const auto first = begin();
   auto second = begin();
   auto third = begin();
-  for (auto* each : {first.get(), second.get(), third.get()}) {
-    BOOST_TEST(is_granted(*each, 180));
+  for (auto* waiting : {first.get(), second.get(), third.get()}) {
+    BOOST_TEST(is_granted(*waiting, 180));
   }
-  for (auto* each : {first.get(), second.get(), third.get()}) {
-    BOOST_CHECK(each->grow(400) == memory_verdict::wait);
+  for (auto* waiting : {first.get(), second.get(), third.get()}) {
+    BOOST_CHECK(waiting->grow(400) == memory_verdict::wait);
   }
   BOOST_CHECK(first->grow(400) == memory_verdict::wait);
   BOOST_CHECK(second->grow(400) == memory_verdict::wait);
@@ -94,7 +94,7 @@
   BOOST_TEST(is_granted(*first, 400));
 }
 
-BOOST_AUTO_TEST_CASE(no_answer_gives_up_where_streams_hold_the_memory) {
+BOOST_AUTO_TEST_CASE(no_answer_is_aborted_if_streams_hold_the_memory) {
   const auto first = begin();
   const auto second = begin();
   BOOST_TEST(is_granted(*first, 20));
@@ -109,31 +109,31 @@
   BOOST_TEST(is_granted(*first, 200));
 }
 
-BOOST_AUTO_TEST_CASE(any_number_of_growing_answers_end_one_after_another) {
-  constexpr std::size_t whole_size = 700;
+BOOST_AUTO_TEST_CASE(any_number_of_growing_answers_complete_or_are_aborted) {
+  constexpr std::size_t full_size = 700;
   constexpr std::size_t answers = 20;
-  std::vector<std::unique_ptr<answer_memory>> under_way;
-  under_way.reserve(answers);
+  std::vector<std::unique_ptr<answer_memory>> active;
+  active.reserve(answers);
   for (std::size_t number = 0; number < answers; ++number) {
-    under_way.push_back(begin());
+    active.push_back(begin());
   }
-  std::size_t whole = 0;
-  std::size_t given_up = 0;
-  for (int turn = 0; turn < 1'000 && !under_way.empty(); ++turn) {
-    for (auto& answer : under_way) {
+  std::size_t completed = 0;
+  std::size_t aborted = 0;
+  for (int turn = 0; turn < 1'000 && !active.empty(); ++turn) {
+    for (auto& answer : active) {
       const auto verdict = answer->grow(10);
-      whole += answer->bytes() >= whole_size ? 1 : 0;
-      given_up += verdict == memory_verdict::abort_answer ? 1 : 0;
-      if (verdict == memory_verdict::abort_answer || answer->bytes() >= whole_size) {
+      completed += answer->bytes() >= full_size ? 1 : 0;
+      aborted += verdict == memory_verdict::abort_answer ? 1 : 0;
+      if (verdict == memory_verdict::abort_answer || answer->bytes() >= full_size) {
         answer.reset();
       }
     }
-    std::erase(under_way, nullptr);
+    std::erase(active, nullptr);
   }
-  BOOST_TEST(under_way.empty());
-  BOOST_TEST(whole + given_up == answers);
-  // The memory is the first one's until it is whole; who holds nothing yet does not give up.
-  BOOST_TEST(whole >= 1U);
+  BOOST_TEST(active.empty());
+  BOOST_TEST(completed + aborted == answers);
+  // The first answer keeps the memory until it is complete; answers that hold none are not aborted.
+  BOOST_TEST(completed >= 1U);
   BOOST_TEST(budget->held() == 0U);
 }
 
--- a/tests/flow/stream_window_test.cc
+++ b/tests/flow/stream_window_test.cc
@@ -1,4 +1,4 @@
-/// When the window of a stream closes and opens, and what counts as taking nothing.
+/// Conditions under which the window of a stream closes and reopens, and the duration of a stall.
 #include "flow/stream_window.h"
 
 #include "base/random.h"
@@ -19,45 +19,45 @@
   window_change add(std::size_t bytes) { return window.add(bytes, 0, now); }
 };
 
-constexpr auto widest = stream_window::max_window_bytes;
+constexpr auto max_bytes = stream_window::max_window_bytes;
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(stream_window_test, window_fixture)
 
-BOOST_AUTO_TEST_CASE(a_small_pause_does_not_close_it) {
-  BOOST_CHECK(add(widest - 1) == window_change::none);
-  BOOST_CHECK(window.consume(widest - 1, now) == window_change::none);
+BOOST_AUTO_TEST_CASE(a_window_stays_open_below_its_size) {
+  BOOST_CHECK(add(max_bytes - 1) == window_change::none);
+  BOOST_CHECK(window.consume(max_bytes - 1, now) == window_change::none);
   BOOST_TEST(window.is_open());
 }
 
-BOOST_AUTO_TEST_CASE(it_closes_once_and_opens_at_half) {
-  BOOST_CHECK(add(widest) == window_change::closed);
-  // What was on its way still comes.
+BOOST_AUTO_TEST_CASE(a_window_closes_once_and_reopens_at_half_its_size) {
+  BOOST_CHECK(add(max_bytes) == window_change::closed);
+  // Bytes that were already in transit are still added.
   BOOST_CHECK(add(1'000) == window_change::none);
-  BOOST_CHECK(window.consume(1'000 + widest / 2 - 1, now) == window_change::none);
+  BOOST_CHECK(window.consume(1'000 + max_bytes / 2 - 1, now) == window_change::none);
   now += milliseconds(300);
   BOOST_CHECK(window.consume(1, now) == window_change::opened);
   BOOST_CHECK(window.closed_duration(now) == milliseconds(300));
 }
 
-BOOST_AUTO_TEST_CASE(it_is_narrower_where_memory_is_scarce) {
-  BOOST_CHECK(window.add(widest / 2, 0.5, now) == window_change::closed);
-  stream_window other(now);
-  BOOST_CHECK(other.add(stream_window::min_window_bytes - 1, 1, now) == window_change::none);
-  BOOST_CHECK(other.add(1, 1, now) == window_change::closed);
+BOOST_AUTO_TEST_CASE(a_window_is_smaller_if_memory_is_scarce) {
+  BOOST_CHECK(window.add(max_bytes / 2, 0.5, now) == window_change::closed);
+  stream_window small_window(now);
+  BOOST_CHECK(small_window.add(stream_window::min_window_bytes - 1, 1, now) == window_change::none);
+  BOOST_CHECK(small_window.add(1, 1, now) == window_change::closed);
 }
 
-BOOST_AUTO_TEST_CASE(a_widened_one_closes_only_for_want_of_memory) {
-  add(widest);
+BOOST_AUTO_TEST_CASE(a_window_that_reads_ahead_closes_only_for_lack_of_memory) {
+  add(max_bytes);
   BOOST_CHECK(window.start_read_ahead(now) == window_change::opened);
-  BOOST_CHECK(add(10 * widest) == window_change::none);
+  BOOST_CHECK(add(10 * max_bytes) == window_change::none);
   BOOST_CHECK(window.close(now) == window_change::closed);
   BOOST_CHECK(window.close(now) == window_change::none);
-  BOOST_CHECK(window.consume(11 * widest, now) == window_change::opened);
+  BOOST_CHECK(window.consume(11 * max_bytes, now) == window_change::opened);
 }
 
-BOOST_AUTO_TEST_CASE(only_bytes_that_wait_count_as_a_stall) {
+BOOST_AUTO_TEST_CASE(only_unread_bytes_count_as_a_stall) {
   now += milliseconds(5'000);
   BOOST_CHECK(window.stall_duration(now) == base::duration::zero());
   add(100);
@@ -81,9 +81,9 @@
         change = subject.add(bytes, utilization, now);
         unread += bytes;
       } else {
-        const auto taken = std::min<std::size_t>(bytes, unread);
-        change = subject.consume(taken, now);
-        unread -= taken;
+        const auto consumed = std::min<std::size_t>(bytes, unread);
+        change = subject.consume(consumed, now);
+        unread -= consumed;
       }
       if (change != window_change::none) {
         BOOST_REQUIRE(open != (change == window_change::opened));
@@ -91,7 +91,7 @@
       }
       BOOST_REQUIRE(subject.is_open() == open);
       BOOST_REQUIRE(subject.unread() == unread);
-      // Nothing unread never leaves a window closed: the stream could not go on.
+      // Without unread bytes the window must be open: nothing else would reopen it.
       BOOST_REQUIRE(unread > 0 || open);
     }
   }
