--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -191,14 +191,14 @@
   json::array replicas;
   if (const auto* serving = subject.serving()) {
     const auto& limits = serving->limits();
-    for (const auto& [replica, record] : limits.book().all()) {
+    for (const auto& [replica, record] : limits.announced_limits().all()) {
       const auto* stock = limits.stock_of(replica);
       json::object row{{"replica", replica.text()},
                        {"heard_ms", base::to_milliseconds(now - record.last_reported_at)},
                        {"version", record.version},
                        {"issuer", limits.issuer_of(replica).text()},
                        {"permits_held", stock == nullptr ? 0 : stock->held(now)},
-                       {"sent_in_4_s", stock == nullptr ? 0 : stock->sent_of_late(now)}};
+                       {"sent_in_4_s", stock == nullptr ? 0 : stock->recent_sends(now)}};
       row["per_second"] = record.per_second ? json::value(*record.per_second) : nullptr;
       replicas.push_back(std::move(row));
     }
--- a/src/dispatch/dispatcher_places.cc
+++ b/src/dispatch/dispatcher_places.cc
@@ -42,7 +42,7 @@
 // --- asking --------------------------------------------------------------------------------------
 
 void dispatcher::want_permit(const active_request& request, base::time_point now) {
-  if (!limits_.any()) {
+  if (!limits_.has_limits()) {
     return;
   }
   auto limited = replicas_.short_of_permits(demand_of(request), now);
@@ -52,7 +52,7 @@
                   [&](const replica_state* state) { return state->record->zone != request.zone; });
   }
   if (!limited.empty()) {
-    limits_.note_wanted(base::take_random(limited, *random_)->record->id, now);
+    limits_.note_unmet_demand(base::take_random(limited, *random_)->record->id, now);
   }
 }
 
@@ -69,7 +69,7 @@
   const auto asked = std::min(limited.size(), queue.size());
   const auto each = static_cast<std::uint32_t>((queue.size() + asked - 1) / asked);
   const auto turn =
-      static_cast<std::uint64_t>(now.time_since_epoch() / rate_limits::request_lifetime);
+      static_cast<std::uint64_t>(now.time_since_epoch() / rate_limits::query_lifetime);
   const auto first = (base::stable_hash(self_.node.text()) + turn) % limited.size();
   for (std::size_t index = 0; index < asked; ++index) {
     const auto* replica = limited[(first + index) % limited.size()];
@@ -140,7 +140,7 @@
 }
 
 bool dispatcher::refuse_without_outlook(active_request& request, base::time_point now) {
-  const bool all_take_any = !limits_.any() && !replicas_.any_backoff(now);
+  const bool all_take_any = !limits_.has_limits() && !replicas_.any_backoff(now);
   if (all_take_any || !request.graph) {
     return false;
   }
--- a/src/engines/engine_directory.h
+++ b/src/engines/engine_directory.h
@@ -1,16 +1,17 @@
-/// What the fleet has sent its engines, shared between nodes; short prompts cause no message, and
-/// waits are reported only while engines have a backlog.
+/// Shares between nodes which prompts the fleet has sent to its engines. Short prompts cause no
+/// message, and waits are reported only while engines have a prefill backlog.
 ///
-/// Each engine has one account holder, found by rendezvous hashing among the live nodes of the
-/// engine's region. Every node reports to it each long prompt that it sends there; the account
-/// holder sums the unread tokens and reports them to all nodes of the region when the wait is long
-/// enough to choose another engine. What a node assumes decays at the rate at which engines read,
-/// so an account holder that dies, or a node that is cut off, leads back to placement by hash alone
-/// within a second or two. No I/O: messages are gathered.
+/// Each engine has one accounting node, chosen by rendezvous hashing among the live nodes of the
+/// engine's region. Every node reports each long prompt that it sends to the engine to the
+/// accounting node, which sums the prefill backlog and reports it to all nodes of the region if the
+/// wait is long enough to choose another engine. The backlog that a node assumes decays at the
+/// prefill rate, so that after the crash of an accounting node, or on a partitioned node, placement
+/// falls back to hashing alone within a second or two. No I/O: messages are queued until
+/// `take_messages`.
 #pragma once
 
-#include "engines/engine_account.h"
-#include "engines/reading_rate.h"
+#include "engines/engine_accounting.h"
+#include "engines/prefill_rate.h"
 #include "engines/sending_rate.h"
 #include "fleet_view/peer_directory.h"
 #include "model/residency.h"
@@ -29,79 +30,90 @@
 namespace spurrack::serving {
 
 struct engine_directory_counts {
-  /// Prompts reported to the account holders of their engines.
-  std::uint64_t sends_told = 0;
-  /// Waits reported to the nodes of the region, and nodes left out to keep the bound on bytes.
-  std::uint64_t loads_told = 0;
-  std::uint64_t receivers_left_out = 0;
-  /// Of prompts reported to this node as an account holder: tokens that the engine is expected to
-  /// have kept, and those it has to read.
-  std::uint64_t tokens_kept = 0;
-  std::uint64_t tokens_to_read = 0;
+  /// Prompts reported to the accounting nodes of their engines.
+  std::uint64_t reported_sends = 0;
+  /// Backlogs reported to the nodes of the region.
+  std::uint64_t reported_backlogs = 0;
+  /// Nodes that a backlog was not reported to because of the limit on bytes per second.
+  std::uint64_t skipped_receivers = 0;
+  /// Tokens of prompts reported to this node as an accounting node, by whether the engine is
+  /// expected to have them cached or has to prefill them.
+  std::uint64_t cached_prompt_tokens = 0;
+  std::uint64_t tokens_to_prefill = 0;
 };
 
-/// Not thread-safe. Messages gather until they are taken.
+/// Backlogs of engines, as estimated by one node. Not thread-safe.
 class engine_directory {
  public:
   /// @param replicas must outlive this object.
   engine_directory(fleet_peer self, model::zone_regions regions, const replica_table& replicas);
 
-  /// Takes over the nodes that are alive, without this one.
+  /// Replaces the set of live nodes, which excludes this node.
   void set_peers(std::vector<fleet_peer> alive);
   void set_configuration(std::shared_ptr<const model::serving_configuration> configuration);
-  /// Forgets engines that are gone.
-  void forget_gone();
-  /// An engine started again: it keeps nothing and has nothing to read.
+  /// Forgets engines that are no longer in the replica table.
+  void forget_removed_engines();
+  /// Forgets the state of an engine that restarted: its cache and its backlog are empty.
   void forget(const base::replica_id& engine);
 
-  /// This node sends a prompt to an engine.
-  void note_sent(const replica_state& engine, const prompt_send& prompt, base::time_point now);
-  /// A prompt got its first event.
-  void note_first_event(std::uint32_t own_tokens, base::duration took) {
-    rate_.note(own_tokens, took);
+  /// Records a prompt that this node sends to an engine, and reports a long one to the engine's
+  /// accounting node.
+  void note_sent(const replica_state& engine, const sent_prompt& prompt, base::time_point now);
+  /// Records that a prompt got its first event.
+  /// @param elapsed since the prompt was sent.
+  void note_first_event(std::uint32_t own_tokens, base::duration elapsed) {
+    prefill_rate_.note(own_tokens, elapsed);
   }
+  /// Applies a message of another node: prompts sent to engines whose accounting node this node is,
+  /// and backlogs of engines.
   void handle(const wire::engine_news& news, base::time_point now);
 
-  /// @return time until an engine has read what it was sent, by this node's estimate.
+  /// Returns the time until an engine has prefilled the prompts that it was sent, as estimated by
+  /// this node.
   [[nodiscard]] base::duration expected_wait(const replica_state& engine,
                                              base::time_point now) const;
-  /// @return time that reading takes, without a wait.
-  [[nodiscard]] base::duration reading_time(double tokens) const;
+  /// Returns the time in which an idle engine prefills `tokens` tokens.
+  [[nodiscard]] base::duration prefill_time(double tokens) const;
 
-  /// @param engines how many there are.
-  /// @return how many of them read a part with which many prompts begin. Few in an idle fleet, by
-  ///         what this node sent of late: there an engine gets a prompt so seldom that it would
-  ///         read the part again for nearly each. All under a load, which is even then.
-  [[nodiscard]] std::size_t readers_of_a_part(std::size_t engines, base::time_point now) const;
+  /// Returns the number of engines that prefill a first part that many prompts share. In an idle
+  /// fleet, judging by the recent sends of this node, only a few engines do: each engine gets a
+  /// prompt so rarely that it would prefill the part again for nearly every prompt. Under load all
+  /// engines do, since the load is even then.
+  /// @param engines number of available engines.
+  [[nodiscard]] std::size_t prefix_replica_count(std::size_t engines, base::time_point now) const;
 
   [[nodiscard]] wire::outbox take_messages();
   [[nodiscard]] const engine_directory_counts& counts() const { return counts_; }
-  /// @return engines whose account this node holds or held.
-  [[nodiscard]] std::size_t accounts() const { return accounts_.size(); }
+  /// Returns the number of engines whose accounting node this node is or was.
+  [[nodiscard]] std::size_t accounted_engines() const { return accounting_by_engine_.size(); }
 
  private:
-  /// @return the peer that holds an engine's account; null where this node does.
-  [[nodiscard]] const fleet_peer* account_holder_of(const model::replica& engine) const;
-  void take_in(const base::replica_id& engine, const prompt_send& prompt, base::time_point now);
-  void tell_load(const base::replica_id& engine, std::uint32_t tokens, base::time_point now);
-  /// @return to how many of so many nodes a report may be sent now; counts the bytes.
-  std::size_t take_allowance(std::size_t receivers, base::time_point now);
+  /// Returns the peer that is an engine's accounting node; null if this node is.
+  [[nodiscard]] const fleet_peer* accounting_node_of(const model::replica& engine) const;
+  /// Records a prompt as the engine's accounting node, and reports the backlog if necessary.
+  void account_send(const base::replica_id& engine, const sent_prompt& prompt,
+                    base::time_point now);
+  /// Reports the backlog of an engine to the nodes of the region.
+  void report_backlog(const base::replica_id& engine, std::uint32_t tokens, base::time_point now);
+  /// Returns the number of receivers, out of `receivers`, that a report may be sent to now, and
+  /// deducts it from the allowance.
+  std::size_t consume_allowance(std::size_t receivers, base::time_point now);
 
   fleet_peer self_;
   model::zone_regions regions_;
   const replica_table* replicas_;
   std::shared_ptr<const model::serving_configuration> configuration_;
   std::vector<fleet_peer> peers_;
-  reading_rate rate_;
-  sending_rate sent_;
-  std::unordered_map<base::replica_id, token_backlog> believed_;
-  /// Engines whose account this node holds or held.
-  std::unordered_map<base::replica_id, engine_account> accounts_;
-  /// Reports that may be sent now, one a receiver, and when they were counted last.
-  double allowance_;
-  base::time_point allowance_at_;
-  /// Place among the nodes of the region from which receivers are taken next.
-  std::size_t next_receiver_ = 0;
+  prefill_rate prefill_rate_;
+  sending_rate sending_rate_;
+  std::unordered_map<base::replica_id, prefill_backlog> estimated_backlogs_;
+  /// Engines whose accounting node this node is or was.
+  std::unordered_map<base::replica_id, engine_accounting> accounting_by_engine_;
+  /// Number of reports that may be sent, one per receiver, as of `allowance_updated_at_`.
+  double report_allowance_;
+  base::time_point allowance_updated_at_;
+  /// Index, among the nodes of the region, of the last node that a report was sent to.
+  std::size_t last_receiver_ = 0;
   wire::outbox messages_;
   engine_directory_counts counts_;
 };
--- a/tests/rate_limits/permit_node.h
+++ b/tests/rate_limits/permit_node.h
@@ -1,4 +1,4 @@
-/// What one node knows of replicas that name limits, and the permits it holds and issues.
+/// Limits that one node knows of, and the permits that it holds and issues.
 #pragma once
 
 #include "base/random.h"
@@ -13,21 +13,22 @@
 class permit_node {
  public:
   permit_node(const serving::fleet_peer& self, const self_reports::replica_lookup& lookup,
-              base::random_source& random, base::incarnation life)
-      : self_reports_(lookup, random), permits_(self, self_reports_, lookup, life) {}
+              base::random_source& random, base::incarnation incarnation)
+      : self_reports_(lookup, random), permits_(self, self_reports_, lookup, incarnation) {}
   permit_node(const permit_node&) = delete;
   permit_node& operator=(const permit_node&) = delete;
   ~permit_node() = default;
 
-  void set_peers(const std::vector<serving::fleet_peer>& alive, std::size_t known) {
+  void set_peers(const std::vector<serving::fleet_peer>& alive, std::size_t known_peers) {
     self_reports_.set_peers(alive);
-    permits_.set_peers(alive, known);
+    permits_.set_peers(alive, known_peers);
   }
-  void hear(const base::replica_id& replica, const serving::announced_limit& said,
-            base::time_point call_started_at, base::time_point now) {
-    serving::replica_self_report statement;
-    statement.limit = said;
-    self_reports_.record_self_report(replica, statement, call_started_at, now);
+  void record_limit(const base::replica_id& replica,
+                    const serving::announced_limit& announced_limit,
+                    base::time_point call_started_at, base::time_point now) {
+    serving::replica_self_report self_report;
+    self_report.limit = announced_limit;
+    self_reports_.record_self_report(replica, self_report, call_started_at, now);
   }
   void forget(const base::replica_id& replica) {
     self_reports_.forget(replica);
@@ -43,8 +44,8 @@
   }
   [[nodiscard]] wire::outbox take_messages() {
     auto messages = self_reports_.take_messages();
-    auto more = permits_.take_messages();
-    std::move(more.begin(), more.end(), std::back_inserter(messages));
+    auto permit_messages = permits_.take_messages();
+    std::move(permit_messages.begin(), permit_messages.end(), std::back_inserter(messages));
     return messages;
   }
 
--- a/tests/replica_statements/leaving_replica_test.cc
+++ b/tests/replica_statements/leaving_replica_test.cc
@@ -19,7 +19,7 @@
 ///         received its drain announcement.
 std::size_t sends_after_bound(const limited_fleet& fleet, unsigned replica, base::duration bound) {
   const auto& arrivals = fleet.replicas[replica].arrivals;
-  const auto since = fleet.first_told_leaving(replica) + bound;
+  const auto since = fleet.first_drain_announcement_at(replica) + bound;
   return static_cast<std::size_t>(
       std::count_if(arrivals.begin(), arrivals.end(),
                     [&](const auto& arrival) { return arrival.sent_at > since; }));
@@ -34,10 +34,10 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
     fleet.load(40, seconds(3));
-    fleet.begin_leaving(0);
+    fleet.begin_draining(0);
     fleet.load(40, seconds(10));
-    BOOST_TEST(!fleet.replicas[0].told_leaving.empty());
-    BOOST_TEST(fleet.sent_after_leaving_was_told(0) == 0U, "seed " << seed);
+    BOOST_TEST(!fleet.replicas[0].drain_announced_at.empty());
+    BOOST_TEST(fleet.sends_after_drain_announcement(0) == 0U, "seed " << seed);
     BOOST_TEST(fleet.counts.refused + fleet.counts.failed == 0U, "seed " << seed);
   }
 }
@@ -58,10 +58,10 @@
                            .nodes = nodes,
                            .zones = 4,
                            .replicas = 4,
-                           .lost_messages = lost_share,
+                           .message_loss_rate = lost_share,
                            .step = milliseconds(2)});
       fleet.load(100, seconds(2));
-      fleet.begin_leaving(0);
+      fleet.begin_draining(0);
       fleet.load(100, seconds(6));
       BOOST_TEST(sends_after_bound(fleet, 0, bound) == 0U,
                  nodes << " nodes, loss " << lost_share << ", seed " << seed);
@@ -72,7 +72,7 @@
 BOOST_AUTO_TEST_CASE(a_drain_announcement_outlives_the_published_list) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
-  fleet.begin_leaving(0);
+  fleet.begin_draining(0);
   fleet.load(40, seconds(3));
   // The list shows the replica as ready, then not at all, then again as the same process: a store
   // that recovered from an outage or was restored from an older copy.
@@ -85,36 +85,36 @@
   fleet.publish(0);
   fleet.update_nodes();
   fleet.load(40, seconds(10));
-  BOOST_TEST(fleet.sent_after_leaving_was_told(0) == 0U);
+  BOOST_TEST(fleet.sends_after_drain_announcement(0) == 0U);
   BOOST_TEST(sends_after_bound(fleet, 0, bound_on_healthy_links) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_late_answer_without_the_word_lifts_nothing) {
   limited_fleet fleet;
   fleet.load(200, seconds(3));
-  fleet.begin_leaving(0);
+  fleet.begin_draining(0);
   fleet.load(200, milliseconds(200));
-  BOOST_REQUIRE(!fleet.replicas[0].told_leaving.empty());
-  fleet.replicas[0].is_leaving = false;
+  BOOST_REQUIRE(!fleet.replicas[0].drain_announced_at.empty());
+  fleet.replicas[0].is_draining = false;
   fleet.load(200, seconds(5));
-  BOOST_TEST(fleet.sent_after_leaving_was_told(0) == 0U);
+  BOOST_TEST(fleet.sends_after_drain_announcement(0) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_new_incarnation_or_address_is_not_draining) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
-  fleet.begin_leaving(0);
+  fleet.begin_draining(0);
   fleet.load(40, seconds(3));
   fleet.restart_replica(0);
   const auto restarted = fleet.now;
   fleet.load(40, seconds(10));
   BOOST_TEST(fleet.arrived_since(0, restarted) > 10U);
-  fleet.begin_leaving(0);
+  fleet.begin_draining(0);
   fleet.load(40, seconds(3));
   auto& moved = fleet.replicas[0];
   moved.address = "10.1.9.9:80";
-  moved.is_leaving = false;
-  moved.told_leaving.clear();
+  moved.is_draining = false;
+  moved.drain_announced_at.clear();
   fleet.publish(0);
   fleet.update_nodes();
   const auto published = fleet.now;
@@ -125,7 +125,7 @@
 BOOST_AUTO_TEST_CASE(a_started_node_learns_of_the_drain) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
-  fleet.begin_leaving(0);
+  fleet.begin_draining(0);
   fleet.load(40, seconds(3));
   fleet.start_node(2);
   fleet.load(40, seconds(3));
@@ -138,11 +138,11 @@
   limited_fleet fleet({.nodes = 6, .zones = 2, .replicas = 8});
   fleet.load(60, seconds(3));
   for (unsigned replica = 0; replica < 8; replica += 2) {
-    fleet.begin_leaving(replica);
+    fleet.begin_draining(replica);
     fleet.load(60, seconds(3));
   }
   for (unsigned replica = 0; replica < 8; replica += 2) {
-    BOOST_TEST(fleet.sent_after_leaving_was_told(replica) == 0U);
+    BOOST_TEST(fleet.sends_after_drain_announcement(replica) == 0U);
   }
   BOOST_TEST(fleet.counts.refused + fleet.counts.failed == 0U);
 }
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -16,12 +16,13 @@
     limited_fleet fleet({.seed = seed});
     fleet.load(40, seconds(3));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
-      fleet.turn_away(replica, seconds(8), seconds(3));
+      fleet.refuse_requests(replica, seconds(8), seconds(3));
     }
     fleet.load(40, seconds(15));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
-      BOOST_TEST(!fleet.replicas[replica].pauses.empty());
-      BOOST_TEST(fleet.sent_in_pauses(replica) == 0U, "seed " << seed << ", replica " << replica);
+      BOOST_TEST(!fleet.replicas[replica].requested_backoffs.empty());
+      BOOST_TEST(fleet.sends_during_backoffs(replica) == 0U,
+                 "seed " << seed << ", replica " << replica);
     }
     BOOST_TEST(fleet.counts.failed == 0U, "seed " << seed);
   }
@@ -33,11 +34,12 @@
     limited_fleet fleet({.seed = seed, .replicas = 4});
     fleet.load(60, seconds(3));
     for (unsigned replica = 0; replica < 4; ++replica) {
-      fleet.turn_away(replica, seconds(6), seconds(2));
+      fleet.refuse_requests(replica, seconds(6), seconds(2));
     }
     fleet.load(60, seconds(12));
     for (unsigned replica = 0; replica < 4; ++replica) {
-      BOOST_TEST(fleet.sent_in_pauses(replica) == 0U, "seed " << seed << ", replica " << replica);
+      BOOST_TEST(fleet.sends_during_backoffs(replica) == 0U,
+                 "seed " << seed << ", replica " << replica);
     }
   }
 }
@@ -47,12 +49,12 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .nodes = 2, .replicas = 1});
     fleet.load(100, seconds(2));
-    fleet.turn_away(0, milliseconds(50), seconds(1));
+    fleet.refuse_requests(0, milliseconds(50), seconds(1));
     fleet.load(100, milliseconds(900));
     const auto begun = fleet.now;
     fleet.load(100, seconds(1));
     // Two nodes, each of which starts with one request; answers take 20 to 80 ms.
-    const auto within = fleet.most_within(0, milliseconds(20), begun, false);
+    const auto within = fleet.max_arrivals_within(0, milliseconds(20), begun, false);
     BOOST_TEST(within <= 8U, within << " in 20 ms, seed " << seed);
     BOOST_TEST(fleet.arrived_since(0, begun) > 40U, "seed " << seed);
   }
@@ -62,7 +64,7 @@
   limited_fleet fleet({.replicas = 2});
   fleet.load(20, seconds(2));
   for (const unsigned replica : {0U, 1U}) {
-    fleet.turn_away(replica, seconds(20), seconds(10));
+    fleet.refuse_requests(replica, seconds(20), seconds(10));
   }
   fleet.load(20, seconds(2));
   fleet.return_times.clear();
@@ -79,7 +81,7 @@
   // Reports on replicas are sent only within a region, or within a zone if there are no regions.
   limited_fleet fleet({.zones = 1});
   fleet.load(40, seconds(3));
-  fleet.turn_away(0, seconds(4), seconds(3));
+  fleet.refuse_requests(0, seconds(4), seconds(3));
   fleet.load(40, seconds(2));
   std::size_t learned = 0;
   for (const auto& node : fleet.nodes) {
@@ -97,13 +99,13 @@
 BOOST_AUTO_TEST_CASE(a_backoff_ends_with_the_incarnation_or_address_that_requested_it) {
   limited_fleet fleet({.replicas = 2});
   fleet.load(20, seconds(2));
-  fleet.turn_away(0, seconds(1), seconds(60));
+  fleet.refuse_requests(0, seconds(1), seconds(60));
   fleet.load(20, seconds(2));
   fleet.restart_replica(0);
   auto begun = fleet.now;
   fleet.load(20, seconds(5));
   BOOST_TEST(fleet.arrived_since(0, begun) > 10U);
-  fleet.turn_away(0, seconds(1), seconds(60));
+  fleet.refuse_requests(0, seconds(1), seconds(60));
   fleet.load(20, seconds(2));
   fleet.replicas[0].address = "10.1.9.9:80";
   fleet.publish(0);
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -31,12 +31,12 @@
                          .nodes = nodes,
                          .zones = 4,
                          .replicas = 12,
-                         .lost_messages = lost_share,
+                         .message_loss_rate = lost_share,
                          .step = milliseconds(2)});
     fleet.load(60, seconds(2));
-    fleet.begin_leaving(0);
+    fleet.begin_draining(0);
     fleet.load(60, seconds(8));
-    const auto announced_at = fleet.first_told_leaving(0);
+    const auto announced_at = fleet.first_drain_announcement_at(0);
     for (const auto& arrival : fleet.replicas[0].arrivals) {
       if (arrival.sent_at > announced_at) {
         figures.sent_after += 1.0 / random_fleets;
@@ -65,11 +65,11 @@
                          .nodes = nodes,
                          .zones = 1,
                          .replicas = replicas,
-                         .lost_messages = lost_share,
+                         .message_loss_rate = lost_share,
                          .step = milliseconds(2)});
     fleet.load(per_second, seconds(2));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
-      fleet.turn_away(replica, seconds(8), seconds(3));
+      fleet.refuse_requests(replica, seconds(8), seconds(3));
     }
     const auto begun = fleet.now;
     fleet.load(per_second, seconds(8));
@@ -78,7 +78,7 @@
         figures.refused_by_replicas +=
             static_cast<double>(fleet.arrived_since(replica, begun)) / random_fleets;
       } else {
-        const auto most = fleet.most_within(replica, seconds(1), begun, false);
+        const auto most = fleet.max_arrivals_within(replica, seconds(1), begun, false);
         figures.max_load_elsewhere =
             std::max(figures.max_load_elsewhere, static_cast<double>(most) * replicas / per_second);
       }
