--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -34,7 +34,7 @@
 using zone_id = identifier<struct zone_tag>;
 using region_id = identifier<struct region_tag>;
 using backend_id = identifier<struct backend_tag>;
-/// A replica; it may start again under its identifier (`model::replica_life`).
+/// A replica; it may start again under its identifier (`model::replica_incarnation`).
 using replica_id = identifier<struct replica_tag>;
 using pool_id = identifier<struct pool_tag>;
 using tenant_id = identifier<struct tenant_tag>;
--- a/src/dispatch/dispatcher_places.cc
+++ b/src/dispatch/dispatcher_places.cc
@@ -84,7 +84,7 @@
                                                                   base::time_point now) const {
   const auto demand = demand_of(request);
   std::optional<base::duration> least;
-  if (const auto opening = replicas_.time_to_opening(demand, now)) {
+  if (const auto opening = replicas_.time_until_backoff_ends(demand, now)) {
     least = wait_behind(request.service, *opening, ahead, now);
   }
   const auto limited = replicas_.short_of_permits(demand, now);
@@ -222,7 +222,7 @@
   const std::set<base::replica_id> none_tried;
   const replica_demand demand{request.service, *request.content, request.permitted_regions,
                               none_tried, nullptr};
-  const auto opening = replicas_.time_to_opening(demand, now);
+  const auto opening = replicas_.time_until_backoff_ends(demand, now);
   const bool some_take_it = !opening || !replicas_.candidates_for(demand, now).empty();
   return some_take_it ? base::duration{settings_.retry_after}
                       : std::max<base::duration>(settings_.retry_after, *opening);
--- a/src/dispatch/replica_news.cc
+++ b/src/dispatch/replica_news.cc
@@ -69,10 +69,11 @@
 
 wire::replica_news replica_news::collect(base::time_point now) {
   unreported_.merge(replicas_->take_changed());
-  std::vector<std::pair<base::replica_id, replica_testimony>> signs;
+  std::vector<std::pair<base::replica_id, replica_health_report>> signs;
   for (const auto& id : unreported_) {
     const auto* state = replicas_->find(id);
-    const auto own = state == nullptr ? std::nullopt : replica_table::own_testimony(*state, now);
+    const auto own =
+        state == nullptr ? std::nullopt : replica_table::own_health_report(*state, now);
     if (own) {
       signs.emplace_back(id, *own);
     }
--- a/src/fleet_view/peer_directory.cc
+++ b/src/fleet_view/peer_directory.cc
@@ -117,8 +117,8 @@
   return found == peers_.end() ? nullptr : &found->second;
 }
 
-std::vector<base::node_id> peer_directory::set_gatherers(const std::set<base::node_id>& gatherers,
-                                                         base::time_point now) {
+std::vector<base::node_id> peer_directory::set_batchers(const std::set<base::node_id>& gatherers,
+                                                        base::time_point now) {
   std::set<base::node_id> known;
   std::copy_if(gatherers.begin(), gatherers.end(), std::inserter(known, known.end()),
                [this](const base::node_id& node) { return peers_.contains(node); });
@@ -201,8 +201,8 @@
   return was_silent;
 }
 
-void peer_directory::take_loads(peer_state& peer, const wire::stage_work& message,
-                                base::time_point now) {
+void peer_directory::record_loads(peer_state& peer, const wire::stage_work& message,
+                                  base::time_point now) {
   if (message.loads_size() == 0) {
     return;
   }
@@ -228,7 +228,7 @@
   }
 }
 
-bool peer_directory::is_fit(const peer_state& peer) {
+bool peer_directory::is_eligible(const peer_state& peer) {
   return !peer.silent_since && !peer.leaving;
 }
 
--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -70,20 +70,20 @@
 
   /// Takes over who gathers pieces, as this node sees it.
   /// @return those that were no gatherers before.
-  std::vector<base::node_id> set_gatherers(const std::set<base::node_id>& gatherers,
-                                           base::time_point now);
+  std::vector<base::node_id> set_batchers(const std::set<base::node_id>& gatherers,
+                                          base::time_point now);
   /// Marks the peers that were silent for too long, and gives others another chance.
   /// @return whether any changed.
   bool update_silence(base::time_point now);
   /// Takes note of a message. @return whether the peer was silent before.
   bool note_heard(peer_state& peer, base::time_point now);
   /// Takes over the loads that a peer told.
-  void take_loads(peer_state& peer, const wire::stage_work& message, base::time_point now);
+  void record_loads(peer_state& peer, const wire::stage_work& message, base::time_point now);
   /// A peer did not answer: it gets nothing more until it is heard again, or for a while.
   void give_up(const base::node_id& node, base::time_point now);
 
   /// @return whether a peer may be given work.
-  [[nodiscard]] static bool is_fit(const peer_state& peer);
+  [[nodiscard]] static bool is_eligible(const peer_state& peer);
   /// @return peers that said of late that they gather pieces.
   [[nodiscard]] const std::set<base::node_id>& reporters() const { return reporters_; }
   /// @return whether what a peer told of its load still holds.
--- a/src/model/serving_records.h
+++ b/src/model/serving_records.h
@@ -148,11 +148,11 @@
 
 /// One life of a replica, from its start to its end. A replica that starts again under its id knows
 /// nothing of before.
-struct replica_life {
+struct replica_incarnation {
   /// Unix milliseconds by the clock of the replica's machine: only whether two are equal means
   /// anything.
   std::uint64_t started_at_milliseconds = 0;
-  bool operator==(const replica_life&) const = default;
+  bool operator==(const replica_incarnation&) const = default;
 };
 
 /// A replica as published.
@@ -168,7 +168,7 @@
   /// How much longer it stays cold, counted from its publication; 0 where it is warm.
   base::duration cold_for{};
   /// Nothing where the replica does not say.
-  std::optional<replica_life> life;
+  std::optional<replica_incarnation> life;
 };
 
 /// The operator asks to send nothing to the replicas of a zone, for as long as this is published.
--- a/src/replicas/least_loaded_chooser.h
+++ b/src/replicas/least_loaded_chooser.h
@@ -28,7 +28,7 @@
 
   const replica_table* replicas_;
   distance from_here_;
-  region_spill spill_;
+  region_spillover spill_;
   base::random_source* random_;
 };
 
--- a/src/replicas/region_spill.cc
+++ b/src/replicas/region_spill.cc
@@ -64,7 +64,7 @@
   return found;
 }
 
-bool region_spill::goes_elsewhere(const split_candidates& candidates, base::time_point now) {
+bool region_spillover::goes_elsewhere(const split_candidates& candidates, base::time_point now) {
   if (candidates.near.empty() || candidates.elsewhere.empty()) {
     return candidates.near.empty();
   }
--- a/src/replicas/region_spill.h
+++ b/src/replicas/region_spill.h
@@ -28,10 +28,10 @@
 /// called of late is as busy as the others. So it compares what it has heard of the whole region
 /// over some seconds with what it has heard of elsewhere, and lets a share of its requests go that
 /// grows with the difference: all nodes of a region that see the same do not leave at once.
-class region_spill {
+class region_spillover {
  public:
   /// @param random must outlive this object.
-  explicit region_spill(base::random_source& random) : random_(&random) {}
+  explicit region_spillover(base::random_source& random) : random_(&random) {}
 
   /// Draws by chance where there are replicas near and elsewhere.
   /// @return whether the next request goes elsewhere.
--- a/src/replicas/replica_evidence.cc
+++ b/src/replicas/replica_evidence.cc
@@ -28,7 +28,7 @@
 }
 
 void replica_evidence::take_in(const base::replica_id& replica, const base::node_id& witness,
-                               const replica_testimony& said) {
+                               const replica_health_report& said) {
   auto& witnesses = said_[replica];
   witnesses[witness] = said;
   if (witnesses.size() > most_witnesses) {
@@ -49,8 +49,8 @@
   return static_cast<std::size_t>(
       std::count_if(found->second.begin(), found->second.end(), [&](const auto& entry) {
         const auto& said = entry.second;
-        return is_loss(said.sign) && said.seen_at >= since &&
-               now - said.seen_at < testimony_lifetime;
+        return means_down(said.sign) && said.seen_at >= since &&
+               now - said.seen_at < down_report_lifetime;
       }));
 }
 
@@ -76,7 +76,7 @@
   double bad = own.bad(now);
   if (const auto found = said_.find(replica); found != said_.end()) {
     for (const auto& [witness, said] : found->second) {
-      if (now - said.seen_at < failures_lifetime) {
+      if (now - said.seen_at < failure_report_lifetime) {
         good += said.good_calls;
         bad += said.bad_calls;
       }
--- a/src/replicas/replica_evidence.h
+++ b/src/replicas/replica_evidence.h
@@ -19,7 +19,7 @@
 };
 
 /// @return whether a sign says that nothing is heard of a replica.
-[[nodiscard]] inline bool is_loss(replica_sign sign) {
+[[nodiscard]] inline bool means_down(replica_sign sign) {
   return sign == replica_sign::silent || sign == replica_sign::unreachable;
 }
 
@@ -38,7 +38,7 @@
 };
 
 /// What one node reports of a replica.
-struct replica_testimony {
+struct replica_health_report {
   replica_sign sign = replica_sign::well;
   /// Its calls of late that went well, and those that did not.
   double good_calls = 0;
@@ -50,15 +50,15 @@
 };
 
 /// How long a node's report that a replica is lost counts: longer troubles are reported again.
-inline constexpr base::duration testimony_lifetime = std::chrono::milliseconds(3000);
+inline constexpr base::duration down_report_lifetime = std::chrono::milliseconds(3000);
 /// How long a node's report of failures counts: two half-lives of a tally.
-inline constexpr base::duration failures_lifetime = std::chrono::milliseconds(10000);
+inline constexpr base::duration failure_report_lifetime = std::chrono::milliseconds(10000);
 
 /// Keeps the latest report of each node on each replica. Not thread-safe.
 class replica_evidence {
  public:
   void take_in(const base::replica_id& replica, const base::node_id& witness,
-               const replica_testimony& said);
+               const replica_health_report& said);
   void forget(const base::replica_id& replica) { said_.erase(replica); }
   /// @return nodes that found the replica silent or unreachable, not before `since`.
   [[nodiscard]] std::size_t lost_votes(const base::replica_id& replica, base::time_point since,
@@ -75,7 +75,7 @@
                                      base::time_point now) const;
 
  private:
-  std::map<base::replica_id, std::map<base::node_id, replica_testimony>> said_;
+  std::map<base::replica_id, std::map<base::node_id, replica_health_report>> said_;
 };
 
 } // namespace spurrack::serving
--- a/src/replicas/replica_lives.cc
+++ b/src/replicas/replica_lives.cc
@@ -16,7 +16,7 @@
 
 } // namespace
 
-std::optional<replica_restart> replica_lives::note_published(const model::replica& record) {
+std::optional<replica_restart> replica_incarnations::note_published(const model::replica& record) {
   if (!record.life) {
     return std::nullopt;
   }
@@ -31,14 +31,14 @@
   return restart;
 }
 
-void replica_lives::note_gone(const base::replica_id& replica, base::time_point now) {
+void replica_incarnations::note_gone(const base::replica_id& replica, base::time_point now) {
   const auto found = known_.find(replica);
   if (found != known_.end() && !found->second.gone_at) {
     found->second.gone_at = now;
   }
 }
 
-void replica_lives::forget_gone(base::time_point now) {
+void replica_incarnations::forget_gone(base::time_point now) {
   std::erase_if(known_, [&](const auto& entry) {
     const auto& gone_at = entry.second.gone_at;
     return gone_at && now - *gone_at >= remembered_after_end;
--- a/src/replicas/replica_lives.h
+++ b/src/replicas/replica_lives.h
@@ -20,7 +20,7 @@
 };
 
 /// Not thread-safe.
-class replica_lives {
+class replica_incarnations {
  public:
   /// Takes over what is published of a replica.
   /// @return the restart where it was known in another life. A replica that does not tell its life
@@ -35,7 +35,7 @@
 
  private:
   struct known_life {
-    model::replica_life life;
+    model::replica_incarnation life;
     base::network_address address;
     std::optional<base::time_point> gone_at;
   };
--- a/src/replicas/replica_state.h
+++ b/src/replicas/replica_state.h
@@ -45,19 +45,19 @@
   /// Latest sign of life: an answer, its beginning, or an event of a stream.
   base::time_point heard_at;
   /// Latest sign of life that another node reported, and latest time one reported it lost.
-  base::time_point told_heard_at;
-  base::time_point told_lost_at;
+  base::time_point peer_reported_activity_at;
+  base::time_point peer_reported_down_at;
   /// Latest time a call of this node was found without progress while nothing was heard.
   base::time_point silent_at;
   /// Latest time a connection to it failed.
   base::time_point unreachable_at;
   /// Share of the calls of all nodes that failed, as far as they reported, beyond that of the other
   /// replicas of its service, and when it was learned.
-  double told_failure_excess = 0;
-  double told_failure_share = 0;
+  double reported_failure_excess = 0;
+  double reported_failure_share = 0;
   base::time_point told_failures_at;
   /// Load that it is taken to have besides, since it asked other nodes for pauses, and until when.
-  double told_backoff_load = 0;
+  double reported_backoff_load = 0;
   base::time_point told_backoff_until;
   /// It rests until then because others found it lost, not this node.
   base::time_point ejected_until;
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -252,7 +252,7 @@
   for (const auto* state : index_.of_service(demand.service)) {
     const bool usable_now = ignore_pauses ? takes_work(*state) && bears_request(*state, now)
                                           : takes_calls(*state, now) && state->probed_until <= now;
-    if (usable_now && could_serve(demand, *state) && may_be_sent(*state, now)) {
+    if (usable_now && could_serve(demand, *state) && may_send_to(*state, now)) {
       found.push_back(state);
     }
   }
@@ -268,7 +268,7 @@
   }
   // A replica that is well and takes a request soon goes before those that rest after failures.
   const bool takes_soon = found.empty() && (!short_of_permits(demand, now).empty() ||
-                                            time_to_opening(demand, now).has_value());
+                                            time_until_backoff_ends(demand, now).has_value());
   return found.empty() && !takes_soon ? usable(demand, now, true) : found;
 }
 
@@ -311,7 +311,7 @@
         static_cast<double>(state.in_flight) - static_cast<double>(state.in_flight_when_told);
     calls = std::max(calls, told + own_since);
   }
-  const double told_backoffs = state.told_backoff_until > now ? state.told_backoff_load : 0;
+  const double told_backoffs = state.told_backoff_until > now ? state.reported_backoff_load : 0;
   return calls / std::max(1U, state.record->slots) + told_backoffs;
 }
 
@@ -367,7 +367,7 @@
 
 void replica_table::note_heard(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    if (state->told_lost_at > state->heard_at) {
+    if (state->peer_reported_down_at > state->heard_at) {
       // Others take it for lost: a report corrects them.
       changed_.insert(id);
     }
@@ -390,7 +390,7 @@
 
 bool replica_table::was_heard_after(const base::replica_id& id, base::time_point when) const {
   const auto* state = find(id);
-  return state != nullptr && std::max(state->heard_at, state->told_heard_at) > when;
+  return state != nullptr && std::max(state->heard_at, state->peer_reported_activity_at) > when;
 }
 
 void replica_table::note_success(const base::replica_id& id, base::time_point now) {
@@ -404,19 +404,19 @@
   state->failure_share *= 1 - (is_end_of_trial ? trial_smoothing : failure_smoothing);
 }
 
-void replica_table::note_pace(const base::replica_id& id, base::duration took, base::duration usual,
-                              base::time_point now) {
+void replica_table::note_call_time(const base::replica_id& id, base::duration took,
+                                   base::duration usual, base::time_point now) {
   auto* state = mutable_find(id);
   if (state == nullptr || usual <= base::duration::zero()) {
     return;
   }
   const double ratio = base::to_seconds(took) / base::to_seconds(usual);
-  const double known = slowness_of(*state, now);
+  const double known = slowdown_of(*state, now);
   state->slowness = known + newest_pace_share * (std::max(1.0, ratio) - known);
   state->slowness_seen_at = now;
 }
 
-double replica_table::slowness_of(const replica_state& state, base::time_point now) {
+double replica_table::slowdown_of(const replica_state& state, base::time_point now) {
   const double halvings =
       base::to_seconds(now - state.slowness_seen_at) / base::to_seconds(slowness_half_life);
   return 1 + (state.slowness - 1) * std::exp2(-halvings);
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -121,7 +121,7 @@
   /// @return the zone of some replica of a service that takes work where a request may run.
   [[nodiscard]] std::optional<base::zone_id> some_zone_of(const std::string& service,
                                                           const model::residency& allowed) const;
-  /// Replicas of a service that take calls, own zone first; `may_be_sent` says which may be called
+  /// Replicas of a service that take calls, own zone first; `may_send_to` says which may be called
   /// now.
   [[nodiscard]] std::vector<const replica_state*> available(const std::string& service,
                                                             base::time_point now) const;
@@ -131,7 +131,7 @@
   [[nodiscard]] bool is_available(const replica_state& state, base::time_point now) const;
   /// @return whether a replica may be sent something now, as what it says of itself goes. Each send
   ///         asks this and is told by `call_started`.
-  [[nodiscard]] bool may_be_sent(const replica_state& state, base::time_point now) const;
+  [[nodiscard]] bool may_send_to(const replica_state& state, base::time_point now) const;
   /// @return whether the limit that a replica names leaves room for one more request now.
   [[nodiscard]] bool has_permit(const replica_state& state, base::time_point now) const {
     return limits_ == nullptr || limits_->may_send(state.record->id, now);
@@ -147,15 +147,16 @@
                                                                    base::time_point now) const;
   /// @return whether a replica takes calls but for the pause that it asked for, or the slow start
   ///         after it.
-  [[nodiscard]] bool rests_only_for_backoff(const replica_state& state, base::time_point now) const;
+  [[nodiscard]] bool is_blocked_only_by_backoff(const replica_state& state,
+                                                base::time_point now) const;
   /// @return whether some replica asked for a pause that lasts, or calls to it begin again slowly.
   [[nodiscard]] bool any_backoff(base::time_point now) const {
     return now < latest_backoff_end_ + slow_start_time;
   }
   /// @return the time until some replica that could serve a request, but asked for a pause, may be
   ///         sent one; zero where calls to it begin again slowly, nothing where there is none.
-  [[nodiscard]] std::optional<base::duration> time_to_opening(const replica_demand& demand,
-                                                              base::time_point now) const;
+  [[nodiscard]] std::optional<base::duration> time_until_backoff_ends(const replica_demand& demand,
+                                                                      base::time_point now) const;
   /// Calls wait for a limited replica that no other may be sent now.
   void note_waiting(const base::replica_id& id, std::uint32_t count, base::time_point now);
   /// @return null where the replica is not known any more.
@@ -190,7 +191,7 @@
   /// Takes in what another node says of a replica. Where two nodes found it lost and nothing was
   /// heard of it since, it rests, unless too many of its service rest already for that reason.
   void take_in(const base::replica_id& id, const base::node_id& witness,
-               const replica_testimony& said, base::time_point now);
+               const replica_health_report& said, base::time_point now);
   /// @return whether two nodes, this one counted, found a replica silent or unreachable and none
   ///         has reported a sign of life since.
   [[nodiscard]] bool is_lost(const base::replica_id& id, base::time_point now) const;
@@ -198,19 +199,19 @@
   ///         clearly more than at the other replicas of the service; 0 once it is due for a trial.
   [[nodiscard]] static double failure_share_of(const replica_state& state, base::time_point now);
   /// @return what this node's calls show of a replica; nothing where they show nothing of late.
-  [[nodiscard]] static std::optional<replica_testimony> own_testimony(const replica_state& state,
-                                                                      base::time_point now);
+  [[nodiscard]] static std::optional<replica_health_report>
+  own_health_report(const replica_state& state, base::time_point now);
   /// @return replicas of which this node's calls have shown something new since the last call.
   [[nodiscard]] std::set<base::replica_id> take_changed() { return std::exchange(changed_, {}); }
   [[nodiscard]] bool has_changed() const { return !changed_.empty(); }
   /// @return how often replicas were paused on the reports of others.
   [[nodiscard]] std::uint64_t ejections() const { return ejections_; }
   /// A call took `took` where the published capacity lets expect `usual`.
-  void note_pace(const base::replica_id& id, base::duration took, base::duration usual,
-                 base::time_point now);
+  void note_call_time(const base::replica_id& id, base::duration took, base::duration usual,
+                      base::time_point now);
   /// @return how many times as long as published a call is expected to take, at least 1; comes back
   ///         to 1 while the replica is given nothing, so that it is tried again.
-  [[nodiscard]] static double slowness_of(const replica_state& state, base::time_point now);
+  [[nodiscard]] static double slowdown_of(const replica_state& state, base::time_point now);
   void note_failure(const base::replica_id& id, base::time_point now);
   /// A call to it made no progress: it may be dark, which its connections do not show. It rests
   /// like one that could not be reached, so that the next prompt of the same kind is not lost on it
@@ -303,7 +304,7 @@
   state_map replicas_;
   replica_index index_;
   std::uint64_t records_compared_ = 0;
-  replica_lives lives_;
+  replica_incarnations lives_;
   std::vector<replica_restart> restarts_;
   std::map<base::replica_id, std::string> of_unknown_services_;
   replica_evidence evidence_;
--- a/src/replicas/replica_table_reports.cc
+++ b/src/replicas/replica_table_reports.cc
@@ -32,19 +32,19 @@
 
 } // namespace
 
-std::optional<replica_testimony> replica_table::own_testimony(const replica_state& state,
-                                                              base::time_point now) {
-  replica_testimony own;
+std::optional<replica_health_report> replica_table::own_health_report(const replica_state& state,
+                                                                      base::time_point now) {
+  replica_health_report own;
   own.good_calls = state.calls.good(now);
   own.bad_calls = state.calls.bad(now);
   own.seen_at = now;
   own.backs_off_until = state.backoff.until();
   const auto lost_at = std::max(state.silent_at, state.unreachable_at);
   const bool is_heard =
-      state.heard_at != base::time_point{} && now - state.heard_at < testimony_lifetime;
-  const bool disputes =
-      is_heard && state.told_lost_at != base::time_point{} && state.heard_at > state.told_lost_at;
-  const bool is_lost = lost_at > state.heard_at && now - lost_at < testimony_lifetime;
+      state.heard_at != base::time_point{} && now - state.heard_at < down_report_lifetime;
+  const bool disputes = is_heard && state.peer_reported_down_at != base::time_point{} &&
+                        state.heard_at > state.peer_reported_down_at;
+  const bool is_lost = lost_at > state.heard_at && now - lost_at < down_report_lifetime;
   if (!disputes && is_lost) {
     own.sign = lost_at == state.silent_at ? replica_sign::silent : replica_sign::unreachable;
     own.seen_at = lost_at;
@@ -63,9 +63,10 @@
   if (state == nullptr) {
     return false;
   }
-  const auto own = own_testimony(*state, now);
-  const bool own_vote = own && is_loss(own->sign) && own->seen_at > state->told_heard_at;
-  const auto heard_at = std::max(state->heard_at, state->told_heard_at);
+  const auto own = own_health_report(*state, now);
+  const bool own_vote =
+      own && means_down(own->sign) && own->seen_at > state->peer_reported_activity_at;
+  const auto heard_at = std::max(state->heard_at, state->peer_reported_activity_at);
   return evidence_.lost_votes(id, heard_at, now) + (own_vote ? 1 : 0) >= least_witnesses;
 }
 
@@ -81,16 +82,16 @@
 }
 
 void replica_table::take_in(const base::replica_id& id, const base::node_id& witness,
-                            const replica_testimony& said, base::time_point now) {
+                            const replica_health_report& said, base::time_point now) {
   auto* state = mutable_find(id);
   if (state == nullptr) {
     return;
   }
   evidence_.take_in(id, witness, said);
-  if (is_loss(said.sign)) {
-    state->told_lost_at = std::max(state->told_lost_at, said.seen_at);
+  if (means_down(said.sign)) {
+    state->peer_reported_down_at = std::max(state->peer_reported_down_at, said.seen_at);
   } else if (said.sign == replica_sign::well) {
-    state->told_heard_at = std::max(state->told_heard_at, said.seen_at);
+    state->peer_reported_activity_at = std::max(state->peer_reported_activity_at, said.seen_at);
   }
   learn_told_failures(*state, now);
   learn_told_backoffs(*state, now);
@@ -105,7 +106,7 @@
 
 void replica_table::learn_told_backoffs(replica_state& state, base::time_point now) const {
   const auto told = evidence_.backoffs(state.record->id, now);
-  state.told_backoff_load =
+  state.reported_backoff_load =
       std::min(most_load_of_told_backoffs, load_of_told_backoff * static_cast<double>(told.nodes));
   state.told_backoff_until = told.until;
 }
@@ -127,7 +128,7 @@
   for (const auto& other_id : failing) {
     const auto* other = find(other_id);
     if (other != nullptr && other != &state && compared < most_compared) {
-      others += told_share_now(other->told_failure_share, *other, now);
+      others += told_share_now(other->reported_failure_share, *other, now);
       ++compared;
     }
   }
@@ -136,14 +137,14 @@
                             static_cast<double>(std::max<std::size_t>(1, failing.size() - 1));
   const auto usual =
       others / sampled_part / static_cast<double>(std::max<std::size_t>(1, replicas - 1));
-  state.told_failure_share = evidence_.failure_share(id, state.calls, now);
+  state.reported_failure_share = evidence_.failure_share(id, state.calls, now);
   state.told_failures_at = now;
-  const double excess = state.told_failure_share - usual;
-  state.told_failure_excess = excess >= clear_excess ? excess : 0;
+  const double excess = state.reported_failure_share - usual;
+  state.reported_failure_excess = excess >= clear_excess ? excess : 0;
 }
 
 double replica_table::known_failure_share(const replica_state& state, base::time_point now) {
-  return std::max(state.failure_share, told_share_now(state.told_failure_excess, state, now));
+  return std::max(state.failure_share, told_share_now(state.reported_failure_excess, state, now));
 }
 
 bool replica_table::is_due_again(const replica_state& state, base::time_point now) {
--- a/src/replicas/replica_table_statements.cc
+++ b/src/replicas/replica_table_statements.cc
@@ -29,25 +29,26 @@
          statements_->departures().includes({state.record->id, state.process});
 }
 
-bool replica_table::may_be_sent(const replica_state& state, base::time_point now) const {
+bool replica_table::may_send_to(const replica_state& state, base::time_point now) const {
   return !says_it_leaves(state) && state.backoff.permits_call(state.in_flight, now) &&
          has_permit(state, now);
 }
 
-bool replica_table::rests_only_for_backoff(const replica_state& state, base::time_point now) const {
+bool replica_table::is_blocked_only_by_backoff(const replica_state& state,
+                                               base::time_point now) const {
   // Other rests, as after a refusal, may end before.
   const auto opens_at = std::max(now, state.backoff.until());
   return !state.backoff.permits_call(state.in_flight, now) && takes_calls(state, opens_at);
 }
 
-std::optional<base::duration> replica_table::time_to_opening(const replica_demand& demand,
-                                                             base::time_point now) const {
+std::optional<base::duration> replica_table::time_until_backoff_ends(const replica_demand& demand,
+                                                                     base::time_point now) const {
   std::optional<base::duration> least;
   if (!any_backoff(now)) {
     return least;
   }
   for (const auto* state : index_.of_service(demand.service)) {
-    if (rests_only_for_backoff(*state, now) && could_serve(demand, *state)) {
+    if (is_blocked_only_by_backoff(*state, now) && could_serve(demand, *state)) {
       const auto left =
           std::max<base::duration>(state->backoff.until() - now, base::duration::zero());
       least = std::min(least.value_or(left), left);
--- a/src/stage_work/shard_map.cc
+++ b/src/stage_work/shard_map.cc
@@ -112,12 +112,12 @@
     note(self_.zone, self_.processor_share);
   }
   for (const auto& [node, peer] : peers_->all()) {
-    if (peer_directory::is_fit(peer)) {
+    if (peer_directory::is_eligible(peer)) {
       note(peer.peer.zone, peer.peer.processor_share);
     }
   }
   for (const auto& [node, peer] : peers_->all()) {
-    if (peer_directory::is_fit(peer)) {
+    if (peer_directory::is_eligible(peer)) {
       consider(peer.peer);
     }
   }
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -343,7 +343,7 @@
     note_peers_changed();
   }
   note_life(*peer, message, now);
-  peers_.take_loads(*peer, message, now);
+  peers_.record_loads(*peer, message, now);
   for (const auto& wanted : message.wanted()) {
     take_wanted(sender, wanted, now);
   }
--- a/src/stage_work/stage_exchange_gatherers.cc
+++ b/src/stage_work/stage_exchange_gatherers.cc
@@ -46,7 +46,7 @@
   }
   const auto gathered_before = shards_.own_services();
   shards_.assign(*configuration_, stopping_);
-  greet(peers_.set_gatherers(shards_.gatherers(), now));
+  greet(peers_.set_batchers(shards_.gatherers(), now));
   for (const auto& [service, places] : gathered_before) {
     if (!shards_.own_services().contains(service) && shards_.has_shards_of(service)) {
       hand_over(service, now);
@@ -74,7 +74,7 @@
     const auto part = replicas_->limited_part(*replica, full_call);
     if (replicas_->is_available(*replica, now)) {
       usable.now += part;
-    } else if (replicas_->rests_only_for_backoff(*replica, now)) {
+    } else if (replicas_->is_blocked_only_by_backoff(*replica, now)) {
       usable.pausing += part;
       usable.opens_at = std::min(usable.opens_at, replica->backoff.until());
     }
@@ -146,7 +146,7 @@
                          load->second.of_zone() && peer_directory::has_fresh_loads(peer, now);
     const auto& zone = peer.peer.zone;
     // In the own zone this node's assignment decides: two gatherers would share the replicas.
-    if (gathers && zone != self_.zone && !is_assigned(node) && peer_directory::is_fit(peer) &&
+    if (gathers && zone != self_.zone && !is_assigned(node) && peer_directory::is_eligible(peer) &&
         replicas_->is_reachable(zone) && !replicas_->is_evacuated(zone)) {
       const auto replicas = static_cast<double>(load->second.replicas());
       found.push_back({node, regions_.neighbourhood_of(zone), zone, replicas, {}});
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -151,7 +151,7 @@
   switch (answer.how) {
   case stage_call_ended::result::answered:
     replicas_->note_success(replica, now);
-    note_pace(ended, now);
+    note_call_time(ended, now);
     for (std::size_t index = 0; index < ended.tickets.size(); ++index) {
       if (answer.pieces[index].fault == piece_fault::no_room) {
         note_no_room(ended, now);
@@ -195,11 +195,11 @@
   }
 }
 
-void stage_pool::note_pace(const open_call& ended, base::time_point now) {
+void stage_pool::note_call_time(const open_call& ended, base::time_point now) {
   const auto* capacity = capacity_of(ended.service);
   if (capacity != nullptr) {
-    replicas_->note_pace(ended.call.target.replica, now - ended.started,
-                         usual_time(*capacity, ended.tickets.size()), now);
+    replicas_->note_call_time(ended.call.target.replica, now - ended.started,
+                              usual_time(*capacity, ended.tickets.size()), now);
   }
 }
 
@@ -292,7 +292,7 @@
   for (const auto call : give_ups_.take_due(now)) {
     commands_.emplace_back(cancel_call{call});
     const auto replica = calls_.at(call).call.target.replica;
-    note_pace(calls_.at(call), now);
+    note_call_time(calls_.at(call), now);
     on_call_ended({call, stage_call_ended::result::failed, {}}, now);
     replicas_->note_unreachable(replica, now);
   }
@@ -345,14 +345,14 @@
     const auto calls = calls_at_.find(state->record->id);
     const auto under_way = calls == calls_at_.end() ? 0 : calls->second;
     const bool is_free = under_way < capacity.slots && may_take_any(*state, sets);
-    const bool may_be_sent = is_free && replicas_->may_be_sent(*state, now);
-    if (is_free && !may_be_sent) {
+    const bool may_send_to = is_free && replicas_->may_send_to(*state, now);
+    if (is_free && !may_send_to) {
       replicas_->note_waiting(state->record->id, 1, now);
     }
-    return !may_be_sent;
+    return !may_send_to;
   });
   std::stable_partition(found.begin(), found.end(), [&](const replica_state* state) {
-    return replica_table::slowness_of(*state, now) < slow;
+    return replica_table::slowdown_of(*state, now) < slow;
   });
   return found;
 }
@@ -410,7 +410,7 @@
               " wait, room taken " +
               std::to_string(static_cast<std::int64_t>(room_taken_[replica.record->id])));
   const auto usual = base::scaled(usual_time(capacity, open.tickets.size()),
-                                  replica_table::slowness_of(replica, now));
+                                  replica_table::slowdown_of(replica, now));
   give_ups_.set(open.call.call, now + base::scaled(usual, stall_factor) + stall_margin);
   commands_.emplace_back(open.call);
   replicas_->call_started(replica.record->id, now);
--- a/src/stage_work/stage_pool.h
+++ b/src/stage_work/stage_pool.h
@@ -263,7 +263,7 @@
   /// A replica refused a call: others call it too.
   void note_occupied(const open_call& ended, base::time_point now);
   /// Learns from a call how fast its replica is.
-  void note_pace(const open_call& ended, base::time_point now);
+  void note_call_time(const open_call& ended, base::time_point now);
   void end_call_account(const open_call& open);
   void take_answers(const open_call& ended, const stage_call_ended& answer, base::time_point now);
   void settle(piece_ticket ticket, const piece_outcome& outcome);
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -111,7 +111,7 @@
                        zone_outlooks outlooks, const model::piece_capacity& capacity,
                        base::time_point now) const {
   double room = free_room(replica.record->id, capacity, now);
-  const double slowness = replica_table::slowness_of(replica, now);
+  const double slowness = replica_table::slowdown_of(replica, now);
   const auto delay = slowness < slow
                          ? base::duration::zero()
                          : base::scaled(usual_time(capacity, capacity.batch), slowness - 1);
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -92,13 +92,13 @@
       ++one;
       continue;
     }
-    const bool may_be_sent = replica != nullptr && replicas_->may_be_sent(*replica, now);
-    if (replica != nullptr && !may_be_sent) {
+    const bool may_send_to = replica != nullptr && replicas_->may_send_to(*replica, now);
+    if (replica != nullptr && !may_send_to) {
       replicas_->note_waiting(one->first, 1, now);
       ++one;
       continue;
     }
-    if (may_be_sent) {
+    if (may_send_to) {
       if (replicas_->limit_of(*replica)) {
         // It counts as any request does, but no answer is awaited.
         replicas_->call_started(one->first, now);
--- a/tests/fleet_view/peer_directory_test.cc
+++ b/tests/fleet_view/peer_directory_test.cc
@@ -43,7 +43,7 @@
     others.push_back(far_peer(index));
   }
   subject.update(std::move(others));
-  subject.set_gatherers(gatherers, base::time_point{std::chrono::hours(1)});
+  subject.set_batchers(gatherers, base::time_point{std::chrono::hours(1)});
   return subject;
 }
 
@@ -78,7 +78,7 @@
       others.push_back(far_peer(index));
     }
     subject.update(std::move(others));
-    subject.set_gatherers(gatherers, base::time_point{std::chrono::hours(1)});
+    subject.set_batchers(gatherers, base::time_point{std::chrono::hours(1)});
     std::set<base::node_id> told;
     for (int round = 0; round < rounds_a_second; ++round) {
       for (const auto& node : subject.next_receivers(audience)) {
--- a/tests/platform_fleet/soak_fleet.h
+++ b/tests/platform_fleet/soak_fleet.h
@@ -120,7 +120,7 @@
   std::vector<std::unique_ptr<fleet::child_process>> proxies_;
   /// Address of the proxy of each link.
   std::map<std::string, std::string> proxy_of_link_;
-  replica_lives lives_;
+  replica_incarnations lives_;
   soak_ledger* ledger_;
   std::uint64_t version_ = 0;
 };
--- a/tests/platform_fleet/soak_replica.cc
+++ b/tests/platform_fleet/soak_replica.cc
@@ -103,21 +103,22 @@
 
 } // namespace
 
-void replica_lives::renew(const std::string& address) {
+void replica_incarnations::renew(const std::string& address) {
   const std::lock_guard lock(mutex_);
   auto& life = lives_[address];
   ++life.number;
   life.since = soak_clock::now();
 }
 
-replica_lives::life replica_lives::current(const std::string& address) const {
+replica_incarnations::life replica_incarnations::current(const std::string& address) const {
   const std::lock_guard lock(mutex_);
   const auto found = lives_.find(address);
   return found == lives_.end() ? life{} : found->second;
 }
 
 soak_replica::soak_replica(std::string id, std::string service, std::string zone,
-                           std::string published_address, replica_lives& lives, soak_ledger& ledger)
+                           std::string published_address, replica_incarnations& lives,
+                           soak_ledger& ledger)
     : id_(std::move(id)), service_(std::move(service)), zone_(std::move(zone)),
       published_address_(std::move(published_address)), lives_(&lives), ledger_(&ledger),
       born_milliseconds_(unix_milliseconds()),
--- a/tests/platform_fleet/soak_replica.h
+++ b/tests/platform_fleet/soak_replica.h
@@ -28,7 +28,7 @@
 };
 
 /// Which start of each replica runs: results die with the start that made them. Thread-safe.
-class replica_lives {
+class replica_incarnations {
  public:
   struct life {
     std::uint64_t number = 1;
@@ -50,7 +50,7 @@
  public:
   /// @param published_address under which callers reach it, and which handles of results name.
   soak_replica(std::string id, std::string service, std::string zone, std::string published_address,
-               replica_lives& lives, soak_ledger& ledger);
+               replica_incarnations& lives, soak_ledger& ledger);
 
   void set_mode(replica_mode mode) { mode_ = mode; }
   /// Names in its answers the requests a second that it takes from all callers; 0: names none.
@@ -102,7 +102,7 @@
   std::string service_;
   std::string zone_;
   std::string published_address_;
-  replica_lives* lives_;
+  replica_incarnations* lives_;
   soak_ledger* ledger_;
   std::atomic<replica_mode> mode_ = replica_mode::normal;
   std::atomic<unsigned> limit_ = 0;
--- a/tests/replicas/replica_evidence_test.cc
+++ b/tests/replicas/replica_evidence_test.cc
@@ -104,7 +104,7 @@
 
 BOOST_AUTO_TEST_CASE(words_expire) {
   say(0, "x", replica_sign::silent);
-  now += testimony_lifetime;
+  now += down_report_lifetime;
   say(0, "y", replica_sign::silent);
   BOOST_TEST(!table.is_lost(id(0), now));
 }
@@ -168,15 +168,15 @@
 
 BOOST_AUTO_TEST_CASE(a_replica_that_was_never_heard_is_not_reported_as_well) {
   table.note_unreachable(id(0), now);
-  const auto lost = replica_table::own_testimony(*table.find(id(0)), now);
+  const auto lost = replica_table::own_health_report(*table.find(id(0)), now);
   BOOST_REQUIRE(lost.has_value());
   BOOST_TEST((lost->sign == replica_sign::unreachable));
-  now += testimony_lifetime + seconds(1);
-  BOOST_TEST(!replica_table::own_testimony(*table.find(id(0)), now).has_value());
+  now += down_report_lifetime + seconds(1);
+  BOOST_TEST(!replica_table::own_health_report(*table.find(id(0)), now).has_value());
   table.note_success(id(0), now);
   const auto heard_at = now;
   now += seconds(1);
-  const auto well = replica_table::own_testimony(*table.find(id(0)), now);
+  const auto well = replica_table::own_health_report(*table.find(id(0)), now);
   BOOST_REQUIRE(well.has_value());
   BOOST_TEST((well->sign == replica_sign::well));
   BOOST_TEST((well->seen_at == heard_at));
--- a/tests/replicas/replica_lives_test.cc
+++ b/tests/replicas/replica_lives_test.cc
@@ -27,7 +27,7 @@
   record.zone = base::zone_id("a");
   record.slots = 4;
   if (started_at) {
-    record.life = model::replica_life{*started_at};
+    record.life = model::replica_incarnation{*started_at};
   }
   return record;
 }
@@ -84,7 +84,7 @@
 BOOST_AUTO_TEST_SUITE(replica_lives_test)
 
 BOOST_AUTO_TEST_CASE(another_start_under_the_same_id_is_a_restart) {
-  replica_lives lives;
+  replica_incarnations lives;
   BOOST_TEST(!lives.note_published(record_of("r", 1000, "a:1")).has_value());
   BOOST_TEST(!lives.note_published(record_of("r", 1000, "b:1")).has_value());
   const auto restart = lives.note_published(record_of("r", 500, "c:1"));
@@ -96,7 +96,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_replica_that_does_not_tell_its_life_goes_on_with_the_one_told_last) {
-  replica_lives lives;
+  replica_incarnations lives;
   BOOST_TEST(!lives.note_published(record_of("r", std::nullopt)).has_value());
   BOOST_TEST(!lives.note_published(record_of("r", 1000)).has_value());
   BOOST_TEST(!lives.note_published(record_of("r", std::nullopt)).has_value());
@@ -105,7 +105,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_life_is_remembered_for_a_while_after_the_entry_is_gone) {
-  replica_lives lives;
+  replica_incarnations lives;
   const base::time_point now{std::chrono::hours(1)};
   lives.note_published(record_of("r", 1000));
   lives.note_gone(base::replica_id("r"), now);
@@ -166,11 +166,11 @@
 
 BOOST_FIXTURE_TEST_CASE(failures_speed_and_load_are_those_of_one_life, reborn_table) {
   table.note_failure(r0, now);
-  table.note_pace(r0, seconds(9), seconds(1), now);
+  table.note_call_time(r0, seconds(9), seconds(1), now);
   table.note_load(r0, {50, 9, 4}, now);
   restart();
   BOOST_TEST(replica_table::failure_share_of(state(), now) == 0);
-  BOOST_TEST(replica_table::slowness_of(state(), now) == 1);
+  BOOST_TEST(replica_table::slowdown_of(state(), now) == 1);
   BOOST_TEST(!state().told.has_value());
   BOOST_TEST(replica_table::load_of(state(), now) == 0);
   BOOST_TEST(state().calls.bad(now) == 0);
@@ -195,7 +195,7 @@
   table.note_silent(r0, now);
   restart();
   BOOST_TEST(!table.has_changed());
-  BOOST_TEST(!replica_table::own_testimony(state(), now).has_value());
+  BOOST_TEST(!replica_table::own_health_report(state(), now).has_value());
 }
 
 BOOST_FIXTURE_TEST_CASE(the_bound_on_a_cold_replica_begins_anew, reborn_table) {
