--- a/src/engines/engine_chooser.cc
+++ b/src/engines/engine_chooser.cc
@@ -1,6 +1,6 @@
 #include "engines/engine_chooser.h"
 
-#include "replicas/region_spill.h"
+#include "replicas/region_spillover.h"
 
 #include <algorithm>
 #include <cstddef>
--- a/src/quarantine/crash_ledger.h
+++ b/src/quarantine/crash_ledger.h
@@ -9,7 +9,7 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "quarantine/request_digest.h"
-#include "replicas/replica_lives.h"
+#include "replicas/replica_incarnations.h"
 #include "serving/settings.h"
 
 #include <cstddef>
--- a/src/replicas/least_loaded_chooser.h
+++ b/src/replicas/least_loaded_chooser.h
@@ -3,7 +3,7 @@
 
 #include "base/random.h"
 #include "replicas/distance.h"
-#include "replicas/region_spill.h"
+#include "replicas/region_spillover.h"
 #include "replicas/replica_chooser.h"
 
 namespace spurrack::serving {
--- a/src/replicas/region_spill.cc
+++ b/src/replicas/region_spillover.cc
@@ -1,4 +1,4 @@
-#include "replicas/region_spill.h"
+#include "replicas/region_spillover.h"
 
 #include <algorithm>
 #include <optional>
--- a/src/replicas/replica_lives.cc
+++ b/src/replicas/replica_incarnations.cc
@@ -1,4 +1,4 @@
-#include "replicas/replica_lives.h"
+#include "replicas/replica_incarnations.h"
 
 #include "base/hashing.h"
 
--- a/tests/replicas/replica_lives_test.cc
+++ b/tests/replicas/replica_incarnations_test.cc
@@ -1,5 +1,5 @@
 /// What a node keeps of a replica ends with its life; entries that name no usable replica.
-#include "replicas/replica_lives.h"
+#include "replicas/replica_incarnations.h"
 
 #include "base/random.h"
 #include "model/residency.h"
