--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -110,9 +110,9 @@
                       .Name("spurrack_replica_calls_by_ring_total")
                       .Help("Requests sent to replicas, by how far these are from the node.")
                       .Register(registry);
-  for (std::size_t ring = 0; ring < model::ring_count; ++ring) {
-    by_ring.Add({{"ring", std::string(model::name_of(static_cast<model::ring>(ring)))}})
-        .Increment(static_cast<double>(counts.calls_by_ring[ring]));
+  for (std::size_t locality = 0; locality < model::locality_count; ++locality) {
+    by_ring.Add({{"ring", std::string(model::name_of(static_cast<model::locality>(locality)))}})
+        .Increment(static_cast<double>(counts.calls_by_locality[locality]));
   }
   add_count(registry, "spurrack_residency_refused_total",
             "Requests turned away because no region allowed to them could serve them.",
--- a/src/dispatch/dispatcher_residency.cc
+++ b/src/dispatch/dispatcher_residency.cc
@@ -51,14 +51,14 @@
 
 void dispatcher::note_way(const active_request& request, const replica_state& chosen,
                           base::time_point now) {
-  const auto ring = from_here_.ring_to(chosen.record->zone);
-  ++counters_.calls_by_ring[static_cast<std::size_t>(ring)];
+  const auto locality = from_here_.locality_of(chosen.record->zone);
+  ++counters_.calls_by_locality[static_cast<std::size_t>(locality)];
   if (!request.permitted_regions.is_restricted() || request.sent > 1) {
     return;
   }
   const auto nearer = replicas_.available(request.service, now);
   const bool is_kept = std::any_of(nearer.begin(), nearer.end(), [&](const auto* state) {
-    return from_here_.ring_to(state->record->zone) < ring;
+    return from_here_.locality_of(state->record->zone) < locality;
   });
   if (is_kept) {
     ++counters_.kept_from_nearer_by_residency;
--- a/src/engines/engine_chooser.cc
+++ b/src/engines/engine_chooser.cc
@@ -55,7 +55,7 @@
       without_prefix_(&without_prefix) {}
 
 bool engine_chooser::is_elsewhere(const replica_state& engine) const {
-  return from_here_.ring_to(engine.record->zone) == model::ring::elsewhere;
+  return from_here_.locality_of(engine.record->zone) == model::locality::elsewhere;
 }
 
 const replica_state* engine_chooser::soonest_home(const shared_beginning& beginning,
--- a/src/model/residency.cc
+++ b/src/model/residency.cc
@@ -32,13 +32,13 @@
   return regions_.value_or(std::set<base::region_id>());
 }
 
-std::string_view name_of(ring which) {
+std::string_view name_of(locality which) {
   switch (which) {
-  case ring::zone:
+  case locality::zone:
     return "zone";
-  case ring::region:
+  case locality::region:
     return "region";
-  case ring::elsewhere:
+  case locality::elsewhere:
     break;
   }
   return "elsewhere";
@@ -63,11 +63,12 @@
   return one == other || (region && region == region_of(other));
 }
 
-ring zone_regions::ring_between(const base::zone_id& one, const base::zone_id& other) const {
+locality zone_regions::locality_between(const base::zone_id& one,
+                                        const base::zone_id& other) const {
   if (one == other) {
-    return ring::zone;
+    return locality::zone;
   }
-  return same_region(one, other) ? ring::region : ring::elsewhere;
+  return same_region(one, other) ? locality::region : locality::elsewhere;
 }
 
 } // namespace spurrack::model
--- a/src/model/residency.h
+++ b/src/model/residency.h
@@ -42,14 +42,14 @@
 };
 
 /// How far a place is, nearest first.
-enum class ring : std::uint8_t {
+enum class locality : std::uint8_t {
   zone,      ///< The same zone.
   region,    ///< Another zone of the region.
   elsewhere, ///< Another region, or a zone whose region is not known.
 };
-inline constexpr std::size_t ring_count = 3;
+inline constexpr std::size_t locality_count = 3;
 /// @return the stable lower-case name, for metrics.
-std::string_view name_of(ring which);
+std::string_view name_of(locality which);
 
 /// What is near to itself: a region, or a zone whose region is not known. The two never compare
 /// equal, so that a zone is not taken for a region of the same name.
@@ -76,7 +76,8 @@
   /// @return whether both zones are of one region; a zone without region is near itself alone.
   [[nodiscard]] bool same_region(const base::zone_id& one, const base::zone_id& other) const;
   /// @return how far two zones are from one another.
-  [[nodiscard]] ring ring_between(const base::zone_id& one, const base::zone_id& other) const;
+  [[nodiscard]] locality locality_between(const base::zone_id& one,
+                                          const base::zone_id& other) const;
   /// @return whether both zones are known to lie in different regions. Where the settings name no
   ///         region, all zones are taken for one.
   [[nodiscard]] bool are_regions_apart(const base::zone_id& one, const base::zone_id& other) const;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -230,15 +230,15 @@
   return !serving_ || !settings_.serving->regions.are_regions_apart(own, zone);
 }
 
-model::ring node::reach_of(const base::network_address& peer) const {
+model::locality node::reach_of(const base::network_address& peer) const {
   const auto* zone = membership_.zone_at(peer);
   if (zone == nullptr) {
-    return model::ring::elsewhere;
+    return model::locality::elsewhere;
   }
   if (!settings_.serving) {
-    return *zone == settings_.self.zone ? model::ring::zone : model::ring::elsewhere;
+    return *zone == settings_.self.zone ? model::locality::zone : model::locality::elsewhere;
   }
-  return settings_.serving->regions.ring_between(settings_.self.zone, *zone);
+  return settings_.serving->regions.locality_between(settings_.self.zone, *zone);
 }
 
 void node::update_sharing() {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -56,7 +56,7 @@
 /// Bytes of one kind of message that went as far.
 struct control_flow {
   wire::envelope::BodyCase kind = wire::envelope::BODY_NOT_SET;
-  model::ring reach = model::ring::elsewhere;
+  model::locality reach = model::locality::elsewhere;
   auto operator<=>(const control_flow&) const = default;
 };
 
@@ -164,7 +164,7 @@
   /// @return whether a zone is of the own region; all are where the settings name no region.
   [[nodiscard]] bool is_near(const base::zone_id& zone) const;
   /// @return how far a peer is; `elsewhere` where it is not known yet.
-  [[nodiscard]] model::ring reach_of(const base::network_address& peer) const;
+  [[nodiscard]] model::locality reach_of(const base::network_address& peer) const;
   void update_sharing();
   void dispatch_message(const wire::envelope& message, base::time_point now);
   void on_backend_notice(const wire::backend_notice& notice, bool from_zone, base::time_point now);
--- a/src/replicas/distance.cc
+++ b/src/replicas/distance.cc
@@ -23,55 +23,55 @@
 } // namespace
 
 distance::distance(const base::zone_id& own_zone, const model::zone_regions& regions) {
-  near_[own_zone] = model::ring::zone;
+  near_[own_zone] = model::locality::zone;
   for (const auto& [zone, region] : regions.all()) {
-    const auto ring = regions.ring_between(own_zone, zone);
-    if (ring == model::ring::region) {
-      near_[zone] = ring;
+    const auto locality = regions.locality_between(own_zone, zone);
+    if (locality == model::locality::region) {
+      near_[zone] = locality;
     }
   }
 }
 
-model::ring distance::ring_to(const base::zone_id& zone) const {
+model::locality distance::locality_of(const base::zone_id& zone) const {
   const auto found = near_.find(zone);
-  return found == near_.end() ? model::ring::elsewhere : found->second;
+  return found == near_.end() ? model::locality::elsewhere : found->second;
 }
 
-double distance::load_cost(model::ring ring) {
-  switch (ring) {
-  case model::ring::zone:
+double distance::load_cost(model::locality locality) {
+  switch (locality) {
+  case model::locality::zone:
     return 0;
-  case model::ring::region:
+  case model::locality::region:
     return other_zone_load;
-  case model::ring::elsewhere:
+  case model::locality::elsewhere:
     return other_region_load;
   }
   return other_region_load;
 }
 
-double distance::carrying_seconds(model::ring ring, double bytes) {
+double distance::carrying_seconds(model::locality locality, double bytes) {
   const double megabytes = bytes / bytes_per_megabyte;
-  switch (ring) {
-  case model::ring::zone:
+  switch (locality) {
+  case model::locality::zone:
     return 0;
-  case model::ring::region:
+  case model::locality::region:
     return megabytes * other_zone_seconds_per_megabyte;
-  case model::ring::elsewhere:
+  case model::locality::elsewhere:
     break;
   }
   return megabytes * other_region_seconds_per_megabyte;
 }
 
-double distance::seconds(model::ring ring, double bytes) {
-  switch (ring) {
-  case model::ring::zone:
+double distance::seconds(model::locality locality, double bytes) {
+  switch (locality) {
+  case model::locality::zone:
     return 0;
-  case model::ring::region:
-    return other_zone_seconds + carrying_seconds(ring, bytes);
-  case model::ring::elsewhere:
+  case model::locality::region:
+    return other_zone_seconds + carrying_seconds(locality, bytes);
+  case model::locality::elsewhere:
     break;
   }
-  return other_region_seconds + carrying_seconds(ring, bytes);
+  return other_region_seconds + carrying_seconds(locality, bytes);
 }
 
 } // namespace spurrack::serving
--- a/src/replicas/least_loaded_chooser.cc
+++ b/src/replicas/least_loaded_chooser.cc
@@ -16,7 +16,7 @@
 
 double least_loaded_chooser::cost_of(const replica_state& state, base::time_point now) const {
   const double load = replica_table::load_of(state, now);
-  const double way = distance::load_cost(from_here_.ring_to(state.record->zone));
+  const double way = distance::load_cost(from_here_.locality_of(state.record->zone));
   return load + way + replica_table::failure_load(state, now);
 }
 
--- a/src/replicas/region_spillover.cc
+++ b/src/replicas/region_spillover.cc
@@ -56,7 +56,7 @@
   split_candidates found;
   const auto first_elsewhere =
       std::stable_partition(candidates.begin(), candidates.end(), [&](const auto* state) {
-        return from_here.ring_to(state->record->zone) != model::ring::elsewhere;
+        return from_here.locality_of(state->record->zone) != model::locality::elsewhere;
       });
   found.elsewhere.assign(first_elsewhere, candidates.end());
   candidates.erase(first_elsewhere, candidates.end());
@@ -69,7 +69,7 @@
     return candidates.near.empty();
   }
   const double beyond_way = heard_cost(candidates.near, least_heard_near, now).value_or(0) -
-                            distance::load_cost(model::ring::elsewhere);
+                            distance::load_cost(model::locality::elsewhere);
   if (beyond_way <= 0) {
     return false;
   }
--- a/src/serving/counters.h
+++ b/src/serving/counters.h
@@ -43,8 +43,8 @@
   std::map<unsigned, std::uint64_t> answers;
   latency_histogram first_byte;
   std::uint64_t calls = 0;
-  /// Calls by how far their replica is: `model::ring`.
-  std::array<std::uint64_t, model::ring_count> calls_by_ring{};
+  /// Calls by how far their replica is: `model::locality`.
+  std::array<std::uint64_t, model::locality_count> calls_by_locality{};
   /// Requests that no replica in the regions allowed could serve.
   std::uint64_t turned_away_by_residency = 0;
   /// Requests sent farther than a replica that was available outside the regions allowed.
--- a/src/stage_work/stage_exchange_gatherers.cc
+++ b/src/stage_work/stage_exchange_gatherers.cc
@@ -201,13 +201,13 @@
 
 double stage_exchange::distance_seconds(const gatherer& candidate, const base::zone_id& zone,
                                         double result_bytes) const {
-  auto ring = model::ring::zone;
+  auto locality = model::locality::zone;
   if (candidate.region != regions_.neighbourhood_of(zone)) {
-    ring = model::ring::elsewhere;
+    locality = model::locality::elsewhere;
   } else if (candidate.zone && *candidate.zone != zone) {
-    ring = model::ring::region;
+    locality = model::locality::region;
   }
-  return distance::seconds(ring, result_bytes);
+  return distance::seconds(locality, result_bytes);
 }
 
 std::optional<base::duration> stage_exchange::expected_wait(const service_demand& demand,
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -51,8 +51,8 @@
   if (*group.zone == zone || !has_own_zone) {
     return true;
   }
-  const auto ring = settings_.regions.ring_between(*group.zone, zone);
-  const double patience = distance::carrying_seconds(ring, group.carried_bytes);
+  const auto locality = settings_.regions.locality_between(*group.zone, zone);
+  const double patience = distance::carrying_seconds(locality, group.carried_bytes);
   if (base::to_seconds(now - group.submitted) >= patience) {
     return true;
   }
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -234,9 +234,9 @@
   hold_routes({"south"});
   arrive(2, "/safe/x");
   BOOST_TEST(subject.counts().kept_from_nearer_by_residency == 1U);
-  const auto& rings = subject.counts().calls_by_ring;
-  BOOST_TEST(rings[static_cast<std::size_t>(model::ring::zone)] == 1U);
-  BOOST_TEST(rings[static_cast<std::size_t>(model::ring::elsewhere)] == 1U);
+  const auto& rings = subject.counts().calls_by_locality;
+  BOOST_TEST(rings[static_cast<std::size_t>(model::locality::zone)] == 1U);
+  BOOST_TEST(rings[static_cast<std::size_t>(model::locality::elsewhere)] == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/replicas/distance_test.cc
+++ b/tests/replicas/distance_test.cc
@@ -17,7 +17,7 @@
 
 using namespace spurrack;
 using namespace spurrack::serving;
-using model::ring;
+using model::locality;
 
 namespace {
 
@@ -114,26 +114,28 @@
 
 BOOST_AUTO_TEST_CASE(rings_follow_zones_and_regions) {
   const distance from_a(base::zone_id("a"), two_regions());
-  BOOST_TEST((from_a.ring_to(base::zone_id("a")) == ring::zone));
-  BOOST_TEST((from_a.ring_to(base::zone_id("b")) == ring::region));
-  BOOST_TEST((from_a.ring_to(base::zone_id("c")) == ring::elsewhere));
-  BOOST_TEST((two_regions().ring_between(base::zone_id("c"), base::zone_id("d")) == ring::region));
+  BOOST_TEST((from_a.locality_of(base::zone_id("a")) == locality::zone));
+  BOOST_TEST((from_a.locality_of(base::zone_id("b")) == locality::region));
+  BOOST_TEST((from_a.locality_of(base::zone_id("c")) == locality::elsewhere));
+  BOOST_TEST(
+      (two_regions().locality_between(base::zone_id("c"), base::zone_id("d")) == locality::region));
 }
 
 BOOST_AUTO_TEST_CASE(a_zone_without_region_is_near_itself_alone) {
   const distance from_e(base::zone_id("e"), two_regions());
-  BOOST_TEST((from_e.ring_to(base::zone_id("e")) == ring::zone));
-  BOOST_TEST((from_e.ring_to(base::zone_id("a")) == ring::elsewhere));
-  BOOST_TEST((from_e.ring_to(base::zone_id("f")) == ring::elsewhere));
+  BOOST_TEST((from_e.locality_of(base::zone_id("e")) == locality::zone));
+  BOOST_TEST((from_e.locality_of(base::zone_id("a")) == locality::elsewhere));
+  BOOST_TEST((from_e.locality_of(base::zone_id("f")) == locality::elsewhere));
 }
 
 BOOST_AUTO_TEST_CASE(farther_rings_cost_more) {
   constexpr double megabyte = 1e6;
-  BOOST_TEST(distance::load_cost(ring::zone) < distance::load_cost(ring::region));
-  BOOST_TEST(distance::load_cost(ring::region) < distance::load_cost(ring::elsewhere));
-  BOOST_TEST(distance::seconds(ring::zone, megabyte) < distance::seconds(ring::region, megabyte));
-  BOOST_TEST(distance::seconds(ring::region, megabyte) <
-             distance::seconds(ring::elsewhere, megabyte));
+  BOOST_TEST(distance::load_cost(locality::zone) < distance::load_cost(locality::region));
+  BOOST_TEST(distance::load_cost(locality::region) < distance::load_cost(locality::elsewhere));
+  BOOST_TEST(distance::seconds(locality::zone, megabyte) <
+             distance::seconds(locality::region, megabyte));
+  BOOST_TEST(distance::seconds(locality::region, megabyte) <
+             distance::seconds(locality::elsewhere, megabyte));
 }
 
 BOOST_AUTO_TEST_CASE(a_shared_part_has_its_home_in_the_own_region) {
--- a/tests/replicas/region_spill_test.cc
+++ b/tests/replicas/region_spill_test.cc
@@ -49,13 +49,13 @@
   return model::zone_regions(std::move(regions));
 }
 
-base::duration way_of(model::ring ring) {
-  switch (ring) {
-  case model::ring::zone:
+base::duration way_of(model::locality locality) {
+  switch (locality) {
+  case model::locality::zone:
     return microseconds(100);
-  case model::ring::region:
+  case model::locality::region:
     return microseconds(500);
-  case model::ring::elsewhere:
+  case model::locality::elsewhere:
     break;
   }
   return milliseconds(12);
@@ -212,17 +212,17 @@
     const auto id = chosen->record->id;
     from.replicas.call_started(id, now_);
     auto& to = servers_.at(id);
-    const auto ring =
-        three_regions().ring_between(base::zone_id(zone_name(from.zone)), chosen->record->zone);
+    const auto locality =
+        three_regions().locality_between(base::zone_id(zone_name(from.zone)), chosen->record->zone);
     ++figures_.calls;
-    if (ring == model::ring::elsewhere) {
+    if (locality == model::locality::elsewhere) {
       ++figures_.elsewhere;
     }
     if (from.zone / 2 == 0) {
       const auto window = now_.time_since_epoch() / milliseconds(250);
       figures_.spilled[window] += to.zone / 2 == 0 ? 0 : 1;
     }
-    const sent_call made{number, id, now_, way_of(ring)};
+    const sent_call made{number, id, now_, way_of(locality)};
     at(now_ + made.way, [this, made] { take(made); });
   }
 
