--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -80,7 +80,7 @@
           self, replicas_, settings, [this] { return next_call_++; }, life, record_),
       stop_(settings.stop_takes) {
   replicas_.set_limits(limits_);
-  replicas_.set_statements(statements_);
+  replicas_.set_self_reports(statements_);
 }
 
 void dispatcher::set_peers(std::vector<fleet_peer> alive, std::size_t known) {
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -95,7 +95,7 @@
   ++request.sent;
   request.call = open_call{wanted.call,
                            chosen->record->id,
-                           end_of_life(*chosen->record),
+                           exit_id_of(*chosen->record),
                            now,
                            std::nullopt,
                            std::nullopt,
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -113,7 +113,7 @@
   if (state == nullptr) {
     return;
   }
-  const auto end = end_of_life(*state->record);
+  const auto end = exit_id_of(*state->record);
   const auto ended_at = crash_ledger_.find_end(end);
   if (ended_at && now - *ended_at >= withdrawal_time && crash_ledger_.withdraw(end, now)) {
     record_(base::event_kind::request_cleared, {}, replica.text(),
--- a/src/dispatch/dispatcher_places.cc
+++ b/src/dispatch/dispatcher_places.cc
@@ -45,7 +45,7 @@
   if (!limits_.any()) {
     return;
   }
-  auto limited = replicas_.short_of_permits(demand_of(request), now);
+  auto limited = replicas_.candidates_without_permit(demand_of(request), now);
   if (request.graph) {
     // Elsewhere its results would have to be carried, so that a permit there is of no use.
     std::erase_if(limited,
@@ -60,7 +60,7 @@
   const auto& queue = awaiting_places_.at(service);
   // What the first in the queue may use, the others may, but for regions and tried replicas.
   const auto limited =
-      replicas_.short_of_permits(demand_of(active_.at(queue.begin()->client)), now);
+      replicas_.candidates_without_permit(demand_of(active_.at(queue.begin()->client)), now);
   if (limited.empty()) {
     return;
   }
@@ -87,7 +87,7 @@
   if (const auto opening = replicas_.time_until_backoff_ends(demand, now)) {
     least = wait_behind(request.service, *opening, ahead, now);
   }
-  const auto limited = replicas_.short_of_permits(demand, now);
+  const auto limited = replicas_.candidates_without_permit(demand, now);
   if (!limited.empty()) {
     const auto wait = expected_permit_wait(request.service, limited, ahead, now);
     least = std::min(least.value_or(wait), wait);
@@ -140,7 +140,7 @@
 }
 
 bool dispatcher::refuse_without_outlook(active_request& request, base::time_point now) {
-  const bool all_take_any = !limits_.any() && !replicas_.any_backoff(now);
+  const bool all_take_any = !limits_.any() && !replicas_.has_backoffs(now);
   if (all_take_any || !request.graph) {
     return false;
   }
--- a/src/dispatch/dispatcher_replica_lives.cc
+++ b/src/dispatch/dispatcher_replica_lives.cc
@@ -50,7 +50,7 @@
     auto& request = active_.at(client);
     const bool shows_events = request.latest_event_at > request.call->started &&
                               now - request.latest_event_at < life_confirm_time;
-    if (!shows_events && replicas_.is_at_earlier_life(replica, request.call->started)) {
+    if (!shows_events && replicas_.is_at_earlier_incarnation(replica, request.call->started)) {
       leave_earlier_life(request, now);
     } else {
       request.tried.insert(replica);
--- a/src/dispatch/dispatcher_residency.cc
+++ b/src/dispatch/dispatcher_residency.cc
@@ -26,10 +26,10 @@
     switch (replicas_.presence_of(service, allowed)) {
     case replica_presence::none:
       return residency_refusal{"no replica of " + service + " in the regions allowed", false};
-    case replica_presence::takes_none:
+    case replica_presence::accepts_none:
       return residency_refusal{"no replica of " + service + " takes work in the regions allowed",
                                true};
-    case replica_presence::takes_work:
+    case replica_presence::accepts_work:
       break;
     }
   }
--- a/src/dispatch/dispatcher_second_chances.cc
+++ b/src/dispatch/dispatcher_second_chances.cc
@@ -148,7 +148,7 @@
 
 bool dispatcher::is_silent(const active_request& request) const {
   const auto shown_at = std::max(request.call->started, request.latest_event_at);
-  return !replicas_.was_heard_after(request.call->replica, shown_at);
+  return !replicas_.was_active_after(request.call->replica, shown_at);
 }
 
 /// Answers wait in the sockets of a process that wakes. Without this every call under way is taken
--- a/src/dispatch/dispatcher_stages.cc
+++ b/src/dispatch/dispatcher_stages.cc
@@ -179,7 +179,8 @@
   if (request.permitted_regions.permits(settings_.regions.region_of(self_.zone))) {
     return self_.zone;
   }
-  return replicas_.some_zone_of(request.service, request.permitted_regions).value_or(self_.zone);
+  return replicas_.any_accepting_zone(request.service, request.permitted_regions)
+      .value_or(self_.zone);
 }
 
 } // namespace spurrack::serving
--- a/src/dispatch/dispatcher_statements.cc
+++ b/src/dispatch/dispatcher_statements.cc
@@ -56,12 +56,12 @@
   if (state == nullptr) {
     return std::nullopt;
   }
-  return replica_statements::published_replica{state->record->zone, life_mark_of(*state->record),
-                                               state->process};
+  return replica_statements::published_replica{
+      state->record->zone, incarnation_fingerprint_of(*state->record), state->process};
 }
 
 void dispatcher::on(const statement_heard& what, base::time_point now) {
-  replicas_.note_statement(what, now);
+  replicas_.note_self_report(what, now);
   record_statements();
 }
 
--- a/src/dispatch/replica_news.cc
+++ b/src/dispatch/replica_news.cc
@@ -93,10 +93,10 @@
     said.set_sign(to_wire(own.sign));
     said.set_calls(rounded(own.bad_calls));
     said.set_good_calls(rounded(own.good_calls));
-    said.set_life_mark(life_mark_of(*replicas_->find(id)->record));
+    said.set_life_mark(incarnation_fingerprint_of(*replicas_->find(id)->record));
     said.set_age_milliseconds(static_cast<std::uint32_t>(base::to_milliseconds(now - own.seen_at)));
     said.set_backoff_milliseconds(static_cast<std::uint32_t>(
-        std::max<std::int64_t>(0, base::to_milliseconds(own.backs_off_until - now))));
+        std::max<std::int64_t>(0, base::to_milliseconds(own.backoff_ends_at - now))));
   }
   return news;
 }
@@ -124,7 +124,7 @@
   if (state == nullptr) {
     return false;
   }
-  const auto known = life_mark_of(*state->record);
+  const auto known = incarnation_fingerprint_of(*state->record);
   const auto told = said.life_mark();
   return known != 0 && told != 0 && known != told;
 }
--- a/src/fleet_view/peer_directory.cc
+++ b/src/fleet_view/peer_directory.cc
@@ -161,14 +161,14 @@
 
 bool peer_directory::check_silence(peer_state& peer, base::time_point now) {
   peer.known_since = peer.known_since.value_or(now);
-  if (peer.silent_since || !is_overdue(peer, now)) {
+  if (peer.unresponsive_since || !is_overdue(peer, now)) {
     return false;
   }
   give_up(peer.peer.node, now);
   return true;
 }
 
-bool peer_directory::update_silence(base::time_point now) {
+bool peer_directory::update_responsiveness(base::time_point now) {
   bool changed = false;
   if (is_small_fleet()) {
     for (auto& [node, peer] : peers_) {
@@ -181,9 +181,9 @@
   }
   std::erase_if(silent_, [&](const base::node_id& node) {
     auto& peer = peers_.at(node);
-    const bool tried_again = now - *peer.silent_since >= retrial_time;
+    const bool tried_again = now - *peer.unresponsive_since >= retrial_time;
     if (tried_again) {
-      peer.silent_since.reset();
+      peer.unresponsive_since.reset();
       changed = true;
     }
     return tried_again;
@@ -193,9 +193,9 @@
 
 bool peer_directory::note_heard(peer_state& peer, base::time_point now) {
   peer.heard = now;
-  const bool was_silent = peer.silent_since.has_value();
+  const bool was_silent = peer.unresponsive_since.has_value();
   if (was_silent) {
-    peer.silent_since.reset();
+    peer.unresponsive_since.reset();
     silent_.erase(peer.peer.node);
   }
   return was_silent;
@@ -207,7 +207,7 @@
     return;
   }
   peer.loads.clear();
-  peer.sent_since.clear();
+  peer.sent_since_report.clear();
   peer.loads_told_at = now;
   bool gathers = false;
   for (const auto& load : message.loads()) {
@@ -222,14 +222,14 @@
 }
 
 void peer_directory::give_up(const base::node_id& node, base::time_point now) {
-  if (auto* peer = find(node); peer != nullptr && !peer->silent_since) {
-    peer->silent_since = now;
+  if (auto* peer = find(node); peer != nullptr && !peer->unresponsive_since) {
+    peer->unresponsive_since = now;
     silent_.insert(node);
   }
 }
 
 bool peer_directory::is_eligible(const peer_state& peer) {
-  return !peer.silent_since && !peer.leaving;
+  return !peer.unresponsive_since && !peer.leaving;
 }
 
 bool peer_directory::has_fresh_loads(const peer_state& peer, base::time_point now) {
--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -35,7 +35,7 @@
   std::optional<base::time_point> known_since;
   std::optional<base::time_point> heard;
   /// It did not answer or report, since then.
-  std::optional<base::time_point> silent_since;
+  std::optional<base::time_point> unresponsive_since;
   /// Start of the peer's process; 0 before it was heard.
   std::uint64_t life = 0;
   /// It stops, and takes no more work.
@@ -46,7 +46,7 @@
   /// When the loads were told.
   base::time_point loads_told_at;
   /// Pieces sent to it since it told its load, by service.
-  std::map<std::string, std::uint32_t> sent_since;
+  std::map<std::string, std::uint32_t> sent_since_report;
 };
 
 /// Who is told of a node's load.
@@ -74,7 +74,7 @@
                                           base::time_point now);
   /// Marks the peers that were silent for too long, and gives others another chance.
   /// @return whether any changed.
-  bool update_silence(base::time_point now);
+  bool update_responsiveness(base::time_point now);
   /// Takes note of a message. @return whether the peer was silent before.
   bool note_heard(peer_state& peer, base::time_point now);
   /// Takes over the loads that a peer told.
@@ -128,6 +128,6 @@
 };
 
 /// How often a node tells others of itself.
-inline constexpr base::duration load_report_period = std::chrono::milliseconds(200);
+inline constexpr base::duration load_report_interval = std::chrono::milliseconds(200);
 
 } // namespace spurrack::serving
--- a/src/replicas/cold_limit.cc
+++ b/src/replicas/cold_limit.cc
@@ -18,7 +18,8 @@
 
 } // namespace
 
-cold_share cold_share_of(const cold_bounds& bounds, double requests_per_second, bool sole_caller) {
+cold_call_quota cold_call_quota_of(const cold_bounds& bounds, double requests_per_second,
+                                   bool sole_caller) {
   const double planned = (requests_per_second * bounds.factor + bounds.allowance) / most_views;
   // In any second a caller sends the request it had saved up and what its rate brings.
   const double callers = sole_caller ? 1 : std::clamp(planned / 2, 1.0, most_callers);
@@ -34,16 +35,16 @@
   }
 }
 
-double cold_bucket::level(const cold_share& share, base::time_point now) const {
+double cold_bucket::level(const cold_call_quota& share, base::time_point now) const {
   const double gained = base::to_seconds(now - filled_at_) * share.rate;
   return std::min(1.0, tokens_ + gained);
 }
 
-bool cold_bucket::has_token(const cold_share& share, base::time_point now) const {
+bool cold_bucket::has_token(const cold_call_quota& share, base::time_point now) const {
   return begun_ && level(share, now) >= 1;
 }
 
-void cold_bucket::take(const cold_share& share, base::time_point now) {
+void cold_bucket::take(const cold_call_quota& share, base::time_point now) {
   tokens_ = level(share, now) - 1;
   filled_at_ = now;
 }
--- a/src/replicas/cold_limit.h
+++ b/src/replicas/cold_limit.h
@@ -21,7 +21,7 @@
 namespace spurrack::serving {
 
 /// What one node may send a cold replica.
-struct cold_share {
+struct cold_call_quota {
   /// Nodes that may call the replica.
   std::size_t callers = 1;
   /// Requests a second of each of them.
@@ -30,8 +30,8 @@
 
 /// @param requests_per_second what the replica's service bears while cold.
 /// @param sole_caller a single node calls the replica anyhow.
-[[nodiscard]] cold_share cold_share_of(const cold_bounds& bounds, double requests_per_second,
-                                       bool sole_caller);
+[[nodiscard]] cold_call_quota cold_call_quota_of(const cold_bounds& bounds,
+                                                 double requests_per_second, bool sole_caller);
 
 /// Requests that may be sent at once: one, gathered at the rate of a share. Empty at first, so that
 /// a node that restarts again and again gains nothing.
@@ -39,11 +39,11 @@
  public:
   /// The replica turned cold; a bucket that fills already goes on.
   void begin(base::time_point now);
-  [[nodiscard]] bool has_token(const cold_share& share, base::time_point now) const;
-  void take(const cold_share& share, base::time_point now);
+  [[nodiscard]] bool has_token(const cold_call_quota& share, base::time_point now) const;
+  void take(const cold_call_quota& share, base::time_point now);
 
  private:
-  [[nodiscard]] double level(const cold_share& share, base::time_point now) const;
+  [[nodiscard]] double level(const cold_call_quota& share, base::time_point now) const;
 
   double tokens_ = 0;
   base::time_point filled_at_;
--- a/src/replicas/distance.cc
+++ b/src/replicas/distance.cc
@@ -49,7 +49,7 @@
   return other_region_load;
 }
 
-double distance::carrying_seconds(model::locality locality, double bytes) {
+double distance::transfer_seconds(model::locality locality, double bytes) {
   const double megabytes = bytes / bytes_per_megabyte;
   switch (locality) {
   case model::locality::zone:
@@ -67,11 +67,11 @@
   case model::locality::zone:
     return 0;
   case model::locality::region:
-    return other_zone_seconds + carrying_seconds(locality, bytes);
+    return other_zone_seconds + transfer_seconds(locality, bytes);
   case model::locality::elsewhere:
     break;
   }
-  return other_region_seconds + carrying_seconds(locality, bytes);
+  return other_region_seconds + transfer_seconds(locality, bytes);
 }
 
 } // namespace spurrack::serving
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -28,7 +28,7 @@
   ///         chosen, in parts of its slots.
   [[nodiscard]] static double load_cost(model::locality locality);
   /// @return what carrying bytes there or back costs, in seconds of waiting.
-  [[nodiscard]] static double carrying_seconds(model::locality locality, double bytes);
+  [[nodiscard]] static double transfer_seconds(model::locality locality, double bytes);
   /// @param bytes carried there or back.
   /// @return what work in the ring costs beside its wait, in seconds of waiting.
   [[nodiscard]] static double seconds(model::locality locality, double bytes);
--- a/src/replicas/replica_backoff.cc
+++ b/src/replicas/replica_backoff.cc
@@ -28,7 +28,7 @@
   if (is_active(now)) {
     return false;
   }
-  const bool starts_slowly = slow_start_ && now < until_ + slow_start_time;
+  const bool starts_slowly = slow_start_ && now < until_ + slow_start_duration;
   return !starts_slowly || in_flight < slow_start_->earlier_calls + slow_start_->allowed;
 }
 
@@ -39,7 +39,7 @@
   slow_start_->allowed = std::min(slow_start_->allowed + calls_per_answer, std::max(1U, slots));
 }
 
-void replica_backoff::note_turned_away() {
+void replica_backoff::note_rejected() {
   if (slow_start_) {
     slow_start_->allowed = 1;
   }
--- a/src/replicas/replica_backoff.h
+++ b/src/replicas/replica_backoff.h
@@ -14,7 +14,7 @@
 namespace spurrack::serving {
 
 /// So long after a pause the calls under way are bounded.
-inline constexpr base::duration slow_start_time = std::chrono::seconds(10);
+inline constexpr base::duration slow_start_duration = std::chrono::seconds(10);
 
 /// Not thread-safe.
 class replica_backoff {
@@ -31,12 +31,12 @@
   /// An answer came that asks for no pause. @param call_began when its call was made.
   void note_answer(base::time_point call_began, std::uint32_t slots);
   /// The replica turned a call away without asking for a pause: calls begin with one again.
-  void note_turned_away();
+  void note_rejected();
   /// A call ended. @param in_flight those that are left.
   void note_call_ended(std::uint32_t in_flight);
 
   /// @return whether a pause was ever asked for.
-  [[nodiscard]] bool was_asked() const { return until_ != base::time_point{}; }
+  [[nodiscard]] bool was_requested() const { return until_ != base::time_point{}; }
   /// @return when the latest pause was asked for, and when it ends; a time before the first pause.
   [[nodiscard]] base::time_point asked_at() const { return asked_at_; }
   [[nodiscard]] base::time_point until() const { return until_; }
--- a/src/replicas/replica_evidence.cc
+++ b/src/replicas/replica_evidence.cc
@@ -62,9 +62,9 @@
     return told;
   }
   for (const auto& [witness, said] : found->second) {
-    if (said.backs_off_until > now) {
+    if (said.backoff_ends_at > now) {
       ++told.nodes;
-      told.until = std::max(told.until, said.backs_off_until);
+      told.until = std::max(told.until, said.backoff_ends_at);
     }
   }
   return told;
--- a/src/replicas/replica_evidence.h
+++ b/src/replicas/replica_evidence.h
@@ -46,7 +46,7 @@
   /// When it was seen, by the clock of this node.
   base::time_point seen_at;
   /// The replica asked that node for a pause until then.
-  base::time_point backs_off_until{};
+  base::time_point backoff_ends_at{};
 };
 
 /// How long a node's report that a replica is lost counts: longer troubles are reported again.
--- a/src/replicas/replica_incarnations.cc
+++ b/src/replicas/replica_incarnations.cc
@@ -45,17 +45,17 @@
   });
 }
 
-replica_end end_of_life(const model::replica& record) {
+replica_end exit_id_of(const model::replica& record) {
   const auto start = record.life ? record.life->started_at_milliseconds : 0;
   return base::stable_hash(record.id.text(), start);
 }
 
-std::uint32_t process_mark_of(const model::replica& record) {
-  const auto hash = base::stable_hash(record.address.text(), end_of_life(record));
+std::uint32_t process_fingerprint_of(const model::replica& record) {
+  const auto hash = base::stable_hash(record.address.text(), exit_id_of(record));
   return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(hash));
 }
 
-std::uint32_t life_mark_of(const model::replica& record) {
+std::uint32_t incarnation_fingerprint_of(const model::replica& record) {
   return record.life
              ? static_cast<std::uint32_t>(1 + record.life->started_at_milliseconds % mark_count)
              : 0;
--- a/src/replicas/replica_incarnations.h
+++ b/src/replicas/replica_incarnations.h
@@ -44,14 +44,14 @@
 
 /// Names the end of one life of a replica: a hash of its id and its start, equal on all nodes.
 using replica_end = std::uint64_t;
-[[nodiscard]] replica_end end_of_life(const model::replica& record);
+[[nodiscard]] replica_end exit_id_of(const model::replica& record);
 
 /// @return a short mark of a replica's life for messages between nodes: equal for equal lives, 0
 ///         where the replica does not tell its life.
-[[nodiscard]] std::uint32_t life_mark_of(const model::replica& record);
+[[nodiscard]] std::uint32_t incarnation_fingerprint_of(const model::replica& record);
 
 /// @return a mark of the process of a replica for messages between nodes, never 0: it differs for
 ///         another start under the same id, and for another address.
-[[nodiscard]] std::uint32_t process_mark_of(const model::replica& record);
+[[nodiscard]] std::uint32_t process_fingerprint_of(const model::replica& record);
 
 } // namespace spurrack::serving
--- a/src/replicas/replica_state.h
+++ b/src/replicas/replica_state.h
@@ -58,7 +58,7 @@
   base::time_point told_failures_at;
   /// Load that it is taken to have besides, since it asked other nodes for pauses, and until when.
   double reported_backoff_load = 0;
-  base::time_point told_backoff_until;
+  base::time_point reported_backoff_until;
   /// It rests until then because others found it lost, not this node.
   base::time_point ejected_until;
   /// After a rest it is given one request until it is heard, or until this time. Calls with pieces
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -153,7 +153,8 @@
   }
 }
 
-bool replica_table::is_at_earlier_life(const base::replica_id& id, base::time_point began) const {
+bool replica_table::is_at_earlier_incarnation(const base::replica_id& id,
+                                              base::time_point began) const {
   const auto* state = find(id);
   return state != nullptr && state->restart_seen_at && began <= state->earlier_calls_until;
 }
@@ -185,8 +186,8 @@
   evacuated_ = zones;
 }
 
-bool replica_table::takes_work(const replica_state& state) const {
-  return !state.record->draining && !state.left && !says_it_leaves(state) &&
+bool replica_table::accepts_work(const replica_state& state) const {
+  return !state.record->draining && !state.left && !has_announced_drain(state) &&
          !evacuated_.contains(state.record->zone);
 }
 
@@ -199,10 +200,10 @@
   return service != nullptr && service->cold_requests_per_second > 0 ? service : nullptr;
 }
 
-cold_share replica_table::cold_share_of(const model::service& service) const {
+cold_call_quota replica_table::cold_call_quota_of(const model::service& service) const {
   // One gatherer calls a replica that works on pieces.
-  return serving::cold_share_of(settings_.cold, service.cold_requests_per_second,
-                                service.pieces.has_value());
+  return serving::cold_call_quota_of(settings_.cold, service.cold_requests_per_second,
+                                     service.pieces.has_value());
 }
 
 bool replica_table::bears_request(const replica_state& state, base::time_point now) const {
@@ -210,7 +211,7 @@
   if (service == nullptr) {
     return true;
   }
-  const auto share = cold_share_of(*service);
+  const auto share = cold_call_quota_of(*service);
   const auto& record = *state.record;
   const bool may_call =
       service->pieces || cold_callers_.includes_self(record.id, record.zone, share.callers);
@@ -233,11 +234,11 @@
 }
 
 bool replica_table::is_available(const replica_state& state, base::time_point now) const {
-  return takes_calls(state, now) && !state.backoff.is_active(now) && limit_of(state) != 0;
+  return accepts_calls(state, now) && !state.backoff.is_active(now) && limit_of(state) != 0;
 }
 
-bool replica_table::takes_calls(const replica_state& state, base::time_point now) const {
-  return takes_work(state) && state.paused_until <= now && is_reachable(state.record->zone) &&
+bool replica_table::accepts_calls(const replica_state& state, base::time_point now) const {
+  return accepts_work(state) && state.paused_until <= now && is_reachable(state.record->zone) &&
          bears_request(state, now);
 }
 
@@ -250,8 +251,9 @@
                                                         bool ignore_pauses) const {
   std::vector<const replica_state*> found;
   for (const auto* state : index_.of_service(demand.service)) {
-    const bool usable_now = ignore_pauses ? takes_work(*state) && bears_request(*state, now)
-                                          : takes_calls(*state, now) && state->probed_until <= now;
+    const bool usable_now = ignore_pauses
+                                ? accepts_work(*state) && bears_request(*state, now)
+                                : accepts_calls(*state, now) && state->probed_until <= now;
     if (usable_now && could_serve(demand, *state) && may_send_to(*state, now)) {
       found.push_back(state);
     }
@@ -267,7 +269,7 @@
     return {in_doubt};
   }
   // A replica that is well and takes a request soon goes before those that rest after failures.
-  const bool takes_soon = found.empty() && (!short_of_permits(demand, now).empty() ||
+  const bool takes_soon = found.empty() && (!candidates_without_permit(demand, now).empty() ||
                                             time_until_backoff_ends(demand, now).has_value());
   return found.empty() && !takes_soon ? usable(demand, now, true) : found;
 }
@@ -277,17 +279,18 @@
   auto presence = replica_presence::none;
   for (const auto* state : index_.of_service(service)) {
     if (permits(allowed, *state)) {
-      presence = std::max(presence, takes_work(*state) ? replica_presence::takes_work
-                                                       : replica_presence::takes_none);
+      presence = std::max(presence, accepts_work(*state) ? replica_presence::accepts_work
+                                                         : replica_presence::accepts_none);
     }
   }
   return presence;
 }
 
-std::optional<base::zone_id> replica_table::some_zone_of(const std::string& service,
-                                                         const model::residency& allowed) const {
+std::optional<base::zone_id>
+replica_table::any_accepting_zone(const std::string& service,
+                                  const model::residency& allowed) const {
   for (const auto* state : index_.of_service(service)) {
-    if (permits(allowed, *state) && takes_work(*state)) {
+    if (permits(allowed, *state) && accepts_work(*state)) {
       return state->record->zone;
     }
   }
@@ -311,7 +314,7 @@
         static_cast<double>(state.in_flight) - static_cast<double>(state.in_flight_when_told);
     calls = std::max(calls, told + own_since);
   }
-  const double told_backoffs = state.told_backoff_until > now ? state.reported_backoff_load : 0;
+  const double told_backoffs = state.reported_backoff_until > now ? state.reported_backoff_load : 0;
   return calls / std::max(1U, state.record->slots) + told_backoffs;
 }
 
@@ -319,7 +322,7 @@
                                                            base::time_point now) const {
   std::vector<const replica_state*> found;
   for (const auto* state : index_.of_service(service)) {
-    if (takes_calls(*state, now)) {
+    if (accepts_calls(*state, now)) {
       found.push_back(state);
     }
   }
@@ -341,7 +344,7 @@
     state->probed_until = now + probe_time;
   }
   if (const auto* service = cold_service_of(*state, now)) {
-    state->cold_sends.take(cold_share_of(*service), now);
+    state->cold_sends.take(cold_call_quota_of(*service), now);
   }
   if (limits_ != nullptr) {
     limits_->note_sent(id, now);
@@ -388,7 +391,7 @@
   }
 }
 
-bool replica_table::was_heard_after(const base::replica_id& id, base::time_point when) const {
+bool replica_table::was_active_after(const base::replica_id& id, base::time_point when) const {
   const auto* state = find(id);
   return state != nullptr && std::max(state->heard_at, state->peer_reported_activity_at) > when;
 }
@@ -452,7 +455,7 @@
 void replica_table::note_full(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
     state->paused_until = std::max(state->paused_until, now + settings_.full_pause);
-    state->backoff.note_turned_away();
+    state->backoff.note_rejected();
   }
 }
 
@@ -462,7 +465,7 @@
     const auto rest =
         base::from_seconds(base::to_seconds(usual) * (least_occupied_calls + random_->unit()));
     state->paused_until = std::max<base::time_point>(state->paused_until, now + rest);
-    state->backoff.note_turned_away();
+    state->backoff.note_rejected();
   }
 }
 
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -44,9 +44,9 @@
 
 /// Whether a request that is held to some regions can be served there.
 enum class replica_presence : std::uint8_t {
-  none,       ///< No replica of the service is published there.
-  takes_none, ///< Those that are take no work now: they drain, have left or are evacuated.
-  takes_work, ///< Some replica may be given work, if not at this moment.
+  none,         ///< No replica of the service is published there.
+  accepts_none, ///< Those that are take no work now: they drain, have left or are evacuated.
+  accepts_work, ///< Some replica may be given work, if not at this moment.
 };
 
 using published_replicas = std::map<base::replica_id, std::shared_ptr<const model::replica>>;
@@ -73,14 +73,15 @@
     return std::exchange(restarts_, {});
   }
   /// @return whether a call that began then is at a life of the replica that is over.
-  [[nodiscard]] bool is_at_earlier_life(const base::replica_id& id, base::time_point began) const;
+  [[nodiscard]] bool is_at_earlier_incarnation(const base::replica_id& id,
+                                               base::time_point began) const;
   void set_configuration(std::shared_ptr<const model::serving_configuration> configuration);
   /// Has replicas get no more than they name; without it none is limited.
   /// @param limits must outlive the table.
   void set_limits(rate_limits::limit_exchange& limits) { limits_ = &limits; }
   /// Has all nodes know what replicas say of themselves; without it this is not told.
   /// @param statements must outlive the table.
-  void set_statements(replica_statements::statement_exchange& statements) {
+  void set_self_reports(replica_statements::statement_exchange& statements) {
     statements_ = &statements;
   }
   /// Nodes that are alive, this one among them, by zone.
@@ -119,8 +120,8 @@
   [[nodiscard]] replica_presence presence_of(const std::string& service,
                                              const model::residency& allowed) const;
   /// @return the zone of some replica of a service that takes work where a request may run.
-  [[nodiscard]] std::optional<base::zone_id> some_zone_of(const std::string& service,
-                                                          const model::residency& allowed) const;
+  [[nodiscard]] std::optional<base::zone_id>
+  any_accepting_zone(const std::string& service, const model::residency& allowed) const;
   /// Replicas of a service that take calls, own zone first; `may_send_to` says which may be called
   /// now.
   [[nodiscard]] std::vector<const replica_state*> available(const std::string& service,
@@ -141,17 +142,18 @@
   [[nodiscard]] std::optional<double> limit_of(const replica_state& state) const;
   /// @return what a replica takes of calls that last so long, in parts of what it took if it named
   ///         no limit and ran one after another.
-  [[nodiscard]] double limited_part(const replica_state& state, base::duration call_time) const;
+  [[nodiscard]] double limited_capacity_fraction(const replica_state& state,
+                                                 base::duration call_time) const;
   /// @return available replicas that could serve a request but for their limit.
-  [[nodiscard]] std::vector<const replica_state*> short_of_permits(const replica_demand& demand,
-                                                                   base::time_point now) const;
+  [[nodiscard]] std::vector<const replica_state*>
+  candidates_without_permit(const replica_demand& demand, base::time_point now) const;
   /// @return whether a replica takes calls but for the pause that it asked for, or the slow start
   ///         after it.
   [[nodiscard]] bool is_blocked_only_by_backoff(const replica_state& state,
                                                 base::time_point now) const;
   /// @return whether some replica asked for a pause that lasts, or calls to it begin again slowly.
-  [[nodiscard]] bool any_backoff(base::time_point now) const {
-    return now < latest_backoff_end_ + slow_start_time;
+  [[nodiscard]] bool has_backoffs(base::time_point now) const {
+    return now < latest_backoff_end_ + slow_start_duration;
   }
   /// @return the time until some replica that could serve a request, but asked for a pause, may be
   ///         sent one; zero where calls to it begin again slowly, nothing where there is none.
@@ -166,9 +168,9 @@
 
   void call_started(const base::replica_id& id, base::time_point now);
   /// The head of an answer says something of its replica. What an earlier life said is passed over.
-  void note_statement(const statement_heard& heard, base::time_point now);
+  void note_self_report(const statement_heard& heard, base::time_point now);
   /// @return whether a process of a replica said that it leaves, to this node or another.
-  [[nodiscard]] bool says_it_leaves(const replica_state& state) const;
+  [[nodiscard]] bool has_announced_drain(const replica_state& state) const;
   /// @return pauses that were asked for since the last call.
   [[nodiscard]] std::vector<backoff_change> take_backoff_changes() {
     return std::exchange(backoff_changes_, {});
@@ -186,7 +188,7 @@
   void note_silent(const base::replica_id& id, base::time_point now);
   /// @return whether this node, or another that reported it, heard anything of a replica after
   ///         `when`.
-  [[nodiscard]] bool was_heard_after(const base::replica_id& id, base::time_point when) const;
+  [[nodiscard]] bool was_active_after(const base::replica_id& id, base::time_point when) const;
 
   /// Takes in what another node says of a replica. Where two nodes found it lost and nothing was
   /// heard of it since, it rests, unless too many of its service rest already for that reason.
@@ -252,19 +254,19 @@
   find_limit_in_doubt(const std::vector<const replica_state*>& candidates,
                       const replica_demand& demand, base::time_point now) const;
   /// @return whether a replica takes calls that are expected to arrive, whatever its limit.
-  [[nodiscard]] bool takes_calls(const replica_state& state, base::time_point now) const;
+  [[nodiscard]] bool accepts_calls(const replica_state& state, base::time_point now) const;
   /// @return the share of calls that failed, from own calls and from reports of others.
   [[nodiscard]] static double known_failure_share(const replica_state& state, base::time_point now);
   /// @return whether a replica is tried again whatever calls to it have shown.
   [[nodiscard]] static bool is_due_again(const replica_state& state, base::time_point now);
   /// @return whether a replica may be given anything at all.
-  [[nodiscard]] bool takes_work(const replica_state& state) const;
+  [[nodiscard]] bool accepts_work(const replica_state& state) const;
   /// @return the service that bounds what a replica gets while it is cold; null where the replica
   ///         is warm or its service has no such bound.
   [[nodiscard]] const model::service* cold_service_of(const replica_state& state,
                                                       base::time_point now) const;
   /// @return the share of each caller of a cold replica of the service.
-  [[nodiscard]] cold_share cold_share_of(const model::service& service) const;
+  [[nodiscard]] cold_call_quota cold_call_quota_of(const model::service& service) const;
   /// @return whether a replica is warm, or cold and this node may send it a request now.
   [[nodiscard]] bool bears_request(const replica_state& state, base::time_point now) const;
   static void turn_cold(replica_state& state, base::duration cold_for, base::time_point now);
--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -21,7 +21,8 @@
   return limits_ == nullptr ? std::nullopt : limits_->book().limit_of(state.record->id);
 }
 
-double replica_table::limited_part(const replica_state& state, base::duration call_time) const {
+double replica_table::limited_capacity_fraction(const replica_state& state,
+                                                base::duration call_time) const {
   const auto limit = limit_of(state);
   return limit ? std::min(1.0, *limit * base::to_seconds(call_time)) : 1;
 }
@@ -33,15 +34,15 @@
   }
 }
 
-std::vector<const replica_state*> replica_table::short_of_permits(const replica_demand& demand,
-                                                                  base::time_point now) const {
+std::vector<const replica_state*>
+replica_table::candidates_without_permit(const replica_demand& demand, base::time_point now) const {
   std::vector<const replica_state*> found;
   if (limits_ == nullptr || !limits_->any()) {
     return found;
   }
   for (const auto* state : index_.of_service(demand.service)) {
     const bool is_limited = limits_->book().limit_of(state->record->id).has_value();
-    if (is_limited && takes_calls(*state, now) && could_serve(demand, *state) &&
+    if (is_limited && accepts_calls(*state, now) && could_serve(demand, *state) &&
         !has_permit(*state, now)) {
       found.push_back(state);
     }
--- a/src/replicas/replica_table_reports.cc
+++ b/src/replicas/replica_table_reports.cc
@@ -38,7 +38,7 @@
   own.good_calls = state.calls.good(now);
   own.bad_calls = state.calls.bad(now);
   own.seen_at = now;
-  own.backs_off_until = state.backoff.until();
+  own.backoff_ends_at = state.backoff.until();
   const auto lost_at = std::max(state.silent_at, state.unreachable_at);
   const bool is_heard =
       state.heard_at != base::time_point{} && now - state.heard_at < down_report_lifetime;
@@ -108,7 +108,7 @@
   const auto told = evidence_.backoffs(state.record->id, now);
   state.reported_backoff_load =
       std::min(most_load_of_told_backoffs, load_of_told_backoff * static_cast<double>(told.nodes));
-  state.told_backoff_until = told.until;
+  state.reported_backoff_until = told.until;
 }
 
 double replica_table::told_share_now(double told, const replica_state& state,
--- a/src/replicas/replica_table_statements.cc
+++ b/src/replicas/replica_table_statements.cc
@@ -8,7 +8,7 @@
 namespace spurrack::serving {
 
 void replica_table::note_process(replica_state& state) {
-  const auto process = process_mark_of(*state.record);
+  const auto process = process_fingerprint_of(*state.record);
   if (state.process != process) {
     state.process = process;
     state.backoff = {};
@@ -24,13 +24,13 @@
   }
 }
 
-bool replica_table::says_it_leaves(const replica_state& state) const {
+bool replica_table::has_announced_drain(const replica_state& state) const {
   return statements_ != nullptr && !statements_->departures().empty() &&
          statements_->departures().includes({state.record->id, state.process});
 }
 
 bool replica_table::may_send_to(const replica_state& state, base::time_point now) const {
-  return !says_it_leaves(state) && state.backoff.permits_call(state.in_flight, now) &&
+  return !has_announced_drain(state) && state.backoff.permits_call(state.in_flight, now) &&
          has_permit(state, now);
 }
 
@@ -38,13 +38,13 @@
                                                base::time_point now) const {
   // Other rests, as after a refusal, may end before.
   const auto opens_at = std::max(now, state.backoff.until());
-  return !state.backoff.permits_call(state.in_flight, now) && takes_calls(state, opens_at);
+  return !state.backoff.permits_call(state.in_flight, now) && accepts_calls(state, opens_at);
 }
 
 std::optional<base::duration> replica_table::time_until_backoff_ends(const replica_demand& demand,
                                                                      base::time_point now) const {
   std::optional<base::duration> least;
-  if (!any_backoff(now)) {
+  if (!has_backoffs(now)) {
     return least;
   }
   for (const auto* state : index_.of_service(demand.service)) {
@@ -57,9 +57,9 @@
   return least;
 }
 
-void replica_table::note_statement(const statement_heard& heard, base::time_point now) {
+void replica_table::note_self_report(const statement_heard& heard, base::time_point now) {
   auto* state = mutable_find(heard.replica);
-  if (state == nullptr || is_at_earlier_life(heard.replica, heard.call_began)) {
+  if (state == nullptr || is_at_earlier_incarnation(heard.replica, heard.call_began)) {
     return;
   }
   if (statements_ != nullptr) {
--- a/src/stage_work/shard_map.cc
+++ b/src/stage_work/shard_map.cc
@@ -74,9 +74,9 @@
   for (const auto* state : replicas_->of_service(service)) {
     ++looks_;
     const auto& record = *state->record;
-    const bool takes_work = !record.draining && !replicas_->says_it_leaves(*state) &&
-                            !replicas_->is_evacuated(record.zone);
-    if (takes_work) {
+    const bool accepts_work = !record.draining && !replicas_->has_announced_drain(*state) &&
+                              !replicas_->is_evacuated(record.zone);
+    if (accepts_work) {
       by_zone[record.zone].push_back(state);
     }
   }
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -154,7 +154,7 @@
     return;
   }
   placed.holder = *chosen;
-  ++peers_.find(*chosen)->sent_since[placed.work.service];
+  ++peers_.find(*chosen)->sent_since_report[placed.work.service];
   auto& wanted = *message_to(*chosen).add_wanted();
   wanted.set_ticket(ticket);
   wanted.set_request(placed.work.request.text());
@@ -184,7 +184,7 @@
       continue;
     }
     const auto* peer = peers_.find(placed.holder);
-    if (peer == nullptr || peer->silent_since) {
+    if (peer == nullptr || peer->unresponsive_since) {
       move(ticket, placed, now);
     } else if (placed.confirmed_at) {
       ask_or_move(ticket, placed, now);
@@ -236,7 +236,7 @@
   for (const auto& handle : handles) {
     const auto known = result_holders_.find(handle);
     const auto* holder = known == result_holders_.end() ? nullptr : peers_.find(known->second);
-    if (holder == nullptr || holder->silent_since) {
+    if (holder == nullptr || holder->unresponsive_since) {
       // Any node may free a result; its holder forgets it when it expires.
       pool_.release(handle);
     } else {
@@ -469,7 +469,7 @@
   if (now < next_load_report_ || !configuration_) {
     return;
   }
-  next_load_report_ = now + load_report_period;
+  next_load_report_ = now + load_report_interval;
   const auto receivers = peers_.next_receivers(audience());
   if (receivers.empty()) {
     return;
--- a/src/stage_work/stage_exchange_gatherers.cc
+++ b/src/stage_work/stage_exchange_gatherers.cc
@@ -20,7 +20,7 @@
 void stage_exchange::refresh(base::time_point now) {
   if (now >= next_refresh_) {
     next_refresh_ = now + refresh_period;
-    if (peers_.update_silence(now)) {
+    if (peers_.update_responsiveness(now)) {
       note_peers_changed();
     }
     // Replicas that change in a row are taken in together.
@@ -71,7 +71,7 @@
     if (replica == nullptr) {
       continue;
     }
-    const auto part = replicas_->limited_part(*replica, full_call);
+    const auto part = replicas_->limited_capacity_fraction(*replica, full_call);
     if (replicas_->is_available(*replica, now)) {
       usable.now += part;
     } else if (replicas_->is_blocked_only_by_backoff(*replica, now)) {
@@ -174,7 +174,8 @@
             static_cast<double>(told->second.waiting_past_due()),
             static_cast<double>(told->second.calls_under_way()), told->second.drain_rate()};
   }
-  if (const auto sent = peer->sent_since.find(service); sent != peer->sent_since.end()) {
+  if (const auto sent = peer->sent_since_report.find(service);
+      sent != peer->sent_since_report.end()) {
     load.waiting += sent->second;
   }
   return load;
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -219,7 +219,7 @@
   std::vector<base::call_id> over;
   for (const auto& [call, open] : calls_) {
     if (open.call.target.replica == replica &&
-        replicas_->is_at_earlier_life(replica, open.started)) {
+        replicas_->is_at_earlier_incarnation(replica, open.started)) {
       over.push_back(call);
     }
   }
@@ -229,7 +229,8 @@
   }
   std::vector<std::string> gone;
   for (const auto& [handle, result] : results_) {
-    if (result.replica == replica && replicas_->is_at_earlier_life(replica, result.begun_at)) {
+    if (result.replica == replica &&
+        replicas_->is_at_earlier_incarnation(replica, result.begun_at)) {
       gone.push_back(handle);
     }
   }
@@ -383,7 +384,7 @@
   open_call open;
   open.service = name;
   open.started = now;
-  open.life_end = end_of_life(*replica.record);
+  open.life_end = exit_id_of(*replica.record);
   open.call.call = next_call_();
   open.call.target = {replica.record->id, replica.record->address};
   for (const auto& position : batch) {
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -52,7 +52,7 @@
     return true;
   }
   const auto locality = settings_.regions.locality_between(*group.zone, zone);
-  const double patience = distance::carrying_seconds(locality, group.carried_bytes);
+  const double patience = distance::transfer_seconds(locality, group.carried_bytes);
   if (base::to_seconds(now - group.submitted) >= patience) {
     return true;
   }
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -57,11 +57,11 @@
   const auto* replica = replicas_->find_at(maker);
   // Nothing is sent to an evacuated zone, nor to a replica that leaves; what lies there expires.
   if (replica == nullptr || replicas_->is_evacuated(replica->record->zone) ||
-      replicas_->says_it_leaves(*replica)) {
+      replicas_->has_announced_drain(*replica)) {
     return;
   }
   // The pump asks whether something may be sent now.
-  if (replicas_->limit_of(*replica) || replica->backoff.was_asked()) {
+  if (replicas_->limit_of(*replica) || replica->backoff.was_requested()) {
     unfreed_[replica->record->id].push_back(handle);
     return;
   }
@@ -84,7 +84,7 @@
 void stage_pool::free_where_permitted(bool only_short_of_room, base::time_point now) {
   for (auto one = unfreed_.begin(); one != unfreed_.end();) {
     const auto* replica = replicas_->find(one->first);
-    if (replica != nullptr && replicas_->says_it_leaves(*replica)) {
+    if (replica != nullptr && replicas_->has_announced_drain(*replica)) {
       one = unfreed_.erase(one);
       continue;
     }
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -64,7 +64,7 @@
     auto& said = *news.add_evidence();
     said.set_replica(replica);
     said.set_sign(sign);
-    said.set_life_mark(started_at == 0 ? 0 : life_mark_of(life));
+    said.set_life_mark(started_at == 0 ? 0 : incarnation_fingerprint_of(life));
     subject.handle_peer(base::node_id(witness), news, now);
   }
 };
@@ -222,7 +222,7 @@
       mark = message.message.replica_news().evidence(0).life_mark();
     }
   }
-  BOOST_TEST(mark == life_mark_of(*state("plain-a").record));
+  BOOST_TEST(mark == incarnation_fingerprint_of(*state("plain-a").record));
   BOOST_TEST(mark != 0U);
 }
 
--- a/tests/rate_limits/limit_policies_test.cc
+++ b/tests/rate_limits/limit_policies_test.cc
@@ -51,7 +51,7 @@
 class few_callers final : public policy {
  public:
   few_callers(std::size_t nodes, double limit, base::time_point now)
-      : share_(serving::cold_share_of({1, 0}, limit, false)), buckets_(nodes) {
+      : share_(serving::cold_call_quota_of({1, 0}, limit, false)), buckets_(nodes) {
     std::vector<base::node_id> names;
     for (std::size_t node = 0; node < nodes; ++node) {
       names.push_back(name_of(node));
@@ -74,7 +74,7 @@
   }
 
  private:
-  serving::cold_share share_;
+  serving::cold_call_quota share_;
   std::vector<serving::cold_callers> callers_;
   std::vector<serving::cold_bucket> buckets_;
 };
@@ -99,7 +99,7 @@
   }
 
  private:
-  serving::cold_share share_;
+  serving::cold_call_quota share_;
   std::vector<serving::cold_bucket> buckets_;
 };
 
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -83,7 +83,7 @@
   std::size_t learned = 0;
   for (const auto& node : fleet.nodes) {
     const auto& state = *node.subject->replicas().find(fleet.replicas[0].id);
-    learned += state.told_backoff_until > fleet.now && state.reported_backoff_load > 0;
+    learned += state.reported_backoff_until > fleet.now && state.reported_backoff_load > 0;
   }
   BOOST_TEST(learned >= 4U);
   // They go on themselves, and stop believing it when the pauses are over.
--- a/tests/replicas/cold_limit_test.cc
+++ b/tests/replicas/cold_limit_test.cc
@@ -56,7 +56,7 @@
 
   /// Each node tries every 10 ms, in an order drawn anew. @return most that arrived in a second.
   std::size_t most_in_a_second(base::duration span) {
-    const auto share = cold_share_of(bounds, bearable_rate, false);
+    const auto share = cold_call_quota_of(bounds, bearable_rate, false);
     std::deque<base::time_point> sent;
     std::size_t most = 0;
     for (const auto end = now + span; now < end; now += milliseconds(10)) {
@@ -91,7 +91,7 @@
 BOOST_AUTO_TEST_CASE(a_share_of_the_bound_uses_half_of_it) {
   for (const double rate : {0.5, 2.0, 6.7, 40.0}) {
     for (const auto& bound : {cold_bounds{1, 0}, cold_bounds{1.5, 5}, cold_bounds{2, 20}}) {
-      const auto share = cold_share_of(bound, rate, false);
+      const auto share = cold_call_quota_of(bound, rate, false);
       const double whole = rate * bound.factor + bound.allowance;
       BOOST_TEST(share.callers >= 1U);
       if (whole >= 4) {
@@ -148,7 +148,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_node_that_restarts_again_and_again_gains_nothing) {
-  const auto share = cold_share_of(bounds, bearable_rate, false);
+  const auto share = cold_call_quota_of(bounds, bearable_rate, false);
   base::time_point now{std::chrono::hours(1)};
   for (int life = 0; life < 20; ++life) {
     cold_bucket sends;
@@ -163,7 +163,7 @@
   // The policy weighed against the one that stands: all nodes call, each at its part of the rate.
   // Buckets that have filled up are spent at once when everybody wants the same replica.
   const auto most_of = [](std::size_t size) {
-    const cold_share share{size, bearable_rate / static_cast<double>(size)};
+    const cold_call_quota share{size, bearable_rate / static_cast<double>(size)};
     base::time_point now{std::chrono::hours(1)};
     std::vector<cold_bucket> buckets(size);
     std::size_t sent = 0;
--- a/tests/replicas/replica_backoff_test.cc
+++ b/tests/replicas/replica_backoff_test.cc
@@ -40,7 +40,7 @@
 BOOST_AUTO_TEST_CASE(a_time_of_zero_asks_for_nothing) {
   replica_backoff backoff;
   BOOST_TEST(!backoff.ask(base::duration::zero(), 0, begin));
-  BOOST_TEST(!backoff.was_asked());
+  BOOST_TEST(!backoff.was_requested());
   BOOST_TEST(backoff.permits_call(100, begin));
 }
 
@@ -94,15 +94,15 @@
   backoff.ask(seconds(1), 0, begin);
   const auto open = begin + seconds(1);
   backoff.note_answer(open, slots);
-  backoff.note_turned_away();
+  backoff.note_rejected();
   BOOST_TEST(!backoff.permits_call(1, open));
 }
 
 BOOST_AUTO_TEST_CASE(calls_are_bounded_for_some_seconds_only) {
   replica_backoff backoff;
   backoff.ask(seconds(1), 0, begin);
-  BOOST_TEST(!backoff.permits_call(1, begin + seconds(1) + slow_start_time - milliseconds(1)));
-  BOOST_TEST(backoff.permits_call(100, begin + seconds(1) + slow_start_time));
+  BOOST_TEST(!backoff.permits_call(1, begin + seconds(1) + slow_start_duration - milliseconds(1)));
+  BOOST_TEST(backoff.permits_call(100, begin + seconds(1) + slow_start_duration));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/replicas/replica_incarnations_test.cc
+++ b/tests/replicas/replica_incarnations_test.cc
@@ -117,11 +117,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(marks_tell_lives_apart) {
-  BOOST_TEST(life_mark_of(record_of("r", std::nullopt)) == 0U);
-  const auto mark = life_mark_of(record_of("r", 1'790'000'000'123));
-  BOOST_TEST(mark == life_mark_of(record_of("other", 1'790'000'000'123)));
-  BOOST_TEST(mark != life_mark_of(record_of("r", 1'790'000'000'124)));
-  BOOST_TEST(mark != life_mark_of(record_of("r", 1'790'000'060'123)));
+  BOOST_TEST(incarnation_fingerprint_of(record_of("r", std::nullopt)) == 0U);
+  const auto mark = incarnation_fingerprint_of(record_of("r", 1'790'000'000'123));
+  BOOST_TEST(mark == incarnation_fingerprint_of(record_of("other", 1'790'000'000'123)));
+  BOOST_TEST(mark != incarnation_fingerprint_of(record_of("r", 1'790'000'000'124)));
+  BOOST_TEST(mark != incarnation_fingerprint_of(record_of("r", 1'790'000'060'123)));
   BOOST_TEST(mark != 0U);
   BOOST_TEST(mark < (1U << 21U));
 }
@@ -174,7 +174,7 @@
   BOOST_TEST(!state().told.has_value());
   BOOST_TEST(replica_table::load_of(state(), now) == 0);
   BOOST_TEST(state().calls.bad(now) == 0);
-  BOOST_TEST(!table.was_heard_after(r0, {}));
+  BOOST_TEST(!table.was_active_after(r0, {}));
 }
 
 BOOST_FIXTURE_TEST_CASE(what_others_said_of_one_life_is_no_evidence_on_the_next, reborn_table) {
@@ -232,14 +232,14 @@
 
 BOOST_FIXTURE_TEST_CASE(calls_begun_before_the_news_are_at_the_earlier_life, reborn_table) {
   const auto began = now;
-  BOOST_TEST(!table.is_at_earlier_life(r0, began));
+  BOOST_TEST(!table.is_at_earlier_incarnation(r0, began));
   now += seconds(1);
   restart();
-  BOOST_TEST(table.is_at_earlier_life(r0, began));
+  BOOST_TEST(table.is_at_earlier_incarnation(r0, began));
   now += milliseconds(1);
-  BOOST_TEST(!table.is_at_earlier_life(r0, now));
-  BOOST_TEST(!table.is_at_earlier_life(base::replica_id("r1"), began));
-  BOOST_TEST(!table.is_at_earlier_life(base::replica_id("nobody"), began));
+  BOOST_TEST(!table.is_at_earlier_incarnation(r0, now));
+  BOOST_TEST(!table.is_at_earlier_incarnation(base::replica_id("r1"), began));
+  BOOST_TEST(!table.is_at_earlier_incarnation(base::replica_id("nobody"), began));
 }
 
 BOOST_FIXTURE_TEST_CASE(calls_after_it_came_back_unlisted_are_at_the_new_life, reborn_table) {
@@ -252,8 +252,8 @@
   table.note_heard(r0, now);
   now += seconds(2);
   restart();
-  BOOST_TEST(table.is_at_earlier_life(r0, at_old_life));
-  BOOST_TEST(!table.is_at_earlier_life(r0, at_new_life));
+  BOOST_TEST(table.is_at_earlier_incarnation(r0, at_old_life));
+  BOOST_TEST(!table.is_at_earlier_incarnation(r0, at_new_life));
 }
 
 BOOST_FIXTURE_TEST_CASE(a_break_of_long_ago_says_nothing_of_a_restart, reborn_table) {
@@ -263,7 +263,7 @@
   now += minutes(1);
   const auto began = now;
   restart();
-  BOOST_TEST(table.is_at_earlier_life(r0, began));
+  BOOST_TEST(table.is_at_earlier_incarnation(r0, began));
 }
 
 BOOST_FIXTURE_TEST_CASE(one_that_was_gone_from_the_list_comes_back_in_another_life, reborn_table) {
@@ -272,7 +272,7 @@
   now += seconds(20);
   restart();
   BOOST_TEST(table.take_restarts().size() == 1U);
-  BOOST_TEST(table.is_at_earlier_life(r0, now - seconds(1)));
+  BOOST_TEST(table.is_at_earlier_incarnation(r0, now - seconds(1)));
 }
 
 BOOST_FIXTURE_TEST_CASE(one_that_was_gone_from_the_list_comes_back_in_the_same_life, reborn_table) {
