--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -221,8 +221,8 @@
         replicas.push_back(
             json::object{{"replica", id.text()},
                          {"why", "asked for a pause"},
-                         {"since_ms", base::to_milliseconds(now - state.backoff.asked_at())},
-                         {"left_ms", base::to_milliseconds(state.backoff.until() - now)},
+                         {"since_ms", base::to_milliseconds(now - state.backoff.requested_at())},
+                         {"left_ms", base::to_milliseconds(state.backoff.ends_at() - now)},
                          {"said_by", "the replica"}});
       }
     }
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -102,7 +102,7 @@
                            std::nullopt,
                            {}};
   clients_at_[chosen->record->id].insert(request.client);
-  const bool runs_at_once = !chosen->told || chosen->told->waiting == 0;
+  const bool runs_at_once = !chosen->reported_load || chosen->reported_load->waiting == 0;
   if (!wanted.inputs.empty() && runs_at_once &&
       settings_.input_fetch_time > base::duration::zero()) {
     request.call->inputs_fetched_at = now + settings_.input_fetch_time;
@@ -202,7 +202,7 @@
                                  base::time_point now) {
   const auto call = close_call(request);
   if (head.misdirected) {
-    replicas_.note_left(call.replica);
+    replicas_.note_replaced(call.replica);
     note_replica_ended(call.replica, "another process has its address", now);
   } else {
     replicas_.note_full(call.replica, now);
@@ -221,13 +221,13 @@
 void dispatcher::note_heard(open_call& call, base::time_point now) {
   if (call.heard_at == base::time_point{} || now - call.heard_at >= heard_note_period) {
     call.heard_at = now;
-    replicas_.note_heard(call.replica, now);
+    replicas_.note_activity(call.replica, now);
   }
 }
 
 void dispatcher::note_answer(const base::replica_id& replica, const answer_head& head,
                              base::time_point now) {
-  replicas_.note_heard(replica, now);
+  replicas_.note_activity(replica, now);
   if (!head.misdirected) {
     withdraw_end(replica, now);
   }
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -27,7 +27,7 @@
                                 replica_end life_end, base::time_point now) {
   const auto* state = replicas_.find(replica);
   // One that leaves as planned ends too, and no request is to blame.
-  if (state == nullptr || state->record->draining || state->left) {
+  if (state == nullptr || state->record->draining || state->is_replaced) {
     return;
   }
   if (crash_watch_.note_lost_call(replica, {digest_of(request), {life_end, now, replica}}, now)) {
--- a/src/dispatch/dispatcher_replica_lives.cc
+++ b/src/dispatch/dispatcher_replica_lives.cc
@@ -95,7 +95,7 @@
 }
 
 void dispatcher::report_unknown_services() {
-  const auto& unknown = replicas_.of_unknown_services();
+  const auto& unknown = replicas_.replicas_of_unknown_services();
   for (const auto& [id, service] : unknown) {
     const auto reported = unknown_services_.find(id);
     if (reported == unknown_services_.end() || reported->second != service) {
--- a/src/dispatch/dispatcher_residency.cc
+++ b/src/dispatch/dispatcher_residency.cc
@@ -56,7 +56,7 @@
   if (!request.permitted_regions.is_restricted() || request.sent > 1) {
     return;
   }
-  const auto nearer = replicas_.available(request.service, now);
+  const auto nearer = replicas_.accepting_calls(request.service, now);
   const bool is_kept = std::any_of(nearer.begin(), nearer.end(), [&](const auto* state) {
     return from_here_.locality_of(state->record->zone) < locality;
   });
--- a/src/dispatch/dispatcher_second_chances.cc
+++ b/src/dispatch/dispatcher_second_chances.cc
@@ -170,7 +170,7 @@
 void dispatcher::on_stalled(active_request& request, base::time_point now) {
   const bool silent = is_silent(request);
   if (silent) {
-    replicas_.note_silent(request.call->replica, now);
+    replicas_.note_unresponsive(request.call->replica, now);
   }
   if (request.route->may_repeat() && has_attempt_left(request, now)) {
     take_up_elsewhere(request, now);
@@ -181,7 +181,7 @@
     end_at_earlier_life(request, now);
     return;
   }
-  if (!silent || !replicas_.is_lost(call.replica, now)) {
+  if (!silent || !replicas_.is_declared_down(call.replica, now)) {
     call.found_lost_at.reset();
   } else if (!call.found_lost_at) {
     call.found_lost_at = now;
--- a/src/dispatch/dispatcher_stages.cc
+++ b/src/dispatch/dispatcher_stages.cc
@@ -132,7 +132,7 @@
 
 bool dispatcher::is_lost(const std::string& handle, base::time_point now) const {
   const auto* maker = replicas_.find_at(maker_of(handle));
-  return maker == nullptr || maker->left || maker->paused_until > now;
+  return maker == nullptr || maker->is_replaced || maker->paused_until > now;
 }
 
 void dispatcher::remake_final_inputs(active_request& request, base::time_point now) {
--- a/src/dispatch/replica_news.cc
+++ b/src/dispatch/replica_news.cc
@@ -15,31 +15,31 @@
 /// are the most a node sends, and only while its calls fail.
 constexpr base::duration message_period = std::chrono::milliseconds(1000);
 
-wire::replica_sign to_wire(replica_sign sign) {
+wire::replica_sign to_wire(replica_health sign) {
   switch (sign) {
-  case replica_sign::silent:
+  case replica_health::unresponsive:
     return wire::SIGN_SILENT;
-  case replica_sign::unreachable:
+  case replica_health::unreachable:
     return wire::SIGN_UNREACHABLE;
-  case replica_sign::failing:
+  case replica_health::failing:
     return wire::SIGN_FAILING;
-  case replica_sign::well:
+  case replica_health::healthy:
     break;
   }
   return wire::SIGN_WELL;
 }
 
-/// Signs that only a newer version knows are taken for `well`.
-replica_sign from_wire(wire::replica_sign sign) {
+/// Signs that only a newer version knows are taken for `healthy`.
+replica_health from_wire(wire::replica_sign sign) {
   switch (sign) {
   case wire::SIGN_SILENT:
-    return replica_sign::silent;
+    return replica_health::unresponsive;
   case wire::SIGN_UNREACHABLE:
-    return replica_sign::unreachable;
+    return replica_health::unreachable;
   case wire::SIGN_FAILING:
-    return replica_sign::failing;
+    return replica_health::failing;
   default:
-    return replica_sign::well;
+    return replica_health::healthy;
   }
 }
 
@@ -79,7 +79,7 @@
     }
   }
   std::stable_partition(signs.begin(), signs.end(), [](const auto& entry) {
-    return entry.second.sign != replica_sign::failing;
+    return entry.second.health != replica_health::failing;
   });
   unreported_.clear();
   wire::replica_news news;
@@ -90,7 +90,7 @@
     }
     auto& said = *news.add_evidence();
     said.set_replica(id.text());
-    said.set_sign(to_wire(own.sign));
+    said.set_sign(to_wire(own.health));
     said.set_calls(rounded(own.bad_calls));
     said.set_good_calls(rounded(own.good_calls));
     said.set_life_mark(incarnation_fingerprint_of(*replicas_->find(id)->record));
@@ -141,12 +141,12 @@
     }
     const base::duration age = std::chrono::milliseconds(said.age_milliseconds());
     const base::duration backoff = std::chrono::milliseconds(said.backoff_milliseconds());
-    replicas_->take_in(replica, sender,
-                       {from_wire(said.sign()), static_cast<double>(said.good_calls()),
-                        static_cast<double>(said.calls()), now - age, now + backoff},
-                       now);
+    replicas_->record_report(replica, sender,
+                             {from_wire(said.sign()), static_cast<double>(said.good_calls()),
+                              static_cast<double>(said.calls()), now - age, now + backoff},
+                             now);
     ++counts_.taken_in;
-    if (replicas_->is_lost(replica, now)) {
+    if (replicas_->is_declared_down(replica, now)) {
       lost.push_back(replica);
     }
   }
--- a/src/fleet_view/peer_directory.cc
+++ b/src/fleet_view/peer_directory.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Silence after which a peer that reports all the time is given no work: four reports missed.
-constexpr base::duration silence_limit = std::chrono::milliseconds(900);
+constexpr base::duration unresponsive_timeout = std::chrono::milliseconds(900);
 /// A peer that was never heard is taken for alive for this time after it became known.
 constexpr base::duration introduction_time = std::chrono::seconds(2);
 /// A silent peer from which no reports are expected is tried again after this time: membership
@@ -23,14 +23,14 @@
 /// Gatherers of one zone that a node of another zone hears of. Two are enough to send a piece to
 /// the better one; all of them told 225 nodes each once a second at 300 nodes, which was most of
 /// the bytes between zones.
-constexpr std::size_t gatherers_heard_elsewhere = 2;
+constexpr std::size_t batchers_reported_per_zone = 2;
 /// Gatherers that a node hears of in each other region, of one zone there that differs from node to
 /// node. Work leaves its region only when it must, and then one that takes it is enough; two of
 /// each zone were 243 kB a second between regions at 300 nodes in 6 zones of 3 regions, this is 65
 /// (control_traffic test).
-constexpr std::size_t gatherers_heard_of_region = 1;
+constexpr std::size_t batchers_reported_per_region = 1;
 /// Gatherers of other regions report once a second and not five times.
-constexpr base::duration silence_limit_elsewhere = std::chrono::milliseconds(2500);
+constexpr base::duration unresponsive_timeout_other_region = std::chrono::milliseconds(2500);
 /// Two rounds and a half of reports to other zones.
 constexpr base::duration load_lifetime = std::chrono::milliseconds(2500);
 
@@ -64,42 +64,43 @@
   peers_ = std::move(kept);
   zones_of_region_.assign(zones.begin(), zones.end());
   const auto is_unknown = [this](const base::node_id& node) { return !peers_.contains(node); };
-  std::erase_if(gatherers_, is_unknown);
-  std::erase_if(reporters_, is_unknown);
-  std::erase_if(silent_, is_unknown);
-  listeners_.reset();
+  std::erase_if(batchers_, is_unknown);
+  std::erase_if(reporting_batchers_, is_unknown);
+  std::erase_if(unresponsive_, is_unknown);
+  report_receivers_.reset();
 }
 
-const std::vector<base::node_id>& peer_directory::listeners() {
-  if (listeners_) {
-    return *listeners_;
+const std::vector<base::node_id>& peer_directory::report_receivers() {
+  if (report_receivers_) {
+    return *report_receivers_;
   }
   std::vector<base::node_id> rivals{self_.node};
   std::copy_if(
-      gatherers_.begin(), gatherers_.end(), std::back_inserter(rivals),
+      batchers_.begin(), batchers_.end(), std::back_inserter(rivals),
       [this](const base::node_id& node) { return peers_.at(node).peer.zone == self_.zone; });
-  auto& chosen = listeners_.emplace();
+  auto& chosen = report_receivers_.emplace();
   for (const auto* others : {&in_region_, &elsewhere_}) {
-    std::copy_if(
-        others->begin(), others->end(), std::back_inserter(chosen),
-        [&](const base::node_id& node) { return is_listener(peers_.at(node).peer, rivals); });
+    std::copy_if(others->begin(), others->end(), std::back_inserter(chosen),
+                 [&](const base::node_id& node) {
+                   return is_report_receiver(peers_.at(node).peer, rivals);
+                 });
   }
   return chosen;
 }
 
-bool peer_directory::is_listener(const fleet_peer& node,
-                                 const std::vector<base::node_id>& rivals) const {
+bool peer_directory::is_report_receiver(const fleet_peer& node,
+                                        const std::vector<base::node_id>& rivals) const {
   const bool far = is_in_other_region(node.zone);
-  if (far && !hears_of_this_zone(node.node)) {
+  if (far && !receives_reports_of_own_zone(node.node)) {
     return false;
   }
-  const auto heard =
+  const auto reporting =
       base::rendezvous_top("listener/" + node.node.text(), rivals,
-                           far ? gatherers_heard_of_region : gatherers_heard_elsewhere);
-  return std::find(heard.begin(), heard.end(), self_.node) != heard.end();
+                           far ? batchers_reported_per_region : batchers_reported_per_zone);
+  return std::find(reporting.begin(), reporting.end(), self_.node) != reporting.end();
 }
 
-bool peer_directory::hears_of_this_zone(const base::node_id& node) const {
+bool peer_directory::receives_reports_of_own_zone(const base::node_id& node) const {
   return base::rendezvous_top("listener/" + node.text(), zones_of_region_, 1).front() == self_.zone;
 }
 
@@ -122,21 +123,21 @@
   std::set<base::node_id> known;
   std::copy_if(gatherers.begin(), gatherers.end(), std::inserter(known, known.end()),
                [this](const base::node_id& node) { return peers_.contains(node); });
-  if (known == gatherers_) {
+  if (known == batchers_) {
     return {};
   }
-  for (const auto& node : gatherers_) {
+  for (const auto& node : batchers_) {
     if (!known.contains(node)) {
-      peers_.at(node).gathers_since.reset();
+      peers_.at(node).batcher_since.reset();
     }
   }
-  gatherers_ = std::move(known);
-  listeners_.reset();
+  batchers_ = std::move(known);
+  report_receivers_.reset();
   std::vector<base::node_id> added;
-  for (const auto& node : gatherers_) {
+  for (const auto& node : batchers_) {
     auto* peer = find(node);
-    if (!peer->gathers_since) {
-      peer->gathers_since = now;
+    if (!peer->batcher_since) {
+      peer->batcher_since = now;
       added.push_back(node);
     }
   }
@@ -148,23 +149,25 @@
 }
 
 bool peer_directory::is_overdue(const peer_state& peer, base::time_point now) const {
-  if (!peer.gathers_since && !is_small_fleet()) {
+  if (!peer.batcher_since && !is_small_fleet()) {
     return false;
   }
-  auto latest = peer.heard.value_or(*peer.known_since + introduction_time - silence_limit);
-  if (peer.gathers_since) {
-    latest = std::max(latest, *peer.gathers_since);
+  auto latest = peer.last_contact_at.value_or(*peer.first_checked_at + introduction_time -
+                                              unresponsive_timeout);
+  if (peer.batcher_since) {
+    latest = std::max(latest, *peer.batcher_since);
   }
   const bool reports_seldom = is_in_other_region(peer.peer.zone) && !is_small_fleet();
-  return now - latest >= (reports_seldom ? silence_limit_elsewhere : silence_limit);
+  return now - latest >=
+         (reports_seldom ? unresponsive_timeout_other_region : unresponsive_timeout);
 }
 
-bool peer_directory::check_silence(peer_state& peer, base::time_point now) {
-  peer.known_since = peer.known_since.value_or(now);
+bool peer_directory::check_responsiveness(peer_state& peer, base::time_point now) {
+  peer.first_checked_at = peer.first_checked_at.value_or(now);
   if (peer.unresponsive_since || !is_overdue(peer, now)) {
     return false;
   }
-  give_up(peer.peer.node, now);
+  mark_unresponsive(peer.peer.node, now);
   return true;
 }
 
@@ -172,14 +175,14 @@
   bool changed = false;
   if (is_small_fleet()) {
     for (auto& [node, peer] : peers_) {
-      changed = check_silence(peer, now) || changed;
+      changed = check_responsiveness(peer, now) || changed;
     }
     return changed;
   }
-  for (const auto& node : gatherers_) {
-    changed = check_silence(peers_.at(node), now) || changed;
+  for (const auto& node : batchers_) {
+    changed = check_responsiveness(peers_.at(node), now) || changed;
   }
-  std::erase_if(silent_, [&](const base::node_id& node) {
+  std::erase_if(unresponsive_, [&](const base::node_id& node) {
     auto& peer = peers_.at(node);
     const bool tried_again = now - *peer.unresponsive_since >= retrial_time;
     if (tried_again) {
@@ -191,12 +194,12 @@
   return changed;
 }
 
-bool peer_directory::note_heard(peer_state& peer, base::time_point now) {
-  peer.heard = now;
+bool peer_directory::note_contact(peer_state& peer, base::time_point now) {
+  peer.last_contact_at = now;
   const bool was_silent = peer.unresponsive_since.has_value();
   if (was_silent) {
     peer.unresponsive_since.reset();
-    silent_.erase(peer.peer.node);
+    unresponsive_.erase(peer.peer.node);
   }
   return was_silent;
 }
@@ -208,32 +211,32 @@
   }
   peer.loads.clear();
   peer.sent_since_report.clear();
-  peer.loads_told_at = now;
+  peer.loads_reported_at = now;
   bool gathers = false;
   for (const auto& load : message.loads()) {
     gathers = gathers || load.replicas() > 0;
     peer.loads[load.service()] = load;
   }
   if (gathers) {
-    reporters_.insert(peer.peer.node);
+    reporting_batchers_.insert(peer.peer.node);
   } else {
-    reporters_.erase(peer.peer.node);
+    reporting_batchers_.erase(peer.peer.node);
   }
 }
 
-void peer_directory::give_up(const base::node_id& node, base::time_point now) {
+void peer_directory::mark_unresponsive(const base::node_id& node, base::time_point now) {
   if (auto* peer = find(node); peer != nullptr && !peer->unresponsive_since) {
     peer->unresponsive_since = now;
-    silent_.insert(node);
+    unresponsive_.insert(node);
   }
 }
 
 bool peer_directory::is_eligible(const peer_state& peer) {
-  return !peer.unresponsive_since && !peer.leaving;
+  return !peer.unresponsive_since && !peer.is_stopping;
 }
 
 bool peer_directory::has_fresh_loads(const peer_state& peer, base::time_point now) {
-  return now - peer.loads_told_at < load_lifetime;
+  return now - peer.loads_reported_at < load_lifetime;
 }
 
 std::vector<base::node_id> peer_directory::next_receivers(report_audience audience) {
@@ -249,7 +252,7 @@
     receivers.insert(receivers.end(), elsewhere_.begin(), elsewhere_.end());
     return receivers;
   }
-  const auto& told = for_region ? elsewhere_ : listeners();
+  const auto& told = for_region ? elsewhere_ : report_receivers();
   const auto wanted = (told.size() + rounds_elsewhere - 1) / rounds_elsewhere;
   for (std::size_t taken = 0; taken < wanted; ++taken) {
     receivers.push_back(told[next_receiver_++ % told.size()]);
--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -32,19 +32,19 @@
 struct peer_state {
   fleet_peer peer;
   /// When this node first looked at the peer.
-  std::optional<base::time_point> known_since;
-  std::optional<base::time_point> heard;
+  std::optional<base::time_point> first_checked_at;
+  std::optional<base::time_point> last_contact_at;
   /// It did not answer or report, since then.
   std::optional<base::time_point> unresponsive_since;
   /// Start of the peer's process; 0 before it was heard.
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   /// It stops, and takes no more work.
-  bool leaving = false;
+  bool is_stopping = false;
   /// This node takes it for a gatherer since then.
-  std::optional<base::time_point> gathers_since;
+  std::optional<base::time_point> batcher_since;
   std::map<std::string, wire::stage_load> loads;
   /// When the loads were told.
-  base::time_point loads_told_at;
+  base::time_point loads_reported_at;
   /// Pieces sent to it since it told its load, by service.
   std::map<std::string, std::uint32_t> sent_since_report;
 };
@@ -76,16 +76,18 @@
   /// @return whether any changed.
   bool update_responsiveness(base::time_point now);
   /// Takes note of a message. @return whether the peer was silent before.
-  bool note_heard(peer_state& peer, base::time_point now);
+  bool note_contact(peer_state& peer, base::time_point now);
   /// Takes over the loads that a peer told.
   void record_loads(peer_state& peer, const wire::stage_work& message, base::time_point now);
   /// A peer did not answer: it gets nothing more until it is heard again, or for a while.
-  void give_up(const base::node_id& node, base::time_point now);
+  void mark_unresponsive(const base::node_id& node, base::time_point now);
 
   /// @return whether a peer may be given work.
   [[nodiscard]] static bool is_eligible(const peer_state& peer);
   /// @return peers that said of late that they gather pieces.
-  [[nodiscard]] const std::set<base::node_id>& reporters() const { return reporters_; }
+  [[nodiscard]] const std::set<base::node_id>& reporting_batchers() const {
+    return reporting_batchers_;
+  }
   /// @return whether what a peer told of its load still holds.
   [[nodiscard]] static bool has_fresh_loads(const peer_state& peer, base::time_point now);
   /// @return peers that are told of this node now.
@@ -95,17 +97,17 @@
   /// @return whether all nodes tell each other of themselves all the time.
   [[nodiscard]] bool is_small_fleet() const;
   /// @return the nodes of other zones that hear of this one: those that have it among the
-  ///         `gatherers_heard_elsewhere` gatherers of its zone that they listen to.
-  const std::vector<base::node_id>& listeners();
+  ///         `batchers_reported_per_zone` gatherers of its zone that they listen to.
+  const std::vector<base::node_id>& report_receivers();
   /// @return whether the node in a zone is among those that hear of this one.
-  [[nodiscard]] bool is_listener(const fleet_peer& node,
-                                 const std::vector<base::node_id>& rivals) const;
+  [[nodiscard]] bool is_report_receiver(const fleet_peer& node,
+                                        const std::vector<base::node_id>& rivals) const;
   /// @return whether a node of another region hears of the gatherers of this zone.
-  [[nodiscard]] bool hears_of_this_zone(const base::node_id& node) const;
+  [[nodiscard]] bool receives_reports_of_own_zone(const base::node_id& node) const;
   [[nodiscard]] bool is_in_other_region(const base::zone_id& zone) const;
   /// @return whether the peer was silent for too long.
   [[nodiscard]] bool is_overdue(const peer_state& peer, base::time_point now) const;
-  bool check_silence(peer_state& peer, base::time_point now);
+  bool check_responsiveness(peer_state& peer, base::time_point now);
 
   fleet_peer self_;
   model::zone_regions regions_;
@@ -113,16 +115,16 @@
   std::vector<base::zone_id> zones_of_region_;
   std::map<base::node_id, peer_state> peers_;
   /// Peers that this node takes for gatherers.
-  std::set<base::node_id> gatherers_;
-  std::set<base::node_id> reporters_;
-  std::set<base::node_id> silent_;
+  std::set<base::node_id> batchers_;
+  std::set<base::node_id> reporting_batchers_;
+  std::set<base::node_id> unresponsive_;
   std::vector<base::node_id> in_zone_;
   /// Nodes of other zones of the own region, and of other regions.
   std::vector<base::node_id> in_region_;
   std::vector<base::node_id> elsewhere_;
   /// Those of them that this node tells of itself as a gatherer of its zone; nothing where they
   /// are to be found anew, which a node that gathers nothing never does.
-  std::optional<std::vector<base::node_id>> listeners_;
+  std::optional<std::vector<base::node_id>> report_receivers_;
   /// Place in the list of nodes of other zones from which receivers are taken next.
   std::size_t next_receiver_;
 };
--- a/src/replicas/distance.cc
+++ b/src/replicas/distance.cc
@@ -62,7 +62,7 @@
   return megabytes * other_region_seconds_per_megabyte;
 }
 
-double distance::seconds(model::locality locality, double bytes) {
+double distance::cost_seconds(model::locality locality, double bytes) {
   switch (locality) {
   case model::locality::zone:
     return 0;
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -4,8 +4,9 @@
 /// How to use it: find the ring of a place with `locality_of`
 /// (between other zones: `zone_regions::locality_between`), look for what is
 /// wanted ring by ring, and go on to the next ring only where it is better by more than its cost:
-/// `load_cost` for choices between replicas by load, `seconds` for choices by expected waiting. In
-/// a fleet of one region no place is `elsewhere`, so such a choice is the same as without regions.
+/// `load_cost` for choices between replicas by load, `cost_seconds` for choices by expected
+/// waiting. In a fleet of one region no place is `elsewhere`, so such a choice is the same as
+/// without regions.
 #pragma once
 
 #include "base/ids.h"
@@ -31,7 +32,7 @@
   [[nodiscard]] static double transfer_seconds(model::locality locality, double bytes);
   /// @param bytes carried there or back.
   /// @return what work in the ring costs beside its wait, in seconds of waiting.
-  [[nodiscard]] static double seconds(model::locality locality, double bytes);
+  [[nodiscard]] static double cost_seconds(model::locality locality, double bytes);
 
  private:
   /// Rings of the zones of the own region; asked for every replica of a service on every choice.
--- a/src/replicas/least_loaded_chooser.cc
+++ b/src/replicas/least_loaded_chooser.cc
@@ -42,7 +42,7 @@
 const replica_state* least_loaded_chooser::choose(const replica_demand& demand,
                                                   base::time_point now) {
   const auto candidates = split_by_region(replicas_->candidates_for(demand, now), from_here_);
-  const bool leaves = spill_.goes_elsewhere(candidates, now);
+  const bool leaves = spill_.should_spill_over(candidates, now);
   return least_loaded_of(leaves ? candidates.elsewhere : candidates.near, now);
 }
 
--- a/src/replicas/region_spillover.cc
+++ b/src/replicas/region_spillover.cc
@@ -36,8 +36,8 @@
   double sum = 0;
   std::size_t heard = 0;
   for (const auto* state : replicas) {
-    if (state->told && now - state->told_at < region_load_lifetime) {
-      sum += replica_table::load_within(*state, region_load_lifetime, now) +
+    if (state->reported_load && now - state->load_reported_at < region_load_lifetime) {
+      sum += replica_table::load_reported_within(*state, region_load_lifetime, now) +
              replica_table::failure_load(*state, now);
       ++heard;
     } else if (replica_table::failure_share_of(*state, now) > mostly_failing) {
@@ -64,7 +64,7 @@
   return found;
 }
 
-bool region_spillover::goes_elsewhere(const split_candidates& candidates, base::time_point now) {
+bool region_spillover::should_spill_over(const split_candidates& candidates, base::time_point now) {
   if (candidates.near.empty() || candidates.elsewhere.empty()) {
     return candidates.near.empty();
   }
--- a/src/replicas/region_spillover.h
+++ b/src/replicas/region_spillover.h
@@ -35,7 +35,7 @@
 
   /// Draws by chance where there are replicas near and elsewhere.
   /// @return whether the next request goes elsewhere.
-  [[nodiscard]] bool goes_elsewhere(const split_candidates& candidates, base::time_point now);
+  [[nodiscard]] bool should_spill_over(const split_candidates& candidates, base::time_point now);
 
  private:
   base::random_source* random_;
--- a/src/replicas/replica_backoff.cc
+++ b/src/replicas/replica_backoff.cc
@@ -13,13 +13,14 @@
 
 } // namespace
 
-bool replica_backoff::ask(base::duration span, std::uint32_t in_flight, base::time_point now) {
+bool replica_backoff::note_request(base::duration span, std::uint32_t in_flight,
+                                   base::time_point now) {
   const base::time_point ends_at = now + std::min(span, longest_backoff);
-  if (ends_at <= now || ends_at <= until_) {
+  if (ends_at <= now || ends_at <= ends_at_) {
     return false;
   }
-  asked_at_ = now;
-  until_ = ends_at;
+  requested_at_ = now;
+  ends_at_ = ends_at;
   slow_start_ = slow_start{in_flight, 1};
   return true;
 }
@@ -28,12 +29,12 @@
   if (is_active(now)) {
     return false;
   }
-  const bool starts_slowly = slow_start_ && now < until_ + slow_start_duration;
+  const bool starts_slowly = slow_start_ && now < ends_at_ + slow_start_duration;
   return !starts_slowly || in_flight < slow_start_->earlier_calls + slow_start_->allowed;
 }
 
 void replica_backoff::note_answer(base::time_point call_began, std::uint32_t slots) {
-  if (!slow_start_ || call_began < until_) {
+  if (!slow_start_ || call_began < ends_at_) {
     return;
   }
   slow_start_->allowed = std::min(slow_start_->allowed + calls_per_answer, std::max(1U, slots));
--- a/src/replicas/replica_backoff.h
+++ b/src/replicas/replica_backoff.h
@@ -23,9 +23,9 @@
   /// nothing, a longer one than any caller waits is cut.
   /// @param in_flight calls of this node that are under way there.
   /// @return whether it ends later than was known.
-  bool ask(base::duration span, std::uint32_t in_flight, base::time_point now);
+  bool note_request(base::duration span, std::uint32_t in_flight, base::time_point now);
   /// @return whether nothing is to be sent now.
-  [[nodiscard]] bool is_active(base::time_point now) const { return now < until_; }
+  [[nodiscard]] bool is_active(base::time_point now) const { return now < ends_at_; }
   /// @return whether one more call may be made beside those that are under way.
   [[nodiscard]] bool permits_call(std::uint32_t in_flight, base::time_point now) const;
   /// An answer came that asks for no pause. @param call_began when its call was made.
@@ -36,10 +36,10 @@
   void note_call_ended(std::uint32_t in_flight);
 
   /// @return whether a pause was ever asked for.
-  [[nodiscard]] bool was_requested() const { return until_ != base::time_point{}; }
+  [[nodiscard]] bool was_requested() const { return ends_at_ != base::time_point{}; }
   /// @return when the latest pause was asked for, and when it ends; a time before the first pause.
-  [[nodiscard]] base::time_point asked_at() const { return asked_at_; }
-  [[nodiscard]] base::time_point until() const { return until_; }
+  [[nodiscard]] base::time_point requested_at() const { return requested_at_; }
+  [[nodiscard]] base::time_point ends_at() const { return ends_at_; }
 
  private:
   struct slow_start {
@@ -47,8 +47,8 @@
     std::uint32_t earlier_calls = 0;
     std::uint32_t allowed = 1;
   };
-  base::time_point asked_at_;
-  base::time_point until_;
+  base::time_point requested_at_;
+  base::time_point ends_at_;
   std::optional<slow_start> slow_start_;
 };
 
--- a/src/replicas/replica_evidence.cc
+++ b/src/replicas/replica_evidence.cc
@@ -27,8 +27,8 @@
   (is_good ? good_ : bad_) += 1;
 }
 
-void replica_evidence::take_in(const base::replica_id& replica, const base::node_id& witness,
-                               const replica_health_report& said) {
+void replica_evidence::record_report(const base::replica_id& replica, const base::node_id& witness,
+                                     const replica_health_report& said) {
   auto& witnesses = said_[replica];
   witnesses[witness] = said;
   if (witnesses.size() > most_witnesses) {
@@ -40,8 +40,9 @@
   }
 }
 
-std::size_t replica_evidence::lost_votes(const base::replica_id& replica, base::time_point since,
-                                         base::time_point now) const {
+std::size_t replica_evidence::count_down_reporters(const base::replica_id& replica,
+                                                   base::time_point since,
+                                                   base::time_point now) const {
   const auto found = said_.find(replica);
   if (found == said_.end()) {
     return 0;
@@ -49,14 +50,14 @@
   return static_cast<std::size_t>(
       std::count_if(found->second.begin(), found->second.end(), [&](const auto& entry) {
         const auto& said = entry.second;
-        return means_down(said.sign) && said.seen_at >= since &&
+        return means_down(said.health) && said.seen_at >= since &&
                now - said.seen_at < down_report_lifetime;
       }));
 }
 
-replica_evidence::told_backoffs replica_evidence::backoffs(const base::replica_id& replica,
-                                                           base::time_point now) const {
-  told_backoffs told;
+replica_evidence::reported_backoffs replica_evidence::backoffs(const base::replica_id& replica,
+                                                               base::time_point now) const {
+  reported_backoffs told;
   const auto found = said_.find(replica);
   if (found == said_.end()) {
     return told;
--- a/src/replicas/replica_evidence.h
+++ b/src/replicas/replica_evidence.h
@@ -11,16 +11,16 @@
 namespace spurrack::serving {
 
 /// What calls to a replica show.
-enum class replica_sign : std::uint8_t {
-  well,        ///< Heard since another node found it lost.
-  silent,      ///< Calls to it make no progress, and nothing else is heard of it.
-  unreachable, ///< Connections to it fail.
-  failing,     ///< It answers with failures, or its answers break off.
+enum class replica_health : std::uint8_t {
+  healthy,      ///< Heard since another node found it lost.
+  unresponsive, ///< Calls to it make no progress, and nothing else is heard of it.
+  unreachable,  ///< Connections to it fail.
+  failing,      ///< It answers with failures, or its answers break off.
 };
 
 /// @return whether a sign says that nothing is heard of a replica.
-[[nodiscard]] inline bool means_down(replica_sign sign) {
-  return sign == replica_sign::silent || sign == replica_sign::unreachable;
+[[nodiscard]] inline bool means_down(replica_health health) {
+  return health == replica_health::unresponsive || health == replica_health::unreachable;
 }
 
 /// Calls of late, fading with time.
@@ -39,7 +39,7 @@
 
 /// What one node reports of a replica.
 struct replica_health_report {
-  replica_sign sign = replica_sign::well;
+  replica_health health = replica_health::healthy;
   /// Its calls of late that went well, and those that did not.
   double good_calls = 0;
   double bad_calls = 0;
@@ -57,18 +57,20 @@
 /// Keeps the latest report of each node on each replica. Not thread-safe.
 class replica_evidence {
  public:
-  void take_in(const base::replica_id& replica, const base::node_id& witness,
-               const replica_health_report& said);
+  void record_report(const base::replica_id& replica, const base::node_id& witness,
+                     const replica_health_report& said);
   void forget(const base::replica_id& replica) { said_.erase(replica); }
   /// @return nodes that found the replica silent or unreachable, not before `since`.
-  [[nodiscard]] std::size_t lost_votes(const base::replica_id& replica, base::time_point since,
-                                       base::time_point now) const;
+  [[nodiscard]] std::size_t count_down_reporters(const base::replica_id& replica,
+                                                 base::time_point since,
+                                                 base::time_point now) const;
   /// Nodes that a replica asked for a pause which lasts, and when the last of these pauses ends.
-  struct told_backoffs {
+  struct reported_backoffs {
     std::size_t nodes = 0;
     base::time_point until;
   };
-  [[nodiscard]] told_backoffs backoffs(const base::replica_id& replica, base::time_point now) const;
+  [[nodiscard]] reported_backoffs backoffs(const base::replica_id& replica,
+                                           base::time_point now) const;
   /// @return part of the calls that failed, those of this node among them, 0 to 1; little where
   ///         there were few calls.
   [[nodiscard]] double failure_share(const base::replica_id& replica, const call_tally& own,
--- a/src/replicas/replica_incarnations.cc
+++ b/src/replicas/replica_incarnations.cc
@@ -21,7 +21,7 @@
     return std::nullopt;
   }
   const auto [place, is_new] =
-      known_.try_emplace(record.id, known_life{*record.life, record.address, std::nullopt});
+      known_.try_emplace(record.id, known_incarnation{*record.life, record.address, std::nullopt});
   auto& known = place->second;
   std::optional<replica_restart> restart;
   if (!is_new && known.life != *record.life) {
--- a/src/replicas/replica_incarnations.h
+++ b/src/replicas/replica_incarnations.h
@@ -34,12 +34,12 @@
   [[nodiscard]] std::size_t size() const { return known_.size(); }
 
  private:
-  struct known_life {
+  struct known_incarnation {
     model::replica_incarnation life;
     base::network_address address;
     std::optional<base::time_point> gone_at;
   };
-  std::map<base::replica_id, known_life> known_;
+  std::map<base::replica_id, known_incarnation> known_;
 };
 
 /// Names the end of one life of a replica: a hash of its id and its start, equal on all nodes.
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -62,36 +62,36 @@
   for (const auto& id : gone) {
     remove(id, now);
   }
-  of_unknown_services_.clear();
+  replicas_of_unknown_services_.clear();
   for (const auto& [id, record] : published) {
-    take_over(record, now);
+    apply_record(record, now);
   }
-  lives_.forget_gone(now);
+  incarnations_.forget_gone(now);
 }
 
 void replica_table::update(const published_replicas& published,
                            const std::vector<base::replica_id>& changed, base::time_point now) {
   for (const auto& id : changed) {
     if (const auto found = published.find(id); found != published.end()) {
-      take_over(found->second, now);
+      apply_record(found->second, now);
     } else {
-      of_unknown_services_.erase(id);
+      replicas_of_unknown_services_.erase(id);
       remove(id, now);
     }
   }
-  lives_.forget_gone(now);
+  incarnations_.forget_gone(now);
 }
 
-void replica_table::take_over(const std::shared_ptr<const model::replica>& record,
-                              base::time_point now) {
+void replica_table::apply_record(const std::shared_ptr<const model::replica>& record,
+                                 base::time_point now) {
   ++records_compared_;
   const auto& id = record->id;
   if (!has_known_service(*record)) {
-    of_unknown_services_[id] = record->service;
+    replicas_of_unknown_services_[id] = record->service;
     remove(id, now);
     return;
   }
-  of_unknown_services_.erase(id);
+  replicas_of_unknown_services_.erase(id);
   auto& state = replicas_[id];
   if (state.record == record) {
     return;
@@ -99,16 +99,16 @@
   if (state.record) {
     index_.remove(state);
   }
-  if (auto restart = lives_.note_published(*record)) {
-    begin_life(id, state, now);
+  if (auto restart = incarnations_.note_published(*record)) {
+    begin_incarnation(id, state, now);
     restarts_.push_back(std::move(*restart));
   }
-  turn_cold(state, record->cold_for, now);
+  mark_cold(state, record->cold_for, now);
   if (record->may_be_gone) {
     state.paused_until = std::max(state.paused_until, now + lapse_time);
   }
   state.record = record;
-  note_process(state);
+  update_process(state);
   index_.add(state);
 }
 
@@ -120,9 +120,9 @@
   index_.remove(found->second);
   replicas_.erase(found);
   evidence_.forget(id);
-  lives_.note_gone(id, now);
-  forget_statements(id);
-  for (auto& [service, failing] : told_failing_) {
+  incarnations_.note_gone(id, now);
+  forget_self_reports(id);
+  for (auto& [service, failing] : failing_replicas_) {
     failing.erase(id);
   }
 }
@@ -135,20 +135,21 @@
   return known != nullptr && known->record->service == record.service;
 }
 
-void replica_table::begin_life(const base::replica_id& id, replica_state& state,
-                               base::time_point now) {
-  const auto lost_at = std::max(state.unreachable_at, state.silent_at);
-  const bool came_back_unlisted =
-      lost_at != base::time_point{} && state.heard_at > lost_at && now - lost_at < longest_list_lag;
+void replica_table::begin_incarnation(const base::replica_id& id, replica_state& state,
+                                      base::time_point now) {
+  const auto lost_at = std::max(state.unreachable_at, state.unresponsive_at);
+  const bool came_back_unlisted = lost_at != base::time_point{} &&
+                                  state.last_activity_at > lost_at &&
+                                  now - lost_at < longest_list_lag;
   replica_state fresh;
   fresh.in_flight = state.in_flight;
   fresh.restart_seen_at = now;
-  fresh.earlier_calls_until = came_back_unlisted ? lost_at : now;
+  fresh.earlier_incarnation_calls_until = came_back_unlisted ? lost_at : now;
   state = std::move(fresh);
   evidence_.forget(id);
-  forget_statements(id);
+  forget_self_reports(id);
   changed_.erase(id);
-  for (auto& [service, failing] : told_failing_) {
+  for (auto& [service, failing] : failing_replicas_) {
     failing.erase(id);
   }
 }
@@ -156,20 +157,21 @@
 bool replica_table::is_at_earlier_incarnation(const base::replica_id& id,
                                               base::time_point began) const {
   const auto* state = find(id);
-  return state != nullptr && state->restart_seen_at && began <= state->earlier_calls_until;
+  return state != nullptr && state->restart_seen_at &&
+         began <= state->earlier_incarnation_calls_until;
 }
 
-void replica_table::turn_cold(replica_state& state, base::duration cold_for, base::time_point now) {
+void replica_table::mark_cold(replica_state& state, base::duration cold_for, base::time_point now) {
   if (cold_for > base::duration::zero()) {
     state.cold_until = std::max(state.cold_until, now + cold_for);
-    state.cold_sends.begin(now);
+    state.cold_tokens.begin(now);
   }
 }
 
 void replica_table::note_cold(const base::replica_id& id, base::duration cold_for,
                               base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    turn_cold(*state, cold_for, now);
+    mark_cold(*state, cold_for, now);
   }
 }
 
@@ -180,14 +182,14 @@
   for (auto& [id, state] : replicas_) {
     const auto& zone = state.record->zone;
     if (evacuated_.contains(zone) && !zones.contains(zone)) {
-      turn_cold(state, settings_.cold_after_evacuation, now);
+      mark_cold(state, settings_.cold_after_evacuation, now);
     }
   }
   evacuated_ = zones;
 }
 
 bool replica_table::accepts_work(const replica_state& state) const {
-  return !state.record->draining && !state.left && !has_announced_drain(state) &&
+  return !state.record->draining && !state.is_replaced && !has_announced_drain(state) &&
          !evacuated_.contains(state.record->zone);
 }
 
@@ -206,7 +208,7 @@
                                      service.pieces.has_value());
 }
 
-bool replica_table::bears_request(const replica_state& state, base::time_point now) const {
+bool replica_table::cold_limit_permits(const replica_state& state, base::time_point now) const {
   const auto* service = cold_service_of(state, now);
   if (service == nullptr) {
     return true;
@@ -215,7 +217,7 @@
   const auto& record = *state.record;
   const bool may_call =
       service->pieces || cold_callers_.includes_self(record.id, record.zone, share.callers);
-  return may_call && state.cold_sends.has_token(share, now);
+  return may_call && state.cold_tokens.has_token(share, now);
 }
 
 replica_state* replica_table::mutable_find(const base::replica_id& id) {
@@ -239,7 +241,7 @@
 
 bool replica_table::accepts_calls(const replica_state& state, base::time_point now) const {
   return accepts_work(state) && state.paused_until <= now && is_reachable(state.record->zone) &&
-         bears_request(state, now);
+         cold_limit_permits(state, now);
 }
 
 bool replica_table::could_serve(const replica_demand& demand, const replica_state& state) const {
@@ -251,9 +253,8 @@
                                                         bool ignore_pauses) const {
   std::vector<const replica_state*> found;
   for (const auto* state : index_.of_service(demand.service)) {
-    const bool usable_now = ignore_pauses
-                                ? accepts_work(*state) && bears_request(*state, now)
-                                : accepts_calls(*state, now) && state->probed_until <= now;
+    const bool usable_now = ignore_pauses ? accepts_work(*state) && cold_limit_permits(*state, now)
+                                          : accepts_calls(*state, now) && state->probe_until <= now;
     if (usable_now && could_serve(demand, *state) && may_send_to(*state, now)) {
       found.push_back(state);
     }
@@ -264,8 +265,8 @@
 std::vector<const replica_state*> replica_table::candidates_for(const replica_demand& demand,
                                                                 base::time_point now) const {
   auto found = usable(demand, now, false);
-  leave_out_limited(found, demand);
-  if (const auto* in_doubt = find_limit_in_doubt(found, demand, now)) {
+  exclude_limited(found, demand);
+  if (const auto* in_doubt = find_stale_limit(found, demand, now)) {
     return {in_doubt};
   }
   // A replica that is well and takes a request soon goes before those that rest after failures.
@@ -298,28 +299,29 @@
 }
 
 double replica_table::load_of(const replica_state& state, base::time_point now) {
-  return load_within(state, told_load_lifetime, now);
+  return load_reported_within(state, told_load_lifetime, now);
 }
 
 double replica_table::failure_load(const replica_state& state, base::time_point now) {
   return failing_load * failure_share_of(state, now);
 }
 
-double replica_table::load_within(const replica_state& state, base::duration span,
-                                  base::time_point now) {
+double replica_table::load_reported_within(const replica_state& state, base::duration span,
+                                           base::time_point now) {
   double calls = state.in_flight;
-  if (state.told && now - state.told_at < span) {
-    const double told = state.told->running + state.told->waiting;
+  if (state.reported_load && now - state.load_reported_at < span) {
+    const double told = state.reported_load->running + state.reported_load->waiting;
     const double own_since =
-        static_cast<double>(state.in_flight) - static_cast<double>(state.in_flight_when_told);
+        static_cast<double>(state.in_flight) - static_cast<double>(state.in_flight_at_load_report);
     calls = std::max(calls, told + own_since);
   }
-  const double told_backoffs = state.reported_backoff_until > now ? state.reported_backoff_load : 0;
-  return calls / std::max(1U, state.record->slots) + told_backoffs;
+  const double reported_backoffs =
+      state.reported_backoff_until > now ? state.reported_backoff_load : 0;
+  return calls / std::max(1U, state.record->slots) + reported_backoffs;
 }
 
-std::vector<const replica_state*> replica_table::available(const std::string& service,
-                                                           base::time_point now) const {
+std::vector<const replica_state*> replica_table::accepting_calls(const std::string& service,
+                                                                 base::time_point now) const {
   std::vector<const replica_state*> found;
   for (const auto* state : index_.of_service(service)) {
     if (accepts_calls(*state, now)) {
@@ -337,14 +339,14 @@
   if (state == nullptr) {
     return;
   }
-  state->is_on_trial = is_due_again(*state, now);
-  state->called_at = now;
+  state->is_on_trial = is_due_for_trial(*state, now);
+  state->last_call_at = now;
   ++state->in_flight;
   if (state->next_pause > base::duration::zero()) {
-    state->probed_until = now + probe_time;
+    state->probe_until = now + probe_time;
   }
   if (const auto* service = cold_service_of(*state, now)) {
-    state->cold_sends.take(cold_call_quota_of(*service), now);
+    state->cold_tokens.take(cold_call_quota_of(*service), now);
   }
   if (limits_ != nullptr) {
     limits_->note_sent(id, now);
@@ -362,38 +364,40 @@
 void replica_table::note_load(const base::replica_id& id, const replica_load& load,
                               base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    state->told = load;
-    state->told_at = now;
-    state->in_flight_when_told = state->in_flight;
+    state->reported_load = load;
+    state->load_reported_at = now;
+    state->in_flight_at_load_report = state->in_flight;
   }
 }
 
-void replica_table::note_heard(const base::replica_id& id, base::time_point now) {
+void replica_table::note_activity(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    if (state->peer_reported_down_at > state->heard_at) {
+    if (state->peer_reported_down_at > state->last_activity_at) {
       // Others take it for lost: a report corrects them.
       changed_.insert(id);
     }
-    state->heard_at = now;
+    state->last_activity_at = now;
     state->next_pause = {};
-    state->probed_until = {};
+    state->probe_until = {};
   }
 }
 
-void replica_table::note_silent(const base::replica_id& id, base::time_point now) {
+void replica_table::note_unresponsive(const base::replica_id& id, base::time_point now) {
   auto* state = mutable_find(id);
   if (state == nullptr) {
     return;
   }
-  if (state->silent_at <= state->heard_at || now - state->silent_at >= silence_renewal) {
-    state->silent_at = now;
+  if (state->unresponsive_at <= state->last_activity_at ||
+      now - state->unresponsive_at >= silence_renewal) {
+    state->unresponsive_at = now;
     changed_.insert(id);
   }
 }
 
 bool replica_table::was_active_after(const base::replica_id& id, base::time_point when) const {
   const auto* state = find(id);
-  return state != nullptr && std::max(state->heard_at, state->peer_reported_activity_at) > when;
+  return state != nullptr &&
+         std::max(state->last_activity_at, state->peer_reported_activity_at) > when;
 }
 
 void replica_table::note_success(const base::replica_id& id, base::time_point now) {
@@ -401,7 +405,7 @@
   if (state == nullptr) {
     return;
   }
-  note_heard(id, now);
+  note_activity(id, now);
   state->calls.note(true, now);
   const bool is_end_of_trial = std::exchange(state->is_on_trial, false);
   state->failure_share *= 1 - (is_end_of_trial ? trial_smoothing : failure_smoothing);
@@ -415,20 +419,20 @@
   }
   const double ratio = base::to_seconds(took) / base::to_seconds(usual);
   const double known = slowdown_of(*state, now);
-  state->slowness = known + newest_pace_share * (std::max(1.0, ratio) - known);
-  state->slowness_seen_at = now;
+  state->slowdown = known + newest_pace_share * (std::max(1.0, ratio) - known);
+  state->slowdown_seen_at = now;
 }
 
 double replica_table::slowdown_of(const replica_state& state, base::time_point now) {
   const double halvings =
-      base::to_seconds(now - state.slowness_seen_at) / base::to_seconds(slowness_half_life);
-  return 1 + (state.slowness - 1) * std::exp2(-halvings);
+      base::to_seconds(now - state.slowdown_seen_at) / base::to_seconds(slowness_half_life);
+  return 1 + (state.slowdown - 1) * std::exp2(-halvings);
 }
 
 void replica_table::note_failure(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
     state->calls.note(false, now);
-    state->failed_at = now;
+    state->last_failure_at = now;
     changed_.insert(id);
     state->failure_share += failure_smoothing * (1 - state->failure_share);
   }
@@ -469,9 +473,9 @@
   }
 }
 
-void replica_table::note_left(const base::replica_id& id) {
+void replica_table::note_replaced(const base::replica_id& id) {
   if (auto* state = mutable_find(id)) {
-    state->left = true;
+    state->is_replaced = true;
   }
 }
 
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -2,9 +2,9 @@
 ///
 /// Kept: one `replica_state` for each replica of a configured service, found by id; `replica_index`
 /// finds them by service and by address. What a change costs: a replica that is published, changes
-/// or is gone, about what one replica costs whatever the fleet (`take_over`); a new configuration,
-/// a look at every replica (`update` of all). What a choice costs: a look at each replica of its
-/// service, without a copy of its identifier or a search by it.
+/// or is gone, about what one replica costs whatever the fleet (`apply_record`); a new
+/// configuration, a look at every replica (`update` of all). What a choice costs: a look at each
+/// replica of its service, without a copy of its identifier or a search by it.
 #pragma once
 
 #include "base/ids.h"
@@ -65,8 +65,9 @@
   void update(const published_replicas& published, const std::vector<base::replica_id>& changed,
               base::time_point now);
   /// @return the service that each published replica names which was passed over for it.
-  [[nodiscard]] const std::map<base::replica_id, std::string>& of_unknown_services() const {
-    return of_unknown_services_;
+  [[nodiscard]] const std::map<base::replica_id, std::string>&
+  replicas_of_unknown_services() const {
+    return replicas_of_unknown_services_;
   }
   /// @return replicas that started again under their id, as updates have shown since the last call.
   [[nodiscard]] std::vector<replica_restart> take_restarts() {
@@ -82,7 +83,7 @@
   /// Has all nodes know what replicas say of themselves; without it this is not told.
   /// @param statements must outlive the table.
   void set_self_reports(replica_statements::statement_exchange& statements) {
-    statements_ = &statements;
+    self_reports_ = &statements;
   }
   /// Nodes that are alive, this one among them, by zone.
   void set_nodes(std::map<base::zone_id, std::vector<base::node_id>> by_zone) {
@@ -110,8 +111,8 @@
   /// @return what a replica's failures count beside its load, in parts of its slots.
   [[nodiscard]] static double failure_load(const replica_state& state, base::time_point now);
   /// The same from what it reported within a span before now.
-  [[nodiscard]] static double load_within(const replica_state& state, base::duration span,
-                                          base::time_point now);
+  [[nodiscard]] static double load_reported_within(const replica_state& state, base::duration span,
+                                                   base::time_point now);
   /// @return whether a request that is held to some regions may use a replica.
   [[nodiscard]] bool permits(const model::residency& allowed, const replica_state& state) const {
     return !allowed.is_restricted() ||
@@ -124,8 +125,8 @@
   any_accepting_zone(const std::string& service, const model::residency& allowed) const;
   /// Replicas of a service that take calls, own zone first; `may_send_to` says which may be called
   /// now.
-  [[nodiscard]] std::vector<const replica_state*> available(const std::string& service,
-                                                            base::time_point now) const;
+  [[nodiscard]] std::vector<const replica_state*> accepting_calls(const std::string& service,
+                                                                  base::time_point now) const;
 
   /// @return whether a replica takes work and calls to it are expected to arrive. One that names a
   ///         limit may have to wait for the next.
@@ -183,20 +184,20 @@
   void note_load(const base::replica_id& id, const replica_load& load, base::time_point now);
   void note_success(const base::replica_id& id, base::time_point now);
   /// A sign of life, whatever it says.
-  void note_heard(const base::replica_id& id, base::time_point now);
+  void note_activity(const base::replica_id& id, base::time_point now);
   /// A call shows no progress and nothing was heard of the replica since it began.
-  void note_silent(const base::replica_id& id, base::time_point now);
+  void note_unresponsive(const base::replica_id& id, base::time_point now);
   /// @return whether this node, or another that reported it, heard anything of a replica after
   ///         `when`.
   [[nodiscard]] bool was_active_after(const base::replica_id& id, base::time_point when) const;
 
   /// Takes in what another node says of a replica. Where two nodes found it lost and nothing was
   /// heard of it since, it rests, unless too many of its service rest already for that reason.
-  void take_in(const base::replica_id& id, const base::node_id& witness,
-               const replica_health_report& said, base::time_point now);
+  void record_report(const base::replica_id& id, const base::node_id& witness,
+                     const replica_health_report& said, base::time_point now);
   /// @return whether two nodes, this one counted, found a replica silent or unreachable and none
   ///         has reported a sign of life since.
-  [[nodiscard]] bool is_lost(const base::replica_id& id, base::time_point now) const;
+  [[nodiscard]] bool is_declared_down(const base::replica_id& id, base::time_point now) const;
   /// @return how likely calls fail, 0 to 1, from own calls, or from reports of others where that is
   ///         clearly more than at the other replicas of the service; 0 once it is due for a trial.
   [[nodiscard]] static double failure_share_of(const replica_state& state, base::time_point now);
@@ -225,7 +226,7 @@
   /// another node calls it too. It is tried again when a call of `usual` length may have ended, at
   /// a random moment, so that several callers do not meet again.
   void note_occupied(const base::replica_id& id, base::duration usual, base::time_point now);
-  void note_left(const base::replica_id& id);
+  void note_replaced(const base::replica_id& id);
 
   using state_map = std::unordered_map<base::replica_id, replica_state>;
   [[nodiscard]] const state_map& all() const { return replicas_; }
@@ -238,8 +239,8 @@
 
  private:
   /// A replica is published in another process than before: what the one before asked for is over.
-  static void note_process(replica_state& state);
-  void forget_statements(const base::replica_id& id);
+  static void update_process(replica_state& state);
+  void forget_self_reports(const base::replica_id& id);
   void note_backoff(replica_state& state, const statement_heard& heard, base::time_point now);
   /// @return whether a request has not tried a replica yet and is permitted there.
   [[nodiscard]] bool could_serve(const replica_demand& demand, const replica_state& state) const;
@@ -247,18 +248,18 @@
   usable(const replica_demand& demand, base::time_point now, bool ignore_pauses) const;
   /// Leaves out limited replicas that a request had better not count on: in other zones than its
   /// results, and all where it is sent later, unless all candidates are limited.
-  void leave_out_limited(std::vector<const replica_state*>& candidates,
-                         const replica_demand& demand) const;
+  void exclude_limited(std::vector<const replica_state*>& candidates,
+                       const replica_demand& demand) const;
   /// @return a candidate whose limit nobody has heard of for a while; null where there is none.
   [[nodiscard]] const replica_state*
-  find_limit_in_doubt(const std::vector<const replica_state*>& candidates,
-                      const replica_demand& demand, base::time_point now) const;
+  find_stale_limit(const std::vector<const replica_state*>& candidates,
+                   const replica_demand& demand, base::time_point now) const;
   /// @return whether a replica takes calls that are expected to arrive, whatever its limit.
   [[nodiscard]] bool accepts_calls(const replica_state& state, base::time_point now) const;
   /// @return the share of calls that failed, from own calls and from reports of others.
   [[nodiscard]] static double known_failure_share(const replica_state& state, base::time_point now);
   /// @return whether a replica is tried again whatever calls to it have shown.
-  [[nodiscard]] static bool is_due_again(const replica_state& state, base::time_point now);
+  [[nodiscard]] static bool is_due_for_trial(const replica_state& state, base::time_point now);
   /// @return whether a replica may be given anything at all.
   [[nodiscard]] bool accepts_work(const replica_state& state) const;
   /// @return the service that bounds what a replica gets while it is cold; null where the replica
@@ -268,33 +269,33 @@
   /// @return the share of each caller of a cold replica of the service.
   [[nodiscard]] cold_call_quota cold_call_quota_of(const model::service& service) const;
   /// @return whether a replica is warm, or cold and this node may send it a request now.
-  [[nodiscard]] bool bears_request(const replica_state& state, base::time_point now) const;
-  static void turn_cold(replica_state& state, base::duration cold_for, base::time_point now);
+  [[nodiscard]] bool cold_limit_permits(const replica_state& state, base::time_point now) const;
+  static void mark_cold(replica_state& state, base::duration cold_for, base::time_point now);
   /// @return whether a replica's service is configured, or was when the replica was taken over:
   ///         requests under way may still need it. All are before there is a configuration.
   [[nodiscard]] bool has_known_service(const model::replica& record) const;
   /// A replica is published, for the first time or otherwise than before.
-  void take_over(const std::shared_ptr<const model::replica>& record, base::time_point now);
+  void apply_record(const std::shared_ptr<const model::replica>& record, base::time_point now);
   /// A replica is published no longer, or its service is not configured.
   void remove(const base::replica_id& id, base::time_point now);
   /// Forgets all that was seen of an earlier life, except the calls that are not ended yet.
-  void begin_life(const base::replica_id& id, replica_state& state, base::time_point now);
+  void begin_incarnation(const base::replica_id& id, replica_state& state, base::time_point now);
   replica_state* mutable_find(const base::replica_id& id);
   /// @return what is left by now of a share that was reported.
-  static double told_share_now(double told, const replica_state& state, base::time_point now);
+  static double decayed_share(double told, const replica_state& state, base::time_point now);
   /// Learns from reports how many other nodes a replica asked for a pause.
-  void learn_told_backoffs(replica_state& state, base::time_point now) const;
+  void update_reported_backoffs(replica_state& state, base::time_point now) const;
   /// Learns from reports how much more a replica fails than the others of its service.
-  void learn_told_failures(replica_state& state, base::time_point now);
+  void update_reported_failures(replica_state& state, base::time_point now);
   /// @return whether one more replica of the service may be paused on the reports of others.
-  [[nodiscard]] bool may_eject(const std::string& service, base::time_point now) const;
+  [[nodiscard]] bool can_eject(const std::string& service, base::time_point now) const;
 
   base::zone_id own_zone_;
   std::set<base::zone_id> unreachable_;
   std::set<base::zone_id> evacuated_;
   std::shared_ptr<const model::serving_configuration> configuration_;
   rate_limits::limit_exchange* limits_ = nullptr;
-  replica_statements::statement_exchange* statements_ = nullptr;
+  replica_statements::statement_exchange* self_reports_ = nullptr;
   std::vector<backoff_change> backoff_changes_;
   std::uint64_t backoffs_ = 0;
   /// When the latest of all pauses that were asked for ends.
@@ -306,12 +307,12 @@
   state_map replicas_;
   replica_index index_;
   std::uint64_t records_compared_ = 0;
-  replica_incarnations lives_;
+  replica_incarnations incarnations_;
   std::vector<replica_restart> restarts_;
-  std::map<base::replica_id, std::string> of_unknown_services_;
+  std::map<base::replica_id, std::string> replicas_of_unknown_services_;
   replica_evidence evidence_;
   /// Replicas of each service of which failures were reported.
-  std::unordered_map<std::string, std::set<base::replica_id>> told_failing_;
+  std::unordered_map<std::string, std::set<base::replica_id>> failing_replicas_;
   std::set<base::replica_id> changed_;
   std::uint64_t ejections_ = 0;
 };
--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -50,8 +50,8 @@
   return found;
 }
 
-void replica_table::leave_out_limited(std::vector<const replica_state*>& candidates,
-                                      const replica_demand& demand) const {
+void replica_table::exclude_limited(std::vector<const replica_state*>& candidates,
+                                    const replica_demand& demand) const {
   const bool is_bound = demand.results_zone != nullptr || demand.is_planned;
   if (limits_ == nullptr || !limits_->any() || !is_bound) {
     return;
@@ -66,8 +66,8 @@
 }
 
 const replica_state*
-replica_table::find_limit_in_doubt(const std::vector<const replica_state*>& candidates,
-                                   const replica_demand& demand, base::time_point now) const {
+replica_table::find_stale_limit(const std::vector<const replica_state*>& candidates,
+                                const replica_demand& demand, base::time_point now) const {
   if (limits_ == nullptr || !limits_->any() || demand.is_planned) {
     return nullptr;
   }
--- a/src/replicas/replica_table_reports.cc
+++ b/src/replicas/replica_table_reports.cc
@@ -38,39 +38,40 @@
   own.good_calls = state.calls.good(now);
   own.bad_calls = state.calls.bad(now);
   own.seen_at = now;
-  own.backoff_ends_at = state.backoff.until();
-  const auto lost_at = std::max(state.silent_at, state.unreachable_at);
-  const bool is_heard =
-      state.heard_at != base::time_point{} && now - state.heard_at < down_report_lifetime;
+  own.backoff_ends_at = state.backoff.ends_at();
+  const auto lost_at = std::max(state.unresponsive_at, state.unreachable_at);
+  const bool is_heard = state.last_activity_at != base::time_point{} &&
+                        now - state.last_activity_at < down_report_lifetime;
   const bool disputes = is_heard && state.peer_reported_down_at != base::time_point{} &&
-                        state.heard_at > state.peer_reported_down_at;
-  const bool is_lost = lost_at > state.heard_at && now - lost_at < down_report_lifetime;
-  if (!disputes && is_lost) {
-    own.sign = lost_at == state.silent_at ? replica_sign::silent : replica_sign::unreachable;
+                        state.last_activity_at > state.peer_reported_down_at;
+  const bool is_down = lost_at > state.last_activity_at && now - lost_at < down_report_lifetime;
+  if (!disputes && is_down) {
+    own.health = lost_at == state.unresponsive_at ? replica_health::unresponsive
+                                                  : replica_health::unreachable;
     own.seen_at = lost_at;
   } else if (!disputes && own.bad_calls > 0) {
-    own.sign = replica_sign::failing;
+    own.health = replica_health::failing;
   } else if (is_heard) {
-    own.seen_at = state.heard_at;
+    own.seen_at = state.last_activity_at;
   } else {
     return std::nullopt;
   }
   return own;
 }
 
-bool replica_table::is_lost(const base::replica_id& id, base::time_point now) const {
+bool replica_table::is_declared_down(const base::replica_id& id, base::time_point now) const {
   const auto* state = find(id);
   if (state == nullptr) {
     return false;
   }
   const auto own = own_health_report(*state, now);
   const bool own_vote =
-      own && means_down(own->sign) && own->seen_at > state->peer_reported_activity_at;
-  const auto heard_at = std::max(state->heard_at, state->peer_reported_activity_at);
-  return evidence_.lost_votes(id, heard_at, now) + (own_vote ? 1 : 0) >= least_witnesses;
+      own && means_down(own->health) && own->seen_at > state->peer_reported_activity_at;
+  const auto heard_at = std::max(state->last_activity_at, state->peer_reported_activity_at);
+  return evidence_.count_down_reporters(id, heard_at, now) + (own_vote ? 1 : 0) >= least_witnesses;
 }
 
-bool replica_table::may_eject(const std::string& service, base::time_point now) const {
+bool replica_table::can_eject(const std::string& service, base::time_point now) const {
   const auto& states = index_.of_service(service);
   if (states.size() < 2) {
     return false;
@@ -81,22 +82,22 @@
   return static_cast<std::size_t>(resting) < most;
 }
 
-void replica_table::take_in(const base::replica_id& id, const base::node_id& witness,
-                            const replica_health_report& said, base::time_point now) {
+void replica_table::record_report(const base::replica_id& id, const base::node_id& witness,
+                                  const replica_health_report& said, base::time_point now) {
   auto* state = mutable_find(id);
   if (state == nullptr) {
     return;
   }
-  evidence_.take_in(id, witness, said);
-  if (means_down(said.sign)) {
+  evidence_.record_report(id, witness, said);
+  if (means_down(said.health)) {
     state->peer_reported_down_at = std::max(state->peer_reported_down_at, said.seen_at);
-  } else if (said.sign == replica_sign::well) {
+  } else if (said.health == replica_health::healthy) {
     state->peer_reported_activity_at = std::max(state->peer_reported_activity_at, said.seen_at);
   }
-  learn_told_failures(*state, now);
-  learn_told_backoffs(*state, now);
+  update_reported_failures(*state, now);
+  update_reported_backoffs(*state, now);
   const bool rests = state->paused_until > now;
-  if (!rests && is_lost(id, now) && may_eject(state->record->service, now)) {
+  if (!rests && is_declared_down(id, now) && can_eject(state->record->service, now)) {
     ++ejections_;
     state->next_pause = std::max(state->next_pause, settings_.unreachable_pause);
     state->paused_until = now + state->next_pause;
@@ -104,31 +105,30 @@
   }
 }
 
-void replica_table::learn_told_backoffs(replica_state& state, base::time_point now) const {
+void replica_table::update_reported_backoffs(replica_state& state, base::time_point now) const {
   const auto told = evidence_.backoffs(state.record->id, now);
   state.reported_backoff_load =
       std::min(most_load_of_told_backoffs, load_of_told_backoff * static_cast<double>(told.nodes));
   state.reported_backoff_until = told.until;
 }
 
-double replica_table::told_share_now(double told, const replica_state& state,
-                                     base::time_point now) {
-  const double halvings =
-      base::to_seconds(now - state.told_failures_at) / base::to_seconds(told_failures_half_life);
+double replica_table::decayed_share(double told, const replica_state& state, base::time_point now) {
+  const double halvings = base::to_seconds(now - state.failures_reported_at) /
+                          base::to_seconds(told_failures_half_life);
   return told * std::exp2(-halvings);
 }
 
-void replica_table::learn_told_failures(replica_state& state, base::time_point now) {
+void replica_table::update_reported_failures(replica_state& state, base::time_point now) {
   const auto& id = state.record->id;
   const auto replicas = index_.of_service(state.record->service).size();
-  auto& failing = told_failing_[state.record->service];
+  auto& failing = failing_replicas_[state.record->service];
   failing.insert(id);
   double others = 0;
   std::size_t compared = 0;
   for (const auto& other_id : failing) {
     const auto* other = find(other_id);
     if (other != nullptr && other != &state && compared < most_compared) {
-      others += told_share_now(other->reported_failure_share, *other, now);
+      others += decayed_share(other->reported_failure_share, *other, now);
       ++compared;
     }
   }
@@ -138,24 +138,25 @@
   const auto usual =
       others / sampled_part / static_cast<double>(std::max<std::size_t>(1, replicas - 1));
   state.reported_failure_share = evidence_.failure_share(id, state.calls, now);
-  state.told_failures_at = now;
+  state.failures_reported_at = now;
   const double excess = state.reported_failure_share - usual;
   state.reported_failure_excess = excess >= clear_excess ? excess : 0;
 }
 
 double replica_table::known_failure_share(const replica_state& state, base::time_point now) {
-  return std::max(state.failure_share, told_share_now(state.reported_failure_excess, state, now));
+  return std::max(state.failure_share, decayed_share(state.reported_failure_excess, state, now));
 }
 
-bool replica_table::is_due_again(const replica_state& state, base::time_point now) {
+bool replica_table::is_due_for_trial(const replica_state& state, base::time_point now) {
   // While others go on reporting failures there is nothing to be learned from a trial.
-  const auto latest = std::max({state.failed_at, state.called_at, state.told_failures_at});
+  const auto latest =
+      std::max({state.last_failure_at, state.last_call_at, state.failures_reported_at});
   return state.in_flight == 0 &&
          now - latest >= base::scaled(retrial_time, known_failure_share(state, now));
 }
 
 double replica_table::failure_share_of(const replica_state& state, base::time_point now) {
-  return is_due_again(state, now) ? 0 : known_failure_share(state, now);
+  return is_due_for_trial(state, now) ? 0 : known_failure_share(state, now);
 }
 
 } // namespace spurrack::serving
--- a/src/replicas/replica_table_statements.cc
+++ b/src/replicas/replica_table_statements.cc
@@ -7,7 +7,7 @@
 
 namespace spurrack::serving {
 
-void replica_table::note_process(replica_state& state) {
+void replica_table::update_process(replica_state& state) {
   const auto process = process_fingerprint_of(*state.record);
   if (state.process != process) {
     state.process = process;
@@ -15,18 +15,18 @@
   }
 }
 
-void replica_table::forget_statements(const base::replica_id& id) {
+void replica_table::forget_self_reports(const base::replica_id& id) {
   if (limits_ != nullptr) {
     limits_->forget(id);
   }
-  if (statements_ != nullptr) {
-    statements_->forget(id);
+  if (self_reports_ != nullptr) {
+    self_reports_->forget(id);
   }
 }
 
 bool replica_table::has_announced_drain(const replica_state& state) const {
-  return statements_ != nullptr && !statements_->departures().empty() &&
-         statements_->departures().includes({state.record->id, state.process});
+  return self_reports_ != nullptr && !self_reports_->departures().empty() &&
+         self_reports_->departures().includes({state.record->id, state.process});
 }
 
 bool replica_table::may_send_to(const replica_state& state, base::time_point now) const {
@@ -37,7 +37,7 @@
 bool replica_table::is_blocked_only_by_backoff(const replica_state& state,
                                                base::time_point now) const {
   // Other rests, as after a refusal, may end before.
-  const auto opens_at = std::max(now, state.backoff.until());
+  const auto opens_at = std::max(now, state.backoff.ends_at());
   return !state.backoff.permits_call(state.in_flight, now) && accepts_calls(state, opens_at);
 }
 
@@ -49,9 +49,9 @@
   }
   for (const auto* state : index_.of_service(demand.service)) {
     if (is_blocked_only_by_backoff(*state, now) && could_serve(demand, *state)) {
-      const auto left =
-          std::max<base::duration>(state->backoff.until() - now, base::duration::zero());
-      least = std::min(least.value_or(left), left);
+      const auto remaining =
+          std::max<base::duration>(state->backoff.ends_at() - now, base::duration::zero());
+      least = std::min(least.value_or(remaining), remaining);
     }
   }
   return least;
@@ -62,8 +62,8 @@
   if (state == nullptr || is_at_earlier_incarnation(heard.replica, heard.call_began)) {
     return;
   }
-  if (statements_ != nullptr) {
-    statements_->hear(heard.replica, heard.said, heard.call_began, now);
+  if (self_reports_ != nullptr) {
+    self_reports_->hear(heard.replica, heard.said, heard.call_began, now);
   }
   if (heard.said.load) {
     note_load(heard.replica, *heard.said.load, now);
@@ -81,11 +81,11 @@
   }
   // The answered call does not count as under way any more.
   const auto others = state.in_flight - std::min(state.in_flight, 1U);
-  if (state.backoff.ask(*span, others, now)) {
+  if (state.backoff.note_request(*span, others, now)) {
     ++backoffs_;
-    latest_backoff_end_ = std::max(latest_backoff_end_, state.backoff.until());
+    latest_backoff_end_ = std::max(latest_backoff_end_, state.backoff.ends_at());
     changed_.insert(heard.replica);
-    backoff_changes_.push_back({heard.replica, state.backoff.until() - now});
+    backoff_changes_.push_back({heard.replica, state.backoff.ends_at() - now});
   }
 }
 
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -189,7 +189,7 @@
     } else if (placed.confirmed_at) {
       ask_or_move(ticket, placed, now);
     } else if (now - placed.sent_at > acceptance_limit) {
-      peers_.give_up(placed.holder, now);
+      peers_.mark_unresponsive(placed.holder, now);
       note_peers_changed();
       refresh(now);
       move(ticket, placed, now);
@@ -252,10 +252,10 @@
 
 void stage_exchange::note_life(peer_state& peer, const wire::stage_work& message,
                                base::time_point now) {
-  const bool restarted = peer.life != 0 && peer.life != message.life();
-  const bool leaves = message.leaving() && !peer.leaving;
-  peer.life = message.life();
-  peer.leaving = message.leaving();
+  const bool restarted = peer.incarnation != 0 && peer.incarnation != message.life();
+  const bool leaves = message.leaving() && !peer.is_stopping;
+  peer.incarnation = message.life();
+  peer.is_stopping = message.leaving();
   if (restarted || leaves) {
     note_peers_changed();
     refresh(now);
@@ -339,7 +339,7 @@
   if (peer == nullptr) {
     return;
   }
-  if (peers_.note_heard(*peer, now)) {
+  if (peers_.note_contact(*peer, now)) {
     note_peers_changed();
   }
   note_life(*peer, message, now);
--- a/src/stage_work/stage_exchange_gatherers.cc
+++ b/src/stage_work/stage_exchange_gatherers.cc
@@ -76,7 +76,7 @@
       usable.now += part;
     } else if (replicas_->is_blocked_only_by_backoff(*replica, now)) {
       usable.pausing += part;
-      usable.opens_at = std::min(usable.opens_at, replica->backoff.until());
+      usable.opens_at = std::min(usable.opens_at, replica->backoff.ends_at());
     }
   }
   return usable;
@@ -139,7 +139,7 @@
     return std::any_of(found.begin(), found.end(),
                        [&](const gatherer& other) { return other.node == node; });
   };
-  for (const auto& node : peers_.reporters()) {
+  for (const auto& node : peers_.reporting_batchers()) {
     const auto& peer = *peers_.find(node);
     const auto load = peer.loads.find(service);
     const bool gathers = load != peer.loads.end() && load->second.replicas() > 0 &&
@@ -208,7 +208,7 @@
   } else if (candidate.zone && *candidate.zone != zone) {
     locality = model::locality::region;
   }
-  return distance::seconds(locality, result_bytes);
+  return distance::cost_seconds(locality, result_bytes);
 }
 
 std::optional<base::duration> stage_exchange::expected_wait(const service_demand& demand,
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -161,11 +161,11 @@
     }
     return;
   case stage_call_ended::result::refused:
-    replicas_->note_heard(replica, now);
+    replicas_->note_activity(replica, now);
     note_occupied(ended, now);
     break;
   case stage_call_ended::result::misdirected:
-    replicas_->note_left(replica);
+    replicas_->note_replaced(replica);
     break;
   case stage_call_ended::result::not_sent:
     replicas_->note_unreachable(replica, now);
@@ -341,7 +341,7 @@
                                                             const model::piece_capacity& capacity,
                                                             const residency_list& sets,
                                                             base::time_point now) const {
-  auto found = replicas_->available(name, now);
+  auto found = replicas_->accepting_calls(name, now);
   std::erase_if(found, [&](const replica_state* state) {
     const auto calls = calls_at_.find(state->record->id);
     const auto under_way = calls == calls_at_.end() ? 0 : calls->second;
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -81,7 +81,7 @@
   }
   const auto full_call = usual_time(capacity, capacity.batch);
   zone_outlooks outlooks;
-  for (const auto* replica : replicas_->available(name, now)) {
+  for (const auto* replica : replicas_->accepting_calls(name, now)) {
     if (!may_take_any(*replica, sets)) {
       continue;
     }
@@ -90,7 +90,7 @@
     if (free_room(replica->record->id, capacity, now) < capacity.result_room_bytes * scarce_room) {
       free_at = std::max<base::time_point>(free_at, now + full_call);
     }
-    free_at = std::max(free_at, replica->backoff.until());
+    free_at = std::max(free_at, replica->backoff.ends_at());
     const auto limit = replicas_->limit_of(*replica);
     if (limit == 0.0) {
       continue;
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -162,7 +162,7 @@
   const auto& inputs = found->second.work.inputs;
   return std::all_of(inputs.begin(), inputs.end(), [&](const std::string& handle) {
     const auto* maker = replicas_->find_at(maker_of(handle));
-    return maker != nullptr && !maker->left && maker->failure_share < failing &&
+    return maker != nullptr && !maker->is_replaced && maker->failure_share < failing &&
            !restarted_of_late(*maker, now);
   });
 }
--- a/tests/dispatch/replica_changes_test.cc
+++ b/tests/dispatch/replica_changes_test.cc
@@ -47,7 +47,7 @@
         found.begin(), found.end(), expected.begin(), expected.end(),
         [](const auto* left, const auto* right) { return left->record == right->record; }));
   }
-  BOOST_TEST((changed.of_unknown_services() == whole.of_unknown_services()));
+  BOOST_TEST((changed.replicas_of_unknown_services() == whole.replicas_of_unknown_services()));
 }
 
 } // namespace
--- a/tests/dispatch/shared_evidence_test.cc
+++ b/tests/dispatch/shared_evidence_test.cc
@@ -202,7 +202,7 @@
   fleet.silent_for.clear();
   fleet.run(seconds(6));
   for (const auto& node : fleet.nodes) {
-    BOOST_TEST(!node->subject.replicas().is_lost(silent_replica, fleet.now));
+    BOOST_TEST(!node->subject.replicas().is_declared_down(silent_replica, fleet.now));
   }
 }
 
--- a/tests/replicas/distance_test.cc
+++ b/tests/replicas/distance_test.cc
@@ -132,10 +132,10 @@
   constexpr double megabyte = 1e6;
   BOOST_TEST(distance::load_cost(locality::zone) < distance::load_cost(locality::region));
   BOOST_TEST(distance::load_cost(locality::region) < distance::load_cost(locality::elsewhere));
-  BOOST_TEST(distance::seconds(locality::zone, megabyte) <
-             distance::seconds(locality::region, megabyte));
-  BOOST_TEST(distance::seconds(locality::region, megabyte) <
-             distance::seconds(locality::elsewhere, megabyte));
+  BOOST_TEST(distance::cost_seconds(locality::zone, megabyte) <
+             distance::cost_seconds(locality::region, megabyte));
+  BOOST_TEST(distance::cost_seconds(locality::region, megabyte) <
+             distance::cost_seconds(locality::elsewhere, megabyte));
 }
 
 BOOST_AUTO_TEST_CASE(a_shared_part_has_its_home_in_the_own_region) {
--- a/tests/replicas/replica_incarnations_test.cc
+++ b/tests/replicas/replica_incarnations_test.cc
@@ -158,7 +158,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(one_that_left_takes_work_in_its_next_life, reborn_table) {
-  table.note_left(r0);
+  table.note_replaced(r0);
   BOOST_TEST(!is_candidate(r0));
   restart();
   BOOST_TEST(is_candidate(r0));
@@ -171,28 +171,28 @@
   restart();
   BOOST_TEST(replica_table::failure_share_of(state(), now) == 0);
   BOOST_TEST(replica_table::slowdown_of(state(), now) == 1);
-  BOOST_TEST(!state().told.has_value());
+  BOOST_TEST(!state().reported_load.has_value());
   BOOST_TEST(replica_table::load_of(state(), now) == 0);
   BOOST_TEST(state().calls.bad(now) == 0);
   BOOST_TEST(!table.was_active_after(r0, {}));
 }
 
 BOOST_FIXTURE_TEST_CASE(what_others_said_of_one_life_is_no_evidence_on_the_next, reborn_table) {
-  table.take_in(r0, base::node_id("x"), {replica_sign::silent, 0, 0, now}, now);
-  table.take_in(r0, base::node_id("y"), {replica_sign::unreachable, 0, 9, now}, now);
-  BOOST_TEST(table.is_lost(r0, now));
+  table.record_report(r0, base::node_id("x"), {replica_health::unresponsive, 0, 0, now}, now);
+  table.record_report(r0, base::node_id("y"), {replica_health::unreachable, 0, 9, now}, now);
+  BOOST_TEST(table.is_declared_down(r0, now));
   BOOST_TEST(!is_candidate(r0));
   restart();
-  BOOST_TEST(!table.is_lost(r0, now));
+  BOOST_TEST(!table.is_declared_down(r0, now));
   BOOST_TEST(is_candidate(r0));
   BOOST_TEST(replica_table::failure_share_of(state(), now) == 0);
   // One vote alone, after two in the earlier life.
-  table.take_in(r0, base::node_id("x"), {replica_sign::silent, 0, 0, now}, now);
-  BOOST_TEST(!table.is_lost(r0, now));
+  table.record_report(r0, base::node_id("x"), {replica_health::unresponsive, 0, 0, now}, now);
+  BOOST_TEST(!table.is_declared_down(r0, now));
 }
 
 BOOST_FIXTURE_TEST_CASE(nothing_of_an_earlier_life_is_reported_to_other_nodes, reborn_table) {
-  table.note_silent(r0, now);
+  table.note_unresponsive(r0, now);
   restart();
   BOOST_TEST(!table.has_changed());
   BOOST_TEST(!replica_table::own_health_report(state(), now).has_value());
@@ -249,7 +249,7 @@
   now += seconds(1);
   const auto at_new_life = now;
   now += seconds(1);
-  table.note_heard(r0, now);
+  table.note_activity(r0, now);
   now += seconds(2);
   restart();
   BOOST_TEST(table.is_at_earlier_incarnation(r0, at_old_life));
@@ -259,7 +259,7 @@
 BOOST_FIXTURE_TEST_CASE(a_break_of_long_ago_says_nothing_of_a_restart, reborn_table) {
   table.note_unreachable(r0, now);
   now += seconds(1);
-  table.note_heard(r0, now);
+  table.note_activity(r0, now);
   now += minutes(1);
   const auto began = now;
   restart();
@@ -290,7 +290,7 @@
   put(stranger);
   update();
   BOOST_TEST(table.find(base::replica_id("x")) == nullptr);
-  BOOST_TEST(table.available("unknown", now).empty());
+  BOOST_TEST(table.accepting_calls("unknown", now).empty());
   // It claims the address of another and shadows it nowhere.
   BOOST_TEST(table.find_at(base::network_address("10.0.0.0:80"))->record->id == r0);
   // One that changes to such a service is a replica no longer.
@@ -317,7 +317,7 @@
   update();
   BOOST_TEST(is_candidate(r0));
   BOOST_TEST(is_candidate(base::replica_id("r9")));
-  table.note_left(base::replica_id("r9"));
+  table.note_replaced(base::replica_id("r9"));
   BOOST_TEST(is_candidate(r0));
   BOOST_TEST(!is_candidate(base::replica_id("r9")));
   published.erase(base::replica_id("r9"));
