--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -131,7 +131,7 @@
   } else {
     const auto before = model::parse_replica(known.value());
     const auto* record = std::get_if<std::shared_ptr<const model::replica>>(&before);
-    const bool same_life = record != nullptr && (*record)->life == changed->life;
+    const bool same_life = record != nullptr && (*record)->incarnation == changed->incarnation;
     changed->draining = changed->draining || (same_life && (*record)->draining);
   }
   return std::shared_ptr<const model::replica>(std::move(changed));
--- a/src/model/serving_record_parser.cc
+++ b/src/model/serving_record_parser.cc
@@ -258,7 +258,7 @@
   built->draining = published.draining();
   built->cold_for = milliseconds_of(published.cold_milliseconds());
   if (const auto started_at = published.started_at_milliseconds(); started_at > 0) {
-    built->life = replica_incarnation{started_at};
+    built->incarnation = replica_incarnation{started_at};
   }
   if (built->id.empty()) {
     return refusal_reason{"id is missing"};
--- a/src/model/serving_records.h
+++ b/src/model/serving_records.h
@@ -168,7 +168,7 @@
   /// How much longer it stays cold, counted from its publication; 0 where it is warm.
   base::duration cold_for{};
   /// Nothing where the replica does not say.
-  std::optional<replica_incarnation> life;
+  std::optional<replica_incarnation> incarnation;
 };
 
 /// The operator asks to send nothing to the replicas of a zone, for as long as this is published.
--- a/src/replicas/cold_limit.cc
+++ b/src/replicas/cold_limit.cc
@@ -28,7 +28,7 @@
   return {whole_callers, std::max(each - 1, least_rate)};
 }
 
-void cold_bucket::begin(base::time_point now) {
+void cold_bucket::start(base::time_point now) {
   if (!begun_) {
     filled_at_ = now;
     begun_ = true;
@@ -44,7 +44,7 @@
   return begun_ && level(share, now) >= 1;
 }
 
-void cold_bucket::take(const cold_call_quota& share, base::time_point now) {
+void cold_bucket::take_token(const cold_call_quota& share, base::time_point now) {
   tokens_ = level(share, now) - 1;
   filled_at_ = now;
 }
--- a/src/replicas/cold_limit.h
+++ b/src/replicas/cold_limit.h
@@ -38,9 +38,9 @@
 class cold_bucket {
  public:
   /// The replica turned cold; a bucket that fills already goes on.
-  void begin(base::time_point now);
+  void start(base::time_point now);
   [[nodiscard]] bool has_token(const cold_call_quota& share, base::time_point now) const;
-  void take(const cold_call_quota& share, base::time_point now);
+  void take_token(const cold_call_quota& share, base::time_point now);
 
  private:
   [[nodiscard]] double level(const cold_call_quota& share, base::time_point now) const;
--- a/src/replicas/replica_incarnations.cc
+++ b/src/replicas/replica_incarnations.cc
@@ -17,17 +17,17 @@
 } // namespace
 
 std::optional<replica_restart> replica_incarnations::note_published(const model::replica& record) {
-  if (!record.life) {
+  if (!record.incarnation) {
     return std::nullopt;
   }
-  const auto [place, is_new] =
-      known_.try_emplace(record.id, known_incarnation{*record.life, record.address, std::nullopt});
+  const auto [place, is_new] = known_.try_emplace(
+      record.id, known_incarnation{*record.incarnation, record.address, std::nullopt});
   auto& known = place->second;
   std::optional<replica_restart> restart;
-  if (!is_new && known.life != *record.life) {
+  if (!is_new && known.life != *record.incarnation) {
     restart = replica_restart{record.id, known.address};
   }
-  known = {*record.life, record.address, std::nullopt};
+  known = {*record.incarnation, record.address, std::nullopt};
   return restart;
 }
 
@@ -46,7 +46,7 @@
 }
 
 replica_end exit_id_of(const model::replica& record) {
-  const auto start = record.life ? record.life->started_at_milliseconds : 0;
+  const auto start = record.incarnation ? record.incarnation->started_at_milliseconds : 0;
   return base::stable_hash(record.id.text(), start);
 }
 
@@ -56,9 +56,9 @@
 }
 
 std::uint32_t incarnation_fingerprint_of(const model::replica& record) {
-  return record.life
-             ? static_cast<std::uint32_t>(1 + record.life->started_at_milliseconds % mark_count)
-             : 0;
+  return record.incarnation ? static_cast<std::uint32_t>(
+                                  1 + record.incarnation->started_at_milliseconds % mark_count)
+                            : 0;
 }
 
 } // namespace spurrack::serving
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -164,7 +164,7 @@
 void replica_table::mark_cold(replica_state& state, base::duration cold_for, base::time_point now) {
   if (cold_for > base::duration::zero()) {
     state.cold_until = std::max(state.cold_until, now + cold_for);
-    state.cold_tokens.begin(now);
+    state.cold_tokens.start(now);
   }
 }
 
@@ -346,7 +346,7 @@
     state->probe_until = now + probe_time;
   }
   if (const auto* service = cold_service_of(*state, now)) {
-    state->cold_tokens.take(cold_call_quota_of(*service), now);
+    state->cold_tokens.take_token(cold_call_quota_of(*service), now);
   }
   if (limits_ != nullptr) {
     limits_->note_sent(id, now);
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -59,7 +59,7 @@
   void told(const std::string& replica, wire::replica_sign sign, std::uint64_t started_at,
             const std::string& witness) {
     model::replica life;
-    life.life = model::replica_incarnation{started_at};
+    life.incarnation = model::replica_incarnation{started_at};
     wire::replica_news news;
     auto& said = *news.add_evidence();
     said.set_replica(replica);
--- a/tests/engines/engine_directory_test.cc
+++ b/tests/engines/engine_directory_test.cc
@@ -293,7 +293,7 @@
   const auto before = homes();
   for (const std::uint64_t started_at : {1000U, 2000U}) {
     auto record = *fleet.engine(before.front().text()).record;
-    record.life = model::replica_incarnation{started_at};
+    record.incarnation = model::replica_incarnation{started_at};
     fleet.table.published[record.id] = std::make_shared<model::replica>(record);
     fleet.table.publish();
   }
--- a/tests/platform/record_translator_test.cc
+++ b/tests/platform/record_translator_test.cc
@@ -222,11 +222,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_replica_says_when_it_started) {
-  BOOST_TEST((std::get<0>(parsed_replica(with_field("born", "1790000000123")))->life ==
+  BOOST_TEST((std::get<0>(parsed_replica(with_field("born", "1790000000123")))->incarnation ==
               model::replica_incarnation{1'790'000'000'123}));
-  BOOST_TEST((std::get<0>(parsed_replica(with_field("born", "1.5e3")))->life ==
+  BOOST_TEST((std::get<0>(parsed_replica(with_field("born", "1.5e3")))->incarnation ==
               model::replica_incarnation{1500}));
-  BOOST_TEST(!std::get<0>(parsed_replica(without_field("born")))->life.has_value());
+  BOOST_TEST(!std::get<0>(parsed_replica(without_field("born")))->incarnation.has_value());
   for (const std::string born : {"\"1790000000123\"", "-1", "0", "17.5", "1e99", "null", "true",
                                  "[]", "{}", "99999999999999999999"}) {
     BOOST_TEST_CONTEXT(born) {
--- a/tests/rate_limits/limit_policies_test.cc
+++ b/tests/rate_limits/limit_policies_test.cc
@@ -55,7 +55,7 @@
     std::vector<base::node_id> names;
     for (std::size_t node = 0; node < nodes; ++node) {
       names.push_back(name_of(node));
-      buckets_[node].begin(now);
+      buckets_[node].start(now);
     }
     for (std::size_t node = 0; node < nodes; ++node) {
       callers_.emplace_back(name_of(node));
@@ -68,7 +68,7 @@
     const bool may_send = callers_[node].includes_self(replica, zone, share_.callers) &&
                           buckets_[node].has_token(share_, now);
     if (may_send) {
-      buckets_[node].take(share_, now);
+      buckets_[node].take_token(share_, now);
     }
     return may_send;
   }
@@ -85,7 +85,7 @@
   equal_shares(std::size_t nodes, double limit, base::time_point now)
       : share_{nodes, limit / static_cast<double>(nodes)}, buckets_(nodes) {
     for (auto& bucket : buckets_) {
-      bucket.begin(now);
+      bucket.start(now);
     }
   }
   void advance(base::time_point /*now*/) override {}
@@ -93,7 +93,7 @@
   bool try_send(std::size_t node, base::time_point now) override {
     const bool may_send = buckets_[node].has_token(share_, now);
     if (may_send) {
-      buckets_[node].take(share_, now);
+      buckets_[node].take_token(share_, now);
     }
     return may_send;
   }
--- a/tests/replicas/cold_limit_test.cc
+++ b/tests/replicas/cold_limit_test.cc
@@ -29,7 +29,7 @@
 struct eager_fleet {
   struct member {
     member(const base::node_id& name, base::time_point now) : name(name), callers(name) {
-      sends.begin(now);
+      sends.start(now);
     }
     base::node_id name;
     cold_callers callers;
@@ -64,7 +64,7 @@
         const bool may_send = one->callers.includes_self(replica, zone_a, share.callers) &&
                               one->sends.has_token(share, now);
         if (may_send) {
-          one->sends.take(share, now);
+          one->sends.take_token(share, now);
           sent.push_back(now);
         }
       }
@@ -152,7 +152,7 @@
   base::time_point now{std::chrono::hours(1)};
   for (int life = 0; life < 20; ++life) {
     cold_bucket sends;
-    sends.begin(now);
+    sends.start(now);
     BOOST_TEST(!sends.has_token(share, now));
     BOOST_TEST(!sends.has_token(share, now + milliseconds(100)));
     now += milliseconds(100);
@@ -168,7 +168,7 @@
     std::vector<cold_bucket> buckets(size);
     std::size_t sent = 0;
     for (auto& bucket : buckets) {
-      bucket.begin(now - std::chrono::minutes(5));
+      bucket.start(now - std::chrono::minutes(5));
       sent += bucket.has_token(share, now) ? 1 : 0;
     }
     return sent;
--- a/tests/replicas/replica_incarnations_test.cc
+++ b/tests/replicas/replica_incarnations_test.cc
@@ -27,7 +27,7 @@
   record.zone = base::zone_id("a");
   record.slots = 4;
   if (started_at) {
-    record.life = model::replica_incarnation{*started_at};
+    record.incarnation = model::replica_incarnation{*started_at};
   }
   return record;
 }
