--- a/src/fleet_view/peer_directory.cc
+++ b/src/fleet_view/peer_directory.cc
@@ -9,29 +9,32 @@
 namespace spurrack::serving {
 namespace {
 
-/// Silence after which a peer that reports all the time is given no work: four reports missed.
+/// Time without a message after which a peer that reports in every round is unresponsive: four
+/// missed reports.
 constexpr base::duration unresponsive_timeout = std::chrono::milliseconds(900);
-/// A peer that was never heard is taken for alive for this time after it became known.
-constexpr base::duration introduction_time = std::chrono::seconds(2);
-/// A silent peer from which no reports are expected is tried again after this time: membership
-/// has noticed by then where it is dead.
-constexpr base::duration retrial_time = std::chrono::seconds(10);
-/// Fleets of so many peers tell each other everything: 60 messages a second a node.
-constexpr std::size_t most_peers_of_small_fleet = 12;
-/// Rounds of reports in which every node of another zone is told once: about a second.
-constexpr std::size_t rounds_elsewhere = 5;
-/// Gatherers of one zone that a node of another zone hears of. Two are enough to send a piece to
-/// the better one; all of them told 225 nodes each once a second at 300 nodes, which was most of
-/// the bytes between zones.
+/// Time after the first check during which a peer counts as responsive before its first message.
+constexpr base::duration first_contact_timeout = std::chrono::seconds(2);
+/// Time after which an unresponsive peer from which no reports are expected is tried again. If the
+/// peer is dead, membership has detected that within this time.
+constexpr base::duration retry_delay = std::chrono::seconds(10);
+/// Maximum number of peers of a small fleet, whose nodes all report to each other: 60 messages per
+/// second and node.
+constexpr std::size_t max_peers_of_small_fleet = 12;
+/// Rounds of reports in which every receiver of another zone gets one report: about a second.
+constexpr std::size_t rounds_per_remote_report = 5;
+/// Batchers of one zone whose load a node of another zone of the region gets. Two are enough to
+/// send a piece to the better one. When all batchers reported to each of 225 nodes once per second,
+/// at 300 nodes, these reports were most of the bytes between zones.
 constexpr std::size_t batchers_reported_per_zone = 2;
-/// Gatherers that a node hears of in each other region, of one zone there that differs from node to
-/// node. Work leaves its region only when it must, and then one that takes it is enough; two of
-/// each zone were 243 kB a second between regions at 300 nodes in 6 zones of 3 regions, this is 65
-/// (control_traffic test).
+/// Batchers of each other region whose load a node gets; they belong to one zone of that region,
+/// which differs from node to node. Work leaves its region only if it must, and then one batcher
+/// that accepts it is enough. At 300 nodes in 6 zones of 3 regions this is 65 kB per second between
+/// regions; two batchers of each zone were 243 kB (control_traffic test).
 constexpr std::size_t batchers_reported_per_region = 1;
-/// Gatherers of other regions report once a second and not five times.
+/// `unresponsive_timeout` for peers of other regions, which report once per second and not five
+/// times.
 constexpr base::duration unresponsive_timeout_other_region = std::chrono::milliseconds(2500);
-/// Two rounds and a half of reports to other zones.
+/// Lifetime of a load report: two and a half times the interval of reports to other zones.
 constexpr base::duration load_lifetime = std::chrono::milliseconds(2500);
 
 } // namespace
@@ -74,30 +77,31 @@
   if (report_receivers_) {
     return *report_receivers_;
   }
-  std::vector<base::node_id> rivals{self_.node};
+  std::vector<base::node_id> zone_batchers{self_.node};
   std::copy_if(
-      batchers_.begin(), batchers_.end(), std::back_inserter(rivals),
+      batchers_.begin(), batchers_.end(), std::back_inserter(zone_batchers),
       [this](const base::node_id& node) { return peers_.at(node).peer.zone == self_.zone; });
   auto& chosen = report_receivers_.emplace();
-  for (const auto* others : {&in_region_, &elsewhere_}) {
-    std::copy_if(others->begin(), others->end(), std::back_inserter(chosen),
+  for (const auto* nodes : {&in_region_, &elsewhere_}) {
+    std::copy_if(nodes->begin(), nodes->end(), std::back_inserter(chosen),
                  [&](const base::node_id& node) {
-                   return is_report_receiver(peers_.at(node).peer, rivals);
+                   return is_report_receiver(peers_.at(node).peer, zone_batchers);
                  });
   }
   return chosen;
 }
 
 bool peer_directory::is_report_receiver(const fleet_peer& node,
-                                        const std::vector<base::node_id>& rivals) const {
-  const bool far = is_in_other_region(node.zone);
-  if (far && !receives_reports_of_own_zone(node.node)) {
+                                        const std::vector<base::node_id>& zone_batchers) const {
+  const bool is_other_region = is_in_other_region(node.zone);
+  if (is_other_region && !receives_reports_of_own_zone(node.node)) {
     return false;
   }
-  const auto reporting =
-      base::rendezvous_top("listener/" + node.node.text(), rivals,
-                           far ? batchers_reported_per_region : batchers_reported_per_zone);
-  return std::find(reporting.begin(), reporting.end(), self_.node) != reporting.end();
+  const auto reporting_to_node = base::rendezvous_top("listener/" + node.node.text(), zone_batchers,
+                                                      is_other_region ? batchers_reported_per_region
+                                                                      : batchers_reported_per_zone);
+  return std::find(reporting_to_node.begin(), reporting_to_node.end(), self_.node) !=
+         reporting_to_node.end();
 }
 
 bool peer_directory::receives_reports_of_own_zone(const base::node_id& node) const {
@@ -118,10 +122,10 @@
   return found == peers_.end() ? nullptr : &found->second;
 }
 
-std::vector<base::node_id> peer_directory::set_batchers(const std::set<base::node_id>& gatherers,
+std::vector<base::node_id> peer_directory::set_batchers(const std::set<base::node_id>& batchers,
                                                         base::time_point now) {
   std::set<base::node_id> known;
-  std::copy_if(gatherers.begin(), gatherers.end(), std::inserter(known, known.end()),
+  std::copy_if(batchers.begin(), batchers.end(), std::inserter(known, known.end()),
                [this](const base::node_id& node) { return peers_.contains(node); });
   if (known == batchers_) {
     return {};
@@ -145,21 +149,21 @@
 }
 
 bool peer_directory::is_small_fleet() const {
-  return peers_.size() <= most_peers_of_small_fleet;
+  return peers_.size() <= max_peers_of_small_fleet;
 }
 
 bool peer_directory::is_overdue(const peer_state& peer, base::time_point now) const {
   if (!peer.batcher_since && !is_small_fleet()) {
     return false;
   }
-  auto latest = peer.last_contact_at.value_or(*peer.first_checked_at + introduction_time -
-                                              unresponsive_timeout);
+  auto idle_since = peer.last_contact_at.value_or(*peer.first_checked_at + first_contact_timeout -
+                                                  unresponsive_timeout);
   if (peer.batcher_since) {
-    latest = std::max(latest, *peer.batcher_since);
+    idle_since = std::max(idle_since, *peer.batcher_since);
   }
-  const bool reports_seldom = is_in_other_region(peer.peer.zone) && !is_small_fleet();
-  return now - latest >=
-         (reports_seldom ? unresponsive_timeout_other_region : unresponsive_timeout);
+  const bool reports_rarely = is_in_other_region(peer.peer.zone) && !is_small_fleet();
+  return now - idle_since >=
+         (reports_rarely ? unresponsive_timeout_other_region : unresponsive_timeout);
 }
 
 bool peer_directory::check_responsiveness(peer_state& peer, base::time_point now) {
@@ -184,24 +188,24 @@
   }
   std::erase_if(unresponsive_, [&](const base::node_id& node) {
     auto& peer = peers_.at(node);
-    const bool tried_again = now - *peer.unresponsive_since >= retrial_time;
-    if (tried_again) {
+    const bool is_retried = now - *peer.unresponsive_since >= retry_delay;
+    if (is_retried) {
       peer.unresponsive_since.reset();
       changed = true;
     }
-    return tried_again;
+    return is_retried;
   });
   return changed;
 }
 
 bool peer_directory::note_contact(peer_state& peer, base::time_point now) {
   peer.last_contact_at = now;
-  const bool was_silent = peer.unresponsive_since.has_value();
-  if (was_silent) {
+  const bool was_unresponsive = peer.unresponsive_since.has_value();
+  if (was_unresponsive) {
     peer.unresponsive_since.reset();
     unresponsive_.erase(peer.peer.node);
   }
-  return was_silent;
+  return was_unresponsive;
 }
 
 void peer_directory::record_loads(peer_state& peer, const wire::stage_work& message,
@@ -212,12 +216,12 @@
   peer.loads.clear();
   peer.sent_since_report.clear();
   peer.loads_reported_at = now;
-  bool gathers = false;
+  bool is_batcher = false;
   for (const auto& load : message.loads()) {
-    gathers = gathers || load.replicas() > 0;
+    is_batcher = is_batcher || load.replicas() > 0;
     peer.loads[load.service()] = load;
   }
-  if (gathers) {
+  if (is_batcher) {
     reporting_batchers_.insert(peer.peer.node);
   } else {
     reporting_batchers_.erase(peer.peer.node);
@@ -244,18 +248,19 @@
     return {};
   }
   auto receivers = in_zone_;
-  const bool for_region = audience == report_audience::everybody || is_small_fleet();
-  if (for_region) {
+  const bool includes_region = audience == report_audience::everybody || is_small_fleet();
+  if (includes_region) {
     receivers.insert(receivers.end(), in_region_.begin(), in_region_.end());
   }
   if (is_small_fleet()) {
     receivers.insert(receivers.end(), elsewhere_.begin(), elsewhere_.end());
     return receivers;
   }
-  const auto& told = for_region ? elsewhere_ : report_receivers();
-  const auto wanted = (told.size() + rounds_elsewhere - 1) / rounds_elsewhere;
-  for (std::size_t taken = 0; taken < wanted; ++taken) {
-    receivers.push_back(told[next_receiver_++ % told.size()]);
+  const auto& remote_receivers = includes_region ? elsewhere_ : report_receivers();
+  const auto receiver_count =
+      (remote_receivers.size() + rounds_per_remote_report - 1) / rounds_per_remote_report;
+  for (std::size_t added = 0; added < receiver_count; ++added) {
+    receivers.push_back(remote_receivers[next_receiver_++ % remote_receivers.size()]);
   }
   return receivers;
 }
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -27,8 +27,7 @@
   [[nodiscard]] model::locality locality_of(const base::zone_id& zone) const;
 
   /// @return how much less loaded, as a fraction of its slots, a replica in the locality must be
-  /// than
-  ///         a replica in the own zone to be preferred.
+  ///         than a replica in the own zone to be preferred.
   [[nodiscard]] static double load_cost(model::locality locality);
   /// @return cost of transferring bytes to or from the locality, in seconds of waiting.
   [[nodiscard]] static double transfer_seconds(model::locality locality, double bytes);
--- a/src/replicas/replica_backoff.h
+++ b/src/replicas/replica_backoff.h
@@ -42,7 +42,7 @@
   /// @return whether the replica ever requested a backoff.
   [[nodiscard]] bool was_requested() const { return ends_at_ != base::time_point{}; }
   /// @return the time at which the latest backoff was requested; the epoch before the first
-  /// request.
+  ///         request.
   [[nodiscard]] base::time_point requested_at() const { return requested_at_; }
   /// @return the time at which the latest backoff ends; the epoch before the first request.
   [[nodiscard]] base::time_point ends_at() const { return ends_at_; }
--- a/src/replicas/replica_state.h
+++ b/src/replicas/replica_state.h
@@ -34,7 +34,7 @@
   base::time_point paused_until;
   /// Length of the latest pause after a failed connection or an ejection; zero after the replica
   /// sent something. Doubles with each further failed connection.
-  base::duration next_pause{};
+  base::duration unreachable_pause{};
   /// Backoff that the replica requested of this node.
   replica_backoff backoff;
   /// Share of this node's latest calls that failed, 0 to 1.
@@ -42,7 +42,7 @@
   base::time_point last_failure_at;
   base::time_point last_call_at;
   /// Whether the latest call was made to find out whether the replica has recovered.
-  bool is_on_trial = false;
+  bool latest_call_is_trial = false;
   /// Decaying counts of this node's calls.
   call_tally calls;
   /// Time at which the replica last sent something: an answer, the head of one, or a stream event.
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -9,34 +9,38 @@
 namespace spurrack::serving {
 namespace {
 
-/// Load reported with an answer says nothing more after this time.
-constexpr base::duration told_load_lifetime = std::chrono::milliseconds(500);
-/// Share of the newest call in the own failure share: about the last seven calls count.
-constexpr double failure_smoothing = 0.15;
-/// A trial that goes well takes this part of the failure share away: few calls are trials.
-constexpr double trial_smoothing = 0.5;
-/// A replica that fails all calls is chosen like one with so many times its slots taken.
-constexpr double failing_load = 3.0;
-/// Share of the newest call in the learned slowness: two calls show what a replica has become.
-constexpr double newest_pace_share = 0.6;
-/// A replica that was slow is tried again after a few of these: troubles last some seconds.
-constexpr base::duration slowness_half_life = std::chrono::seconds(2);
-/// A replica that refused a call is left alone for this many calls and up to one more. It takes one
-/// call at a time and lets some wait, so it is busy for at least as long; retries at a fixed short
-/// period from many nodes would mostly be refused again.
-constexpr double least_occupied_calls = 0.5;
-/// A replica that rested is given one request in this time until it is heard.
-constexpr base::duration probe_time = std::chrono::milliseconds(1000);
-/// A replica that stays silent is reported again after this time, a third of the lifetime of a
+/// Lifetime of the load that a replica reports with an answer.
+constexpr base::duration load_report_lifetime = std::chrono::milliseconds(500);
+/// Weight of the newest call in the failure share; about the last seven calls count.
+constexpr double newest_failure_weight = 0.15;
+/// Part of the failure share that a successful trial call removes: larger than the weight of other
+/// calls, because few calls are trials.
+constexpr double trial_weight = 0.5;
+/// Load of a replica that fails all calls, as a multiple of its slots.
+constexpr double all_calls_failing_load = 3.0;
+/// Weight of the newest call in the slowdown: two calls suffice to learn the current slowdown.
+constexpr double newest_call_weight = 0.6;
+/// Half-life of the slowdown. A slow replica is tried again after a few half-lives, because faults
+/// last some seconds.
+constexpr base::duration slowdown_half_life = std::chrono::seconds(2);
+/// Shortest pause of a replica that rejected a call because it was occupied, in call times; a
+/// random part of one call time is added. The replica runs one call at a time and queues some, so
+/// it is busy for at least this time; retries of many nodes at a fixed short interval would mostly
+/// be rejected again.
+constexpr double min_occupied_calls = 0.5;
+/// Time after which a probe of a replica whose pause ended no longer prevents further requests, if
+/// the replica has sent nothing.
+constexpr base::duration probe_timeout = std::chrono::milliseconds(1000);
+/// Interval between reports of a replica that stays unresponsive: a third of the lifetime of a
 /// report.
-constexpr base::duration silence_renewal = std::chrono::milliseconds(1000);
-/// A replica that could not be reached and was heard afterwards had started again in between, if it
-/// was not longer ago than this: the list of replicas may lag behind by the time that its store was
-/// away.
-constexpr base::duration longest_list_lag = std::chrono::seconds(30);
-/// An entry that nobody writes any more lapses after three heartbeats of about 1.2 s; one that came
-/// back with an older copy of the store is passed over for that time.
-constexpr base::duration lapse_time = std::chrono::milliseconds(4'000);
+constexpr base::duration unresponsive_report_interval = std::chrono::milliseconds(1000);
+/// Longest delay of the published list behind a restart: the store of the list may be unavailable
+/// for this time. A replica that was down within this time before its restart is published, and has
+/// sent something since, restarted while it was down.
+constexpr base::duration max_list_lag = std::chrono::seconds(30);
+/// An entry of the store that no replica renews expires after three heartbeats of about 1.2 s. A
+/// replica whose entry came back with an older copy of the store is paused for this time.
+constexpr base::duration entry_expiry_time = std::chrono::milliseconds(4'000);
 
 } // namespace
 
@@ -53,13 +57,13 @@
 }
 
 void replica_table::update(const published_replicas& published, base::time_point now) {
-  std::vector<base::replica_id> gone;
+  std::vector<base::replica_id> unpublished;
   for (const auto& [id, state] : replicas_) {
     if (!published.contains(id)) {
-      gone.push_back(id);
+      unpublished.push_back(id);
     }
   }
-  for (const auto& id : gone) {
+  for (const auto& id : unpublished) {
     remove(id, now);
   }
   replicas_of_unknown_services_.clear();
@@ -105,7 +109,7 @@
   }
   mark_cold(state, record->cold_for, now);
   if (record->may_be_gone) {
-    state.paused_until = std::max(state.paused_until, now + lapse_time);
+    state.paused_until = std::max(state.paused_until, now + entry_expiry_time);
   }
   state.record = record;
   update_process(state);
@@ -122,8 +126,8 @@
   evidence_.forget(id);
   incarnations_.note_gone(id, now);
   forget_self_reports(id);
-  for (auto& [service, failing] : failing_replicas_) {
-    failing.erase(id);
+  for (auto& [service, replicas] : reported_replicas_) {
+    replicas.erase(id);
   }
 }
 
@@ -137,28 +141,27 @@
 
 void replica_table::begin_incarnation(const base::replica_id& id, replica_state& state,
                                       base::time_point now) {
-  const auto lost_at = std::max(state.unreachable_at, state.unresponsive_at);
-  const bool came_back_unlisted = lost_at != base::time_point{} &&
-                                  state.last_activity_at > lost_at &&
-                                  now - lost_at < longest_list_lag;
+  const auto down_at = std::max(state.unreachable_at, state.unresponsive_at);
+  const bool came_back_unlisted = down_at != base::time_point{} &&
+                                  state.last_activity_at > down_at && now - down_at < max_list_lag;
   replica_state fresh;
   fresh.in_flight = state.in_flight;
   fresh.restart_seen_at = now;
-  fresh.earlier_incarnation_calls_until = came_back_unlisted ? lost_at : now;
+  fresh.earlier_incarnation_calls_until = came_back_unlisted ? down_at : now;
   state = std::move(fresh);
   evidence_.forget(id);
   forget_self_reports(id);
   changed_.erase(id);
-  for (auto& [service, failing] : failing_replicas_) {
-    failing.erase(id);
+  for (auto& [service, replicas] : reported_replicas_) {
+    replicas.erase(id);
   }
 }
 
 bool replica_table::is_at_earlier_incarnation(const base::replica_id& id,
-                                              base::time_point began) const {
+                                              base::time_point began_at) const {
   const auto* state = find(id);
   return state != nullptr && state->restart_seen_at &&
-         began <= state->earlier_incarnation_calls_until;
+         began_at <= state->earlier_incarnation_calls_until;
 }
 
 void replica_table::mark_cold(replica_state& state, base::duration cold_for, base::time_point now) {
@@ -176,21 +179,21 @@
 }
 
 void replica_table::set_evacuated(const std::set<base::zone_id>& zones, base::time_point now) {
-  if (zones == evacuated_) {
+  if (zones == evacuated_zones_) {
     return;
   }
   for (auto& [id, state] : replicas_) {
     const auto& zone = state.record->zone;
-    if (evacuated_.contains(zone) && !zones.contains(zone)) {
+    if (evacuated_zones_.contains(zone) && !zones.contains(zone)) {
       mark_cold(state, settings_.cold_after_evacuation, now);
     }
   }
-  evacuated_ = zones;
+  evacuated_zones_ = zones;
 }
 
 bool replica_table::accepts_work(const replica_state& state) const {
   return !state.record->draining && !state.is_replaced && !has_announced_drain(state) &&
-         !evacuated_.contains(state.record->zone);
+         !evacuated_zones_.contains(state.record->zone);
 }
 
 const model::service* replica_table::cold_service_of(const replica_state& state,
@@ -203,7 +206,7 @@
 }
 
 cold_call_quota replica_table::cold_call_quota_of(const model::service& service) const {
-  // One gatherer calls a replica that works on pieces.
+  // A replica that works on pieces is called only by its batcher.
   return serving::cold_call_quota_of(settings_.cold, service.cold_requests_per_second,
                                      service.pieces.has_value());
 }
@@ -213,11 +216,11 @@
   if (service == nullptr) {
     return true;
   }
-  const auto share = cold_call_quota_of(*service);
+  const auto quota = cold_call_quota_of(*service);
   const auto& record = *state.record;
   const bool may_call =
-      service->pieces || cold_callers_.includes_self(record.id, record.zone, share.callers);
-  return may_call && state.cold_tokens.has_token(share, now);
+      service->pieces || cold_callers_.includes_self(record.id, record.zone, quota.callers);
+  return may_call && state.cold_tokens.has_token(quota, now);
 }
 
 replica_state* replica_table::mutable_find(const base::replica_id& id) {
@@ -253,9 +256,9 @@
                                                         bool ignore_pauses) const {
   std::vector<const replica_state*> found;
   for (const auto* state : index_.of_service(demand.service)) {
-    const bool usable_now = ignore_pauses ? accepts_work(*state) && cold_limit_permits(*state, now)
-                                          : accepts_calls(*state, now) && state->probe_until <= now;
-    if (usable_now && could_serve(demand, *state) && may_send_to(*state, now)) {
+    const bool is_usable = ignore_pauses ? accepts_work(*state) && cold_limit_permits(*state, now)
+                                         : accepts_calls(*state, now) && state->probe_until <= now;
+    if (is_usable && could_serve(demand, *state) && may_send_to(*state, now)) {
       found.push_back(state);
     }
   }
@@ -266,13 +269,14 @@
                                                                 base::time_point now) const {
   auto found = usable(demand, now, false);
   exclude_limited(found, demand);
-  if (const auto* in_doubt = find_stale_limit(found, demand, now)) {
-    return {in_doubt};
+  if (const auto* stale_limit = find_stale_limit(found, demand, now)) {
+    return {stale_limit};
   }
-  // A replica that is well and takes a request soon goes before those that rest after failures.
-  const bool takes_soon = found.empty() && (!candidates_without_permit(demand, now).empty() ||
-                                            time_until_backoff_ends(demand, now).has_value());
-  return found.empty() && !takes_soon ? usable(demand, now, true) : found;
+  // Waiting for a healthy replica that accepts the request soon is better than calling a replica
+  // that is paused after failures.
+  const bool accepts_soon = found.empty() && (!candidates_without_permit(demand, now).empty() ||
+                                              time_until_backoff_ends(demand, now).has_value());
+  return found.empty() && !accepts_soon ? usable(demand, now, true) : found;
 }
 
 replica_presence replica_table::presence_of(const std::string& service,
@@ -299,25 +303,24 @@
 }
 
 double replica_table::load_of(const replica_state& state, base::time_point now) {
-  return load_reported_within(state, told_load_lifetime, now);
+  return load_reported_within(state, load_report_lifetime, now);
 }
 
 double replica_table::failure_load(const replica_state& state, base::time_point now) {
-  return failing_load * failure_share_of(state, now);
+  return all_calls_failing_load * failure_share_of(state, now);
 }
 
 double replica_table::load_reported_within(const replica_state& state, base::duration span,
                                            base::time_point now) {
   double calls = state.in_flight;
   if (state.reported_load && now - state.load_reported_at < span) {
-    const double told = state.reported_load->running + state.reported_load->waiting;
-    const double own_since =
+    const double reported_calls = state.reported_load->running + state.reported_load->waiting;
+    const double own_calls_since =
         static_cast<double>(state.in_flight) - static_cast<double>(state.in_flight_at_load_report);
-    calls = std::max(calls, told + own_since);
+    calls = std::max(calls, reported_calls + own_calls_since);
   }
-  const double reported_backoffs =
-      state.reported_backoff_until > now ? state.reported_backoff_load : 0;
-  return calls / std::max(1U, state.record->slots) + reported_backoffs;
+  const double backoff_load = state.reported_backoff_until > now ? state.reported_backoff_load : 0;
+  return calls / std::max(1U, state.record->slots) + backoff_load;
 }
 
 std::vector<const replica_state*> replica_table::accepting_calls(const std::string& service,
@@ -339,11 +342,11 @@
   if (state == nullptr) {
     return;
   }
-  state->is_on_trial = is_due_for_trial(*state, now);
+  state->latest_call_is_trial = is_due_for_trial(*state, now);
   state->last_call_at = now;
   ++state->in_flight;
-  if (state->next_pause > base::duration::zero()) {
-    state->probe_until = now + probe_time;
+  if (state->unreachable_pause > base::duration::zero()) {
+    state->probe_until = now + probe_timeout;
   }
   if (const auto* service = cold_service_of(*state, now)) {
     state->cold_tokens.take_token(cold_call_quota_of(*service), now);
@@ -373,11 +376,11 @@
 void replica_table::note_activity(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
     if (state->peer_reported_down_at > state->last_activity_at) {
-      // Others take it for lost: a report corrects them.
+      // Other nodes consider the replica down; a health report of this node corrects that.
       changed_.insert(id);
     }
     state->last_activity_at = now;
-    state->next_pause = {};
+    state->unreachable_pause = {};
     state->probe_until = {};
   }
 }
@@ -388,7 +391,7 @@
     return;
   }
   if (state->unresponsive_at <= state->last_activity_at ||
-      now - state->unresponsive_at >= silence_renewal) {
+      now - state->unresponsive_at >= unresponsive_report_interval) {
     state->unresponsive_at = now;
     changed_.insert(id);
   }
@@ -407,25 +410,25 @@
   }
   note_activity(id, now);
   state->calls.note(true, now);
-  const bool is_end_of_trial = std::exchange(state->is_on_trial, false);
-  state->failure_share *= 1 - (is_end_of_trial ? trial_smoothing : failure_smoothing);
+  const bool is_end_of_trial = std::exchange(state->latest_call_is_trial, false);
+  state->failure_share *= 1 - (is_end_of_trial ? trial_weight : newest_failure_weight);
 }
 
-void replica_table::note_call_time(const base::replica_id& id, base::duration took,
-                                   base::duration usual, base::time_point now) {
+void replica_table::note_call_time(const base::replica_id& id, base::duration call_time,
+                                   base::duration expected, base::time_point now) {
   auto* state = mutable_find(id);
-  if (state == nullptr || usual <= base::duration::zero()) {
+  if (state == nullptr || expected <= base::duration::zero()) {
     return;
   }
-  const double ratio = base::to_seconds(took) / base::to_seconds(usual);
+  const double ratio = base::to_seconds(call_time) / base::to_seconds(expected);
   const double known = slowdown_of(*state, now);
-  state->slowdown = known + newest_pace_share * (std::max(1.0, ratio) - known);
+  state->slowdown = known + newest_call_weight * (std::max(1.0, ratio) - known);
   state->slowdown_seen_at = now;
 }
 
 double replica_table::slowdown_of(const replica_state& state, base::time_point now) {
   const double halvings =
-      base::to_seconds(now - state.slowdown_seen_at) / base::to_seconds(slowness_half_life);
+      base::to_seconds(now - state.slowdown_seen_at) / base::to_seconds(slowdown_half_life);
   return 1 + (state.slowdown - 1) * std::exp2(-halvings);
 }
 
@@ -434,7 +437,7 @@
     state->calls.note(false, now);
     state->last_failure_at = now;
     changed_.insert(id);
-    state->failure_share += failure_smoothing * (1 - state->failure_share);
+    state->failure_share += newest_failure_weight * (1 - state->failure_share);
   }
 }
 
@@ -450,10 +453,11 @@
   }
   state->unreachable_at = now;
   changed_.insert(id);
-  state->next_pause = state->next_pause == base::duration{}
-                          ? settings_.unreachable_pause
-                          : std::min(state->next_pause * 2, settings_.unreachable_pause_longest);
-  state->paused_until = now + state->next_pause;
+  state->unreachable_pause =
+      state->unreachable_pause == base::duration{}
+          ? settings_.unreachable_pause
+          : std::min(state->unreachable_pause * 2, settings_.unreachable_pause_longest);
+  state->paused_until = now + state->unreachable_pause;
 }
 
 void replica_table::note_full(const base::replica_id& id, base::time_point now) {
@@ -466,9 +470,9 @@
 void replica_table::note_occupied(const base::replica_id& id, base::duration usual,
                                   base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    const auto rest =
-        base::from_seconds(base::to_seconds(usual) * (least_occupied_calls + random_->unit()));
-    state->paused_until = std::max<base::time_point>(state->paused_until, now + rest);
+    const auto pause =
+        base::from_seconds(base::to_seconds(usual) * (min_occupied_calls + random_->unit()));
+    state->paused_until = std::max<base::time_point>(state->paused_until, now + pause);
     state->backoff.note_rejected();
   }
 }
--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -1,4 +1,4 @@
-/// Replicas that name how many requests a second they take.
+/// Parts of `replica_table` for replicas that announce a limit of requests per second.
 #include "replicas/replica_table.h"
 
 #include "replicas/replica_chooser.h"
@@ -8,11 +8,13 @@
 namespace spurrack::serving {
 namespace {
 
-/// Only an answer shows that a limit is lifted or has changed: a limited replica of which nothing
-/// was heard for this time gets the next request that has a permit, before all others. A long
-/// prompt, most of which another engine may have read, is sent there only much later.
-constexpr base::duration limit_doubt_time = std::chrono::seconds(2);
-constexpr base::duration longest_limit_doubt = std::chrono::seconds(10);
+/// Time after which a limit that no answer has confirmed is stale. Only an answer shows that a
+/// limit is lifted or has changed, so that a replica with a stale limit gets the next request that
+/// has a permit, before all other candidates.
+constexpr base::duration limit_stale_time = std::chrono::seconds(2);
+/// Time after which the limit is stale for a request with a long prompt, most of which may be in
+/// the prefix cache of another engine.
+constexpr base::duration limit_stale_time_long_prompt = std::chrono::seconds(10);
 constexpr std::uint32_t short_prompt_tokens = 1'000;
 
 } // namespace
@@ -52,8 +54,8 @@
 
 void replica_table::exclude_limited(std::vector<const replica_state*>& candidates,
                                     const replica_demand& demand) const {
-  const bool is_bound = demand.results_zone != nullptr || demand.is_planned;
-  if (limits_ == nullptr || !limits_->any() || !is_bound) {
+  const bool depends_on_replica = demand.results_zone != nullptr || demand.is_planned;
+  if (limits_ == nullptr || !limits_->any() || !depends_on_replica) {
     return;
   }
   const auto is_limited = [&](const replica_state* state) { return limit_of(*state).has_value(); };
@@ -72,11 +74,11 @@
     return nullptr;
   }
   const bool is_short = demand.content.prompt_tokens <= short_prompt_tokens;
-  const auto doubted_after = is_short ? limit_doubt_time : longest_limit_doubt;
+  const auto stale_time = is_short ? limit_stale_time : limit_stale_time_long_prompt;
   const auto found =
       std::find_if(candidates.begin(), candidates.end(), [&](const replica_state* state) {
         const auto* record = limits_->book().find(state->record->id);
-        return record != nullptr && record->per_second && now - record->heard_at >= doubted_after;
+        return record != nullptr && record->per_second && now - record->heard_at >= stale_time;
       });
   return found == candidates.end() ? nullptr : *found;
 }
--- a/src/replicas/replica_table_statements.cc
+++ b/src/replicas/replica_table_statements.cc
@@ -1,4 +1,4 @@
-/// What replicas say of themselves with their answers.
+/// Parts of `replica_table` for the self-reports that replicas send with their answers.
 #include "replicas/replica_table.h"
 
 #include "replicas/replica_chooser.h"
@@ -36,56 +36,56 @@
 
 bool replica_table::is_blocked_only_by_backoff(const replica_state& state,
                                                base::time_point now) const {
-  // Other rests, as after a refusal, may end before.
-  const auto opens_at = std::max(now, state.backoff.ends_at());
-  return !state.backoff.permits_call(state.in_flight, now) && accepts_calls(state, opens_at);
+  // Other pauses, for example after a rejection, may end before the backoff.
+  const auto backoff_ends_at = std::max(now, state.backoff.ends_at());
+  return !state.backoff.permits_call(state.in_flight, now) && accepts_calls(state, backoff_ends_at);
 }
 
 std::optional<base::duration> replica_table::time_until_backoff_ends(const replica_demand& demand,
                                                                      base::time_point now) const {
-  std::optional<base::duration> least;
+  std::optional<base::duration> shortest;
   if (!has_backoffs(now)) {
-    return least;
+    return shortest;
   }
   for (const auto* state : index_.of_service(demand.service)) {
     if (is_blocked_only_by_backoff(*state, now) && could_serve(demand, *state)) {
       const auto remaining =
           std::max<base::duration>(state->backoff.ends_at() - now, base::duration::zero());
-      least = std::min(least.value_or(remaining), remaining);
+      shortest = std::min(shortest.value_or(remaining), remaining);
     }
   }
-  return least;
+  return shortest;
 }
 
-void replica_table::note_self_report(const statement_heard& heard, base::time_point now) {
-  auto* state = mutable_find(heard.replica);
-  if (state == nullptr || is_at_earlier_incarnation(heard.replica, heard.call_began)) {
+void replica_table::note_self_report(const statement_heard& received, base::time_point now) {
+  auto* state = mutable_find(received.replica);
+  if (state == nullptr || is_at_earlier_incarnation(received.replica, received.call_began)) {
     return;
   }
   if (self_reports_ != nullptr) {
-    self_reports_->hear(heard.replica, heard.said, heard.call_began, now);
+    self_reports_->hear(received.replica, received.said, received.call_began, now);
   }
-  if (heard.said.load) {
-    note_load(heard.replica, *heard.said.load, now);
+  if (received.said.load) {
+    note_load(received.replica, *received.said.load, now);
   }
-  note_cold(heard.replica, heard.said.cold_for, now);
-  note_backoff(*state, heard, now);
+  note_cold(received.replica, received.said.cold_for, now);
+  note_backoff(*state, received, now);
 }
 
-void replica_table::note_backoff(replica_state& state, const statement_heard& heard,
+void replica_table::note_backoff(replica_state& state, const statement_heard& received,
                                  base::time_point now) {
-  const auto& span = heard.said.backoff.span;
+  const auto& span = received.said.backoff.span;
   if (!span) {
-    state.backoff.note_answer(heard.call_began, state.record->slots);
+    state.backoff.note_answer(received.call_began, state.record->slots);
     return;
   }
-  // The answered call does not count as under way any more.
-  const auto others = state.in_flight - std::min(state.in_flight, 1U);
-  if (state.backoff.note_request(*span, others, now)) {
+  // The answered call no longer counts as in flight.
+  const auto other_calls = state.in_flight - std::min(state.in_flight, 1U);
+  if (state.backoff.note_request(*span, other_calls, now)) {
     ++backoffs_;
     latest_backoff_end_ = std::max(latest_backoff_end_, state.backoff.ends_at());
-    changed_.insert(heard.replica);
-    backoff_changes_.push_back({heard.replica, state.backoff.ends_at() - now});
+    changed_.insert(received.replica);
+    backoff_changes_.push_back({received.replica, state.backoff.ends_at() - now});
   }
 }
 
