--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -55,10 +55,9 @@
 
 /// Receivers of a node's load reports.
 enum class report_audience : std::uint8_t {
-  nobody,    ///< The node is no batcher.
-  own_zone,  ///< All nodes of the zone; some nodes of other zones in turn.
-  everybody, ///< The node is a batcher for other zones too: all nodes of the region, others in
-             ///< turn.
+  nobody,    ///< Not a batcher: no node, except in a small fleet.
+  own_zone,  ///< A batcher of its zone: all nodes of the zone, some of other zones in turn.
+  everybody, ///< A batcher for other zones too: all nodes of the region, others in turn.
 };
 
 /// Not thread-safe.
@@ -133,6 +132,7 @@
   std::set<base::node_id> batchers_;
   /// Peers whose latest load report says that they are batchers.
   std::set<base::node_id> reporting_batchers_;
+  /// Peers that are marked unresponsive.
   std::set<base::node_id> unresponsive_;
   /// Nodes of the own zone.
   std::vector<base::node_id> in_zone_;
--- a/tests/fleet_view/peer_directory_test.cc
+++ b/tests/fleet_view/peer_directory_test.cc
@@ -1,4 +1,4 @@
-/// Who hears of a gatherer: the messages between zones as the gatherers of a zone grow in number.
+/// Receivers of load reports: messages between zones and regions as the batchers grow in number.
 #include "fleet_view/peer_directory.h"
 
 #include <boost/test/unit_test.hpp>
@@ -26,28 +26,28 @@
   return {base::node_id(name), base::zone_id("far"), base::network_address(name + ":1"), 1};
 }
 
-/// The directory of one near node in a fleet whose first `count` near nodes gather.
+/// @return the directory of one near node in a fleet whose first `count` near nodes are batchers.
 peer_directory directory_of(int self, int count) {
   peer_directory subject(near_peer(self));
-  std::vector<fleet_peer> others;
-  std::set<base::node_id> gatherers;
+  std::vector<fleet_peer> peers;
+  std::set<base::node_id> batchers;
   for (int index = 0; index < near_nodes; ++index) {
     if (index != self) {
-      others.push_back(near_peer(index));
+      peers.push_back(near_peer(index));
     }
     if (index < count) {
-      gatherers.insert(near_peer(index).node);
+      batchers.insert(near_peer(index).node);
     }
   }
   for (int index = 0; index < far_nodes; ++index) {
-    others.push_back(far_peer(index));
+    peers.push_back(far_peer(index));
   }
-  subject.update(std::move(others));
-  subject.set_batchers(gatherers, base::time_point{std::chrono::hours(1)});
+  subject.update(std::move(peers));
+  subject.set_batchers(batchers, base::time_point{std::chrono::hours(1)});
   return subject;
 }
 
-/// A region of several zones, each of whose nodes all gather, beside another region.
+/// A region of several zones, whose nodes are all batchers, beside another region.
 class region_of_zones {
  public:
   explicit region_of_zones(int zones) : zones_(zones) {
@@ -61,44 +61,44 @@
 
   [[nodiscard]] int nodes() const { return zones_ * nodes_per_zone; }
 
-  /// @return nodes of the other region that one node tells of itself within a second.
-  [[nodiscard]] std::vector<base::node_id> told_by(int self, report_audience audience) const {
+  /// @return the nodes of the other region that get reports of one node within a second.
+  [[nodiscard]] std::vector<base::node_id> receivers_of(int self, report_audience audience) const {
     peer_directory subject(peer(self), regions_);
-    std::vector<fleet_peer> others;
-    std::set<base::node_id> gatherers;
+    std::vector<fleet_peer> peers;
+    std::set<base::node_id> batchers;
     for (int index = 0; index < nodes(); ++index) {
       if (index != self) {
-        others.push_back(peer(index));
+        peers.push_back(peer(index));
       }
       if (peer(index).zone == peer(self).zone) {
-        gatherers.insert(peer(index).node);
+        batchers.insert(peer(index).node);
       }
     }
     for (int index = 0; index < far_nodes; ++index) {
-      others.push_back(far_peer(index));
+      peers.push_back(far_peer(index));
     }
-    subject.update(std::move(others));
-    subject.set_batchers(gatherers, base::time_point{std::chrono::hours(1)});
-    std::set<base::node_id> told;
-    for (int round = 0; round < rounds_a_second; ++round) {
+    subject.update(std::move(peers));
+    subject.set_batchers(batchers, base::time_point{std::chrono::hours(1)});
+    std::set<base::node_id> receivers;
+    for (int round = 0; round < rounds_per_second; ++round) {
       for (const auto& node : subject.next_receivers(audience)) {
         if (node.text().starts_with("far")) {
-          told.insert(node);
+          receivers.insert(node);
         }
       }
     }
-    return {told.begin(), told.end()};
+    return {receivers.begin(), receivers.end()};
   }
 
  private:
   static constexpr int nodes_per_zone = 10;
-  static constexpr int rounds_a_second = 5;
+  static constexpr int rounds_per_second = 5;
 
   static base::zone_id zone_name(int zone) { return base::zone_id("own-" + std::to_string(zone)); }
   [[nodiscard]] fleet_peer peer(int index) const {
-    auto made = near_peer(index);
-    made.zone = zone_name(index % zones_);
-    return made;
+    auto created = near_peer(index);
+    created.zone = zone_name(index % zones_);
+    return created;
   }
 
   int zones_;
@@ -109,58 +109,59 @@
 
 BOOST_AUTO_TEST_SUITE(peer_directory_test)
 
-BOOST_AUTO_TEST_CASE(a_node_hears_of_two_gatherers_of_another_zone_however_many_there_are) {
-  for (const int gatherers : {1, 2, 7, 30}) {
-    std::map<base::node_id, int> heard_of;
+BOOST_AUTO_TEST_CASE(a_node_gets_reports_of_at_most_two_batchers_of_another_zone) {
+  for (const int batchers : {1, 2, 7, 30}) {
+    std::map<base::node_id, int> reporters_of;
     std::size_t messages = 0;
-    for (int self = 0; self < gatherers; ++self) {
-      auto subject = directory_of(self, gatherers);
-      std::set<base::node_id> told;
-      // A second has five rounds.
+    for (int self = 0; self < batchers; ++self) {
+      auto subject = directory_of(self, batchers);
+      std::set<base::node_id> receivers;
+      // There are five rounds per second.
       for (int round = 0; round < 5; ++round) {
         for (const auto& node : subject.next_receivers(report_audience::own_zone)) {
           if (node.text().starts_with("far")) {
-            told.insert(node);
+            receivers.insert(node);
             ++messages;
           }
         }
       }
-      for (const auto& node : told) {
-        ++heard_of[node];
+      for (const auto& node : receivers) {
+        ++reporters_of[node];
       }
     }
-    BOOST_TEST(heard_of.size() == static_cast<std::size_t>(far_nodes));
-    for (const auto& [node, count] : heard_of) {
-      BOOST_TEST(count == std::min(gatherers, 2));
+    BOOST_TEST(reporters_of.size() == static_cast<std::size_t>(far_nodes));
+    for (const auto& [node, count] : reporters_of) {
+      BOOST_TEST(count == std::min(batchers, 2));
     }
-    // Rounds hold whole messages: up to four more a second for each gatherer.
-    BOOST_TEST(messages <= static_cast<std::size_t>(2 * far_nodes + 4 * gatherers));
+    // Each round sends a whole number of messages: up to four more per second for each batcher.
+    BOOST_TEST(messages <= static_cast<std::size_t>(2 * far_nodes + 4 * batchers));
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_node_hears_of_one_gatherer_of_another_region_however_many_zones_there_are) {
+BOOST_AUTO_TEST_CASE(
+    a_node_gets_reports_of_one_batcher_of_another_region_with_any_number_of_zones) {
   for (const int zones : {1, 2, 5}) {
     const region_of_zones region(zones);
-    std::map<base::node_id, int> heard_of;
+    std::map<base::node_id, int> reporters_of;
     for (int self = 0; self < region.nodes(); ++self) {
-      for (const auto& node : region.told_by(self, report_audience::own_zone)) {
-        ++heard_of[node];
+      for (const auto& node : region.receivers_of(self, report_audience::own_zone)) {
+        ++reporters_of[node];
       }
     }
-    BOOST_TEST(heard_of.size() == static_cast<std::size_t>(far_nodes));
-    for (const auto& [node, count] : heard_of) {
+    BOOST_TEST(reporters_of.size() == static_cast<std::size_t>(far_nodes));
+    for (const auto& [node, count] : reporters_of) {
       BOOST_TEST(count == 1);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(those_who_gather_for_a_region_tell_others_once_a_second) {
+BOOST_AUTO_TEST_CASE(batchers_for_their_region_report_to_other_regions_once_per_second) {
   const region_of_zones region(2);
-  BOOST_TEST(region.told_by(0, report_audience::everybody).size() ==
+  BOOST_TEST(region.receivers_of(0, report_audience::everybody).size() ==
              static_cast<std::size_t>(far_nodes));
 }
 
-BOOST_AUTO_TEST_CASE(those_who_gather_for_all_zones_tell_everybody) {
+BOOST_AUTO_TEST_CASE(batchers_for_all_zones_report_to_everybody) {
   auto subject = directory_of(0, 7);
   BOOST_TEST(subject.next_receivers(report_audience::everybody).size() ==
              static_cast<std::size_t>(near_nodes - 1 + far_nodes));
--- a/tests/replicas/cold_limit_test.cc
+++ b/tests/replicas/cold_limit_test.cc
@@ -1,5 +1,5 @@
-/// What a cold replica gets from a whole fleet whose nodes do not see each other's sends, with the
-/// policy that stands and with a share for every node.
+/// Requests that a cold replica gets from a whole fleet whose nodes do not see each other's
+/// requests: with the policy of cold_limit.h, and with a quota for every node for comparison.
 #include "replicas/cold_limit.h"
 
 #include "base/random.h"
@@ -18,62 +18,64 @@
 
 namespace {
 
-/// Bounds and rate of a deployment with 140 replicas; what a replica may get in a second is 15.05.
+/// Bounds and rate of a deployment with 140 replicas: a cold replica may get 15.05 requests per
+/// second.
 const cold_bounds bounds{1.5, 5};
-constexpr double bearable_rate = 6.7;
-const double allowed = bearable_rate * bounds.factor + bounds.allowance;
+constexpr double cold_requests_per_second = 6.7;
+const double bound_per_second = cold_requests_per_second * bounds.factor + bounds.allowance;
 
 const base::zone_id zone_a("a");
 
-/// A fleet of which every node wants to send to one cold replica all the time.
-struct eager_fleet {
+/// A fleet in which every node always has a request for the same cold replica.
+struct saturated_fleet {
   struct member {
     member(const base::node_id& name, base::time_point now) : name(name), callers(name) {
-      sends.start(now);
+      bucket.start(now);
     }
     base::node_id name;
     cold_callers callers;
-    cold_bucket sends;
+    cold_bucket bucket;
   };
 
-  explicit eager_fleet(std::size_t size) {
+  explicit saturated_fleet(std::size_t size) {
     for (std::size_t index = 0; index < size; ++index) {
       names.emplace_back("n" + std::to_string(index));
       members.push_back(std::make_unique<member>(names.back(), now));
     }
   }
 
-  /// Every node sees the whole fleet, but for those in `unseen`.
-  void set_views(const std::vector<base::node_id>& unseen = {}) {
-    auto seen = names;
-    std::erase_if(seen, [&](const auto& name) {
-      return std::find(unseen.begin(), unseen.end(), name) != unseen.end();
+  /// Lets every node see all nodes of the fleet except those in `invisible`.
+  void set_views(const std::vector<base::node_id>& invisible = {}) {
+    auto visible = names;
+    std::erase_if(visible, [&](const auto& name) {
+      return std::find(invisible.begin(), invisible.end(), name) != invisible.end();
     });
-    for (auto& one : members) {
-      one->callers.set_nodes({{zone_a, seen}});
+    for (auto& entry : members) {
+      entry->callers.set_nodes({{zone_a, visible}});
     }
   }
 
-  /// Each node tries every 10 ms, in an order drawn anew. @return most that arrived in a second.
-  std::size_t most_in_a_second(base::duration span) {
-    const auto share = cold_call_quota_of(bounds, bearable_rate, false);
+  /// Lets each node try to send a request every 10 ms.
+  /// @return the maximum number of requests within any second.
+  std::size_t max_requests_within_a_second(base::duration span) {
+    const auto quota = cold_call_quota_of(bounds, cold_requests_per_second, false);
     std::deque<base::time_point> sent;
-    std::size_t most = 0;
+    std::size_t max_sent = 0;
     for (const auto end = now + span; now < end; now += milliseconds(10)) {
-      for (auto& one : members) {
-        const bool may_send = one->callers.includes_self(replica, zone_a, share.callers) &&
-                              one->sends.has_token(share, now);
+      for (auto& entry : members) {
+        const bool may_send = entry->callers.includes_self(replica, zone_a, quota.callers) &&
+                              entry->bucket.has_token(quota, now);
         if (may_send) {
-          one->sends.take_token(share, now);
+          entry->bucket.take_token(quota, now);
           sent.push_back(now);
         }
       }
       while (!sent.empty() && now - sent.front() >= std::chrono::seconds(1)) {
         sent.pop_front();
       }
-      most = std::max(most, sent.size());
+      max_sent = std::max(max_sent, sent.size());
     }
-    return most;
+    return max_sent;
   }
 
   base::replica_id replica{"cold-replica"};
@@ -88,33 +90,34 @@
 
 BOOST_AUTO_TEST_SUITE(cold_limit_test)
 
-BOOST_AUTO_TEST_CASE(a_share_of_the_bound_uses_half_of_it) {
+BOOST_AUTO_TEST_CASE(quotas_of_all_callers_use_half_of_the_bound) {
   for (const double rate : {0.5, 2.0, 6.7, 40.0}) {
     for (const auto& bound : {cold_bounds{1, 0}, cold_bounds{1.5, 5}, cold_bounds{2, 20}}) {
-      const auto share = cold_call_quota_of(bound, rate, false);
-      const double whole = rate * bound.factor + bound.allowance;
-      BOOST_TEST(share.callers >= 1U);
-      if (whole >= 4) {
-        BOOST_TEST(static_cast<double>(share.callers) * (1 + share.requests_per_second) <=
-                   whole / 2 + 1e-9);
+      const auto quota = cold_call_quota_of(bound, rate, false);
+      const double full_bound = rate * bound.factor + bound.allowance;
+      BOOST_TEST(quota.callers >= 1U);
+      if (full_bound >= 4) {
+        BOOST_TEST(static_cast<double>(quota.callers) * (1 + quota.requests_per_second) <=
+                   full_bound / 2 + 1e-9);
       }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(the_bound_holds_at_any_size_and_is_used) {
+BOOST_AUTO_TEST_CASE(requests_stay_within_half_the_bound_at_any_fleet_size) {
   for (const auto size : sizes) {
-    eager_fleet fleet(size);
+    saturated_fleet fleet(size);
     fleet.set_views();
-    const auto most = fleet.most_in_a_second(std::chrono::seconds(20));
-    BOOST_TEST(static_cast<double>(most) <= allowed / 2, size << " nodes sent " << most);
-    BOOST_TEST(most >= 2U, size << " nodes sent " << most);
+    const auto max_sent = fleet.max_requests_within_a_second(std::chrono::seconds(20));
+    BOOST_TEST(static_cast<double>(max_sent) <= bound_per_second / 2,
+               size << " nodes sent " << max_sent);
+    BOOST_TEST(max_sent >= 2U, size << " nodes sent " << max_sent);
   }
 }
 
-BOOST_AUTO_TEST_CASE(the_bound_holds_while_two_halves_do_not_see_each_other) {
+BOOST_AUTO_TEST_CASE(requests_stay_within_the_bound_while_two_halves_are_partitioned) {
   for (const auto size : sizes) {
-    eager_fleet fleet(size);
+    saturated_fleet fleet(size);
     const std::size_t half = size / 2;
     const std::vector<base::node_id> first(fleet.names.begin(),
                                            fleet.names.begin() + static_cast<std::ptrdiff_t>(half));
@@ -123,59 +126,62 @@
     for (std::size_t index = 0; index < size; ++index) {
       fleet.members[index]->callers.set_nodes({{zone_a, index < half ? first : second}});
     }
-    const auto most = fleet.most_in_a_second(std::chrono::seconds(20));
-    BOOST_TEST(static_cast<double>(most) <= allowed, size << " nodes sent " << most);
+    const auto max_sent = fleet.max_requests_within_a_second(std::chrono::seconds(20));
+    BOOST_TEST(static_cast<double>(max_sent) <= bound_per_second,
+               size << " nodes sent " << max_sent);
   }
 }
 
-BOOST_AUTO_TEST_CASE(the_bound_holds_while_nodes_come_and_go_and_views_differ) {
+BOOST_AUTO_TEST_CASE(requests_stay_within_the_bound_while_nodes_see_different_members) {
   base::seeded_random random(7);
   for (const auto size : sizes) {
-    eager_fleet fleet(size);
+    saturated_fleet fleet(size);
     fleet.set_views();
     for (int step = 0; step < 40; ++step) {
-      // A few nodes at a time take some others for dead, wrongly or rightly.
+      // A few nodes at a time consider some other nodes dead.
       for (int changed = 0; changed < 3; ++changed) {
-        auto seen = fleet.names;
-        for (int lost = 0; lost < 3 && seen.size() > 1; ++lost) {
-          seen.erase(seen.begin() + static_cast<std::ptrdiff_t>(random.below(seen.size())));
+        auto visible = fleet.names;
+        for (int removed = 0; removed < 3 && visible.size() > 1; ++removed) {
+          visible.erase(visible.begin() +
+                        static_cast<std::ptrdiff_t>(random.below(visible.size())));
         }
-        fleet.members[random.below(size)]->callers.set_nodes({{zone_a, seen}});
+        fleet.members[random.below(size)]->callers.set_nodes({{zone_a, visible}});
       }
-      const auto most = fleet.most_in_a_second(milliseconds(500));
-      BOOST_TEST(static_cast<double>(most) <= allowed, size << " nodes sent " << most);
+      const auto max_sent = fleet.max_requests_within_a_second(milliseconds(500));
+      BOOST_TEST(static_cast<double>(max_sent) <= bound_per_second,
+                 size << " nodes sent " << max_sent);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_restarts_again_and_again_gains_nothing) {
-  const auto share = cold_call_quota_of(bounds, bearable_rate, false);
+BOOST_AUTO_TEST_CASE(repeated_restarts_gain_no_tokens) {
+  const auto quota = cold_call_quota_of(bounds, cold_requests_per_second, false);
   base::time_point now{std::chrono::hours(1)};
-  for (int life = 0; life < 20; ++life) {
-    cold_bucket sends;
-    sends.start(now);
-    BOOST_TEST(!sends.has_token(share, now));
-    BOOST_TEST(!sends.has_token(share, now + milliseconds(100)));
+  for (int restart = 0; restart < 20; ++restart) {
+    cold_bucket bucket;
+    bucket.start(now);
+    BOOST_TEST(!bucket.has_token(quota, now));
+    BOOST_TEST(!bucket.has_token(quota, now + milliseconds(100)));
     now += milliseconds(100);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_share_for_every_node_breaks_the_bound_in_a_large_fleet) {
-  // The policy weighed against the one that stands: all nodes call, each at its part of the rate.
-  // Buckets that have filled up are spent at once when everybody wants the same replica.
-  const auto most_of = [](std::size_t size) {
-    const cold_call_quota share{size, bearable_rate / static_cast<double>(size)};
+BOOST_AUTO_TEST_CASE(quotas_for_every_node_exceed_the_bound_in_a_large_fleet) {
+  // Alternative policy for comparison: all nodes call, each at its part of the rate. Full buckets
+  // are spent at once when all nodes have a request for the same replica.
+  const auto requests_at_once_of = [](std::size_t size) {
+    const cold_call_quota quota{size, cold_requests_per_second / static_cast<double>(size)};
     base::time_point now{std::chrono::hours(1)};
     std::vector<cold_bucket> buckets(size);
     std::size_t sent = 0;
     for (auto& bucket : buckets) {
       bucket.start(now - std::chrono::minutes(5));
-      sent += bucket.has_token(share, now) ? 1 : 0;
+      sent += bucket.has_token(quota, now) ? 1 : 0;
     }
     return sent;
   };
-  BOOST_TEST(static_cast<double>(most_of(6)) <= allowed);
-  BOOST_TEST(static_cast<double>(most_of(86)) > allowed);
+  BOOST_TEST(static_cast<double>(requests_at_once_of(6)) <= bound_per_second);
+  BOOST_TEST(static_cast<double>(requests_at_once_of(86)) > bound_per_second);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/replicas/distance_test.cc
+++ b/tests/replicas/distance_test.cc
@@ -1,4 +1,4 @@
-/// Rings between zones, and choices between replicas near and far.
+/// Locality of zones and choices between replicas near and far.
 #include "replicas/distance.h"
 
 #include "base/hashing.h"
@@ -40,7 +40,7 @@
   return model::zone_regions(std::move(regions));
 }
 
-/// A node in zone `a` that sees replicas in four zones, and both policies over them.
+/// A node in zone `a` with replicas in four zones and both policies.
 struct chooser_world {
   explicit chooser_world(const model::zone_regions& regions, std::size_t per_zone = 3)
       : random(1), replicas(base::node_id("n"), base::zone_id("a"), settings_of(regions), random),
@@ -69,7 +69,7 @@
     return settings;
   }
 
-  void tell_load(const std::string& zone, std::uint32_t calls) {
+  void report_load(const std::string& zone, std::uint32_t calls) {
     for (const auto& [id, state] : replicas.all()) {
       if (state.record->zone.text() == zone) {
         replicas.note_load(id, {calls, 0, 4}, now);
@@ -77,23 +77,23 @@
     }
   }
 
-  [[nodiscard]] const replica_state* choose(replica_chooser& policy, const std::string& part,
+  [[nodiscard]] const replica_state* choose(replica_chooser& policy, const std::string& prefix,
                                             const model::residency& allowed = {},
-                                            std::uint32_t shared_tokens = 100) {
+                                            std::uint32_t prefix_tokens = 100) {
     request_content content;
     content.model = "m";
-    content.prompt_parts = {{part, shared_tokens}, {"own", 10}};
-    content.prompt_tokens = shared_tokens + 10;
+    content.prompt_parts = {{prefix, prefix_tokens}, {"own", 10}};
+    content.prompt_tokens = prefix_tokens + 10;
     const replica_demand demand{service_name, content, allowed, excluded};
     return policy.choose(demand, now);
   }
 
-  /// @return zones of the engines of many shared parts.
-  std::set<std::string> zones_of_homes(std::uint32_t shared_tokens = 100) {
+  /// @return the zones of the preferred engines of many shared prefixes.
+  std::set<std::string> preferred_zones(std::uint32_t prefix_tokens = 100) {
     std::set<std::string> zones;
-    for (int part = 0; part < 50; ++part) {
+    for (int prefix = 0; prefix < 50; ++prefix) {
       zones.insert(
-          choose(engines, "part" + std::to_string(part), {}, shared_tokens)->record->zone.text());
+          choose(engines, "part" + std::to_string(prefix), {}, prefix_tokens)->record->zone.text());
     }
     return zones;
   }
@@ -112,7 +112,7 @@
 
 BOOST_AUTO_TEST_SUITE(distance_test)
 
-BOOST_AUTO_TEST_CASE(rings_follow_zones_and_regions) {
+BOOST_AUTO_TEST_CASE(locality_follows_zones_and_regions) {
   const distance from_a(base::zone_id("a"), two_regions());
   BOOST_TEST((from_a.locality_of(base::zone_id("a")) == locality::zone));
   BOOST_TEST((from_a.locality_of(base::zone_id("b")) == locality::region));
@@ -121,14 +121,14 @@
       (two_regions().locality_between(base::zone_id("c"), base::zone_id("d")) == locality::region));
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_without_region_is_near_itself_alone) {
+BOOST_AUTO_TEST_CASE(all_other_zones_are_elsewhere_for_a_zone_without_region) {
   const distance from_e(base::zone_id("e"), two_regions());
   BOOST_TEST((from_e.locality_of(base::zone_id("e")) == locality::zone));
   BOOST_TEST((from_e.locality_of(base::zone_id("a")) == locality::elsewhere));
   BOOST_TEST((from_e.locality_of(base::zone_id("f")) == locality::elsewhere));
 }
 
-BOOST_AUTO_TEST_CASE(farther_rings_cost_more) {
+BOOST_AUTO_TEST_CASE(farther_localities_cost_more) {
   constexpr double megabyte = 1e6;
   BOOST_TEST(distance::load_cost(locality::zone) < distance::load_cost(locality::region));
   BOOST_TEST(distance::load_cost(locality::region) < distance::load_cost(locality::elsewhere));
@@ -138,60 +138,60 @@
              distance::cost_seconds(locality::elsewhere, megabyte));
 }
 
-BOOST_AUTO_TEST_CASE(a_shared_part_has_its_home_in_the_own_region) {
+BOOST_AUTO_TEST_CASE(a_shared_prefix_prefers_engines_of_the_own_region) {
   chooser_world world(two_regions());
-  BOOST_TEST(world.zones_of_homes() == (text_set{"a", "b"}), boost::test_tools::per_element());
+  BOOST_TEST(world.preferred_zones() == (text_set{"a", "b"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_shared_part_that_takes_long_to_read_has_one_home_in_the_fleet) {
-  constexpr std::uint32_t long_part = 13'000;
+BOOST_AUTO_TEST_CASE(a_long_shared_prefix_has_one_preferred_engine_in_the_fleet) {
+  constexpr std::uint32_t long_prefix = 13'000;
   chooser_world world(two_regions());
-  BOOST_TEST(world.zones_of_homes(long_part) == (text_set{"a", "b", "c", "d"}),
+  BOOST_TEST(world.preferred_zones(long_prefix) == (text_set{"a", "b", "c", "d"}),
              boost::test_tools::per_element());
   const auto allowed = model::residency::within({base::region_id("south")});
-  for (int part = 0; part < 50; ++part) {
-    const auto name = "part" + std::to_string(part);
-    const auto* home = world.choose(world.engines, name, allowed, long_part);
-    BOOST_TEST(two_regions().region_of(home->record->zone)->text() == "south");
+  for (int prefix = 0; prefix < 50; ++prefix) {
+    const auto name = "part" + std::to_string(prefix);
+    const auto* preferred = world.choose(world.engines, name, allowed, long_prefix);
+    BOOST_TEST(two_regions().region_of(preferred->record->zone)->text() == "south");
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_busy_region_keeps_its_prompts_until_the_wait_costs_more_than_the_way) {
+BOOST_AUTO_TEST_CASE(prompts_leave_a_busy_region_when_the_wait_costs_more_than_the_distance) {
   chooser_world world(two_regions());
   for (const std::string zone : {"a", "b"}) {
-    world.tell_load(zone, 5);
+    world.report_load(zone, 5);
   }
-  BOOST_TEST(world.zones_of_homes() == (text_set{"a"}), boost::test_tools::per_element());
+  BOOST_TEST(world.preferred_zones() == (text_set{"a"}), boost::test_tools::per_element());
   for (const std::string zone : {"a", "b"}) {
-    world.tell_load(zone, 10);
+    world.report_load(zone, 10);
   }
   for (const std::string zone : {"c", "d"}) {
-    world.tell_load(zone, 0);
+    world.report_load(zone, 0);
   }
-  BOOST_TEST(world.zones_of_homes() == (text_set{"c", "d"}), boost::test_tools::per_element());
+  BOOST_TEST(world.preferred_zones() == (text_set{"c", "d"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(callers_that_spill_meet_at_one_engine_for_a_part) {
+BOOST_AUTO_TEST_CASE(requests_with_one_prefix_spill_over_to_one_engine) {
   chooser_world world(two_regions());
   for (const std::string zone : {"a", "b"}) {
-    world.tell_load(zone, 10);
+    world.report_load(zone, 10);
   }
   for (const std::string zone : {"c", "d"}) {
-    world.tell_load(zone, 0);
+    world.report_load(zone, 0);
   }
-  const auto* home = world.choose(world.engines, "part");
+  const auto* preferred = world.choose(world.engines, "part");
   for (int again = 0; again < 20; ++again) {
-    BOOST_TEST(world.choose(world.engines, "part") == home);
+    BOOST_TEST(world.choose(world.engines, "part") == preferred);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_region_without_replicas_that_take_work_is_served_elsewhere) {
+BOOST_AUTO_TEST_CASE(requests_go_elsewhere_if_no_replica_of_the_region_accepts_work) {
   chooser_world world(two_regions());
   world.replicas.set_evacuated({base::zone_id("a"), base::zone_id("b")}, now);
-  BOOST_TEST(world.zones_of_homes() == (text_set{"c", "d"}), boost::test_tools::per_element());
+  BOOST_TEST(world.preferred_zones() == (text_set{"c", "d"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_region_whose_replicas_fail_is_left) {
+BOOST_AUTO_TEST_CASE(requests_go_elsewhere_if_all_replicas_of_the_region_fail) {
   chooser_world world(two_regions());
   constexpr int failures = 30;
   for (const auto& [id, state] : world.replicas.all()) {
@@ -201,21 +201,21 @@
     }
   }
   for (const std::string zone : {"c", "d"}) {
-    world.tell_load(zone, 0);
+    world.report_load(zone, 0);
   }
   BOOST_TEST(world.choose(world.plain, "part")->record->zone >= base::zone_id("c"));
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_is_held_elsewhere_has_its_home_there) {
+BOOST_AUTO_TEST_CASE(a_request_confined_to_another_region_gets_an_engine_there) {
   chooser_world world(two_regions());
   const auto allowed = model::residency::within({base::region_id("south")});
-  const auto* home = world.choose(world.engines, "part", allowed);
-  BOOST_REQUIRE(home != nullptr);
-  BOOST_TEST(two_regions().region_of(home->record->zone)->text() == "south");
+  const auto* preferred = world.choose(world.engines, "part", allowed);
+  BOOST_REQUIRE(preferred != nullptr);
+  BOOST_TEST(two_regions().region_of(preferred->record->zone)->text() == "south");
 }
 
-/// What the policies choose where distance is own zone or not: the rule of a fleet of one region.
-struct one_place_rule {
+/// Expected choices in a fleet of one region, where only the own zone and other zones differ.
+struct single_region_rule {
   static double cost_of(const replica_state& state) {
     constexpr double other_zone = 0.5;
     constexpr double failing = 3.0;
@@ -223,7 +223,7 @@
            (state.record->zone.text() == "a" ? 0 : other_zone) + failing * state.failure_share;
   }
 
-  /// @return the least cost of any replica.
+  /// @return the lowest cost of all replicas.
   static double least_cost(const chooser_world& world) {
     double least = 1e9;
     for (const auto& [id, state] : world.replicas.all()) {
@@ -232,15 +232,17 @@
     return least;
   }
 
-  /// @return the engine of a shared part; null where all are loaded.
-  static const replica_state* home_of(const chooser_world& world, const std::string& part) {
-    constexpr double bound = 0.6;
-    const auto affinity = base::stable_hash(part, base::stable_hash("m")) | 1U;
+  /// @return the preferred engine of a shared prefix; null if all engines are loaded.
+  static const replica_state* preferred_engine_of(const chooser_world& world,
+                                                  const std::string& prefix) {
+    constexpr double load_bound = 0.6;
+    const auto affinity = base::stable_hash(prefix, base::stable_hash("m")) | 1U;
     const replica_state* best = nullptr;
     std::uint64_t best_rank = 0;
     for (const auto& [id, state] : world.replicas.all()) {
       const auto rank = base::stable_hash(id.text(), affinity);
-      if (replica_table::load_of(state, now) < bound && (best == nullptr || rank >= best_rank)) {
+      if (replica_table::load_of(state, now) < load_bound &&
+          (best == nullptr || rank >= best_rank)) {
         best = &state;
         best_rank = rank;
       }
@@ -251,26 +253,27 @@
 
 BOOST_AUTO_TEST_CASE(a_fleet_of_one_region_decides_as_without_regions) {
   base::seeded_random drawn(7);
-  constexpr double alike = 0.02 * 3;
+  constexpr double tolerance = 0.02 * 3;
   for (int world_number = 0; world_number < 200; ++world_number) {
     chooser_world world(one_region_of_four());
-    const auto most = 1 + drawn.below(12);
+    const auto load_limit = 1 + drawn.below(12);
     for (const auto& [id, state] : world.replicas.all()) {
-      world.replicas.note_load(id, {static_cast<std::uint32_t>(drawn.below(most)), 0, 4}, now);
+      world.replicas.note_load(id, {static_cast<std::uint32_t>(drawn.below(load_limit)), 0, 4},
+                               now);
       if (drawn.below(4) == 0) {
         world.replicas.note_failure(id, now);
       }
     }
-    const auto part = "part" + std::to_string(world_number);
-    const auto* home = one_place_rule::home_of(world, part);
-    const auto* engine = world.choose(world.engines, part);
-    const auto* plain = world.choose(world.plain, part);
-    const auto least = one_place_rule::least_cost(world);
-    BOOST_TEST(one_place_rule::cost_of(*plain) <= least + alike);
-    if (home != nullptr) {
-      BOOST_TEST(engine == home);
+    const auto prefix = "part" + std::to_string(world_number);
+    const auto* preferred = single_region_rule::preferred_engine_of(world, prefix);
+    const auto* engine = world.choose(world.engines, prefix);
+    const auto* plain = world.choose(world.plain, prefix);
+    const auto least = single_region_rule::least_cost(world);
+    BOOST_TEST(single_region_rule::cost_of(*plain) <= least + tolerance);
+    if (preferred != nullptr) {
+      BOOST_TEST(engine == preferred);
     } else {
-      BOOST_TEST(one_place_rule::cost_of(*engine) <= least + alike);
+      BOOST_TEST(single_region_rule::cost_of(*engine) <= least + tolerance);
     }
   }
 }
--- a/tests/replicas/region_spill_test.cc
+++ b/tests/replicas/region_spill_test.cc
@@ -1,5 +1,5 @@
-/// Callers of three regions whose views of the replicas are stale and differ: how much work leaves
-/// a region, and whether what leaves runs to one place or comes and goes.
+/// Spillover between three regions whose callers have stale and different views of the replicas:
+/// how many calls leave a region, and whether they overload one place or alternate between places.
 #include "replicas/distance.h"
 #include "replicas/least_loaded_chooser.h"
 
@@ -32,7 +32,7 @@
 constexpr int replicas_per_zone = 4;
 constexpr std::uint32_t slots = 4;
 constexpr base::duration call_time = milliseconds(100);
-/// Calls a second that the replicas of one region bear.
+/// Calls per second that the replicas of one region sustain.
 const double region_capacity = 2 * replicas_per_zone * slots / base::to_seconds(call_time);
 const std::string service_name = "plain";
 
@@ -49,7 +49,7 @@
   return model::zone_regions(std::move(regions));
 }
 
-base::duration way_of(model::locality locality) {
+base::duration network_delay_of(model::locality locality) {
   switch (locality) {
   case model::locality::zone:
     return microseconds(100);
@@ -61,7 +61,7 @@
   return milliseconds(12);
 }
 
-/// One node that sends calls, with what it alone has seen.
+/// A node that sends calls, with its own observations.
 struct caller {
   caller(int number, const serving_settings& settings)
       : zone(number % zone_count), random(static_cast<std::uint64_t>(number) + 1),
@@ -75,48 +75,50 @@
   least_loaded_chooser chooser;
 };
 
-/// A call on its way.
+/// A call from its sender to a replica.
 struct sent_call {
   std::size_t caller = 0;
   base::replica_id replica;
-  base::time_point sent;
-  base::duration way{};
+  base::time_point sent_at;
+  base::duration network_delay{};
 };
 
-struct server {
+struct simulated_replica {
   int zone = 0;
   std::uint32_t running = 0;
   std::deque<sent_call> waiting;
-  std::size_t most_waiting = 0;
+  std::size_t max_waiting = 0;
 };
 
-struct spill_figures {
+struct spillover_figures {
   std::uint64_t calls = 0;
   std::uint64_t elsewhere = 0;
   double wait_seconds = 0;
-  /// Calls that left region 0, by window of a quarter of a second.
+  /// Calls from region 0 to other regions, by window of a quarter of a second.
   std::map<std::int64_t, double> spilled;
-  /// Most calls that waited at a replica of region 0, and of the others.
-  std::size_t most_waiting_in_first = 0;
-  std::size_t most_waiting_elsewhere = 0;
+  /// Maximum number of calls that waited at a replica of region 0.
+  std::size_t max_waiting_in_first = 0;
+  /// Maximum number of calls that waited at a replica of another region.
+  std::size_t max_waiting_elsewhere = 0;
 
   [[nodiscard]] double elsewhere_share() const {
     return static_cast<double>(elsewhere) / static_cast<double>(calls);
   }
   [[nodiscard]] double mean_wait() const { return wait_seconds / static_cast<double>(calls); }
-  /// @return most calls that left in a window, as a multiple of the mean.
-  [[nodiscard]] double busiest_window() const {
+  /// @return the calls from region 0 to other regions in the busiest window, as a multiple of the
+  ///         mean.
+  [[nodiscard]] double busiest_window_ratio() const {
     double sum = 0;
-    double most = 0;
+    double maximum = 0;
     for (const auto& [window, count] : spilled) {
       sum += count;
-      most = std::max(most, count);
+      maximum = std::max(maximum, count);
     }
-    return spilled.empty() ? 0 : most / (sum / static_cast<double>(spilled.size()));
+    return spilled.empty() ? 0 : maximum / (sum / static_cast<double>(spilled.size()));
   }
 };
 
-/// Callers and replicas; each call is made as the policy of its caller says.
+/// Simulation of callers and replicas; the policy of each caller chooses the replica of its calls.
 class region_fleet {
  public:
   explicit region_fleet(std::size_t callers) : draws_(42) {
@@ -125,14 +127,14 @@
     std::map<base::replica_id, std::shared_ptr<const model::replica>> published;
     for (int zone = 0; zone < zone_count; ++zone) {
       for (int index = 0; index < replicas_per_zone; ++index) {
-        auto made = std::make_shared<model::replica>();
-        made->id = base::replica_id(zone_name(zone) + std::to_string(index));
-        made->service = service_name;
-        made->address = base::network_address(made->id.text() + ":1");
-        made->zone = base::zone_id(zone_name(zone));
-        made->slots = slots;
-        published[made->id] = made;
-        servers_[made->id].zone = zone;
+        auto record = std::make_shared<model::replica>();
+        record->id = base::replica_id(zone_name(zone) + std::to_string(index));
+        record->service = service_name;
+        record->address = base::network_address(record->id.text() + ":1");
+        record->zone = base::zone_id(zone_name(zone));
+        record->slots = slots;
+        published[record->id] = record;
+        simulated_replicas_[record->id].zone = zone;
       }
     }
     for (std::size_t number = 0; number < callers; ++number) {
@@ -142,40 +144,40 @@
     }
   }
 
-  /// @param loads calls that arrive in each region, in parts of what its replicas bear.
+  /// @param loads calls that arrive in each region, as a fraction of the capacity of its replicas.
   void begin(const std::array<double, region_count>& loads) {
     for (int region = 0; region < region_count; ++region) {
-      arrive_later(region, loads);
+      schedule_arrival(region, loads);
     }
   }
 
-  /// @return what happened within the span.
-  spill_figures play(base::duration span) {
+  /// @return the figures of the span.
+  spillover_figures run_for(base::duration span) {
     figures_ = {};
-    for (auto& [id, one] : servers_) {
-      one.most_waiting = one.waiting.size();
+    for (auto& [id, replica] : simulated_replicas_) {
+      replica.max_waiting = replica.waiting.size();
     }
-    const auto end = now_ + span;
-    while (!events_.empty() && events_.top().at < end) {
+    const auto ends_at = now_ + span;
+    while (!events_.empty() && events_.top().at < ends_at) {
       const auto next = events_.top();
       events_.pop();
       now_ = next.at;
-      next.happen();
+      next.action();
     }
-    now_ = end;
-    for (const auto& [id, one] : servers_) {
-      auto& most =
-          one.zone / 2 == 0 ? figures_.most_waiting_in_first : figures_.most_waiting_elsewhere;
-      most = std::max(most, one.most_waiting);
+    now_ = ends_at;
+    for (const auto& [id, replica] : simulated_replicas_) {
+      auto& maximum =
+          replica.zone / 2 == 0 ? figures_.max_waiting_in_first : figures_.max_waiting_elsewhere;
+      maximum = std::max(maximum, replica.max_waiting);
     }
     return figures_;
   }
 
-  /// Callers hear within a second, each at its own time, that zones are evacuated or given back.
-  void spread(const std::set<base::zone_id>& evacuated) {
-    for (auto& one : callers_) {
+  /// Sets the evacuated zones at each caller, at a random time within the next second.
+  void spread_evacuation(const std::set<base::zone_id>& evacuated) {
+    for (auto& sender : callers_) {
       at(now_ + base::from_seconds(draws_.unit()),
-         [this, &one, evacuated] { one->replicas.set_evacuated(evacuated, now_); });
+         [this, &sender, evacuated] { sender->replicas.set_evacuated(evacuated, now_); });
     }
   }
 
@@ -183,79 +185,80 @@
   struct event {
     base::time_point at;
     std::uint64_t number = 0;
-    std::function<void()> happen;
+    std::function<void()> action;
     bool operator>(const event& other) const {
       return std::tie(at, number) > std::tie(other.at, other.number);
     }
   };
 
-  void at(base::time_point when, std::function<void()> happen) {
-    events_.push({when, ++event_number_, std::move(happen)});
+  void at(base::time_point when, std::function<void()> action) {
+    events_.push({when, ++event_number_, std::move(action)});
   }
 
-  void arrive_later(int region, const std::array<double, region_count>& loads) {
+  void schedule_arrival(int region, const std::array<double, region_count>& loads) {
     const double rate = loads[static_cast<std::size_t>(region)] * region_capacity;
     const auto gap = base::from_seconds(-std::log(1 - draws_.unit()) / rate);
     at(now_ + gap, [this, region, loads] {
       const auto& near = in_region_[static_cast<std::size_t>(region)];
       send(near[draws_.below(near.size())]);
-      arrive_later(region, loads);
+      schedule_arrival(region, loads);
     });
   }
 
   void send(std::size_t number) {
-    auto& from = *callers_[number];
+    auto& sender = *callers_[number];
     const request_content content;
     const model::residency anywhere;
     const std::set<base::replica_id> none;
-    const auto* chosen = from.chooser.choose({service_name, content, anywhere, none}, now_);
-    const auto id = chosen->record->id;
-    from.replicas.call_started(id, now_);
-    auto& to = servers_.at(id);
-    const auto locality =
-        three_regions().locality_between(base::zone_id(zone_name(from.zone)), chosen->record->zone);
+    const auto* target = sender.chooser.choose({service_name, content, anywhere, none}, now_);
+    const auto id = target->record->id;
+    sender.replicas.call_started(id, now_);
+    auto& target_replica = simulated_replicas_.at(id);
+    const auto locality = three_regions().locality_between(base::zone_id(zone_name(sender.zone)),
+                                                           target->record->zone);
     ++figures_.calls;
     if (locality == model::locality::elsewhere) {
       ++figures_.elsewhere;
     }
-    if (from.zone / 2 == 0) {
+    if (sender.zone / 2 == 0) {
       const auto window = now_.time_since_epoch() / milliseconds(250);
-      figures_.spilled[window] += to.zone / 2 == 0 ? 0 : 1;
+      figures_.spilled[window] += target_replica.zone / 2 == 0 ? 0 : 1;
     }
-    const sent_call made{number, id, now_, way_of(locality)};
-    at(now_ + made.way, [this, made] { take(made); });
+    const sent_call call{number, id, now_, network_delay_of(locality)};
+    at(now_ + call.network_delay, [this, call] { arrive(call); });
   }
 
-  void take(const sent_call& made) {
-    auto& here = servers_.at(made.replica);
-    if (here.running < slots) {
-      ++here.running;
-      run(made);
+  void arrive(const sent_call& call) {
+    auto& replica = simulated_replicas_.at(call.replica);
+    if (replica.running < slots) {
+      ++replica.running;
+      start(call);
     } else {
-      here.waiting.push_back(made);
-      here.most_waiting = std::max(here.most_waiting, here.waiting.size());
+      replica.waiting.push_back(call);
+      replica.max_waiting = std::max(replica.max_waiting, replica.waiting.size());
     }
   }
 
-  void run(const sent_call& made) {
-    figures_.wait_seconds += base::to_seconds(now_ - made.sent - made.way);
-    at(now_ + call_time, [this, made] { end(made); });
+  void start(const sent_call& call) {
+    figures_.wait_seconds += base::to_seconds(now_ - call.sent_at - call.network_delay);
+    at(now_ + call_time, [this, call] { finish(call); });
   }
 
-  void end(const sent_call& made) {
-    auto& here = servers_.at(made.replica);
-    --here.running;
-    if (!here.waiting.empty()) {
-      const auto next = here.waiting.front();
-      here.waiting.pop_front();
-      ++here.running;
-      run(next);
+  void finish(const sent_call& call) {
+    auto& replica = simulated_replicas_.at(call.replica);
+    --replica.running;
+    if (!replica.waiting.empty()) {
+      const auto next = replica.waiting.front();
+      replica.waiting.pop_front();
+      ++replica.running;
+      start(next);
     }
-    const replica_load load{here.running, static_cast<std::uint32_t>(here.waiting.size()), slots};
-    at(now_ + made.way, [this, made, load] {
-      auto& from = *callers_[made.caller];
-      from.replicas.note_load(made.replica, load, now_);
-      from.replicas.call_ended(made.replica);
+    const replica_load load{replica.running, static_cast<std::uint32_t>(replica.waiting.size()),
+                            slots};
+    at(now_ + call.network_delay, [this, call, load] {
+      auto& sender = *callers_[call.caller];
+      sender.replicas.note_load(call.replica, load, now_);
+      sender.replicas.call_ended(call.replica);
     });
   }
 
@@ -264,97 +267,98 @@
   std::uint64_t event_number_ = 0;
   std::vector<std::unique_ptr<caller>> callers_;
   std::array<std::vector<std::size_t>, region_count> in_region_;
-  std::map<base::replica_id, server> servers_;
+  std::map<base::replica_id, simulated_replica> simulated_replicas_;
   std::priority_queue<event, std::vector<event>, std::greater<>> events_;
-  spill_figures figures_;
+  spillover_figures figures_;
 };
 
 constexpr std::array<std::size_t, 3> fleet_sizes{6, 91, 300};
-constexpr base::duration played = seconds(20);
+constexpr base::duration simulated_time = seconds(20);
 
-spill_figures figures_of(std::size_t callers, const std::array<double, region_count>& loads) {
+spillover_figures simulate(std::size_t callers, const std::array<double, region_count>& loads) {
   region_fleet fleet(callers);
   fleet.begin(loads);
-  auto found = fleet.play(played);
+  auto figures = fleet.run_for(simulated_time);
   BOOST_TEST_MESSAGE(callers << " callers, loads " << loads[0] << " " << loads[1] << " " << loads[2]
-                             << ": elsewhere " << found.elsewhere_share() << ", mean wait "
-                             << found.mean_wait() << " s, busiest window " << found.busiest_window()
-                             << ", most waiting elsewhere " << found.most_waiting_elsewhere);
-  return found;
+                             << ": elsewhere " << figures.elsewhere_share() << ", mean wait "
+                             << figures.mean_wait() << " s, busiest window "
+                             << figures.busiest_window_ratio() << ", most waiting elsewhere "
+                             << figures.max_waiting_elsewhere);
+  return figures;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(region_spill_test)
 
-BOOST_AUTO_TEST_CASE(nothing_leaves_a_region_that_bears_its_work) {
+BOOST_AUTO_TEST_CASE(no_call_spills_over_below_capacity) {
   for (const auto callers : fleet_sizes) {
-    BOOST_TEST(figures_of(callers, {0.6, 0.6, 0.6}).elsewhere == 0U);
+    BOOST_TEST(simulate(callers, {0.6, 0.6, 0.6}).elsewhere == 0U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(next_to_nothing_leaves_where_all_regions_are_as_busy) {
-  constexpr double most_elsewhere = 0.01;
+BOOST_AUTO_TEST_CASE(few_calls_spill_over_if_all_regions_are_equally_busy) {
+  constexpr double max_elsewhere = 0.01;
   for (const auto callers : fleet_sizes) {
-    BOOST_TEST(figures_of(callers, {0.85, 0.85, 0.85}).elsewhere_share() < most_elsewhere);
+    BOOST_TEST(simulate(callers, {0.85, 0.85, 0.85}).elsewhere_share() < max_elsewhere);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_region_that_is_short_sends_what_it_cannot_bear_and_no_rush) {
-  // A third of what arrives in the first region is more than it bears: 0.22 of all calls. They
-  // leave neither at once nor to one place, whatever each caller has seen.
-  constexpr double least_elsewhere = 0.15;
-  constexpr double most_elsewhere = 0.3;
-  constexpr double longest_mean_wait = 0.12;
-  constexpr double most_in_window = 2.5;
-  constexpr std::size_t most_waiting = std::size_t{3} * slots;
+BOOST_AUTO_TEST_CASE(an_overloaded_region_spills_over_its_excess_without_bursts) {
+  // A third of the calls that arrive in the first region exceed its capacity: 0.22 of all calls.
+  // They must leave neither all at once nor to one place, whatever each caller has observed.
+  constexpr double min_elsewhere = 0.15;
+  constexpr double max_elsewhere = 0.3;
+  constexpr double max_mean_wait = 0.12;
+  constexpr double max_window_ratio = 2.5;
+  constexpr std::size_t max_waiting = std::size_t{3} * slots;
   for (const auto callers : fleet_sizes) {
-    const auto found = figures_of(callers, {1.5, 0.4, 0.4});
-    BOOST_TEST(found.elsewhere_share() > least_elsewhere);
-    BOOST_TEST(found.elsewhere_share() < most_elsewhere);
-    BOOST_TEST(found.mean_wait() < longest_mean_wait);
-    BOOST_TEST(found.busiest_window() < most_in_window);
-    BOOST_TEST(found.most_waiting_elsewhere <= most_waiting);
+    const auto figures = simulate(callers, {1.5, 0.4, 0.4});
+    BOOST_TEST(figures.elsewhere_share() > min_elsewhere);
+    BOOST_TEST(figures.elsewhere_share() < max_elsewhere);
+    BOOST_TEST(figures.mean_wait() < max_mean_wait);
+    BOOST_TEST(figures.busiest_window_ratio() < max_window_ratio);
+    BOOST_TEST(figures.max_waiting_elsewhere <= max_waiting);
   }
 }
 
-BOOST_AUTO_TEST_CASE(where_little_is_free_elsewhere_no_region_is_overrun) {
-  // 0.97 of what all bear.
-  constexpr double longest_mean_wait = 0.25;
-  constexpr double most_in_window = 2.5;
+BOOST_AUTO_TEST_CASE(no_region_is_overloaded_if_little_capacity_is_free_elsewhere) {
+  // Load of 0.97 of the capacity of all regions.
+  constexpr double max_mean_wait = 0.25;
+  constexpr double max_window_ratio = 2.5;
   for (const auto callers : fleet_sizes) {
-    const auto found = figures_of(callers, {1.5, 0.7, 0.7});
-    BOOST_TEST(found.mean_wait() < longest_mean_wait);
-    BOOST_TEST(found.busiest_window() < most_in_window);
+    const auto figures = simulate(callers, {1.5, 0.7, 0.7});
+    BOOST_TEST(figures.mean_wait() < max_mean_wait);
+    BOOST_TEST(figures.busiest_window_ratio() < max_window_ratio);
   }
 }
 
-BOOST_AUTO_TEST_CASE(where_all_regions_are_short_little_leaves) {
-  // Nothing is gained by leaving; what does leave asks whether that is still so.
-  constexpr double most_elsewhere = 0.1;
+BOOST_AUTO_TEST_CASE(few_calls_spill_over_if_all_regions_are_overloaded) {
+  // Spillover gains nothing here; the few calls that leave only sample the load elsewhere.
+  constexpr double max_elsewhere = 0.1;
   for (const auto callers : fleet_sizes) {
-    BOOST_TEST(figures_of(callers, {1.2, 1.2, 1.2}).elsewhere_share() < most_elsewhere);
+    BOOST_TEST(simulate(callers, {1.2, 1.2, 1.2}).elsewhere_share() < max_elsewhere);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_region_that_is_lost_and_returns_is_neither_missed_nor_rushed) {
-  constexpr std::size_t most_waiting = std::size_t{3} * slots;
+BOOST_AUTO_TEST_CASE(evacuating_and_restoring_a_region_causes_no_long_queues) {
+  constexpr std::size_t max_waiting = std::size_t{3} * slots;
   const std::set<base::zone_id> first_region{base::zone_id("a"), base::zone_id("b")};
   for (const auto callers : fleet_sizes) {
     region_fleet fleet(callers);
     fleet.begin({0.5, 0.5, 0.5});
-    fleet.play(seconds(3));
-    fleet.spread(first_region);
-    fleet.play(seconds(1));
-    const auto without = fleet.play(seconds(3));
-    BOOST_TEST(without.most_waiting_in_first == 0U);
-    BOOST_TEST(without.most_waiting_elsewhere <= most_waiting);
-    fleet.spread({});
-    const auto returning = fleet.play(seconds(1));
-    BOOST_TEST(returning.most_waiting_in_first <= most_waiting);
-    BOOST_TEST(returning.most_waiting_elsewhere <= most_waiting);
-    fleet.play(seconds(1));
-    BOOST_TEST(fleet.play(seconds(3)).elsewhere == 0U);
+    fleet.run_for(seconds(3));
+    fleet.spread_evacuation(first_region);
+    fleet.run_for(seconds(1));
+    const auto evacuated = fleet.run_for(seconds(3));
+    BOOST_TEST(evacuated.max_waiting_in_first == 0U);
+    BOOST_TEST(evacuated.max_waiting_elsewhere <= max_waiting);
+    fleet.spread_evacuation({});
+    const auto restored = fleet.run_for(seconds(1));
+    BOOST_TEST(restored.max_waiting_in_first <= max_waiting);
+    BOOST_TEST(restored.max_waiting_elsewhere <= max_waiting);
+    fleet.run_for(seconds(1));
+    BOOST_TEST(fleet.run_for(seconds(3)).elsewhere == 0U);
   }
 }
 
--- a/tests/replicas/replica_evidence_test.cc
+++ b/tests/replicas/replica_evidence_test.cc
@@ -1,4 +1,4 @@
-/// What other nodes say of replicas, and how far it is believed.
+/// Health reports of other nodes on replicas and their effect on the choice of replicas.
 #include "base/random.h"
 #include "model/residency.h"
 #include "replicas/least_loaded_chooser.h"
@@ -16,8 +16,8 @@
 
 namespace {
 
-struct told_table {
-  told_table() : table(base::node_id("n"), base::zone_id("a"), settings, random) { publish(6); }
+struct reported_table {
+  reported_table() : table(base::node_id("n"), base::zone_id("a"), settings, random) { publish(6); }
 
   void publish(unsigned count) {
     for (unsigned index = 0; index < count; ++index) {
@@ -36,9 +36,9 @@
     return base::replica_id("r" + std::to_string(index));
   }
 
-  void say(unsigned replica, const std::string& witness, replica_health health, double bad = 0,
-           double good = 0) {
-    table.record_report(id(replica), base::node_id(witness), {sign, good, bad, now}, now);
+  void report(unsigned replica, const std::string& reporter, replica_health health, double bad = 0,
+              double good = 0) {
+    table.record_report(id(replica), base::node_id(reporter), {health, good, bad, now}, now);
   }
 
   [[nodiscard]] bool is_available(unsigned replica) const {
@@ -53,7 +53,7 @@
                        [&](const auto* state) { return state->record->id == id(replica); });
   }
 
-  [[nodiscard]] unsigned accepting_calls() const {
+  [[nodiscard]] unsigned available_replicas() const {
     unsigned count = 0;
     for (const auto& [name, state] : table.all()) {
       count += table.is_available(state, now) ? 1 : 0;
@@ -74,59 +74,59 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(replica_evidence_test, told_table)
+BOOST_FIXTURE_TEST_SUITE(replica_evidence_test, reported_table)
 
-BOOST_AUTO_TEST_CASE(two_words_make_a_replica_rest_and_one_does_not) {
-  say(0, "x", replica_health::unresponsive);
-  say(0, "x", replica_health::unresponsive);
+BOOST_AUTO_TEST_CASE(two_reporters_eject_a_replica_and_one_does_not) {
+  report(0, "x", replica_health::unresponsive);
+  report(0, "x", replica_health::unresponsive);
   BOOST_TEST(is_available(0));
-  say(0, "y", replica_health::unreachable);
+  report(0, "y", replica_health::unreachable);
   BOOST_TEST(!is_available(0));
   BOOST_TEST(table.ejections() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(own_silence_counts_as_one_word) {
+BOOST_AUTO_TEST_CASE(an_own_observation_counts_as_one_reporter) {
   table.note_unresponsive(id(0), now);
   BOOST_TEST(!table.is_declared_down(id(0), now));
-  say(0, "x", replica_health::unresponsive);
+  report(0, "x", replica_health::unresponsive);
   BOOST_TEST(table.is_declared_down(id(0), now));
 }
 
-BOOST_AUTO_TEST_CASE(who_hears_a_replica_does_not_believe_that_it_is_lost) {
-  say(0, "x", replica_health::unresponsive);
+BOOST_AUTO_TEST_CASE(a_replica_with_later_activity_is_not_declared_down) {
+  report(0, "x", replica_health::unresponsive);
   now += milliseconds(10);
   table.note_activity(id(0), now);
   now += milliseconds(10);
-  say(0, "y", replica_health::unresponsive);
+  report(0, "y", replica_health::unresponsive);
   BOOST_TEST(!table.is_declared_down(id(0), now));
   BOOST_TEST(is_available(0));
 }
 
-BOOST_AUTO_TEST_CASE(words_expire) {
-  say(0, "x", replica_health::unresponsive);
+BOOST_AUTO_TEST_CASE(down_reports_expire) {
+  report(0, "x", replica_health::unresponsive);
   now += down_report_lifetime;
-  say(0, "y", replica_health::unresponsive);
+  report(0, "y", replica_health::unresponsive);
   BOOST_TEST(!table.is_declared_down(id(0), now));
 }
 
-BOOST_AUTO_TEST_CASE(a_witness_takes_its_word_back) {
-  say(0, "x", replica_health::unresponsive);
-  say(0, "x", replica_health::healthy);
-  say(0, "y", replica_health::unresponsive);
+BOOST_AUTO_TEST_CASE(a_healthy_report_replaces_the_down_report_of_its_reporter) {
+  report(0, "x", replica_health::unresponsive);
+  report(0, "x", replica_health::healthy);
+  report(0, "y", replica_health::unresponsive);
   BOOST_TEST(is_available(0));
 }
 
-BOOST_AUTO_TEST_CASE(never_more_than_a_third_of_a_service_rest_on_the_word_of_others) {
+BOOST_AUTO_TEST_CASE(at_most_a_third_of_a_service_is_ejected) {
   for (unsigned replica = 0; replica < 6; ++replica) {
-    say(replica, "x", replica_health::unresponsive);
-    say(replica, "y", replica_health::unresponsive);
+    report(replica, "x", replica_health::unresponsive);
+    report(replica, "y", replica_health::unresponsive);
   }
-  BOOST_TEST(accepting_calls() == 4U);
+  BOOST_TEST(available_replicas() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(the_way_back_is_one_request) {
-  say(0, "x", replica_health::unresponsive);
-  say(0, "y", replica_health::unresponsive);
+BOOST_AUTO_TEST_CASE(one_probe_is_sent_after_an_ejection) {
+  report(0, "x", replica_health::unresponsive);
+  report(0, "y", replica_health::unresponsive);
   now += settings.unreachable_pause;
   BOOST_TEST(is_candidate(0));
   table.call_started(id(0), now);
@@ -135,8 +135,8 @@
   BOOST_TEST(is_candidate(0));
 }
 
-BOOST_AUTO_TEST_CASE(a_request_avoids_what_fails_for_others) {
-  say(0, "x", replica_health::failing, 3, 0);
+BOOST_AUTO_TEST_CASE(a_replica_that_fails_for_other_nodes_is_avoided) {
+  report(0, "x", replica_health::failing, 3, 0);
   least_loaded_chooser chooser(table, distance(base::zone_id("a"), {}), random);
   for (int choice = 0; choice < 100; ++choice) {
     const auto* chosen = chooser.choose(demand(), now);
@@ -145,49 +145,49 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(what_fails_everywhere_alike_says_nothing_of_a_replica) {
+BOOST_AUTO_TEST_CASE(equal_failures_at_all_replicas_do_not_count) {
   for (int round = 0; round < 3; ++round) {
     for (unsigned replica = 0; replica < 6; ++replica) {
-      say(replica, "x", replica_health::failing, 4, 6);
+      report(replica, "x", replica_health::failing, 4, 6);
     }
   }
   for (unsigned replica = 0; replica < 6; ++replica) {
     BOOST_TEST(replica_table::failure_share_of(*table.find(id(replica)), now) == 0);
   }
-  say(0, "y", replica_health::failing, 20, 0);
+  report(0, "y", replica_health::failing, 20, 0);
   BOOST_TEST(replica_table::failure_share_of(*table.find(id(0)), now) > 0.3);
 }
 
-BOOST_AUTO_TEST_CASE(many_good_calls_outweigh_a_failure_that_another_saw) {
+BOOST_AUTO_TEST_CASE(many_successful_calls_outweigh_one_reported_failure) {
   for (int call = 0; call < 50; ++call) {
     table.note_success(id(0), now);
   }
-  say(0, "x", replica_health::failing, 1, 0);
+  report(0, "x", replica_health::failing, 1, 0);
   BOOST_TEST(replica_table::failure_share_of(*table.find(id(0)), now) < 0.03);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_was_never_heard_is_not_reported_as_well) {
+BOOST_AUTO_TEST_CASE(a_replica_without_activity_is_not_reported_healthy) {
   table.note_unreachable(id(0), now);
-  const auto lost = replica_table::own_health_report(*table.find(id(0)), now);
-  BOOST_REQUIRE(lost.has_value());
-  BOOST_TEST((lost->health == replica_health::unreachable));
+  const auto down_report = replica_table::own_health_report(*table.find(id(0)), now);
+  BOOST_REQUIRE(down_report.has_value());
+  BOOST_TEST((down_report->health == replica_health::unreachable));
   now += down_report_lifetime + seconds(1);
   BOOST_TEST(!replica_table::own_health_report(*table.find(id(0)), now).has_value());
   table.note_success(id(0), now);
-  const auto heard_at = now;
+  const auto active_at = now;
   now += seconds(1);
-  const auto well = replica_table::own_health_report(*table.find(id(0)), now);
-  BOOST_REQUIRE(well.has_value());
-  BOOST_TEST((well->health == replica_health::healthy));
-  BOOST_TEST((well->seen_at == heard_at));
+  const auto healthy_report = replica_table::own_health_report(*table.find(id(0)), now);
+  BOOST_REQUIRE(healthy_report.has_value());
+  BOOST_TEST((healthy_report->health == replica_health::healthy));
+  BOOST_TEST((healthy_report->seen_at == active_at));
 }
 
-BOOST_AUTO_TEST_CASE(a_new_publication_forgets_no_reports_of_failures) {
+BOOST_AUTO_TEST_CASE(failure_reports_survive_an_update_of_the_published_replicas) {
   for (unsigned replica = 0; replica < 6; ++replica) {
-    say(replica, "w", replica_health::failing, 8, 2);
+    report(replica, "w", replica_health::failing, 8, 2);
   }
   publish(6);
-  say(0, "v", replica_health::failing, 8, 2);
+  report(0, "v", replica_health::failing, 8, 2);
   BOOST_TEST(replica_table::failure_share_of(*table.find(id(0)), now) == 0);
 }
 
--- a/tests/replicas/replica_failures_test.cc
+++ b/tests/replicas/replica_failures_test.cc
@@ -1,8 +1,8 @@
-/// Replicas that failed and are well again.
+/// Replicas that have recovered from failures.
 ///
-/// Seen: under a light load a replica of which a node saw one call fail got nothing more from that
-/// node, although it was good for seconds: its share of failures fell with calls only, and it got
-/// no calls for its share of failures.
+/// Guards against a recovered replica that gets no more calls from a node that saw one call fail:
+/// under a light load the failure share decayed with calls only, and the replica got no calls
+/// because of its failure share.
 #include "serving_fixture.h"
 
 using namespace spurrack;
@@ -12,38 +12,41 @@
 
 namespace {
 
-/// Asks once every 200 ms. @return requests that each replica got.
-std::map<std::string, std::size_t> ask_for(dispatcher_driver& driver, base::duration span,
-                                           const std::string& failing, base::caller_id& client) {
-  std::map<std::string, std::size_t> sent;
+/// Sends a request every 200 ms.
+/// @return the number of requests that each replica got.
+std::map<std::string, std::size_t> send_requests_for(dispatcher_driver& driver, base::duration span,
+                                                     const std::string& failing,
+                                                     base::caller_id& client) {
+  std::map<std::string, std::size_t> requests;
   for (const auto end = driver.now + span; driver.now < end;) {
     driver.arrive(++client, "/unsafe/");
     const auto call = driver.last<start_call>();
     const auto& replica = call.target.replica.text();
-    ++sent[replica];
+    ++requests[replica];
     driver.pass(milliseconds(20));
     auto head = dispatcher_driver::good_head(replica == failing ? 500 : 200);
     driver.happen(call_answered{call.call, head, ""});
     driver.pass(milliseconds(180));
   }
-  return sent;
+  return requests;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(replica_failures_test)
 
-BOOST_AUTO_TEST_CASE(a_replica_that_failed_is_tried_again_under_a_light_load) {
+BOOST_AUTO_TEST_CASE(a_recovered_replica_gets_calls_again_under_light_load) {
   dispatcher_driver driver;
-  // Alike but for its failures: the other one is not nearer.
+  // Both replicas are in the zone of the node, so that they differ only in their failures.
   driver.world.remove_replica("plain-b");
   driver.world.add_replica("plain-c", "plain", "a");
   driver.subject.update(driver.world.content, driver.now);
   base::caller_id client = 0;
-  const auto while_failing = ask_for(driver, seconds(10), "plain-c", client);
-  ask_for(driver, seconds(3), "", client);
-  auto sent = ask_for(driver, seconds(5), "", client);
-  BOOST_TEST(sent["plain-c"] >= 5U, sent["plain-c"] << " requests in 5 s when it was good again");
+  const auto while_failing = send_requests_for(driver, seconds(10), "plain-c", client);
+  send_requests_for(driver, seconds(3), "", client);
+  auto requests = send_requests_for(driver, seconds(5), "", client);
+  BOOST_TEST(requests["plain-c"] >= 5U,
+             requests["plain-c"] << " requests in 5 s after it recovered");
   const auto failed = while_failing.find("plain-c");
   BOOST_REQUIRE(failed != while_failing.end());
   BOOST_TEST(failed->second <= 13U, failed->second << " of 50 requests while it failed all");
