--- a/src/replicas/distance.cc
+++ b/src/replicas/distance.cc
@@ -3,7 +3,7 @@
 namespace spurrack::serving {
 namespace {
 
-/// Load cost of a replica in another zone of the region, as a fraction of its slots.
+/// Load cost of a replica in another zone of the region, relative to its slots.
 constexpr double other_zone_load = 0.5;
 /// Load cost of a replica in another region. An idle replica in another region is preferred to a
 /// replica with all slots taken and half as many requests waiting: at lower loads the latency and
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -26,8 +26,8 @@
   /// @return the locality of a zone as seen from this node.
   [[nodiscard]] model::locality locality_of(const base::zone_id& zone) const;
 
-  /// @return how much less loaded, as a fraction of its slots, a replica in the locality must be
-  ///         than a replica in the own zone to be preferred.
+  /// @return how much less loaded, relative to its slots, a replica in the locality must be than a
+  ///         replica in the own zone to be preferred.
   [[nodiscard]] static double load_cost(model::locality locality);
   /// @return cost of transferring bytes to or from the locality, in seconds of waiting.
   [[nodiscard]] static double transfer_seconds(model::locality locality, double bytes);
--- a/src/replicas/least_loaded_chooser.h
+++ b/src/replicas/least_loaded_chooser.h
@@ -21,8 +21,7 @@
                                             base::time_point now) override;
 
  private:
-  /// @return the load plus the costs of the distance and of recent failures, as a fraction of the
-  ///         slots.
+  /// @return the load plus the costs of the distance and of recent failures, relative to the slots.
   [[nodiscard]] double cost_of(const replica_state& state, base::time_point now) const;
   /// @return the candidate of the least cost; null if there are none. Draws at random among
   ///         candidates of nearly equal cost.
--- a/src/replicas/region_spillover.cc
+++ b/src/replicas/region_spillover.cc
@@ -10,10 +10,10 @@
 /// Load reports older than this do not count for the load of a region. One of 100 callers gets
 /// about ten reports within this time from a region whose replicas sustain 320 calls per second.
 constexpr base::duration region_load_lifetime = std::chrono::seconds(3);
-/// Load difference beyond the cost of the distance, as a fraction of the slots, over which the
-/// fraction of requests that spill over grows from none to all. In the simulation of
-/// region_spill_test with 300 callers, calls of a region that gets 1.5 times its capacity wait 0.09
-/// s on average; they wait 1.4 s if each caller decides by its most recent load reports alone.
+/// Load difference beyond the cost of the distance, relative to the slots, over which the fraction
+/// of requests that spill over grows from none to all. In the simulation of region_spill_test with
+/// 300 callers, calls of a region that gets 1.5 times its capacity wait 0.09 s on average; they
+/// wait 1.4 s if each caller decides by its most recent load reports alone.
 constexpr double spillover_load_range = 0.7;
 
 /// Fraction of the requests that is sent elsewhere to learn the load there, if no load is known
@@ -30,8 +30,8 @@
 /// A replica whose share of failed calls is above this counts as known without a load report.
 constexpr double mostly_failing = 0.5;
 
-/// @return the mean load of the replicas whose load is known, with the cost of their failures, as a
-///         fraction of the slots; std::nullopt if too few are known.
+/// @return the mean load of the replicas whose load is known, with the cost of their failures,
+///         relative to the slots; std::nullopt if too few are known.
 std::optional<double> mean_known_load(const std::vector<const replica_state*>& replicas,
                                       std::size_t min_known, base::time_point now) {
   double sum = 0;
--- a/src/replicas/replica_incarnations.cc
+++ b/src/replicas/replica_incarnations.cc
@@ -32,17 +32,17 @@
   return restart;
 }
 
-void replica_incarnations::note_gone(const base::replica_id& replica, base::time_point now) {
+void replica_incarnations::note_unpublished(const base::replica_id& replica, base::time_point now) {
   const auto found = replicas_.find(replica);
-  if (found != replicas_.end() && !found->second.gone_at) {
-    found->second.gone_at = now;
+  if (found != replicas_.end() && !found->second.unpublished_at) {
+    found->second.unpublished_at = now;
   }
 }
 
-void replica_incarnations::forget_gone(base::time_point now) {
+void replica_incarnations::forget_unpublished(base::time_point now) {
   std::erase_if(replicas_, [&](const auto& entry) {
-    const auto& gone_at = entry.second.gone_at;
-    return gone_at && now - *gone_at >= unpublished_lifetime;
+    const auto& unpublished_at = entry.second.unpublished_at;
+    return unpublished_at && now - *unpublished_at >= unpublished_lifetime;
   });
 }
 
--- a/src/replicas/replica_incarnations.h
+++ b/src/replicas/replica_incarnations.h
@@ -29,10 +29,10 @@
   std::optional<replica_restart> note_published(const model::replica& record);
   /// Records that a replica is no longer published. Its incarnation is kept for five minutes,
   /// because most replicas that crash disappear from the published list before they restart.
-  void note_gone(const base::replica_id& replica, base::time_point now);
+  void note_unpublished(const base::replica_id& replica, base::time_point now);
   /// Removes replicas that have been unpublished for five minutes.
-  void forget_gone(base::time_point now);
-  /// @return the number of replicas that are published or still kept.
+  void forget_unpublished(base::time_point now);
+  /// @return the number of replicas whose incarnation is known.
   [[nodiscard]] std::size_t size() const { return replicas_.size(); }
 
  private:
@@ -40,7 +40,7 @@
     model::replica_incarnation incarnation;
     base::network_address address;
     /// Time at which the replica was no longer published; std::nullopt while it is published.
-    std::optional<base::time_point> gone_at;
+    std::optional<base::time_point> unpublished_at;
   };
   std::map<base::replica_id, known_incarnation> replicas_;
 };
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -70,7 +70,7 @@
   for (const auto& [id, record] : published) {
     apply_record(record, now);
   }
-  incarnations_.forget_gone(now);
+  incarnations_.forget_unpublished(now);
 }
 
 void replica_table::update(const published_replicas& published,
@@ -83,7 +83,7 @@
       remove(id, now);
     }
   }
-  incarnations_.forget_gone(now);
+  incarnations_.forget_unpublished(now);
 }
 
 void replica_table::apply_record(const std::shared_ptr<const model::replica>& record,
@@ -124,7 +124,7 @@
   index_.remove(found->second);
   replicas_.erase(found);
   evidence_.forget(id);
-  incarnations_.note_gone(id, now);
+  incarnations_.note_unpublished(id, now);
   forget_self_reports(id);
   for (auto& [service, replicas] : reported_replicas_) {
     replicas.erase(id);
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -111,9 +111,9 @@
   ///         paused after failures, those replicas.
   [[nodiscard]] std::vector<const replica_state*> candidates_for(const replica_demand& demand,
                                                                  base::time_point now) const;
-  /// @return the known calls in flight at a replica, as a fraction of its slots.
+  /// @return the known calls in flight at a replica, relative to its slots.
   [[nodiscard]] static double load_of(const replica_state& state, base::time_point now);
-  /// @return the load that a replica's failures count for, as a fraction of its slots.
+  /// @return the load that a replica's failures count for, relative to its slots.
   [[nodiscard]] static double failure_load(const replica_state& state, base::time_point now);
   /// @return `load_of`, but with load reports up to `span` old.
   [[nodiscard]] static double load_reported_within(const replica_state& state, base::duration span,
--- a/src/replicas/replica_table_reports.cc
+++ b/src/replicas/replica_table_reports.cc
@@ -24,9 +24,8 @@
 constexpr double min_failure_excess = 0.2;
 /// Maximum number of other reported replicas from which the usual failure share is computed.
 constexpr std::size_t max_compared = 64;
-/// Load per node of which a replica requested a backoff, as a fraction of its slots: the requests
-/// that those nodes keep from the replica must not all go to the next replica that rejects
-/// requests.
+/// Load per node of which a replica requested a backoff, relative to its slots: the requests that
+/// those nodes keep from the replica must not all go to the next replica that rejects requests.
 constexpr double load_per_reported_backoff = 0.1;
 /// Maximum of that load for all nodes together: a backoff requested of other nodes does not show
 /// that the replica would reject requests of this node.
--- a/tests/replicas/replica_incarnations_test.cc
+++ b/tests/replicas/replica_incarnations_test.cc
@@ -109,11 +109,11 @@
   replica_incarnations incarnations;
   const base::time_point now{std::chrono::hours(1)};
   incarnations.note_published(record_of("r", 1000));
-  incarnations.note_gone(base::replica_id("r"), now);
-  incarnations.forget_gone(now + minutes(2));
+  incarnations.note_unpublished(base::replica_id("r"), now);
+  incarnations.forget_unpublished(now + minutes(2));
   BOOST_TEST(incarnations.note_published(record_of("r", 2000)).has_value());
-  incarnations.note_gone(base::replica_id("r"), now);
-  incarnations.forget_gone(now + minutes(5));
+  incarnations.note_unpublished(base::replica_id("r"), now);
+  incarnations.forget_unpublished(now + minutes(5));
   BOOST_TEST(incarnations.size() == 0U);
 }
 
