--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -27,7 +27,7 @@
                                 replica_exit incarnation_exit, base::time_point now) {
   const auto* state = replicas_.find(replica);
   // One that leaves as planned ends too, and no request is to blame.
-  if (state == nullptr || state->record->draining || state->left) {
+  if (state == nullptr || state->record->draining || state->is_replaced) {
     return;
   }
   if (crash_detector_.note_lost_call(replica,
--- a/src/dispatch/dispatcher_replica_lives.cc
+++ b/src/dispatch/dispatcher_replica_lives.cc
@@ -50,7 +50,7 @@
     auto& request = active_.at(client);
     const bool shows_events = request.latest_event_at > request.call->started &&
                               now - request.latest_event_at < life_confirm_time;
-    if (!shows_events && replicas_.is_at_earlier_life(replica, request.call->started)) {
+    if (!shows_events && replicas_.is_at_earlier_incarnation(replica, request.call->started)) {
       leave_earlier_life(request, now);
     } else {
       request.tried.insert(replica);
@@ -95,7 +95,7 @@
 }
 
 void dispatcher::report_unknown_services() {
-  const auto& unknown = replicas_.of_unknown_services();
+  const auto& unknown = replicas_.replicas_of_unknown_services();
   for (const auto& [id, service] : unknown) {
     const auto reported = unknown_services_.find(id);
     if (reported == unknown_services_.end() || reported->second != service) {
--- a/src/dispatch/dispatcher_residency.cc
+++ b/src/dispatch/dispatcher_residency.cc
@@ -26,10 +26,10 @@
     switch (replicas_.presence_of(service, allowed)) {
     case replica_presence::none:
       return residency_refusal{"no replica of " + service + " in the regions allowed", false};
-    case replica_presence::takes_none:
+    case replica_presence::accepts_none:
       return residency_refusal{"no replica of " + service + " takes work in the regions allowed",
                                true};
-    case replica_presence::takes_work:
+    case replica_presence::accepts_work:
       break;
     }
   }
@@ -51,14 +51,14 @@
 
 void dispatcher::note_way(const active_request& request, const replica_state& chosen,
                           base::time_point now) {
-  const auto ring = from_here_.ring_to(chosen.record->zone);
-  ++counters_.calls_by_locality[static_cast<std::size_t>(ring)];
+  const auto locality = from_here_.locality_of(chosen.record->zone);
+  ++counters_.calls_by_locality[static_cast<std::size_t>(locality)];
   if (!request.permitted_regions.is_restricted() || request.sent > 1) {
     return;
   }
-  const auto nearer = replicas_.available(request.service, now);
+  const auto nearer = replicas_.accepting_calls(request.service, now);
   const bool is_kept = std::any_of(nearer.begin(), nearer.end(), [&](const auto* state) {
-    return from_here_.ring_to(state->record->zone) < ring;
+    return from_here_.locality_of(state->record->zone) < locality;
   });
   if (is_kept) {
     ++counters_.confined_by_residency;
--- a/src/dispatch/dispatcher_stages.cc
+++ b/src/dispatch/dispatcher_stages.cc
@@ -133,7 +133,7 @@
 
 bool dispatcher::is_lost(const std::string& handle, base::time_point now) const {
   const auto* maker = replicas_.find_at(maker_of(handle));
-  return maker == nullptr || maker->left || maker->paused_until > now;
+  return maker == nullptr || maker->is_replaced || maker->paused_until > now;
 }
 
 void dispatcher::remake_final_inputs(active_request& request, base::time_point now) {
@@ -180,7 +180,8 @@
   if (request.permitted_regions.permits(settings_.regions.region_of(self_.zone))) {
     return self_.zone;
   }
-  return replicas_.some_zone_of(request.service, request.permitted_regions).value_or(self_.zone);
+  return replicas_.any_accepting_zone(request.service, request.permitted_regions)
+      .value_or(self_.zone);
 }
 
 } // namespace spurrack::serving
--- a/src/dispatch/dispatcher_statements.cc
+++ b/src/dispatch/dispatcher_statements.cc
@@ -56,8 +56,8 @@
   if (state == nullptr) {
     return std::nullopt;
   }
-  return self_reports::published_replica{state->record->zone, life_mark_of(*state->record),
-                                         state->process};
+  return self_reports::published_replica{
+      state->record->zone, incarnation_fingerprint_of(*state->record), state->process};
 }
 
 void dispatcher::on(const self_report_received& what, base::time_point now) {
--- a/src/engines/engine_chooser.cc
+++ b/src/engines/engine_chooser.cc
@@ -1,6 +1,6 @@
 #include "engines/engine_chooser.h"
 
-#include "replicas/region_spill.h"
+#include "replicas/region_spillover.h"
 
 #include <algorithm>
 #include <cstddef>
@@ -60,7 +60,7 @@
       fallback_(&fallback) {}
 
 bool engine_chooser::is_in_other_region(const replica_state& engine) const {
-  return from_here_.ring_to(engine.record->zone) == model::ring::elsewhere;
+  return from_here_.locality_of(engine.record->zone) == model::locality::elsewhere;
 }
 
 const replica_state*
--- a/src/replicas/distance.cc
+++ b/src/replicas/distance.cc
@@ -3,75 +3,75 @@
 namespace spurrack::serving {
 namespace {
 
-/// What a replica in another zone of the region must be better by, in parts of its slots.
+/// Load cost of a replica in another zone of the region, relative to its slots.
 constexpr double other_zone_load = 0.5;
-/// The same for another region. A replica with all slots taken and half as many requests waiting is
-/// passed over for an idle one elsewhere: below that the latency and the bytes between regions cost
-/// more than the wait.
+/// Load cost of a replica in another region. An idle replica in another region is preferred to a
+/// replica with all slots taken and half as many requests waiting: at lower loads the latency and
+/// the bytes between regions cost more than the wait.
 constexpr double other_region_load = 1.5;
-/// What any work in another zone of the region costs, in seconds of waiting: its load is known a
-/// second late.
+/// Fixed cost of work in another zone of the region, in seconds of waiting: the load of that zone
+/// is known a second late.
 constexpr double other_zone_seconds = 0.2;
-/// The same for another region.
+/// Fixed cost of work in another region, in seconds of waiting.
 constexpr double other_region_seconds = 0.2;
-/// What carrying a megabyte to another zone of the region costs, in seconds of waiting.
+/// Cost of transferring a megabyte to another zone of the region, in seconds of waiting.
 constexpr double other_zone_seconds_per_megabyte = 0.2;
-/// The same for another region.
+/// Cost of transferring a megabyte to another region, in seconds of waiting.
 constexpr double other_region_seconds_per_megabyte = 0.5;
 constexpr double bytes_per_megabyte = 1e6;
 
 } // namespace
 
 distance::distance(const base::zone_id& own_zone, const model::zone_regions& regions) {
-  near_[own_zone] = model::ring::zone;
+  near_[own_zone] = model::locality::zone;
   for (const auto& [zone, region] : regions.all()) {
-    const auto ring = regions.ring_between(own_zone, zone);
-    if (ring == model::ring::region) {
-      near_[zone] = ring;
+    const auto locality = regions.locality_between(own_zone, zone);
+    if (locality == model::locality::region) {
+      near_[zone] = locality;
     }
   }
 }
 
-model::ring distance::ring_to(const base::zone_id& zone) const {
+model::locality distance::locality_of(const base::zone_id& zone) const {
   const auto found = near_.find(zone);
-  return found == near_.end() ? model::ring::elsewhere : found->second;
+  return found == near_.end() ? model::locality::elsewhere : found->second;
 }
 
-double distance::load_cost(model::ring ring) {
-  switch (ring) {
-  case model::ring::zone:
+double distance::load_cost(model::locality locality) {
+  switch (locality) {
+  case model::locality::zone:
     return 0;
-  case model::ring::region:
+  case model::locality::region:
     return other_zone_load;
-  case model::ring::elsewhere:
+  case model::locality::elsewhere:
     return other_region_load;
   }
   return other_region_load;
 }
 
-double distance::carrying_seconds(model::ring ring, double bytes) {
+double distance::transfer_seconds(model::locality locality, double bytes) {
   const double megabytes = bytes / bytes_per_megabyte;
-  switch (ring) {
-  case model::ring::zone:
+  switch (locality) {
+  case model::locality::zone:
     return 0;
-  case model::ring::region:
+  case model::locality::region:
     return megabytes * other_zone_seconds_per_megabyte;
-  case model::ring::elsewhere:
+  case model::locality::elsewhere:
     break;
   }
   return megabytes * other_region_seconds_per_megabyte;
 }
 
-double distance::seconds(model::ring ring, double bytes) {
-  switch (ring) {
-  case model::ring::zone:
+double distance::cost_seconds(model::locality locality, double bytes) {
+  switch (locality) {
+  case model::locality::zone:
     return 0;
-  case model::ring::region:
-    return other_zone_seconds + carrying_seconds(ring, bytes);
-  case model::ring::elsewhere:
+  case model::locality::region:
+    return other_zone_seconds + transfer_seconds(locality, bytes);
+  case model::locality::elsewhere:
     break;
   }
-  return other_region_seconds + carrying_seconds(ring, bytes);
+  return other_region_seconds + transfer_seconds(locality, bytes);
 }
 
 } // namespace spurrack::serving
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -9,34 +9,38 @@
 namespace spurrack::serving {
 namespace {
 
-/// Load reported with an answer says nothing more after this time.
-constexpr base::duration told_load_lifetime = std::chrono::milliseconds(500);
-/// Share of the newest call in the own failure share: about the last seven calls count.
-constexpr double failure_smoothing = 0.15;
-/// A trial that goes well takes this part of the failure share away: few calls are trials.
-constexpr double trial_smoothing = 0.5;
-/// A replica that fails all calls is chosen like one with so many times its slots taken.
-constexpr double failing_load = 3.0;
-/// Share of the newest call in the learned slowness: two calls show what a replica has become.
-constexpr double newest_pace_share = 0.6;
-/// A replica that was slow is tried again after a few of these: troubles last some seconds.
-constexpr base::duration slowness_half_life = std::chrono::seconds(2);
-/// A replica that refused a call is left alone for this many calls and up to one more. It takes one
-/// call at a time and lets some wait, so it is busy for at least as long; retries at a fixed short
-/// period from many nodes would mostly be refused again.
-constexpr double least_occupied_calls = 0.5;
-/// A replica that rested is given one request in this time until it is heard.
-constexpr base::duration probe_time = std::chrono::milliseconds(1000);
-/// A replica that stays silent is reported again after this time, a third of the lifetime of a
+/// Lifetime of the load that a replica reports with an answer.
+constexpr base::duration load_report_lifetime = std::chrono::milliseconds(500);
+/// Weight of the newest call in the failure share; about the last seven calls count.
+constexpr double newest_failure_weight = 0.15;
+/// Part of the failure share that a successful trial call removes: larger than the weight of other
+/// calls, because few calls are trials.
+constexpr double trial_weight = 0.5;
+/// Load of a replica that fails all calls, as a multiple of its slots.
+constexpr double all_calls_failing_load = 3.0;
+/// Weight of the newest call in the slowdown: two calls suffice to learn the current slowdown.
+constexpr double newest_call_weight = 0.6;
+/// Half-life of the slowdown. A slow replica is tried again after a few half-lives, because faults
+/// last some seconds.
+constexpr base::duration slowdown_half_life = std::chrono::seconds(2);
+/// Shortest pause of a replica that rejected a call because it was occupied, in call times; a
+/// random part of one call time is added. The replica runs one call at a time and queues some, so
+/// it is busy for at least this time; retries of many nodes at a fixed short interval would mostly
+/// be rejected again.
+constexpr double min_occupied_calls = 0.5;
+/// Time after which a probe of a replica whose pause ended no longer prevents further requests, if
+/// the replica has sent nothing.
+constexpr base::duration probe_timeout = std::chrono::milliseconds(1000);
+/// Interval between reports of a replica that stays unresponsive: a third of the lifetime of a
 /// report.
-constexpr base::duration silence_renewal = std::chrono::milliseconds(1000);
-/// A replica that could not be reached and was heard afterwards had started again in between, if it
-/// was not longer ago than this: the list of replicas may lag behind by the time that its store was
-/// away.
-constexpr base::duration longest_list_lag = std::chrono::seconds(30);
-/// An entry that nobody writes any more lapses after three heartbeats of about 1.2 s; one that came
-/// back with an older copy of the store is passed over for that time.
-constexpr base::duration lapse_time = std::chrono::milliseconds(4'000);
+constexpr base::duration unresponsive_report_interval = std::chrono::milliseconds(1000);
+/// Longest delay of the published list behind a restart: the store of the list may be unavailable
+/// for this time. A replica that was down within this time before its restart is published, and has
+/// sent something since, restarted while it was down.
+constexpr base::duration max_list_lag = std::chrono::seconds(30);
+/// An entry of the store that no replica renews expires after three heartbeats of about 1.2 s. A
+/// replica whose entry came back with an older copy of the store is paused for this time.
+constexpr base::duration entry_expiry_time = std::chrono::milliseconds(4'000);
 
 } // namespace
 
@@ -48,50 +52,50 @@
     std::shared_ptr<const model::serving_configuration> configuration) {
   if (configuration != configuration_) {
     configuration_ = std::move(configuration);
-    cold_callers_.forget();
+    cold_callers_.clear_cache();
   }
 }
 
 void replica_table::update(const published_replicas& published, base::time_point now) {
-  std::vector<base::replica_id> gone;
+  std::vector<base::replica_id> unpublished;
   for (const auto& [id, state] : replicas_) {
     if (!published.contains(id)) {
-      gone.push_back(id);
+      unpublished.push_back(id);
     }
   }
-  for (const auto& id : gone) {
+  for (const auto& id : unpublished) {
     remove(id, now);
   }
-  of_unknown_services_.clear();
+  replicas_of_unknown_services_.clear();
   for (const auto& [id, record] : published) {
-    take_over(record, now);
+    apply_record(record, now);
   }
-  lives_.forget_gone(now);
+  incarnations_.forget_unpublished(now);
 }
 
 void replica_table::update(const published_replicas& published,
                            const std::vector<base::replica_id>& changed, base::time_point now) {
   for (const auto& id : changed) {
     if (const auto found = published.find(id); found != published.end()) {
-      take_over(found->second, now);
+      apply_record(found->second, now);
     } else {
-      of_unknown_services_.erase(id);
+      replicas_of_unknown_services_.erase(id);
       remove(id, now);
     }
   }
-  lives_.forget_gone(now);
+  incarnations_.forget_unpublished(now);
 }
 
-void replica_table::take_over(const std::shared_ptr<const model::replica>& record,
-                              base::time_point now) {
+void replica_table::apply_record(const std::shared_ptr<const model::replica>& record,
+                                 base::time_point now) {
   ++records_compared_;
   const auto& id = record->id;
   if (!has_known_service(*record)) {
-    of_unknown_services_[id] = record->service;
+    replicas_of_unknown_services_[id] = record->service;
     remove(id, now);
     return;
   }
-  of_unknown_services_.erase(id);
+  replicas_of_unknown_services_.erase(id);
   auto& state = replicas_[id];
   if (state.record == record) {
     return;
@@ -99,16 +103,16 @@
   if (state.record) {
     index_.remove(state);
   }
-  if (auto restart = lives_.note_published(*record)) {
-    begin_life(id, state, now);
+  if (auto restart = incarnations_.note_published(*record)) {
+    begin_incarnation(id, state, now);
     restarts_.push_back(std::move(*restart));
   }
-  turn_cold(state, record->cold_for, now);
+  mark_cold(state, record->cold_for, now);
   if (record->may_be_gone) {
-    state.paused_until = std::max(state.paused_until, now + lapse_time);
+    state.paused_until = std::max(state.paused_until, now + entry_expiry_time);
   }
   state.record = record;
-  note_process(state);
+  update_process(state);
   index_.add(state);
 }
 
@@ -120,10 +124,10 @@
   index_.remove(found->second);
   replicas_.erase(found);
   evidence_.forget(id);
-  lives_.note_gone(id, now);
-  forget_statements(id);
-  for (auto& [service, failing] : told_failing_) {
-    failing.erase(id);
+  incarnations_.note_unpublished(id, now);
+  forget_self_reports(id);
+  for (auto& [service, replicas] : reported_replicas_) {
+    replicas.erase(id);
   }
 }
 
@@ -135,59 +139,61 @@
   return known != nullptr && known->record->service == record.service;
 }
 
-void replica_table::begin_life(const base::replica_id& id, replica_state& state,
-                               base::time_point now) {
-  const auto lost_at = std::max(state.unreachable_at, state.silent_at);
-  const bool came_back_unlisted =
-      lost_at != base::time_point{} && state.heard_at > lost_at && now - lost_at < longest_list_lag;
+void replica_table::begin_incarnation(const base::replica_id& id, replica_state& state,
+                                      base::time_point now) {
+  const auto down_at = std::max(state.unreachable_at, state.unresponsive_at);
+  const bool came_back_unlisted = down_at != base::time_point{} &&
+                                  state.last_activity_at > down_at && now - down_at < max_list_lag;
   replica_state fresh;
   fresh.in_flight = state.in_flight;
   fresh.restart_seen_at = now;
-  fresh.earlier_calls_until = came_back_unlisted ? lost_at : now;
+  fresh.earlier_incarnation_calls_until = came_back_unlisted ? down_at : now;
   state = std::move(fresh);
   evidence_.forget(id);
-  forget_statements(id);
+  forget_self_reports(id);
   changed_.erase(id);
-  for (auto& [service, failing] : told_failing_) {
-    failing.erase(id);
+  for (auto& [service, replicas] : reported_replicas_) {
+    replicas.erase(id);
   }
 }
 
-bool replica_table::is_at_earlier_life(const base::replica_id& id, base::time_point began) const {
+bool replica_table::is_at_earlier_incarnation(const base::replica_id& id,
+                                              base::time_point began_at) const {
   const auto* state = find(id);
-  return state != nullptr && state->restart_seen_at && began <= state->earlier_calls_until;
+  return state != nullptr && state->restart_seen_at &&
+         began_at <= state->earlier_incarnation_calls_until;
 }
 
-void replica_table::turn_cold(replica_state& state, base::duration cold_for, base::time_point now) {
+void replica_table::mark_cold(replica_state& state, base::duration cold_for, base::time_point now) {
   if (cold_for > base::duration::zero()) {
     state.cold_until = std::max(state.cold_until, now + cold_for);
-    state.cold_sends.begin(now);
+    state.cold_tokens.start(now);
   }
 }
 
 void replica_table::note_cold(const base::replica_id& id, base::duration cold_for,
                               base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    turn_cold(*state, cold_for, now);
+    mark_cold(*state, cold_for, now);
   }
 }
 
 void replica_table::set_evacuated(const std::set<base::zone_id>& zones, base::time_point now) {
-  if (zones == evacuated_) {
+  if (zones == evacuated_zones_) {
     return;
   }
   for (auto& [id, state] : replicas_) {
     const auto& zone = state.record->zone;
-    if (evacuated_.contains(zone) && !zones.contains(zone)) {
-      turn_cold(state, settings_.cold_time_after_evacuation, now);
+    if (evacuated_zones_.contains(zone) && !zones.contains(zone)) {
+      mark_cold(state, settings_.cold_time_after_evacuation, now);
     }
   }
-  evacuated_ = zones;
+  evacuated_zones_ = zones;
 }
 
-bool replica_table::takes_work(const replica_state& state) const {
-  return !state.record->draining && !state.left && !says_it_leaves(state) &&
-         !evacuated_.contains(state.record->zone);
+bool replica_table::accepts_work(const replica_state& state) const {
+  return !state.record->draining && !state.is_replaced && !has_announced_drain(state) &&
+         !evacuated_zones_.contains(state.record->zone);
 }
 
 const model::service* replica_table::cold_service_of(const replica_state& state,
@@ -199,22 +205,22 @@
   return service != nullptr && service->cold_requests_per_second > 0 ? service : nullptr;
 }
 
-cold_share replica_table::cold_share_of(const model::service& service) const {
-  // One gatherer calls a replica that works on pieces.
-  return serving::cold_share_of(settings_.cold, service.cold_requests_per_second,
-                                service.pieces.has_value());
+cold_call_quota replica_table::cold_call_quota_of(const model::service& service) const {
+  // A replica that works on pieces is called only by its batcher.
+  return serving::cold_call_quota_of(settings_.cold, service.cold_requests_per_second,
+                                     service.pieces.has_value());
 }
 
-bool replica_table::bears_request(const replica_state& state, base::time_point now) const {
+bool replica_table::cold_limit_permits(const replica_state& state, base::time_point now) const {
   const auto* service = cold_service_of(state, now);
   if (service == nullptr) {
     return true;
   }
-  const auto share = cold_share_of(*service);
+  const auto quota = cold_call_quota_of(*service);
   const auto& record = *state.record;
   const bool may_call =
-      service->pieces || cold_callers_.includes_self(record.id, record.zone, share.callers);
-  return may_call && state.cold_sends.has_token(share, now);
+      service->pieces || cold_callers_.includes_self(record.id, record.zone, quota.callers);
+  return may_call && state.cold_tokens.has_token(quota, now);
 }
 
 replica_state* replica_table::mutable_find(const base::replica_id& id) {
@@ -233,12 +239,12 @@
 }
 
 bool replica_table::is_available(const replica_state& state, base::time_point now) const {
-  return takes_calls(state, now) && !state.backoff.is_active(now) && limit_of(state) != 0;
+  return accepts_calls(state, now) && !state.backoff.is_active(now) && limit_of(state) != 0;
 }
 
-bool replica_table::takes_calls(const replica_state& state, base::time_point now) const {
-  return takes_work(state) && state.paused_until <= now && is_reachable(state.record->zone) &&
-         bears_request(state, now);
+bool replica_table::accepts_calls(const replica_state& state, base::time_point now) const {
+  return accepts_work(state) && state.paused_until <= now && is_reachable(state.record->zone) &&
+         cold_limit_permits(state, now);
 }
 
 bool replica_table::could_serve(const replica_demand& demand, const replica_state& state) const {
@@ -250,9 +256,9 @@
                                                         bool ignore_pauses) const {
   std::vector<const replica_state*> found;
   for (const auto* state : index_.of_service(demand.service)) {
-    const bool usable_now = ignore_pauses ? takes_work(*state) && bears_request(*state, now)
-                                          : takes_calls(*state, now) && state->probed_until <= now;
-    if (usable_now && could_serve(demand, *state) && may_be_sent(*state, now)) {
+    const bool is_usable = ignore_pauses ? accepts_work(*state) && cold_limit_permits(*state, now)
+                                         : accepts_calls(*state, now) && state->probe_until <= now;
+    if (is_usable && could_serve(demand, *state) && may_send_to(*state, now)) {
       found.push_back(state);
     }
   }
@@ -262,14 +268,15 @@
 std::vector<const replica_state*> replica_table::candidates_for(const replica_demand& demand,
                                                                 base::time_point now) const {
   auto found = usable(demand, now, false);
-  leave_out_limited(found, demand);
-  if (const auto* in_doubt = find_limit_in_doubt(found, demand, now)) {
-    return {in_doubt};
+  exclude_limited(found, demand);
+  if (const auto* stale_limit = find_stale_limit(found, demand, now)) {
+    return {stale_limit};
   }
-  // A replica that is well and takes a request soon goes before those that rest after failures.
-  const bool takes_soon = found.empty() && (!short_of_permits(demand, now).empty() ||
-                                            time_to_opening(demand, now).has_value());
-  return found.empty() && !takes_soon ? usable(demand, now, true) : found;
+  // Waiting for a healthy replica that accepts the request soon is better than calling a replica
+  // that is paused after failures.
+  const bool accepts_soon = found.empty() && (!candidates_without_permit(demand, now).empty() ||
+                                              time_until_backoff_ends(demand, now).has_value());
+  return found.empty() && !accepts_soon ? usable(demand, now, true) : found;
 }
 
 replica_presence replica_table::presence_of(const std::string& service,
@@ -277,17 +284,18 @@
   auto presence = replica_presence::none;
   for (const auto* state : index_.of_service(service)) {
     if (permits(allowed, *state)) {
-      presence = std::max(presence, takes_work(*state) ? replica_presence::takes_work
-                                                       : replica_presence::takes_none);
+      presence = std::max(presence, accepts_work(*state) ? replica_presence::accepts_work
+                                                         : replica_presence::accepts_none);
     }
   }
   return presence;
 }
 
-std::optional<base::zone_id> replica_table::some_zone_of(const std::string& service,
-                                                         const model::residency& allowed) const {
+std::optional<base::zone_id>
+replica_table::any_accepting_zone(const std::string& service,
+                                  const model::residency& allowed) const {
   for (const auto* state : index_.of_service(service)) {
-    if (permits(allowed, *state) && takes_work(*state)) {
+    if (permits(allowed, *state) && accepts_work(*state)) {
       return state->record->zone;
     }
   }
@@ -295,31 +303,31 @@
 }
 
 double replica_table::load_of(const replica_state& state, base::time_point now) {
-  return load_within(state, told_load_lifetime, now);
+  return load_reported_within(state, load_report_lifetime, now);
 }
 
 double replica_table::failure_load(const replica_state& state, base::time_point now) {
-  return failing_load * failure_share_of(state, now);
+  return all_calls_failing_load * failure_share_of(state, now);
 }
 
-double replica_table::load_within(const replica_state& state, base::duration span,
-                                  base::time_point now) {
+double replica_table::load_reported_within(const replica_state& state, base::duration span,
+                                           base::time_point now) {
   double calls = state.in_flight;
-  if (state.told && now - state.told_at < span) {
-    const double told = state.told->running + state.told->waiting;
-    const double own_since =
-        static_cast<double>(state.in_flight) - static_cast<double>(state.in_flight_when_told);
-    calls = std::max(calls, told + own_since);
+  if (state.reported_load && now - state.load_reported_at < span) {
+    const double reported_calls = state.reported_load->running + state.reported_load->waiting;
+    const double own_calls_since =
+        static_cast<double>(state.in_flight) - static_cast<double>(state.in_flight_at_load_report);
+    calls = std::max(calls, reported_calls + own_calls_since);
   }
-  const double told_backoffs = state.told_backoff_until > now ? state.told_backoff_load : 0;
-  return calls / std::max(1U, state.record->slots) + told_backoffs;
+  const double backoff_load = state.reported_backoff_until > now ? state.reported_backoff_load : 0;
+  return calls / std::max(1U, state.record->slots) + backoff_load;
 }
 
-std::vector<const replica_state*> replica_table::available(const std::string& service,
-                                                           base::time_point now) const {
+std::vector<const replica_state*> replica_table::accepting_calls(const std::string& service,
+                                                                 base::time_point now) const {
   std::vector<const replica_state*> found;
   for (const auto* state : index_.of_service(service)) {
-    if (takes_calls(*state, now)) {
+    if (accepts_calls(*state, now)) {
       found.push_back(state);
     }
   }
@@ -334,14 +342,14 @@
   if (state == nullptr) {
     return;
   }
-  state->is_on_trial = is_due_again(*state, now);
-  state->called_at = now;
+  state->latest_call_is_trial = is_due_for_trial(*state, now);
+  state->last_call_at = now;
   ++state->in_flight;
-  if (state->next_pause > base::duration::zero()) {
-    state->probed_until = now + probe_time;
+  if (state->unreachable_backoff > base::duration::zero()) {
+    state->probe_until = now + probe_timeout;
   }
   if (const auto* service = cold_service_of(*state, now)) {
-    state->cold_sends.take(cold_share_of(*service), now);
+    state->cold_tokens.take_token(cold_call_quota_of(*service), now);
   }
   if (limits_ != nullptr) {
     limits_->note_sent(id, now);
@@ -359,38 +367,40 @@
 void replica_table::note_load(const base::replica_id& id, const replica_load& load,
                               base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    state->told = load;
-    state->told_at = now;
-    state->in_flight_when_told = state->in_flight;
+    state->reported_load = load;
+    state->load_reported_at = now;
+    state->in_flight_at_load_report = state->in_flight;
   }
 }
 
-void replica_table::note_heard(const base::replica_id& id, base::time_point now) {
+void replica_table::note_activity(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    if (state->told_lost_at > state->heard_at) {
-      // Others take it for lost: a report corrects them.
+    if (state->peer_reported_down_at > state->last_activity_at) {
+      // Other nodes consider the replica down; a health report of this node corrects that.
       changed_.insert(id);
     }
-    state->heard_at = now;
-    state->next_pause = {};
-    state->probed_until = {};
+    state->last_activity_at = now;
+    state->unreachable_backoff = {};
+    state->probe_until = {};
   }
 }
 
-void replica_table::note_silent(const base::replica_id& id, base::time_point now) {
+void replica_table::note_unresponsive(const base::replica_id& id, base::time_point now) {
   auto* state = mutable_find(id);
   if (state == nullptr) {
     return;
   }
-  if (state->silent_at <= state->heard_at || now - state->silent_at >= silence_renewal) {
-    state->silent_at = now;
+  if (state->unresponsive_at <= state->last_activity_at ||
+      now - state->unresponsive_at >= unresponsive_report_interval) {
+    state->unresponsive_at = now;
     changed_.insert(id);
   }
 }
 
-bool replica_table::was_heard_after(const base::replica_id& id, base::time_point when) const {
+bool replica_table::was_active_after(const base::replica_id& id, base::time_point when) const {
   const auto* state = find(id);
-  return state != nullptr && std::max(state->heard_at, state->told_heard_at) > when;
+  return state != nullptr &&
+         std::max(state->last_activity_at, state->peer_reported_activity_at) > when;
 }
 
 void replica_table::note_success(const base::replica_id& id, base::time_point now) {
@@ -398,36 +408,36 @@
   if (state == nullptr) {
     return;
   }
-  note_heard(id, now);
+  note_activity(id, now);
   state->calls.note(true, now);
-  const bool is_end_of_trial = std::exchange(state->is_on_trial, false);
-  state->failure_share *= 1 - (is_end_of_trial ? trial_smoothing : failure_smoothing);
+  const bool is_end_of_trial = std::exchange(state->latest_call_is_trial, false);
+  state->failure_share *= 1 - (is_end_of_trial ? trial_weight : newest_failure_weight);
 }
 
-void replica_table::note_pace(const base::replica_id& id, base::duration took, base::duration usual,
-                              base::time_point now) {
+void replica_table::note_call_time(const base::replica_id& id, base::duration call_time,
+                                   base::duration expected, base::time_point now) {
   auto* state = mutable_find(id);
-  if (state == nullptr || usual <= base::duration::zero()) {
+  if (state == nullptr || expected <= base::duration::zero()) {
     return;
   }
-  const double ratio = base::to_seconds(took) / base::to_seconds(usual);
-  const double known = slowness_of(*state, now);
-  state->slowness = known + newest_pace_share * (std::max(1.0, ratio) - known);
-  state->slowness_seen_at = now;
+  const double ratio = base::to_seconds(call_time) / base::to_seconds(expected);
+  const double known = slowdown_of(*state, now);
+  state->slowdown = known + newest_call_weight * (std::max(1.0, ratio) - known);
+  state->slowdown_seen_at = now;
 }
 
-double replica_table::slowness_of(const replica_state& state, base::time_point now) {
+double replica_table::slowdown_of(const replica_state& state, base::time_point now) {
   const double halvings =
-      base::to_seconds(now - state.slowness_seen_at) / base::to_seconds(slowness_half_life);
-  return 1 + (state.slowness - 1) * std::exp2(-halvings);
+      base::to_seconds(now - state.slowdown_seen_at) / base::to_seconds(slowdown_half_life);
+  return 1 + (state.slowdown - 1) * std::exp2(-halvings);
 }
 
 void replica_table::note_failure(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
     state->calls.note(false, now);
-    state->failed_at = now;
+    state->last_failure_at = now;
     changed_.insert(id);
-    state->failure_share += failure_smoothing * (1 - state->failure_share);
+    state->failure_share += newest_failure_weight * (1 - state->failure_share);
   }
 }
 
@@ -443,32 +453,33 @@
   }
   state->unreachable_at = now;
   changed_.insert(id);
-  state->next_pause = state->next_pause == base::duration{}
-                          ? settings_.unreachable_backoff
-                          : std::min(state->next_pause * 2, settings_.max_unreachable_backoff);
-  state->paused_until = now + state->next_pause;
+  state->unreachable_backoff =
+      state->unreachable_backoff == base::duration{}
+          ? settings_.unreachable_backoff
+          : std::min(state->unreachable_backoff * 2, settings_.max_unreachable_backoff);
+  state->paused_until = now + state->unreachable_backoff;
 }
 
 void replica_table::note_full(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
     state->paused_until = std::max(state->paused_until, now + settings_.full_backoff);
-    state->backoff.note_turned_away();
+    state->backoff.note_rejected();
   }
 }
 
 void replica_table::note_occupied(const base::replica_id& id, base::duration usual,
                                   base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    const auto rest =
-        base::from_seconds(base::to_seconds(usual) * (least_occupied_calls + random_->unit()));
-    state->paused_until = std::max<base::time_point>(state->paused_until, now + rest);
-    state->backoff.note_turned_away();
+    const auto pause =
+        base::from_seconds(base::to_seconds(usual) * (min_occupied_calls + random_->unit()));
+    state->paused_until = std::max<base::time_point>(state->paused_until, now + pause);
+    state->backoff.note_rejected();
   }
 }
 
-void replica_table::note_left(const base::replica_id& id) {
+void replica_table::note_replaced(const base::replica_id& id) {
   if (auto* state = mutable_find(id)) {
-    state->left = true;
+    state->is_replaced = true;
   }
 }
 
--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -1,4 +1,4 @@
-/// Replicas that name how many requests a second they take.
+/// Parts of `replica_table` for replicas that announce a limit of requests per second.
 #include "replicas/replica_table.h"
 
 #include "replicas/replica_chooser.h"
@@ -8,11 +8,13 @@
 namespace spurrack::serving {
 namespace {
 
-/// Only an answer shows that a limit is lifted or has changed: a limited replica of which nothing
-/// was heard for this time gets the next request that has a permit, before all others. A long
-/// prompt, most of which another engine may have read, is sent there only much later.
-constexpr base::duration limit_doubt_time = std::chrono::seconds(2);
-constexpr base::duration longest_limit_doubt = std::chrono::seconds(10);
+/// Time after which a limit that no answer has confirmed is stale. Only an answer shows that a
+/// limit is lifted or has changed, so that a replica with a stale limit gets the next request that
+/// has a permit, before all other candidates.
+constexpr base::duration limit_stale_time = std::chrono::seconds(2);
+/// Time after which the limit is stale for a request with a long prompt, most of which may be in
+/// the prefix cache of another engine.
+constexpr base::duration limit_stale_time_long_prompt = std::chrono::seconds(10);
 constexpr std::uint32_t short_prompt_tokens = 1'000;
 
 } // namespace
@@ -21,7 +23,8 @@
   return limits_ == nullptr ? std::nullopt : limits_->book().limit_of(state.record->id);
 }
 
-double replica_table::limited_part(const replica_state& state, base::duration call_time) const {
+double replica_table::limited_capacity_fraction(const replica_state& state,
+                                                base::duration call_time) const {
   const auto limit = limit_of(state);
   return limit ? std::min(1.0, *limit * base::to_seconds(call_time)) : 1;
 }
@@ -33,15 +36,15 @@
   }
 }
 
-std::vector<const replica_state*> replica_table::short_of_permits(const replica_demand& demand,
-                                                                  base::time_point now) const {
+std::vector<const replica_state*>
+replica_table::candidates_without_permit(const replica_demand& demand, base::time_point now) const {
   std::vector<const replica_state*> found;
   if (limits_ == nullptr || !limits_->any()) {
     return found;
   }
   for (const auto* state : index_.of_service(demand.service)) {
     const bool is_limited = limits_->book().limit_of(state->record->id).has_value();
-    if (is_limited && takes_calls(*state, now) && could_serve(demand, *state) &&
+    if (is_limited && accepts_calls(*state, now) && could_serve(demand, *state) &&
         !has_permit(*state, now)) {
       found.push_back(state);
     }
@@ -49,10 +52,10 @@
   return found;
 }
 
-void replica_table::leave_out_limited(std::vector<const replica_state*>& candidates,
-                                      const replica_demand& demand) const {
-  const bool is_bound = demand.results_zone != nullptr || demand.is_planned;
-  if (limits_ == nullptr || !limits_->any() || !is_bound) {
+void replica_table::exclude_limited(std::vector<const replica_state*>& candidates,
+                                    const replica_demand& demand) const {
+  const bool depends_on_replica = demand.results_zone != nullptr || demand.is_planned;
+  if (limits_ == nullptr || !limits_->any() || !depends_on_replica) {
     return;
   }
   const auto is_limited = [&](const replica_state* state) { return limit_of(*state).has_value(); };
@@ -65,18 +68,18 @@
 }
 
 const replica_state*
-replica_table::find_limit_in_doubt(const std::vector<const replica_state*>& candidates,
-                                   const replica_demand& demand, base::time_point now) const {
+replica_table::find_stale_limit(const std::vector<const replica_state*>& candidates,
+                                const replica_demand& demand, base::time_point now) const {
   if (limits_ == nullptr || !limits_->any() || demand.is_planned) {
     return nullptr;
   }
   const bool is_short = demand.content.prompt_tokens <= short_prompt_tokens;
-  const auto doubted_after = is_short ? limit_doubt_time : longest_limit_doubt;
+  const auto stale_time = is_short ? limit_stale_time : limit_stale_time_long_prompt;
   const auto found =
       std::find_if(candidates.begin(), candidates.end(), [&](const replica_state* state) {
         const auto* record = limits_->book().find(state->record->id);
         return record != nullptr && record->per_second &&
-               now - record->last_reported_at >= doubted_after;
+               now - record->last_reported_at >= stale_time;
       });
   return found == candidates.end() ? nullptr : *found;
 }
--- a/src/replicas/replica_table_statements.cc
+++ b/src/replicas/replica_table_statements.cc
@@ -1,4 +1,4 @@
-/// What replicas say of themselves with their answers.
+/// Parts of `replica_table` for the self-reports that replicas send with their answers.
 #include "replicas/replica_table.h"
 
 #include "replicas/replica_chooser.h"
@@ -7,15 +7,15 @@
 
 namespace spurrack::serving {
 
-void replica_table::note_process(replica_state& state) {
-  const auto process = process_mark_of(*state.record);
+void replica_table::update_process(replica_state& state) {
+  const auto process = process_fingerprint_of(*state.record);
   if (state.process != process) {
     state.process = process;
     state.backoff = {};
   }
 }
 
-void replica_table::forget_statements(const base::replica_id& id) {
+void replica_table::forget_self_reports(const base::replica_id& id) {
   if (limits_ != nullptr) {
     limits_->forget(id);
   }
@@ -24,67 +24,69 @@
   }
 }
 
-bool replica_table::says_it_leaves(const replica_state& state) const {
+bool replica_table::has_announced_drain(const replica_state& state) const {
   return self_reports_ != nullptr && !self_reports_->drain_announcements().empty() &&
          self_reports_->drain_announcements().includes({state.record->id, state.process});
 }
 
-bool replica_table::may_be_sent(const replica_state& state, base::time_point now) const {
-  return !says_it_leaves(state) && state.backoff.permits_call(state.in_flight, now) &&
+bool replica_table::may_send_to(const replica_state& state, base::time_point now) const {
+  return !has_announced_drain(state) && state.backoff.permits_call(state.in_flight, now) &&
          has_permit(state, now);
 }
 
-bool replica_table::rests_only_for_backoff(const replica_state& state, base::time_point now) const {
-  // Other rests, as after a refusal, may end before.
-  const auto opens_at = std::max(now, state.backoff.until());
-  return !state.backoff.permits_call(state.in_flight, now) && takes_calls(state, opens_at);
+bool replica_table::is_blocked_only_by_backoff(const replica_state& state,
+                                               base::time_point now) const {
+  // Other pauses, for example after a rejection, may end before the backoff.
+  const auto backoff_ends_at = std::max(now, state.backoff.ends_at());
+  return !state.backoff.permits_call(state.in_flight, now) && accepts_calls(state, backoff_ends_at);
 }
 
-std::optional<base::duration> replica_table::time_to_opening(const replica_demand& demand,
-                                                             base::time_point now) const {
-  std::optional<base::duration> least;
-  if (!any_backoff(now)) {
-    return least;
+std::optional<base::duration> replica_table::time_until_backoff_ends(const replica_demand& demand,
+                                                                     base::time_point now) const {
+  std::optional<base::duration> shortest;
+  if (!has_backoffs(now)) {
+    return shortest;
   }
   for (const auto* state : index_.of_service(demand.service)) {
-    if (rests_only_for_backoff(*state, now) && could_serve(demand, *state)) {
-      const auto left =
-          std::max<base::duration>(state->backoff.until() - now, base::duration::zero());
-      least = std::min(least.value_or(left), left);
+    if (is_blocked_only_by_backoff(*state, now) && could_serve(demand, *state)) {
+      const auto remaining =
+          std::max<base::duration>(state->backoff.ends_at() - now, base::duration::zero());
+      shortest = std::min(shortest.value_or(remaining), remaining);
     }
   }
-  return least;
+  return shortest;
 }
 
-void replica_table::note_self_report(const self_report_received& heard, base::time_point now) {
-  auto* state = mutable_find(heard.replica);
-  if (state == nullptr || is_at_earlier_life(heard.replica, heard.call_started_at)) {
+void replica_table::note_self_report(const self_report_received& received, base::time_point now) {
+  auto* state = mutable_find(received.replica);
+  if (state == nullptr || is_at_earlier_incarnation(received.replica, received.call_started_at)) {
     return;
   }
   if (self_reports_ != nullptr) {
-    self_reports_->record_self_report(heard.replica, heard.report, heard.call_started_at, now);
+    self_reports_->record_self_report(received.replica, received.report, received.call_started_at,
+                                      now);
   }
-  if (heard.report.load) {
-    note_load(heard.replica, *heard.report.load, now);
+  if (received.report.load) {
+    note_load(received.replica, *received.report.load, now);
   }
-  note_cold(heard.replica, heard.report.cold_for, now);
-  note_backoff(*state, heard, now);
+  note_cold(received.replica, received.report.cold_for, now);
+  note_backoff(*state, received, now);
 }
 
-void replica_table::note_backoff(replica_state& state, const self_report_received& heard,
+void replica_table::note_backoff(replica_state& state, const self_report_received& received,
                                  base::time_point now) {
-  const auto& span = heard.report.backoff.span;
+  const auto& span = received.report.backoff.span;
   if (!span) {
-    state.backoff.note_answer(heard.call_started_at, state.record->slots);
+    state.backoff.note_answer(received.call_started_at, state.record->slots);
     return;
   }
-  // The answered call does not count as under way any more.
-  const auto others = state.in_flight - std::min(state.in_flight, 1U);
-  if (state.backoff.ask(*span, others, now)) {
+  // The answered call no longer counts as in flight.
+  const auto other_calls = state.in_flight - std::min(state.in_flight, 1U);
+  if (state.backoff.note_request(*span, other_calls, now)) {
     ++backoffs_;
-    latest_backoff_end_ = std::max(latest_backoff_end_, state.backoff.until());
-    changed_.insert(heard.replica);
-    backoff_changes_.push_back({heard.replica, state.backoff.until() - now});
+    latest_backoff_end_ = std::max(latest_backoff_end_, state.backoff.ends_at());
+    changed_.insert(received.replica);
+    backoff_changes_.push_back({received.replica, state.backoff.ends_at() - now});
   }
 }
 
--- a/src/serving/counters.h
+++ b/src/serving/counters.h
@@ -43,8 +43,8 @@
   std::map<unsigned, std::uint64_t> answers;
   latency_histogram first_byte;
   std::uint64_t calls = 0;
-  /// Calls by locality of their replica, indexed by `model::ring`.
-  std::array<std::uint64_t, model::ring_count> calls_by_locality{};
+  /// Calls by locality of their replica, indexed by `model::locality`.
+  std::array<std::uint64_t, model::locality_count> calls_by_locality{};
   /// Requests refused because no replica in their permitted regions could serve them.
   std::uint64_t refused_by_residency = 0;
   /// Requests sent to a more distant replica although a nearer one was available outside their
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -154,7 +154,7 @@
     return;
   }
   placed.holder = *chosen;
-  ++peers_.find(*chosen)->sent_since[placed.work.service];
+  ++peers_.find(*chosen)->sent_since_report[placed.work.service];
   auto& wanted = *message_to(*chosen).add_wanted();
   wanted.set_ticket(ticket);
   wanted.set_request(placed.work.request.text());
@@ -184,12 +184,12 @@
       continue;
     }
     const auto* peer = peers_.find(placed.holder);
-    if (peer == nullptr || peer->silent_since) {
+    if (peer == nullptr || peer->unresponsive_since) {
       move(ticket, placed, now);
     } else if (placed.confirmed_at) {
       ask_or_move(ticket, placed, now);
     } else if (now - placed.sent_at > acceptance_limit) {
-      peers_.give_up(placed.holder, now);
+      peers_.mark_unresponsive(placed.holder, now);
       note_peers_changed();
       refresh(now);
       move(ticket, placed, now);
@@ -236,7 +236,7 @@
   for (const auto& handle : handles) {
     const auto known = result_holders_.find(handle);
     const auto* holder = known == result_holders_.end() ? nullptr : peers_.find(known->second);
-    if (holder == nullptr || holder->silent_since) {
+    if (holder == nullptr || holder->unresponsive_since) {
       // Any node may free a result; its holder forgets it when it expires.
       pool_.release(handle);
     } else {
@@ -252,10 +252,10 @@
 
 void stage_exchange::note_life(peer_state& peer, const wire::stage_work& message,
                                base::time_point now) {
-  const bool restarted = peer.life != 0 && peer.life != message.life();
-  const bool leaves = message.leaving() && !peer.leaving;
-  peer.life = message.life();
-  peer.leaving = message.leaving();
+  const bool restarted = peer.incarnation != 0 && peer.incarnation != message.life();
+  const bool leaves = message.leaving() && !peer.is_stopping;
+  peer.incarnation = message.life();
+  peer.is_stopping = message.leaving();
   if (restarted || leaves) {
     note_peers_changed();
     refresh(now);
@@ -339,11 +339,11 @@
   if (peer == nullptr) {
     return;
   }
-  if (peers_.note_heard(*peer, now)) {
+  if (peers_.note_contact(*peer, now)) {
     note_peers_changed();
   }
   note_life(*peer, message, now);
-  peers_.take_loads(*peer, message, now);
+  peers_.record_loads(*peer, message, now);
   for (const auto& wanted : message.wanted()) {
     take_wanted(sender, wanted, now);
   }
@@ -469,7 +469,7 @@
   if (now < next_load_report_ || !configuration_) {
     return;
   }
-  next_load_report_ = now + load_report_period;
+  next_load_report_ = now + load_report_interval;
   const auto receivers = peers_.next_receivers(audience());
   if (receivers.empty()) {
     return;
--- a/src/stage_work/stage_exchange_gatherers.cc
+++ b/src/stage_work/stage_exchange_gatherers.cc
@@ -20,7 +20,7 @@
 void stage_exchange::refresh(base::time_point now) {
   if (now >= next_refresh_) {
     next_refresh_ = now + refresh_period;
-    if (peers_.update_silence(now)) {
+    if (peers_.update_responsiveness(now)) {
       note_peers_changed();
     }
     // Replicas that change in a row are taken in together.
@@ -46,7 +46,7 @@
   }
   const auto gathered_before = shards_.own_services();
   shards_.assign(*configuration_, stopping_);
-  greet(peers_.set_gatherers(shards_.gatherers(), now));
+  greet(peers_.set_batchers(shards_.gatherers(), now));
   for (const auto& [service, places] : gathered_before) {
     if (!shards_.own_services().contains(service) && shards_.has_shards_of(service)) {
       hand_over(service, now);
@@ -71,12 +71,12 @@
     if (replica == nullptr) {
       continue;
     }
-    const auto part = replicas_->limited_part(*replica, full_call);
+    const auto part = replicas_->limited_capacity_fraction(*replica, full_call);
     if (replicas_->is_available(*replica, now)) {
       usable.now += part;
-    } else if (replicas_->rests_only_for_backoff(*replica, now)) {
+    } else if (replicas_->is_blocked_only_by_backoff(*replica, now)) {
       usable.pausing += part;
-      usable.opens_at = std::min(usable.opens_at, replica->backoff.until());
+      usable.opens_at = std::min(usable.opens_at, replica->backoff.ends_at());
     }
   }
   return usable;
@@ -139,14 +139,14 @@
     return std::any_of(found.begin(), found.end(),
                        [&](const gatherer& other) { return other.node == node; });
   };
-  for (const auto& node : peers_.reporters()) {
+  for (const auto& node : peers_.reporting_batchers()) {
     const auto& peer = *peers_.find(node);
     const auto load = peer.loads.find(service);
     const bool gathers = load != peer.loads.end() && load->second.replicas() > 0 &&
                          load->second.of_zone() && peer_directory::has_fresh_loads(peer, now);
     const auto& zone = peer.peer.zone;
     // In the own zone this node's assignment decides: two gatherers would share the replicas.
-    if (gathers && zone != self_.zone && !is_assigned(node) && peer_directory::is_fit(peer) &&
+    if (gathers && zone != self_.zone && !is_assigned(node) && peer_directory::is_eligible(peer) &&
         replicas_->is_reachable(zone) && !replicas_->is_evacuated(zone)) {
       const auto replicas = static_cast<double>(load->second.replicas());
       found.push_back({node, regions_.neighbourhood_of(zone), zone, replicas, {}});
@@ -174,7 +174,8 @@
             static_cast<double>(told->second.waiting_past_due()),
             static_cast<double>(told->second.calls_under_way()), told->second.drain_rate()};
   }
-  if (const auto sent = peer->sent_since.find(service); sent != peer->sent_since.end()) {
+  if (const auto sent = peer->sent_since_report.find(service);
+      sent != peer->sent_since_report.end()) {
     load.waiting += sent->second;
   }
   return load;
@@ -201,13 +202,13 @@
 
 double stage_exchange::distance_seconds(const gatherer& candidate, const base::zone_id& zone,
                                         double result_bytes) const {
-  auto ring = model::ring::zone;
+  auto locality = model::locality::zone;
   if (candidate.region != regions_.neighbourhood_of(zone)) {
-    ring = model::ring::elsewhere;
+    locality = model::locality::elsewhere;
   } else if (candidate.zone && *candidate.zone != zone) {
-    ring = model::ring::region;
+    locality = model::locality::region;
   }
-  return distance::seconds(ring, result_bytes);
+  return distance::cost_seconds(locality, result_bytes);
 }
 
 std::optional<base::duration> stage_exchange::expected_wait(const service_demand& demand,
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -51,8 +51,8 @@
   if (*group.zone == zone || !has_own_zone) {
     return true;
   }
-  const auto ring = settings_.regions.ring_between(*group.zone, zone);
-  const double patience = distance::carrying_seconds(ring, group.carried_bytes);
+  const auto locality = settings_.regions.locality_between(*group.zone, zone);
+  const double patience = distance::transfer_seconds(locality, group.carried_bytes);
   if (base::to_seconds(now - group.submitted) >= patience) {
     return true;
   }
@@ -81,7 +81,7 @@
   }
   const auto full_call = usual_time(capacity, capacity.batch);
   zone_outlooks outlooks;
-  for (const auto* replica : replicas_->available(name, now)) {
+  for (const auto* replica : replicas_->accepting_calls(name, now)) {
     if (!may_take_any(*replica, sets)) {
       continue;
     }
@@ -90,7 +90,7 @@
     if (free_room(replica->record->id, capacity, now) < capacity.result_room_bytes * scarce_room) {
       free_at = std::max<base::time_point>(free_at, now + full_call);
     }
-    free_at = std::max(free_at, replica->backoff.until());
+    free_at = std::max(free_at, replica->backoff.ends_at());
     const auto limit = replicas_->limit_of(*replica);
     if (limit == 0.0) {
       continue;
@@ -111,7 +111,7 @@
                        zone_outlooks outlooks, const model::piece_capacity& capacity,
                        base::time_point now) const {
   double room = free_room(replica.record->id, capacity, now);
-  const double slowness = replica_table::slowness_of(replica, now);
+  const double slowness = replica_table::slowdown_of(replica, now);
   const auto delay = slowness < slow
                          ? base::duration::zero()
                          : base::scaled(usual_time(capacity, capacity.batch), slowness - 1);
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -57,11 +57,11 @@
   const auto* replica = replicas_->find_at(maker);
   // Nothing is sent to an evacuated zone, nor to a replica that leaves; what lies there expires.
   if (replica == nullptr || replicas_->is_evacuated(replica->record->zone) ||
-      replicas_->says_it_leaves(*replica)) {
+      replicas_->has_announced_drain(*replica)) {
     return;
   }
   // The pump asks whether something may be sent now.
-  if (replicas_->limit_of(*replica) || replica->backoff.was_asked()) {
+  if (replicas_->limit_of(*replica) || replica->backoff.was_requested()) {
     unfreed_[replica->record->id].push_back(handle);
     return;
   }
@@ -84,7 +84,7 @@
 void stage_pool::free_where_permitted(bool only_short_of_room, base::time_point now) {
   for (auto one = unfreed_.begin(); one != unfreed_.end();) {
     const auto* replica = replicas_->find(one->first);
-    if (replica != nullptr && replicas_->says_it_leaves(*replica)) {
+    if (replica != nullptr && replicas_->has_announced_drain(*replica)) {
       one = unfreed_.erase(one);
       continue;
     }
@@ -92,13 +92,13 @@
       ++one;
       continue;
     }
-    const bool may_be_sent = replica != nullptr && replicas_->may_be_sent(*replica, now);
-    if (replica != nullptr && !may_be_sent) {
+    const bool may_send_to = replica != nullptr && replicas_->may_send_to(*replica, now);
+    if (replica != nullptr && !may_send_to) {
       replicas_->note_waiting(one->first, 1, now);
       ++one;
       continue;
     }
-    if (may_be_sent) {
+    if (may_send_to) {
       if (replicas_->limit_of(*replica)) {
         // It counts as any request does, but no answer is awaited.
         replicas_->call_started(one->first, now);
@@ -162,7 +162,7 @@
   const auto& inputs = found->second.work.inputs;
   return std::all_of(inputs.begin(), inputs.end(), [&](const std::string& handle) {
     const auto* maker = replicas_->find_at(maker_of(handle));
-    return maker != nullptr && !maker->left && maker->failure_share < failing &&
+    return maker != nullptr && !maker->is_replaced && maker->failure_share < failing &&
            !restarted_of_late(*maker, now);
   });
 }
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -59,12 +59,12 @@
   void told(const std::string& replica, wire::replica_sign sign, std::uint64_t started_at,
             const std::string& witness) {
     model::replica life;
-    life.life = model::replica_life{started_at};
+    life.incarnation = model::replica_incarnation{started_at};
     wire::replica_news news;
     auto& said = *news.add_evidence();
     said.set_replica(replica);
     said.set_sign(sign);
-    said.set_life_mark(started_at == 0 ? 0 : life_mark_of(life));
+    said.set_life_mark(started_at == 0 ? 0 : incarnation_fingerprint_of(life));
     subject.handle_peer(base::node_id(witness), news, now);
   }
 };
@@ -203,12 +203,12 @@
   restart("plain");
   told("plain-a", wire::SIGN_SILENT, 1000, "x");
   told("plain-a", wire::SIGN_UNREACHABLE, 1000, "y");
-  BOOST_TEST(!subject.replicas().is_lost(base::replica_id("plain-a"), now));
+  BOOST_TEST(!subject.replicas().is_declared_down(base::replica_id("plain-a"), now));
   BOOST_TEST((state("plain-a").paused_until <= now));
   BOOST_TEST(subject.news().of_other_incarnations == 2U);
   told("plain-a", wire::SIGN_SILENT, 2000, "x");
   told("plain-a", wire::SIGN_SILENT, 0, "y");
-  BOOST_TEST(subject.replicas().is_lost(base::replica_id("plain-a"), now));
+  BOOST_TEST(subject.replicas().is_declared_down(base::replica_id("plain-a"), now));
 }
 
 BOOST_AUTO_TEST_CASE(reports_name_the_life_they_are_about) {
@@ -222,7 +222,7 @@
       mark = message.message.replica_news().evidence(0).life_mark();
     }
   }
-  BOOST_TEST(mark == life_mark_of(*state("plain-a").record));
+  BOOST_TEST(mark == incarnation_fingerprint_of(*state("plain-a").record));
   BOOST_TEST(mark != 0U);
 }
 
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -235,8 +235,8 @@
   arrive(2, "/safe/x");
   BOOST_TEST(subject.counts().confined_by_residency == 1U);
   const auto& rings = subject.counts().calls_by_locality;
-  BOOST_TEST(rings[static_cast<std::size_t>(model::ring::zone)] == 1U);
-  BOOST_TEST(rings[static_cast<std::size_t>(model::ring::elsewhere)] == 1U);
+  BOOST_TEST(rings[static_cast<std::size_t>(model::locality::zone)] == 1U);
+  BOOST_TEST(rings[static_cast<std::size_t>(model::locality::elsewhere)] == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/engines/engine_directory_test.cc
+++ b/tests/engines/engine_directory_test.cc
@@ -293,7 +293,7 @@
   const auto ids_before = preferred_ids();
   for (const std::uint64_t started_at : {1000U, 2000U}) {
     auto record = *fleet.engine(ids_before.front().text()).record;
-    record.life = model::replica_life{started_at};
+    record.incarnation = model::replica_incarnation{started_at};
     fleet.table.published[record.id] = std::make_shared<model::replica>(record);
     fleet.table.publish();
   }
