--- a/src/dispatch/admission_estimate.cc
+++ b/src/dispatch/admission_estimate.cc
@@ -39,7 +39,7 @@
 std::optional<base::duration> admission_estimate::time_left(
     const model::serving_configuration& configuration, const model::route& route,
     const stage_graph& graph, const stage_exchange& stages, const service_demand& final_call,
-    std::uint32_t own_tokens, piece_standing standing, base::time_point now) const {
+    std::uint32_t own_tokens, piece_order standing, base::time_point now) const {
   bool possible = true;
   const auto stage_time = [&](std::uint32_t stage) {
     const auto& name = route.stages[stage].service;
--- a/src/dispatch/admission_estimate.h
+++ b/src/dispatch/admission_estimate.h
@@ -27,7 +27,7 @@
   [[nodiscard]] std::optional<base::duration>
   time_left(const model::serving_configuration& configuration, const model::route& route,
             const stage_graph& graph, const stage_exchange& stages,
-            const service_demand& final_call, std::uint32_t own_tokens, piece_standing standing,
+            const service_demand& final_call, std::uint32_t own_tokens, piece_order standing,
             base::time_point now) const;
 
   /// @return time to plan with from the begin of `stage` to the first byte: full calls and a usual
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -235,7 +235,7 @@
 }
 
 std::optional<base::duration> dispatcher::expected_time(const active_request& request,
-                                                        piece_standing standing,
+                                                        piece_order standing,
                                                         base::time_point now) const {
   return estimate_.time_left(*configuration_, *request.route, *request.graph, stages_,
                              {request.service, request.zone, request.permitted_regions},
@@ -267,7 +267,7 @@
     return false;
   }
   stages_.refresh(now);
-  const auto expected = expected_time(request, piece_standing::in_time, now);
+  const auto expected = expected_time(request, piece_order::in_time, now);
   const auto allowed = request.ends_at - request.arrived;
   // One that comes back has less time than its route gives; it is refused only without any hope.
   const bool comes_back =
@@ -302,9 +302,9 @@
     return false;
   }
   const auto target_at = request.arrived + request.route->target_latency;
-  const auto in_time = expected_time(request, piece_standing::in_time, now);
+  const auto in_time = expected_time(request, piece_order::in_time, now);
   const bool is_late = !in_time || now + *in_time > target_at;
-  const auto expected = is_late ? expected_time(request, piece_standing::past_due, now) : in_time;
+  const auto expected = is_late ? expected_time(request, piece_order::past_due, now) : in_time;
   const bool is_hopeless = !expected || now + *expected > client_leaves_at(request) ||
                            !has_time_before_stop(request, now);
   const bool is_confirmed = request.looked_hopeless.value_or(true);
@@ -458,10 +458,10 @@
   advance_statements(now);
   go_on_with_loans(now);
   check_requests(now);
-  stages_.pump(now);
+  stages_.dispatch_waiting(now);
   if (take_piece_results(now)) {
     // What was finished lets other stages begin.
-    stages_.pump(now);
+    stages_.dispatch_waiting(now);
   }
   news_.advance(now);
   advance_crashes(now);
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -272,7 +272,7 @@
   /// @return whether it was given up.
   bool give_up_hopeless(active_request& request, base::time_point now);
   [[nodiscard]] std::optional<base::duration>
-  expected_time(const active_request& request, piece_standing standing, base::time_point now) const;
+  expected_time(const active_request& request, piece_order standing, base::time_point now) const;
   /// @return when the client of a request that has sent nothing yet stops waiting.
   [[nodiscard]] static base::time_point client_leaves_at(const active_request& request);
   void submit_pieces(active_request& request, base::time_point now);
--- a/src/fleet_view/peer_directory.cc
+++ b/src/fleet_view/peer_directory.cc
@@ -64,7 +64,7 @@
   peers_ = std::move(kept);
   zones_of_region_.assign(zones.begin(), zones.end());
   const auto is_unknown = [this](const base::node_id& node) { return !peers_.contains(node); };
-  std::erase_if(gatherers_, is_unknown);
+  std::erase_if(batchers_, is_unknown);
   std::erase_if(reporters_, is_unknown);
   std::erase_if(silent_, is_unknown);
   listeners_.reset();
@@ -76,7 +76,7 @@
   }
   std::vector<base::node_id> rivals{self_.node};
   std::copy_if(
-      gatherers_.begin(), gatherers_.end(), std::back_inserter(rivals),
+      batchers_.begin(), batchers_.end(), std::back_inserter(rivals),
       [this](const base::node_id& node) { return peers_.at(node).peer.zone == self_.zone; });
   auto& chosen = listeners_.emplace();
   for (const auto* others : {&in_region_, &elsewhere_}) {
@@ -117,23 +117,23 @@
   return found == peers_.end() ? nullptr : &found->second;
 }
 
-std::vector<base::node_id> peer_directory::set_gatherers(const std::set<base::node_id>& gatherers,
+std::vector<base::node_id> peer_directory::set_gatherers(const std::set<base::node_id>& batchers,
                                                          base::time_point now) {
   std::set<base::node_id> known;
-  std::copy_if(gatherers.begin(), gatherers.end(), std::inserter(known, known.end()),
+  std::copy_if(batchers.begin(), batchers.end(), std::inserter(known, known.end()),
                [this](const base::node_id& node) { return peers_.contains(node); });
-  if (known == gatherers_) {
+  if (known == batchers_) {
     return {};
   }
-  for (const auto& node : gatherers_) {
+  for (const auto& node : batchers_) {
     if (!known.contains(node)) {
       peers_.at(node).gathers_since.reset();
     }
   }
-  gatherers_ = std::move(known);
+  batchers_ = std::move(known);
   listeners_.reset();
   std::vector<base::node_id> added;
-  for (const auto& node : gatherers_) {
+  for (const auto& node : batchers_) {
     auto* peer = find(node);
     if (!peer->gathers_since) {
       peer->gathers_since = now;
@@ -176,7 +176,7 @@
     }
     return changed;
   }
-  for (const auto& node : gatherers_) {
+  for (const auto& node : batchers_) {
     changed = check_silence(peers_.at(node), now) || changed;
   }
   std::erase_if(silent_, [&](const base::node_id& node) {
--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -70,7 +70,7 @@
 
   /// Takes over who gathers pieces, as this node sees it.
   /// @return those that were no gatherers before.
-  std::vector<base::node_id> set_gatherers(const std::set<base::node_id>& gatherers,
+  std::vector<base::node_id> set_gatherers(const std::set<base::node_id>& batchers,
                                            base::time_point now);
   /// Marks the peers that were silent for too long, and gives others another chance.
   /// @return whether any changed.
@@ -113,7 +113,7 @@
   std::vector<base::zone_id> zones_of_region_;
   std::map<base::node_id, peer_state> peers_;
   /// Peers that this node takes for gatherers.
-  std::set<base::node_id> gatherers_;
+  std::set<base::node_id> batchers_;
   std::set<base::node_id> reporters_;
   std::set<base::node_id> silent_;
   std::vector<base::node_id> in_zone_;
--- a/src/node/node_roles.cc
+++ b/src/node/node_roles.cc
@@ -13,7 +13,7 @@
     const auto& shards = serving->stages().shards().shards();
     roles.shards = static_cast<std::size_t>(
         std::count_if(shards.begin(), shards.end(), [&](const serving::shard& one) {
-          return one.gatherer == subject.settings().self.node;
+          return one.batcher == subject.settings().self.node;
         }));
     roles.engine_accounts = serving->engine_accounts();
   }
--- a/src/stage_work/shard_map.cc
+++ b/src/stage_work/shard_map.cc
@@ -27,17 +27,17 @@
                      [&](const shard& one) { return one.service == service; });
 }
 
-std::set<base::node_id> shard_map::gatherers() const {
+std::set<base::node_id> shard_map::batchers() const {
   std::set<base::node_id> found;
   for (const auto& one : shards_) {
-    found.insert(one.gatherer);
+    found.insert(one.batcher);
   }
   return found;
 }
 
 bool shard_map::gathers_for_other_zones() const {
   return std::any_of(shards_.begin(), shards_.end(),
-                     [&](const shard& one) { return one.gatherer == self_.node && !one.zone; });
+                     [&](const shard& one) { return one.batcher == self_.node && !one.zone; });
 }
 
 void shard_map::assign(const model::serving_configuration& configuration, bool stopping) {
@@ -61,7 +61,7 @@
   own_replicas_.clear();
   own_services_.clear();
   for (const auto& one : shards_) {
-    if (one.gatherer == self_.node) {
+    if (one.batcher == self_.node) {
       own_replicas_.insert(one.replicas.begin(), one.replicas.end());
       own_services_[one.service].insert(one.region);
     }
@@ -159,7 +159,7 @@
   for (std::size_t index = 0; index < count; ++index) {
     auto added = common;
     const auto name = common.service + "/" + place + "/" + std::to_string(index);
-    added.gatherer = base::rendezvous_top(name, candidates, 1).front();
+    added.batcher = base::rendezvous_top(name, candidates, 1).front();
     shards_.push_back(std::move(added));
   }
   for (const auto* replica : replicas) {
--- a/src/stage_work/shard_map.h
+++ b/src/stage_work/shard_map.h
@@ -25,7 +25,7 @@
   /// Set where all its replicas are of one zone.
   std::optional<base::zone_id> zone;
   std::vector<base::replica_id> replicas;
-  base::node_id gatherer;
+  base::node_id batcher;
 };
 
 /// Few replicas are one shard of their region; many are divided by zone, and only those of the own
@@ -49,7 +49,7 @@
   [[nodiscard]] const std::vector<shard>& shards() const { return shards_; }
   [[nodiscard]] bool has_shards_of(const std::string& service) const;
   /// @return nodes that gather for some shard.
-  [[nodiscard]] std::set<base::node_id> gatherers() const;
+  [[nodiscard]] std::set<base::node_id> batchers() const;
   /// Replicas this node gathers for.
   [[nodiscard]] const std::set<base::replica_id>& own_replicas() const { return own_replicas_; }
   /// The services that they belong to, with where they are.
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -85,19 +85,19 @@
   stopping_ = true;
   shards_are_stale_ = true;
   next_load_report_ = {};
-  hand_back_forwarded(pool_.waiting_tickets(), now);
+  return_forwarded(pool_.waiting_tickets(), now);
 }
 
 void stage_exchange::hand_over(const std::string& service, base::time_point now) {
   const auto waiting = pool_.waiting_tickets(service);
-  hand_back_forwarded(waiting, now);
+  return_forwarded(waiting, now);
   for (const auto ticket : waiting) {
     const auto own = own_by_pool_ticket_.find(ticket);
     if (own == own_by_pool_ticket_.end()) {
       continue;
     }
     auto& placed = placements_.at(own->second);
-    const auto chosen = choose_gatherer(placed.work, placed.work.result_bytes, now);
+    const auto chosen = choose_batcher(placed.work, placed.work.result_bytes, now);
     if (chosen && *chosen != self_.node) {
       const auto moved = own->second;
       own_by_pool_ticket_.erase(own);
@@ -107,8 +107,8 @@
   }
 }
 
-void stage_exchange::hand_back_forwarded(const std::vector<piece_ticket>& waiting,
-                                         base::time_point now) {
+void stage_exchange::return_forwarded(const std::vector<piece_ticket>& waiting,
+                                      base::time_point now) {
   for (const auto ticket : waiting) {
     const auto forwarded = forwarded_by_pool_ticket_.find(ticket);
     if (forwarded != forwarded_by_pool_ticket_.end()) {
@@ -131,7 +131,7 @@
     piece.zone = zone;
   }
   const auto chosen =
-      pieces.empty() ? std::nullopt : choose_gatherer(pieces.front(), result_bytes, now);
+      pieces.empty() ? std::nullopt : choose_batcher(pieces.front(), result_bytes, now);
   std::vector<piece_ticket> tickets;
   for (auto& piece : pieces) {
     const auto ticket = next_ticket_++;
@@ -210,7 +210,7 @@
 void stage_exchange::move(piece_ticket ticket, placement& placed, base::time_point now) {
   ++placed.moves;
   const auto chosen = placed.moves <= most_moves
-                          ? choose_gatherer(placed.work, placed.work.result_bytes, now)
+                          ? choose_batcher(placed.work, placed.work.result_bytes, now)
                           : std::nullopt;
   if (!chosen || *chosen != placed.holder) {
     message_to(placed.holder).add_cancelled(ticket);
@@ -275,8 +275,8 @@
     message_to(sender).add_accepted(ticket);
     return;
   }
-  const auto told =
-      std::find_if(told_results_.begin(), told_results_.end(), [&](const told_result& candidate) {
+  const auto told = std::find_if(
+      told_results_.begin(), told_results_.end(), [&](const reported_result& candidate) {
         return candidate.forwarded.origin == sender && candidate.forwarded.origin_ticket == ticket;
       });
   if (told != told_results_.end()) {
@@ -378,7 +378,7 @@
     pool_.release(handle);
   }
   if (stopping_) {
-    hand_back_forwarded(pool_.waiting_tickets(), now);
+    return_forwarded(pool_.waiting_tickets(), now);
   }
 }
 
@@ -496,10 +496,10 @@
   }
 }
 
-void stage_exchange::pump(base::time_point now) {
+void stage_exchange::dispatch_waiting(base::time_point now) {
   refresh(now);
   place_again(now);
-  pool_.pump(now);
+  pool_.dispatch_waiting(now);
   take_pool_results(now);
   send_loads(now);
 }
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -32,7 +32,7 @@
 namespace spurrack::serving {
 
 /// Where a piece stands in a queue.
-enum class piece_standing : std::uint8_t {
+enum class piece_order : std::uint8_t {
   in_time,  ///< Before everything that is past due.
   past_due, ///< Behind everything else.
 };
@@ -93,9 +93,9 @@
   /// @return how long a piece that is submitted now is expected to wait for its call; nothing where
   ///         nobody can make it.
   [[nodiscard]] std::optional<base::duration>
-  expected_wait(const service_demand& demand, piece_standing standing, base::time_point now) const;
+  expected_wait(const service_demand& demand, piece_order standing, base::time_point now) const;
 
-  void pump(base::time_point now);
+  void dispatch_waiting(base::time_point now);
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   [[nodiscard]] std::vector<piece_finished> take_finished() { return std::exchange(finished_, {}); }
@@ -111,7 +111,7 @@
 
  private:
   /// A node that gathers the pieces for some replicas of a service.
-  struct gatherer {
+  struct batcher {
     base::node_id node;
     model::neighbourhood region;
     /// Set where all its replicas are of one zone.
@@ -142,7 +142,7 @@
   };
   /// What became of a piece that this node gathered for another; kept for a while, since the
   /// message that told it may have been lost.
-  struct told_result {
+  struct reported_result {
     base::time_point told_at;
     forwarded_piece forwarded;
     piece_outcome outcome;
@@ -153,7 +153,7 @@
   /// Divides all replicas into shards and finds the gatherer of each.
   void assign_shards(base::time_point now);
   /// Greets those who gather from now on, so that connections to them stand.
-  void greet(const std::vector<base::node_id>& gatherers);
+  void greet(const std::vector<base::node_id>& batchers);
   /// What the replicas of a shard bear.
   struct usable_replicas {
     /// Those that can be called now: 1 for each, the part of full calls that it takes for one that
@@ -165,36 +165,36 @@
   };
   [[nodiscard]] usable_replicas count_usable_of(const shard& one, base::time_point now) const;
   /// @return gatherers of the shards of a service, with what their replicas bear now.
-  [[nodiscard]] const std::vector<gatherer>& assigned_gatherers(const std::string& service,
-                                                                base::time_point now) const;
+  [[nodiscard]] const std::vector<batcher>& assigned_batchers(const std::string& service,
+                                                              base::time_point now) const;
   /// Counts the replicas of each shard that can be called.
-  void count_usable(base::time_point now) const;
+  void count_callable(base::time_point now) const;
   /// Fills in for which replicas of the service this node gathers.
   void describe_own_shards(wire::stage_load& load, base::time_point now) const;
   /// @return gatherers of a service that this node has assigned, and those of other zones that
   ///         report; only such that can be reached and whose replicas lie in allowed regions.
-  [[nodiscard]] std::vector<gatherer> gatherers_of(const std::string& service,
-                                                   const model::residency& permitted_regions,
-                                                   base::time_point now) const;
+  [[nodiscard]] std::vector<batcher> batchers_of(const std::string& service,
+                                                 const model::residency& permitted_regions,
+                                                 base::time_point now) const;
   /// @return what making a piece at a gatherer costs beside the wait, in seconds of waiting.
-  [[nodiscard]] double distance_seconds(const gatherer& candidate, const base::zone_id& zone,
+  [[nodiscard]] double distance_seconds(const batcher& candidate, const base::zone_id& zone,
                                         double result_bytes) const;
   /// @param result_bytes size of all results together.
   /// @return nothing where no node gathers for replicas that the piece may use.
   [[nodiscard]] std::optional<base::node_id>
-  choose_gatherer(const piece_work& work, double result_bytes, base::time_point now) const;
+  choose_batcher(const piece_work& work, double result_bytes, base::time_point now) const;
   /// Work of a service at a gatherer, as it told it last.
-  struct gatherer_load {
+  struct batcher_load {
     double waiting = 0;
     double waiting_past_due = 0;
     double calls_under_way = 0;
     /// Pieces a second; 0 where nothing waited of late.
     double drain_rate = 0;
   };
-  [[nodiscard]] gatherer_load load_of(const base::node_id& node, const std::string& service,
-                                      base::time_point now) const;
-  [[nodiscard]] double expected_wait_seconds(const gatherer& candidate, const std::string& service,
-                                             piece_standing standing, base::time_point now) const;
+  [[nodiscard]] batcher_load load_of(const base::node_id& node, const std::string& service,
+                                     base::time_point now) const;
+  [[nodiscard]] double expected_wait_seconds(const batcher& candidate, const std::string& service,
+                                             piece_order standing, base::time_point now) const;
   /// @param chosen nothing where no other node is fit.
   void place(piece_ticket ticket, placement& placed, const std::optional<base::node_id>& chosen,
              base::time_point now);
@@ -207,7 +207,7 @@
   /// Tells the nodes whose requests they belong to which pieces were lost with their calls.
   void take_pool_lost();
   /// Hands waiting pieces of other nodes back to them.
-  void hand_back_forwarded(const std::vector<piece_ticket>& waiting, base::time_point now);
+  void return_forwarded(const std::vector<piece_ticket>& waiting, base::time_point now);
   /// Others gather for a service from now on: what waits here goes to them, since results that
   /// this node does not hear of any more seem to take up all room.
   void hand_over(const std::string& service, base::time_point now);
@@ -243,7 +243,7 @@
   /// Replicas have changed since the shards were found.
   bool replicas_changed_ = false;
   /// Gatherers of the shards by service, counted where a caller asks for them.
-  mutable std::unordered_map<std::string, std::vector<gatherer>> gatherers_;
+  mutable std::unordered_map<std::string, std::vector<batcher>> batchers_;
   mutable bool counts_are_stale_ = true;
   /// The node that keeps account of the room of a result, where that is another.
   std::unordered_map<std::string, base::node_id> result_holders_;
@@ -254,7 +254,7 @@
   std::unordered_map<piece_ticket, piece_ticket> own_by_pool_ticket_;
   std::unordered_map<piece_ticket, forwarded_piece> forwarded_by_pool_ticket_;
   std::map<std::pair<base::node_id, piece_ticket>, piece_ticket> forwarded_tickets_;
-  std::deque<told_result> told_results_;
+  std::deque<reported_result> told_results_;
   std::map<base::node_id, wire::stage_work> messages_;
   std::vector<piece_finished> finished_;
   std::vector<piece_ticket> fetched_;
--- a/src/stage_work/stage_exchange_gatherers.cc
+++ b/src/stage_work/stage_exchange_batchers.cc
@@ -46,7 +46,7 @@
   }
   const auto gathered_before = shards_.own_services();
   shards_.assign(*configuration_, stopping_);
-  greet(peers_.set_gatherers(shards_.gatherers(), now));
+  greet(peers_.set_gatherers(shards_.batchers(), now));
   for (const auto& [service, places] : gathered_before) {
     if (!shards_.own_services().contains(service) && shards_.has_shards_of(service)) {
       hand_over(service, now);
@@ -54,8 +54,8 @@
   }
 }
 
-void stage_exchange::greet(const std::vector<base::node_id>& gatherers) {
-  for (const auto& node : gatherers) {
+void stage_exchange::greet(const std::vector<base::node_id>& batchers) {
+  for (const auto& node : batchers) {
     // The transport connects with the first message and may lose it; this one holds nothing.
     message_to(node);
   }
@@ -82,27 +82,27 @@
   return usable;
 }
 
-const std::vector<stage_exchange::gatherer>&
-stage_exchange::assigned_gatherers(const std::string& service, base::time_point now) const {
-  static const std::vector<gatherer> none;
+const std::vector<stage_exchange::batcher>&
+stage_exchange::assigned_batchers(const std::string& service, base::time_point now) const {
+  static const std::vector<batcher> none;
   if (counts_are_stale_) {
     counts_are_stale_ = false;
-    count_usable(now);
+    count_callable(now);
   }
-  const auto found = gatherers_.find(service);
-  return found == gatherers_.end() ? none : found->second;
+  const auto found = batchers_.find(service);
+  return found == batchers_.end() ? none : found->second;
 }
 
-void stage_exchange::count_usable(base::time_point now) const {
-  gatherers_.clear();
+void stage_exchange::count_callable(base::time_point now) const {
+  batchers_.clear();
   for (const auto& one : shards_.shards()) {
     const auto usable = count_usable_of(one, now);
-    auto& known = gatherers_[one.service];
-    auto found = std::find_if(known.begin(), known.end(), [&](const gatherer& other) {
-      return other.node == one.gatherer && other.region == one.region && other.zone == one.zone;
+    auto& known = batchers_[one.service];
+    auto found = std::find_if(known.begin(), known.end(), [&](const batcher& other) {
+      return other.node == one.batcher && other.region == one.region && other.zone == one.zone;
     });
     if (found == known.end()) {
-      known.push_back({one.gatherer, one.region, one.zone, 0, {}});
+      known.push_back({one.batcher, one.region, one.zone, 0, {}});
       found = std::prev(known.end());
     }
     const bool opens_later = found->opens_at > now;
@@ -117,7 +117,7 @@
 }
 
 void stage_exchange::describe_own_shards(wire::stage_load& load, base::time_point now) const {
-  for (const auto& candidate : assigned_gatherers(load.service(), now)) {
+  for (const auto& candidate : assigned_batchers(load.service(), now)) {
     if (candidate.node == self_.node) {
       load.set_replicas(load.replicas() +
                         static_cast<std::uint32_t>(std::ceil(candidate.replicas)));
@@ -126,18 +126,18 @@
   }
 }
 
-std::vector<stage_exchange::gatherer>
-stage_exchange::gatherers_of(const std::string& service, const model::residency& permitted_regions,
-                             base::time_point now) const {
-  std::vector<gatherer> found;
-  const auto& assigned = assigned_gatherers(service, now);
+std::vector<stage_exchange::batcher>
+stage_exchange::batchers_of(const std::string& service, const model::residency& permitted_regions,
+                            base::time_point now) const {
+  std::vector<batcher> found;
+  const auto& assigned = assigned_batchers(service, now);
   std::copy_if(assigned.begin(), assigned.end(), std::back_inserter(found),
-               [this](const gatherer& candidate) {
+               [this](const batcher& candidate) {
                  return candidate.node == self_.node || peers_.find(candidate.node) != nullptr;
                });
   const auto is_assigned = [&](const base::node_id& node) {
     return std::any_of(found.begin(), found.end(),
-                       [&](const gatherer& other) { return other.node == node; });
+                       [&](const batcher& other) { return other.node == node; });
   };
   for (const auto& node : peers_.reporters()) {
     const auto& peer = *peers_.find(node);
@@ -152,22 +152,22 @@
       found.push_back({node, regions_.neighbourhood_of(zone), zone, replicas, {}});
     }
   }
-  std::erase_if(found, [&](const gatherer& candidate) {
+  std::erase_if(found, [&](const batcher& candidate) {
     return !permitted_regions.permits(candidate.region.region);
   });
   return found;
 }
 
-stage_exchange::gatherer_load stage_exchange::load_of(const base::node_id& node,
-                                                      const std::string& service,
-                                                      base::time_point now) const {
+stage_exchange::batcher_load stage_exchange::load_of(const base::node_id& node,
+                                                     const std::string& service,
+                                                     base::time_point now) const {
   if (node == self_.node) {
     const auto in_time = pool_.waiting_in_time(service, now);
     return {static_cast<double>(in_time), static_cast<double>(pool_.waiting(service) - in_time),
             static_cast<double>(pool_.calls_under_way(service)),
             pool_.drain_rate_of(service, now).value_or(0)};
   }
-  gatherer_load load;
+  batcher_load load;
   const auto* peer = peers_.find(node);
   if (const auto told = peer->loads.find(service); told != peer->loads.end()) {
     load = {static_cast<double>(told->second.waiting()),
@@ -180,15 +180,15 @@
   return load;
 }
 
-double stage_exchange::expected_wait_seconds(const gatherer& candidate, const std::string& service,
-                                             piece_standing standing, base::time_point now) const {
+double stage_exchange::expected_wait_seconds(const batcher& candidate, const std::string& service,
+                                             piece_order standing, base::time_point now) const {
   const auto* found = configuration_->find_service(service);
   const auto& capacity = *found->pieces;
   const auto load = load_of(candidate.node, service, now);
   const double full_call =
       base::to_seconds(capacity.call_time) + base::to_seconds(capacity.item_time) * capacity.batch;
   const double ahead =
-      standing == piece_standing::in_time ? load.waiting : load.waiting + load.waiting_past_due;
+      standing == piece_order::in_time ? load.waiting : load.waiting + load.waiting_past_due;
   const double calls_ahead = ahead / capacity.batch + load.calls_under_way / 2;
   // Replicas of which nothing is known take at least as much as one.
   const double replicas = candidate.replicas > 0 ? candidate.replicas : 1;
@@ -199,7 +199,7 @@
   return until_open + std::max(by_capacity, by_rate);
 }
 
-double stage_exchange::distance_seconds(const gatherer& candidate, const base::zone_id& zone,
+double stage_exchange::distance_seconds(const batcher& candidate, const base::zone_id& zone,
                                         double result_bytes) const {
   auto ring = model::ring::zone;
   if (candidate.region != regions_.neighbourhood_of(zone)) {
@@ -211,10 +211,10 @@
 }
 
 std::optional<base::duration> stage_exchange::expected_wait(const service_demand& demand,
-                                                            piece_standing standing,
+                                                            piece_order standing,
                                                             base::time_point now) const {
   std::optional<double> least;
-  for (const auto& candidate : gatherers_of(demand.service, demand.permitted_regions, now)) {
+  for (const auto& candidate : batchers_of(demand.service, demand.permitted_regions, now)) {
     if (candidate.replicas > 0) {
       const double wait = expected_wait_seconds(candidate, demand.service, standing, now) +
                           distance_seconds(candidate, demand.zone, 0);
@@ -224,17 +224,16 @@
   return least ? std::optional(base::from_seconds(*least)) : std::nullopt;
 }
 
-std::optional<base::node_id> stage_exchange::choose_gatherer(const piece_work& work,
-                                                             double result_bytes,
-                                                             base::time_point now) const {
+std::optional<base::node_id> stage_exchange::choose_batcher(const piece_work& work,
+                                                            double result_bytes,
+                                                            base::time_point now) const {
   std::optional<base::node_id> best;
   bool best_can_call = false;
   double best_cost = 0;
-  for (const auto& candidate : gatherers_of(work.service, work.permitted_regions, now)) {
+  for (const auto& candidate : batchers_of(work.service, work.permitted_regions, now)) {
     const bool can_call = candidate.replicas > 0;
-    const double cost =
-        expected_wait_seconds(candidate, work.service, piece_standing::in_time, now) +
-        distance_seconds(candidate, work.zone, result_bytes);
+    const double cost = expected_wait_seconds(candidate, work.service, piece_order::in_time, now) +
+                        distance_seconds(candidate, work.zone, result_bytes);
     const bool better = can_call == best_can_call ? cost < best_cost : can_call;
     if (!best || better) {
       best = candidate.node;
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -451,7 +451,7 @@
   }
 }
 
-void stage_pool::pump(base::time_point now) {
+void stage_pool::dispatch_waiting(base::time_point now) {
   if (now < next_check_) {
     return;
   }
--- a/src/stage_work/stage_pool.h
+++ b/src/stage_work/stage_pool.h
@@ -105,7 +105,7 @@
 
   /// Hands out what can be handed out, and gives up what is late. Costs nothing while nothing has
   /// changed and the next look is not due.
-  void pump(base::time_point now);
+  void dispatch_waiting(base::time_point now);
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   [[nodiscard]] std::vector<piece_finished> take_finished() { return std::exchange(finished_, {}); }
--- a/tests/dispatch/client_leaves_test.cc
+++ b/tests/dispatch/client_leaves_test.cc
@@ -143,9 +143,9 @@
   // One piece is under way at the zone's replica, and the next waits at the gatherer.
   fleet.submit(*fleet.nodes[0]);
   fleet.run(milliseconds(100));
-  auto* gatherer = fleet.caller();
-  BOOST_REQUIRE(gatherer != nullptr);
-  auto& origin = fleet.other_than(*gatherer);
+  auto* batcher = fleet.caller();
+  BOOST_REQUIRE(batcher != nullptr);
+  auto& origin = fleet.other_than(*batcher);
   const auto calls_of = [&] {
     std::size_t calls = 0;
     for (const auto& node : fleet.nodes) {
--- a/tests/fleet_view/peer_directory_test.cc
+++ b/tests/fleet_view/peer_directory_test.cc
@@ -30,20 +30,20 @@
 peer_directory directory_of(int self, int count) {
   peer_directory subject(near_peer(self));
   std::vector<fleet_peer> others;
-  std::set<base::node_id> gatherers;
+  std::set<base::node_id> batchers;
   for (int index = 0; index < near_nodes; ++index) {
     if (index != self) {
       others.push_back(near_peer(index));
     }
     if (index < count) {
-      gatherers.insert(near_peer(index).node);
+      batchers.insert(near_peer(index).node);
     }
   }
   for (int index = 0; index < far_nodes; ++index) {
     others.push_back(far_peer(index));
   }
   subject.update(std::move(others));
-  subject.set_gatherers(gatherers, base::time_point{std::chrono::hours(1)});
+  subject.set_gatherers(batchers, base::time_point{std::chrono::hours(1)});
   return subject;
 }
 
@@ -65,20 +65,20 @@
   [[nodiscard]] std::vector<base::node_id> told_by(int self, report_audience audience) const {
     peer_directory subject(peer(self), regions_);
     std::vector<fleet_peer> others;
-    std::set<base::node_id> gatherers;
+    std::set<base::node_id> batchers;
     for (int index = 0; index < nodes(); ++index) {
       if (index != self) {
         others.push_back(peer(index));
       }
       if (peer(index).zone == peer(self).zone) {
-        gatherers.insert(peer(index).node);
+        batchers.insert(peer(index).node);
       }
     }
     for (int index = 0; index < far_nodes; ++index) {
       others.push_back(far_peer(index));
     }
     subject.update(std::move(others));
-    subject.set_gatherers(gatherers, base::time_point{std::chrono::hours(1)});
+    subject.set_gatherers(batchers, base::time_point{std::chrono::hours(1)});
     std::set<base::node_id> told;
     for (int round = 0; round < rounds_a_second; ++round) {
       for (const auto& node : subject.next_receivers(audience)) {
@@ -110,11 +110,11 @@
 BOOST_AUTO_TEST_SUITE(peer_directory_test)
 
 BOOST_AUTO_TEST_CASE(a_node_hears_of_two_gatherers_of_another_zone_however_many_there_are) {
-  for (const int gatherers : {1, 2, 7, 30}) {
+  for (const int batchers : {1, 2, 7, 30}) {
     std::map<base::node_id, int> heard_of;
     std::size_t messages = 0;
-    for (int self = 0; self < gatherers; ++self) {
-      auto subject = directory_of(self, gatherers);
+    for (int self = 0; self < batchers; ++self) {
+      auto subject = directory_of(self, batchers);
       std::set<base::node_id> told;
       // A second has five rounds.
       for (int round = 0; round < 5; ++round) {
@@ -131,10 +131,10 @@
     }
     BOOST_TEST(heard_of.size() == static_cast<std::size_t>(far_nodes));
     for (const auto& [node, count] : heard_of) {
-      BOOST_TEST(count == std::min(gatherers, 2));
+      BOOST_TEST(count == std::min(batchers, 2));
     }
     // Rounds hold whole messages: up to four more a second for each gatherer.
-    BOOST_TEST(messages <= static_cast<std::size_t>(2 * far_nodes + 4 * gatherers));
+    BOOST_TEST(messages <= static_cast<std::size_t>(2 * far_nodes + 4 * batchers));
   }
 }
 
--- a/tests/stage_work/exchange_fleet.h
+++ b/tests/stage_work/exchange_fleet.h
@@ -92,16 +92,16 @@
     for (const auto end = now + span; now < end;) {
       now += step;
       for (auto& node : nodes) {
-        pump(*node);
+        dispatch_waiting(*node);
       }
     }
   }
 
-  void pump(exchange_node& node) {
+  void dispatch_waiting(exchange_node& node) {
     if (node.identity.node == silent) {
       return;
     }
-    node.subject.pump(now);
+    node.subject.dispatch_waiting(now);
     for (auto& command : node.subject.take_commands()) {
       if (auto* call = std::get_if<start_stage_call>(&command)) {
         node.calls.push_back(*call);
@@ -149,14 +149,14 @@
     return nullptr;
   }
 
-  void answer(exchange_node& gatherer) {
-    const auto call = gatherer.calls.back();
+  void answer(exchange_node& batcher) {
+    const auto call = batcher.calls.back();
     stage_call_ended ended{call.call, stage_call_ended::result::answered, {}};
     for (std::size_t index = 0; index < call.items.size(); ++index) {
       ended.pieces.push_back(
           {piece_fault::none, call.target.address.text() + "/h" + std::to_string(index)});
     }
-    gatherer.subject.on_call_ended(ended, now);
+    batcher.subject.on_call_ended(ended, now);
   }
 
   /// Lets time pass; answers each call shortly after it was made.
--- a/tests/stage_work/piece_residency_test.cc
+++ b/tests/stage_work/piece_residency_test.cc
@@ -75,7 +75,7 @@
   /// @return where each piece was called.
   std::vector<std::string> zones_of_pieces() {
     now += milliseconds(20);
-    pool.pump(now);
+    pool.dispatch_waiting(now);
     std::vector<std::string> zones;
     for (const auto& command : pool.take_commands()) {
       if (const auto* call = std::get_if<start_stage_call>(&command)) {
@@ -216,8 +216,8 @@
   fleet.submit(*fleet.nodes[0], base::zone_id("a"), within({"south"}));
   fleet.run(milliseconds(100));
   BOOST_REQUIRE(fleet.caller() != nullptr);
-  const auto gatherer = fleet.caller()->identity.zone;
-  BOOST_TEST(residency_regions().region_of(gatherer)->text() == "south");
+  const auto batcher = fleet.caller()->identity.zone;
+  BOOST_TEST(residency_regions().region_of(batcher)->text() == "south");
   const auto zone = held_fleet::zone_of(fleet.caller()->calls.front());
   BOOST_TEST((text_set{"c", "d"}).contains(zone));
 }
@@ -244,8 +244,8 @@
   fleet.submit(origin, base::zone_id("a"), within({"north"}));
   fleet.run(milliseconds(100));
   BOOST_REQUIRE(fleet.caller() != nullptr);
-  auto& gatherer = *fleet.caller();
-  gatherer.calls.clear();
+  auto& batcher = *fleet.caller();
+  batcher.calls.clear();
   wire::stage_work message;
   message.set_life(1);
   auto& wanted = *message.add_wanted();
@@ -257,10 +257,10 @@
   wanted.set_expires_in_milliseconds(5000);
   wanted.set_zone("c");
   wanted.add_permitted_regions("south");
-  gatherer.subject.handle(fleet.other_than(gatherer).identity.node, message, fleet.now);
+  batcher.subject.handle(fleet.other_than(batcher).identity.node, message, fleet.now);
   fleet.run(milliseconds(100));
-  BOOST_REQUIRE(gatherer.calls.size() == 1U);
-  BOOST_TEST((text_set{"c", "d"}).contains(held_fleet::zone_of(gatherer.calls.front())));
+  BOOST_REQUIRE(batcher.calls.size() == 1U);
+  BOOST_TEST((text_set{"c", "d"}).contains(held_fleet::zone_of(batcher.calls.front())));
 }
 
 BOOST_AUTO_TEST_CASE(who_gathers_elsewhere_still_calls_for_a_piece_that_nobody_else_takes) {
--- a/tests/stage_work/region_gatherers_test.cc
+++ b/tests/stage_work/region_batchers_test.cc
@@ -57,7 +57,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(region_gatherers_test, regional_fleet)
+BOOST_FIXTURE_TEST_SUITE(region_batchers_test, regional_fleet)
 
 BOOST_AUTO_TEST_CASE(pieces_are_made_in_their_region) {
   submit_in_north(4);
--- a/tests/stage_work/shard_map_test.cc
+++ b/tests/stage_work/shard_map_test.cc
@@ -70,17 +70,17 @@
   exchange_node node({base::node_id("n"), base::zone_id("a"), base::network_address("n"), 1}, world,
                      1);
   base::time_point now{std::chrono::hours(1)};
-  node.subject.pump(now);
+  node.subject.dispatch_waiting(now);
   const auto before = node.subject.shards().looks();
   for (int change = 0; change < 40; ++change) {
     now += std::chrono::milliseconds(1);
     world.remove_replica("p" + std::to_string(change));
     node.replicas.update(world.content.replicas(), now);
     node.subject.on_replicas_changed();
-    node.subject.pump(now);
+    node.subject.dispatch_waiting(now);
   }
   now += std::chrono::milliseconds(50);
-  node.subject.pump(now);
+  node.subject.dispatch_waiting(now);
   const std::uint64_t all = 42;
   BOOST_TEST(node.subject.shards().looks() - before <= all);
   for (const auto& one : node.subject.shards().shards()) {
--- a/tests/stage_work/stage_exchange_test.cc
+++ b/tests/stage_work/stage_exchange_test.cc
@@ -33,11 +33,11 @@
     submit(*node);
   }
   run(std::chrono::milliseconds(50));
-  std::size_t gatherers = 0;
+  std::size_t batchers = 0;
   for (auto& node : nodes) {
-    gatherers += node->calls.empty() ? 0 : 1;
+    batchers += node->calls.empty() ? 0 : 1;
   }
-  BOOST_TEST(gatherers == 1);
+  BOOST_TEST(batchers == 1);
   for (std::size_t answered = 0; answered < caller()->calls.size(); ++answered) {
     answer(*caller());
     run(std::chrono::milliseconds(50));
@@ -51,43 +51,43 @@
 BOOST_AUTO_TEST_CASE(a_result_is_freed_where_it_was_gathered) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
-  auto& gatherer = *caller();
+  auto& batcher = *caller();
   auto& origin = *nodes[0];
-  answer(gatherer);
+  answer(batcher);
   run(std::chrono::milliseconds(50));
   origin.subject.release({origin.finished.front().outcome.handle});
   run(std::chrono::milliseconds(50));
-  BOOST_TEST(gatherer.freed.size() == 1);
+  BOOST_TEST(batcher.freed.size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_silent_gatherer_is_replaced) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
-  const auto gatherer = caller()->identity.node;
+  const auto batcher = caller()->identity.node;
   auto& origin = other_than(*caller());
   for (auto& node : nodes) {
     node->calls.clear();
   }
-  silent = gatherer;
+  silent = batcher;
   submit(origin);
   run(std::chrono::milliseconds(600));
   BOOST_REQUIRE(caller() != nullptr);
-  BOOST_TEST(caller()->identity.node != gatherer);
+  BOOST_TEST(caller()->identity.node != batcher);
 }
 
 BOOST_AUTO_TEST_CASE(a_gatherer_that_started_again_has_lost_what_it_had) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
-  auto* gatherer = caller();
-  auto& origin = other_than(*gatherer);
-  answer(*gatherer);
+  auto* batcher = caller();
+  auto& origin = other_than(*batcher);
+  answer(*batcher);
   run(std::chrono::milliseconds(50));
-  gatherer->calls.clear();
+  batcher->calls.clear();
   origin.finished.clear();
   submit(origin);
   run(std::chrono::milliseconds(50));
-  BOOST_REQUIRE(!gatherer->calls.empty());
-  const auto index = gatherer->identity.node.text().back() - '0';
+  BOOST_REQUIRE(!batcher->calls.empty());
+  const auto index = batcher->identity.node.text().back() - '0';
   start(index, 2'000'000);
   meet();
   run(std::chrono::milliseconds(100));
@@ -101,12 +101,12 @@
 BOOST_AUTO_TEST_CASE(a_gatherer_that_membership_drops_gets_nothing_more) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
-  const auto gatherer = caller()->identity.node;
+  const auto batcher = caller()->identity.node;
   auto& origin = other_than(*caller());
   std::vector<fleet_peer> rest;
   for (auto& node : nodes) {
     node->calls.clear();
-    if (node->identity.node != gatherer && node->identity.node != origin.identity.node) {
+    if (node->identity.node != batcher && node->identity.node != origin.identity.node) {
       rest.push_back(node->identity);
     }
   }
@@ -120,16 +120,16 @@
 BOOST_AUTO_TEST_CASE(a_stopping_gatherer_hands_back_what_waits) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
-  auto& gatherer = *caller();
-  auto& origin = other_than(gatherer);
+  auto& batcher = *caller();
+  auto& origin = other_than(batcher);
   submit(origin);
   run(std::chrono::milliseconds(10));
-  gatherer.subject.begin_stop(now);
-  BOOST_TEST(gatherer.subject.has_calls_under_way());
+  batcher.subject.begin_stop(now);
+  BOOST_TEST(batcher.subject.has_calls_under_way());
   run(std::chrono::milliseconds(100));
   std::size_t elsewhere = 0;
   for (auto& node : nodes) {
-    elsewhere += node.get() == &gatherer ? 0 : node->calls.size();
+    elsewhere += node.get() == &batcher ? 0 : node->calls.size();
   }
   BOOST_TEST(elsewhere == 1);
 }
@@ -167,15 +167,15 @@
 BOOST_AUTO_TEST_CASE(what_was_cancelled_is_not_delivered) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
-  auto& gatherer = *caller();
-  auto& origin = other_than(gatherer);
-  gatherer.calls.clear();
+  auto& batcher = *caller();
+  auto& origin = other_than(batcher);
+  batcher.calls.clear();
   const auto ticket = submit(origin);
   run(std::chrono::milliseconds(50));
   origin.subject.cancel(ticket);
   run(std::chrono::milliseconds(50));
-  if (!gatherer.calls.empty()) {
-    answer(gatherer);
+  if (!batcher.calls.empty()) {
+    answer(batcher);
   }
   run(std::chrono::milliseconds(50));
   BOOST_TEST(origin.finished.empty());
@@ -190,19 +190,19 @@
   for (auto& node : nodes) {
     submit(*node);
   }
-  std::set<base::node_id> gatherers;
+  std::set<base::node_id> batchers;
   for (int round = 0; round < 60; ++round) {
     run(std::chrono::milliseconds(50));
     for (auto& node : nodes) {
       while (!node->calls.empty()) {
-        gatherers.insert(node->identity.node);
+        batchers.insert(node->identity.node);
         answer(*node);
         node->calls.pop_back();
       }
     }
   }
   BOOST_TEST(unfinished() == 0U);
-  BOOST_TEST(gatherers.size() == 1U);
+  BOOST_TEST(batchers.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(weak_nodes_gather_nothing_while_there_are_strong_ones) {
--- a/tests/stage_work/stage_pool_test.cc
+++ b/tests/stage_work/stage_pool_test.cc
@@ -31,9 +31,10 @@
     return pool.submit(std::move(work), now);
   }
 
-  std::vector<start_stage_call> pump(base::duration span = std::chrono::milliseconds(20)) {
+  std::vector<start_stage_call>
+  dispatch_waiting(base::duration span = std::chrono::milliseconds(20)) {
     now += span;
-    pool.pump(now);
+    pool.dispatch_waiting(now);
     std::vector<start_stage_call> calls;
     for (auto& command : pool.take_commands()) {
       if (auto* call = std::get_if<start_stage_call>(&command)) {
@@ -69,7 +70,7 @@
   submit("r1", std::chrono::seconds(1));
   submit("r1", std::chrono::seconds(1));
   submit("r2", std::chrono::seconds(1));
-  const auto calls = pump();
+  const auto calls = dispatch_waiting();
   BOOST_REQUIRE(calls.size() == 1);
   BOOST_TEST(calls.front().items.size() == 3);
 }
@@ -78,13 +79,13 @@
   for (int request = 0; request < 10; ++request) {
     submit("r" + std::to_string(request), std::chrono::milliseconds(2000 - 10 * request));
   }
-  const auto first = pump();
+  const auto first = dispatch_waiting();
   BOOST_TEST(first.size() == 2);
   BOOST_TEST(first.front().items.front().request.text() == "r9");
-  BOOST_TEST(pump().empty());
+  BOOST_TEST(dispatch_waiting().empty());
   pool.on_call_ended(answered(first.front()), now);
   BOOST_TEST(pool.take_finished().size() == first.front().items.size());
-  const auto next = pump();
+  const auto next = dispatch_waiting();
   BOOST_REQUIRE(next.size() == 1);
   BOOST_TEST(next.front().items.size() == 2);
 }
@@ -95,7 +96,7 @@
       submit(request, std::chrono::seconds(1));
     }
   }
-  const auto calls = pump();
+  const auto calls = dispatch_waiting();
   BOOST_REQUIRE(calls.size() == 2);
   BOOST_TEST(calls[0].items.size() == 3);
   BOOST_TEST(calls[1].items.size() == 3);
@@ -105,20 +106,20 @@
   for (int request = 0; request < 4; ++request) {
     submit("r" + std::to_string(request), std::chrono::seconds(1), 400'000);
   }
-  const auto calls = pump();
+  const auto calls = dispatch_waiting();
   BOOST_REQUIRE(calls.size() == 2);
   BOOST_TEST(calls[0].items.size() == 2);
   const auto ended = answered(calls[0]);
   pool.on_call_ended(ended, now);
   submit("late", std::chrono::seconds(1), 400'000);
-  BOOST_TEST(pump().empty());
+  BOOST_TEST(dispatch_waiting().empty());
   pool.release(ended.pieces[0].handle);
-  BOOST_TEST(pump().size() == 1);
+  BOOST_TEST(dispatch_waiting().size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_result_nobody_wants_is_freed) {
   const auto ticket = submit("r1", std::chrono::seconds(1));
-  const auto calls = pump();
+  const auto calls = dispatch_waiting();
   pool.cancel(ticket);
   pool.on_call_ended(answered(calls.front()), now);
   BOOST_TEST(pool.take_finished().empty());
@@ -129,24 +130,24 @@
 
 BOOST_AUTO_TEST_CASE(a_refused_call_is_made_elsewhere) {
   submit("r1", std::chrono::seconds(1));
-  const auto first = pump().front();
+  const auto first = dispatch_waiting().front();
   pool.on_call_ended({first.call, stage_call_ended::result::refused, {}}, now);
-  const auto second = pump();
+  const auto second = dispatch_waiting();
   BOOST_REQUIRE(second.size() == 1);
   BOOST_TEST(second.front().target.replica != first.target.replica);
 }
 
 BOOST_AUTO_TEST_CASE(a_call_without_answer_is_given_up_and_made_again) {
   submit("r1", std::chrono::seconds(1));
-  const auto first = pump().front();
-  const auto second = pump(std::chrono::milliseconds(1500));
+  const auto first = dispatch_waiting().front();
+  const auto second = dispatch_waiting(std::chrono::milliseconds(1500));
   BOOST_REQUIRE(second.size() == 1);
   BOOST_TEST(second.front().target.replica != first.target.replica);
 }
 
 BOOST_AUTO_TEST_CASE(a_piece_past_its_time_is_not_sent) {
   submit("r1", std::chrono::seconds(1));
-  BOOST_TEST(pump(std::chrono::seconds(6)).empty());
+  BOOST_TEST(dispatch_waiting(std::chrono::seconds(6)).empty());
   const auto finished = pool.take_finished();
   BOOST_REQUIRE(finished.size() == 1);
   BOOST_TEST((finished.front().outcome.fault == piece_fault::expired));
@@ -175,14 +176,14 @@
   /// @return whether the inputs of the next piece are taken for fetched `span` after its call.
   bool is_fetched_after(base::duration span) {
     submit_reader("probe");
-    BOOST_REQUIRE(pump().size() == 1);
-    pump(span);
+    BOOST_REQUIRE(dispatch_waiting().size() == 1);
+    dispatch_waiting(span);
     return !pool.take_fetched().empty();
   }
   void miss_inputs(bool cancelled) {
     const auto ticket = submit_reader("r");
-    const auto call = pump().front();
-    pump(std::chrono::milliseconds(100));
+    const auto call = dispatch_waiting().front();
+    dispatch_waiting(std::chrono::milliseconds(100));
     BOOST_REQUIRE(!pool.take_fetched().empty());
     if (cancelled) {
       pool.cancel(ticket);
@@ -216,40 +217,40 @@
 
 BOOST_AUTO_TEST_CASE(pieces_with_large_inputs_wait_for_their_zone_while_they_have_time) {
   submit("first", std::chrono::seconds(2), 1000, heavy);
-  const auto in_zone_a = pump();
+  const auto in_zone_a = dispatch_waiting();
   BOOST_REQUIRE(in_zone_a.size() == 1);
   BOOST_TEST(in_zone_a.front().target.replica.text() == "pool-a");
   submit("second", std::chrono::seconds(2), 1000, heavy);
-  BOOST_TEST(pump().empty());
+  BOOST_TEST(dispatch_waiting().empty());
   pool.on_call_ended(answered(in_zone_a.front()), now);
-  const auto next = pump();
+  const auto next = dispatch_waiting();
   BOOST_REQUIRE(next.size() == 1);
   BOOST_TEST(next.front().target.replica.text() == "pool-a");
 }
 
 BOOST_AUTO_TEST_CASE(pieces_that_would_be_late_in_waiting_leave_their_zone) {
   submit("first", std::chrono::seconds(2), 1000, heavy);
-  BOOST_REQUIRE(pump().size() == 1);
+  BOOST_REQUIRE(dispatch_waiting().size() == 1);
   submit("urgent", std::chrono::milliseconds(100), 1000, heavy);
-  const auto elsewhere = pump();
+  const auto elsewhere = dispatch_waiting();
   BOOST_REQUIRE(elsewhere.size() == 1);
   BOOST_TEST(elsewhere.front().target.replica.text() == "pool-b");
 }
 
 BOOST_AUTO_TEST_CASE(pieces_that_are_late_already_do_not_carry_large_inputs_to_another_zone) {
   submit("first", std::chrono::seconds(2), 1000, heavy);
-  BOOST_REQUIRE(pump().size() == 1);
+  BOOST_REQUIRE(dispatch_waiting().size() == 1);
   submit("late", std::chrono::milliseconds(-1), 1000, heavy);
-  BOOST_TEST(pump().empty());
+  BOOST_TEST(dispatch_waiting().empty());
 }
 
 BOOST_AUTO_TEST_CASE(pieces_do_not_wait_for_a_zone_whose_queue_is_long) {
   submit("first", std::chrono::seconds(2), 1000, heavy);
-  BOOST_REQUIRE(pump().size() == 1);
+  BOOST_REQUIRE(dispatch_waiting().size() == 1);
   for (int request = 0; request < 12; ++request) {
     submit("r" + std::to_string(request), std::chrono::milliseconds(800), 1000, heavy);
   }
-  const auto elsewhere = pump();
+  const auto elsewhere = dispatch_waiting();
   BOOST_REQUIRE(elsewhere.size() == 1);
   BOOST_TEST(elsewhere.front().target.replica.text() == "pool-b");
 }
@@ -260,7 +261,7 @@
   submit("r1", std::chrono::seconds(5));
   std::size_t refused = 0;
   for (const auto end = now + std::chrono::seconds(3); now < end;) {
-    for (const auto& call : pump()) {
+    for (const auto& call : dispatch_waiting()) {
       ++refused;
       pool.on_call_ended({call.call, stage_call_ended::result::refused, {}}, now);
     }
@@ -289,12 +290,12 @@
 
 BOOST_FIXTURE_TEST_CASE(calls_at_an_earlier_life_are_cancelled_and_made_again, restarting_driver) {
   submit("r1", std::chrono::seconds(1));
-  const auto first = pump().front();
+  const auto first = dispatch_waiting().front();
   restart();
   const auto commands = pool.take_commands();
   BOOST_REQUIRE(commands.size() == 1U);
   BOOST_TEST(std::get<cancel_call>(commands.front()).call == first.call);
-  const auto second = pump();
+  const auto second = dispatch_waiting();
   BOOST_REQUIRE(second.size() == 1U);
   BOOST_TEST(second.front().call != first.call);
   BOOST_TEST(replicas.find(base::replica_id("pool-a"))->in_flight == 1U);
@@ -305,7 +306,7 @@
 BOOST_FIXTURE_TEST_CASE(a_call_that_began_after_the_restart_goes_on, restarting_driver) {
   restart();
   submit("r1", std::chrono::seconds(1));
-  const auto call = pump().front();
+  const auto call = dispatch_waiting().front();
   pool.on_restarted(base::replica_id("pool-a"), now);
   BOOST_TEST(pool.take_commands().empty());
   BOOST_TEST(pool.on_call_ended(answered(call), now));
@@ -314,24 +315,24 @@
 BOOST_FIXTURE_TEST_CASE(room_taken_by_results_of_an_earlier_life_is_free, restarting_driver) {
   submit("r1", std::chrono::seconds(1), 400'000);
   submit("r2", std::chrono::seconds(1), 400'000);
-  const auto call = pump().front();
+  const auto call = dispatch_waiting().front();
   BOOST_REQUIRE(call.items.size() == 2U);
   pool.on_call_ended(answered(call), now);
   submit("late", std::chrono::seconds(1), 400'000);
-  BOOST_TEST(pump().empty());
+  BOOST_TEST(dispatch_waiting().empty());
   restart();
-  BOOST_TEST(pump().size() == 1U);
+  BOOST_TEST(dispatch_waiting().size() == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(room_found_missing_at_an_earlier_life_is_there, restarting_driver) {
   submit("r1", std::chrono::seconds(1), 400'000);
-  const auto call = pump().front();
+  const auto call = dispatch_waiting().front();
   auto ended = answered(call);
   ended.pieces.front() = {piece_fault::no_room, {}};
   pool.on_call_ended(ended, now);
-  BOOST_TEST(pump().empty());
+  BOOST_TEST(dispatch_waiting().empty());
   restart();
-  BOOST_TEST(pump().size() == 1U);
+  BOOST_TEST(dispatch_waiting().size() == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(inputs_that_went_with_an_earlier_life_were_not_freed_too_early,
@@ -349,7 +350,7 @@
   submit("r1", std::chrono::seconds(1));
   submit("r2", std::chrono::seconds(1));
   for (std::size_t lost_calls = 1; lost_calls <= 2; ++lost_calls) {
-    const auto calls = pump(std::chrono::milliseconds(100));
+    const auto calls = dispatch_waiting(std::chrono::milliseconds(100));
     BOOST_REQUIRE(calls.size() == 1);
     BOOST_TEST(calls.front().items.size() == 2);
     pool.on_call_ended({calls.front().call, stage_call_ended::result::failed, {}}, now);
@@ -357,7 +358,7 @@
     BOOST_REQUIRE(lost.size() == 2);
     BOOST_TEST(lost.front().replica == calls.front().target.replica);
   }
-  const auto calls = pump(std::chrono::milliseconds(100));
+  const auto calls = dispatch_waiting(std::chrono::milliseconds(100));
   BOOST_REQUIRE(calls.size() == 2);
   BOOST_TEST(calls[0].items.size() == 1);
   BOOST_TEST(calls[1].items.size() == 1);
@@ -375,7 +376,7 @@
   work.single_attempt = true;
   const auto ticket = pool.submit(work, now);
   submit("other", std::chrono::seconds(2));
-  const auto calls = pump();
+  const auto calls = dispatch_waiting();
   BOOST_REQUIRE(calls.size() == 2);
   BOOST_REQUIRE(calls.front().items.size() == 1);
   BOOST_TEST(calls.front().items.front().request.text() == "suspected");
--- a/tests/stage_work/zone_shards_test.cc
+++ b/tests/stage_work/zone_shards_test.cc
@@ -77,13 +77,13 @@
   run(std::chrono::milliseconds(100));
   BOOST_REQUIRE(caller() != nullptr);
   BOOST_TEST(caller()->identity.zone.text() == "c");
-  auto& gatherer = *caller();
-  answer(gatherer);
+  auto& batcher = *caller();
+  answer(batcher);
   run(std::chrono::milliseconds(50));
   BOOST_REQUIRE(origin.finished.size() == 1U);
   origin.subject.release({origin.finished.front().outcome.handle});
   run(std::chrono::milliseconds(50));
-  BOOST_TEST(gatherer.freed.size() == 1U);
+  BOOST_TEST(batcher.freed.size() == 1U);
   BOOST_TEST(origin.freed.empty());
 }
 
@@ -109,11 +109,11 @@
   run(std::chrono::seconds(1));
   // From each gatherer five reports a second to nine nodes of its zone, and one to each of the
   // twenty others; and a tenth for the rounds that begin or end within the second.
-  constexpr std::size_t gatherers = zone_count;
+  constexpr std::size_t batchers = zone_count;
   constexpr std::size_t reports_to_zone = 45;
   constexpr std::size_t reports_elsewhere = 20;
   constexpr std::size_t margin = 6;
-  constexpr std::size_t most_messages = gatherers * (reports_to_zone + reports_elsewhere + margin);
+  constexpr std::size_t most_messages = batchers * (reports_to_zone + reports_elsewhere + margin);
   BOOST_TEST(messages_sent <= most_messages);
 }
 
