--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -366,7 +366,7 @@
     tickets_.erase(ticket);
   }
   if (request.graph) {
-    free(request.graph->take_unneeded(true));
+    free(request.graph->take_unneeded_results(true));
   }
   const bool own_answer =
       code == status::unavailable || code == status::bad_gateway || code == status::timed_out;
@@ -449,7 +449,7 @@
 void dispatcher::free_fetched_inputs(active_request& request, base::time_point now) {
   if (request.call && request.call->inputs_fetched_at && *request.call->inputs_fetched_at <= now) {
     request.call->inputs_fetched_at.reset();
-    free(request.graph->take_unneeded(true));
+    free(request.graph->take_unneeded_results(true));
   }
 }
 
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -90,7 +90,7 @@
                    base::time_point now);
   /// This process was paused, or its machine suspended, for `gap`: others are asked what it missed,
   /// and the silence of replicas meanwhile says nothing of them.
-  void resume_after_pause(base::duration gap, base::time_point now);
+  void resume_after_suspension(base::duration gap, base::time_point now);
   /// Lets a request go that is held back. @return whether anything spoke against it.
   bool release_request(const quarantine::request_digest& digest, base::time_point now);
   /// Gives up what is past its time and hands out what waits.
@@ -125,7 +125,7 @@
     base::call_id id = 0;
     base::replica_id replica;
     /// The end of the life it was made at, should that come.
-    replica_end life_end = 0;
+    replica_end incarnation_exit = 0;
     base::time_point started;
     /// Where the replica shows no progress until then, the call is made elsewhere.
     std::optional<base::time_point> stalls_at;
@@ -287,7 +287,7 @@
   /// @return whether the maker of a result is gone or cannot be reached.
   [[nodiscard]] bool is_lost(const std::string& handle, base::time_point now) const;
   /// Results that the request itself reads are gone: makes them again.
-  void remake_final_inputs(active_request& request, base::time_point now);
+  void recompute_final_inputs(active_request& request, base::time_point now);
   /// Cancels the pieces that wait for a result which is made again, and submits what can be made.
   void go_on_after_loss(active_request& request, const std::vector<std::string>& useless,
                         base::time_point now);
@@ -376,7 +376,7 @@
   void end_failed(active_request& request, const failed_ending& ending, base::time_point now);
   /// A call ended without a whole answer: finds out whether its replica ended with it.
   void note_lost_call(const active_request& request, const base::replica_id& replica,
-                      replica_end life_end, base::time_point now);
+                      replica_end incarnation_exit, base::time_point now);
   /// @param evidence what showed that a replica ended, for the log.
   void note_replica_ended(const base::replica_id& replica, const char* evidence,
                           base::time_point now);
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -80,9 +80,9 @@
   if (end_at_stop(request, now) || refuse_in_quarantine(request, now)) {
     return;
   }
-  if (request.graph && request.graph->has_freed_final_inputs()) {
+  if (request.graph && request.graph->has_missing_final_inputs()) {
     // An attempt before this one had them; they are made again for the next.
-    remake_final_inputs(request, now);
+    recompute_final_inputs(request, now);
     return;
   }
   const auto* chosen = choose_in_turn(request, now);
@@ -191,7 +191,7 @@
     request->tried.erase(call.replica);
   } else {
     replicas_.note_failure(call.replica, now);
-    note_lost_call(*request, call.replica, call.life_end, now);
+    note_lost_call(*request, call.replica, call.incarnation_exit, now);
   }
   record(base::event_kind::stage_retried, *request, call.replica.text(),
          lacked_memory ? "no memory for the answer" : "no answer" + identity_text(*request));
@@ -209,9 +209,10 @@
   }
   record(base::event_kind::stage_retried, request, call.replica.text(),
          "not executed, status " + std::to_string(head.status));
-  if (head.status == status::conflict && request.graph && request.graph->remakes() < most_remakes &&
+  if (head.status == status::conflict && request.graph &&
+      request.graph->recomputations() < most_remakes &&
       request.sent < request.route->max_attempts) {
-    remake_final_inputs(request, now);
+    recompute_final_inputs(request, now);
     return;
   }
   send_again_or_end(request, {status::bad_gateway, "replicas are full", {}, !request.may_have_run},
@@ -325,7 +326,7 @@
                               now - request.call->started);
   }
   if (request.graph) {
-    free(request.graph->take_unneeded(true));
+    free(request.graph->take_unneeded_results(true));
   }
 }
 
@@ -389,7 +390,7 @@
     return;
   }
   replicas_.note_failure(call.replica, now);
-  note_lost_call(*request, call.replica, call.life_end, now);
+  note_lost_call(*request, call.replica, call.incarnation_exit, now);
   record(base::event_kind::stage_retried, *request, call.replica.text(),
          "the stream broke off" + identity_text(*request));
   repeat_or_fail(*request, now);
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -24,13 +24,14 @@
 // --- finding out ---------------------------------------------------------------------------------
 
 void dispatcher::note_lost_call(const active_request& request, const base::replica_id& replica,
-                                replica_end life_end, base::time_point now) {
+                                replica_end incarnation_exit, base::time_point now) {
   const auto* state = replicas_.find(replica);
   // One that leaves as planned ends too, and no request is to blame.
   if (state == nullptr || state->record->draining || state->left) {
     return;
   }
-  if (crash_watch_.note_lost_call(replica, {digest_of(request), {life_end, now, replica}}, now)) {
+  if (crash_watch_.note_lost_call(replica, {digest_of(request), {incarnation_exit, now, replica}},
+                                  now)) {
     commands_.emplace_back(probe_replica{{replica, state->record->address}});
   }
 }
--- a/src/dispatch/dispatcher_places.cc
+++ b/src/dispatch/dispatcher_places.cc
@@ -271,7 +271,7 @@
     }
     if (choose_replica(request, now) != nullptr) {
       leave_place_queue(request);
-      place_drains_[service].note_handed_out(1, waiting.size() - 1, now);
+      place_drains_[service].note_dispatched(1, waiting.size() - 1, now);
       send_to_replica(request, now);
       continue;
     }
--- a/src/dispatch/dispatcher_replica_lives.cc
+++ b/src/dispatch/dispatcher_replica_lives.cc
@@ -33,7 +33,7 @@
           "started again, its earlier life was at " + restart.earlier_address.text());
   note_replica_ended(replica, "it started again under its id", now);
   directory_.forget(replica);
-  stages_.on_restarted(replica, now);
+  stages_.on_replica_restarted(replica, now);
   commands_.emplace_back(close_connections{restart.earlier_address});
   for (auto& [client, request] : active_) {
     request.tried.erase(replica);
@@ -62,7 +62,7 @@
   auto& call = *request.call;
   const auto replica = call.replica;
   record(base::event_kind::stage_retried, request, replica.text(), "its replica started again");
-  note_end_under({digest_of(request), {call.life_end, now, replica}}, replica,
+  note_end_under({digest_of(request), {call.incarnation_exit, now, replica}}, replica,
                  "it started again under its id", now);
   replicas_.call_ended(replica);
   auto& at_replica = clients_at_.at(replica);
--- a/src/dispatch/dispatcher_second_chances.cc
+++ b/src/dispatch/dispatcher_second_chances.cc
@@ -153,7 +153,7 @@
 
 /// Answers wait in the sockets of a process that wakes. Without this every call under way is taken
 /// for stalled before its answer is read: its replica is reported silent, and repeats are spent.
-void dispatcher::resume_after_pause(base::duration gap, base::time_point now) {
+void dispatcher::resume_after_suspension(base::duration gap, base::time_point now) {
   for (auto& [client, request] : active_) {
     if (request.call && request.call->stalls_at) {
       *request.call->stalls_at += gap;
@@ -162,9 +162,9 @@
       *request.slow_reader_due += gap;
     }
   }
-  stages_.resume_after_pause(gap);
-  crash_news_.resume_after_pause(now);
-  limits_.resume_after_pause(now);
+  stages_.resume_after_suspension(gap);
+  crash_news_.resume_after_suspension(now);
+  limits_.resume_after_suspension(now);
 }
 
 void dispatcher::on_stalled(active_request& request, base::time_point now) {
--- a/src/dispatch/dispatcher_stages.cc
+++ b/src/dispatch/dispatcher_stages.cc
@@ -62,7 +62,7 @@
   std::map<base::zone_id, double> read_in;
   for (const auto before : route.stages[stage].start_after) {
     for (const auto& handle : request.graph->results_of(before)) {
-      const auto* maker = replicas_.find_at(maker_of(handle));
+      const auto* maker = replicas_.find_at(producer_of(handle));
       if (maker != nullptr) {
         read_in[maker->record->zone] += route.stages[before].result_bytes;
       }
@@ -84,7 +84,7 @@
     if (owner != tickets_.end()) {
       auto& request = active_.at(owner->second);
       request.graph->note_inputs_fetched(request.pieces.at(ticket));
-      free(request.graph->take_unneeded(false));
+      free(request.graph->take_unneeded_results(false));
     }
   }
 }
@@ -95,7 +95,7 @@
   for (const auto& lost : stages_.take_lost()) {
     const auto owner = tickets_.find(lost.ticket);
     if (owner != tickets_.end()) {
-      note_lost_call(active_.at(owner->second), lost.replica, lost.life_end, now);
+      note_lost_call(active_.at(owner->second), lost.replica, lost.incarnation_exit, now);
     }
   }
   const auto results = stages_.take_finished();
@@ -117,12 +117,12 @@
   request.pieces.erase(ticket);
   if (outcome.fault == piece_fault::none) {
     request.graph->complete(where, outcome.handle);
-    free(request.graph->take_unneeded(false));
+    free(request.graph->take_unneeded_results(false));
     go_on(request, now);
     return;
   }
-  if (outcome.fault == piece_fault::input_gone && request.graph->remakes() < most_remakes) {
-    const auto useless = request.graph->remake_inputs_of(
+  if (outcome.fault == piece_fault::input_gone && request.graph->recomputations() < most_remakes) {
+    const auto useless = request.graph->recompute_inputs_of(
         where, [&](const auto& handle) { return is_lost(handle, now); });
     go_on_after_loss(request, useless, now);
     return;
@@ -131,13 +131,13 @@
 }
 
 bool dispatcher::is_lost(const std::string& handle, base::time_point now) const {
-  const auto* maker = replicas_.find_at(maker_of(handle));
+  const auto* maker = replicas_.find_at(producer_of(handle));
   return maker == nullptr || maker->left || maker->paused_until > now;
 }
 
-void dispatcher::remake_final_inputs(active_request& request, base::time_point now) {
-  const auto useless =
-      request.graph->remake_final_inputs([&](const auto& handle) { return is_lost(handle, now); });
+void dispatcher::recompute_final_inputs(active_request& request, base::time_point now) {
+  const auto useless = request.graph->recompute_final_inputs(
+      [&](const auto& handle) { return is_lost(handle, now); });
   go_on_after_loss(request, useless, now);
 }
 
@@ -154,8 +154,8 @@
   });
   free(useless);
   record(base::event_kind::stage_retried, request, request.route->name,
-         "results were gone, made again for the " + std::to_string(request.graph->remakes()) +
-             ". time");
+         "results were gone, made again for the " +
+             std::to_string(request.graph->recomputations()) + ". time");
   submit_pieces(request, now);
 }
 
--- a/src/dispatch/dispatcher_statements.cc
+++ b/src/dispatch/dispatcher_statements.cc
@@ -76,7 +76,7 @@
   for (const auto& change : statements_.take_changes()) {
     record_(kind_of(change.what), {}, change.replica.text(), text_of(change));
     if (change.what == belief_change::matter::leaving) {
-      stages_.on_departure();
+      stages_.on_drain_announced();
     }
   }
   for (const auto& change : replicas_.take_backoff_changes()) {
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -362,10 +362,10 @@
   }
 }
 
-void membership::resume_after_pause(base::time_point now) {
+void membership::resume_after_suspension(base::time_point now) {
   probe_.reset();
   indirect_probes_.clear();
-  zones_.resume_after_pause(now);
+  zones_.resume_after_suspension(now);
   for (auto& [node, other] : members_) {
     if (other.state == wire::SUSPECT) {
       other.since = now;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -89,7 +89,7 @@
   /// Drives probes, suspicion and relays. Call about every 100 ms.
   void tick(base::time_point now, wire::outbox& out);
   /// Forgets probes under way after a pause of this process, so that nobody is blamed for it.
-  void resume_after_pause(base::time_point now);
+  void resume_after_suspension(base::time_point now);
   /// Adds rumours to an outgoing message.
   void piggyback(wire::envelope& message);
 
--- a/src/membership/zone_contact.cc
+++ b/src/membership/zone_contact.cc
@@ -98,7 +98,7 @@
   }
 }
 
-void zone_contact::resume_after_pause(base::time_point now) {
+void zone_contact::resume_after_suspension(base::time_point now) {
   for (auto& [zone, known] : contacts_) {
     known.heard = std::max<base::time_point>(known.heard, now - known.usual_gap);
   }
--- a/src/membership/zone_contact.h
+++ b/src/membership/zone_contact.h
@@ -35,7 +35,7 @@
   /// Says to other regions what this node heard from the zones of its own.
   void tell_other_region(wire::zone_digest& digest, base::time_point now) const;
   /// This process was paused: every zone gets time to be heard again.
-  void resume_after_pause(base::time_point now);
+  void resume_after_suspension(base::time_point now);
 
   /// @return whether a zone was heard of lately.
   [[nodiscard]] bool hears(const base::zone_id& zone, base::time_point now) const;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -155,11 +155,11 @@
   last_event_ = now;
   record(base::event_kind::node_resumed_after_pause, {}, settings_.self.node.text(),
          std::to_string(base::to_milliseconds(gap)) + " ms");
-  membership_.resume_after_pause(now);
+  membership_.resume_after_suspension(now);
   executor_.set_hold(true);
   hold_until_ = now + settings_.resync_wait;
   if (serving_) {
-    serving_->resume_after_pause(gap, now);
+    serving_->resume_after_suspension(gap, now);
   }
   begin_resync(now);
 }
--- a/src/quarantine/crash_news.h
+++ b/src/quarantine/crash_news.h
@@ -50,7 +50,7 @@
   /// What this node knows of a request has changed.
   void note_changed(const request_digest& digest) { changed_.insert(digest); }
   /// This process was paused: asks others for what it missed.
-  void resume_after_pause(base::time_point now) { begin_asking(now); }
+  void resume_after_suspension(base::time_point now) { begin_asking(now); }
   /// Sends what is due.
   void advance(base::time_point now);
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
--- a/src/rate_limits/limit_exchange.cc
+++ b/src/rate_limits/limit_exchange.cc
@@ -223,7 +223,7 @@
   (is_wanted ? counts_.permits_received : counts_.permits_void) += grant.count;
 }
 
-void limit_exchange::resume_after_pause(base::time_point now) {
+void limit_exchange::resume_after_suspension(base::time_point now) {
   for (auto& [replica, stock] : stocks_) {
     stock.clear();
   }
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -68,7 +68,7 @@
   void note_waiting(const base::replica_id& replica, std::uint32_t count, base::time_point now);
 
   /// This process was paused: what it held and issued is void.
-  void resume_after_pause(base::time_point now);
+  void resume_after_suspension(base::time_point now);
   /// Takes in questions and permits; `statement_exchange` has taken in the limits before.
   void handle(const base::node_id& sender, const wire::rate_limits& message, base::time_point now);
   /// Asks and issues what is due.
--- a/src/stage_work/drain_rate.cc
+++ b/src/stage_work/drain_rate.cc
@@ -11,7 +11,7 @@
 
 } // namespace
 
-void drain_rate::note_handed_out(std::size_t count, std::size_t left, base::time_point now) {
+void drain_rate::note_dispatched(std::size_t count, std::size_t left, base::time_point now) {
   if (window_began_) {
     handed_out_ += count;
     if (now - *window_began_ >= window_length) {
--- a/src/stage_work/drain_rate.h
+++ b/src/stage_work/drain_rate.h
@@ -12,7 +12,7 @@
 class drain_rate {
  public:
   /// Work was handed out. @param left what still waits.
-  void note_handed_out(std::size_t count, std::size_t left, base::time_point now);
+  void note_dispatched(std::size_t count, std::size_t left, base::time_point now);
 
   /// @return items a second; nothing while the queue was empty of late.
   [[nodiscard]] std::optional<double> per_second(base::time_point now) const;
--- a/src/stage_work/result_handle.h
+++ b/src/stage_work/result_handle.h
@@ -8,7 +8,7 @@
 namespace spurrack::serving {
 
 /// @return address of the replica that made a result.
-inline base::network_address maker_of(const std::string& handle) {
+inline base::network_address producer_of(const std::string& handle) {
   return base::network_address(handle.substr(0, handle.find('/')));
 }
 
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -391,8 +391,8 @@
   }
 }
 
-void stage_exchange::on_restarted(const base::replica_id& replica, base::time_point now) {
-  pool_.on_restarted(replica, now);
+void stage_exchange::on_replica_restarted(const base::replica_id& replica, base::time_point now) {
+  pool_.on_replica_restarted(replica, now);
   take_pool_results(now);
 }
 
@@ -416,13 +416,13 @@
 void stage_exchange::take_pool_lost() {
   for (const auto& lost : pool_.take_lost()) {
     if (const auto own = own_by_pool_ticket_.find(lost.ticket); own != own_by_pool_ticket_.end()) {
-      lost_.push_back({own->second, lost.replica, lost.life_end});
+      lost_.push_back({own->second, lost.replica, lost.incarnation_exit});
     } else if (const auto forwarded = forwarded_by_pool_ticket_.find(lost.ticket);
                forwarded != forwarded_by_pool_ticket_.end()) {
       auto& told = *message_to(forwarded->second.origin).add_lost();
       told.set_ticket(forwarded->second.origin_ticket);
       told.set_replica(lost.replica.text());
-      told.set_replica_end(lost.life_end);
+      told.set_replica_end(lost.incarnation_exit);
     }
   }
 }
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -66,11 +66,11 @@
   /// Replicas came, went or changed.
   void on_replicas_changed() { replicas_changed_ = true; }
   /// Some replica said that it leaves: the others are divided anew, so that nothing waits for it.
-  void on_departure() { shards_are_stale_ = true; }
+  void on_drain_announced() { shards_are_stale_ = true; }
   /// A replica started again: what its earlier life had of pieces and results is lost.
-  void on_restarted(const base::replica_id& replica, base::time_point now);
+  void on_replica_restarted(const base::replica_id& replica, base::time_point now);
   /// This process was paused for `gap`: calls under way are given that much more time.
-  void resume_after_pause(base::duration gap) { pool_.resume_after_pause(gap); }
+  void resume_after_suspension(base::duration gap) { pool_.resume_after_suspension(gap); }
   /// @return whether calls for pieces are under way.
   [[nodiscard]] bool has_calls_under_way() const { return pool_.has_calls_under_way(); }
 
--- a/src/stage_work/stage_graph.cc
+++ b/src/stage_work/stage_graph.cc
@@ -76,7 +76,7 @@
   bool any = false;
   for (auto& pieces : stages_) {
     for (auto& piece : pieces) {
-      if (!piece.handle.empty() && !piece.freed && maker_of(piece.handle) == maker) {
+      if (!piece.handle.empty() && !piece.freed && producer_of(piece.handle) == maker) {
         piece.lost = true;
         any = true;
       }
@@ -137,8 +137,8 @@
 }
 
 std::vector<std::string>
-stage_graph::remake_inputs_of(piece_position where,
-                              const std::function<bool(const std::string&)>& is_lost) {
+stage_graph::recompute_inputs_of(piece_position where,
+                                 const std::function<bool(const std::string&)>& is_lost) {
   stages_[where.stage][where.piece] = {};
   const auto& needed = route_->stages[where.stage].start_after;
   const bool waits_for_others = !ready(where.stage);
@@ -146,7 +146,7 @@
 }
 
 std::vector<std::string>
-stage_graph::remake_final_inputs(const std::function<bool(const std::string&)>& is_lost) {
+stage_graph::recompute_final_inputs(const std::function<bool(const std::string&)>& is_lost) {
   std::vector<std::uint32_t> last;
   for (std::uint32_t stage = 0; stage < stages_.size(); ++stage) {
     if (is_last(stage)) {
@@ -197,7 +197,7 @@
   return true;
 }
 
-bool stage_graph::has_freed_final_inputs() const {
+bool stage_graph::has_missing_final_inputs() const {
   for (std::uint32_t stage = 0; stage < stages_.size(); ++stage) {
     const auto& pieces = stages_[stage];
     if (is_last(stage) && std::any_of(pieces.begin(), pieces.end(), [](const piece_state& piece) {
@@ -209,7 +209,7 @@
   return false;
 }
 
-std::vector<std::string> stage_graph::take_unneeded(bool everything) {
+std::vector<std::string> stage_graph::take_unneeded_results(bool everything) {
   std::vector<std::string> handles;
   for (std::uint32_t stage = 0; stage < stages_.size(); ++stage) {
     if (!everything && (is_last(stage) || !users_have_fetched(stage))) {
--- a/src/stage_work/stage_graph.h
+++ b/src/stage_work/stage_graph.h
@@ -36,11 +36,11 @@
   /// @param is_lost whether a result is known to be lost; where none is, all that the piece reads
   ///        are taken for lost.
   /// @return handles that are no longer of use.
-  std::vector<std::string> remake_inputs_of(piece_position where,
-                                            const std::function<bool(const std::string&)>& is_lost);
+  std::vector<std::string>
+  recompute_inputs_of(piece_position where, const std::function<bool(const std::string&)>& is_lost);
   /// The same for the results that the request itself reads.
   std::vector<std::string>
-  remake_final_inputs(const std::function<bool(const std::string&)>& is_lost);
+  recompute_final_inputs(const std::function<bool(const std::string&)>& is_lost);
   /// @return whether a piece was given out and is not finished.
   [[nodiscard]] bool is_under_way(piece_position where) const;
 
@@ -55,10 +55,10 @@
   [[nodiscard]] bool done() const;
   /// @return whether a result that the request itself needs was freed already, or went with its
   ///         maker.
-  [[nodiscard]] bool has_freed_final_inputs() const;
+  [[nodiscard]] bool has_missing_final_inputs() const;
   /// @return results that all their users have fetched, or all results where `everything` is set;
   ///         each is returned once.
-  std::vector<std::string> take_unneeded(bool everything);
+  std::vector<std::string> take_unneeded_results(bool everything);
   /// @param stage_time time that a stage with pieces left to make will take.
   /// @return time until all stages are finished, along the longest way.
   [[nodiscard]] base::duration
@@ -70,7 +70,7 @@
   time_from(std::uint32_t stage,
             const std::function<base::duration(std::uint32_t stage)>& stage_time) const;
   /// @return how often results had to be made again.
-  [[nodiscard]] std::uint32_t remakes() const { return remakes_; }
+  [[nodiscard]] std::uint32_t recomputations() const { return remakes_; }
 
  private:
   struct piece_state {
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -140,7 +140,7 @@
       auto& piece = found->second;
       ++piece.lost_calls;
       piece.rests_until = piece.lost_calls >= lost_calls_before_alone ? now + lost_piece_rest : now;
-      lost_.push_back({ticket, ended.call.target.replica, ended.life_end});
+      lost_.push_back({ticket, ended.call.target.replica, ended.incarnation_exit});
     }
   }
 }
@@ -215,7 +215,7 @@
   }
 }
 
-void stage_pool::on_restarted(const base::replica_id& replica, base::time_point now) {
+void stage_pool::on_replica_restarted(const base::replica_id& replica, base::time_point now) {
   std::vector<base::call_id> over;
   for (const auto& [call, open] : calls_) {
     if (open.call.target.replica == replica &&
@@ -383,7 +383,7 @@
   open_call open;
   open.service = name;
   open.started = now;
-  open.life_end = end_of_life(*replica.record);
+  open.incarnation_exit = end_of_life(*replica.record);
   open.call.call = next_call_();
   open.call.target = {replica.record->id, replica.record->address};
   for (const auto& position : batch) {
@@ -402,7 +402,7 @@
     }
     room_taken_[replica.record->id] += work.result_bytes;
   }
-  drain_rates_[name].note_handed_out(batch.size(), queue.size(), now);
+  drain_rates_[name].note_dispatched(batch.size(), queue.size(), now);
   record_(base::event_kind::stage_dispatched, open.call.items.front().request,
           replica.record->id.text(),
           "call " + std::to_string(open.call.call) + " of " + name + ", " +
--- a/src/stage_work/stage_pool.h
+++ b/src/stage_work/stage_pool.h
@@ -66,7 +66,7 @@
   piece_ticket ticket = 0;
   base::replica_id replica;
   /// The end of the life that was called, should that have come.
-  replica_end life_end = 0;
+  replica_end incarnation_exit = 0;
 };
 
 /// @return whether this node may call a replica with pieces that are held to some regions; whether
@@ -95,10 +95,10 @@
 
   /// A replica started again: the calls at its earlier life are over, their pieces are made again,
   /// and what it had made takes up no room.
-  void on_restarted(const base::replica_id& replica, base::time_point now);
+  void on_replica_restarted(const base::replica_id& replica, base::time_point now);
 
   /// This process was paused for `gap`: calls under way are given that much more time.
-  void resume_after_pause(base::duration gap) { give_ups_.postpone_all(gap); }
+  void resume_after_suspension(base::duration gap) { give_ups_.postpone_all(gap); }
 
   /// @return whether the call was one of the pool's.
   bool on_call_ended(const stage_call_ended& ended, base::time_point now);
@@ -150,7 +150,7 @@
     start_stage_call call;
     std::string service;
     /// The end of the life that is called, should that come.
-    replica_end life_end = 0;
+    replica_end incarnation_exit = 0;
     base::time_point started;
     bool told_fetched = false;
     /// Pieces in the order of the call; one that was cancelled has no entry in `pieces_`.
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -53,7 +53,7 @@
 
 void stage_pool::release(const std::string& handle) {
   forget_result(handle);
-  const auto maker = maker_of(handle);
+  const auto maker = producer_of(handle);
   const auto* replica = replicas_->find_at(maker);
   // Nothing is sent to an evacuated zone, nor to a replica that leaves; what lies there expires.
   if (replica == nullptr || replicas_->is_evacuated(replica->record->zone) ||
@@ -161,7 +161,7 @@
   // Results that went with their maker were not freed by this pool.
   const auto& inputs = found->second.work.inputs;
   return std::all_of(inputs.begin(), inputs.end(), [&](const std::string& handle) {
-    const auto* maker = replicas_->find_at(maker_of(handle));
+    const auto* maker = replicas_->find_at(producer_of(handle));
     return maker != nullptr && !maker->left && maker->failure_share < failing &&
            !restarted_of_late(*maker, now);
   });
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -290,7 +290,7 @@
   void wake(std::size_t index, base::duration gap) {
     auto& node = nodes[index];
     node.is_frozen = false;
-    node.subject->resume_after_pause(gap, now);
+    node.subject->resume_after_suspension(gap, now);
     for (const auto& what : std::exchange(held_back_[index], {})) {
       what();
     }
--- a/tests/stage_work/drain_rate_test.cc
+++ b/tests/stage_work/drain_rate_test.cc
@@ -11,7 +11,7 @@
   drain_rate subject;
   base::time_point now{std::chrono::hours(1)};
   for (int turn = 0; turn < 20; ++turn) {
-    subject.note_handed_out(10, 50, now);
+    subject.note_dispatched(10, 50, now);
     now += std::chrono::milliseconds(100);
   }
   BOOST_REQUIRE(subject.per_second(now).has_value());
@@ -22,7 +22,7 @@
   drain_rate subject;
   base::time_point now{std::chrono::hours(1)};
   for (int turn = 0; turn < 20; ++turn) {
-    subject.note_handed_out(10, 0, now);
+    subject.note_dispatched(10, 0, now);
     now += std::chrono::milliseconds(100);
   }
   BOOST_TEST(!subject.per_second(now).has_value());
@@ -32,7 +32,7 @@
   drain_rate subject;
   base::time_point now{std::chrono::hours(1)};
   for (int turn = 0; turn < 10; ++turn) {
-    subject.note_handed_out(10, 50, now);
+    subject.note_dispatched(10, 50, now);
     now += std::chrono::milliseconds(100);
   }
   BOOST_TEST(!subject.per_second(now + std::chrono::seconds(2)).has_value());
--- a/tests/stage_work/stage_graph_test.cc
+++ b/tests/stage_work/stage_graph_test.cc
@@ -65,14 +65,14 @@
   stage_graph graph(route, {1, 1, 1});
   graph.take_ready();
   graph.complete({1, 0}, "b0");
-  BOOST_TEST(graph.take_unneeded(false).empty());
+  BOOST_TEST(graph.take_unneeded_results(false).empty());
   graph.take_ready();
   graph.complete({2, 0}, "c0");
-  BOOST_TEST(graph.take_unneeded(false) == std::vector<std::string>{"b0"},
+  BOOST_TEST(graph.take_unneeded_results(false) == std::vector<std::string>{"b0"},
              boost::test_tools::per_element());
-  BOOST_TEST(graph.take_unneeded(false).empty());
+  BOOST_TEST(graph.take_unneeded_results(false).empty());
   graph.complete({0, 0}, "a0");
-  BOOST_TEST(graph.take_unneeded(true).size() == 2);
+  BOOST_TEST(graph.take_unneeded_results(true).size() == 2);
 }
 
 const auto nothing_is_known = [](const std::string&) { return false; };
@@ -81,8 +81,8 @@
   const auto route = sample_route();
   stage_graph graph(route, {1, 1, 1});
   make_all(graph);
-  BOOST_TEST(graph.remake_final_inputs(nothing_is_known).size() == 2);
-  BOOST_TEST(graph.remakes() == 1);
+  BOOST_TEST(graph.recompute_final_inputs(nothing_is_known).size() == 2);
+  BOOST_TEST(graph.recomputations() == 1);
   BOOST_TEST(graph.take_ready().size() == 2);
   BOOST_TEST(!graph.done());
 }
@@ -96,7 +96,7 @@
   }
   BOOST_TEST(graph.take_ready().size() == 2);
   const auto useless =
-      graph.remake_inputs_of({2, 0}, [](const auto& handle) { return handle == "b1"; });
+      graph.recompute_inputs_of({2, 0}, [](const auto& handle) { return handle == "b1"; });
   BOOST_TEST(useless == std::vector<std::string>{"b1"}, boost::test_tools::per_element());
   BOOST_TEST(!graph.is_under_way({2, 1}));
   const auto again = graph.take_ready();
@@ -104,8 +104,8 @@
   BOOST_TEST(again.front().stage == 1);
   BOOST_TEST(again.front().piece == 1);
   // The other piece fails as well: its inputs are made again already.
-  BOOST_TEST(graph.remake_inputs_of({2, 1}, nothing_is_known).empty());
-  BOOST_TEST(graph.remakes() == 1);
+  BOOST_TEST(graph.recompute_inputs_of({2, 1}, nothing_is_known).empty());
+  BOOST_TEST(graph.recomputations() == 1);
   graph.complete({1, 1}, "new");
   BOOST_TEST(graph.take_ready().size() == 2);
   BOOST_TEST(graph.inputs_of(2) == (std::vector<std::string>{"b0", "new", "b2"}),
@@ -116,10 +116,10 @@
   const auto route = sample_route();
   stage_graph graph(route, {0, 1, 2});
   make_all(graph);
-  BOOST_TEST(graph.take_unneeded(false) == std::vector<std::string>{"h10"},
+  BOOST_TEST(graph.take_unneeded_results(false) == std::vector<std::string>{"h10"},
              boost::test_tools::per_element());
   const auto useless =
-      graph.remake_final_inputs([](const auto& handle) { return handle == "h20"; });
+      graph.recompute_final_inputs([](const auto& handle) { return handle == "h20"; });
   BOOST_TEST(useless == std::vector<std::string>{"h20"}, boost::test_tools::per_element());
   const auto first = graph.take_ready();
   BOOST_REQUIRE(first.size() == 1);
@@ -152,7 +152,7 @@
   graph.take_ready();
   BOOST_TEST(!graph.note_lost_results_of(base::network_address("10.0.0.3:80")));
   BOOST_TEST(graph.note_lost_results_of(base::network_address("10.0.0.1:80")));
-  graph.remake_inputs_of({2, 0}, [](const std::string&) { return false; });
+  graph.recompute_inputs_of({2, 0}, [](const std::string&) { return false; });
   const auto again = graph.take_ready();
   BOOST_REQUIRE(again.size() == 1U);
   BOOST_TEST(again.front().stage == 1U);
@@ -163,12 +163,12 @@
   const auto route = sample_route();
   stage_graph graph(route, {1, 1, 1});
   make_all(graph);
-  BOOST_TEST(!graph.has_freed_final_inputs());
+  BOOST_TEST(!graph.has_missing_final_inputs());
   graph.note_lost_results_of(base::network_address("h20"));
-  BOOST_TEST(graph.has_freed_final_inputs());
-  graph.remake_final_inputs([](const std::string&) { return false; });
+  BOOST_TEST(graph.has_missing_final_inputs());
+  graph.recompute_final_inputs([](const std::string&) { return false; });
   BOOST_TEST(!graph.done());
-  BOOST_TEST(!graph.has_freed_final_inputs());
+  BOOST_TEST(!graph.has_missing_final_inputs());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/stage_work/stage_pool_test.cc
+++ b/tests/stage_work/stage_pool_test.cc
@@ -284,7 +284,7 @@
   void restart() {
     publish(2000);
     BOOST_REQUIRE(replicas.take_restarts().size() == 1U);
-    pool.on_restarted(base::replica_id("pool-a"), now);
+    pool.on_replica_restarted(base::replica_id("pool-a"), now);
   }
 };
 
@@ -307,7 +307,7 @@
   restart();
   submit("r1", std::chrono::seconds(1));
   const auto call = dispatch_waiting().front();
-  pool.on_restarted(base::replica_id("pool-a"), now);
+  pool.on_replica_restarted(base::replica_id("pool-a"), now);
   BOOST_TEST(pool.take_commands().empty());
   BOOST_TEST(pool.on_call_ended(answered(call), now));
 }
@@ -341,7 +341,7 @@
   replicas.update(world.content.replicas(), now);
   world.add_life("pool-b", "pool", "b", "10.0.1.1:80", 2000);
   replicas.update(world.content.replicas(), now);
-  pool.on_restarted(base::replica_id("pool-b"), now);
+  pool.on_replica_restarted(base::replica_id("pool-b"), now);
   miss_inputs(false);
   BOOST_TEST(is_fetched_after(std::chrono::milliseconds(100)));
 }
