--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -263,7 +263,7 @@
 }
 
 bool dispatcher::refuse_hopeless(active_request& request, base::time_point now) {
-  if (!settings_.refuse_early || !request.graph || request.graph->done()) {
+  if (!settings_.refuse_early || !request.graph || request.graph->is_done()) {
     return false;
   }
   stages_.refresh(now);
@@ -298,7 +298,7 @@
   }
   const auto allowed = client_leaves_at(request) - request.arrived;
   request.judge_at = now + base::scaled(allowed, judgement_step_part);
-  if (request.graph->done() || request.may_have_run) {
+  if (request.graph->is_done() || request.may_have_run) {
     return false;
   }
   const auto target_at = request.arrived + request.route->target_latency;
@@ -317,7 +317,7 @@
 }
 
 void dispatcher::go_on(active_request& request, base::time_point now) {
-  if (request.graph && !request.graph->done()) {
+  if (request.graph && !request.graph->is_done()) {
     submit_pieces(request, now);
   } else {
     send_to_replica(request, now);
--- a/src/dispatch/dispatcher_stop.cc
+++ b/src/dispatch/dispatcher_stop.cc
@@ -32,7 +32,7 @@
   const auto run =
       run_times_.upper(request.route->name, request.service, request.content->output_tokens);
   auto to_first_event = run.to_first_event;
-  if (request.graph && !request.graph->done()) {
+  if (request.graph && !request.graph->is_done()) {
     const auto with_stages = expected_time(request, piece_order::in_time, now);
     if (!with_stages) {
       return work;
--- a/src/stage_work/drain_rate.cc
+++ b/src/stage_work/drain_rate.cc
@@ -3,43 +3,46 @@
 namespace spurrack::serving {
 namespace {
 
-constexpr base::duration window_length = std::chrono::milliseconds(400);
+constexpr base::duration window_duration = std::chrono::milliseconds(400);
 /// A rate says nothing more after this time.
 constexpr base::duration rate_lifetime = std::chrono::milliseconds(1500);
 /// Share of the newest window in the smoothed rate.
-constexpr double newest_share = 0.5;
+constexpr double newest_window_weight = 0.5;
 
 } // namespace
 
-void drain_rate::note_dispatched(std::size_t count, std::size_t left, base::time_point now) {
-  if (window_began_) {
-    handed_out_ += count;
-    if (now - *window_began_ >= window_length) {
+void drain_rate::note_dispatched(std::size_t count, std::size_t remaining, base::time_point now) {
+  if (window_started_at_) {
+    dispatched_ += count;
+    if (now - *window_started_at_ >= window_duration) {
       close_window(now);
     }
   }
-  if (left == 0) {
-    window_began_.reset();
-    handed_out_ = 0;
-  } else if (!window_began_) {
-    window_began_ = now;
+  if (remaining == 0) {
+    window_started_at_.reset();
+    dispatched_ = 0;
+  } else if (!window_started_at_) {
+    window_started_at_ = now;
   }
 }
 
 void drain_rate::close_window(base::time_point now) {
-  const double newest = static_cast<double>(handed_out_) / base::to_seconds(now - *window_began_);
-  const bool known = per_second(now).has_value();
-  rate_ = known ? rate_ + newest_share * (newest - rate_) : newest;
+  const double newest =
+      static_cast<double>(dispatched_) / base::to_seconds(now - *window_started_at_);
+  const bool has_valid_rate = per_second(now).has_value();
+  rate_per_second_ = has_valid_rate
+                         ? rate_per_second_ + newest_window_weight * (newest - rate_per_second_)
+                         : newest;
   measured_at_ = now;
-  window_began_ = now;
-  handed_out_ = 0;
+  window_started_at_ = now;
+  dispatched_ = 0;
 }
 
 std::optional<double> drain_rate::per_second(base::time_point now) const {
-  if (rate_ <= 0 || now - measured_at_ >= rate_lifetime) {
+  if (rate_per_second_ <= 0 || now - measured_at_ >= rate_lifetime) {
     return std::nullopt;
   }
-  return rate_;
+  return rate_per_second_;
 }
 
 } // namespace spurrack::serving
--- a/src/stage_work/drain_rate.h
+++ b/src/stage_work/drain_rate.h
@@ -12,7 +12,7 @@
 class drain_rate {
  public:
   /// Work was handed out. @param left what still waits.
-  void note_dispatched(std::size_t count, std::size_t left, base::time_point now);
+  void note_dispatched(std::size_t count, std::size_t remaining, base::time_point now);
 
   /// @return items a second; nothing while the queue was empty of late.
   [[nodiscard]] std::optional<double> per_second(base::time_point now) const;
@@ -21,9 +21,9 @@
   void close_window(base::time_point now);
 
   /// Begin of the window that is counted now; nothing while the queue is empty.
-  std::optional<base::time_point> window_began_;
-  std::size_t handed_out_ = 0;
-  double rate_ = 0;
+  std::optional<base::time_point> window_started_at_;
+  std::size_t dispatched_ = 0;
+  double rate_per_second_ = 0;
   base::time_point measured_at_;
 };
 
--- a/src/stage_work/shard_map.cc
+++ b/src/stage_work/shard_map.cc
@@ -9,12 +9,12 @@
 namespace {
 
 /// Replicas that one node gathers for; more are divided over several nodes.
-constexpr std::size_t most_replicas_per_shard = 16;
+constexpr std::size_t max_replicas_per_shard = 16;
 /// Replicas of a zone that make a shard of their own where a service has more than one shard: with
 /// fewer, calls would go out half empty or wait for the one replica that is free.
-constexpr std::size_t least_replicas_of_zone = 4;
+constexpr std::size_t min_replicas_per_zone_shard = 4;
 /// Nodes that may use less than this part of what the strongest may do not gather.
-constexpr double least_share_of_strongest = 0.5;
+constexpr double min_share_of_strongest = 0.5;
 
 } // namespace
 
@@ -24,34 +24,35 @@
 
 bool shard_map::has_shards_of(const std::string& service) const {
   return std::any_of(shards_.begin(), shards_.end(),
-                     [&](const shard& one) { return one.service == service; });
+                     [&](const shard& entry) { return entry.service == service; });
 }
 
 std::set<base::node_id> shard_map::batchers() const {
   std::set<base::node_id> found;
-  for (const auto& one : shards_) {
-    found.insert(one.batcher);
+  for (const auto& entry : shards_) {
+    found.insert(entry.batcher);
   }
   return found;
 }
 
-bool shard_map::gathers_for_other_zones() const {
-  return std::any_of(shards_.begin(), shards_.end(),
-                     [&](const shard& one) { return one.batcher == self_.node && !one.zone; });
+bool shard_map::batches_for_other_zones() const {
+  return std::any_of(shards_.begin(), shards_.end(), [&](const shard& entry) {
+    return entry.batcher == self_.node && !entry.zone;
+  });
 }
 
-void shard_map::assign(const model::serving_configuration& configuration, bool stopping) {
+void shard_map::assign(const model::serving_configuration& configuration, bool is_stopping) {
   shards_.clear();
-  if (!candidates_ || stopping != stopping_) {
-    stopping_ = stopping;
-    candidates_ = find_candidates(stopping);
+  if (!candidates_ || is_stopping != is_stopping_) {
+    is_stopping_ = is_stopping;
+    candidates_ = find_candidates(is_stopping);
   }
   for (const auto& [name, service] : configuration.services) {
     if (!service.pieces) {
       continue;
     }
     for (const auto& [region, replicas] : replicas_by_region(name)) {
-      divide({name, region, std::nullopt, {}, {}}, replicas);
+      divide_into_shards({name, region, std::nullopt, {}, {}}, replicas);
     }
   }
   note_own_shards();
@@ -60,10 +61,10 @@
 void shard_map::note_own_shards() {
   own_replicas_.clear();
   own_services_.clear();
-  for (const auto& one : shards_) {
-    if (one.batcher == self_.node) {
-      own_replicas_.insert(one.replicas.begin(), one.replicas.end());
-      own_services_[one.service].insert(one.region);
+  for (const auto& entry : shards_) {
+    if (entry.batcher == self_.node) {
+      own_replicas_.insert(entry.replicas.begin(), entry.replicas.end());
+      own_services_[entry.service].insert(entry.region);
     }
   }
 }
@@ -72,11 +73,11 @@
 shard_map::replicas_by_region(const std::string& service) {
   zone_replicas by_zone;
   for (const auto* state : replicas_->of_service(service)) {
-    ++looks_;
+    ++evaluations_;
     const auto& record = *state->record;
-    const bool takes_work = !record.draining && !replicas_->says_it_leaves(*state) &&
-                            !replicas_->is_evacuated(record.zone);
-    if (takes_work) {
+    const bool accepts_work = !record.draining && !replicas_->says_it_leaves(*state) &&
+                              !replicas_->is_evacuated(record.zone);
+    if (accepts_work) {
       by_zone[record.zone].push_back(state);
     }
   }
@@ -87,10 +88,10 @@
   return regions;
 }
 
-shard_map::candidate_nodes shard_map::find_candidates(bool stopping) {
+shard_map::candidate_nodes shard_map::find_candidates(bool is_stopping) {
   std::map<base::zone_id, double> strongest_of_zone;
   std::map<model::neighbourhood, double> strongest_of_region;
-  const auto note = [&](const base::zone_id& zone, double share) {
+  const auto note_strongest = [&](const base::zone_id& zone, double share) {
     auto& in_zone = strongest_of_zone[zone];
     in_zone = std::max(in_zone, share);
     auto& in_region = strongest_of_region[regions_.neighbourhood_of(zone)];
@@ -98,22 +99,22 @@
   };
   candidate_nodes found;
   const auto consider = [&](const fleet_peer& node) {
-    ++looks_;
-    if (node.processor_share >= strongest_of_zone[node.zone] * least_share_of_strongest) {
+    ++evaluations_;
+    if (node.processor_share >= strongest_of_zone[node.zone] * min_share_of_strongest) {
       found.by_zone[node.zone].push_back(node.node);
     }
     const auto region = regions_.neighbourhood_of(node.zone);
-    if (node.processor_share >= strongest_of_region[region] * least_share_of_strongest) {
+    if (node.processor_share >= strongest_of_region[region] * min_share_of_strongest) {
       found.by_region[region].push_back(node.node);
       found.all.push_back(node.node);
     }
   };
-  if (!stopping) {
-    note(self_.zone, self_.processor_share);
+  if (!is_stopping) {
+    note_strongest(self_.zone, self_.processor_share);
   }
   for (const auto& [node, peer] : peers_->all()) {
     if (peer_directory::is_fit(peer)) {
-      note(peer.peer.zone, peer.peer.processor_share);
+      note_strongest(peer.peer.zone, peer.peer.processor_share);
     }
   }
   for (const auto& [node, peer] : peers_->all()) {
@@ -121,13 +122,13 @@
       consider(peer.peer);
     }
   }
-  if (!stopping || found.all.empty()) {
+  if (!is_stopping || found.all.empty()) {
     consider(self_);
   }
   return found;
 }
 
-void shard_map::divide(const shard& common, const zone_replicas& replicas) {
+void shard_map::divide_into_shards(const shard& common, const zone_replicas& replicas) {
   std::size_t count = 0;
   for (const auto& [zone, members] : replicas) {
     count += members.size();
@@ -135,10 +136,10 @@
   state_list together;
   for (const auto& [zone, members] : replicas) {
     const auto near = candidates_->by_zone.find(zone);
-    const bool has_gatherer = near != candidates_->by_zone.end() &&
-                              count > most_replicas_per_shard &&
-                              members.size() >= least_replicas_of_zone;
-    if (!has_gatherer) {
+    const bool has_zone_shard = near != candidates_->by_zone.end() &&
+                                count > max_replicas_per_shard &&
+                                members.size() >= min_replicas_per_zone_shard;
+    if (!has_zone_shard) {
       together.insert(together.end(), members.begin(), members.end());
     } else if (zone == self_.zone) {
       auto of_zone = common;
@@ -153,12 +154,12 @@
 
 void shard_map::add_shards(const shard& common, const state_list& replicas,
                            const std::vector<base::node_id>& candidates) {
-  const auto count = (replicas.size() + most_replicas_per_shard - 1) / most_replicas_per_shard;
-  const auto place = common.zone ? common.zone->text() : common.region.name;
+  const auto count = (replicas.size() + max_replicas_per_shard - 1) / max_replicas_per_shard;
+  const auto scope = common.zone ? common.zone->text() : common.region.name;
   const auto first = shards_.size();
   for (std::size_t index = 0; index < count; ++index) {
     auto added = common;
-    const auto name = common.service + "/" + place + "/" + std::to_string(index);
+    const auto name = common.service + "/" + scope + "/" + std::to_string(index);
     added.batcher = base::rendezvous_top(name, candidates, 1).front();
     shards_.push_back(std::move(added));
   }
--- a/src/stage_work/shard_map.h
+++ b/src/stage_work/shard_map.h
@@ -44,7 +44,7 @@
   void note_peers_changed() { candidates_.reset(); }
   /// Divides the replicas of all services with pieces and finds the gatherer of each shard.
   /// @param stopping this node gathers only where nobody else can.
-  void assign(const model::serving_configuration& configuration, bool stopping);
+  void assign(const model::serving_configuration& configuration, bool is_stopping);
 
   [[nodiscard]] const std::vector<shard>& shards() const { return shards_; }
   [[nodiscard]] bool has_shards_of(const std::string& service) const;
@@ -57,9 +57,9 @@
     return own_services_;
   }
   /// @return whether this node gathers for replicas of several zones.
-  [[nodiscard]] bool gathers_for_other_zones() const;
+  [[nodiscard]] bool batches_for_other_zones() const;
   /// @return replicas looked at and nodes considered since the start.
-  [[nodiscard]] std::uint64_t looks() const { return looks_; }
+  [[nodiscard]] std::uint64_t evaluations() const { return evaluations_; }
 
  private:
   using state_list = std::vector<const replica_state*>;
@@ -72,11 +72,11 @@
     std::vector<base::node_id> all;
   };
 
-  [[nodiscard]] candidate_nodes find_candidates(bool stopping);
+  [[nodiscard]] candidate_nodes find_candidates(bool is_stopping);
   /// @return replicas of a service that take work.
   [[nodiscard]] std::map<model::neighbourhood, zone_replicas>
   replicas_by_region(const std::string& service);
-  void divide(const shard& common, const zone_replicas& replicas);
+  void divide_into_shards(const shard& common, const zone_replicas& replicas);
   /// Adds shards of replicas that all stand behind the same candidates.
   void add_shards(const shard& common, const state_list& replicas,
                   const std::vector<base::node_id>& candidates);
@@ -88,11 +88,11 @@
   const peer_directory* peers_;
   /// Nothing where they are to be found anew.
   std::optional<candidate_nodes> candidates_;
-  bool stopping_ = false;
+  bool is_stopping_ = false;
   std::vector<shard> shards_;
   std::set<base::replica_id> own_replicas_;
   std::map<std::string, std::set<model::neighbourhood>> own_services_;
-  std::uint64_t looks_ = 0;
+  std::uint64_t evaluations_ = 0;
 };
 
 } // namespace spurrack::serving
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -62,10 +62,11 @@
 }
 
 report_audience stage_exchange::audience() const {
-  if (shards_.gathers_for_other_zones()) {
+  if (shards_.batches_for_other_zones()) {
     return report_audience::everybody;
   }
-  const bool for_zone = !shards_.own_replicas().empty() || !forwarded_tickets_.empty() || stopping_;
+  const bool for_zone =
+      !shards_.own_replicas().empty() || !forwarded_tickets_.empty() || is_stopping_;
   return for_zone ? report_audience::own_zone : report_audience::nobody;
 }
 
@@ -82,7 +83,7 @@
 }
 
 void stage_exchange::begin_stop(base::time_point now) {
-  stopping_ = true;
+  is_stopping_ = true;
   shards_are_stale_ = true;
   next_load_report_ = {};
   return_forwarded(pool_.waiting_tickets(), now);
@@ -377,7 +378,7 @@
   for (const auto& handle : message.released()) {
     pool_.release(handle);
   }
-  if (stopping_) {
+  if (is_stopping_) {
     return_forwarded(pool_.waiting_tickets(), now);
   }
 }
@@ -519,7 +520,7 @@
     if (peer != nullptr) {
       wire::outgoing message{peer->peer.address, {}};
       content.set_life(life_);
-      content.set_leaving(stopping_);
+      content.set_leaving(is_stopping_);
       *message.message.mutable_stage_work() = std::move(content);
       out.push_back(std::move(message));
     }
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -248,7 +248,7 @@
   /// The node that keeps account of the room of a result, where that is another.
   std::unordered_map<std::string, base::node_id> result_holders_;
   std::uint64_t life_;
-  bool stopping_ = false;
+  bool is_stopping_ = false;
   piece_ticket next_ticket_;
   std::map<piece_ticket, placement> placements_;
   std::unordered_map<piece_ticket, piece_ticket> own_by_pool_ticket_;
--- a/src/stage_work/stage_exchange_batchers.cc
+++ b/src/stage_work/stage_exchange_batchers.cc
@@ -45,7 +45,7 @@
     return;
   }
   const auto gathered_before = shards_.own_services();
-  shards_.assign(*configuration_, stopping_);
+  shards_.assign(*configuration_, is_stopping_);
   greet(peers_.set_gatherers(shards_.batchers(), now));
   for (const auto& [service, places] : gathered_before) {
     if (!shards_.own_services().contains(service) && shards_.has_shards_of(service)) {
--- a/tests/stage_work/shard_map_test.cc
+++ b/tests/stage_work/shard_map_test.cc
@@ -31,9 +31,9 @@
   }
   /// @return replicas and nodes looked at.
   std::uint64_t cost_of_assignment() {
-    const auto before = subject.looks();
+    const auto before = subject.evaluations();
     subject.assign(*world.content.serving(), false);
-    return subject.looks() - before;
+    return subject.evaluations() - before;
   }
 
   published_world world;
@@ -71,7 +71,7 @@
                      1);
   base::time_point now{std::chrono::hours(1)};
   node.subject.dispatch_waiting(now);
-  const auto before = node.subject.shards().looks();
+  const auto before = node.subject.shards().evaluations();
   for (int change = 0; change < 40; ++change) {
     now += std::chrono::milliseconds(1);
     world.remove_replica("p" + std::to_string(change));
@@ -82,7 +82,7 @@
   now += std::chrono::milliseconds(50);
   node.subject.dispatch_waiting(now);
   const std::uint64_t all = 42;
-  BOOST_TEST(node.subject.shards().looks() - before <= all);
+  BOOST_TEST(node.subject.shards().evaluations() - before <= all);
   for (const auto& one : node.subject.shards().shards()) {
     for (const auto& replica : one.replicas) {
       BOOST_TEST(node.replicas.find(replica) != nullptr);
--- a/tests/stage_work/stage_graph_test.cc
+++ b/tests/stage_work/stage_graph_test.cc
@@ -40,14 +40,14 @@
   BOOST_TEST(second.front().stage == 2);
   BOOST_TEST(graph.inputs_of(2) == (std::vector<std::string>{"x", "y"}),
              boost::test_tools::per_element());
-  BOOST_TEST(!graph.done());
+  BOOST_TEST(!graph.is_done());
 }
 
 BOOST_AUTO_TEST_CASE(final_inputs_are_the_results_of_the_last_stages_in_order) {
   const auto route = sample_route();
   stage_graph graph(route, {2, 1, 2});
   make_all(graph);
-  BOOST_TEST(graph.done());
+  BOOST_TEST(graph.is_done());
   BOOST_TEST(graph.final_inputs() == (std::vector<std::string>{"h00", "h01", "h20", "h21"}),
              boost::test_tools::per_element());
 }
@@ -56,7 +56,7 @@
   const auto route = sample_route();
   stage_graph graph(route, {0, 1, 1});
   make_all(graph);
-  BOOST_TEST(graph.done());
+  BOOST_TEST(graph.is_done());
   BOOST_TEST(graph.final_inputs().size() == 1);
 }
 
@@ -84,7 +84,7 @@
   BOOST_TEST(graph.recompute_final_inputs(nothing_is_known).size() == 2);
   BOOST_TEST(graph.recomputations() == 1);
   BOOST_TEST(graph.take_ready().size() == 2);
-  BOOST_TEST(!graph.done());
+  BOOST_TEST(!graph.is_done());
 }
 
 BOOST_AUTO_TEST_CASE(only_the_results_that_are_lost_are_made_again) {
@@ -127,7 +127,7 @@
   graph.complete({1, 0}, "again");
   BOOST_TEST(graph.take_ready().size() == 1);
   graph.complete({2, 0}, "last");
-  BOOST_TEST(graph.done());
+  BOOST_TEST(graph.is_done());
   BOOST_TEST(graph.final_inputs() == (std::vector<std::string>{"last", "h21"}),
              boost::test_tools::per_element());
 }
@@ -167,7 +167,7 @@
   graph.note_lost_results_of(base::network_address("h20"));
   BOOST_TEST(graph.has_missing_final_inputs());
   graph.recompute_final_inputs([](const std::string&) { return false; });
-  BOOST_TEST(!graph.done());
+  BOOST_TEST(!graph.is_done());
   BOOST_TEST(!graph.has_missing_final_inputs());
 }
 
