--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -9,26 +9,26 @@
 namespace {
 
 /// A piece that was not acknowledged within this time is placed elsewhere.
-constexpr base::duration acceptance_limit = std::chrono::milliseconds(250);
+constexpr base::duration acceptance_timeout = std::chrono::milliseconds(250);
 /// A holder that said nothing of a piece for this time is asked whether it still has it.
-constexpr base::duration confirmation_period = std::chrono::milliseconds(700);
+constexpr base::duration confirmation_interval = std::chrono::milliseconds(700);
 /// A holder that does not answer that within this time has lost the piece.
-constexpr base::duration lost_limit = std::chrono::milliseconds(1500);
+constexpr base::duration confirmation_timeout = std::chrono::milliseconds(1500);
 /// What became of pieces of other nodes is known for this time.
-constexpr base::duration told_result_lifetime = std::chrono::seconds(3);
+constexpr base::duration reported_result_lifetime = std::chrono::seconds(3);
 /// How often pieces at other nodes are looked at: a tenth of the shortest limit above.
-constexpr base::duration placement_check_period = std::chrono::milliseconds(25);
+constexpr base::duration placement_check_interval = std::chrono::milliseconds(25);
 /// Times a piece is placed at other nodes before this node makes it itself.
-constexpr std::uint32_t most_moves = 3;
+constexpr std::uint32_t max_moves = 3;
 
 std::int64_t milliseconds_until(base::time_point when, base::time_point now) {
   return base::to_milliseconds(when - now);
 }
 
 /// A piece that may be made nowhere is never sent, so that no regions mean everywhere.
-model::residency residency_of(const wire::piece_request& wanted) {
+model::residency residency_of(const wire::piece_request& request) {
   std::set<base::region_id> regions;
-  for (const auto& region : wanted.permitted_regions()) {
+  for (const auto& region : request.permitted_regions()) {
     regions.insert(base::region_id(region));
   }
   return regions.empty() ? model::residency::everywhere()
@@ -43,7 +43,8 @@
                                decision_recorder record)
     : self_(std::move(self)), regions_(settings.regions), replicas_(&replicas),
       pool_(replicas, settings, std::move(next_call), std::move(record)), peers_(self_, regions_),
-      shards_(self_, regions_, replicas, peers_), life_(first_ticket), next_ticket_(first_ticket) {
+      shards_(self_, regions_, replicas, peers_), incarnation_(first_ticket),
+      next_ticket_(first_ticket) {
   pool_.set_filter([this](const replica_state& replica, const model::residency& permitted_regions) {
     return may_call(replica, permitted_regions);
   });
@@ -57,8 +58,9 @@
   // Pieces that none of the own replicas may make would wait here for ever.
   const auto own = shards_.own_services().find(replica.record->service);
   return own == shards_.own_services().end() ||
-         std::none_of(own->second.begin(), own->second.end(),
-                      [&](const auto& place) { return permitted_regions.permits(place.region); });
+         std::none_of(own->second.begin(), own->second.end(), [&](const auto& neighbourhood) {
+           return permitted_regions.permits(neighbourhood.region);
+         });
 }
 
 report_audience stage_exchange::audience() const {
@@ -74,7 +76,7 @@
     std::shared_ptr<const model::serving_configuration> configuration) {
   configuration_ = std::move(configuration);
   pool_.set_configuration(configuration_);
-  shards_are_stale_ = true;
+  are_shards_stale_ = true;
 }
 
 void stage_exchange::set_peers(std::vector<fleet_peer> peers) {
@@ -84,12 +86,12 @@
 
 void stage_exchange::begin_stop(base::time_point now) {
   is_stopping_ = true;
-  shards_are_stale_ = true;
-  next_load_report_ = {};
+  are_shards_stale_ = true;
+  next_load_report_at_ = {};
   return_forwarded(pool_.waiting_tickets(), now);
 }
 
-void stage_exchange::hand_over(const std::string& service, base::time_point now) {
+void stage_exchange::move_waiting_pieces(const std::string& service, base::time_point now) {
   const auto waiting = pool_.waiting_tickets(service);
   return_forwarded(waiting, now);
   for (const auto ticket : waiting) {
@@ -156,30 +158,30 @@
   }
   placed.holder = *chosen;
   ++peers_.find(*chosen)->sent_since[placed.work.service];
-  auto& wanted = *message_to(*chosen).add_wanted();
-  wanted.set_ticket(ticket);
-  wanted.set_request(placed.work.request.text());
-  wanted.set_service(placed.work.service);
-  wanted.set_stage(placed.work.stage);
-  wanted.set_piece(placed.work.piece);
-  wanted.set_piece_key(placed.work.piece_key);
-  wanted.mutable_inputs()->Assign(placed.work.inputs.begin(), placed.work.inputs.end());
-  wanted.set_due_in_milliseconds(milliseconds_until(placed.work.due, now));
-  wanted.set_expires_in_milliseconds(milliseconds_until(placed.work.deadline, now));
-  wanted.set_result_bytes(placed.work.result_bytes);
-  wanted.set_zone(placed.work.zone.text());
-  wanted.set_carried_bytes(placed.work.carried_bytes);
-  wanted.set_single_attempt(placed.work.single_attempt);
+  auto& request = *message_to(*chosen).add_wanted();
+  request.set_ticket(ticket);
+  request.set_request(placed.work.request.text());
+  request.set_service(placed.work.service);
+  request.set_stage(placed.work.stage);
+  request.set_piece(placed.work.piece);
+  request.set_piece_key(placed.work.piece_key);
+  request.mutable_inputs()->Assign(placed.work.inputs.begin(), placed.work.inputs.end());
+  request.set_due_in_milliseconds(milliseconds_until(placed.work.due, now));
+  request.set_expires_in_milliseconds(milliseconds_until(placed.work.deadline, now));
+  request.set_result_bytes(placed.work.result_bytes);
+  request.set_zone(placed.work.zone.text());
+  request.set_carried_bytes(placed.work.carried_bytes);
+  request.set_single_attempt(placed.work.single_attempt);
   for (const auto& region : placed.work.permitted_regions.regions()) {
-    wanted.add_permitted_regions(region.text());
+    request.add_permitted_regions(region.text());
   }
 }
 
-void stage_exchange::place_again(base::time_point now) {
-  if (now < next_placement_check_) {
+void stage_exchange::check_placements(base::time_point now) {
+  if (now < next_placement_check_at_) {
     return;
   }
-  next_placement_check_ = now + placement_check_period;
+  next_placement_check_at_ = now + placement_check_interval;
   for (auto& [ticket, placed] : placements_) {
     if (placed.holder.empty()) {
       continue;
@@ -188,8 +190,8 @@
     if (peer == nullptr || peer->silent_since) {
       move(ticket, placed, now);
     } else if (placed.confirmed_at) {
-      ask_or_move(ticket, placed, now);
-    } else if (now - placed.sent_at > acceptance_limit) {
+      query_or_move(ticket, placed, now);
+    } else if (now - placed.sent_at > acceptance_timeout) {
       peers_.give_up(placed.holder, now);
       note_peers_changed();
       refresh(now);
@@ -198,19 +200,20 @@
   }
 }
 
-void stage_exchange::ask_or_move(piece_ticket ticket, placement& placed, base::time_point now) {
-  const auto quiet = now - *placed.confirmed_at;
-  if (quiet >= lost_limit) {
+void stage_exchange::query_or_move(piece_ticket ticket, placement& placed, base::time_point now) {
+  const auto time_since_confirmation = now - *placed.confirmed_at;
+  if (time_since_confirmation >= confirmation_timeout) {
     move(ticket, placed, now);
-  } else if (quiet >= confirmation_period && now - placed.asked_at >= acceptance_limit) {
-    placed.asked_at = now;
+  } else if (time_since_confirmation >= confirmation_interval &&
+             now - placed.queried_at >= acceptance_timeout) {
+    placed.queried_at = now;
     message_to(placed.holder).add_asked(ticket);
   }
 }
 
 void stage_exchange::move(piece_ticket ticket, placement& placed, base::time_point now) {
   ++placed.moves;
-  const auto chosen = placed.moves <= most_moves
+  const auto chosen = placed.moves <= max_moves
                           ? choose_batcher(placed.work, placed.work.result_bytes, now)
                           : std::nullopt;
   if (!chosen || *chosen != placed.holder) {
@@ -235,33 +238,34 @@
 
 void stage_exchange::release(const std::vector<std::string>& handles) {
   for (const auto& handle : handles) {
-    const auto known = result_holders_.find(handle);
-    const auto* holder = known == result_holders_.end() ? nullptr : peers_.find(known->second);
+    const auto known = result_accounting_nodes_.find(handle);
+    const auto* holder =
+        known == result_accounting_nodes_.end() ? nullptr : peers_.find(known->second);
     if (holder == nullptr || holder->silent_since) {
       // Any node may free a result; its holder forgets it when it expires.
       pool_.release(handle);
     } else {
       message_to(holder->peer.node).add_released(handle);
     }
-    if (known != result_holders_.end()) {
-      result_holders_.erase(known);
+    if (known != result_accounting_nodes_.end()) {
+      result_accounting_nodes_.erase(known);
     }
   }
 }
 
 // --- pieces gathered here ------------------------------------------------------------------------
 
-void stage_exchange::note_life(peer_state& peer, const wire::stage_work& message,
-                               base::time_point now) {
-  const bool restarted = peer.life != 0 && peer.life != message.life();
-  const bool leaves = message.leaving() && !peer.leaving;
+void stage_exchange::note_incarnation(peer_state& peer, const wire::stage_work& message,
+                                      base::time_point now) {
+  const bool has_restarted = peer.life != 0 && peer.life != message.life();
+  const bool has_begun_stop = message.leaving() && !peer.leaving;
   peer.life = message.life();
   peer.leaving = message.leaving();
-  if (restarted || leaves) {
+  if (has_restarted || has_begun_stop) {
     note_peers_changed();
     refresh(now);
   }
-  if (!restarted) {
+  if (!has_restarted) {
     return;
   }
   for (auto& [ticket, placed] : placements_) {
@@ -271,50 +275,50 @@
   }
 }
 
-void stage_exchange::tell_state(const base::node_id& sender, piece_ticket ticket) {
+void stage_exchange::send_piece_state(const base::node_id& sender, piece_ticket ticket) {
   if (forwarded_tickets_.contains({sender, ticket})) {
     message_to(sender).add_accepted(ticket);
     return;
   }
-  const auto told = std::find_if(
-      told_results_.begin(), told_results_.end(), [&](const reported_result& candidate) {
+  const auto reported = std::find_if(
+      reported_results_.begin(), reported_results_.end(), [&](const reported_result& candidate) {
         return candidate.forwarded.origin == sender && candidate.forwarded.origin_ticket == ticket;
       });
-  if (told != told_results_.end()) {
-    tell_result(told->forwarded, told->outcome);
+  if (reported != reported_results_.end()) {
+    send_result(reported->forwarded, reported->outcome);
   } else {
-    tell_result({sender, ticket}, {piece_fault::not_run, {}});
+    send_result({sender, ticket}, {piece_fault::not_run, {}});
   }
 }
 
-void stage_exchange::take_wanted(const base::node_id& sender, const wire::piece_request& wanted,
-                                 base::time_point now) {
-  if (forwarded_tickets_.contains({sender, wanted.ticket()})) {
-    message_to(sender).add_accepted(wanted.ticket());
+void stage_exchange::accept_piece(const base::node_id& sender, const wire::piece_request& request,
+                                  base::time_point now) {
+  if (forwarded_tickets_.contains({sender, request.ticket()})) {
+    message_to(sender).add_accepted(request.ticket());
     return;
   }
   piece_work work;
-  work.request = base::request_id(wanted.request());
-  work.service = wanted.service();
-  work.stage = wanted.stage();
-  work.piece = wanted.piece();
-  work.piece_key = wanted.piece_key();
-  work.inputs.assign(wanted.inputs().begin(), wanted.inputs().end());
-  work.due = now + std::chrono::milliseconds(wanted.due_in_milliseconds());
-  work.deadline = now + std::chrono::milliseconds(wanted.expires_in_milliseconds());
-  work.result_bytes = wanted.result_bytes();
-  work.zone = base::zone_id(wanted.zone());
-  work.carried_bytes = wanted.carried_bytes();
-  work.single_attempt = wanted.single_attempt();
-  work.permitted_regions = residency_of(wanted);
+  work.request = base::request_id(request.request());
+  work.service = request.service();
+  work.stage = request.stage();
+  work.piece = request.piece();
+  work.piece_key = request.piece_key();
+  work.inputs.assign(request.inputs().begin(), request.inputs().end());
+  work.due = now + std::chrono::milliseconds(request.due_in_milliseconds());
+  work.deadline = now + std::chrono::milliseconds(request.expires_in_milliseconds());
+  work.result_bytes = request.result_bytes();
+  work.zone = base::zone_id(request.zone());
+  work.carried_bytes = request.carried_bytes();
+  work.single_attempt = request.single_attempt();
+  work.permitted_regions = residency_of(request);
   const auto pool_ticket = pool_.submit(std::move(work), now);
-  forwarded_by_pool_ticket_[pool_ticket] = {sender, wanted.ticket()};
-  forwarded_tickets_[{sender, wanted.ticket()}] = pool_ticket;
-  message_to(sender).add_accepted(wanted.ticket());
+  forwarded_by_pool_ticket_[pool_ticket] = {sender, request.ticket()};
+  forwarded_tickets_[{sender, request.ticket()}] = pool_ticket;
+  message_to(sender).add_accepted(request.ticket());
 }
 
-void stage_exchange::take_made(const base::node_id& sender, const wire::piece_result& result,
-                               base::time_point now) {
+void stage_exchange::apply_result(const base::node_id& sender, const wire::piece_result& result,
+                                  base::time_point now) {
   const auto found = placements_.find(result.ticket());
   if (found == placements_.end() || found->second.holder != sender) {
     if (!result.handle().empty()) {
@@ -323,13 +327,13 @@
     return;
   }
   const auto fault = static_cast<piece_fault>(result.fault());
-  if (fault == piece_fault::not_run && found->second.moves <= most_moves) {
+  if (fault == piece_fault::not_run && found->second.moves <= max_moves) {
     move(result.ticket(), found->second, now);
     return;
   }
   placements_.erase(found);
   if (!result.handle().empty()) {
-    result_holders_[result.handle()] = sender;
+    result_accounting_nodes_[result.handle()] = sender;
   }
   finished_.push_back({result.ticket(), {fault, result.handle()}});
 }
@@ -343,10 +347,10 @@
   if (peers_.note_heard(*peer, now)) {
     note_peers_changed();
   }
-  note_life(*peer, message, now);
+  note_incarnation(*peer, message, now);
   peers_.take_loads(*peer, message, now);
-  for (const auto& wanted : message.wanted()) {
-    take_wanted(sender, wanted, now);
+  for (const auto& request : message.wanted()) {
+    accept_piece(sender, request, now);
   }
   for (const auto ticket : message.accepted()) {
     const auto placed = placements_.find(ticket);
@@ -367,13 +371,13 @@
     }
   }
   for (const auto& result : message.made()) {
-    take_made(sender, result, now);
+    apply_result(sender, result, now);
   }
   for (const auto ticket : message.cancelled()) {
-    take_cancelled(sender, ticket);
+    cancel_forwarded(sender, ticket);
   }
   for (const auto ticket : message.asked()) {
-    tell_state(sender, ticket);
+    send_piece_state(sender, ticket);
   }
   for (const auto& handle : message.released()) {
     pool_.release(handle);
@@ -383,7 +387,7 @@
   }
 }
 
-void stage_exchange::take_cancelled(const base::node_id& sender, piece_ticket ticket) {
+void stage_exchange::cancel_forwarded(const base::node_id& sender, piece_ticket ticket) {
   const auto forwarded = forwarded_tickets_.find({sender, ticket});
   if (forwarded != forwarded_tickets_.end()) {
     pool_.cancel(forwarded->second);
@@ -394,16 +398,16 @@
 
 void stage_exchange::on_replica_restarted(const base::replica_id& replica, base::time_point now) {
   pool_.on_replica_restarted(replica, now);
-  take_pool_results(now);
+  collect_pool_results(now);
 }
 
 bool stage_exchange::on_call_ended(const stage_call_ended& ended, base::time_point now) {
-  const bool mine = pool_.on_call_ended(ended, now);
-  take_pool_results(now);
-  return mine;
+  const bool is_pool_call = pool_.on_call_ended(ended, now);
+  collect_pool_results(now);
+  return is_pool_call;
 }
 
-void stage_exchange::take_pool_fetched() {
+void stage_exchange::collect_fetched_pieces() {
   for (const auto ticket : pool_.take_fetched()) {
     if (const auto own = own_by_pool_ticket_.find(ticket); own != own_by_pool_ticket_.end()) {
       fetched_.push_back(own->second);
@@ -414,23 +418,23 @@
   }
 }
 
-void stage_exchange::take_pool_lost() {
+void stage_exchange::collect_lost_pieces() {
   for (const auto& lost : pool_.take_lost()) {
     if (const auto own = own_by_pool_ticket_.find(lost.ticket); own != own_by_pool_ticket_.end()) {
       lost_.push_back({own->second, lost.replica, lost.incarnation_exit});
     } else if (const auto forwarded = forwarded_by_pool_ticket_.find(lost.ticket);
                forwarded != forwarded_by_pool_ticket_.end()) {
-      auto& told = *message_to(forwarded->second.origin).add_lost();
-      told.set_ticket(forwarded->second.origin_ticket);
-      told.set_replica(lost.replica.text());
-      told.set_replica_end(lost.incarnation_exit);
+      auto& reported = *message_to(forwarded->second.origin).add_lost();
+      reported.set_ticket(forwarded->second.origin_ticket);
+      reported.set_replica(lost.replica.text());
+      reported.set_replica_end(lost.incarnation_exit);
     }
   }
 }
 
-void stage_exchange::take_pool_results(base::time_point now) {
-  take_pool_fetched();
-  take_pool_lost();
+void stage_exchange::collect_pool_results(base::time_point now) {
+  collect_fetched_pieces();
+  collect_lost_pieces();
   for (auto& finished : pool_.take_finished()) {
     const auto own = own_by_pool_ticket_.find(finished.ticket);
     if (own != own_by_pool_ticket_.end()) {
@@ -450,14 +454,15 @@
 
 void stage_exchange::finish_forwarded(const forwarded_piece& forwarded,
                                       const piece_outcome& outcome, base::time_point now) {
-  while (!told_results_.empty() && now - told_results_.front().told_at >= told_result_lifetime) {
-    told_results_.pop_front();
+  while (!reported_results_.empty() &&
+         now - reported_results_.front().reported_at >= reported_result_lifetime) {
+    reported_results_.pop_front();
   }
-  told_results_.push_back({now, forwarded, outcome});
-  tell_result(forwarded, outcome);
+  reported_results_.push_back({now, forwarded, outcome});
+  send_result(forwarded, outcome);
 }
 
-void stage_exchange::tell_result(const forwarded_piece& forwarded, const piece_outcome& outcome) {
+void stage_exchange::send_result(const forwarded_piece& forwarded, const piece_outcome& outcome) {
   auto& made = *message_to(forwarded.origin).add_made();
   made.set_ticket(forwarded.origin_ticket);
   made.set_fault(static_cast<std::uint32_t>(outcome.fault));
@@ -467,10 +472,10 @@
 // --- time and messages ---------------------------------------------------------------------------
 
 void stage_exchange::send_loads(base::time_point now) {
-  if (now < next_load_report_ || !configuration_) {
+  if (now < next_load_report_at_ || !configuration_) {
     return;
   }
-  next_load_report_ = now + load_report_period;
+  next_load_report_at_ = now + load_report_period;
   const auto receivers = peers_.next_receivers(audience());
   if (receivers.empty()) {
     return;
@@ -499,9 +504,9 @@
 
 void stage_exchange::dispatch_waiting(base::time_point now) {
   refresh(now);
-  place_again(now);
+  check_placements(now);
   pool_.dispatch_waiting(now);
-  take_pool_results(now);
+  collect_pool_results(now);
   send_loads(now);
 }
 
@@ -519,7 +524,7 @@
     const auto* peer = peers_.find(node);
     if (peer != nullptr) {
       wire::outgoing message{peer->peer.address, {}};
-      content.set_life(life_);
+      content.set_life(incarnation_);
       content.set_leaving(is_stopping_);
       *message.message.mutable_stage_work() = std::move(content);
       out.push_back(std::move(message));
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -64,9 +64,9 @@
     return pool_.waiting(service);
   }
   /// Replicas came, went or changed.
-  void on_replicas_changed() { replicas_changed_ = true; }
+  void on_replicas_changed() { has_replica_changes_ = true; }
   /// Some replica said that it leaves: the others are divided anew, so that nothing waits for it.
-  void on_drain_announced() { shards_are_stale_ = true; }
+  void on_drain_announced() { are_shards_stale_ = true; }
   /// A replica started again: what its earlier life had of pieces and results is lost.
   void on_replica_restarted(const base::replica_id& replica, base::time_point now);
   /// This process was paused for `gap`: calls under way are given that much more time.
@@ -93,12 +93,12 @@
   /// @return how long a piece that is submitted now is expected to wait for its call; nothing where
   ///         nobody can make it.
   [[nodiscard]] std::optional<base::duration>
-  expected_wait(const service_demand& demand, piece_order standing, base::time_point now) const;
+  expected_wait(const service_demand& demand, piece_order order, base::time_point now) const;
 
   void dispatch_waiting(base::time_point now);
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
-  [[nodiscard]] std::vector<piece_finished> take_finished() { return std::exchange(finished_, {}); }
+  [[nodiscard]] std::vector<finished_piece> take_finished() { return std::exchange(finished_, {}); }
   /// @return pieces of this node whose replica has fetched their inputs since the last call.
   [[nodiscard]] std::vector<piece_ticket> take_fetched() { return std::exchange(fetched_, {}); }
   /// @return pieces of this node whose calls ended without an answer since the last call, wherever
@@ -120,7 +120,7 @@
     /// takes. Where none can be called now, those that can once their pauses are over.
     double replicas = 0;
     /// When the first of these pauses ends; a time before now where some replica can be called.
-    base::time_point opens_at;
+    base::time_point callable_at;
   };
   /// Where a piece of this node is.
   struct placement {
@@ -132,7 +132,7 @@
     /// When the holder said last that it has the piece; nothing before it has.
     std::optional<base::time_point> confirmed_at;
     /// When the holder was asked last whether it still has the piece.
-    base::time_point asked_at;
+    base::time_point queried_at;
     std::uint32_t moves = 0;
   };
   /// A piece that another node forwarded to this one, which gathers it.
@@ -143,7 +143,7 @@
   /// What became of a piece that this node gathered for another; kept for a while, since the
   /// message that told it may have been lost.
   struct reported_result {
-    base::time_point told_at;
+    base::time_point reported_at;
     forwarded_piece forwarded;
     piece_outcome outcome;
   };
@@ -153,17 +153,17 @@
   /// Divides all replicas into shards and finds the gatherer of each.
   void assign_shards(base::time_point now);
   /// Greets those who gather from now on, so that connections to them stand.
-  void greet(const std::vector<base::node_id>& batchers);
+  void connect_to_batchers(const std::vector<base::node_id>& batchers);
   /// What the replicas of a shard bear.
-  struct usable_replicas {
+  struct callable_count {
     /// Those that can be called now: 1 for each, the part of full calls that it takes for one that
     /// names a limit.
     double now = 0;
     /// Those that asked this node for a pause, and when the first pause ends.
-    double pausing = 0;
-    base::time_point opens_at = base::time_point::max();
+    double backing_off = 0;
+    base::time_point callable_at = base::time_point::max();
   };
-  [[nodiscard]] usable_replicas count_usable_of(const shard& one, base::time_point now) const;
+  [[nodiscard]] callable_count count_callable_of(const shard& entry, base::time_point now) const;
   /// @return gatherers of the shards of a service, with what their replicas bear now.
   [[nodiscard]] const std::vector<batcher>& assigned_batchers(const std::string& service,
                                                               base::time_point now) const;
@@ -194,40 +194,40 @@
   [[nodiscard]] batcher_load load_of(const base::node_id& node, const std::string& service,
                                      base::time_point now) const;
   [[nodiscard]] double expected_wait_seconds(const batcher& candidate, const std::string& service,
-                                             piece_order standing, base::time_point now) const;
+                                             piece_order order, base::time_point now) const;
   /// @param chosen nothing where no other node is fit.
   void place(piece_ticket ticket, placement& placed, const std::optional<base::node_id>& chosen,
              base::time_point now);
   /// Places pieces anew whose holder is silent or did not take them, and asks for those of which
   /// nothing was heard for long.
-  void place_again(base::time_point now);
-  void ask_or_move(piece_ticket ticket, placement& placed, base::time_point now);
-  void take_pool_results(base::time_point now);
-  void take_pool_fetched();
+  void check_placements(base::time_point now);
+  void query_or_move(piece_ticket ticket, placement& placed, base::time_point now);
+  void collect_pool_results(base::time_point now);
+  void collect_fetched_pieces();
   /// Tells the nodes whose requests they belong to which pieces were lost with their calls.
-  void take_pool_lost();
+  void collect_lost_pieces();
   /// Hands waiting pieces of other nodes back to them.
   void return_forwarded(const std::vector<piece_ticket>& waiting, base::time_point now);
   /// Others gather for a service from now on: what waits here goes to them, since results that
   /// this node does not hear of any more seem to take up all room.
-  void hand_over(const std::string& service, base::time_point now);
+  void move_waiting_pieces(const std::string& service, base::time_point now);
   /// Says of a piece of another node whether it is still here, and what became of it otherwise.
-  void tell_state(const base::node_id& sender, piece_ticket ticket);
+  void send_piece_state(const base::node_id& sender, piece_ticket ticket);
   /// @return whether this node may call a replica with pieces that are held to some regions.
   [[nodiscard]] bool may_call(const replica_state& replica,
                               const model::residency& permitted_regions) const;
   /// @return who counts on this node for pieces.
   [[nodiscard]] report_audience audience() const;
-  void note_life(peer_state& peer, const wire::stage_work& message, base::time_point now);
-  void take_wanted(const base::node_id& sender, const wire::piece_request& wanted,
-                   base::time_point now);
-  void take_made(const base::node_id& sender, const wire::piece_result& result,
-                 base::time_point now);
+  void note_incarnation(peer_state& peer, const wire::stage_work& message, base::time_point now);
+  void accept_piece(const base::node_id& sender, const wire::piece_request& request,
+                    base::time_point now);
+  void apply_result(const base::node_id& sender, const wire::piece_result& result,
+                    base::time_point now);
   void move(piece_ticket ticket, placement& placed, base::time_point now);
-  void take_cancelled(const base::node_id& sender, piece_ticket ticket);
+  void cancel_forwarded(const base::node_id& sender, piece_ticket ticket);
   void finish_forwarded(const forwarded_piece& forwarded, const piece_outcome& outcome,
                         base::time_point now);
-  void tell_result(const forwarded_piece& forwarded, const piece_outcome& outcome);
+  void send_result(const forwarded_piece& forwarded, const piece_outcome& outcome);
   void send_loads(base::time_point now);
   wire::stage_work& message_to(const base::node_id& node);
 
@@ -239,29 +239,29 @@
   peer_directory peers_;
   shard_map shards_;
   /// The shards are to be found anew.
-  bool shards_are_stale_ = true;
+  bool are_shards_stale_ = true;
   /// Replicas have changed since the shards were found.
-  bool replicas_changed_ = false;
+  bool has_replica_changes_ = false;
   /// Gatherers of the shards by service, counted where a caller asks for them.
   mutable std::unordered_map<std::string, std::vector<batcher>> batchers_;
-  mutable bool counts_are_stale_ = true;
+  mutable bool are_counts_stale_ = true;
   /// The node that keeps account of the room of a result, where that is another.
-  std::unordered_map<std::string, base::node_id> result_holders_;
-  std::uint64_t life_;
+  std::unordered_map<std::string, base::node_id> result_accounting_nodes_;
+  std::uint64_t incarnation_;
   bool is_stopping_ = false;
   piece_ticket next_ticket_;
   std::map<piece_ticket, placement> placements_;
   std::unordered_map<piece_ticket, piece_ticket> own_by_pool_ticket_;
   std::unordered_map<piece_ticket, forwarded_piece> forwarded_by_pool_ticket_;
   std::map<std::pair<base::node_id, piece_ticket>, piece_ticket> forwarded_tickets_;
-  std::deque<reported_result> told_results_;
+  std::deque<reported_result> reported_results_;
   std::map<base::node_id, wire::stage_work> messages_;
-  std::vector<piece_finished> finished_;
+  std::vector<finished_piece> finished_;
   std::vector<piece_ticket> fetched_;
   std::vector<lost_piece> lost_;
-  base::time_point next_refresh_;
-  base::time_point next_placement_check_;
-  base::time_point next_load_report_;
+  base::time_point next_refresh_at_;
+  base::time_point next_placement_check_at_;
+  base::time_point next_load_report_at_;
 };
 
 } // namespace spurrack::serving
--- a/src/stage_work/stage_graph.cc
+++ b/src/stage_work/stage_graph.cc
@@ -72,12 +72,12 @@
   stages_[position.stage][position.piece].handle = std::move(handle);
 }
 
-bool stage_graph::note_lost_results_of(const base::network_address& maker) {
+bool stage_graph::note_lost_results_of(const base::network_address& producer) {
   bool any = false;
   for (auto& pieces : stages_) {
     for (auto& piece : pieces) {
-      if (!piece.handle.empty() && !piece.is_freed && producer_of(piece.handle) == maker) {
-        piece.lost = true;
+      if (!piece.handle.empty() && !piece.is_freed && producer_of(piece.handle) == producer) {
+        piece.is_lost = true;
         any = true;
       }
     }
@@ -115,12 +115,13 @@
 
 std::vector<std::string>
 stage_graph::recompute(const std::vector<std::uint32_t>& stages,
-                       const std::function<bool(const std::string&)>& is_lost) {
+                       const std::function<bool(const std::string&)>& is_result_lost) {
   const auto is_suspect = [&](const piece_state& piece) {
-    return !piece.handle.empty() && (piece.is_freed || piece.lost || is_lost(piece.handle));
+    return !piece.handle.empty() &&
+           (piece.is_freed || piece.is_lost || is_result_lost(piece.handle));
   };
   // What was suspected once and did not help is not trusted again.
-  const bool any_known =
+  const bool has_suspects =
       recomputations_ == 0 && std::any_of(stages.begin(), stages.end(), [&](auto stage) {
         return std::any_of(stages_[stage].begin(), stages_[stage].end(), is_suspect);
       });
@@ -128,7 +129,7 @@
   std::vector<std::string> obsolete;
   for (const auto stage : stages) {
     for (auto& piece : stages_[stage]) {
-      if (!piece.handle.empty() && (!any_known || is_suspect(piece))) {
+      if (!piece.handle.empty() && (!has_suspects || is_suspect(piece))) {
         forget_result(stage, piece, obsolete);
       }
     }
@@ -138,22 +139,22 @@
 
 std::vector<std::string>
 stage_graph::recompute_inputs_of(piece_position position,
-                                 const std::function<bool(const std::string&)>& is_lost) {
+                                 const std::function<bool(const std::string&)>& is_result_lost) {
   stages_[position.stage][position.piece] = {};
   const auto& dependencies = route_->stages[position.stage].start_after;
   const bool has_pending_inputs = !is_ready(position.stage);
-  return has_pending_inputs ? std::vector<std::string>{} : recompute(dependencies, is_lost);
+  return has_pending_inputs ? std::vector<std::string>{} : recompute(dependencies, is_result_lost);
 }
 
 std::vector<std::string>
-stage_graph::recompute_final_inputs(const std::function<bool(const std::string&)>& is_lost) {
+stage_graph::recompute_final_inputs(const std::function<bool(const std::string&)>& is_result_lost) {
   std::vector<std::uint32_t> last;
   for (std::uint32_t stage = 0; stage < stages_.size(); ++stage) {
     if (is_last(stage)) {
       last.push_back(stage);
     }
   }
-  return recompute(last, is_lost);
+  return recompute(last, is_result_lost);
 }
 
 void stage_graph::append_results(std::uint32_t stage, std::vector<std::string>& results) const {
@@ -201,7 +202,7 @@
   for (std::uint32_t stage = 0; stage < stages_.size(); ++stage) {
     const auto& pieces = stages_[stage];
     if (is_last(stage) && std::any_of(pieces.begin(), pieces.end(), [](const piece_state& piece) {
-          return piece.is_freed || piece.lost;
+          return piece.is_freed || piece.is_lost;
         })) {
       return true;
     }
--- a/src/stage_work/stage_graph.h
+++ b/src/stage_work/stage_graph.h
@@ -30,18 +30,19 @@
   void complete(piece_position position, std::string handle);
   /// The replica at an address started again: what it had made is lost.
   /// @return whether the graph had any such result.
-  bool note_lost_results_of(const base::network_address& maker);
+  bool note_lost_results_of(const base::network_address& producer);
   /// A piece found that a result it reads is gone. The piece, and every result that it reads and
   /// that is lost, are to be made again, together with whatever those need that was freed since.
-  /// @param is_lost whether a result is known to be lost; where none is, all that the piece reads
+  /// @param is_result_lost whether a result is known to be lost; where none is, all that the piece
+  /// reads
   ///        are taken for lost.
   /// @return handles that are no longer of use.
   std::vector<std::string>
   recompute_inputs_of(piece_position position,
-                      const std::function<bool(const std::string&)>& is_lost);
+                      const std::function<bool(const std::string&)>& is_result_lost);
   /// The same for the results that the request itself reads.
   std::vector<std::string>
-  recompute_final_inputs(const std::function<bool(const std::string&)>& is_lost);
+  recompute_final_inputs(const std::function<bool(const std::string&)>& is_result_lost);
   /// @return whether a piece was given out and is not finished.
   [[nodiscard]] bool is_under_way(piece_position position) const;
 
@@ -79,7 +80,7 @@
     bool has_fetched_inputs = false;
     bool is_freed = false;
     /// It went with its maker.
-    bool lost = false;
+    bool is_lost = false;
     std::string handle;
   };
   [[nodiscard]] bool is_finished(std::uint32_t stage) const;
@@ -88,7 +89,7 @@
   [[nodiscard]] bool depends_on(std::uint32_t stage, std::uint32_t dependency) const;
   /// Forgets the results of `stages` that are lost, all of them where none is known to be.
   std::vector<std::string> recompute(const std::vector<std::uint32_t>& stages,
-                                     const std::function<bool(const std::string&)>& is_lost);
+                                     const std::function<bool(const std::string&)>& is_result_lost);
   /// A result is to be made again, and so is what it needs and was freed.
   void forget_result(std::uint32_t stage, piece_state& piece, std::vector<std::string>& obsolete);
   void append_results(std::uint32_t stage, std::vector<std::string>& results) const;
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -10,12 +10,12 @@
 namespace {
 
 /// Calls that may carry one piece before it is given up.
-constexpr std::uint32_t most_attempts = 4;
+constexpr std::uint32_t max_calls_per_piece = 4;
 /// A call that takes this many times as long as it should is given up.
-constexpr double stall_factor = 4.0;
+constexpr double call_timeout_factor = 4.0;
 /// While pieces wait, replicas are looked at again after this time.
-constexpr base::duration waiting_check_period = std::chrono::milliseconds(25);
-constexpr base::duration stall_margin = std::chrono::milliseconds(400);
+constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
+constexpr base::duration call_timeout_margin = std::chrono::milliseconds(400);
 
 } // namespace
 
@@ -27,7 +27,7 @@
 void stage_pool::set_configuration(
     std::shared_ptr<const model::serving_configuration> configuration) {
   configuration_ = std::move(configuration);
-  next_check_ = {};
+  next_check_at_ = {};
 }
 
 const model::piece_capacity* stage_pool::capacity_of(const std::string& name) const {
@@ -41,8 +41,9 @@
   const auto* capacity = capacity_of(work.service);
   pieces_[ticket] = {std::move(work), now};
   enqueue(ticket);
-  const bool full_batch = capacity == nullptr || queue.size() >= capacity->batch;
-  next_check_ = full_batch ? base::time_point{} : std::min(next_check_, now + settings_.batch_wait);
+  const bool is_full_batch = capacity == nullptr || queue.size() >= capacity->batch;
+  next_check_at_ =
+      is_full_batch ? base::time_point{} : std::min(next_check_at_, now + settings_.batch_wait);
   return ticket;
 }
 
@@ -68,8 +69,8 @@
 }
 
 std::size_t stage_pool::calls_under_way(const std::string& service) const {
-  const auto found = calls_of_.find(service);
-  return found == calls_of_.end() ? 0 : found->second;
+  const auto found = call_counts_by_service_.find(service);
+  return found == call_counts_by_service_.end() ? 0 : found->second;
 }
 
 std::size_t stage_pool::waiting(const std::string& service) const {
@@ -103,15 +104,15 @@
   if (found == pieces_.end()) {
     return;
   }
-  const bool is_given_up = fault == piece_fault::lost && found->second.work.single_attempt;
-  if (is_given_up || found->second.attempts >= most_attempts) {
+  const bool is_final_attempt = fault == piece_fault::lost && found->second.work.single_attempt;
+  if (is_final_attempt || found->second.attempts >= max_calls_per_piece) {
     finish(ticket, {fault, {}});
     return;
   }
   enqueue(ticket);
 }
 
-void stage_pool::settle(piece_ticket ticket, const piece_outcome& outcome) {
+void stage_pool::apply_outcome(piece_ticket ticket, const piece_outcome& outcome) {
   if (!pieces_.contains(ticket)) {
     if (!outcome.handle.empty()) {
       release(outcome.handle);
@@ -133,36 +134,37 @@
   }
 }
 
-void stage_pool::note_lost(const open_call& ended, base::time_point now) {
-  for (const auto ticket : ended.tickets) {
+void stage_pool::note_lost_pieces(const open_call& call, base::time_point now) {
+  for (const auto ticket : call.tickets) {
     const auto found = pieces_.find(ticket);
     if (found != pieces_.end()) {
       auto& piece = found->second;
       ++piece.lost_calls;
-      piece.rests_until = piece.lost_calls >= lost_calls_before_alone ? now + lost_piece_rest : now;
-      lost_.push_back({ticket, ended.call.target.replica, ended.incarnation_exit});
+      piece.backoff_ends_at =
+          piece.lost_calls >= lost_calls_before_isolation ? now + lost_piece_backoff : now;
+      lost_.push_back({ticket, call.command.target.replica, call.incarnation_exit});
     }
   }
 }
 
-void stage_pool::take_answers(const open_call& ended, const stage_call_ended& answer,
+void stage_pool::apply_answer(const open_call& call, const stage_call_ended& answer,
                               base::time_point now) {
-  const auto& replica = ended.call.target.replica;
+  const auto& replica = call.command.target.replica;
   switch (answer.how) {
   case stage_call_ended::result::answered:
     replicas_->note_success(replica, now);
-    note_pace(ended, now);
-    for (std::size_t index = 0; index < ended.tickets.size(); ++index) {
+    note_pace(call, now);
+    for (std::size_t index = 0; index < call.tickets.size(); ++index) {
       if (answer.pieces[index].fault == piece_fault::no_room) {
-        note_no_room(ended, now);
+        note_memory_exhausted(call, now);
       }
-      hold_result(ended, index, answer.pieces[index], now);
-      settle(ended.tickets[index], answer.pieces[index]);
+      record_result(call, index, answer.pieces[index], now);
+      apply_outcome(call.tickets[index], answer.pieces[index]);
     }
     return;
   case stage_call_ended::result::refused:
     replicas_->note_heard(replica, now);
-    note_occupied(ended, now);
+    note_occupied(call, now);
     break;
   case stage_call_ended::result::misdirected:
     replicas_->note_left(replica);
@@ -171,87 +173,88 @@
     replicas_->note_unreachable(replica, now);
     break;
   case stage_call_ended::result::failed:
-    note_lost(ended, now);
+    note_lost_pieces(call, now);
     replicas_->note_failure(replica, now);
     replicas_->note_full(replica, now);
     break;
   }
-  const bool not_done = answer.how != stage_call_ended::result::failed;
-  for (const auto ticket : ended.tickets) {
+  const bool was_not_run = answer.how != stage_call_ended::result::failed;
+  for (const auto ticket : call.tickets) {
     const auto found = pieces_.find(ticket);
-    if (found != pieces_.end() && not_done && found->second.attempts > 0) {
+    if (found != pieces_.end() && was_not_run && found->second.attempts > 0) {
       --found->second.attempts;
     }
-    requeue(ticket, not_done ? piece_fault::not_run : piece_fault::lost);
+    requeue(ticket, was_not_run ? piece_fault::not_run : piece_fault::lost);
   }
 }
 
-void stage_pool::note_occupied(const open_call& ended, base::time_point now) {
-  const auto& replica = ended.call.target.replica;
-  if (const auto* capacity = capacity_of(ended.service)) {
-    replicas_->note_occupied(replica, usual_time(*capacity, ended.tickets.size()), now);
+void stage_pool::note_occupied(const open_call& call, base::time_point now) {
+  const auto& replica = call.command.target.replica;
+  if (const auto* capacity = capacity_of(call.service)) {
+    replicas_->note_occupied(replica, nominal_call_time(*capacity, call.tickets.size()), now);
   } else {
     replicas_->note_full(replica, now);
   }
 }
 
-void stage_pool::note_pace(const open_call& ended, base::time_point now) {
-  const auto* capacity = capacity_of(ended.service);
+void stage_pool::note_pace(const open_call& call, base::time_point now) {
+  const auto* capacity = capacity_of(call.service);
   if (capacity != nullptr) {
-    replicas_->note_pace(ended.call.target.replica, now - ended.started,
-                         usual_time(*capacity, ended.tickets.size()), now);
+    replicas_->note_pace(call.command.target.replica, now - call.started_at,
+                         nominal_call_time(*capacity, call.tickets.size()), now);
   }
 }
 
-void stage_pool::end_call_account(const open_call& open) {
-  const auto& replica = open.call.target.replica;
+void stage_pool::release_call(const open_call& call) {
+  const auto& replica = call.command.target.replica;
   replicas_->call_ended(replica);
-  --calls_at_[replica];
-  --calls_of_[open.service];
-  give_ups_.clear(open.call.call);
-  input_fetches_.clear(open.call.call);
-  for (const auto bytes : open.result_bytes) {
-    room_taken_[replica] -= bytes;
+  --call_counts_by_replica_[replica];
+  --call_counts_by_service_[call.service];
+  call_timeouts_.clear(call.command.call);
+  expected_fetches_.clear(call.command.call);
+  for (const auto bytes : call.result_bytes) {
+    result_bytes_by_replica_[replica] -= bytes;
   }
 }
 
 void stage_pool::on_replica_restarted(const base::replica_id& replica, base::time_point now) {
-  std::vector<base::call_id> over;
+  std::vector<base::call_id> interrupted;
   for (const auto& [call, open] : calls_) {
-    if (open.call.target.replica == replica &&
-        replicas_->is_at_earlier_life(replica, open.started)) {
-      over.push_back(call);
+    if (open.command.target.replica == replica &&
+        replicas_->is_at_earlier_life(replica, open.started_at)) {
+      interrupted.push_back(call);
     }
   }
-  std::sort(over.begin(), over.end());
-  for (const auto call : over) {
-    end_at_earlier_life(call, now);
+  std::sort(interrupted.begin(), interrupted.end());
+  for (const auto call : interrupted) {
+    cancel_call_of_earlier_incarnation(call, now);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> lost_results;
   for (const auto& [handle, result] : results_) {
-    if (result.replica == replica && replicas_->is_at_earlier_life(replica, result.begun_at)) {
-      gone.push_back(handle);
+    if (result.replica == replica &&
+        replicas_->is_at_earlier_life(replica, result.call_started_at)) {
+      lost_results.push_back(handle);
     }
   }
-  for (const auto& handle : gone) {
+  for (const auto& handle : lost_results) {
     forget_result(handle);
   }
-  unknown_room_.erase(replica);
-  unfreed_.erase(replica);
-  next_check_ = {};
+  unaccounted_memory_.erase(replica);
+  deferred_frees_.erase(replica);
+  next_check_at_ = {};
 }
 
-void stage_pool::end_at_earlier_life(base::call_id call, base::time_point now) {
+void stage_pool::cancel_call_of_earlier_incarnation(base::call_id call, base::time_point now) {
   const auto found = calls_.find(call);
   const auto open = std::move(found->second);
   calls_.erase(found);
   commands_.emplace_back(cancel_call{call});
-  end_call_account(open);
-  note_lost(open, now);
-  record_(base::event_kind::stage_retried, open.call.items.front().request,
-          open.call.target.replica.text(),
+  release_call(open);
+  note_lost_pieces(open, now);
+  record_(base::event_kind::stage_retried, open.command.items.front().request,
+          open.command.target.replica.text(),
           "call " + std::to_string(call) + ": its replica started again after " +
-              std::to_string(base::to_milliseconds(now - open.started)) + " ms");
+              std::to_string(base::to_milliseconds(now - open.started_at)) + " ms");
   for (const auto ticket : open.tickets) {
     requeue(ticket, piece_fault::lost);
   }
@@ -264,34 +267,34 @@
   }
   const auto open = std::move(found->second);
   calls_.erase(found);
-  next_check_ = {};
-  end_call_account(open);
-  learn_fetch_time(open, ended, now);
-  record_ended(open, ended, now);
-  take_answers(open, ended, now);
+  next_check_at_ = {};
+  release_call(open);
+  update_fetch_time(open, ended, now);
+  record_call_end(open, ended, now);
+  apply_answer(open, ended, now);
   return true;
 }
 
-void stage_pool::record_ended(const open_call& ended, const stage_call_ended& answer,
-                              base::time_point now) const {
+void stage_pool::record_call_end(const open_call& call, const stage_call_ended& answer,
+                                 base::time_point now) const {
   std::string faults;
   for (const auto& piece : answer.pieces) {
     if (piece.fault != piece_fault::none) {
       faults += " " + std::to_string(static_cast<int>(piece.fault));
     }
   }
-  record_(base::event_kind::stage_completed, ended.call.items.front().request,
-          ended.call.target.replica.text(),
-          "call " + std::to_string(ended.call.call) + " ended " +
+  record_(base::event_kind::stage_completed, call.command.items.front().request,
+          call.command.target.replica.text(),
+          "call " + std::to_string(call.command.call) + " ended " +
               std::to_string(static_cast<int>(answer.how)) + " after " +
-              std::to_string(base::to_milliseconds(now - ended.started)) + " ms" +
+              std::to_string(base::to_milliseconds(now - call.started_at)) + " ms" +
               (faults.empty() ? "" : ", piece faults" + faults));
 }
 
-void stage_pool::give_up_stalled(base::time_point now) {
-  for (const auto call : give_ups_.take_due(now)) {
+void stage_pool::cancel_timed_out_calls(base::time_point now) {
+  for (const auto call : call_timeouts_.take_due(now)) {
     commands_.emplace_back(cancel_call{call});
-    const auto replica = calls_.at(call).call.target.replica;
+    const auto replica = calls_.at(call).command.target.replica;
     note_pace(calls_.at(call), now);
     on_call_ended({call, stage_call_ended::result::failed, {}}, now);
     replicas_->note_unreachable(replica, now);
@@ -306,53 +309,54 @@
   }
 }
 
-bool stage_pool::batch_is_due(const service_queue& queue, const model::piece_capacity& capacity,
+bool stage_pool::is_batch_due(const service_queue& queue, const model::piece_capacity& capacity,
                               base::time_point now) const {
   if (queue.size() >= capacity.batch) {
     return true;
   }
   return std::any_of(queue.begin(), queue.end(), [&](const queue_position& position) {
-    return now - pieces_.at(position.ticket).submitted >= settings_.batch_wait;
+    return now - pieces_.at(position.ticket).submitted_at >= settings_.batch_wait;
   });
 }
 
 stage_pool::residency_list stage_pool::residencies_in(const service_queue& queue) const {
-  residency_list sets;
+  residency_list residencies;
   for (const auto& position : queue) {
-    const auto& allowed = pieces_.at(position.ticket).work.permitted_regions;
-    if (std::find(sets.begin(), sets.end(), allowed) == sets.end()) {
-      sets.push_back(allowed);
+    const auto& residency = pieces_.at(position.ticket).work.permitted_regions;
+    if (std::find(residencies.begin(), residencies.end(), residency) == residencies.end()) {
+      residencies.push_back(residency);
     }
   }
-  return sets;
+  return residencies;
 }
 
-bool stage_pool::may_take(const replica_state& replica, const model::residency& allowed) const {
-  return replicas_->permits(allowed, replica) && (!filter_ || filter_(replica, allowed));
+bool stage_pool::may_serve(const replica_state& replica, const model::residency& residency) const {
+  return replicas_->permits(residency, replica) && (!filter_ || filter_(replica, residency));
 }
 
-bool stage_pool::may_take_any(const replica_state& replica, const residency_list& sets) const {
-  return std::any_of(sets.begin(), sets.end(),
-                     [&](const model::residency& allowed) { return may_take(replica, allowed); });
+bool stage_pool::may_serve_any(const replica_state& replica,
+                               const residency_list& residencies) const {
+  return std::any_of(
+      residencies.begin(), residencies.end(),
+      [&](const model::residency& residency) { return may_serve(replica, residency); });
 }
 
-std::vector<const replica_state*> stage_pool::free_replicas(const std::string& name,
-                                                            const model::piece_capacity& capacity,
-                                                            const residency_list& sets,
-                                                            base::time_point now) const {
+std::vector<const replica_state*>
+stage_pool::replicas_with_free_slot(const std::string& name, const model::piece_capacity& capacity,
+                                    const residency_list& residencies, base::time_point now) const {
   auto found = replicas_->available(name, now);
   std::erase_if(found, [&](const replica_state* state) {
-    const auto calls = calls_at_.find(state->record->id);
-    const auto under_way = calls == calls_at_.end() ? 0 : calls->second;
-    const bool is_free = under_way < capacity.slots && may_take_any(*state, sets);
-    const bool may_be_sent = is_free && replicas_->may_be_sent(*state, now);
-    if (is_free && !may_be_sent) {
+    const auto calls = call_counts_by_replica_.find(state->record->id);
+    const auto under_way = calls == call_counts_by_replica_.end() ? 0 : calls->second;
+    const bool has_free_slot = under_way < capacity.slots && may_serve_any(*state, residencies);
+    const bool can_send = has_free_slot && replicas_->may_be_sent(*state, now);
+    if (has_free_slot && !can_send) {
       replicas_->note_waiting(state->record->id, 1, now);
     }
-    return !may_be_sent;
+    return !can_send;
   });
   std::stable_partition(found.begin(), found.end(), [&](const replica_state* state) {
-    return replica_table::slowness_of(*state, now) < slow;
+    return replica_table::slowness_of(*state, now) < slow_replica_slowdown;
   });
   return found;
 }
@@ -377,49 +381,52 @@
   return tickets;
 }
 
-void stage_pool::start_batch(const std::string& name, const std::vector<queue_position>& batch,
-                             service_queue& queue, const replica_state& replica,
-                             const model::piece_capacity& capacity, base::time_point now) {
+void stage_pool::start_call(const std::string& name, const std::vector<queue_position>& batch,
+                            service_queue& queue, const replica_state& replica,
+                            const model::piece_capacity& capacity, base::time_point now) {
   open_call open;
   open.service = name;
-  open.started = now;
+  open.started_at = now;
   open.incarnation_exit = end_of_life(*replica.record);
-  open.call.call = next_call_();
-  open.call.target = {replica.record->id, replica.record->address};
+  open.command.call = next_call_();
+  open.command.target = {replica.record->id, replica.record->address};
   for (const auto& position : batch) {
     dequeue(queue, position);
     auto& piece = pieces_.at(position.ticket);
     ++piece.attempts;
     const auto& work = piece.work;
-    open.call.items.push_back(
+    open.command.items.push_back(
         {work.request, work.stage, work.piece, work.deadline - now, work.piece_key, work.inputs});
     open.tickets.push_back(position.ticket);
     open.result_bytes.push_back(work.result_bytes);
     if (!work.inputs.empty() && settings_.input_fetch_time > base::duration::zero()) {
       const base::time_point fetched_at = now + fetch_time_;
-      input_fetches_.set(open.call.call, fetched_at);
-      next_check_ = std::min(next_check_, fetched_at);
+      expected_fetches_.set(open.command.call, fetched_at);
+      next_check_at_ = std::min(next_check_at_, fetched_at);
     }
-    room_taken_[replica.record->id] += work.result_bytes;
+    result_bytes_by_replica_[replica.record->id] += work.result_bytes;
   }
   drain_rates_[name].note_dispatched(batch.size(), queue.size(), now);
-  record_(base::event_kind::stage_dispatched, open.call.items.front().request,
-          replica.record->id.text(),
-          "call " + std::to_string(open.call.call) + " of " + name + ", " +
-              std::to_string(batch.size()) + " pieces, " + std::to_string(queue.size()) +
-              " wait, room taken " +
-              std::to_string(static_cast<std::int64_t>(room_taken_[replica.record->id])));
-  const auto usual = base::scaled(usual_time(capacity, open.tickets.size()),
-                                  replica_table::slowness_of(replica, now));
-  give_ups_.set(open.call.call, now + base::scaled(usual, stall_factor) + stall_margin);
-  commands_.emplace_back(open.call);
+  record_(
+      base::event_kind::stage_dispatched, open.command.items.front().request,
+      replica.record->id.text(),
+      "call " + std::to_string(open.command.call) + " of " + name + ", " +
+          std::to_string(batch.size()) + " pieces, " + std::to_string(queue.size()) +
+          " wait, room taken " +
+          std::to_string(static_cast<std::int64_t>(result_bytes_by_replica_[replica.record->id])));
+  const auto expected_duration = base::scaled(nominal_call_time(capacity, open.tickets.size()),
+                                              replica_table::slowness_of(replica, now));
+  call_timeouts_.set(open.command.call, now + base::scaled(expected_duration, call_timeout_factor) +
+                                            call_timeout_margin);
+  commands_.emplace_back(open.command);
   replicas_->call_started(replica.record->id, now);
-  ++calls_at_[replica.record->id];
-  ++calls_of_[name];
-  calls_.emplace(open.call.call, std::move(open));
+  ++call_counts_by_replica_[replica.record->id];
+  ++call_counts_by_service_[name];
+  calls_.emplace(open.command.call, std::move(open));
 }
 
-void stage_pool::pump_service(const std::string& name, service_queue& queue, base::time_point now) {
+void stage_pool::dispatch_service(const std::string& name, service_queue& queue,
+                                  base::time_point now) {
   const auto* capacity = capacity_of(name);
   if (capacity == nullptr) {
     while (!queue.empty()) {
@@ -432,40 +439,40 @@
   if (queue.empty()) {
     return;
   }
-  if (!batch_is_due(queue, *capacity, now)) {
-    next_check_ = std::min(next_check_, now + settings_.batch_wait);
+  if (!is_batch_due(queue, *capacity, now)) {
+    next_check_at_ = std::min(next_check_at_, now + settings_.batch_wait);
     return;
   }
-  const auto sets = residencies_in(queue);
-  const auto free = free_replicas(name, *capacity, sets, now);
-  if (free.empty()) {
+  const auto residencies = residencies_in(queue);
+  const auto free_replicas = replicas_with_free_slot(name, *capacity, residencies, now);
+  if (free_replicas.empty()) {
     return;
   }
-  const auto outlooks = outlooks_of(name, *capacity, sets, now);
-  auto groups = groups_in(queue, now);
-  for (const auto* replica : free) {
-    const auto batch = take_batch(groups, *replica, outlooks, *capacity, now);
+  const auto estimates = estimate_zone_waits(name, *capacity, residencies, now);
+  auto groups = group_pieces(queue, now);
+  for (const auto* replica : free_replicas) {
+    const auto batch = take_batch(groups, *replica, estimates, *capacity, now);
     if (!batch.empty()) {
-      start_batch(name, batch, queue, *replica, *capacity, now);
+      start_call(name, batch, queue, *replica, *capacity, now);
     }
   }
 }
 
 void stage_pool::dispatch_waiting(base::time_point now) {
-  if (now < next_check_) {
+  if (now < next_check_at_) {
     return;
   }
-  next_check_ = now + waiting_check_period;
+  next_check_at_ = now + queue_check_interval;
   forget_expired_results(now);
-  give_up_stalled(now);
+  cancel_timed_out_calls(now);
   note_fetched_inputs(now);
   drop_expired(now);
   // Freeing counts against a limit as pieces do: it goes before them only where they find no room.
-  free_where_permitted(true, now);
+  free_deferred_results(true, now);
   for (auto& [name, queue] : queues_) {
-    pump_service(name, queue, now);
+    dispatch_service(name, queue, now);
   }
-  free_where_permitted(false, now);
+  free_deferred_results(false, now);
 }
 
 std::optional<base::time_point> stage_pool::next_wakeup(base::time_point now) const {
@@ -475,12 +482,12 @@
       earliest = earliest ? std::min(*earliest, *when) : *when;
     }
   };
-  consider(give_ups_.next());
-  consider(input_fetches_.next());
-  const bool any_waits = std::any_of(queues_.begin(), queues_.end(),
-                                     [](const auto& entry) { return !entry.second.empty(); });
-  if (any_waits || !unfreed_.empty()) {
-    consider(std::max<base::time_point>(now, next_check_));
+  consider(call_timeouts_.next());
+  consider(expected_fetches_.next());
+  const bool has_waiting_pieces = std::any_of(
+      queues_.begin(), queues_.end(), [](const auto& entry) { return !entry.second.empty(); });
+  if (has_waiting_pieces || !deferred_frees_.empty()) {
+    consider(std::max<base::time_point>(now, next_check_at_));
   }
   return earliest;
 }
--- a/src/stage_work/stage_pool.h
+++ b/src/stage_work/stage_pool.h
@@ -56,7 +56,7 @@
 };
 
 /// A piece that is finished, one way or another.
-struct piece_finished {
+struct finished_piece {
   piece_ticket ticket = 0;
   piece_outcome outcome;
 };
@@ -98,7 +98,7 @@
   void on_replica_restarted(const base::replica_id& replica, base::time_point now);
 
   /// This process was paused for `gap`: calls under way are given that much more time.
-  void resume_after_suspension(base::duration gap) { give_ups_.postpone_all(gap); }
+  void resume_after_suspension(base::duration gap) { call_timeouts_.postpone_all(gap); }
 
   /// @return whether the call was one of the pool's.
   bool on_call_ended(const stage_call_ended& ended, base::time_point now);
@@ -108,7 +108,7 @@
   void dispatch_waiting(base::time_point now);
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
-  [[nodiscard]] std::vector<piece_finished> take_finished() { return std::exchange(finished_, {}); }
+  [[nodiscard]] std::vector<finished_piece> take_finished() { return std::exchange(finished_, {}); }
   /// @return pieces whose replica has fetched their inputs since the last call.
   [[nodiscard]] std::vector<piece_ticket> take_fetched() { return std::exchange(fetched_, {}); }
   /// @return pieces whose calls ended without an answer since the last call; they are made again,
@@ -133,12 +133,12 @@
  private:
   struct queued_piece {
     piece_work work;
-    base::time_point submitted;
+    base::time_point submitted_at;
     std::uint32_t attempts = 0;
     /// Calls that ended without an answer while they held it.
     std::uint32_t lost_calls = 0;
     /// It is not handed out before this time.
-    base::time_point rests_until{};
+    base::time_point backoff_ends_at{};
   };
   /// Order of handing out.
   struct queue_position {
@@ -147,12 +147,12 @@
     auto operator<=>(const queue_position&) const = default;
   };
   struct open_call {
-    start_stage_call call;
+    start_stage_call command;
     std::string service;
     /// The end of the life that is called, should that come.
     replica_end incarnation_exit = 0;
-    base::time_point started;
-    bool told_fetched = false;
+    base::time_point started_at;
+    bool has_reported_fetch = false;
     /// Pieces in the order of the call; one that was cancelled has no entry in `pieces_`.
     std::vector<piece_ticket> tickets;
     /// Size of the result of each piece.
@@ -168,51 +168,53 @@
     base::replica_id replica;
     double bytes = 0;
     /// When the call that made it began.
-    base::time_point begun_at;
+    base::time_point call_started_at;
   };
 
-  void pump_service(const std::string& name, service_queue& queue, base::time_point now);
+  void dispatch_service(const std::string& name, service_queue& queue, base::time_point now);
   /// Ends the pieces whose time was over before they were handed out.
   void drop_expired(base::time_point now);
-  void give_up_stalled(base::time_point now);
+  void cancel_timed_out_calls(base::time_point now);
   /// Finds the calls whose inputs the replicas have fetched by now.
   void note_fetched_inputs(base::time_point now);
   /// @return whether a piece that is still wanted missed a result that its maker should have.
   [[nodiscard]] bool was_freed_too_early(piece_ticket ticket, const piece_outcome& outcome,
                                          base::time_point now) const;
   /// Learns from a call how long replicas take to fetch inputs.
-  void learn_fetch_time(const open_call& ended, const stage_call_ended& answer,
-                        base::time_point now);
-  bool batch_is_due(const service_queue& queue, const model::piece_capacity& capacity,
+  void update_fetch_time(const open_call& call, const stage_call_ended& answer,
+                         base::time_point now);
+  bool is_batch_due(const service_queue& queue, const model::piece_capacity& capacity,
                     base::time_point now) const;
   /// Each set of regions that pieces of a queue are held to, once.
   using residency_list = std::vector<model::residency>;
   [[nodiscard]] residency_list residencies_in(const service_queue& queue) const;
   /// @return whether a replica may be called with a piece that is held to these regions.
-  [[nodiscard]] bool may_take(const replica_state& replica, const model::residency& allowed) const;
+  [[nodiscard]] bool may_serve(const replica_state& replica,
+                               const model::residency& residency) const;
   /// @return whether a replica may be called with a piece of any of the sets.
-  [[nodiscard]] bool may_take_any(const replica_state& replica, const residency_list& sets) const;
+  [[nodiscard]] bool may_serve_any(const replica_state& replica,
+                                   const residency_list& residencies) const;
   /// Replicas that can be given a call now.
   [[nodiscard]] std::vector<const replica_state*>
-  free_replicas(const std::string& name, const model::piece_capacity& capacity,
-                const residency_list& sets, base::time_point now) const;
-  void start_batch(const std::string& name, const std::vector<queue_position>& batch,
-                   service_queue& queue, const replica_state& replica,
-                   const model::piece_capacity& capacity, base::time_point now);
+  replicas_with_free_slot(const std::string& name, const model::piece_capacity& capacity,
+                          const residency_list& residencies, base::time_point now) const;
+  void start_call(const std::string& name, const std::vector<queue_position>& batch,
+                  service_queue& queue, const replica_state& replica,
+                  const model::piece_capacity& capacity, base::time_point now);
   /// When the replicas of one zone are expected to take more.
-  struct zone_outlook {
+  struct zone_wait_estimate {
     /// The first of them is free then.
     base::time_point free_at;
-    base::duration full_call{};
-    std::uint32_t batch = 1;
+    base::duration full_call_time{};
+    std::uint32_t batch_size = 1;
     std::uint32_t replicas = 0;
     /// Pieces that wait for this zone and go before.
     std::size_t pieces_ahead = 0;
     /// @return when a piece that waits for the zone is expected to start.
-    [[nodiscard]] base::time_point next_start() const;
+    [[nodiscard]] base::time_point next_start_at() const;
   };
   /// Zones that have any replica that works.
-  using zone_outlooks = std::map<base::zone_id, zone_outlook>;
+  using zone_wait_estimates = std::map<base::zone_id, zone_wait_estimate>;
   /// Pieces of one stage of one request, which are kept together.
   struct piece_group {
     const base::request_id* request = nullptr;
@@ -221,58 +223,62 @@
     double result_bytes = 0;
     const model::residency* permitted_regions = nullptr;
     /// Where the pieces are best made, and what is carried between zones elsewhere.
-    const base::zone_id* zone = nullptr;
+    const base::zone_id* preferred_zone = nullptr;
     double carried_bytes = 0;
-    base::time_point submitted;
+    base::time_point submitted_at;
     /// Replicas may have ended under its pieces: they go with no others, so that the next call
     /// shows whether they are to blame, and harms no others.
-    bool goes_alone = false;
+    bool must_run_alone = false;
     std::vector<queue_position> pieces;
   };
   /// Takes the pieces for the next call to a replica out of the groups: those still in time first,
   /// as many as it has room for.
   std::vector<queue_position> take_batch(std::vector<piece_group>& groups,
-                                         const replica_state& replica, zone_outlooks outlooks,
+                                         const replica_state& replica,
+                                         zone_wait_estimates estimates,
                                          const model::piece_capacity& capacity,
                                          base::time_point now) const;
-  /// Moves pieces of a group into a batch, up to `places` of them and `room` bytes of results.
-  void take_pieces(piece_group& group, std::vector<queue_position>& batch, std::size_t places,
-                   double& room) const;
+  /// Moves pieces of a group into a batch, up to `free_slots` of them and `free_bytes` bytes of
+  /// results.
+  void move_pieces(piece_group& group, std::vector<queue_position>& batch, std::size_t free_slots,
+                   double& free_bytes) const;
   /// @return whether a group may be made at a replica of `zone` now, or should wait for one of the
   ///         zone where it is best made.
   [[nodiscard]] bool may_run_in(const piece_group& group, const base::zone_id& zone,
-                                const zone_outlooks& outlooks, base::time_point now) const;
-  [[nodiscard]] zone_outlooks outlooks_of(const std::string& name,
-                                          const model::piece_capacity& capacity,
-                                          const residency_list& sets, base::time_point now) const;
-  [[nodiscard]] std::vector<piece_group> groups_in(const service_queue& queue,
-                                                   base::time_point now) const;
-  [[nodiscard]] double free_room(const base::replica_id& replica,
-                                 const model::piece_capacity& capacity, base::time_point now) const;
-  void note_no_room(const open_call& ended, base::time_point now);
+                                const zone_wait_estimates& estimates, base::time_point now) const;
+  [[nodiscard]] zone_wait_estimates estimate_zone_waits(const std::string& name,
+                                                        const model::piece_capacity& capacity,
+                                                        const residency_list& residencies,
+                                                        base::time_point now) const;
+  [[nodiscard]] std::vector<piece_group> group_pieces(const service_queue& queue,
+                                                      base::time_point now) const;
+  [[nodiscard]] double free_result_bytes(const base::replica_id& replica,
+                                         const model::piece_capacity& capacity,
+                                         base::time_point now) const;
+  void note_memory_exhausted(const open_call& call, base::time_point now);
   void forget_expired_results(base::time_point now);
   /// Ends a call whose replica started again.
-  void end_at_earlier_life(base::call_id call, base::time_point now);
+  void cancel_call_of_earlier_incarnation(base::call_id call, base::time_point now);
   /// @return whether results of an earlier life of a maker may still be asked for.
-  [[nodiscard]] bool restarted_of_late(const replica_state& maker, base::time_point now) const;
+  [[nodiscard]] bool has_restarted_recently(const replica_state& maker, base::time_point now) const;
   void forget_result(const std::string& handle);
   /// Frees results that wait for it where their makers may be sent something now.
-  /// @param only_short_of_room those that would take no piece for want of room.
-  void free_where_permitted(bool only_short_of_room, base::time_point now);
-  [[nodiscard]] bool is_short_of_room(const replica_state& replica, base::time_point now) const;
+  /// @param only_short_of_memory those that would take no piece for want of room.
+  void free_deferred_results(bool only_short_of_memory, base::time_point now);
+  [[nodiscard]] bool is_short_of_memory(const replica_state& replica, base::time_point now) const;
   /// A replica refused a call: others call it too.
-  void note_occupied(const open_call& ended, base::time_point now);
+  void note_occupied(const open_call& call, base::time_point now);
   /// Learns from a call how fast its replica is.
-  void note_pace(const open_call& ended, base::time_point now);
-  void end_call_account(const open_call& open);
-  void take_answers(const open_call& ended, const stage_call_ended& answer, base::time_point now);
-  void settle(piece_ticket ticket, const piece_outcome& outcome);
+  void note_pace(const open_call& call, base::time_point now);
+  void release_call(const open_call& call);
+  void apply_answer(const open_call& call, const stage_call_ended& answer, base::time_point now);
+  void apply_outcome(piece_ticket ticket, const piece_outcome& outcome);
   /// Keeps account of the pieces of a call that ended without an answer.
-  void note_lost(const open_call& ended, base::time_point now);
-  void record_ended(const open_call& ended, const stage_call_ended& answer,
-                    base::time_point now) const;
-  void hold_result(const open_call& ended, std::size_t index, const piece_outcome& outcome,
-                   base::time_point now);
+  void note_lost_pieces(const open_call& call, base::time_point now);
+  void record_call_end(const open_call& call, const stage_call_ended& answer,
+                       base::time_point now) const;
+  void record_result(const open_call& call, std::size_t index, const piece_outcome& outcome,
+                     base::time_point now);
   /// Queues a piece again, or ends it with `fault` where it was tried often enough.
   void requeue(piece_ticket ticket, piece_fault fault);
   void finish(piece_ticket ticket, piece_outcome outcome);
@@ -286,37 +292,37 @@
   replica_filter filter_;
   piece_ticket next_ticket_ = 1;
   /// The queues are looked at again then; earlier after a change.
-  base::time_point next_check_;
+  base::time_point next_check_at_;
   std::unordered_map<piece_ticket, queued_piece> pieces_;
   std::map<std::string, service_queue> queues_;
   std::map<std::string, drain_rate> drain_rates_;
   std::unordered_map<base::call_id, open_call> calls_;
   /// Calls under way by service.
-  std::map<std::string, std::size_t> calls_of_;
+  std::map<std::string, std::size_t> call_counts_by_service_;
   /// Deadlines of the pieces that wait for a call.
   base::due_times<piece_ticket> waiting_deadlines_;
   /// When calls without an answer are given up.
-  base::due_times<base::call_id> give_ups_;
+  base::due_times<base::call_id> call_timeouts_;
   /// When the replicas of calls have fetched the inputs of their pieces; calls without inputs, and
   /// those of which it was told, have no entry.
-  base::due_times<base::call_id> input_fetches_;
+  base::due_times<base::call_id> expected_fetches_;
   /// When results expire at their makers.
   base::due_times<std::string> result_expiries_;
-  std::map<base::replica_id, std::uint32_t> calls_at_;
+  std::map<base::replica_id, std::uint32_t> call_counts_by_replica_;
   /// Room taken by results, at work or waiting to be fetched.
-  std::map<base::replica_id, double> room_taken_;
+  std::map<base::replica_id, double> result_bytes_by_replica_;
   /// Room taken by results that this pool knows nothing of, seen when a replica had none left.
-  struct unknown_room {
+  struct unaccounted_memory {
     double bytes = 0;
     base::time_point until;
   };
-  std::map<base::replica_id, unknown_room> unknown_room_;
+  std::map<base::replica_id, unaccounted_memory> unaccounted_memory_;
   std::unordered_map<std::string, held_result> results_;
-  std::vector<piece_finished> finished_;
+  std::vector<finished_piece> finished_;
   std::vector<piece_ticket> fetched_;
   std::vector<lost_piece> lost_;
   /// Results that are to be freed when their makers may be sent something again.
-  std::map<base::replica_id, std::vector<std::string>> unfreed_;
+  std::map<base::replica_id, std::vector<std::string>> deferred_frees_;
   /// Time after which a replica is taken to have fetched the inputs of a call.
   base::duration fetch_time_;
   command_list commands_;
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -9,19 +9,19 @@
 
 namespace spurrack::serving {
 
-std::vector<stage_pool::piece_group> stage_pool::groups_in(const service_queue& queue,
-                                                           base::time_point now) const {
+std::vector<stage_pool::piece_group> stage_pool::group_pieces(const service_queue& queue,
+                                                              base::time_point now) const {
   std::vector<piece_group> groups;
   for (const auto& position : queue) {
     const auto& piece = pieces_.at(position.ticket);
     const auto& work = piece.work;
-    if (piece.rests_until > now) {
+    if (piece.backoff_ends_at > now) {
       continue;
     }
-    const bool joins = !groups.empty() && *groups.back().request == work.request &&
-                       groups.back().stage == work.stage &&
-                       *groups.back().permitted_regions == work.permitted_regions;
-    if (!joins) {
+    const bool extends_group = !groups.empty() && *groups.back().request == work.request &&
+                               groups.back().stage == work.stage &&
+                               *groups.back().permitted_regions == work.permitted_regions;
+    if (!extends_group) {
       groups.push_back({&work.request,
                         work.stage,
                         position.due,
@@ -29,12 +29,12 @@
                         &work.permitted_regions,
                         &work.zone,
                         0,
-                        piece.submitted,
+                        piece.submitted_at,
                         false,
                         {}});
     }
-    groups.back().goes_alone = groups.back().goes_alone || work.single_attempt ||
-                               piece.lost_calls >= lost_calls_before_alone;
+    groups.back().must_run_alone = groups.back().must_run_alone || work.single_attempt ||
+                                   piece.lost_calls >= lost_calls_before_isolation;
     groups.back().result_bytes += work.result_bytes;
     groups.back().carried_bytes += work.carried_bytes;
     groups.back().pieces.push_back(position);
@@ -43,52 +43,52 @@
 }
 
 bool stage_pool::may_run_in(const piece_group& group, const base::zone_id& zone,
-                            const zone_outlooks& outlooks, base::time_point now) const {
-  const auto own_zone = outlooks.find(*group.zone);
-  const bool has_own_zone =
-      own_zone != outlooks.end() &&
-      group.permitted_regions->permits(settings_.regions.region_of(*group.zone));
-  if (*group.zone == zone || !has_own_zone) {
+                            const zone_wait_estimates& estimates, base::time_point now) const {
+  const auto preferred = estimates.find(*group.preferred_zone);
+  const bool can_use_preferred_zone =
+      preferred != estimates.end() &&
+      group.permitted_regions->permits(settings_.regions.region_of(*group.preferred_zone));
+  if (*group.preferred_zone == zone || !can_use_preferred_zone) {
     return true;
   }
-  const auto ring = settings_.regions.ring_between(*group.zone, zone);
-  const double patience = distance::carrying_seconds(ring, group.carried_bytes);
-  if (base::to_seconds(now - group.submitted) >= patience) {
+  const auto ring = settings_.regions.ring_between(*group.preferred_zone, zone);
+  const double max_wait = distance::carrying_seconds(ring, group.carried_bytes);
+  if (base::to_seconds(now - group.submitted_at) >= max_wait) {
     return true;
   }
-  const bool is_late = group.due <= now;
-  const auto& outlook = own_zone->second;
+  const bool is_past_due = group.due <= now;
+  const auto& estimate = preferred->second;
   // Half a call of margin: the published call times are means, and a call in the own zone may start
   // later than expected.
-  return !is_late && outlook.next_start() + outlook.full_call / 2 > group.due;
+  return !is_past_due && estimate.next_start_at() + estimate.full_call_time / 2 > group.due;
 }
 
-base::time_point stage_pool::zone_outlook::next_start() const {
-  const auto batches_ahead = pieces_ahead / batch;
+base::time_point stage_pool::zone_wait_estimate::next_start_at() const {
+  const auto batches_ahead = pieces_ahead / batch_size;
   const auto rounds = static_cast<double>(batches_ahead) / static_cast<double>(replicas);
-  return free_at + base::from_seconds(base::to_seconds(full_call) * rounds);
+  return free_at + base::from_seconds(base::to_seconds(full_call_time) * rounds);
 }
 
-stage_pool::zone_outlooks stage_pool::outlooks_of(const std::string& name,
-                                                  const model::piece_capacity& capacity,
-                                                  const residency_list& sets,
-                                                  base::time_point now) const {
+stage_pool::zone_wait_estimates
+stage_pool::estimate_zone_waits(const std::string& name, const model::piece_capacity& capacity,
+                                const residency_list& residencies, base::time_point now) const {
   std::map<base::replica_id, base::time_point> busy_until;
   for (const auto& [call, open] : calls_) {
-    auto& until = busy_until[open.call.target.replica];
-    until =
-        std::max<base::time_point>(until, open.started + usual_time(capacity, open.tickets.size()));
+    auto& until = busy_until[open.command.target.replica];
+    until = std::max<base::time_point>(until, open.started_at +
+                                                  nominal_call_time(capacity, open.tickets.size()));
   }
-  const auto full_call = usual_time(capacity, capacity.batch);
-  zone_outlooks outlooks;
+  const auto full_call_time = nominal_call_time(capacity, capacity.batch);
+  zone_wait_estimates estimates;
   for (const auto* replica : replicas_->available(name, now)) {
-    if (!may_take_any(*replica, sets)) {
+    if (!may_serve_any(*replica, residencies)) {
       continue;
     }
     const auto busy = busy_until.find(replica->record->id);
     auto free_at = busy == busy_until.end() ? now : std::max(now, busy->second);
-    if (free_room(replica->record->id, capacity, now) < capacity.result_room_bytes * scarce_room) {
-      free_at = std::max<base::time_point>(free_at, now + full_call);
+    if (free_result_bytes(replica->record->id, capacity, now) <
+        capacity.result_room_bytes * low_memory_share) {
+      free_at = std::max<base::time_point>(free_at, now + full_call_time);
     }
     free_at = std::max(free_at, replica->backoff.until());
     const auto limit = replicas_->limit_of(*replica);
@@ -98,52 +98,53 @@
     if (limit && !replicas_->has_permit(*replica, now)) {
       free_at = std::max<base::time_point>(free_at, now + base::from_seconds(1 / *limit));
     }
-    const zone_outlook fresh{free_at, full_call, capacity.batch, 0, 0};
-    auto& outlook = outlooks.try_emplace(replica->record->zone, fresh).first->second;
-    outlook.free_at = std::min(outlook.free_at, free_at);
-    ++outlook.replicas;
+    const zone_wait_estimate initial{free_at, full_call_time, capacity.batch, 0, 0};
+    auto& estimate = estimates.try_emplace(replica->record->zone, initial).first->second;
+    estimate.free_at = std::min(estimate.free_at, free_at);
+    ++estimate.replicas;
   }
-  return outlooks;
+  return estimates;
 }
 
 std::vector<stage_pool::queue_position>
 stage_pool::take_batch(std::vector<piece_group>& groups, const replica_state& replica,
-                       zone_outlooks outlooks, const model::piece_capacity& capacity,
+                       zone_wait_estimates estimates, const model::piece_capacity& capacity,
                        base::time_point now) const {
-  double room = free_room(replica.record->id, capacity, now);
-  const double slowness = replica_table::slowness_of(replica, now);
-  const auto delay = slowness < slow
+  double free_bytes = free_result_bytes(replica.record->id, capacity, now);
+  const double slowdown = replica_table::slowness_of(replica, now);
+  const auto delay = slowdown < slow_replica_slowdown
                          ? base::duration::zero()
-                         : base::scaled(usual_time(capacity, capacity.batch), slowness - 1);
+                         : base::scaled(nominal_call_time(capacity, capacity.batch), slowdown - 1);
   std::vector<queue_position> batch;
   for (const bool in_time : {true, false}) {
     for (auto& group : groups) {
-      if (batch.size() == capacity.batch || room <= 0) {
+      if (batch.size() == capacity.batch || free_bytes <= 0) {
         return batch;
       }
-      const bool permitted = may_take(replica, *group.permitted_regions);
-      if (group.pieces.empty() || !permitted || (group.due > now) != in_time) {
+      const bool is_permitted = may_serve(replica, *group.permitted_regions);
+      if (group.pieces.empty() || !is_permitted || (group.due > now) != in_time) {
         continue;
       }
-      if (group.goes_alone && !batch.empty()) {
+      if (group.must_run_alone && !batch.empty()) {
         continue;
       }
       if (in_time && group.due < now + delay) {
         continue;
       }
-      if (!may_run_in(group, replica.record->zone, outlooks, now)) {
-        outlooks.at(*group.zone).pieces_ahead += group.pieces.size();
+      if (!may_run_in(group, replica.record->zone, estimates, now)) {
+        estimates.at(*group.preferred_zone).pieces_ahead += group.pieces.size();
         continue;
       }
-      const auto places = capacity.batch - batch.size();
-      const bool divisible = group.pieces.size() > capacity.batch ||
-                             group.result_bytes > capacity.result_room_bytes * planned_room;
-      const bool fits = group.pieces.size() <= places && group.result_bytes <= room;
-      if (!fits && !divisible) {
+      const auto free_slots = capacity.batch - batch.size();
+      const bool is_divisible =
+          group.pieces.size() > capacity.batch ||
+          group.result_bytes > capacity.result_room_bytes * usable_memory_share;
+      const bool does_fit = group.pieces.size() <= free_slots && group.result_bytes <= free_bytes;
+      if (!does_fit && !is_divisible) {
         continue;
       }
-      take_pieces(group, batch, places, room);
-      if (group.goes_alone) {
+      move_pieces(group, batch, free_slots, free_bytes);
+      if (group.must_run_alone) {
         return batch;
       }
     }
@@ -151,22 +152,22 @@
   return batch;
 }
 
-void stage_pool::take_pieces(piece_group& group, std::vector<queue_position>& batch,
-                             std::size_t places, double& room) const {
-  std::vector<queue_position> left;
+void stage_pool::move_pieces(piece_group& group, std::vector<queue_position>& batch,
+                             std::size_t free_slots, double& free_bytes) const {
+  std::vector<queue_position> remaining;
   for (const auto& position : group.pieces) {
     const auto& work = pieces_.at(position.ticket).work;
-    if (places == 0 || work.result_bytes > room) {
-      left.push_back(position);
+    if (free_slots == 0 || work.result_bytes > free_bytes) {
+      remaining.push_back(position);
       continue;
     }
-    --places;
-    room -= work.result_bytes;
+    --free_slots;
+    free_bytes -= work.result_bytes;
     group.result_bytes -= work.result_bytes;
     group.carried_bytes -= work.carried_bytes;
     batch.push_back(position);
   }
-  group.pieces = std::move(left);
+  group.pieces = std::move(remaining);
 }
 
 } // namespace spurrack::serving
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -11,37 +11,37 @@
 namespace {
 
 /// How long room that turned out to be taken is planned without.
-constexpr base::duration unknown_room_lifetime = std::chrono::milliseconds(700);
+constexpr base::duration unaccounted_memory_lifetime = std::chrono::milliseconds(700);
 /// Where inputs were freed too early, the time is doubled up to this, and comes back over this many
 /// good calls. Results that lie longer take up room that their makers are short of: more than the
 /// time of a call or two does more harm than good.
-constexpr base::duration longest_fetch_time = std::chrono::milliseconds(640);
-constexpr int fetch_time_smoothing = 10;
-/// A maker that failed this share of its latest calls may have lost its results.
-constexpr double failing = 0.1;
+constexpr base::duration max_fetch_time = std::chrono::milliseconds(640);
+constexpr int fetch_time_recovery_calls = 10;
+/// A producer that failed this share of its latest calls may have lost its results.
+constexpr double suspect_failure_share = 0.1;
 
 } // namespace
 
-void stage_pool::hold_result(const open_call& ended, std::size_t index,
-                             const piece_outcome& outcome, base::time_point now) {
-  const auto* capacity = capacity_of(ended.service);
+void stage_pool::record_result(const open_call& call, std::size_t index,
+                               const piece_outcome& outcome, base::time_point now) {
+  const auto* capacity = capacity_of(call.service);
   if (outcome.handle.empty() || capacity == nullptr) {
     return;
   }
-  const auto& replica = ended.call.target.replica;
-  const auto bytes = ended.result_bytes[index];
-  room_taken_[replica] += bytes;
-  results_[outcome.handle] = {replica, bytes, ended.started};
+  const auto& replica = call.command.target.replica;
+  const auto bytes = call.result_bytes[index];
+  result_bytes_by_replica_[replica] += bytes;
+  results_[outcome.handle] = {replica, bytes, call.started_at};
   result_expiries_.set(outcome.handle, now + capacity->result_lifetime);
 }
 
 void stage_pool::forget_result(const std::string& handle) {
   const auto found = results_.find(handle);
   if (found != results_.end()) {
-    room_taken_[found->second.replica] -= found->second.bytes;
+    result_bytes_by_replica_[found->second.replica] -= found->second.bytes;
     results_.erase(found);
     result_expiries_.clear(handle);
-    next_check_ = {};
+    next_check_at_ = {};
   }
 }
 
@@ -53,8 +53,8 @@
 
 void stage_pool::release(const std::string& handle) {
   forget_result(handle);
-  const auto maker = producer_of(handle);
-  const auto* replica = replicas_->find_at(maker);
+  const auto producer = producer_of(handle);
+  const auto* replica = replicas_->find_at(producer);
   // Nothing is sent to an evacuated zone, nor to a replica that leaves; what lies there expires.
   if (replica == nullptr || replicas_->is_evacuated(replica->record->zone) ||
       replicas_->says_it_leaves(*replica)) {
@@ -62,94 +62,97 @@
   }
   // The pump asks whether something may be sent now.
   if (replicas_->limit_of(*replica) || replica->backoff.was_asked()) {
-    unfreed_[replica->record->id].push_back(handle);
+    deferred_frees_[replica->record->id].push_back(handle);
     return;
   }
-  for (auto& wanted : commands_) {
-    auto* open = std::get_if<free_results>(&wanted);
-    if (open != nullptr && open->maker.address == maker) {
-      open->handles.push_back(handle);
+  for (auto& command : commands_) {
+    auto* pending = std::get_if<free_results>(&command);
+    if (pending != nullptr && pending->maker.address == producer) {
+      pending->handles.push_back(handle);
       return;
     }
   }
-  commands_.emplace_back(free_results{{replica->record->id, maker}, {handle}});
+  commands_.emplace_back(free_results{{replica->record->id, producer}, {handle}});
 }
 
-bool stage_pool::is_short_of_room(const replica_state& replica, base::time_point now) const {
+bool stage_pool::is_short_of_memory(const replica_state& replica, base::time_point now) const {
   const auto* capacity = capacity_of(replica.record->service);
-  return capacity != nullptr &&
-         free_room(replica.record->id, *capacity, now) < capacity->result_room_bytes * scarce_room;
+  return capacity != nullptr && free_result_bytes(replica.record->id, *capacity, now) <
+                                    capacity->result_room_bytes * low_memory_share;
 }
 
-void stage_pool::free_where_permitted(bool only_short_of_room, base::time_point now) {
-  for (auto one = unfreed_.begin(); one != unfreed_.end();) {
-    const auto* replica = replicas_->find(one->first);
+void stage_pool::free_deferred_results(bool only_short_of_memory, base::time_point now) {
+  for (auto entry = deferred_frees_.begin(); entry != deferred_frees_.end();) {
+    const auto* replica = replicas_->find(entry->first);
     if (replica != nullptr && replicas_->says_it_leaves(*replica)) {
-      one = unfreed_.erase(one);
+      entry = deferred_frees_.erase(entry);
       continue;
     }
-    if (only_short_of_room && replica != nullptr && !is_short_of_room(*replica, now)) {
-      ++one;
+    if (only_short_of_memory && replica != nullptr && !is_short_of_memory(*replica, now)) {
+      ++entry;
       continue;
     }
-    const bool may_be_sent = replica != nullptr && replicas_->may_be_sent(*replica, now);
-    if (replica != nullptr && !may_be_sent) {
-      replicas_->note_waiting(one->first, 1, now);
-      ++one;
+    const bool can_send = replica != nullptr && replicas_->may_be_sent(*replica, now);
+    if (replica != nullptr && !can_send) {
+      replicas_->note_waiting(entry->first, 1, now);
+      ++entry;
       continue;
     }
-    if (may_be_sent) {
+    if (can_send) {
       if (replicas_->limit_of(*replica)) {
         // It counts as any request does, but no answer is awaited.
-        replicas_->call_started(one->first, now);
-        replicas_->call_ended(one->first);
+        replicas_->call_started(entry->first, now);
+        replicas_->call_ended(entry->first);
       }
       commands_.emplace_back(
-          free_results{{one->first, replica->record->address}, std::move(one->second)});
+          free_results{{entry->first, replica->record->address}, std::move(entry->second)});
     }
-    one = unfreed_.erase(one);
+    entry = deferred_frees_.erase(entry);
   }
 }
 
-double stage_pool::free_room(const base::replica_id& replica, const model::piece_capacity& capacity,
-                             base::time_point now) const {
-  double taken = 0;
-  if (const auto known = room_taken_.find(replica); known != room_taken_.end()) {
-    taken += known->second;
+double stage_pool::free_result_bytes(const base::replica_id& replica,
+                                     const model::piece_capacity& capacity,
+                                     base::time_point now) const {
+  double used_bytes = 0;
+  if (const auto known = result_bytes_by_replica_.find(replica);
+      known != result_bytes_by_replica_.end()) {
+    used_bytes += known->second;
   }
-  if (const auto unknown = unknown_room_.find(replica);
-      unknown != unknown_room_.end() && now < unknown->second.until) {
-    taken += unknown->second.bytes;
+  if (const auto unaccounted = unaccounted_memory_.find(replica);
+      unaccounted != unaccounted_memory_.end() && now < unaccounted->second.until) {
+    used_bytes += unaccounted->second.bytes;
   }
-  return capacity.result_room_bytes * planned_room - taken;
+  return capacity.result_room_bytes * usable_memory_share - used_bytes;
 }
 
-void stage_pool::note_no_room(const open_call& ended, base::time_point now) {
-  const auto* capacity = capacity_of(ended.service);
+void stage_pool::note_memory_exhausted(const open_call& call, base::time_point now) {
+  const auto* capacity = capacity_of(call.service);
   if (capacity == nullptr) {
     return;
   }
-  const auto& replica = ended.call.target.replica;
-  const auto unknown = capacity->result_room_bytes * planned_room - room_taken_[replica];
-  unknown_room_[replica] = {std::max(0.0, unknown), now + unknown_room_lifetime};
+  const auto& replica = call.command.target.replica;
+  const auto unaccounted =
+      capacity->result_room_bytes * usable_memory_share - result_bytes_by_replica_[replica];
+  unaccounted_memory_[replica] = {std::max(0.0, unaccounted), now + unaccounted_memory_lifetime};
 }
 
 void stage_pool::note_fetched_inputs(base::time_point now) {
-  for (const auto call : input_fetches_.take_due(now)) {
+  for (const auto call : expected_fetches_.take_due(now)) {
     auto& open = calls_.at(call);
-    open.told_fetched = true;
+    open.has_reported_fetch = true;
     std::copy_if(open.tickets.begin(), open.tickets.end(), std::back_inserter(fetched_),
                  [this](piece_ticket ticket) { return pieces_.contains(ticket); });
   }
-  if (const auto next = input_fetches_.next()) {
-    next_check_ = std::min(next_check_, *next);
+  if (const auto next = expected_fetches_.next()) {
+    next_check_at_ = std::min(next_check_at_, *next);
   }
 }
 
-bool stage_pool::restarted_of_late(const replica_state& maker, base::time_point now) const {
-  const auto* capacity = capacity_of(maker.record->service);
-  return capacity != nullptr && maker.restart_seen_at &&
-         now - *maker.restart_seen_at < capacity->result_lifetime;
+bool stage_pool::has_restarted_recently(const replica_state& producer, base::time_point now) const {
+  const auto* capacity = capacity_of(producer.record->service);
+  return capacity != nullptr && producer.restart_seen_at &&
+         now - *producer.restart_seen_at < capacity->result_lifetime;
 }
 
 bool stage_pool::was_freed_too_early(piece_ticket ticket, const piece_outcome& outcome,
@@ -158,30 +161,31 @@
   if (outcome.fault != piece_fault::input_gone || found == pieces_.end()) {
     return false;
   }
-  // Results that went with their maker were not freed by this pool.
+  // Results that went with their producer were not freed by this pool.
   const auto& inputs = found->second.work.inputs;
   return std::all_of(inputs.begin(), inputs.end(), [&](const std::string& handle) {
-    const auto* maker = replicas_->find_at(producer_of(handle));
-    return maker != nullptr && !maker->left && maker->failure_share < failing &&
-           !restarted_of_late(*maker, now);
+    const auto* producer = replicas_->find_at(producer_of(handle));
+    return producer != nullptr && !producer->left &&
+           producer->failure_share < suspect_failure_share &&
+           !has_restarted_recently(*producer, now);
   });
 }
 
-void stage_pool::learn_fetch_time(const open_call& ended, const stage_call_ended& answer,
-                                  base::time_point now) {
-  if (!ended.told_fetched || answer.pieces.empty()) {
+void stage_pool::update_fetch_time(const open_call& call, const stage_call_ended& answer,
+                                   base::time_point now) {
+  if (!call.has_reported_fetch || answer.pieces.empty()) {
     return;
   }
   bool freed_too_early = false;
-  for (std::size_t index = 0; index < ended.tickets.size() && index < answer.pieces.size();
+  for (std::size_t index = 0; index < call.tickets.size() && index < answer.pieces.size();
        ++index) {
     freed_too_early =
-        freed_too_early || was_freed_too_early(ended.tickets[index], answer.pieces[index], now);
+        freed_too_early || was_freed_too_early(call.tickets[index], answer.pieces[index], now);
   }
   if (freed_too_early) {
-    fetch_time_ = std::min(fetch_time_ * 2, longest_fetch_time);
+    fetch_time_ = std::min(fetch_time_ * 2, max_fetch_time);
   } else {
-    fetch_time_ -= (fetch_time_ - settings_.input_fetch_time) / fetch_time_smoothing;
+    fetch_time_ -= (fetch_time_ - settings_.input_fetch_time) / fetch_time_recovery_calls;
   }
 }
 
