--- a/src/stage_work/drain_rate.cc
+++ b/src/stage_work/drain_rate.cc
@@ -4,9 +4,9 @@
 namespace {
 
 constexpr base::duration window_duration = std::chrono::milliseconds(400);
-/// A rate says nothing more after this time.
+/// Time after which a measured rate is no longer valid.
 constexpr base::duration rate_lifetime = std::chrono::milliseconds(1500);
-/// Share of the newest window in the smoothed rate.
+/// Weight of the newest window in the smoothed rate.
 constexpr double newest_window_weight = 0.5;
 
 } // namespace
--- a/src/stage_work/drain_rate.h
+++ b/src/stage_work/drain_rate.h
@@ -1,4 +1,4 @@
-/// How fast a queue is worked off while it is not empty: what expected waits are computed from.
+/// Rate at which a queue drains while it is not empty; expected waits are computed from it.
 #pragma once
 
 #include "base/time.h"
@@ -8,19 +8,20 @@
 
 namespace spurrack::serving {
 
-/// Not thread-safe.
+/// Measures the drain rate of one queue. Not thread-safe.
 class drain_rate {
  public:
-  /// Work was handed out. @param left what still waits.
+  /// Records that `count` items were dispatched. @param remaining number of items that still wait.
   void note_dispatched(std::size_t count, std::size_t remaining, base::time_point now);
 
-  /// @return items a second; nothing while the queue was empty of late.
+  /// @return items per second; std::nullopt if no rate was measured recently, as the queue was
+  ///         empty.
   [[nodiscard]] std::optional<double> per_second(base::time_point now) const;
 
  private:
   void close_window(base::time_point now);
 
-  /// Begin of the window that is counted now; nothing while the queue is empty.
+  /// Start of the current measuring window; std::nullopt while the queue is empty.
   std::optional<base::time_point> window_started_at_;
   std::size_t dispatched_ = 0;
   double rate_per_second_ = 0;
--- a/src/stage_work/result_handle.h
+++ b/src/stage_work/result_handle.h
@@ -1,4 +1,5 @@
-/// Handles of stage results: `ADDRESS/NAME`, where ADDRESS is that of the replica that made it.
+/// Handles of stage results: `ADDRESS/NAME`, where ADDRESS is the address of the replica that
+/// produced the result.
 #pragma once
 
 #include "base/ids.h"
@@ -7,7 +8,7 @@
 
 namespace spurrack::serving {
 
-/// @return address of the replica that made a result.
+/// @return address of the replica that produced a result.
 inline base::network_address producer_of(const std::string& handle) {
   return base::network_address(handle.substr(0, handle.find('/')));
 }
--- a/src/stage_work/shard_map.cc
+++ b/src/stage_work/shard_map.cc
@@ -8,12 +8,12 @@
 namespace spurrack::serving {
 namespace {
 
-/// Replicas that one node gathers for; more are divided over several nodes.
-constexpr std::size_t max_replicas_per_shard = 16;
-/// Replicas of a zone that make a shard of their own where a service has more than one shard: with
-/// fewer, calls would go out half empty or wait for the one replica that is free.
+/// Target number of replicas per shard; larger sets are divided over several shards.
+constexpr std::size_t target_replicas_per_shard = 16;
+/// Number of replicas from which a zone has shards of its own, if the service has more than one
+/// shard: with fewer replicas, calls would be sent half empty or wait for the only free replica.
 constexpr std::size_t min_replicas_per_zone_shard = 4;
-/// Nodes that may use less than this part of what the strongest may do not gather.
+/// A node whose processor share is less than this fraction of the largest one does not batch.
 constexpr double min_share_of_strongest = 0.5;
 
 } // namespace
@@ -133,28 +133,29 @@
   for (const auto& [zone, members] : replicas) {
     count += members.size();
   }
-  state_list together;
+  state_list region_replicas;
   for (const auto& [zone, members] : replicas) {
-    const auto near = candidates_->by_zone.find(zone);
-    const bool has_zone_shard = near != candidates_->by_zone.end() &&
-                                count > max_replicas_per_shard &&
+    const auto zone_candidates = candidates_->by_zone.find(zone);
+    const bool has_zone_shard = zone_candidates != candidates_->by_zone.end() &&
+                                count > target_replicas_per_shard &&
                                 members.size() >= min_replicas_per_zone_shard;
     if (!has_zone_shard) {
-      together.insert(together.end(), members.begin(), members.end());
+      region_replicas.insert(region_replicas.end(), members.begin(), members.end());
     } else if (zone == self_.zone) {
       auto of_zone = common;
       of_zone.zone = zone;
-      add_shards(of_zone, members, near->second);
+      add_shards(of_zone, members, zone_candidates->second);
     }
   }
-  const auto near = candidates_->by_region.find(common.region);
-  add_shards(common, together,
-             near == candidates_->by_region.end() ? candidates_->all : near->second);
+  const auto region_candidates = candidates_->by_region.find(common.region);
+  add_shards(common, region_replicas,
+             region_candidates == candidates_->by_region.end() ? candidates_->all
+                                                               : region_candidates->second);
 }
 
 void shard_map::add_shards(const shard& common, const state_list& replicas,
                            const std::vector<base::node_id>& candidates) {
-  const auto count = (replicas.size() + max_replicas_per_shard - 1) / max_replicas_per_shard;
+  const auto count = (replicas.size() + target_replicas_per_shard - 1) / target_replicas_per_shard;
   const auto scope = common.zone ? common.zone->text() : common.region.name;
   const auto first = shards_.size();
   for (std::size_t index = 0; index < count; ++index) {
--- a/src/stage_work/shard_map.h
+++ b/src/stage_work/shard_map.h
@@ -1,5 +1,5 @@
-/// Which node gathers the pieces for which replicas: the replicas of a service are divided into
-/// shards, and each shard has one gatherer, found by rendezvous hashing. No messages.
+/// Assigns replicas to the nodes that batch pieces for them: the replicas of a service are divided
+/// into shards, and each shard has one batcher, found by rendezvous hashing. Sends no messages.
 #pragma once
 
 #include "base/ids.h"
@@ -18,54 +18,57 @@
 
 namespace spurrack::serving {
 
-/// Replicas of one service for which one node gathers.
+/// Replicas of one service for which one node batches pieces.
 struct shard {
   std::string service;
   model::neighbourhood region;
-  /// Set where all its replicas are of one zone.
+  /// Set if all replicas of the shard are in one zone.
   std::optional<base::zone_id> zone;
   std::vector<base::replica_id> replicas;
   base::node_id batcher;
 };
 
-/// Few replicas are one shard of their region; many are divided by zone, and only those of the own
-/// zone are kept here: gatherers of other zones tell of themselves.
+/// Holds the shards of all services. A small number of replicas is one shard of its region; a large
+/// number is divided by zone, and only the shards of this node's own zone are kept: batchers of
+/// other zones report themselves.
 ///
-/// Kept: the nodes that may gather, found anew when a node comes, goes or changes; the shards,
-/// found anew when that happens or a replica with pieces does. Finding the shards looks once at
-/// each replica with pieces and copies the identifiers of those of the own zone. Not thread-safe.
+/// The nodes that may batch are recomputed after a node is added, removed or changed; the shards
+/// are recomputed by each `assign`, which callers use after such a change or a change of replicas
+/// that run pieces. `assign` evaluates each replica that runs pieces once and copies the
+/// identifiers of the replicas in its shards. Not thread-safe.
 class shard_map {
  public:
   /// @param replicas, peers must outlive this object.
   shard_map(fleet_peer self, model::zone_regions regions, const replica_table& replicas,
             const peer_directory& peers);
 
-  /// Other nodes came or went, or are fit for work or not otherwise than before.
+  /// Must be called after other nodes were added or removed, or their eligibility for work changed.
   void note_peers_changed() { candidates_.reset(); }
-  /// Divides the replicas of all services with pieces and finds the gatherer of each shard.
-  /// @param stopping this node gathers only where nobody else can.
+  /// Divides the replicas of all services with pieces into shards and selects the batcher of each.
+  /// @param is_stopping whether this node batches only if no other node can.
   void assign(const model::serving_configuration& configuration, bool is_stopping);
 
   [[nodiscard]] const std::vector<shard>& shards() const { return shards_; }
   [[nodiscard]] bool has_shards_of(const std::string& service) const;
-  /// @return nodes that gather for some shard.
+  /// @return batchers of all shards.
   [[nodiscard]] std::set<base::node_id> batchers() const;
-  /// Replicas this node gathers for.
+  /// @return replicas for which this node is the batcher.
   [[nodiscard]] const std::set<base::replica_id>& own_replicas() const { return own_replicas_; }
-  /// The services that they belong to, with where they are.
+  /// @return services of the replicas for which this node is the batcher, with the regions of these
+  ///         replicas.
   [[nodiscard]] const std::map<std::string, std::set<model::neighbourhood>>& own_services() const {
     return own_services_;
   }
-  /// @return whether this node gathers for replicas of several zones.
+  /// @return whether this node is the batcher of a shard that is not limited to one zone.
   [[nodiscard]] bool batches_for_other_zones() const;
-  /// @return replicas looked at and nodes considered since the start.
+  /// @return number of replicas evaluated and nodes considered since construction.
   [[nodiscard]] std::uint64_t evaluations() const { return evaluations_; }
 
  private:
   using state_list = std::vector<const replica_state*>;
   /// Replicas of one service in one region, by zone.
   using zone_replicas = std::map<base::zone_id, state_list>;
-  /// Nodes that may gather pieces.
+  /// Nodes that may be batchers.
   struct candidate_nodes {
     std::map<base::zone_id, std::vector<base::node_id>> by_zone;
     std::map<model::neighbourhood, std::vector<base::node_id>> by_region;
@@ -73,11 +76,14 @@
   };
 
   [[nodiscard]] candidate_nodes find_candidates(bool is_stopping);
-  /// @return replicas of a service that take work.
+  /// @return replicas of a service that accept work.
   [[nodiscard]] std::map<model::neighbourhood, zone_replicas>
   replicas_by_region(const std::string& service);
+  /// Adds the shards of the replicas of one service in one region.
+  /// @param common service and region of the shards.
   void divide_into_shards(const shard& common, const zone_replicas& replicas);
-  /// Adds shards of replicas that all stand behind the same candidates.
+  /// Adds shards of replicas and selects the batcher of each from `candidates`.
+  /// @param common service, region and zone of the shards.
   void add_shards(const shard& common, const state_list& replicas,
                   const std::vector<base::node_id>& candidates);
   void note_own_shards();
@@ -86,7 +92,7 @@
   model::zone_regions regions_;
   const replica_table* replicas_;
   const peer_directory* peers_;
-  /// Nothing where they are to be found anew.
+  /// std::nullopt if the candidates must be recomputed.
   std::optional<candidate_nodes> candidates_;
   bool is_stopping_ = false;
   std::vector<shard> shards_;
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -208,8 +208,8 @@
   void collect_lost_pieces();
   /// Hands waiting pieces of other nodes back to them.
   void return_forwarded(const std::vector<piece_ticket>& waiting, base::time_point now);
-  /// Others gather for a service from now on: what waits here goes to them, since results that
-  /// this node does not hear of any more seem to take up all room.
+  /// Others gather for a service from now on: what waits here goes to them, since results that this
+  /// node does not hear of any more seem to take up all room.
   void move_waiting_pieces(const std::string& service, base::time_point now);
   /// Says of a piece of another node whether it is still here, and what became of it otherwise.
   void send_piece_state(const base::node_id& sender, piece_ticket ticket);
--- a/src/stage_work/stage_graph.cc
+++ b/src/stage_work/stage_graph.cc
@@ -120,7 +120,8 @@
     return !piece.handle.empty() &&
            (piece.is_freed || piece.is_lost || is_result_lost(piece.handle));
   };
-  // What was suspected once and did not help is not trusted again.
+  // Suspects are trusted for the first recomputation only: if results are missing again,
+  // recomputing the suspects did not help.
   const bool has_suspects =
       recomputations_ == 0 && std::any_of(stages.begin(), stages.end(), [&](auto stage) {
         return std::any_of(stages_[stage].begin(), stages_[stage].end(), is_suspect);
@@ -230,7 +231,7 @@
 stage_graph::time_left(const std::function<base::duration(std::uint32_t stage)>& stage_time) const {
   std::vector<base::duration> ends(stages_.size(), base::duration::zero());
   base::duration longest{};
-  // Each pass finishes at least one more stage of every way.
+  // Each pass computes the end of at least one more stage of every path.
   for (std::size_t pass = 0; pass < stages_.size(); ++pass) {
     for (std::uint32_t stage = 0; stage < stages_.size(); ++stage) {
       base::duration start{};
--- a/src/stage_work/stage_graph.h
+++ b/src/stage_work/stage_graph.h
@@ -1,4 +1,4 @@
-/// Progress of one request through the stages that must be finished before it may run.
+/// Tracks the stages of one request that must finish before the request itself may run.
 #pragma once
 
 #include "base/ids.h"
@@ -17,61 +17,66 @@
   std::uint32_t piece = 0;
 };
 
-/// Not thread-safe. The route must outlive the graph.
+/// State of the pieces of all stages of one request. Not thread-safe. The route must outlive the
+/// graph.
 class stage_graph {
  public:
-  /// @param pieces pieces of each stage; a stage without any is left out.
+  /// @param pieces number of pieces of each stage; a stage without pieces is skipped.
   stage_graph(const model::route& route, const std::vector<std::uint32_t>& pieces);
 
-  /// @return the pieces that can be made now and were not given out yet; counts them as given out.
+  /// @return pieces whose inputs are complete and that were not returned before; marks them as
+  ///         submitted.
   std::vector<piece_position> take_ready();
-  /// The replica that makes a piece has fetched what it reads.
+  /// Records that the replica that runs a piece has fetched the inputs of the piece.
   void note_inputs_fetched(piece_position position);
+  /// Records the result of a piece.
   void complete(piece_position position, std::string handle);
-  /// The replica at an address started again: what it had made is lost.
-  /// @return whether the graph had any such result.
+  /// Marks the results at a replica as lost because the replica restarted.
+  /// @param producer address of the replica.
+  /// @return whether the graph had any unfreed result of that replica.
   bool note_lost_results_of(const base::network_address& producer);
-  /// A piece found that a result it reads is gone. The piece, and every result that it reads and
-  /// that is lost, are to be made again, together with whatever those need that was freed since.
-  /// @param is_result_lost whether a result is known to be lost; where none is, all that the piece
-  /// reads
-  ///        are taken for lost.
-  /// @return handles that are no longer of use.
+  /// Schedules the recomputation of a piece that found an input missing, of each of its inputs that
+  /// is lost, and of the freed results that these inputs depend on.
+  /// @param is_result_lost whether a result is known to be lost; if no input of the piece is, all
+  ///        of its inputs are assumed to be lost.
+  /// @return handles of results that are no longer needed.
   std::vector<std::string>
   recompute_inputs_of(piece_position position,
                       const std::function<bool(const std::string&)>& is_result_lost);
-  /// The same for the results that the request itself reads.
+  /// Schedules the recomputation of the lost results among those that the request itself reads, and
+  /// of the freed results that they depend on; see `recompute_inputs_of`.
   std::vector<std::string>
   recompute_final_inputs(const std::function<bool(const std::string&)>& is_result_lost);
-  /// @return whether a piece was given out and is not finished.
+  /// @return whether a piece is submitted and not finished.
   [[nodiscard]] bool is_under_way(piece_position position) const;
 
-  /// @return results that the pieces of `stage` need, in the order of stages and pieces.
+  /// @return results that the pieces of `stage` read, ordered by stage and piece.
   [[nodiscard]] std::vector<std::string> inputs_of(std::uint32_t stage) const;
-  /// @return results of the stages that no other comes after, in order.
+  /// @return results of the last stages, ordered by stage and piece.
   [[nodiscard]] std::vector<std::string> final_inputs() const;
-  /// @return results of one stage, in the order of its pieces.
+  /// @return results of one stage, ordered by piece.
   [[nodiscard]] std::vector<std::string> results_of(std::uint32_t stage) const;
-  /// @return whether no other stage comes after `stage`.
+  /// @return whether no other stage depends on `stage`.
   [[nodiscard]] bool is_last(std::uint32_t stage) const;
+  /// @return whether all stages are finished.
   [[nodiscard]] bool is_done() const;
-  /// @return whether a result that the request itself needs was freed already, or went with its
-  ///         maker.
+  /// @return whether a result that the request itself reads was freed, or was lost when its
+  ///         producer restarted.
   [[nodiscard]] bool has_missing_final_inputs() const;
-  /// @return results that all their users have fetched, or all results where `all` is set;
-  ///         each is returned once.
+  /// @return handles of results that all their consumers have fetched, or of all results if `all`
+  ///         is set; marks them as freed, so that each is returned once.
   std::vector<std::string> take_unneeded_results(bool all);
-  /// @param stage_time time that a stage with pieces left to make will take.
-  /// @return time until all stages are finished, along the longest way.
+  /// @param stage_time expected duration of a stage that is not finished.
+  /// @return time until all stages are finished, along the critical path.
   [[nodiscard]] base::duration
   time_left(const std::function<base::duration(std::uint32_t stage)>& stage_time) const;
-  /// @param stage_time time that a stage takes.
-  /// @return time from the begin of `stage` to the end of all stages after it, along the longest
-  ///         way, this stage included.
+  /// @param stage_time expected duration of a stage.
+  /// @return time from the start of `stage` to the end of all stages that depend on it, along the
+  ///         critical path, including `stage`.
   [[nodiscard]] base::duration
   time_from(std::uint32_t stage,
             const std::function<base::duration(std::uint32_t stage)>& stage_time) const;
-  /// @return how often results had to be made again.
+  /// @return number of times that results had to be recomputed.
   [[nodiscard]] std::uint32_t recomputations() const { return recomputations_; }
 
  private:
@@ -79,18 +84,23 @@
     bool is_submitted = false;
     bool has_fetched_inputs = false;
     bool is_freed = false;
-    /// It went with its maker.
+    /// The result was lost when its producer restarted.
     bool is_lost = false;
     std::string handle;
   };
+  /// @return whether all pieces of a stage have results.
   [[nodiscard]] bool is_finished(std::uint32_t stage) const;
+  /// @return whether all stages that a stage depends on are finished.
   [[nodiscard]] bool is_ready(std::uint32_t stage) const;
+  /// @return whether all pieces that read the results of a stage have fetched them.
   [[nodiscard]] bool consumers_have_fetched(std::uint32_t stage) const;
   [[nodiscard]] bool depends_on(std::uint32_t stage, std::uint32_t dependency) const;
-  /// Forgets the results of `stages` that are lost, all of them where none is known to be.
+  /// Forgets the lost results of `stages`, or all their results if none is known to be lost.
+  /// @return handles of results that are no longer needed.
   std::vector<std::string> recompute(const std::vector<std::uint32_t>& stages,
                                      const std::function<bool(const std::string&)>& is_result_lost);
-  /// A result is to be made again, and so is what it needs and was freed.
+  /// Resets a piece so that its result is recomputed, and the freed results that it depends on.
+  /// @param obsolete receives the handles of results that are no longer needed.
   void forget_result(std::uint32_t stage, piece_state& piece, std::vector<std::string>& obsolete);
   void append_results(std::uint32_t stage, std::vector<std::string>& results) const;
 
