--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -8,24 +8,25 @@
 namespace spurrack::serving {
 namespace {
 
-/// A piece that was not acknowledged within this time is placed elsewhere.
+/// Time after which a piece that was not acknowledged is placed elsewhere.
 constexpr base::duration acceptance_timeout = std::chrono::milliseconds(250);
-/// A holder that said nothing of a piece for this time is asked whether it still has it.
+/// Time since the last confirmation after which a holder is asked whether it still has a piece.
 constexpr base::duration confirmation_interval = std::chrono::milliseconds(700);
-/// A holder that does not answer that within this time has lost the piece.
+/// Time since the last confirmation after which a piece is assumed to be lost and is moved.
 constexpr base::duration confirmation_timeout = std::chrono::milliseconds(1500);
-/// What became of pieces of other nodes is known for this time.
+/// Time for which outcomes of pieces of other nodes are kept.
 constexpr base::duration reported_result_lifetime = std::chrono::seconds(3);
-/// How often pieces at other nodes are looked at: a tenth of the shortest limit above.
+/// Interval between checks of the pieces at other nodes: a tenth of the shortest limit above.
 constexpr base::duration placement_check_interval = std::chrono::milliseconds(25);
-/// Times a piece is placed at other nodes before this node makes it itself.
+/// Number of times that a piece is placed at other nodes again before this node's pool takes it.
 constexpr std::uint32_t max_moves = 3;
 
 std::int64_t milliseconds_until(base::time_point when, base::time_point now) {
   return base::to_milliseconds(when - now);
 }
 
-/// A piece that may be made nowhere is never sent, so that no regions mean everywhere.
+/// @return permitted regions of a piece. An empty list in the message means everywhere, since a
+///         piece that no region permits is never sent.
 model::residency residency_of(const wire::piece_request& request) {
   std::set<base::region_id> regions;
   for (const auto& region : request.permitted_regions()) {
@@ -55,7 +56,8 @@
   if (shards_.own_replicas().contains(replica.record->id)) {
     return true;
   }
-  // Pieces that none of the own replicas may make would wait here for ever.
+  // Without this exception, pieces that may not run at any of the own replicas would wait here
+  // forever.
   const auto own = shards_.own_services().find(replica.record->service);
   return own == shards_.own_services().end() ||
          std::none_of(own->second.begin(), own->second.end(), [&](const auto& neighbourhood) {
@@ -242,7 +244,7 @@
     const auto* holder =
         known == result_accounting_nodes_.end() ? nullptr : peers_.find(known->second);
     if (holder == nullptr || holder->silent_since) {
-      // Any node may free a result; its holder forgets it when it expires.
+      // Any node may free a result; the accounting node forgets the result when it expires.
       pool_.release(handle);
     } else {
       message_to(holder->peer.node).add_released(handle);
@@ -253,7 +255,7 @@
   }
 }
 
-// --- pieces gathered here ------------------------------------------------------------------------
+// --- pieces batched here -------------------------------------------------------------------------
 
 void stage_exchange::note_incarnation(peer_state& peer, const wire::stage_work& message,
                                       base::time_point now) {
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -1,11 +1,14 @@
-/// Stage work of the whole fleet: the replicas of a service are divided into shards, and for each
-/// shard one node gathers the pieces of all nodes and puts the calls together, so that whichever
-/// replica is free first takes what is due first. Few replicas are one shard of their region; many
-/// are divided by zone, so that a zone that is cut off serves on. Nodes send their pieces to the
-/// gatherer that will be done first; one that is silent is replaced by the next in rendezvous
-/// order, and two at once do no harm. Gatherers of other zones are known by the load they report. A
-/// node that holds pieces without being their gatherer, since views of the fleet differ or have
-/// changed, calls replicas for them all the same.
+/// Distributes the pieces of stages over the whole fleet. The replicas of a service are divided
+/// into shards. For each shard one node, the batcher, collects the pieces of all nodes and forms
+/// the calls, so that the replica that becomes free first receives the pieces that are due first. A
+/// small number of replicas is one shard of its region; a large number is divided by zone, so that
+/// a partitioned zone continues to serve.
+///
+/// A node sends its pieces to the batcher with the lowest expected wait, its distance included. An
+/// unresponsive batcher is replaced by the next node in rendezvous order; two batchers of one shard
+/// at the same time do no harm. Batchers of other zones are known from the load that they report. A
+/// node that holds pieces without being their batcher, since views of the fleet differ or have
+/// changed, still calls replicas for them.
 #pragma once
 
 #include "base/ids.h"
@@ -31,78 +34,88 @@
 
 namespace spurrack::serving {
 
-/// Where a piece stands in a queue.
+/// Position of a piece in a queue relative to the pieces that are past due.
 enum class piece_order : std::uint8_t {
-  in_time,  ///< Before everything that is past due.
-  past_due, ///< Behind everything else.
+  in_time,  ///< Before all pieces that are past due.
+  past_due, ///< After all other pieces.
 };
 
-/// Work of a service that is wanted somewhere. Refers to objects of the request.
+/// Demand of a request for work of a service. Refers to objects of the request.
 struct service_demand {
   const std::string& service;
-  /// Where the results are wanted.
+  /// Zone to which the results are delivered.
   const base::zone_id& zone;
   const model::residency& permitted_regions;
 };
 
-/// Not thread-safe. Commands, messages and results gather until they are taken.
+/// Places the pieces of this node, and batches the pieces of all nodes for the shards of this node.
+/// Not thread-safe. Commands, messages and results accumulate until the caller takes them.
 class stage_exchange {
  public:
   /// @param replicas must outlive this object.
-  /// @param first_ticket higher than every ticket of earlier lives of this node.
+  /// @param next_call returns the number of the next call; shared with the other calls of the node.
+  /// @param first_ticket must be higher than every ticket of earlier incarnations of this node.
   stage_exchange(fleet_peer self, replica_table& replicas, const serving_settings& settings,
                  std::function<base::call_id()> next_call, piece_ticket first_ticket,
                  decision_recorder record);
 
   void set_configuration(std::shared_ptr<const model::serving_configuration> configuration);
-  /// Takes over the other nodes that membership holds for alive.
+  /// Replaces the list of the other nodes that membership considers alive.
   void set_peers(std::vector<fleet_peer> peers);
-  /// A planned stop begins: other nodes take over what waits here.
+  /// Begins a graceful stop: returns the waiting pieces of other nodes, which place them elsewhere.
   void begin_stop(base::time_point now);
-  /// @return pieces of a service that wait here for a call.
+  /// @return number of pieces of a service that wait for a call in this node's pool.
   [[nodiscard]] std::size_t waiting(const std::string& service) const {
     return pool_.waiting(service);
   }
-  /// Replicas came, went or changed.
+  /// Must be called after replicas were added, removed or changed.
   void on_replicas_changed() { has_replica_changes_ = true; }
-  /// Some replica said that it leaves: the others are divided anew, so that nothing waits for it.
+  /// Must be called after a replica announced that it drains: the other replicas are divided into
+  /// shards again, so that no pieces wait for the draining replica.
   void on_drain_announced() { are_shards_stale_ = true; }
-  /// A replica started again: what its earlier life had of pieces and results is lost.
+  /// Cancels the calls to the earlier incarnation of a replica that restarted and forgets its
+  /// results.
   void on_replica_restarted(const base::replica_id& replica, base::time_point now);
-  /// This process was paused for `gap`: calls under way are given that much more time.
+  /// Extends the timeouts of the calls under way by `gap`, the duration for which this process was
+  /// suspended.
   void resume_after_suspension(base::duration gap) { pool_.resume_after_suspension(gap); }
   /// @return whether calls for pieces are under way.
   [[nodiscard]] bool has_calls_under_way() const { return pool_.has_calls_under_way(); }
 
-  /// Has the pieces of one stage of one request made, at one place.
-  /// @param zone where the results are wanted.
-  /// @return the ticket of each piece.
+  /// Submits the pieces of one stage of one request, all to the same batcher.
+  /// @param zone preferred zone of the pieces; see `piece_work::zone`.
+  /// @return the ticket of each piece, in the order of `pieces`.
   std::vector<piece_ticket> submit(std::vector<piece_work> pieces, const base::zone_id& zone,
                                    base::time_point now);
-  /// Nobody wants the piece any more.
+  /// Cancels a piece whose result is not needed any longer.
   void cancel(piece_ticket ticket);
-  /// Nobody needs the results any more.
+  /// Frees results that are not needed any longer.
   void release(const std::vector<std::string>& handles);
 
-  /// @return whether the call was one for pieces.
+  /// Applies the end of a call. @return whether it was a call of this node's pool.
   bool on_call_ended(const stage_call_ended& ended, base::time_point now);
+  /// Applies a message of another node; ignores unknown senders.
   void handle(const base::node_id& sender, const wire::stage_work& message, base::time_point now);
 
-  /// Brings up to date who gathers for which replica; costs nothing where nothing has changed.
+  /// Updates the batchers of the shards; returns immediately if no update is due.
   void refresh(base::time_point now);
-  /// @return how long a piece that is submitted now is expected to wait for its call; nothing where
-  ///         nobody can make it.
+  /// @return time that a piece submitted now is expected to wait for its call, the cost of the
+  ///         batcher's distance included; std::nullopt if no batcher can call a replica for it.
   [[nodiscard]] std::optional<base::duration>
   expected_wait(const service_demand& demand, piece_order order, base::time_point now) const;
 
+  /// Starts calls for waiting pieces, checks the pieces that other nodes hold, and reports this
+  /// node's load.
   void dispatch_waiting(base::time_point now);
+  /// @return latest time for the next `dispatch_waiting` on behalf of the pool; std::nullopt if the
+  ///         pool needs none.
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   [[nodiscard]] std::vector<finished_piece> take_finished() { return std::exchange(finished_, {}); }
-  /// @return pieces of this node whose replica has fetched their inputs since the last call.
+  /// @return pieces of this node whose inputs were fetched by their replica since the last call.
   [[nodiscard]] std::vector<piece_ticket> take_fetched() { return std::exchange(fetched_, {}); }
-  /// @return pieces of this node whose calls ended without an answer since the last call, wherever
-  ///         they are made.
+  /// @return pieces of this node, at any batcher, whose calls ended without an answer since the
+  ///         last call.
   [[nodiscard]] std::vector<lost_piece> take_lost() { return std::exchange(lost_, {}); }
   [[nodiscard]] command_list take_commands() { return pool_.take_commands(); }
   [[nodiscard]] wire::outbox take_messages();
@@ -110,125 +123,148 @@
   [[nodiscard]] const shard_map& shards() const { return shards_; }
 
  private:
-  /// A node that gathers the pieces for some replicas of a service.
+  /// A node that batches the pieces for some replicas of a service.
   struct batcher {
     base::node_id node;
     model::neighbourhood region;
-    /// Set where all its replicas are of one zone.
+    /// Set if all these replicas are in one zone.
     std::optional<base::zone_id> zone;
-    /// Those of its replicas that can be called; one that names a limit counts for the part that it
-    /// takes. Where none can be called now, those that can once their pauses are over.
+    /// Number of its replicas that can be called now; a replica with an announced limit counts as
+    /// the fraction of full calls that it accepts. If no replica can be called now, the number of
+    /// those that can be called after their backoffs.
     double replicas = 0;
-    /// When the first of these pauses ends; a time before now where some replica can be called.
+    /// Time at which the first of these backoffs ends; a time in the past if a replica can be
+    /// called now.
     base::time_point callable_at;
   };
-  /// Where a piece of this node is.
+  /// Location of a piece of this node.
   struct placement {
     piece_work work;
-    /// Empty where this node's own pool has it.
+    /// Node that holds the piece; empty if this node's own pool holds it.
     base::node_id holder;
     piece_ticket pool_ticket = 0;
     base::time_point sent_at;
-    /// When the holder said last that it has the piece; nothing before it has.
+    /// Time at which the holder last confirmed that it has the piece; std::nullopt before the first
+    /// confirmation.
     std::optional<base::time_point> confirmed_at;
-    /// When the holder was asked last whether it still has the piece.
+    /// Time at which the holder was last asked whether it still has the piece.
     base::time_point queried_at;
+    /// Number of times that the piece was placed again.
     std::uint32_t moves = 0;
   };
-  /// A piece that another node forwarded to this one, which gathers it.
+  /// A piece that another node forwarded to this node, which batches it.
   struct forwarded_piece {
     base::node_id origin;
     piece_ticket origin_ticket = 0;
   };
-  /// What became of a piece that this node gathered for another; kept for a while, since the
-  /// message that told it may have been lost.
+  /// Outcome of a piece that this node batched for another node; kept for
+  /// `reported_result_lifetime` because the message that reported it may have been lost.
   struct reported_result {
     base::time_point reported_at;
     forwarded_piece forwarded;
     piece_outcome outcome;
   };
 
-  /// Other nodes came or went, or are fit for work or not otherwise than before.
+  /// Schedules a new division into shards after other nodes were added or removed, or their
+  /// eligibility changed.
   void note_peers_changed();
-  /// Divides all replicas into shards and finds the gatherer of each.
+  /// Divides all replicas into shards and selects the batcher of each.
   void assign_shards(base::time_point now);
-  /// Greets those who gather from now on, so that connections to them stand.
+  /// Sends an empty message to each new batcher, so that the transport connects to it.
   void connect_to_batchers(const std::vector<base::node_id>& batchers);
-  /// What the replicas of a shard bear.
+  /// Number of replicas of a shard that can be called. A replica counts 1, or, if it announces a
+  /// limit, the fraction of full calls that it accepts.
   struct callable_count {
-    /// Those that can be called now: 1 for each, the part of full calls that it takes for one that
-    /// names a limit.
+    /// Replicas that can be called now.
     double now = 0;
-    /// Those that asked this node for a pause, and when the first pause ends.
+    /// Replicas that can be called after the backoff that they requested from this node, and the
+    /// time at which the first backoff ends.
     double backing_off = 0;
     base::time_point callable_at = base::time_point::max();
   };
   [[nodiscard]] callable_count count_callable_of(const shard& entry, base::time_point now) const;
-  /// @return gatherers of the shards of a service, with what their replicas bear now.
+  /// @return batchers of the shards of a service, with the number of their callable replicas.
   [[nodiscard]] const std::vector<batcher>& assigned_batchers(const std::string& service,
                                                               base::time_point now) const;
-  /// Counts the replicas of each shard that can be called.
+  /// Counts the callable replicas of each shard and batcher.
   void count_callable(base::time_point now) const;
-  /// Fills in for which replicas of the service this node gathers.
+  /// Sets in a load report the number of callable replicas of the service that this node batches
+  /// for.
   void describe_own_shards(wire::stage_load& load, base::time_point now) const;
-  /// @return gatherers of a service that this node has assigned, and those of other zones that
-  ///         report; only such that can be reached and whose replicas lie in allowed regions.
+  /// @return batchers of a service that this node has assigned, and batchers of other zones that
+  ///         report to it; only reachable batchers whose replicas are in permitted regions.
   [[nodiscard]] std::vector<batcher> batchers_of(const std::string& service,
                                                  const model::residency& permitted_regions,
                                                  base::time_point now) const;
-  /// @return what making a piece at a gatherer costs beside the wait, in seconds of waiting.
+  /// @return cost of the distance to a batcher's replicas, in seconds of waiting.
   [[nodiscard]] double distance_seconds(const batcher& candidate, const base::zone_id& zone,
                                         double result_bytes) const;
-  /// @param result_bytes size of all results together.
-  /// @return nothing where no node gathers for replicas that the piece may use.
+  /// @param result_bytes total size of the results of all pieces that are placed together.
+  /// @return std::nullopt if no node batches for replicas that the piece may use.
   [[nodiscard]] std::optional<base::node_id>
   choose_batcher(const piece_work& work, double result_bytes, base::time_point now) const;
-  /// Work of a service at a gatherer, as it told it last.
+  /// Work of a service at a batcher, as the batcher last reported it.
   struct batcher_load {
     double waiting = 0;
     double waiting_past_due = 0;
     double calls_under_way = 0;
-    /// Pieces a second; 0 where nothing waited of late.
+    /// Pieces per second; 0 if no pieces waited recently.
     double drain_rate = 0;
   };
   [[nodiscard]] batcher_load load_of(const base::node_id& node, const std::string& service,
                                      base::time_point now) const;
   [[nodiscard]] double expected_wait_seconds(const batcher& candidate, const std::string& service,
                                              piece_order order, base::time_point now) const;
-  /// @param chosen nothing where no other node is fit.
+  /// Sends a piece to a batcher, or submits it to the own pool if `chosen` is this node or
+  /// std::nullopt.
   void place(piece_ticket ticket, placement& placed, const std::optional<base::node_id>& chosen,
              base::time_point now);
-  /// Places pieces anew whose holder is silent or did not take them, and asks for those of which
-  /// nothing was heard for long.
+  /// Moves pieces whose holder is unresponsive or did not acknowledge them, and queries holders
+  /// that have not confirmed their pieces within `confirmation_interval`.
   void check_placements(base::time_point now);
+  /// Queries the holder of an accepted piece, or moves the piece if the holder has not confirmed it
+  /// within `confirmation_timeout`.
   void query_or_move(piece_ticket ticket, placement& placed, base::time_point now);
+  /// Passes on fetched inputs, lost pieces and results of the own pool: to the caller for pieces of
+  /// this node, otherwise to the node that forwarded the piece.
   void collect_pool_results(base::time_point now);
   void collect_fetched_pieces();
-  /// Tells the nodes whose requests they belong to which pieces were lost with their calls.
+  /// Reports pieces that were lost with their calls to the nodes that own the requests.
   void collect_lost_pieces();
-  /// Hands waiting pieces of other nodes back to them.
+  /// Returns waiting pieces of other nodes to these nodes as not run.
   void return_forwarded(const std::vector<piece_ticket>& waiting, base::time_point now);
-  /// Others gather for a service from now on: what waits here goes to them, since results that this
-  /// node does not hear of any more seem to take up all room.
+  /// Moves the waiting pieces of a service to the nodes that are its batchers now. They would not
+  /// progress here: results whose release is no longer reported to this node appear to take up all
+  /// memory of the replicas.
   void move_waiting_pieces(const std::string& service, base::time_point now);
-  /// Says of a piece of another node whether it is still here, and what became of it otherwise.
+  /// Reports to the owner of a forwarded piece that the piece is still here, or otherwise its
+  /// outcome; a piece of unknown outcome is reported as not run.
   void send_piece_state(const base::node_id& sender, piece_ticket ticket);
-  /// @return whether this node may call a replica with pieces that are held to some regions.
+  /// @return whether this node may call a replica with pieces that are restricted to these regions.
   [[nodiscard]] bool may_call(const replica_state& replica,
                               const model::residency& permitted_regions) const;
-  /// @return who counts on this node for pieces.
+  /// @return nodes to which this node reports its load as a batcher.
   [[nodiscard]] report_audience audience() const;
+  /// Records the incarnation of a peer and whether the peer is stopping. Places the pieces that a
+  /// restarted peer held again.
   void note_incarnation(peer_state& peer, const wire::stage_work& message, base::time_point now);
+  /// Submits a piece of another node to the own pool and acknowledges it.
   void accept_piece(const base::node_id& sender, const wire::piece_request& request,
                     base::time_point now);
+  /// Applies the outcome of a piece that another node holds; a piece that was not run is moved.
   void apply_result(const base::node_id& sender, const wire::piece_result& result,
                     base::time_point now);
+  /// Places a piece of this node again: at a batcher, or in the own pool after `max_moves` moves.
   void move(piece_ticket ticket, placement& placed, base::time_point now);
+  /// Cancels a piece that another node forwarded to this node.
   void cancel_forwarded(const base::node_id& sender, piece_ticket ticket);
+  /// Reports the outcome of a forwarded piece and keeps it for later queries.
   void finish_forwarded(const forwarded_piece& forwarded, const piece_outcome& outcome,
                         base::time_point now);
   void send_result(const forwarded_piece& forwarded, const piece_outcome& outcome);
+  /// Reports the load of the own pool to the audience, at most once per `load_report_period`.
   void send_loads(base::time_point now);
+  /// @return the message to a node that is sent by the next `take_messages`.
   wire::stage_work& message_to(const base::node_id& node);
 
   fleet_peer self_;
@@ -238,21 +274,24 @@
   std::shared_ptr<const model::serving_configuration> configuration_;
   peer_directory peers_;
   shard_map shards_;
-  /// The shards are to be found anew.
+  /// Whether the shards must be recomputed.
   bool are_shards_stale_ = true;
-  /// Replicas have changed since the shards were found.
+  /// Whether replicas have changed since the shards were computed.
   bool has_replica_changes_ = false;
-  /// Gatherers of the shards by service, counted where a caller asks for them.
+  /// Batchers of the shards by service, with callable replicas; computed on demand.
   mutable std::unordered_map<std::string, std::vector<batcher>> batchers_;
   mutable bool are_counts_stale_ = true;
-  /// The node that keeps account of the room of a result, where that is another.
+  /// Node that accounts for the memory of a result, by handle; only if it is another node.
   std::unordered_map<std::string, base::node_id> result_accounting_nodes_;
   std::uint64_t incarnation_;
   bool is_stopping_ = false;
   piece_ticket next_ticket_;
+  /// Unfinished pieces of this node, by ticket.
   std::map<piece_ticket, placement> placements_;
+  /// Tickets of the pieces of this node that the own pool holds, by pool ticket.
   std::unordered_map<piece_ticket, piece_ticket> own_by_pool_ticket_;
   std::unordered_map<piece_ticket, forwarded_piece> forwarded_by_pool_ticket_;
+  /// Pool tickets of forwarded pieces, by owner and the owner's ticket.
   std::map<std::pair<base::node_id, piece_ticket>, piece_ticket> forwarded_tickets_;
   std::deque<reported_result> reported_results_;
   std::map<base::node_id, wire::stage_work> messages_;
--- a/src/stage_work/stage_exchange_batchers.cc
+++ b/src/stage_work/stage_exchange_batchers.cc
@@ -1,4 +1,4 @@
-/// Who gathers pieces for which replica, and how long a piece would wait there.
+/// Selection of batchers, and the time that a piece is expected to wait at each.
 #include "stage_work/stage_exchange.h"
 
 #include "base/hashing.h"
@@ -12,7 +12,7 @@
 namespace spurrack::serving {
 namespace {
 
-/// How often silence and pauses of replicas are looked at.
+/// Interval between checks of unresponsive nodes and of the backoffs of replicas.
 constexpr base::duration refresh_interval = std::chrono::milliseconds(50);
 
 } // namespace
@@ -23,7 +23,7 @@
     if (peers_.update_silence(now)) {
       note_peers_changed();
     }
-    // Replicas that change in a row are taken in together.
+    // Changes of replicas within one interval are applied together.
     are_shards_stale_ = are_shards_stale_ || has_replica_changes_;
     are_counts_stale_ = true;
   }
@@ -56,7 +56,7 @@
 
 void stage_exchange::connect_to_batchers(const std::vector<base::node_id>& batchers) {
   for (const auto& node : batchers) {
-    // The transport connects with the first message and may lose it; this one holds nothing.
+    // The transport connects on the first message to a node and may lose it; this message is empty.
     message_to(node);
   }
 }
@@ -147,7 +147,8 @@
     const bool is_batcher = load != peer.loads.end() && load->second.replicas() > 0 &&
                             load->second.of_zone() && peer_directory::has_fresh_loads(peer, now);
     const auto& zone = peer.peer.zone;
-    // In the own zone this node's assignment decides: two gatherers would share the replicas.
+    // In the own zone only this node's assignment counts: otherwise two batchers would share the
+    // replicas.
     if (is_batcher && zone != self_.zone && !is_assigned(node) && peer_directory::is_fit(peer) &&
         replicas_->is_reachable(zone) && !replicas_->is_evacuated(zone)) {
       const auto replicas = static_cast<double>(load->second.replicas());
@@ -192,10 +193,10 @@
   const double pieces_ahead =
       order == piece_order::in_time ? load.waiting : load.waiting + load.waiting_past_due;
   const double calls_ahead = pieces_ahead / capacity.batch + load.calls_under_way / 2;
-  // Replicas of which nothing is known take at least as much as one.
+  // If the number of callable replicas is unknown, at least the capacity of one is assumed.
   const double replicas = candidate.callable_replicas > 0 ? candidate.callable_replicas : 1;
   const double wait_by_capacity = calls_ahead * full_call_time / replicas;
-  // Room for results may bound a service far below what its calls could carry.
+  // Memory for results may limit a service to far less than the capacity of its calls.
   const double wait_by_rate = load.drain_rate > 0 ? pieces_ahead / load.drain_rate : 0;
   const double until_callable = std::max(0.0, base::to_seconds(candidate.callable_at - now));
   return until_callable + std::max(wait_by_capacity, wait_by_rate);
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -9,11 +9,11 @@
 namespace spurrack::serving {
 namespace {
 
-/// Calls that may carry one piece before it is given up.
+/// Number of calls with one piece after which the piece finishes with a fault.
 constexpr std::uint32_t max_calls_per_piece = 4;
-/// A call that takes this many times as long as it should is given up.
+/// A call is cancelled after this many times its expected duration, plus the margin below.
 constexpr double call_timeout_factor = 4.0;
-/// While pieces wait, replicas are looked at again after this time.
+/// Interval between checks of the replicas while pieces wait.
 constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
 constexpr base::duration call_timeout_margin = std::chrono::milliseconds(400);
 
@@ -253,7 +253,7 @@
   note_lost_pieces(open, now);
   record_(base::event_kind::stage_retried, open.command.items.front().request,
           open.command.target.replica.text(),
-          "call " + std::to_string(call) + ": its replica started again after " +
+          "call " + std::to_string(call) + ": its replica restarted after " +
               std::to_string(base::to_milliseconds(now - open.started_at)) + " ms");
   for (const auto ticket : open.tickets) {
     requeue(ticket, piece_fault::lost);
@@ -412,7 +412,7 @@
       replica.record->id.text(),
       "call " + std::to_string(open.command.call) + " of " + name + ", " +
           std::to_string(batch.size()) + " pieces, " + std::to_string(queue.size()) +
-          " wait, room taken " +
+          " waiting, bytes of results at the replica: " +
           std::to_string(static_cast<std::int64_t>(result_bytes_by_replica_[replica.record->id])));
   const auto expected_duration = base::scaled(nominal_call_time(capacity, open.tickets.size()),
                                               replica_table::slowness_of(replica, now));
@@ -467,7 +467,8 @@
   cancel_timed_out_calls(now);
   note_fetched_inputs(now);
   drop_expired(now);
-  // Freeing counts against a limit as pieces do: it goes before them only where they find no room.
+  // A free counts against a replica's limit as a call does: it is sent before the calls only to
+  // replicas that are short of memory.
   free_deferred_results(true, now);
   for (auto& [name, queue] : queues_) {
     dispatch_service(name, queue, now);
--- a/src/stage_work/stage_pool.h
+++ b/src/stage_work/stage_pool.h
@@ -1,5 +1,5 @@
-/// Queues pieces of stages and hands them to replicas in batches: the next call to a replica is put
-/// together when the replica is free, from whatever is due first then.
+/// Queues pieces of stages and sends them to replicas in batches. The next call to a replica is
+/// formed when the replica is free, from the pieces that are due first at that time.
 #pragma once
 
 #include "base/due_times.h"
@@ -26,262 +26,298 @@
 
 namespace spurrack::serving {
 
-/// Number of a piece within one pool.
+/// Identifier of a piece within one pool.
 using piece_ticket = std::uint64_t;
 
-/// A piece to be made.
+/// A piece to be computed.
 struct piece_work {
   base::request_id request;
   std::string service;
   std::uint32_t stage = 0;
   std::uint32_t piece = 0;
-  /// Set for stages that need no results of others.
+  /// Set for stages that do not depend on results of other stages.
   std::string piece_key;
+  /// Handles of the results that the piece reads.
   std::vector<std::string> inputs;
-  /// Regions in which it may be made, and so in which its result may lie.
+  /// Regions in which the piece may be computed, and so in which its result may be stored.
   model::residency permitted_regions;
-  /// Where the piece is best made.
+  /// Zone in which the piece is preferably computed.
   base::zone_id zone;
-  /// Bytes that are carried between zones where it is made elsewhere.
+  /// Bytes that are transferred between zones if the piece is computed in another zone.
   double carried_bytes = 0;
-  /// Approximate size of the result.
+  /// Approximate size of the result, in bytes.
   double result_bytes = 0;
-  /// Pieces that are due earlier go first; those that are past due go last.
+  /// Time at which the result should be ready. Pieces that are due earlier are sent first; pieces
+  /// that are past due are sent last.
   base::time_point due;
-  /// The result is of no use after this.
+  /// Time after which the result is of no use.
   base::time_point deadline;
-  /// Replicas have ended under its request: it goes alone and, where its call is lost, is not made
-  /// again.
+  /// Whether replicas exited while they ran the request: the piece is sent without pieces of other
+  /// requests and, if its call is lost, is not retried.
   bool single_attempt = false;
 };
 
-/// A piece that is finished, one way or another.
+/// Final outcome of a piece, a result or a fault.
 struct finished_piece {
   piece_ticket ticket = 0;
   piece_outcome outcome;
 };
 
-/// A call with pieces ended without an answer: its replica may have ended while it made them.
+/// A piece whose call ended without an answer: the replica may have exited while it ran the call.
 struct lost_piece {
   piece_ticket ticket = 0;
   base::replica_id replica;
-  /// The end of the life that was called, should that have come.
+  /// Identifies the exit of the called incarnation, if it exited.
   replica_end incarnation_exit = 0;
 };
 
-/// @return whether this node may call a replica with pieces that are held to some regions; whether
-///         they may go there is asked elsewhere.
+/// @return whether this node may call a replica with pieces that are restricted to these regions;
+///         whether the regions permit the replica is checked separately.
 using replica_filter = std::function<bool(const replica_state&, const model::residency&)>;
 
-/// Not thread-safe. Commands and results gather until they are taken.
+/// Holds the waiting pieces, the calls under way and the results of one node. Not thread-safe.
+/// Commands and results accumulate until the caller takes them.
 class stage_pool {
  public:
   /// @param replicas must outlive the pool.
-  /// @param next_call gives numbers of calls; shared with the other calls of the node.
+  /// @param next_call returns the number of the next call; shared with the other calls of the node.
   stage_pool(replica_table& replicas, const serving_settings& settings,
              std::function<base::call_id()> next_call, decision_recorder record);
 
-  /// Capacities of the services; pieces of services that are gone end as `not_run`.
+  /// Replaces the capacities of the services. Waiting pieces of services that are not configured
+  /// any longer finish as `not_run`.
   void set_configuration(std::shared_ptr<const model::serving_configuration> configuration);
-  /// Restricts the replicas that are called; without a filter all may be.
+  /// Restricts the replicas that may be called; without a filter all replicas may be called.
   void set_filter(replica_filter filter) { filter_ = std::move(filter); }
 
+  /// Queues a piece.
   piece_ticket submit(piece_work work, base::time_point now);
-  /// Nobody wants the piece any more; a result that still comes is freed.
+  /// Cancels a piece whose result is not needed any longer; a result that still arrives is freed.
   void cancel(piece_ticket ticket);
 
-  /// A result is not needed any more: it is freed at its replica.
+  /// Frees a result that is not needed any longer at the replica that holds it.
   void release(const std::string& handle);
 
-  /// A replica started again: the calls at its earlier life are over, their pieces are made again,
-  /// and what it had made takes up no room.
+  /// Cancels the calls to the earlier incarnation of a replica that restarted, queues their pieces
+  /// again, and releases the memory of the results of that incarnation.
   void on_replica_restarted(const base::replica_id& replica, base::time_point now);
 
-  /// This process was paused for `gap`: calls under way are given that much more time.
+  /// Extends the timeouts of the calls under way by `gap`, the duration for which this process was
+  /// suspended.
   void resume_after_suspension(base::duration gap) { call_timeouts_.postpone_all(gap); }
 
-  /// @return whether the call was one of the pool's.
+  /// Applies the end of a call. @return whether it was a call of this pool.
   bool on_call_ended(const stage_call_ended& ended, base::time_point now);
 
-  /// Hands out what can be handed out, and gives up what is late. Costs nothing while nothing has
-  /// changed and the next look is not due.
+  /// Starts calls for waiting pieces if replicas are free, expires pieces past their deadline and
+  /// cancels calls that timed out. Returns immediately while nothing has changed and the next check
+  /// is not due.
   void dispatch_waiting(base::time_point now);
+  /// @return latest time for the next `dispatch_waiting`; std::nullopt if there is nothing to wait
+  ///         for.
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   [[nodiscard]] std::vector<finished_piece> take_finished() { return std::exchange(finished_, {}); }
-  /// @return pieces whose replica has fetched their inputs since the last call.
+  /// @return pieces whose inputs were fetched by their replica since the last call.
   [[nodiscard]] std::vector<piece_ticket> take_fetched() { return std::exchange(fetched_, {}); }
-  /// @return pieces whose calls ended without an answer since the last call; they are made again,
-  ///         or end as `lost`.
+  /// @return pieces whose calls ended without an answer since the last call; the pieces are queued
+  ///         again or finish as `lost`.
   [[nodiscard]] std::vector<lost_piece> take_lost() { return std::exchange(lost_, {}); }
   [[nodiscard]] command_list take_commands() { return std::exchange(commands_, {}); }
-  /// @return pieces of a service that wait for a call.
+  /// @return number of pieces of a service that wait for a call.
   [[nodiscard]] std::size_t waiting(const std::string& service) const;
-  /// @return those of them that are not past due: only they go before a piece submitted now.
+  /// @return number of waiting pieces of a service that are not past due: only these pieces are
+  ///         sent before a piece submitted now.
   [[nodiscard]] std::size_t waiting_in_time(const std::string& service, base::time_point now) const;
-  /// @return pieces of a service a second that were handed out of late while more waited.
+  /// @return pieces of a service per second that were sent recently while more pieces waited;
+  ///         std::nullopt if no pieces waited recently.
   [[nodiscard]] std::optional<double> drain_rate_of(const std::string& service,
                                                     base::time_point now) const;
-  /// @return pieces that wait for a call.
+  /// @return tickets of all pieces that wait for a call.
   [[nodiscard]] std::vector<piece_ticket> waiting_tickets() const;
-  /// @return pieces of one service that wait for a call.
+  /// @return tickets of the pieces of one service that wait for a call, in the order of sending.
   [[nodiscard]] std::vector<piece_ticket> waiting_tickets(const std::string& service) const;
   [[nodiscard]] bool has_calls_under_way() const { return !calls_.empty(); }
-  /// @return calls of a service that are under way.
+  /// @return number of calls of a service that are under way.
   [[nodiscard]] std::size_t calls_under_way(const std::string& service) const;
 
  private:
   struct queued_piece {
     piece_work work;
     base::time_point submitted_at;
+    /// Number of calls that count against `max_calls_per_piece`.
     std::uint32_t attempts = 0;
-    /// Calls that ended without an answer while they held it.
+    /// Number of calls with this piece that ended without an answer.
     std::uint32_t lost_calls = 0;
-    /// It is not handed out before this time.
+    /// Time before which the piece is not sent.
     base::time_point backoff_ends_at{};
   };
-  /// Order of handing out.
+  /// Sort key of a queue: pieces are sent in the order of their due times.
   struct queue_position {
     base::time_point due;
     piece_ticket ticket = 0;
     auto operator<=>(const queue_position&) const = default;
   };
+  /// A call under way.
   struct open_call {
     start_stage_call command;
     std::string service;
-    /// The end of the life that is called, should that come.
+    /// Identifies the exit of the called incarnation, if it exited.
     replica_end incarnation_exit = 0;
     base::time_point started_at;
+    /// Whether the inputs of the call were reported as fetched.
     bool has_reported_fetch = false;
-    /// Pieces in the order of the call; one that was cancelled has no entry in `pieces_`.
+    /// Pieces in the order of the call; a cancelled piece has no entry in `pieces_`.
     std::vector<piece_ticket> tickets;
-    /// Size of the result of each piece.
+    /// Size of the result of each piece, in bytes.
     std::vector<double> result_bytes;
   };
   using service_queue = std::set<queue_position>;
-  /// Puts a piece into its queue.
+  /// Adds a piece to its queue.
   void enqueue(piece_ticket ticket);
-  /// Takes a piece out of its queue.
+  /// Removes a piece from its queue.
   void dequeue(service_queue& queue, const queue_position& position);
-  /// A result that takes up room at its replica.
+  /// A result that occupies memory at its replica.
   struct held_result {
     base::replica_id replica;
     double bytes = 0;
-    /// When the call that made it began.
+    /// Start of the call that produced the result.
     base::time_point call_started_at;
   };
 
+  /// Starts calls for the waiting pieces of one service.
   void dispatch_service(const std::string& name, service_queue& queue, base::time_point now);
-  /// Ends the pieces whose time was over before they were handed out.
+  /// Finishes waiting pieces past their deadline as `expired`.
   void drop_expired(base::time_point now);
+  /// Cancels calls that timed out and marks their replicas as unreachable.
   void cancel_timed_out_calls(base::time_point now);
-  /// Finds the calls whose inputs the replicas have fetched by now.
+  /// Reports the pieces of calls whose inputs are assumed to be fetched by now.
   void note_fetched_inputs(base::time_point now);
-  /// @return whether a piece that is still wanted missed a result that its maker should have.
+  /// @return whether a piece that is still needed did not find a result that its producer should
+  ///         have.
   [[nodiscard]] bool was_freed_too_early(piece_ticket ticket, const piece_outcome& outcome,
                                          base::time_point now) const;
-  /// Learns from a call how long replicas take to fetch inputs.
+  /// Adjusts the time for which replicas are assumed to fetch inputs to the answer of a call.
   void update_fetch_time(const open_call& call, const stage_call_ended& answer,
                          base::time_point now);
+  /// @return whether the queue holds a full batch or a piece that has waited for the batch wait.
   bool is_batch_due(const service_queue& queue, const model::piece_capacity& capacity,
                     base::time_point now) const;
-  /// Each set of regions that pieces of a queue are held to, once.
+  /// Distinct sets of permitted regions.
   using residency_list = std::vector<model::residency>;
+  /// @return sets of permitted regions of the pieces of a queue.
   [[nodiscard]] residency_list residencies_in(const service_queue& queue) const;
-  /// @return whether a replica may be called with a piece that is held to these regions.
+  /// @return whether a replica may be called with a piece that is restricted to these regions.
   [[nodiscard]] bool may_serve(const replica_state& replica,
                                const model::residency& residency) const;
-  /// @return whether a replica may be called with a piece of any of the sets.
+  /// @return whether a replica may be called with a piece that is restricted to any of the sets.
   [[nodiscard]] bool may_serve_any(const replica_state& replica,
                                    const residency_list& residencies) const;
-  /// Replicas that can be given a call now.
+  /// @return replicas that can be called now, slow replicas last.
   [[nodiscard]] std::vector<const replica_state*>
   replicas_with_free_slot(const std::string& name, const model::piece_capacity& capacity,
                           const residency_list& residencies, base::time_point now) const;
+  /// Starts a call with the pieces of a batch and removes them from the queue.
   void start_call(const std::string& name, const std::vector<queue_position>& batch,
                   service_queue& queue, const replica_state& replica,
                   const model::piece_capacity& capacity, base::time_point now);
-  /// When the replicas of one zone are expected to take more.
+  /// Time at which the replicas of one zone are expected to accept further calls.
   struct zone_wait_estimate {
-    /// The first of them is free then.
+    /// Time at which the first of the replicas is free.
     base::time_point free_at;
+    /// Duration of a call with a full batch.
     base::duration full_call_time{};
+    /// Pieces in a full batch.
     std::uint32_t batch_size = 1;
     std::uint32_t replicas = 0;
-    /// Pieces that wait for this zone and go before.
+    /// Number of pieces that wait for this zone and are sent earlier.
     std::size_t pieces_ahead = 0;
-    /// @return when a piece that waits for the zone is expected to start.
+    /// @return time at which a piece that waits for the zone is expected to start.
     [[nodiscard]] base::time_point next_start_at() const;
   };
-  /// Zones that have any replica that works.
+  /// Estimates of the zones that have an available replica.
   using zone_wait_estimates = std::map<base::zone_id, zone_wait_estimate>;
-  /// Pieces of one stage of one request, which are kept together.
+  /// Pieces of one stage of one request with the same permitted regions, which are sent together.
   struct piece_group {
     const base::request_id* request = nullptr;
     std::uint32_t stage = 0;
     base::time_point due;
     double result_bytes = 0;
     const model::residency* permitted_regions = nullptr;
-    /// Where the pieces are best made, and what is carried between zones elsewhere.
+    /// Zone in which the pieces are preferably computed, and the bytes that are transferred between
+    /// zones if they are computed in another zone.
     const base::zone_id* preferred_zone = nullptr;
     double carried_bytes = 0;
     base::time_point submitted_at;
-    /// Replicas may have ended under its pieces: they go with no others, so that the next call
-    /// shows whether they are to blame, and harms no others.
+    /// Whether replicas may have exited because of these pieces: they are sent without other
+    /// pieces, so that the next call shows whether they are the cause, and does not harm other
+    /// pieces.
     bool must_run_alone = false;
     std::vector<queue_position> pieces;
   };
-  /// Takes the pieces for the next call to a replica out of the groups: those still in time first,
-  /// as many as it has room for.
+  /// Moves the pieces for the next call to a replica from the groups into a batch: pieces that are
+  /// not past due first, as many as the replica has memory for.
   std::vector<queue_position> take_batch(std::vector<piece_group>& groups,
                                          const replica_state& replica,
                                          zone_wait_estimates estimates,
                                          const model::piece_capacity& capacity,
                                          base::time_point now) const;
-  /// Moves pieces of a group into a batch, up to `free_slots` of them and `free_bytes` bytes of
-  /// results.
+  /// Moves up to `free_slots` pieces of a group with up to `free_bytes` bytes of results into a
+  /// batch. Subtracts their results from `free_bytes`.
   void move_pieces(piece_group& group, std::vector<queue_position>& batch, std::size_t free_slots,
                    double& free_bytes) const;
-  /// @return whether a group may be made at a replica of `zone` now, or should wait for one of the
-  ///         zone where it is best made.
+  /// @return whether a group may run at a replica of `zone` now; false if it should wait for a
+  ///         replica of its preferred zone.
   [[nodiscard]] bool may_run_in(const piece_group& group, const base::zone_id& zone,
                                 const zone_wait_estimates& estimates, base::time_point now) const;
+  /// @return estimates of the zones whose replicas may serve pieces of any of the residencies.
   [[nodiscard]] zone_wait_estimates estimate_zone_waits(const std::string& name,
                                                         const model::piece_capacity& capacity,
                                                         const residency_list& residencies,
                                                         base::time_point now) const;
+  /// @return groups of the pieces of a queue that are not backing off, in queue order.
   [[nodiscard]] std::vector<piece_group> group_pieces(const service_queue& queue,
                                                       base::time_point now) const;
+  /// @return bytes of result memory of a replica that are free for planning; may be negative.
   [[nodiscard]] double free_result_bytes(const base::replica_id& replica,
                                          const model::piece_capacity& capacity,
                                          base::time_point now) const;
+  /// Records that a replica had no memory for a result: results unknown to this pool use the rest.
   void note_memory_exhausted(const open_call& call, base::time_point now);
   void forget_expired_results(base::time_point now);
-  /// Ends a call whose replica started again.
+  /// Cancels a call whose replica restarted and queues its pieces again.
   void cancel_call_of_earlier_incarnation(base::call_id call, base::time_point now);
-  /// @return whether results of an earlier life of a maker may still be asked for.
-  [[nodiscard]] bool has_restarted_recently(const replica_state& maker, base::time_point now) const;
+  /// @return whether results of an earlier incarnation of a producer may still be requested.
+  [[nodiscard]] bool has_restarted_recently(const replica_state& producer,
+                                            base::time_point now) const;
+  /// Removes a result from the accounting of result memory.
   void forget_result(const std::string& handle);
-  /// Frees results that wait for it where their makers may be sent something now.
-  /// @param only_short_of_memory those that would take no piece for want of room.
+  /// Sends the deferred frees whose producers may be called now.
+  /// @param only_short_of_memory whether to send only to producers that are short of memory.
   void free_deferred_results(bool only_short_of_memory, base::time_point now);
   [[nodiscard]] bool is_short_of_memory(const replica_state& replica, base::time_point now) const;
-  /// A replica refused a call: others call it too.
+  /// Records that a replica refused a call, as other nodes call it too.
   void note_occupied(const open_call& call, base::time_point now);
-  /// Learns from a call how fast its replica is.
+  /// Records the duration of a call, from which the slowdown of its replica is computed.
   void note_pace(const open_call& call, base::time_point now);
+  /// Removes a call from the counts, timeouts and result memory.
   void release_call(const open_call& call);
+  /// Applies the outcome of a call to its replica and its pieces.
   void apply_answer(const open_call& call, const stage_call_ended& answer, base::time_point now);
+  /// Finishes or queues a piece again; frees the result of a cancelled piece.
   void apply_outcome(piece_ticket ticket, const piece_outcome& outcome);
-  /// Keeps account of the pieces of a call that ended without an answer.
+  /// Reports the pieces of a call that ended without an answer as lost and sets their backoff.
   void note_lost_pieces(const open_call& call, base::time_point now);
+  /// Writes the event for the end of a call.
   void record_call_end(const open_call& call, const stage_call_ended& answer,
                        base::time_point now) const;
+  /// Adds a result to the accounting of result memory.
   void record_result(const open_call& call, std::size_t index, const piece_outcome& outcome,
                      base::time_point now);
-  /// Queues a piece again, or ends it with `fault` where it was tried often enough.
+  /// Queues a piece again, or finishes it with `fault` if it has no attempts left.
   void requeue(piece_ticket ticket, piece_fault fault);
   void finish(piece_ticket ticket, piece_outcome outcome);
+  /// @return null if the service is not configured or has no pieces.
   const model::piece_capacity* capacity_of(const std::string& name) const;
 
   replica_table* replicas_;
@@ -291,27 +327,28 @@
   std::shared_ptr<const model::serving_configuration> configuration_;
   replica_filter filter_;
   piece_ticket next_ticket_ = 1;
-  /// The queues are looked at again then; earlier after a change.
+  /// Time of the next check of the queues; reset to an earlier time after a change.
   base::time_point next_check_at_;
   std::unordered_map<piece_ticket, queued_piece> pieces_;
   std::map<std::string, service_queue> queues_;
   std::map<std::string, drain_rate> drain_rates_;
   std::unordered_map<base::call_id, open_call> calls_;
-  /// Calls under way by service.
+  /// Number of calls under way, by service.
   std::map<std::string, std::size_t> call_counts_by_service_;
   /// Deadlines of the pieces that wait for a call.
   base::due_times<piece_ticket> waiting_deadlines_;
-  /// When calls without an answer are given up.
+  /// Times at which calls without an answer are cancelled.
   base::due_times<base::call_id> call_timeouts_;
-  /// When the replicas of calls have fetched the inputs of their pieces; calls without inputs, and
-  /// those of which it was told, have no entry.
+  /// Times at which replicas are assumed to have fetched the inputs of their calls; calls without
+  /// inputs, and calls whose fetch was reported, have no entry.
   base::due_times<base::call_id> expected_fetches_;
-  /// When results expire at their makers.
+  /// Times at which results expire at their producers.
   base::due_times<std::string> result_expiries_;
+  /// Number of calls under way, by replica.
   std::map<base::replica_id, std::uint32_t> call_counts_by_replica_;
-  /// Room taken by results, at work or waiting to be fetched.
+  /// Memory of results that are being computed or wait to be fetched, by replica.
   std::map<base::replica_id, double> result_bytes_by_replica_;
-  /// Room taken by results that this pool knows nothing of, seen when a replica had none left.
+  /// Memory used by results unknown to this pool, computed when a replica had no memory left.
   struct unaccounted_memory {
     double bytes = 0;
     base::time_point until;
@@ -321,9 +358,9 @@
   std::vector<finished_piece> finished_;
   std::vector<piece_ticket> fetched_;
   std::vector<lost_piece> lost_;
-  /// Results that are to be freed when their makers may be sent something again.
+  /// Results to be freed when their producers may be called again.
   std::map<base::replica_id, std::vector<std::string>> deferred_frees_;
-  /// Time after which a replica is taken to have fetched the inputs of a call.
+  /// Time after the start of a call at which its replica is assumed to have fetched the inputs.
   base::duration fetch_time_;
   command_list commands_;
 };
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -1,4 +1,5 @@
-/// Which pieces go into the next call to a replica, and which wait for one of their own zone.
+/// Selection of the pieces for the next call to a replica, and of those that wait for a replica of
+/// their preferred zone.
 #include "stage_work/stage_pool.h"
 
 #include "replicas/distance.h"
@@ -58,8 +59,8 @@
   }
   const bool is_past_due = group.due <= now;
   const auto& estimate = preferred->second;
-  // Half a call of margin: the published call times are means, and a call in the own zone may start
-  // later than expected.
+  // Half a call of margin: the published call times are means, and a call in the preferred zone may
+  // start later than expected.
   return !is_past_due && estimate.next_start_at() + estimate.full_call_time / 2 > group.due;
 }
 
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -1,5 +1,5 @@
-/// Results of pieces at the replicas that made them: the room they take, when they are freed, and
-/// how long they are kept for those that fetch them.
+/// Results of pieces at the replicas that produced them: the memory that they use, when they are
+/// freed, and how long they are kept for the replicas that fetch them.
 #include "stage_work/stage_pool.h"
 
 #include "stage_work/result_handle.h"
@@ -10,14 +10,14 @@
 namespace spurrack::serving {
 namespace {
 
-/// How long room that turned out to be taken is planned without.
+/// Time for which memory that turned out to be in use is excluded from planning.
 constexpr base::duration unaccounted_memory_lifetime = std::chrono::milliseconds(700);
-/// Where inputs were freed too early, the time is doubled up to this, and comes back over this many
-/// good calls. Results that lie longer take up room that their makers are short of: more than the
-/// time of a call or two does more harm than good.
+/// If inputs were freed too early, the fetch time is doubled up to this maximum; it decays over
+/// this number of successful calls. Results that are kept longer use memory that their producers
+/// are short of: more than the time of one or two calls does more harm than good.
 constexpr base::duration max_fetch_time = std::chrono::milliseconds(640);
 constexpr int fetch_time_recovery_calls = 10;
-/// A producer that failed this share of its latest calls may have lost its results.
+/// Share of failed calls among the latest calls from which a producer may have lost its results.
 constexpr double suspect_failure_share = 0.1;
 
 } // namespace
@@ -55,12 +55,12 @@
   forget_result(handle);
   const auto producer = producer_of(handle);
   const auto* replica = replicas_->find_at(producer);
-  // Nothing is sent to an evacuated zone, nor to a replica that leaves; what lies there expires.
+  // Nothing is sent to an evacuated zone or to a draining replica; the results there expire.
   if (replica == nullptr || replicas_->is_evacuated(replica->record->zone) ||
       replicas_->says_it_leaves(*replica)) {
     return;
   }
-  // The pump asks whether something may be sent now.
+  // `dispatch_waiting` checks whether the replica may be called now.
   if (replicas_->limit_of(*replica) || replica->backoff.was_asked()) {
     deferred_frees_[replica->record->id].push_back(handle);
     return;
@@ -100,7 +100,7 @@
     }
     if (can_send) {
       if (replicas_->limit_of(*replica)) {
-        // It counts as any request does, but no answer is awaited.
+        // A free counts against the limit as a request does, but has no answer to wait for.
         replicas_->call_started(entry->first, now);
         replicas_->call_ended(entry->first);
       }
@@ -161,7 +161,7 @@
   if (outcome.fault != piece_fault::input_gone || found == pieces_.end()) {
     return false;
   }
-  // Results that went with their producer were not freed by this pool.
+  // Results that were lost with their producer were not freed by this pool.
   const auto& inputs = found->second.work.inputs;
   return std::all_of(inputs.begin(), inputs.end(), [&](const std::string& handle) {
     const auto* producer = replicas_->find_at(producer_of(handle));
