--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -56,8 +56,8 @@
   if (shards_.own_replicas().contains(replica.record->id)) {
     return true;
   }
-  // Without this exception, pieces that may not run at any of the own replicas would wait here
-  // forever.
+  // A node without own replicas that the pieces may use calls other replicas: otherwise the pieces
+  // would wait here forever.
   const auto own = shards_.own_services().find(replica.record->service);
   return own == shards_.own_services().end() ||
          std::none_of(own->second.begin(), own->second.end(), [&](const auto& neighbourhood) {
