--- a/tests/stage_work/drain_rate_test.cc
+++ b/tests/stage_work/drain_rate_test.cc
@@ -7,7 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(drain_rate_test)
 
-BOOST_AUTO_TEST_CASE(measures_what_is_handed_out_while_more_waits) {
+BOOST_AUTO_TEST_CASE(rate_counts_dispatched_items_while_more_wait) {
   drain_rate subject;
   base::time_point now{std::chrono::hours(1)};
   for (int turn = 0; turn < 20; ++turn) {
@@ -18,7 +18,7 @@
   BOOST_TEST(*subject.per_second(now) == 100.0, boost::test_tools::tolerance(0.05));
 }
 
-BOOST_AUTO_TEST_CASE(says_nothing_of_a_queue_that_is_empty) {
+BOOST_AUTO_TEST_CASE(no_rate_for_an_empty_queue) {
   drain_rate subject;
   base::time_point now{std::chrono::hours(1)};
   for (int turn = 0; turn < 20; ++turn) {
@@ -28,7 +28,7 @@
   BOOST_TEST(!subject.per_second(now).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(an_old_rate_says_nothing) {
+BOOST_AUTO_TEST_CASE(old_rate_expires) {
   drain_rate subject;
   base::time_point now{std::chrono::hours(1)};
   for (int turn = 0; turn < 10; ++turn) {
--- a/tests/stage_work/exchange_fleet.h
+++ b/tests/stage_work/exchange_fleet.h
@@ -1,4 +1,4 @@
-/// A fleet of stage exchanges whose messages are delivered by hand.
+/// A fleet of stage exchanges in one process; the fixture delivers their messages.
 #pragma once
 
 #include "stage_work/stage_exchange.h"
@@ -16,7 +16,7 @@
 
 namespace spurrack::serving {
 
-/// Settings of nodes whose zones `a` to `e` are one region.
+/// @return settings in which the zones `a` to `e` are one region.
 inline serving_settings one_region() {
   std::map<base::zone_id, base::region_id> regions;
   for (const char* zone : {"a", "b", "c", "d", "e"}) {
@@ -28,11 +28,11 @@
 }
 
 struct exchange_node {
-  exchange_node(const fleet_peer& self, published_world& world, std::uint64_t life,
+  exchange_node(const fleet_peer& self, published_world& world, std::uint64_t incarnation,
                 const serving_settings& settings = {})
-      : identity(self), random(life), replicas(self.node, self.zone, settings, random),
+      : identity(self), random(incarnation), replicas(self.node, self.zone, settings, random),
         subject(
-            self, replicas, settings, [this] { return next_call++; }, life,
+            self, replicas, settings, [this] { return next_call++; }, incarnation,
             [](auto, const auto&, const auto&, const auto&) {}) {
     replicas.update(world.content.replicas(), {});
     subject.set_configuration(world.content.serving());
@@ -49,13 +49,13 @@
 };
 
 struct exchange_fleet {
-  /// @param zone_count zones `a`, `b`, ... over which the nodes are spread.
+  /// @param zone_count number of zones, `a`, `b`, ..., over which the nodes are spread.
   explicit exchange_fleet(int size = 3, int zone_count = 1, serving_settings settings = {})
       : size_(size), zone_count_(zone_count), settings_(std::move(settings)) {
     for (int index = 0; index < size_; ++index) {
       start(index, 1'000'000);
     }
-    meet();
+    exchange_peers();
   }
 
   [[nodiscard]] fleet_peer peer(int index) const {
@@ -66,15 +66,15 @@
             share == processor_shares.end() ? 1.0 : share->second};
   }
 
-  void start(int index, std::uint64_t life) {
+  void start(int index, std::uint64_t incarnation) {
     if (nodes.size() <= static_cast<std::size_t>(index)) {
       nodes.resize(static_cast<std::size_t>(index) + 1);
     }
     nodes[static_cast<std::size_t>(index)] =
-        std::make_unique<exchange_node>(peer(index), world, life, settings_);
+        std::make_unique<exchange_node>(peer(index), world, incarnation, settings_);
   }
 
-  void meet() {
+  void exchange_peers() {
     for (auto& node : nodes) {
       std::vector<fleet_peer> others;
       for (int index = 0; index < size_; ++index) {
@@ -87,18 +87,18 @@
     run(std::chrono::milliseconds(500));
   }
 
-  void run(base::duration span) {
+  void run(base::duration duration) {
     constexpr base::duration step = std::chrono::milliseconds(10);
-    for (const auto end = now + span; now < end;) {
+    for (const auto end = now + duration; now < end;) {
       now += step;
       for (auto& node : nodes) {
-        dispatch_waiting(*node);
+        step_node(*node);
       }
     }
   }
 
-  void dispatch_waiting(exchange_node& node) {
-    if (node.identity.node == silent) {
+  void step_node(exchange_node& node) {
+    if (node.identity.node == unresponsive) {
       return;
     }
     node.subject.dispatch_waiting(now);
@@ -114,12 +114,14 @@
     }
     for (auto& message : node.subject.take_messages()) {
       ++messages_sent;
-      if (loses_message(node, message.to)) {
+      if (is_message_lost(node, message.to)) {
         continue;
       }
       for (auto& other : nodes) {
-        const bool is_cut = (other->identity.zone == cut_zone) != (node.identity.zone == cut_zone);
-        if (other->identity.address == message.to && other->identity.node != silent && !is_cut) {
+        const bool is_partitioned =
+            (other->identity.zone == partitioned_zone) != (node.identity.zone == partitioned_zone);
+        if (other->identity.address == message.to && other->identity.node != unresponsive &&
+            !is_partitioned) {
           other->subject.handle(node.identity.node, message.message.stage_work(), now);
         }
       }
@@ -139,7 +141,7 @@
     return origin.subject.submit({work}, zone, now).front();
   }
 
-  /// @return the node that has made a call; null where none has.
+  /// @return the first node that has started a call; null if no node has.
   exchange_node* caller() {
     for (auto& node : nodes) {
       if (!node->calls.empty()) {
@@ -159,14 +161,14 @@
     batcher.subject.on_call_ended(ended, now);
   }
 
-  /// Lets time pass; answers each call shortly after it was made.
-  /// @param note_call told of each call before its answer.
+  /// Advances the time and answers each call shortly after its start.
+  /// @param note_call invoked for each call before its answer.
   void run_answering(
-      base::duration span,
+      base::duration duration,
       const std::function<void(const exchange_node&, const start_stage_call&)>& note_call =
           [](const auto&, const auto&) {}) {
     constexpr base::duration step = std::chrono::milliseconds(20);
-    for (const auto end = now + span; now < end;) {
+    for (const auto end = now + duration; now < end;) {
       run(step);
       for (auto& node : nodes) {
         for (; !node->calls.empty(); node->calls.pop_back()) {
@@ -181,8 +183,8 @@
     return nodes[0].get() == &node ? *nodes[1] : *nodes[0];
   }
 
-  /// The transport connects with the first message to a peer, and loses it.
-  bool loses_message(const exchange_node& sender, const base::network_address& to) {
+  /// @return whether a message is lost, as the transport connects on the first message to a peer.
+  bool is_message_lost(const exchange_node& sender, const base::network_address& to) {
     return loses_first_messages && connected_.insert({sender.identity.node, to}).second;
   }
 
@@ -190,12 +192,13 @@
   std::vector<std::unique_ptr<exchange_node>> nodes;
   bool loses_first_messages = false;
   std::size_t messages_sent = 0;
-  /// Cores of nodes that have not one.
+  /// Processor shares of nodes, by index; 1 for all other nodes.
   std::map<std::size_t, double> processor_shares;
   base::time_point now{std::chrono::hours(1)};
-  base::node_id silent;
-  /// Its nodes hear nobody outside, and nobody outside hears them.
-  base::zone_id cut_zone;
+  /// Node that does nothing and receives no messages.
+  base::node_id unresponsive;
+  /// Zone whose nodes exchange no messages with nodes outside it.
+  base::zone_id partitioned_zone;
 
  private:
   int size_;
--- a/tests/stage_work/piece_residency_test.cc
+++ b/tests/stage_work/piece_residency_test.cc
@@ -1,4 +1,4 @@
-/// Pieces that are held to regions, in a fleet whose nodes gather for one another.
+/// Pieces that are restricted to regions, in a fleet whose nodes batch pieces for one another.
 #include "exchange_fleet.h"
 #include "residency_fixture.h"
 
@@ -18,20 +18,20 @@
 using text_set = std::set<std::string>;
 
 /// Two nodes and replicas of service `pool` in each of six zones.
-struct held_fleet : exchange_fleet {
-  explicit held_fleet(int replicas_per_zone = 2)
+struct restricted_fleet : exchange_fleet {
+  explicit restricted_fleet(int replicas_per_zone = 2)
       : exchange_fleet(node_count, zone_count, residency_settings()) {
     for (const auto& zone : residency_zones) {
       for (int index = 0; index < replicas_per_zone; ++index) {
         world.add_replica("pool-" + zone + "-" + std::to_string(index), "pool", zone);
       }
     }
-    take_over();
+    apply_published();
     run(seconds(3));
   }
 
-  /// Every node takes over what is published.
-  void take_over() {
+  /// Applies the published state at every node.
+  void apply_published() {
     for (auto& node : nodes) {
       node->replicas.update(world.content.replicas(), now);
       node->replicas.set_evacuated(world.content.evacuated_zones(), now);
@@ -45,9 +45,9 @@
   }
 };
 
-/// One pool that may call every replica, in zones `a` and `e`.
-struct held_pool {
-  held_pool()
+/// A pool that may call all replicas, in zones `a` and `e`.
+struct restricted_pool {
+  restricted_pool()
       : random(1), replicas(base::node_id("n"), base::zone_id("a"), residency_settings(), random),
         pool(
             replicas, residency_settings(), [this] { return next_call++; },
@@ -58,7 +58,7 @@
     pool.set_configuration(world.content.serving());
   }
 
-  /// A piece of the one request, best made in `a`.
+  /// Submits a piece of the same request with preferred zone `a`.
   void submit(const model::residency& allowed) {
     piece_work work;
     work.request = base::request_id("same");
@@ -72,14 +72,14 @@
     pool.submit(std::move(work), now);
   }
 
-  /// @return where each piece was called.
+  /// @return zone of the replica that was called with each piece.
   std::vector<std::string> zones_of_pieces() {
     now += milliseconds(20);
     pool.dispatch_waiting(now);
     std::vector<std::string> zones;
     for (const auto& command : pool.take_commands()) {
       if (const auto* call = std::get_if<start_stage_call>(&command)) {
-        zones.insert(zones.end(), call->items.size(), held_fleet::zone_of(*call));
+        zones.insert(zones.end(), call->items.size(), restricted_fleet::zone_of(*call));
       }
     }
     return zones;
@@ -93,16 +93,16 @@
   base::time_point now{std::chrono::hours(1)};
 };
 
-/// Draws pieces and faults, and checks where each piece is called.
-class drawn_fleet_day : public held_fleet {
+/// Submits random pieces, injects random faults and checks the region of each call.
+class random_fleet_run : public restricted_fleet {
  public:
-  explicit drawn_fleet_day(std::uint64_t seed) : drawn_(seed) {}
+  explicit random_fleet_run(std::uint64_t seed) : random_(seed) {}
 
-  void play(int steps) {
+  void run_steps(int steps) {
     for (int step = 0; step < steps; ++step) {
-      act();
+      take_random_step();
       run(milliseconds(20));
-      end_calls();
+      end_all_calls();
     }
   }
 
@@ -110,14 +110,14 @@
   int pieces_outside = 0;
 
  private:
-  void act() {
-    switch (drawn_.below(10)) {
+  void take_random_step() {
+    switch (random_.below(10)) {
     case 0:
-      silent =
-          drawn_.below(2) == 0 ? base::node_id() : nodes[drawn_.below(nodes.size())]->identity.node;
+      unresponsive = random_.below(2) == 0 ? base::node_id()
+                                           : nodes[random_.below(nodes.size())]->identity.node;
       break;
     case 1:
-      cut_zone = drawn_.below(2) == 0 ? base::zone_id() : base::zone_id(draw_zone());
+      partitioned_zone = random_.below(2) == 0 ? base::zone_id() : base::zone_id(random_zone());
       break;
     case 2:
       change_evacuation();
@@ -131,44 +131,44 @@
     }
   }
 
-  std::string draw_zone() { return residency_zones[drawn_.below(residency_zones.size())]; }
+  std::string random_zone() { return residency_zones[random_.below(residency_zones.size())]; }
 
   void submit_pieces() {
     static const std::vector<text_set> sets{{"north"}, {"south"}, {"west"}, {"north", "west"}};
-    const auto set = drawn_.below(sets.size() + 1);
+    const auto set = random_.below(sets.size() + 1);
     const auto allowed = set == sets.size() ? model::residency{} : within(sets[set]);
-    // A client may come back with the name of its request, and find other terms.
-    const auto name = "r" + std::to_string(drawn_.below(4)) + "-" + std::to_string(set);
-    allowed_[name] = allowed;
-    auto& origin = *nodes[drawn_.below(nodes.size())];
-    for (auto left = 1 + drawn_.below(6); left > 0; --left) {
-      submit(origin, base::zone_id(draw_zone()), allowed, name);
+    // A client may repeat a request id when other residency rules apply.
+    const auto name = "r" + std::to_string(random_.below(4)) + "-" + std::to_string(set);
+    residency_by_request_[name] = allowed;
+    auto& origin = *nodes[random_.below(nodes.size())];
+    for (auto left = 1 + random_.below(6); left > 0; --left) {
+      submit(origin, base::zone_id(random_zone()), allowed, name);
     }
   }
 
   void change_evacuation() {
-    const auto zone = draw_zone();
+    const auto zone = random_zone();
     if (evacuated_.erase(zone) > 0) {
       world.end_evacuation(zone);
     } else {
       evacuated_.insert(zone);
       world.evacuate(zone);
     }
-    take_over();
+    apply_published();
   }
 
   void change_replica() {
-    const auto zone = draw_zone();
-    const auto name = "pool-" + zone + "-" + std::to_string(drawn_.below(2));
-    if (drawn_.below(2) == 0) {
+    const auto zone = random_zone();
+    const auto name = "pool-" + zone + "-" + std::to_string(random_.below(2));
+    if (random_.below(2) == 0) {
       world.remove_replica(name);
     } else {
-      world.add_replica(name, "pool", zone, drawn_.below(4) == 0);
+      world.add_replica(name, "pool", zone, random_.below(4) == 0);
     }
-    take_over();
+    apply_published();
   }
 
-  void end_calls() {
+  void end_all_calls() {
     for (auto& node : nodes) {
       for (const auto& call : std::exchange(node->calls, {})) {
         check(call);
@@ -181,48 +181,49 @@
     const auto region = residency_regions().region_of(base::zone_id(zone_of(call)));
     for (const auto& item : call.items) {
       ++pieces_checked;
-      pieces_outside += allowed_.at(item.request.text()).permits(region) ? 0 : 1;
+      pieces_outside += residency_by_request_.at(item.request.text()).permits(region) ? 0 : 1;
     }
   }
 
   void end_call(exchange_node& caller, const start_stage_call& call) {
     using how = stage_call_ended::result;
-    constexpr std::array<how, 6> ways{how::answered, how::answered, how::answered,
-                                      how::refused,  how::failed,   how::not_sent};
-    stage_call_ended ended{call.call, ways[drawn_.below(ways.size())], {}};
+    constexpr std::array<how, 6> outcomes{how::answered, how::answered, how::answered,
+                                          how::refused,  how::failed,   how::not_sent};
+    stage_call_ended ended{call.call, outcomes[random_.below(outcomes.size())], {}};
     if (ended.how == how::answered) {
       for (std::size_t index = 0; index < call.items.size(); ++index) {
-        const bool fails = drawn_.below(6) == 0;
+        const bool fails = random_.below(6) == 0;
         ended.pieces.push_back(
             {fails ? piece_fault::error : piece_fault::none,
-             fails ? "" : call.target.address.text() + "/h" + std::to_string(++handles_)});
+             fails ? "" : call.target.address.text() + "/h" + std::to_string(++handle_count_)});
       }
     }
     caller.subject.on_call_ended(ended, now);
   }
 
-  base::seeded_random drawn_;
-  std::map<std::string, model::residency> allowed_;
+  base::seeded_random random_;
+  std::map<std::string, model::residency> residency_by_request_;
   text_set evacuated_;
-  int handles_ = 0;
+  int handle_count_ = 0;
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(piece_residency_test)
 
-BOOST_AUTO_TEST_CASE(a_piece_is_gathered_where_it_may_be_made) {
-  held_fleet fleet;
+BOOST_AUTO_TEST_CASE(piece_is_batched_in_a_permitted_region) {
+  restricted_fleet fleet;
   fleet.submit(*fleet.nodes[0], base::zone_id("a"), within({"south"}));
   fleet.run(milliseconds(100));
   BOOST_REQUIRE(fleet.caller() != nullptr);
   const auto batcher = fleet.caller()->identity.zone;
   BOOST_TEST(residency_regions().region_of(batcher)->text() == "south");
-  const auto zone = held_fleet::zone_of(fleet.caller()->calls.front());
+  const auto zone = restricted_fleet::zone_of(fleet.caller()->calls.front());
   BOOST_TEST((text_set{"c", "d"}).contains(zone));
 }
 
-BOOST_FIXTURE_TEST_CASE(requests_of_one_name_and_other_terms_are_kept_apart, held_pool) {
+BOOST_FIXTURE_TEST_CASE(pieces_of_one_request_with_different_residencies_are_separate,
+                        restricted_pool) {
   submit(model::residency{});
   submit(within({"west"}));
   submit(model::residency{});
@@ -231,15 +232,15 @@
   BOOST_TEST(std::count(zones.begin(), zones.end(), "e") == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_piece_does_not_wait_for_a_zone_where_it_may_not_be_made, held_pool) {
+BOOST_FIXTURE_TEST_CASE(piece_does_not_wait_for_a_zone_that_is_not_permitted, restricted_pool) {
   submit(model::residency{});
   submit(within({"west"}));
-  // Both are best made in `a`; what would be carried is worth waiting for.
+  // The preferred zone of both is `a`; the bytes to transfer are worth a wait.
   BOOST_TEST(zones_of_pieces().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_gatherer_of_other_regions_calls_for_a_piece_that_it_was_sent) {
-  held_fleet fleet;
+BOOST_AUTO_TEST_CASE(batcher_of_another_region_calls_for_a_forwarded_piece) {
+  restricted_fleet fleet;
   auto& origin = *fleet.nodes[0];
   fleet.submit(origin, base::zone_id("a"), within({"north"}));
   fleet.run(milliseconds(100));
@@ -260,12 +261,12 @@
   batcher.subject.handle(fleet.other_than(batcher).identity.node, message, fleet.now);
   fleet.run(milliseconds(100));
   BOOST_REQUIRE(batcher.calls.size() == 1U);
-  BOOST_TEST((text_set{"c", "d"}).contains(held_fleet::zone_of(batcher.calls.front())));
+  BOOST_TEST((text_set{"c", "d"}).contains(restricted_fleet::zone_of(batcher.calls.front())));
 }
 
-BOOST_AUTO_TEST_CASE(who_gathers_elsewhere_still_calls_for_a_piece_that_nobody_else_takes) {
-  held_fleet fleet;
-  // Every node of the south is gone: its replicas are called by nodes of other regions.
+BOOST_AUTO_TEST_CASE(batcher_of_another_region_calls_for_pieces_of_a_region_without_nodes) {
+  restricted_fleet fleet;
+  // All nodes of the south are removed: its replicas are called by nodes of other regions.
   std::vector<fleet_peer> left;
   for (int index = 0; index < node_count; ++index) {
     if (residency_regions().region_of(fleet.peer(index).zone) != base::region_id("south")) {
@@ -280,7 +281,7 @@
   auto& origin = *fleet.nodes[0];
   fleet.submit(origin, base::zone_id("a"), within({"south"}));
   fleet.run_answering(seconds(2), [&](const exchange_node& caller, const start_stage_call& call) {
-    BOOST_TEST((text_set{"c", "d"}).contains(held_fleet::zone_of(call)));
+    BOOST_TEST((text_set{"c", "d"}).contains(restricted_fleet::zone_of(call)));
     BOOST_TEST((residency_regions().region_of(caller.identity.zone) != base::region_id("south")));
   });
   BOOST_REQUIRE(origin.finished.size() == 1U);
@@ -288,14 +289,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(no_piece_is_called_outside_its_regions) {
-  constexpr std::uint64_t days = 12;
+  constexpr std::uint64_t run_count = 12;
   constexpr int steps = 250;
   int checked = 0;
-  for (std::uint64_t seed = 1; seed <= days; ++seed) {
-    drawn_fleet_day day(seed);
-    day.play(steps);
-    BOOST_TEST(day.pieces_outside == 0, "seed " << seed << ": " << day.pieces_outside);
-    checked += day.pieces_checked;
+  for (std::uint64_t seed = 1; seed <= run_count; ++seed) {
+    random_fleet_run random_run(seed);
+    random_run.run_steps(steps);
+    BOOST_TEST(random_run.pieces_outside == 0,
+               "seed " << seed << ": " << random_run.pieces_outside);
+    checked += random_run.pieces_checked;
   }
   BOOST_TEST(checked > 1000);
 }
--- a/tests/stage_work/region_batchers_test.cc
+++ b/tests/stage_work/region_batchers_test.cc
@@ -1,4 +1,4 @@
-/// How far pieces go for a replica, in a fleet of several regions.
+/// Choice of the region in which pieces run, in a fleet of several regions.
 #include "exchange_fleet.h"
 #include "residency_fixture.h"
 
@@ -31,7 +31,7 @@
     run(seconds(3));
   }
 
-  /// Every node of the north submits pieces that are best made there.
+  /// Submits pieces at every node of the north, each with the node's own zone as preferred zone.
   void submit_in_north(int pieces) {
     for (auto& node : nodes) {
       const auto& zone = node->identity.zone;
@@ -43,15 +43,15 @@
     }
   }
 
-  /// @return pieces made in each region; the zone without region is "".
-  std::map<std::string, std::size_t> made_in(base::duration span) {
-    std::map<std::string, std::size_t> made;
+  /// @return number of pieces that ran in each region; "" for the zone without region.
+  std::map<std::string, std::size_t> pieces_by_region(base::duration span) {
+    std::map<std::string, std::size_t> piece_counts;
     run_answering(span, [&](const exchange_node&, const start_stage_call& call) {
       const auto zone = call.target.replica.text().substr(5, 1);
       const auto region = residency_regions().region_of(base::zone_id(zone));
-      made[region ? region->text() : ""] += call.items.size();
+      piece_counts[region ? region->text() : ""] += call.items.size();
     });
-    return made;
+    return piece_counts;
   }
 };
 
@@ -59,27 +59,27 @@
 
 BOOST_FIXTURE_TEST_SUITE(region_batchers_test, regional_fleet)
 
-BOOST_AUTO_TEST_CASE(pieces_are_made_in_their_region) {
+BOOST_AUTO_TEST_CASE(pieces_run_in_their_region) {
   submit_in_north(4);
-  const auto made = made_in(seconds(1));
-  BOOST_TEST(made.size() == 1U);
-  BOOST_TEST(made.at("north") == 16U);
+  const auto piece_counts = pieces_by_region(seconds(1));
+  BOOST_TEST(piece_counts.size() == 1U);
+  BOOST_TEST(piece_counts.at("north") == 16U);
 }
 
-BOOST_AUTO_TEST_CASE(pieces_go_elsewhere_when_their_region_has_a_long_queue) {
+BOOST_AUTO_TEST_CASE(pieces_spill_over_if_their_region_has_a_long_queue) {
   submit_in_north(100);
-  auto made = made_in(seconds(4));
-  BOOST_TEST(made["north"] > 0U);
-  BOOST_TEST(made["south"] + made["west"] + made[""] > 0U);
+  auto piece_counts = pieces_by_region(seconds(4));
+  BOOST_TEST(piece_counts["north"] > 0U);
+  BOOST_TEST(piece_counts["south"] + piece_counts["west"] + piece_counts[""] > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(pieces_come_home_when_the_queue_is_gone) {
+BOOST_AUTO_TEST_CASE(pieces_return_to_their_region_after_the_queue_drains) {
   submit_in_north(100);
-  made_in(seconds(5));
+  pieces_by_region(seconds(5));
   submit_in_north(4);
-  const auto made = made_in(seconds(1));
-  BOOST_TEST(made.size() == 1U);
-  BOOST_TEST(made.at("north") == 16U);
+  const auto piece_counts = pieces_by_region(seconds(1));
+  BOOST_TEST(piece_counts.size() == 1U);
+  BOOST_TEST(piece_counts.at("north") == 16U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/stage_work/shard_map_test.cc
+++ b/tests/stage_work/shard_map_test.cc
@@ -1,4 +1,4 @@
-/// Shards of very many replicas: what is looked at when nodes or replicas change.
+/// Cost of dividing a large number of replicas into shards after nodes or replicas change.
 #include "stage_work/shard_map.h"
 
 #include "exchange_fleet.h"
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// Nodes of one zone before replicas that make pieces and as many that do not.
-struct many_replicas {
-  many_replicas(int nodes, int replicas) {
+/// Nodes of one zone, replicas that run pieces, and the same number of replicas that do not.
+struct large_service {
+  large_service(int nodes, int replicas) {
     for (int number = 0; number < replicas; ++number) {
       world.add_replica("p" + std::to_string(number), "pool", "a");
       world.add_replica("e" + std::to_string(number), "llm", "a");
@@ -29,8 +29,8 @@
     }
     peers.update(std::move(others));
   }
-  /// @return replicas and nodes looked at.
-  std::uint64_t cost_of_assignment() {
+  /// @return number of replicas and nodes evaluated by one assignment.
+  std::uint64_t evaluations_of_assignment() {
     const auto before = subject.evaluations();
     subject.assign(*world.content.serving(), false);
     return subject.evaluations() - before;
@@ -49,20 +49,20 @@
 
 BOOST_AUTO_TEST_SUITE(shard_map_test)
 
-BOOST_AUTO_TEST_CASE(a_change_of_replicas_looks_at_those_that_make_pieces_and_at_no_node) {
+BOOST_AUTO_TEST_CASE(replica_change_evaluates_only_replicas_that_run_pieces) {
   for (const int size : {40, 160}) {
-    many_replicas fleet(size, size);
-    // The world has two more that make pieces; each node is considered, this one too.
+    large_service fleet(size, size);
+    // The world has two further replicas that run pieces; the own node is considered as well.
     const auto replicas = static_cast<std::uint64_t>(size) + 2;
     const auto nodes = static_cast<std::uint64_t>(size) + 1;
-    BOOST_TEST(fleet.cost_of_assignment() == replicas + nodes);
-    BOOST_TEST(fleet.cost_of_assignment() == replicas);
+    BOOST_TEST(fleet.evaluations_of_assignment() == replicas + nodes);
+    BOOST_TEST(fleet.evaluations_of_assignment() == replicas);
     fleet.subject.note_peers_changed();
-    BOOST_TEST(fleet.cost_of_assignment() == replicas + nodes);
+    BOOST_TEST(fleet.evaluations_of_assignment() == replicas + nodes);
   }
 }
 
-BOOST_AUTO_TEST_CASE(replicas_that_change_in_a_row_are_divided_anew_once) {
+BOOST_AUTO_TEST_CASE(consecutive_replica_changes_cause_one_assignment) {
   published_world world;
   for (int number = 0; number < 40; ++number) {
     world.add_replica("p" + std::to_string(number), "pool", "a");
@@ -83,8 +83,8 @@
   node.subject.dispatch_waiting(now);
   const std::uint64_t all = 42;
   BOOST_TEST(node.subject.shards().evaluations() - before <= all);
-  for (const auto& one : node.subject.shards().shards()) {
-    for (const auto& replica : one.replicas) {
+  for (const auto& entry : node.subject.shards().shards()) {
+    for (const auto& replica : entry.replicas) {
       BOOST_TEST(node.replicas.find(replica) != nullptr);
     }
   }
--- a/tests/stage_work/stage_exchange_test.cc
+++ b/tests/stage_work/stage_exchange_test.cc
@@ -1,4 +1,4 @@
-/// Several nodes gather pieces for one another; messages are delivered by hand.
+/// Nodes that batch pieces for one another; the fixture delivers the messages.
 #include "exchange_fleet.h"
 
 using namespace spurrack;
@@ -9,12 +9,12 @@
 /// Three nodes of one zone.
 struct small_fleet : exchange_fleet {};
 
-/// Three nodes that gather for one region, so that one of them gathers for all replicas.
+/// Three nodes of one region, so that one of them is the batcher of all replicas.
 struct one_region_fleet : exchange_fleet {
   one_region_fleet() : exchange_fleet(3, 1, one_region()) {}
 };
 
-/// As many nodes as do not all tell each other everything.
+/// A fleet that is too large for every node to report to all other nodes.
 struct large_fleet : exchange_fleet {
   large_fleet() : exchange_fleet(60, 5) {}
 
@@ -28,7 +28,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(stage_exchange_test, small_fleet)
 
-BOOST_AUTO_TEST_CASE(one_node_gathers_the_pieces_of_all) {
+BOOST_AUTO_TEST_CASE(one_node_batches_the_pieces_of_all_nodes) {
   for (auto& node : nodes) {
     submit(*node);
   }
@@ -48,7 +48,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_result_is_freed_where_it_was_gathered) {
+BOOST_AUTO_TEST_CASE(result_is_freed_by_its_batcher) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
   auto& batcher = *caller();
@@ -60,7 +60,7 @@
   BOOST_TEST(batcher.freed.size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_gatherer_is_replaced) {
+BOOST_AUTO_TEST_CASE(unresponsive_batcher_is_replaced) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
   const auto batcher = caller()->identity.node;
@@ -68,14 +68,14 @@
   for (auto& node : nodes) {
     node->calls.clear();
   }
-  silent = batcher;
+  unresponsive = batcher;
   submit(origin);
   run(std::chrono::milliseconds(600));
   BOOST_REQUIRE(caller() != nullptr);
   BOOST_TEST(caller()->identity.node != batcher);
 }
 
-BOOST_AUTO_TEST_CASE(a_gatherer_that_started_again_has_lost_what_it_had) {
+BOOST_AUTO_TEST_CASE(pieces_of_a_restarted_batcher_are_placed_again) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
   auto* batcher = caller();
@@ -89,7 +89,7 @@
   BOOST_REQUIRE(!batcher->calls.empty());
   const auto index = batcher->identity.node.text().back() - '0';
   start(index, 2'000'000);
-  meet();
+  exchange_peers();
   run(std::chrono::milliseconds(100));
   BOOST_REQUIRE(caller() != nullptr);
   BOOST_TEST(caller()->calls.front().items.size() == 1);
@@ -98,7 +98,7 @@
   BOOST_TEST(origin.finished.size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_gatherer_that_membership_drops_gets_nothing_more) {
+BOOST_AUTO_TEST_CASE(batcher_removed_from_membership_gets_no_pieces) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
   const auto batcher = caller()->identity.node;
@@ -127,18 +127,18 @@
   batcher.subject.begin_stop(now);
   BOOST_TEST(batcher.subject.has_calls_under_way());
   run(std::chrono::milliseconds(100));
-  std::size_t elsewhere = 0;
+  std::size_t calls_elsewhere = 0;
   for (auto& node : nodes) {
-    elsewhere += node.get() == &batcher ? 0 : node->calls.size();
+    calls_elsewhere += node.get() == &batcher ? 0 : node->calls.size();
   }
-  BOOST_TEST(elsewhere == 1);
+  BOOST_TEST(calls_elsewhere == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_gatherer_that_another_follows_hands_over_what_waits, one_region_fleet) {
+BOOST_FIXTURE_TEST_CASE(replaced_batcher_moves_its_waiting_pieces, one_region_fleet) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
   const auto first = caller()->identity.node;
-  silent = first;
+  unresponsive = first;
   run(std::chrono::milliseconds(1500));
   for (auto& node : nodes) {
     node->calls.clear();
@@ -147,24 +147,24 @@
   run(std::chrono::milliseconds(50));
   auto& second = *caller();
   BOOST_REQUIRE(second.identity.node != first);
-  // Both replicas are busy; these wait until the first gatherer is back.
+  // Both replicas are busy; these pieces wait until the first batcher is back.
   for (int piece = 0; piece < 8; ++piece) {
     submit(second);
   }
   run(std::chrono::milliseconds(50));
   const auto made_before = second.calls.size();
-  silent = {};
+  unresponsive = {};
   run(std::chrono::milliseconds(600));
   auto& returned = *nodes[static_cast<std::size_t>(first.text().back() - '0')];
-  std::size_t taken = 0;
+  std::size_t received_pieces = 0;
   for (const auto& call : returned.calls) {
-    taken += call.items.size();
+    received_pieces += call.items.size();
   }
   BOOST_TEST(second.calls.size() == made_before);
-  BOOST_TEST(taken + returned.subject.waiting("pool") >= 2U);
+  BOOST_TEST(received_pieces + returned.subject.waiting("pool") >= 2U);
 }
 
-BOOST_AUTO_TEST_CASE(what_was_cancelled_is_not_delivered) {
+BOOST_AUTO_TEST_CASE(cancelled_piece_is_not_delivered) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
   auto& batcher = *caller();
@@ -185,7 +185,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(stage_exchange_scale_test, large_fleet)
 
-BOOST_AUTO_TEST_CASE(all_nodes_of_a_large_fleet_agree_on_who_gathers) {
+BOOST_AUTO_TEST_CASE(all_nodes_of_a_large_fleet_agree_on_the_batcher) {
   run(std::chrono::seconds(3));
   for (auto& node : nodes) {
     submit(*node);
@@ -205,7 +205,7 @@
   BOOST_TEST(batchers.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(weak_nodes_gather_nothing_while_there_are_strong_ones) {
+BOOST_AUTO_TEST_CASE(weak_nodes_are_not_batchers_beside_a_strong_node) {
   constexpr std::size_t strong_node = 17;
   constexpr double weak_share = 0.12;
   constexpr double strong_share = 0.5;
@@ -216,7 +216,7 @@
     nodes[static_cast<std::size_t>(index)] =
         std::make_unique<exchange_node>(peer(index), world, 2'000'000, one_region());
   }
-  meet();
+  exchange_peers();
   run(std::chrono::seconds(3));
   for (auto& node : nodes) {
     submit(*node);
@@ -225,7 +225,7 @@
   BOOST_TEST(caller() == nodes[strong_node].get());
 }
 
-BOOST_AUTO_TEST_CASE(first_messages_that_are_lost_hold_nothing_up) {
+BOOST_AUTO_TEST_CASE(loss_of_first_messages_does_not_block_pieces) {
   loses_first_messages = true;
   for (auto& node : nodes) {
     submit(*node);
@@ -234,7 +234,7 @@
   BOOST_TEST(unfinished() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(messages_grow_with_the_fleet_and_not_with_its_square) {
+BOOST_AUTO_TEST_CASE(message_count_grows_linearly_with_the_fleet) {
   run(std::chrono::seconds(3));
   messages_sent = 0;
   run(std::chrono::seconds(1));
--- a/tests/stage_work/stage_graph_test.cc
+++ b/tests/stage_work/stage_graph_test.cc
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// Two stages in a row beside one of its own: 0 and 1 -> 2.
+/// An independent stage 0, and stage 2 that depends on stage 1.
 model::route sample_route() {
   model::route route;
   route.stages = {{"a", {}, 10}, {"b", {}, 20}, {"c", {1}, 30}};
   return route;
 }
 
-void make_all(stage_graph& graph) {
+void complete_all(stage_graph& graph) {
   for (auto ready = graph.take_ready(); !ready.empty(); ready = graph.take_ready()) {
     for (const auto where : ready) {
       graph.complete(where, "h" + std::to_string(where.stage) + std::to_string(where.piece));
@@ -26,7 +26,7 @@
 
 BOOST_AUTO_TEST_SUITE(stage_graph_test)
 
-BOOST_AUTO_TEST_CASE(gives_out_pieces_once_their_inputs_are_complete) {
+BOOST_AUTO_TEST_CASE(pieces_are_ready_once_their_inputs_are_complete) {
   const auto route = sample_route();
   stage_graph graph(route, {1, 2, 1});
   const auto first = graph.take_ready();
@@ -46,21 +46,21 @@
 BOOST_AUTO_TEST_CASE(final_inputs_are_the_results_of_the_last_stages_in_order) {
   const auto route = sample_route();
   stage_graph graph(route, {2, 1, 2});
-  make_all(graph);
+  complete_all(graph);
   BOOST_TEST(graph.is_done());
   BOOST_TEST(graph.final_inputs() == (std::vector<std::string>{"h00", "h01", "h20", "h21"}),
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_stage_without_pieces_is_left_out) {
+BOOST_AUTO_TEST_CASE(stage_without_pieces_is_skipped) {
   const auto route = sample_route();
   stage_graph graph(route, {0, 1, 1});
-  make_all(graph);
+  complete_all(graph);
   BOOST_TEST(graph.is_done());
   BOOST_TEST(graph.final_inputs().size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(results_are_unneeded_once_and_only_when_their_users_are_finished) {
+BOOST_AUTO_TEST_CASE(results_are_unneeded_once_after_their_consumers_finish) {
   const auto route = sample_route();
   stage_graph graph(route, {1, 1, 1});
   graph.take_ready();
@@ -75,19 +75,19 @@
   BOOST_TEST(graph.take_unneeded_results(true).size() == 2);
 }
 
-const auto nothing_is_known = [](const std::string&) { return false; };
+const auto no_loss_is_known = [](const std::string&) { return false; };
 
-BOOST_AUTO_TEST_CASE(where_nothing_is_known_all_results_that_are_read_are_made_again) {
+BOOST_AUTO_TEST_CASE(all_final_inputs_are_recomputed_if_no_loss_is_known) {
   const auto route = sample_route();
   stage_graph graph(route, {1, 1, 1});
-  make_all(graph);
-  BOOST_TEST(graph.recompute_final_inputs(nothing_is_known).size() == 2);
+  complete_all(graph);
+  BOOST_TEST(graph.recompute_final_inputs(no_loss_is_known).size() == 2);
   BOOST_TEST(graph.recomputations() == 1);
   BOOST_TEST(graph.take_ready().size() == 2);
   BOOST_TEST(!graph.is_done());
 }
 
-BOOST_AUTO_TEST_CASE(only_the_results_that_are_lost_are_made_again) {
+BOOST_AUTO_TEST_CASE(only_lost_results_are_recomputed) {
   const auto route = sample_route();
   stage_graph graph(route, {0, 3, 2});
   graph.take_ready();
@@ -95,16 +95,16 @@
     graph.complete({1, piece}, "b" + std::to_string(piece));
   }
   BOOST_TEST(graph.take_ready().size() == 2);
-  const auto useless =
+  const auto obsolete =
       graph.recompute_inputs_of({2, 0}, [](const auto& handle) { return handle == "b1"; });
-  BOOST_TEST(useless == std::vector<std::string>{"b1"}, boost::test_tools::per_element());
+  BOOST_TEST(obsolete == std::vector<std::string>{"b1"}, boost::test_tools::per_element());
   BOOST_TEST(!graph.is_under_way({2, 1}));
   const auto again = graph.take_ready();
   BOOST_REQUIRE(again.size() == 1);
   BOOST_TEST(again.front().stage == 1);
   BOOST_TEST(again.front().piece == 1);
-  // The other piece fails as well: its inputs are made again already.
-  BOOST_TEST(graph.recompute_inputs_of({2, 1}, nothing_is_known).empty());
+  // The other piece fails as well; its inputs are being recomputed already.
+  BOOST_TEST(graph.recompute_inputs_of({2, 1}, no_loss_is_known).empty());
   BOOST_TEST(graph.recomputations() == 1);
   graph.complete({1, 1}, "new");
   BOOST_TEST(graph.take_ready().size() == 2);
@@ -112,15 +112,15 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(what_a_lost_result_needs_is_made_again_where_it_was_freed) {
+BOOST_AUTO_TEST_CASE(freed_inputs_of_a_lost_result_are_recomputed) {
   const auto route = sample_route();
   stage_graph graph(route, {0, 1, 2});
-  make_all(graph);
+  complete_all(graph);
   BOOST_TEST(graph.take_unneeded_results(false) == std::vector<std::string>{"h10"},
              boost::test_tools::per_element());
-  const auto useless =
+  const auto obsolete =
       graph.recompute_final_inputs([](const auto& handle) { return handle == "h20"; });
-  BOOST_TEST(useless == std::vector<std::string>{"h20"}, boost::test_tools::per_element());
+  BOOST_TEST(obsolete == std::vector<std::string>{"h20"}, boost::test_tools::per_element());
   const auto first = graph.take_ready();
   BOOST_REQUIRE(first.size() == 1);
   BOOST_TEST(first.front().stage == 1);
@@ -132,7 +132,7 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(time_from_adds_up_the_longest_way) {
+BOOST_AUTO_TEST_CASE(time_from_sums_the_critical_path) {
   const auto route = sample_route();
   const stage_graph graph(route, {1, 1, 1});
   const auto stage_time = [](std::uint32_t stage) -> base::duration {
@@ -143,7 +143,7 @@
   BOOST_TEST((graph.time_from(2, stage_time) == std::chrono::milliseconds(102)));
 }
 
-BOOST_AUTO_TEST_CASE(only_results_of_a_maker_that_started_again_are_made_again) {
+BOOST_AUTO_TEST_CASE(only_results_of_a_restarted_producer_are_recomputed) {
   const auto route = sample_route();
   stage_graph graph(route, {0, 2, 1});
   graph.take_ready();
@@ -159,10 +159,10 @@
   BOOST_TEST(again.front().piece == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(last_results_of_a_maker_that_started_again_are_missing) {
+BOOST_AUTO_TEST_CASE(final_inputs_of_a_restarted_producer_are_missing) {
   const auto route = sample_route();
   stage_graph graph(route, {1, 1, 1});
-  make_all(graph);
+  complete_all(graph);
   BOOST_TEST(!graph.has_missing_final_inputs());
   graph.note_lost_results_of(base::network_address("h20"));
   BOOST_TEST(graph.has_missing_final_inputs());
--- a/tests/stage_work/stage_pool_test.cc
+++ b/tests/stage_work/stage_pool_test.cc
@@ -32,8 +32,8 @@
   }
 
   std::vector<start_stage_call>
-  dispatch_waiting(base::duration span = std::chrono::milliseconds(20)) {
-    now += span;
+  start_calls(base::duration duration = std::chrono::milliseconds(20)) {
+    now += duration;
     pool.dispatch_waiting(now);
     std::vector<start_stage_call> calls;
     for (auto& command : pool.take_commands()) {
@@ -66,60 +66,60 @@
 
 BOOST_FIXTURE_TEST_SUITE(stage_pool_test, pool_driver)
 
-BOOST_AUTO_TEST_CASE(pieces_that_come_together_leave_together) {
+BOOST_AUTO_TEST_CASE(pieces_submitted_together_share_a_call) {
   submit("r1", std::chrono::seconds(1));
   submit("r1", std::chrono::seconds(1));
   submit("r2", std::chrono::seconds(1));
-  const auto calls = dispatch_waiting();
+  const auto calls = start_calls();
   BOOST_REQUIRE(calls.size() == 1);
   BOOST_TEST(calls.front().items.size() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_has_one_call_at_a_time_and_what_is_due_first_goes_next) {
+BOOST_AUTO_TEST_CASE(one_call_per_replica_and_earliest_due_pieces_first) {
   for (int request = 0; request < 10; ++request) {
     submit("r" + std::to_string(request), std::chrono::milliseconds(2000 - 10 * request));
   }
-  const auto first = dispatch_waiting();
+  const auto first = start_calls();
   BOOST_TEST(first.size() == 2);
   BOOST_TEST(first.front().items.front().request.text() == "r9");
-  BOOST_TEST(dispatch_waiting().empty());
+  BOOST_TEST(start_calls().empty());
   pool.on_call_ended(answered(first.front()), now);
   BOOST_TEST(pool.take_finished().size() == first.front().items.size());
-  const auto next = dispatch_waiting();
+  const auto next = start_calls();
   BOOST_REQUIRE(next.size() == 1);
   BOOST_TEST(next.front().items.size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(pieces_of_one_request_are_not_torn_apart) {
+BOOST_AUTO_TEST_CASE(pieces_of_one_request_share_a_call) {
   for (const auto* request : {"r1", "r2"}) {
     for (int piece = 0; piece < 3; ++piece) {
       submit(request, std::chrono::seconds(1));
     }
   }
-  const auto calls = dispatch_waiting();
+  const auto calls = start_calls();
   BOOST_REQUIRE(calls.size() == 2);
   BOOST_TEST(calls[0].items.size() == 3);
   BOOST_TEST(calls[1].items.size() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(no_more_is_asked_than_the_replica_has_room_for) {
+BOOST_AUTO_TEST_CASE(calls_stay_within_the_result_memory_of_the_replica) {
   for (int request = 0; request < 4; ++request) {
     submit("r" + std::to_string(request), std::chrono::seconds(1), 400'000);
   }
-  const auto calls = dispatch_waiting();
+  const auto calls = start_calls();
   BOOST_REQUIRE(calls.size() == 2);
   BOOST_TEST(calls[0].items.size() == 2);
   const auto ended = answered(calls[0]);
   pool.on_call_ended(ended, now);
   submit("late", std::chrono::seconds(1), 400'000);
-  BOOST_TEST(dispatch_waiting().empty());
+  BOOST_TEST(start_calls().empty());
   pool.release(ended.pieces[0].handle);
-  BOOST_TEST(dispatch_waiting().size() == 1);
+  BOOST_TEST(start_calls().size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_result_nobody_wants_is_freed) {
   const auto ticket = submit("r1", std::chrono::seconds(1));
-  const auto calls = dispatch_waiting();
+  const auto calls = start_calls();
   pool.cancel(ticket);
   pool.on_call_ended(answered(calls.front()), now);
   BOOST_TEST(pool.take_finished().empty());
@@ -128,41 +128,41 @@
   BOOST_TEST(std::get<free_results>(commands.front()).handles.size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_call_is_made_elsewhere) {
+BOOST_AUTO_TEST_CASE(refused_call_is_sent_to_another_replica) {
   submit("r1", std::chrono::seconds(1));
-  const auto first = dispatch_waiting().front();
+  const auto first = start_calls().front();
   pool.on_call_ended({first.call, stage_call_ended::result::refused, {}}, now);
-  const auto second = dispatch_waiting();
+  const auto second = start_calls();
   BOOST_REQUIRE(second.size() == 1);
   BOOST_TEST(second.front().target.replica != first.target.replica);
 }
 
-BOOST_AUTO_TEST_CASE(a_call_without_answer_is_given_up_and_made_again) {
+BOOST_AUTO_TEST_CASE(call_without_answer_is_cancelled_and_retried) {
   submit("r1", std::chrono::seconds(1));
-  const auto first = dispatch_waiting().front();
-  const auto second = dispatch_waiting(std::chrono::milliseconds(1500));
+  const auto first = start_calls().front();
+  const auto second = start_calls(std::chrono::milliseconds(1500));
   BOOST_REQUIRE(second.size() == 1);
   BOOST_TEST(second.front().target.replica != first.target.replica);
 }
 
-BOOST_AUTO_TEST_CASE(a_piece_past_its_time_is_not_sent) {
+BOOST_AUTO_TEST_CASE(piece_past_its_deadline_is_not_sent) {
   submit("r1", std::chrono::seconds(1));
-  BOOST_TEST(dispatch_waiting(std::chrono::seconds(6)).empty());
+  BOOST_TEST(start_calls(std::chrono::seconds(6)).empty());
   const auto finished = pool.take_finished();
   BOOST_REQUIRE(finished.size() == 1);
   BOOST_TEST((finished.front().outcome.fault == piece_fault::expired));
 }
 
-BOOST_AUTO_TEST_CASE(only_pieces_that_are_not_past_due_go_before_a_new_one) {
+BOOST_AUTO_TEST_CASE(waiting_in_time_excludes_pieces_past_due) {
   submit("late", std::chrono::milliseconds(-1));
   submit("in time", std::chrono::seconds(1));
   BOOST_TEST(pool.waiting("pool") == 2U);
   BOOST_TEST(pool.waiting_in_time("pool", now) == 1U);
 }
 
-/// Has a piece that reads a result of replica `pool-b` made, and ends it with `fault`.
-struct reading_driver : pool_driver {
-  piece_ticket submit_reader(const std::string& request) {
+/// Runs pieces that read a result of replica `pool-b`.
+struct input_driver : pool_driver {
+  piece_ticket submit_piece_with_input(const std::string& request) {
     piece_work work;
     work.request = base::request_id(request);
     work.service = "pool";
@@ -173,17 +173,18 @@
     work.deadline = now + std::chrono::seconds(5);
     return pool.submit(std::move(work), now);
   }
-  /// @return whether the inputs of the next piece are taken for fetched `span` after its call.
-  bool is_fetched_after(base::duration span) {
-    submit_reader("probe");
-    BOOST_REQUIRE(dispatch_waiting().size() == 1);
-    dispatch_waiting(span);
+  /// @return whether the inputs of the next piece are assumed to be fetched `duration` after the
+  ///         start of its call.
+  bool are_inputs_fetched_after(base::duration duration) {
+    submit_piece_with_input("probe");
+    BOOST_REQUIRE(start_calls().size() == 1);
+    start_calls(duration);
     return !pool.take_fetched().empty();
   }
-  void miss_inputs(bool cancelled) {
-    const auto ticket = submit_reader("r");
-    const auto call = dispatch_waiting().front();
-    dispatch_waiting(std::chrono::milliseconds(100));
+  void fail_with_missing_input(bool cancelled) {
+    const auto ticket = submit_piece_with_input("r");
+    const auto call = start_calls().front();
+    start_calls(std::chrono::milliseconds(100));
     BOOST_REQUIRE(!pool.take_fetched().empty());
     if (cancelled) {
       pool.cancel(ticket);
@@ -194,74 +195,74 @@
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(inputs_that_were_freed_too_early_are_kept_longer, reading_driver) {
-  miss_inputs(false);
-  BOOST_TEST(!is_fetched_after(std::chrono::milliseconds(100)));
+BOOST_FIXTURE_TEST_CASE(inputs_freed_too_early_extend_the_fetch_time, input_driver) {
+  fail_with_missing_input(false);
+  BOOST_TEST(!are_inputs_fetched_after(std::chrono::milliseconds(100)));
 }
 
-BOOST_FIXTURE_TEST_CASE(pieces_nobody_wants_any_more_do_not_keep_inputs_longer, reading_driver) {
-  miss_inputs(true);
-  BOOST_TEST(is_fetched_after(std::chrono::milliseconds(100)));
+BOOST_FIXTURE_TEST_CASE(cancelled_pieces_do_not_extend_the_fetch_time, input_driver) {
+  fail_with_missing_input(true);
+  BOOST_TEST(are_inputs_fetched_after(std::chrono::milliseconds(100)));
 }
 
-BOOST_FIXTURE_TEST_CASE(inputs_that_went_with_their_maker_do_not_keep_others_longer,
-                        reading_driver) {
+BOOST_FIXTURE_TEST_CASE(inputs_lost_with_their_producer_do_not_extend_the_fetch_time,
+                        input_driver) {
   for (int call = 0; call < 3; ++call) {
     replicas.note_failure(base::replica_id("pool-b"), now);
   }
-  miss_inputs(false);
-  BOOST_TEST(is_fetched_after(std::chrono::milliseconds(100)));
+  fail_with_missing_input(false);
+  BOOST_TEST(are_inputs_fetched_after(std::chrono::milliseconds(100)));
 }
 
 constexpr double heavy = 5e6;
 
-BOOST_AUTO_TEST_CASE(pieces_with_large_inputs_wait_for_their_zone_while_they_have_time) {
+BOOST_AUTO_TEST_CASE(pieces_with_large_inputs_wait_for_their_zone_before_their_due_time) {
   submit("first", std::chrono::seconds(2), 1000, heavy);
-  const auto in_zone_a = dispatch_waiting();
+  const auto in_zone_a = start_calls();
   BOOST_REQUIRE(in_zone_a.size() == 1);
   BOOST_TEST(in_zone_a.front().target.replica.text() == "pool-a");
   submit("second", std::chrono::seconds(2), 1000, heavy);
-  BOOST_TEST(dispatch_waiting().empty());
+  BOOST_TEST(start_calls().empty());
   pool.on_call_ended(answered(in_zone_a.front()), now);
-  const auto next = dispatch_waiting();
+  const auto next = start_calls();
   BOOST_REQUIRE(next.size() == 1);
   BOOST_TEST(next.front().target.replica.text() == "pool-a");
 }
 
-BOOST_AUTO_TEST_CASE(pieces_that_would_be_late_in_waiting_leave_their_zone) {
+BOOST_AUTO_TEST_CASE(pieces_that_cannot_wait_run_in_another_zone) {
   submit("first", std::chrono::seconds(2), 1000, heavy);
-  BOOST_REQUIRE(dispatch_waiting().size() == 1);
+  BOOST_REQUIRE(start_calls().size() == 1);
   submit("urgent", std::chrono::milliseconds(100), 1000, heavy);
-  const auto elsewhere = dispatch_waiting();
-  BOOST_REQUIRE(elsewhere.size() == 1);
-  BOOST_TEST(elsewhere.front().target.replica.text() == "pool-b");
+  const auto calls_in_other_zone = start_calls();
+  BOOST_REQUIRE(calls_in_other_zone.size() == 1);
+  BOOST_TEST(calls_in_other_zone.front().target.replica.text() == "pool-b");
 }
 
-BOOST_AUTO_TEST_CASE(pieces_that_are_late_already_do_not_carry_large_inputs_to_another_zone) {
+BOOST_AUTO_TEST_CASE(pieces_past_due_with_large_inputs_stay_in_their_zone) {
   submit("first", std::chrono::seconds(2), 1000, heavy);
-  BOOST_REQUIRE(dispatch_waiting().size() == 1);
+  BOOST_REQUIRE(start_calls().size() == 1);
   submit("late", std::chrono::milliseconds(-1), 1000, heavy);
-  BOOST_TEST(dispatch_waiting().empty());
+  BOOST_TEST(start_calls().empty());
 }
 
-BOOST_AUTO_TEST_CASE(pieces_do_not_wait_for_a_zone_whose_queue_is_long) {
+BOOST_AUTO_TEST_CASE(pieces_do_not_wait_for_a_zone_with_a_long_queue) {
   submit("first", std::chrono::seconds(2), 1000, heavy);
-  BOOST_REQUIRE(dispatch_waiting().size() == 1);
+  BOOST_REQUIRE(start_calls().size() == 1);
   for (int request = 0; request < 12; ++request) {
     submit("r" + std::to_string(request), std::chrono::milliseconds(800), 1000, heavy);
   }
-  const auto elsewhere = dispatch_waiting();
-  BOOST_REQUIRE(elsewhere.size() == 1);
-  BOOST_TEST(elsewhere.front().target.replica.text() == "pool-b");
+  const auto calls_in_other_zone = start_calls();
+  BOOST_REQUIRE(calls_in_other_zone.size() == 1);
+  BOOST_TEST(calls_in_other_zone.front().target.replica.text() == "pool-b");
 }
 
-BOOST_AUTO_TEST_CASE(replicas_that_others_keep_busy_are_asked_seldom) {
-  // Both replicas are full of another gatherer's calls for three seconds, as after a loss of power
-  // of all nodes. A call with all pieces takes 0.24 s; replicas have one slot.
+BOOST_AUTO_TEST_CASE(replicas_busy_with_calls_of_others_are_retried_rarely) {
+  // Calls of another batcher occupy both replicas for three seconds, as after a power loss of all
+  // nodes. A call with a full batch takes 0.24 s; replicas have one slot.
   submit("r1", std::chrono::seconds(5));
   std::size_t refused = 0;
   for (const auto end = now + std::chrono::seconds(3); now < end;) {
-    for (const auto& call : dispatch_waiting()) {
+    for (const auto& call : start_calls()) {
       ++refused;
       pool.on_call_ended({call.call, stage_call_ended::result::refused, {}}, now);
     }
@@ -271,9 +272,9 @@
   BOOST_TEST(refused >= 10U);
 }
 
-/// One replica works on pieces; it starts again.
-struct restarting_driver : pool_driver {
-  restarting_driver() {
+/// One replica that runs pieces and restarts.
+struct restart_driver : pool_driver {
+  restart_driver() {
     world.remove_replica("pool-b");
     publish(1000);
   }
@@ -288,69 +289,68 @@
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(calls_at_an_earlier_life_are_cancelled_and_made_again, restarting_driver) {
+BOOST_FIXTURE_TEST_CASE(calls_to_an_earlier_incarnation_are_cancelled_and_retried, restart_driver) {
   submit("r1", std::chrono::seconds(1));
-  const auto first = dispatch_waiting().front();
+  const auto first = start_calls().front();
   restart();
   const auto commands = pool.take_commands();
   BOOST_REQUIRE(commands.size() == 1U);
   BOOST_TEST(std::get<cancel_call>(commands.front()).call == first.call);
-  const auto second = dispatch_waiting();
+  const auto second = start_calls();
   BOOST_REQUIRE(second.size() == 1U);
   BOOST_TEST(second.front().call != first.call);
   BOOST_TEST(replicas.find(base::replica_id("pool-a"))->in_flight == 1U);
-  // What the earlier call still brings is nobody's.
+  // A late answer to the cancelled call is ignored.
   BOOST_TEST(!pool.on_call_ended(answered(first), now));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_call_that_began_after_the_restart_goes_on, restarting_driver) {
+BOOST_FIXTURE_TEST_CASE(call_started_after_the_restart_continues, restart_driver) {
   restart();
   submit("r1", std::chrono::seconds(1));
-  const auto call = dispatch_waiting().front();
+  const auto call = start_calls().front();
   pool.on_replica_restarted(base::replica_id("pool-a"), now);
   BOOST_TEST(pool.take_commands().empty());
   BOOST_TEST(pool.on_call_ended(answered(call), now));
 }
 
-BOOST_FIXTURE_TEST_CASE(room_taken_by_results_of_an_earlier_life_is_free, restarting_driver) {
+BOOST_FIXTURE_TEST_CASE(restart_releases_the_memory_of_results, restart_driver) {
   submit("r1", std::chrono::seconds(1), 400'000);
   submit("r2", std::chrono::seconds(1), 400'000);
-  const auto call = dispatch_waiting().front();
+  const auto call = start_calls().front();
   BOOST_REQUIRE(call.items.size() == 2U);
   pool.on_call_ended(answered(call), now);
   submit("late", std::chrono::seconds(1), 400'000);
-  BOOST_TEST(dispatch_waiting().empty());
+  BOOST_TEST(start_calls().empty());
   restart();
-  BOOST_TEST(dispatch_waiting().size() == 1U);
+  BOOST_TEST(start_calls().size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(room_found_missing_at_an_earlier_life_is_there, restarting_driver) {
+BOOST_FIXTURE_TEST_CASE(restart_clears_unaccounted_memory, restart_driver) {
   submit("r1", std::chrono::seconds(1), 400'000);
-  const auto call = dispatch_waiting().front();
+  const auto call = start_calls().front();
   auto ended = answered(call);
   ended.pieces.front() = {piece_fault::no_room, {}};
   pool.on_call_ended(ended, now);
-  BOOST_TEST(dispatch_waiting().empty());
+  BOOST_TEST(start_calls().empty());
   restart();
-  BOOST_TEST(dispatch_waiting().size() == 1U);
+  BOOST_TEST(start_calls().size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(inputs_that_went_with_an_earlier_life_were_not_freed_too_early,
-                        reading_driver) {
+BOOST_FIXTURE_TEST_CASE(inputs_lost_in_a_restart_do_not_extend_the_fetch_time, input_driver) {
   world.add_life("pool-b", "pool", "b", "10.0.1.1:80", 1000);
   replicas.update(world.content.replicas(), now);
   world.add_life("pool-b", "pool", "b", "10.0.1.1:80", 2000);
   replicas.update(world.content.replicas(), now);
   pool.on_replica_restarted(base::replica_id("pool-b"), now);
-  miss_inputs(false);
-  BOOST_TEST(is_fetched_after(std::chrono::milliseconds(100)));
+  fail_with_missing_input(false);
+  BOOST_TEST(are_inputs_fetched_after(std::chrono::milliseconds(100)));
 }
 
-BOOST_AUTO_TEST_CASE(pieces_of_lost_calls_are_reported_and_go_alone_after_the_second) {
+BOOST_AUTO_TEST_CASE(pieces_are_reported_lost_and_isolated_after_two_lost_calls) {
   submit("r1", std::chrono::seconds(1));
   submit("r2", std::chrono::seconds(1));
   for (std::size_t lost_calls = 1; lost_calls <= 2; ++lost_calls) {
-    const auto calls = dispatch_waiting(std::chrono::milliseconds(100));
+    const auto calls = start_calls(std::chrono::milliseconds(100));
     BOOST_REQUIRE(calls.size() == 1);
     BOOST_TEST(calls.front().items.size() == 2);
     pool.on_call_ended({calls.front().call, stage_call_ended::result::failed, {}}, now);
@@ -358,7 +358,7 @@
     BOOST_REQUIRE(lost.size() == 2);
     BOOST_TEST(lost.front().replica == calls.front().target.replica);
   }
-  const auto calls = dispatch_waiting(std::chrono::milliseconds(100));
+  const auto calls = start_calls(std::chrono::milliseconds(100));
   BOOST_REQUIRE(calls.size() == 2);
   BOOST_TEST(calls[0].items.size() == 1);
   BOOST_TEST(calls[1].items.size() == 1);
@@ -376,7 +376,7 @@
   work.single_attempt = true;
   const auto ticket = pool.submit(work, now);
   submit("other", std::chrono::seconds(2));
-  const auto calls = dispatch_waiting();
+  const auto calls = start_calls();
   BOOST_REQUIRE(calls.size() == 2);
   BOOST_REQUIRE(calls.front().items.size() == 1);
   BOOST_TEST(calls.front().items.front().request.text() == "suspected");
--- a/tests/stage_work/zone_shards_test.cc
+++ b/tests/stage_work/zone_shards_test.cc
@@ -1,4 +1,4 @@
-/// A service with many replicas is divided by zone; messages are delivered by hand.
+/// Division of a service with many replicas by zone; the fixture delivers the messages.
 #include "exchange_fleet.h"
 
 using namespace spurrack;
@@ -10,7 +10,7 @@
 constexpr int node_count = 30;
 constexpr std::size_t replicas_per_zone = 8;
 
-/// Thirty nodes in three zones of one region, each zone with replicas of its own.
+/// Thirty nodes in three zones of one region, with replicas in each zone.
 struct divided_fleet : exchange_fleet {
   divided_fleet() : exchange_fleet(node_count, zone_count, one_region()) {
     for (const std::string zone : {"a", "b", "c"}) {
@@ -25,8 +25,8 @@
     run(std::chrono::seconds(3));
   }
 
-  /// Answers each call, and keeps account of who makes calls and where.
-  void run_counting(base::duration span) {
+  /// Answers each call and records its caller and whether it crosses zones.
+  void run_and_count_calls(base::duration span) {
     run_answering(span, [this](const auto& caller, const auto& call) { note_call(caller, call); });
   }
 
@@ -44,11 +44,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(zone_shards_test, divided_fleet)
 
-BOOST_AUTO_TEST_CASE(each_zone_makes_its_own_pieces) {
+BOOST_AUTO_TEST_CASE(each_zone_runs_its_own_pieces) {
   for (auto& node : nodes) {
     submit(*node, node->identity.zone);
   }
-  run_counting(std::chrono::seconds(1));
+  run_and_count_calls(std::chrono::seconds(1));
   for (auto& node : nodes) {
     BOOST_TEST(node->finished.size() == 1U);
   }
@@ -56,22 +56,22 @@
   BOOST_TEST(callers.size() == static_cast<std::size_t>(zone_count));
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_that_is_cut_off_serves_on) {
-  cut_zone = base::zone_id("b");
+BOOST_AUTO_TEST_CASE(partitioned_zone_continues_to_serve) {
+  partitioned_zone = base::zone_id("b");
   for (int round = 0; round < 20; ++round) {
     for (auto& node : nodes) {
       submit(*node, node->identity.zone);
     }
-    run_counting(std::chrono::milliseconds(200));
+    run_and_count_calls(std::chrono::milliseconds(200));
   }
-  run_counting(std::chrono::seconds(1));
+  run_and_count_calls(std::chrono::seconds(1));
   for (auto& node : nodes) {
     BOOST_TEST(node->finished.size() == 20U);
   }
   BOOST_TEST(calls_across_zones == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(pieces_wanted_in_another_zone_are_made_there) {
+BOOST_AUTO_TEST_CASE(pieces_for_another_zone_run_there) {
   auto& origin = *nodes[0];
   submit(origin, base::zone_id("c"));
   run(std::chrono::milliseconds(100));
@@ -87,28 +87,29 @@
   BOOST_TEST(origin.freed.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_whose_gatherer_is_lost_has_another) {
+BOOST_AUTO_TEST_CASE(unresponsive_batcher_of_a_zone_is_replaced) {
   submit(*nodes[0], base::zone_id("a"));
-  run_counting(std::chrono::milliseconds(300));
+  run_and_count_calls(std::chrono::milliseconds(300));
   BOOST_REQUIRE(callers.size() == 1U);
-  silent = *callers.begin();
+  unresponsive = *callers.begin();
   callers.clear();
   for (auto& node : nodes) {
     node->finished.clear();
     submit(*node, base::zone_id("a"));
   }
-  run_counting(std::chrono::seconds(2));
-  BOOST_TEST(!callers.contains(silent));
+  run_and_count_calls(std::chrono::seconds(2));
+  BOOST_TEST(!callers.contains(unresponsive));
   for (auto& node : nodes) {
-    BOOST_TEST((node->identity.node == silent || node->finished.size() == 1U));
+    BOOST_TEST((node->identity.node == unresponsive || node->finished.size() == 1U));
   }
 }
 
-BOOST_AUTO_TEST_CASE(nodes_that_gather_nothing_are_silent) {
+BOOST_AUTO_TEST_CASE(nodes_without_shards_send_no_reports) {
   messages_sent = 0;
   run(std::chrono::seconds(1));
-  // From each gatherer five reports a second to nine nodes of its zone, and one to each of the
-  // twenty others; and a tenth for the rounds that begin or end within the second.
+  // Each batcher sends five reports per second to each of the nine nodes of its zone, and one
+  // report to each of the twenty other nodes; a tenth is added for rounds that begin or end within
+  // the second.
   constexpr std::size_t batchers = zone_count;
   constexpr std::size_t reports_to_zone = 45;
   constexpr std::size_t reports_elsewhere = 20;
