--- a/src/stage_work/shard_map.cc
+++ b/src/stage_work/shard_map.cc
@@ -142,9 +142,9 @@
     if (!has_zone_shard) {
       region_replicas.insert(region_replicas.end(), members.begin(), members.end());
     } else if (zone == self_.zone) {
-      auto of_zone = common;
-      of_zone.zone = zone;
-      add_shards(of_zone, members, zone_candidates->second);
+      auto zone_common = common;
+      zone_common.zone = zone;
+      add_shards(zone_common, members, zone_candidates->second);
     }
   }
   const auto region_candidates = candidates_->by_region.find(common.region);
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -465,10 +465,10 @@
 }
 
 void stage_exchange::send_result(const forwarded_piece& forwarded, const piece_outcome& outcome) {
-  auto& made = *message_to(forwarded.origin).add_made();
-  made.set_ticket(forwarded.origin_ticket);
-  made.set_fault(static_cast<std::uint32_t>(outcome.fault));
-  made.set_handle(outcome.handle);
+  auto& result = *message_to(forwarded.origin).add_made();
+  result.set_ticket(forwarded.origin_ticket);
+  result.set_fault(static_cast<std::uint32_t>(outcome.fault));
+  result.set_handle(outcome.handle);
 }
 
 // --- time and messages ---------------------------------------------------------------------------
