--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -235,7 +235,7 @@
 }
 
 std::optional<base::duration> dispatcher::expected_time(const active_request& request,
-                                                        piece_standing standing,
+                                                        piece_order standing,
                                                         base::time_point now) const {
   return estimate_.time_left(*configuration_, *request.route, *request.graph, stages_,
                              {request.service, request.zone, request.permitted_regions},
@@ -263,11 +263,11 @@
 }
 
 bool dispatcher::refuse_hopeless(active_request& request, base::time_point now) {
-  if (!settings_.refuse_early || !request.graph || request.graph->done()) {
+  if (!settings_.refuse_early || !request.graph || request.graph->is_done()) {
     return false;
   }
   stages_.refresh(now);
-  const auto expected = expected_time(request, piece_standing::in_time, now);
+  const auto expected = expected_time(request, piece_order::in_time, now);
   const auto allowed = request.ends_at - request.arrived;
   // One that comes back has less time than its route gives; it is refused only without any hope.
   const bool comes_back =
@@ -298,13 +298,13 @@
   }
   const auto allowed = client_leaves_at(request) - request.arrived;
   request.judge_at = now + base::scaled(allowed, judgement_step_part);
-  if (request.graph->done() || request.may_have_run) {
+  if (request.graph->is_done() || request.may_have_run) {
     return false;
   }
   const auto target_at = request.arrived + request.route->target_latency;
-  const auto in_time = expected_time(request, piece_standing::in_time, now);
+  const auto in_time = expected_time(request, piece_order::in_time, now);
   const bool is_late = !in_time || now + *in_time > target_at;
-  const auto expected = is_late ? expected_time(request, piece_standing::past_due, now) : in_time;
+  const auto expected = is_late ? expected_time(request, piece_order::past_due, now) : in_time;
   const bool is_hopeless = !expected || now + *expected > client_leaves_at(request) ||
                            !has_time_before_stop(request, now);
   const bool is_confirmed = request.looked_hopeless.value_or(true);
@@ -317,7 +317,7 @@
 }
 
 void dispatcher::go_on(active_request& request, base::time_point now) {
-  if (request.graph && !request.graph->done()) {
+  if (request.graph && !request.graph->is_done()) {
     submit_pieces(request, now);
   } else {
     send_to_replica(request, now);
@@ -366,7 +366,7 @@
     tickets_.erase(ticket);
   }
   if (request.graph) {
-    free(request.graph->take_unneeded(true));
+    free(request.graph->take_unneeded_results(true));
   }
   const bool own_answer =
       code == status::unavailable || code == status::bad_gateway || code == status::timed_out;
@@ -449,7 +449,7 @@
 void dispatcher::free_fetched_inputs(active_request& request, base::time_point now) {
   if (request.call && request.call->inputs_fetched_at && *request.call->inputs_fetched_at <= now) {
     request.call->inputs_fetched_at.reset();
-    free(request.graph->take_unneeded(true));
+    free(request.graph->take_unneeded_results(true));
   }
 }
 
@@ -458,10 +458,10 @@
   advance_statements(now);
   go_on_with_loans(now);
   check_requests(now);
-  stages_.pump(now);
+  stages_.dispatch_waiting(now);
   if (take_piece_results(now)) {
     // What was finished lets other stages begin.
-    stages_.pump(now);
+    stages_.dispatch_waiting(now);
   }
   news_.advance(now);
   advance_crashes(now);
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -272,7 +272,7 @@
   /// @return whether it was given up.
   bool give_up_hopeless(active_request& request, base::time_point now);
   [[nodiscard]] std::optional<base::duration>
-  expected_time(const active_request& request, piece_standing standing, base::time_point now) const;
+  expected_time(const active_request& request, piece_order standing, base::time_point now) const;
   /// @return when the client of a request that has sent nothing yet stops waiting.
   [[nodiscard]] static base::time_point client_leaves_at(const active_request& request);
   void submit_pieces(active_request& request, base::time_point now);
@@ -287,7 +287,7 @@
   /// @return whether the maker of a result is gone or cannot be reached.
   [[nodiscard]] bool is_lost(const std::string& handle, base::time_point now) const;
   /// Results that the request itself reads are gone: makes them again.
-  void remake_final_inputs(active_request& request, base::time_point now);
+  void recompute_final_inputs(active_request& request, base::time_point now);
   /// Cancels the pieces that wait for a result which is made again, and submits what can be made.
   void go_on_after_loss(active_request& request, const std::vector<std::string>& useless,
                         base::time_point now);
--- a/src/dispatch/dispatcher_replica_lives.cc
+++ b/src/dispatch/dispatcher_replica_lives.cc
@@ -33,7 +33,7 @@
           "started again, its earlier life was at " + restart.earlier_address.text());
   note_replica_ended(replica, "it started again under its id", now);
   directory_.forget(replica);
-  stages_.on_restarted(replica, now);
+  stages_.on_replica_restarted(replica, now);
   commands_.emplace_back(close_connections{restart.earlier_address});
   for (auto& [client, request] : active_) {
     request.tried.erase(replica);
