--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -158,7 +158,7 @@
       counts.replicas_of_unknown_services);
   add("spurrack_replica_news_other_lives_total",
       "Reports of other nodes on another life of a replica, passed over.",
-      dispatcher.news().of_other_lives);
+      dispatcher.news().of_other_incarnations);
   add("spurrack_replica_news_sent_total", "Messages on replicas in trouble to other nodes.",
       dispatcher.news().messages);
   add("spurrack_replica_news_heard_total", "Reports of other nodes on replicas in trouble.",
@@ -167,7 +167,7 @@
   add("spurrack_repeat_questions_total", "Questions to other nodes for part of their share.",
       lending.questions);
   add_counter(registry, "spurrack_repeats_lent_total", "Repeats lent to other nodes.",
-              static_cast<double>(lending.lent_thousandths) / serving::one_repeat);
+              static_cast<double>(lending.sent_milli_retries) / serving::one_retry);
 }
 
 void add_store(Registry& registry, const node::store_counters& store) {
@@ -249,7 +249,7 @@
       "Answers that named a limit of their replica which cannot be read.", counts.unreadable);
   add("spurrack_limit_news_other_lives_total",
       "News of other nodes on another life of a limited replica, passed over.",
-      counts.of_other_lives);
+      counts.of_other_incarnations);
   add("spurrack_replica_departures_total",
       "Replicas that this node learned to be leaving from an answer, its own or another node's.",
       counts.departures);
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -6,9 +6,9 @@
 #include "catalog/catalog.h"
 #include "dispatch/admission_estimate.h"
 #include "dispatch/event_stream.h"
-#include "dispatch/replica_news.h"
-#include "dispatch/retry_lending.h"
-#include "dispatch/retry_share.h"
+#include "dispatch/replica_report_exchange.h"
+#include "dispatch/retry_budget.h"
+#include "dispatch/retry_budget_exchange.h"
 #include "dispatch/run_times.h"
 #include "dispatch/stop_plan.h"
 #include "engines/engine_chooser.h"
@@ -58,7 +58,7 @@
   /// Counts what is held of events that are not whole yet; without it they are not counted.
   void set_budget(std::shared_ptr<flow::byte_budget> budget) { budget_ = std::move(budget); }
   /// Replicas of these zones are called only where there are no others.
-  void set_silent_zones(std::set<base::zone_id> zones) {
+  void set_unreachable_zones(std::set<base::zone_id> zones) {
     replicas_.set_unreachable(std::move(zones));
   }
   /// A planned stop begins: other nodes gather the pieces of stages from now on, and only what is
@@ -96,7 +96,7 @@
   /// Gives up what is past its time and hands out what waits.
   void advance(base::time_point now);
   /// Ends everything that is still open, for a stop that can wait no longer.
-  void give_up_all(base::time_point now);
+  void abort_all_requests(base::time_point now);
 
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
   [[nodiscard]] command_list take_commands();
@@ -108,8 +108,8 @@
   /// @return engines whose account this node holds.
   [[nodiscard]] std::size_t engine_accounts() const { return directory_.accounts(); }
   [[nodiscard]] const engine_directory_counts& engine_counts() const { return directory_.counts(); }
-  [[nodiscard]] const replica_news_counts& news() const { return news_.counts(); }
-  [[nodiscard]] const lending_counts& lending() const { return lending_.counts(); }
+  [[nodiscard]] const replica_report_counts& news() const { return news_.counts(); }
+  [[nodiscard]] const budget_exchange_counts& lending() const { return lending_.counts(); }
   [[nodiscard]] const replica_statements::statement_exchange& statements() const {
     return statements_;
   }
@@ -260,7 +260,8 @@
   [[nodiscard]] bool has_time_before_stop(const active_request& request,
                                           base::time_point now) const;
   /// @return what is left of a request whose stages stand as they do.
-  [[nodiscard]] work_ahead work_ahead_of(const active_request& request, base::time_point now) const;
+  [[nodiscard]] remaining_work work_ahead_of(const active_request& request,
+                                             base::time_point now) const;
   /// @return the part of the time expected for the events of a stream that is behind it when it is
   ///         taken up after the last one; zero where it lasts longer than expected, since then
   ///         nothing is known of the rest.
--- a/src/dispatch/dispatcher_stop.cc
+++ b/src/dispatch/dispatcher_stop.cc
@@ -25,8 +25,9 @@
   }
 }
 
-work_ahead dispatcher::work_ahead_of(const active_request& request, base::time_point now) const {
-  work_ahead work;
+remaining_work dispatcher::work_ahead_of(const active_request& request,
+                                         base::time_point now) const {
+  remaining_work work;
   work.is_stream = request.route->kind == model::route_kind::streaming;
   work.answered_by = request.ends_at;
   const auto run =
@@ -81,7 +82,7 @@
   return true;
 }
 
-void dispatcher::give_up_all(base::time_point now) {
+void dispatcher::abort_all_requests(base::time_point now) {
   counters_.given_up_at_stop += active_.size();
   while (!active_.empty()) {
     give_up(active_.begin()->second, "stopped before it ended", now);
--- a/src/dispatch/replica_news.cc
+++ b/src/dispatch/replica_report_exchange.cc
@@ -1,4 +1,4 @@
-#include "dispatch/replica_news.h"
+#include "dispatch/replica_report_exchange.h"
 
 #include <algorithm>
 #include <cmath>
@@ -135,7 +135,7 @@
   for (const auto& said : message.evidence()) {
     const base::replica_id replica(said.replica());
     if (is_of_another_life(said)) {
-      ++counts_.of_other_lives;
+      ++counts_.of_other_incarnations;
       continue;
     }
     const base::duration age = std::chrono::milliseconds(said.age_milliseconds());
--- a/src/dispatch/replica_news.h
+++ b/src/dispatch/replica_report_exchange.h
@@ -19,11 +19,11 @@
 namespace spurrack::serving {
 
 /// Messages sent and reports received, for metrics.
-struct replica_news_counts {
+struct replica_report_counts {
   std::uint64_t messages = 0;
   std::uint64_t taken_in = 0;
   /// Reports on another life of a replica than the one this node knows, which were passed over.
-  std::uint64_t of_other_lives = 0;
+  std::uint64_t of_other_incarnations = 0;
 };
 
 /// Not thread-safe. Messages gather until they are taken.
@@ -48,7 +48,7 @@
                                        const wire::replica_news& message, base::time_point now);
 
   [[nodiscard]] wire::outbox take_messages() { return std::exchange(messages_, {}); }
-  [[nodiscard]] const replica_news_counts& counts() const { return counts_; }
+  [[nodiscard]] const replica_report_counts& counts() const { return counts_; }
 
  private:
   [[nodiscard]] wire::replica_news collect(base::time_point now);
@@ -63,7 +63,7 @@
   std::set<base::replica_id> unreported_;
   base::time_point next_message_;
   wire::outbox messages_;
-  replica_news_counts counts_;
+  replica_report_counts counts_;
 };
 
 } // namespace spurrack::serving
--- a/src/dispatch/retry_share.cc
+++ b/src/dispatch/retry_budget.cc
@@ -1,4 +1,4 @@
-#include "dispatch/retry_share.h"
+#include "dispatch/retry_budget.h"
 
 #include <algorithm>
 
@@ -8,11 +8,11 @@
 /// Part of the bound that is used; the rest covers windows that are cut differently.
 constexpr double used_part = 0.8;
 /// What is left is divided by this for a loan.
-constexpr repeat_thousandths lent_divisor = 2;
+constexpr milli_retries lent_divisor = 2;
 
 } // namespace
 
-void retry_share::ledger::add(base::time_point when, repeat_thousandths amount) {
+void retry_share::ledger::add(base::time_point when, milli_retries amount) {
   entries.push_back({when, amount});
   sum += amount;
 }
@@ -31,32 +31,32 @@
     counted.requests.pop_front();
   }
   counted.repeats.forget_before(window_begin);
-  counted.lent.forget_before(window_begin - loan_lifetime);
+  counted.lent.forget_before(window_begin - transfer_lifetime);
   counted.borrowed.forget_before(now);
   return counted;
 }
 
-repeat_thousandths retry_share::own_allowance() const {
+milli_retries retry_share::own_allowance() const {
   const auto nodes = static_cast<double>(std::max<std::size_t>(1, nodes_));
-  return static_cast<repeat_thousandths>(used_part * limits_.allowance / nodes * one_repeat);
+  return static_cast<milli_retries>(used_part * limits_.allowance / nodes * one_retry);
 }
 
-repeat_thousandths retry_share::left_of(const account& counted) const {
-  const auto earned = static_cast<repeat_thousandths>(
-      used_part * limits_.ratio * static_cast<double>(counted.requests.size()) * one_repeat);
+milli_retries retry_share::left_of(const account& counted) const {
+  const auto earned = static_cast<milli_retries>(
+      used_part * limits_.ratio * static_cast<double>(counted.requests.size()) * one_retry);
   return own_allowance() + earned - counted.repeats.sum - counted.lent.sum;
 }
 
-repeat_thousandths retry_share::missing_of(const account& counted) const {
-  const auto left = std::max<repeat_thousandths>(0, left_of(counted));
-  return std::max<repeat_thousandths>(0, one_repeat - counted.borrowed.sum - left);
+milli_retries retry_share::missing_of(const account& counted) const {
+  const auto left = std::max<milli_retries>(0, left_of(counted));
+  return std::max<milli_retries>(0, one_retry - counted.borrowed.sum - left);
 }
 
 void retry_share::count_request(const std::string& service, base::time_point now) {
   current(service, now).requests.push_back(now);
 }
 
-repeat_thousandths retry_share::missing(const std::string& service, base::time_point now) {
+milli_retries retry_share::missing(const std::string& service, base::time_point now) {
   return missing_of(current(service, now));
 }
 
@@ -65,7 +65,7 @@
   if (missing_of(counted) > 0) {
     return false;
   }
-  auto wanted = one_repeat;
+  auto wanted = one_retry;
   auto& loans = counted.borrowed;
   while (wanted > 0 && !loans.entries.empty()) {
     auto& oldest = loans.entries.front();
@@ -81,8 +81,8 @@
   return true;
 }
 
-repeat_thousandths retry_share::lend(const std::string& service, repeat_thousandths wanted,
-                                     base::time_point now) {
+milli_retries retry_share::lend(const std::string& service, milli_retries wanted,
+                                base::time_point now) {
   auto& counted = current(service, now);
   const auto from_allowance = own_allowance() - counted.lent.sum;
   const auto given = std::min({wanted, left_of(counted) / lent_divisor, from_allowance});
@@ -93,7 +93,7 @@
   return given;
 }
 
-void retry_share::add_loan(const std::string& service, repeat_thousandths amount,
+void retry_share::add_loan(const std::string& service, milli_retries amount,
                            base::time_point usable_until) {
   auto& loans = accounts_[service].borrowed;
   const auto later = std::find_if(loans.entries.begin(), loans.entries.end(),
--- a/src/dispatch/retry_share.h
+++ b/src/dispatch/retry_budget.h
@@ -14,14 +14,14 @@
 namespace spurrack::serving {
 
 /// An amount of repeats, in thousandths of one: shares of large fleets are less than a whole.
-using repeat_thousandths = std::int64_t;
+using milli_retries = std::int64_t;
 
 /// One repeat.
-inline constexpr repeat_thousandths one_repeat = 1000;
+inline constexpr milli_retries one_retry = 1000;
 
 /// How long after it was asked for a loan may be spent: several ways between regions, and short
 /// beside the window, since the lender goes without it for the window and this time.
-inline constexpr base::duration loan_lifetime = std::chrono::milliseconds(2000);
+inline constexpr base::duration transfer_lifetime = std::chrono::milliseconds(2000);
 
 /// Counts requests, repeats and loans of each service over a sliding window. Not thread-safe.
 ///
@@ -44,27 +44,26 @@
   ///         borrowed is spent first, since it soon expires.
   bool take(const std::string& service, base::time_point now);
   /// @return what is missing for one repeat; 0 where one would be granted.
-  [[nodiscard]] repeat_thousandths missing(const std::string& service, base::time_point now);
+  [[nodiscard]] milli_retries missing(const std::string& service, base::time_point now);
   /// Hands out part of what is left for another node: half, so that a node of its own troubles
   /// keeps some, and never what its requests have earned, which go with their window.
   /// @return how much of `wanted` is lent; it is spent for this node.
-  [[nodiscard]] repeat_thousandths lend(const std::string& service, repeat_thousandths wanted,
-                                        base::time_point now);
+  [[nodiscard]] milli_retries lend(const std::string& service, milli_retries wanted,
+                                   base::time_point now);
   /// Takes in what another node lent.
   /// @param usable_until end of its lifetime, counted from when it was asked for.
-  void add_loan(const std::string& service, repeat_thousandths amount,
-                base::time_point usable_until);
+  void add_loan(const std::string& service, milli_retries amount, base::time_point usable_until);
 
  private:
   struct amount_at {
     base::time_point when;
-    repeat_thousandths amount = 0;
+    milli_retries amount = 0;
   };
   /// Amounts in the order of their times, and their sum.
   struct ledger {
     std::deque<amount_at> entries;
-    repeat_thousandths sum = 0;
-    void add(base::time_point when, repeat_thousandths amount);
+    milli_retries sum = 0;
+    void add(base::time_point when, milli_retries amount);
     void forget_before(base::time_point oldest);
   };
   struct account {
@@ -76,10 +75,10 @@
   };
   account& current(const std::string& service, base::time_point now);
   /// @return what this node may spend or lend in a window beside what its requests earn.
-  [[nodiscard]] repeat_thousandths own_allowance() const;
+  [[nodiscard]] milli_retries own_allowance() const;
   /// @return what is left of the own share; negative where the share has shrunk.
-  [[nodiscard]] repeat_thousandths left_of(const account& counted) const;
-  [[nodiscard]] repeat_thousandths missing_of(const account& counted) const;
+  [[nodiscard]] milli_retries left_of(const account& counted) const;
+  [[nodiscard]] milli_retries missing_of(const account& counted) const;
 
   retry_limits limits_;
   std::size_t nodes_ = 1;
--- a/src/dispatch/retry_lending.cc
+++ b/src/dispatch/retry_budget_exchange.cc
@@ -1,4 +1,4 @@
-#include "dispatch/retry_lending.h"
+#include "dispatch/retry_budget_exchange.h"
 
 #include <algorithm>
 
@@ -75,7 +75,7 @@
   if (lenders.empty() || missing <= 0) {
     return false;
   }
-  const auto wanted = missing + static_cast<repeat_thousandths>(repeats - 1) * one_repeat;
+  const auto wanted = missing + static_cast<milli_retries>(repeats - 1) * one_retry;
   const bool was_in_vain = latest.number != 0 && !latest.sufficed;
   latest.pause =
       was_in_vain ? std::min<base::duration>(latest.pause * 2, longest_pause) : shortest_pause;
@@ -108,10 +108,10 @@
 
 void retry_lending::lend(const base::network_address& borrower, const wire::retry_lending& asked,
                          base::time_point now) {
-  const bool may_lend = begun_at_ && now - *begun_at_ >= share_->window() + loan_lifetime;
+  const bool may_lend = begun_at_ && now - *begun_at_ >= share_->window() + transfer_lifetime;
   const auto given =
       may_lend ? share_->lend(asked.asked().service(), asked.asked().thousandths(), now) : 0;
-  counts_.lent_thousandths += static_cast<std::uint64_t>(given);
+  counts_.sent_milli_retries += static_cast<std::uint64_t>(given);
   wire::outgoing answer{borrower, {}};
   auto& body = *answer.message.mutable_retry_lending();
   body.set_question(asked.question());
@@ -135,12 +135,12 @@
   }
   latest.awaited.erase(waited_for);
   // The lender counts from when it heard the question, which was later than this.
-  const base::time_point usable_until = latest.asked_at + loan_lifetime;
-  const auto amount = static_cast<repeat_thousandths>(answer.lent().thousandths());
+  const base::time_point usable_until = latest.asked_at + transfer_lifetime;
+  const auto amount = static_cast<milli_retries>(answer.lent().thousandths());
   if (amount == 0 || usable_until < now) {
     return;
   }
-  counts_.borrowed_thousandths += answer.lent().thousandths();
+  counts_.received_milli_retries += answer.lent().thousandths();
   share_->add_loan(answer.lent().service(), amount, usable_until);
   latest.sufficed = latest.sufficed || share_->missing(answer.lent().service(), now) == 0;
 }
--- a/src/dispatch/retry_lending.h
+++ b/src/dispatch/retry_budget_exchange.h
@@ -5,7 +5,7 @@
 #include "base/ids.h"
 #include "base/random.h"
 #include "base/time.h"
-#include "dispatch/retry_share.h"
+#include "dispatch/retry_budget.h"
 #include "fleet_view/peer_directory.h"
 #include "wire/outgoing.h"
 #include "wire/peer.pb.h"
@@ -20,10 +20,10 @@
 namespace spurrack::serving {
 
 /// What lending did, for metrics.
-struct lending_counts {
+struct budget_exchange_counts {
   std::uint64_t questions = 0;
-  std::uint64_t lent_thousandths = 0;
-  std::uint64_t borrowed_thousandths = 0;
+  std::uint64_t sent_milli_retries = 0;
+  std::uint64_t received_milli_retries = 0;
 };
 
 /// Not thread-safe. Messages gather until they are taken.
@@ -52,7 +52,7 @@
               const wire::retry_lending& message, base::time_point now);
 
   [[nodiscard]] wire::outbox take_messages() { return std::exchange(messages_, {}); }
-  [[nodiscard]] const lending_counts& counts() const { return counts_; }
+  [[nodiscard]] const budget_exchange_counts& counts() const { return counts_; }
 
  private:
   /// The latest question about one service.
@@ -84,7 +84,7 @@
   std::uint64_t next_question_ = 1;
   std::map<std::string, question> questions_;
   wire::outbox messages_;
-  lending_counts counts_;
+  budget_exchange_counts counts_;
 };
 
 } // namespace spurrack::serving
--- a/src/dispatch/stop_plan.cc
+++ b/src/dispatch/stop_plan.cc
@@ -13,7 +13,7 @@
   times_ = {now, must_end_at};
 }
 
-bool stop_plan::takes(const work_ahead& work, base::time_point now) const {
+bool stop_plan::takes(const remaining_work& work, base::time_point now) const {
   if (!times_) {
     return true;
   }
@@ -21,7 +21,7 @@
   return now - times_->began < taken_for && may_send(work, now);
 }
 
-bool stop_plan::may_send(const work_ahead& work, base::time_point now) const {
+bool stop_plan::may_send(const remaining_work& work, base::time_point now) const {
   if (!times_ || work.answered_by <= times_->must_end_at) {
     return true;
   }
--- a/src/dispatch/stop_plan.h
+++ b/src/dispatch/stop_plan.h
@@ -15,7 +15,7 @@
 namespace spurrack::serving {
 
 /// A request as far as a stop is concerned.
-struct work_ahead {
+struct remaining_work {
   /// Its answer is a stream: once begun, it can only be ended whole or cut.
   bool is_stream = false;
   /// It gets its final answer by then, whatever happens.
@@ -34,9 +34,9 @@
   [[nodiscard]] bool has_begun() const { return times_.has_value(); }
 
   /// @return whether a request that has just arrived is taken.
-  [[nodiscard]] bool takes(const work_ahead& work, base::time_point now) const;
+  [[nodiscard]] bool takes(const remaining_work& work, base::time_point now) const;
   /// @return whether a request that was taken may still be sent to a replica.
-  [[nodiscard]] bool may_send(const work_ahead& work, base::time_point now) const;
+  [[nodiscard]] bool may_send(const remaining_work& work, base::time_point now) const;
 
  private:
   struct stop_times {
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -261,7 +261,7 @@
   if (!serving_) {
     return;
   }
-  serving_->set_silent_zones(membership_.zones().silent(now));
+  serving_->set_unreachable_zones(membership_.zones().silent(now));
   if (membership_.version() == seen_members_) {
     return;
   }
@@ -384,7 +384,7 @@
 
 void node::check_serving_stop(base::time_point now) {
   if (must_end_serving(now) && serving_->active() > 0) {
-    serving_->give_up_all(now);
+    serving_->abort_all_requests(now);
     for (auto& wanted : serving_->take_commands()) {
       commands_.emplace_back(std::move(wanted));
     }
--- a/src/replica_statements/statement_exchange.cc
+++ b/src/replica_statements/statement_exchange.cc
@@ -169,7 +169,7 @@
   const base::replica_id replica(told.replica());
   const auto published = lookup_(replica);
   if (!published || published->life != told.life_mark()) {
-    ++counts_.of_other_lives;
+    ++counts_.of_other_incarnations;
     return;
   }
   const auto before = limits_.limit_of(replica);
--- a/src/replica_statements/statement_exchange.h
+++ b/src/replica_statements/statement_exchange.h
@@ -56,7 +56,7 @@
   std::uint64_t leaving_unreadable = 0;
   std::uint64_t backoff_unreadable = 0;
   /// News of another life of a replica than the one this node knows, which was passed over.
-  std::uint64_t of_other_lives = 0;
+  std::uint64_t of_other_incarnations = 0;
   /// Processes of replicas that this node learned to be leaving, and those that it heard so itself.
   std::uint64_t departures = 0;
   std::uint64_t departures_heard = 0;
--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -327,7 +327,7 @@
 BOOST_AUTO_TEST_CASE(a_stop_that_can_wait_no_longer_answers_everybody) {
   arrive(1, "/unsafe/x");
   arrive(2, "/staged/x", {1, 1});
-  subject.give_up_all(now);
+  subject.abort_all_requests(now);
   BOOST_TEST(subject.active() == 0);
 }
 
--- a/tests/dispatch/planned_stop_requests_test.cc
+++ b/tests/dispatch/planned_stop_requests_test.cc
@@ -111,7 +111,7 @@
         return is_over;
       });
     }
-    node.subject.give_up_all(node.now);
+    node.subject.abort_all_requests(node.now);
     BOOST_TEST(node.subject.counts().given_up_at_stop == 0U);
     BOOST_TEST(node.subject.counts().taken_while_stopping > 0U);
     BOOST_TEST(node.subject.counts().refused_while_stopping > 0U);
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -286,7 +286,7 @@
       change_configuration();
       break;
     case 10:
-      subject.set_silent_zones({base::zone_id(draw_zone())});
+      subject.set_unreachable_zones({base::zone_id(draw_zone())});
       break;
     default:
       pass(milliseconds(drawn_.below(150)));
--- a/tests/dispatch/retry_lending_test.cc
+++ b/tests/dispatch/retry_budget_exchange_test.cc
@@ -1,6 +1,6 @@
 /// Nodes lend each other their share of repeats, and the bound of the fleet holds whatever becomes
 /// of their messages.
-#include "dispatch/retry_lending.h"
+#include "dispatch/retry_budget_exchange.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -249,9 +249,9 @@
 
 BOOST_AUTO_TEST_CASE(what_is_borrowed_expires) {
   retry_share share({0, 1, seconds(10)});
-  share.add_loan("s", one_repeat, start + loan_lifetime);
-  BOOST_TEST(share.missing("s", start + loan_lifetime) == 0);
-  BOOST_TEST(!share.take("s", start + loan_lifetime + milliseconds(1)));
+  share.add_loan("s", one_retry, start + transfer_lifetime);
+  BOOST_TEST(share.missing("s", start + transfer_lifetime) == 0);
+  BOOST_TEST(!share.take("s", start + transfer_lifetime + milliseconds(1)));
 }
 
 BOOST_AUTO_TEST_CASE(where_nobody_has_anything_left_few_questions_are_asked) {
--- a/tests/dispatch/retry_share_test.cc
+++ b/tests/dispatch/retry_budget_test.cc
@@ -1,4 +1,4 @@
-#include "dispatch/retry_share.h"
+#include "dispatch/retry_budget.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/dispatch/stop_plan_test.cc
+++ b/tests/dispatch/stop_plan_test.cc
@@ -14,7 +14,7 @@
 struct stopping {
   stopping() { subject.begin(began, began + seconds(7)); }
 
-  [[nodiscard]] work_ahead work(bool is_stream, std::optional<base::duration> expected) const {
+  [[nodiscard]] remaining_work work(bool is_stream, std::optional<base::duration> expected) const {
     return {is_stream, began + seconds(60), expected};
   }
 
@@ -58,7 +58,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(what_is_answered_in_time_anyway_is_sent) {
-  work_ahead short_deadline = work(true, std::nullopt);
+  remaining_work short_deadline = work(true, std::nullopt);
   short_deadline.answered_by = began + seconds(5);
   BOOST_TEST(subject.takes(short_deadline, began + seconds(2)));
   BOOST_TEST(subject.may_send(short_deadline, began + seconds(4)));
--- a/tests/rate_limits/limit_exchange_test.cc
+++ b/tests/rate_limits/limit_exchange_test.cc
@@ -150,7 +150,7 @@
   unknown.set_life_mark(1);
   fleet.nodes[0]->handle(base::node_id("n1"), news, fleet.now);
   BOOST_TEST(!fleet.nodes[0]->permits().any());
-  BOOST_TEST(fleet.nodes[0]->statements().counts().of_other_lives == 2U);
+  BOOST_TEST(fleet.nodes[0]->statements().counts().of_other_incarnations == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(permits_that_nobody_asked_for_are_void) {
