--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -11,13 +11,13 @@
 namespace {
 
 /// Replicas that could not be reached before a request is refused.
-constexpr std::uint32_t most_unreached = 4;
+constexpr std::uint32_t max_unreached_attempts = 4;
 /// A repeatable plain call is made elsewhere after this part of the target latency.
-constexpr double plain_stall_part = 0.7;
+constexpr double plain_stall_fraction = 0.7;
 /// A resumable stream is taken up elsewhere after this many times the longest pause in time.
 constexpr double stream_stall_factor = 2.5;
 /// A stream is a sign of life of its replica this often; each event would cost a look-up.
-constexpr base::duration heard_note_period = std::chrono::milliseconds(100);
+constexpr base::duration contact_note_interval = std::chrono::milliseconds(100);
 /// A prompt on an engine with a backlog is given this many times the expected time to its first
 /// event before it counts as stalled. It saves callers of long prompts a second reading of the same
 /// tokens, which would bring the first event no sooner (docs/design/engines.md).
@@ -31,12 +31,13 @@
 
 const replica_state* dispatcher::choose_replica(const active_request& request,
                                                 base::time_point now) {
-  return choose_for(demand_of(request), now);
+  return choose_replica_for(demand_of(request), now);
 }
 
-const replica_state* dispatcher::choose_for(const replica_demand& demand, base::time_point now) {
-  return is_engine(demand.service) ? engines_.choose(demand, now)
-                                   : plain_replicas_.choose(demand, now);
+const replica_state* dispatcher::choose_replica_for(const replica_demand& demand,
+                                                    base::time_point now) {
+  return is_engine(demand.service) ? engine_chooser_.choose(demand, now)
+                                   : plain_chooser_.choose(demand, now);
 }
 
 const quarantine::request_digest& dispatcher::digest_of(const active_request& request) {
@@ -46,7 +47,7 @@
   return *request.digest;
 }
 
-std::string dispatcher::identity_text(const active_request& request) {
+std::string dispatcher::digest_text(const active_request& request) {
   return ", request digest " + digest_of(request).text();
 }
 
@@ -55,29 +56,29 @@
   return found != nullptr && found->engine;
 }
 
-start_call dispatcher::call_of(const active_request& request, const replica_state& chosen,
-                               base::time_point now) {
-  start_call wanted;
-  wanted.call = next_call_++;
-  wanted.target = {chosen.record->id, chosen.record->address};
-  wanted.content = request.content;
-  wanted.time_left = request.ends_at - now;
-  wanted.tenant = request.tenant;
-  wanted.streaming = request.route->kind == model::route_kind::streaming;
-  wanted.runs_at_most_once = !request.route->may_repeat();
-  wanted.resume_after = request.events.last_id();
+start_call dispatcher::make_call(const active_request& request, const replica_state& chosen,
+                                 base::time_point now) {
+  start_call new_call;
+  new_call.call = next_call_++;
+  new_call.target = {chosen.record->id, chosen.record->address};
+  new_call.content = request.content;
+  new_call.time_left = request.deadline - now;
+  new_call.tenant = request.tenant;
+  new_call.streaming = request.route->kind == model::route_kind::streaming;
+  new_call.runs_at_most_once = !request.route->may_repeat();
+  new_call.resume_after = request.events.last_id();
   if (request.graph) {
-    wanted.inputs = request.graph->final_inputs();
+    new_call.inputs = request.graph->final_inputs();
   }
-  return wanted;
+  return new_call;
 }
 
 void dispatcher::send_to_replica(active_request& request, base::time_point now) {
-  if (request.ends_at <= now) {
-    give_up(request, deadline_passed, now);
+  if (request.deadline <= now) {
+    abort_request(request, deadline_passed, now);
     return;
   }
-  if (end_at_stop(request, now) || refuse_in_quarantine(request, now)) {
+  if (end_if_late_for_stop(request, now) || refuse_if_quarantined(request, now)) {
     return;
   }
   if (request.graph && request.graph->has_freed_final_inputs()) {
@@ -89,11 +90,11 @@
   if (chosen == nullptr) {
     return;
   }
-  want_permit(request, now);
-  auto wanted = call_of(request, *chosen, now);
-  request.tried.insert(chosen->record->id);
-  ++request.sent;
-  request.call = open_call{wanted.call,
+  request_permit(request, now);
+  auto new_call = make_call(request, *chosen, now);
+  request.tried_replicas.insert(chosen->record->id);
+  ++request.attempts;
+  request.call = open_call{new_call.call,
                            chosen->record->id,
                            end_of_life(*chosen->record),
                            now,
@@ -101,81 +102,81 @@
                            std::nullopt,
                            std::nullopt,
                            {}};
-  clients_at_[chosen->record->id].insert(request.client);
+  clients_by_replica_[chosen->record->id].insert(request.client);
   const bool runs_at_once = !chosen->told || chosen->told->waiting == 0;
-  if (!wanted.inputs.empty() && runs_at_once &&
+  if (!new_call.inputs.empty() && runs_at_once &&
       settings_.input_fetch_time > base::duration::zero()) {
     request.call->inputs_fetched_at = now + settings_.input_fetch_time;
   }
-  calls_[wanted.call] = request.client;
+  clients_by_call_[new_call.call] = request.client;
   record(base::event_kind::stage_dispatched, request, chosen->record->id.text(),
-         "attempt " + std::to_string(request.sent) + ", own calls " +
+         "attempt " + std::to_string(request.attempts) + ", own calls " +
              std::to_string(chosen->in_flight) + ", " +
-             std::to_string(base::to_milliseconds(wanted.time_left)) + " ms left");
-  note_way(request, *chosen, now);
-  const auto allowed = time_to_progress(request, *chosen, now);
+             std::to_string(base::to_milliseconds(new_call.time_left)) + " ms left");
+  note_locality(request, *chosen, now);
+  const auto stall_timeout = progress_timeout(request, *chosen, now);
   if (is_engine(request.service)) {
-    directory_.note_sent(*chosen, prompt_send_of(*request.content), now);
+    engine_directory_.note_sent(*chosen, prompt_send_of(*request.content), now);
   }
   replicas_.call_started(chosen->record->id, now);
   ++counters_.calls;
-  const auto call = wanted.call;
-  commands_.emplace_back(std::move(wanted));
-  if (request.window_closed) {
-    commands_.emplace_back(pause_call{call});
+  const auto call_id = new_call.call;
+  commands_.emplace_back(std::move(new_call));
+  if (request.is_window_closed) {
+    commands_.emplace_back(pause_call{call_id});
   }
-  watch_progress(request, allowed, now);
+  watch_progress(request, stall_timeout, now);
 }
 
-base::duration dispatcher::time_to_progress(const active_request& request,
+base::duration dispatcher::progress_timeout(const active_request& request,
                                             const replica_state& replica,
                                             base::time_point now) const {
   const auto target = request.route->target_latency;
   if (target <= base::duration::zero() || !is_engine(request.service)) {
     return target;
   }
-  const auto expected = directory_.expected_wait(replica, now) +
-                        directory_.reading_time(request.content->prompt_tokens);
+  const auto expected = engine_directory_.expected_wait(replica, now) +
+                        engine_directory_.reading_time(request.content->prompt_tokens);
   return std::max(target, base::scaled(expected, engine_stall_factor));
 }
 
-void dispatcher::watch_progress(active_request& request, base::duration allowed,
+void dispatcher::watch_progress(active_request& request, base::duration timeout,
                                 base::time_point now) {
   request.call->stalls_at.reset();
   // A replica that is not read shows no progress, which says nothing of it.
-  const bool is_read = !request.window_closed;
-  if (is_read && allowed > base::duration::zero()) {
-    const bool plain = request.route->kind == model::route_kind::safe;
-    const double factor = plain ? plain_stall_part : 1.0;
-    request.call->stalls_at = now + std::chrono::duration_cast<base::duration>(allowed * factor);
+  const bool is_read = !request.is_window_closed;
+  if (is_read && timeout > base::duration::zero()) {
+    const bool is_plain = request.route->kind == model::route_kind::safe;
+    const double factor = is_plain ? plain_stall_fraction : 1.0;
+    request.call->stalls_at = now + std::chrono::duration_cast<base::duration>(timeout * factor);
   }
   schedule_check(request);
 }
 
 dispatcher::open_call dispatcher::close_call(active_request& request) {
   auto call = *request.call;
-  calls_.erase(call.id);
+  clients_by_call_.erase(call.id);
   replicas_.call_ended(call.replica);
-  const auto at_replica = clients_at_.find(call.replica);
+  const auto at_replica = clients_by_replica_.find(call.replica);
   at_replica->second.erase(request.client);
   if (at_replica->second.empty()) {
-    clients_at_.erase(at_replica);
+    clients_by_replica_.erase(at_replica);
   }
   request.call.reset();
   return call;
 }
 
-void dispatcher::on(const call_failed& what, base::time_point now) {
-  auto* request = find_by_call(what.call);
+void dispatcher::on_event(const call_failed& failure, base::time_point now) {
+  auto* request = find_by_call(failure.call);
   if (request == nullptr) {
     return;
   }
   const auto call = close_call(*request);
-  if (what.fate == call_fate::not_sent) {
+  if (failure.fate == call_fate::not_sent) {
     replicas_.note_unreachable(call.replica, now);
-    --request->sent;
+    --request->attempts;
     record(base::event_kind::stage_retried, *request, call.replica.text(), "not reached");
-    if (++request->not_sent < most_unreached) {
+    if (++request->unreached_attempts < max_unreached_attempts) {
       send_to_replica(*request, now);
     } else if (request->may_have_run) {
       answer_failed(*request, status::bad_gateway, "replicas cannot be reached", now);
@@ -185,17 +186,17 @@
     return;
   }
   request->may_have_run = true;
-  const bool lacked_memory = what.fate == call_fate::no_memory;
+  const bool lacked_memory = failure.fate == call_fate::no_memory;
   if (lacked_memory) {
     // The replica did not fail: it may be chosen again.
-    request->tried.erase(call.replica);
+    request->tried_replicas.erase(call.replica);
   } else {
     replicas_.note_failure(call.replica, now);
-    note_lost_call(*request, call.replica, call.life_end, now);
+    note_lost_call(*request, call.replica, call.incarnation_exit, now);
   }
   record(base::event_kind::stage_retried, *request, call.replica.text(),
-         lacked_memory ? "no memory for the answer" : "no answer" + identity_text(*request));
-  repeat_or_fail(*request, now);
+         lacked_memory ? "no memory for the answer" : "no answer" + digest_text(*request));
+  retry_or_fail(*request, now);
 }
 
 void dispatcher::on_not_executed(active_request& request, const answer_head& head,
@@ -203,24 +204,25 @@
   const auto call = close_call(request);
   if (head.misdirected) {
     replicas_.note_left(call.replica);
-    note_replica_ended(call.replica, "another process has its address", now);
+    note_replica_exit(call.replica, "another process has its address", now);
   } else {
     replicas_.note_full(call.replica, now);
   }
   record(base::event_kind::stage_retried, request, call.replica.text(),
          "not executed, status " + std::to_string(head.status));
-  if (head.status == status::conflict && request.graph && request.graph->remakes() < most_remakes &&
-      request.sent < request.route->max_attempts) {
+  if (head.status == status::conflict && request.graph &&
+      request.graph->remakes() < max_recomputations &&
+      request.attempts < request.route->max_attempts) {
     remake_final_inputs(request, now);
     return;
   }
-  send_again_or_end(request, {status::bad_gateway, "replicas are full", {}, !request.may_have_run},
-                    now);
+  retry_or_end(request, {status::bad_gateway, "replicas are full", {}, !request.may_have_run}, now);
 }
 
 void dispatcher::note_heard(open_call& call, base::time_point now) {
-  if (call.heard_at == base::time_point{} || now - call.heard_at >= heard_note_period) {
-    call.heard_at = now;
+  if (call.contact_noted_at == base::time_point{} ||
+      now - call.contact_noted_at >= contact_note_interval) {
+    call.contact_noted_at = now;
     replicas_.note_heard(call.replica, now);
   }
 }
@@ -229,103 +231,105 @@
                              base::time_point now) {
   replicas_.note_heard(replica, now);
   if (!head.misdirected) {
-    withdraw_end(replica, now);
+    withdraw_exit(replica, now);
   }
 }
 
-void dispatcher::on(const call_answered& what, base::time_point now) {
-  auto* request = find_by_call(what.call);
+void dispatcher::on_event(const call_answered& answered, base::time_point now) {
+  auto* request = find_by_call(answered.call);
   if (request == nullptr) {
     return;
   }
   const auto& replica = request->call->replica;
-  note_answer(replica, what.head, now);
-  if (what.head.not_executed || what.head.misdirected) {
-    on_not_executed(*request, what.head, now);
+  note_answer(replica, answered.head, now);
+  if (answered.head.not_executed || answered.head.misdirected) {
+    on_not_executed(*request, answered.head, now);
     return;
   }
   request->may_have_run = true;
   note_survived(*request, now);
-  const bool unusable = is_success(what.head.status) && (!what.head.sealed || what.head.encoded);
-  const bool failed = unusable || what.head.status >= status::first_server_error;
+  const bool unusable =
+      is_success(answered.head.status) && (!answered.head.sealed || answered.head.encoded);
+  const bool failed = unusable || answered.head.status >= status::first_server_error;
   if (!failed) {
     replicas_.note_success(replica, now);
-    if (is_success(what.head.status)) {
-      note_run(*request, now);
+    if (is_success(answered.head.status)) {
+      note_completed_run(*request, now);
     }
-    pass_on(*request, what, now);
+    forward_answer(*request, answered, now);
     return;
   }
   const auto call = close_call(*request);
   replicas_.note_failure(call.replica, now);
   record(base::event_kind::stage_retried, *request, call.replica.text(),
-         "status " + std::to_string(what.head.status));
-  failed_ending ending{status::bad_gateway, "the replica's answer is not valid", {}, false};
-  if (!unusable && !request->stream_begun) {
-    ending.answer = what;
+         "status " + std::to_string(answered.head.status));
+  failure_outcome outcome{status::bad_gateway, "the replica's answer is not valid", {}, false};
+  if (!unusable && !request->has_begun_stream) {
+    outcome.answer = answered;
   }
   if (request->route->may_repeat()) {
-    send_again_or_end(*request, std::move(ending), now);
+    retry_or_end(*request, std::move(outcome), now);
   } else {
-    end_failed(*request, ending, now);
+    end_with_failure(*request, outcome, now);
   }
 }
 
-void dispatcher::pass_on(active_request& request, const call_answered& answer,
-                         base::time_point now) {
-  if (request.stream_begun) {
+void dispatcher::forward_answer(active_request& request, const call_answered& answer,
+                                base::time_point now) {
+  if (request.has_begun_stream) {
     commands_.emplace_back(end_stream{request.client, false});
   } else {
     commands_.emplace_back(respond{request.client, std::nullopt, answer.head.status,
                                    answer.head.headers, answer.body, answer.held});
-    counters_.first_byte.add(now - request.arrived);
+    counters_.first_byte.add(now - request.arrived_at);
   }
   finish(request, answer.head.status, "the replica's answer", now);
 }
 
 // --- streams -------------------------------------------------------------------------------------
 
-void dispatcher::on(const stream_opened& what, base::time_point now) {
-  auto* request = find_by_call(what.call);
+void dispatcher::on_event(const stream_opened& opened, base::time_point now) {
+  auto* request = find_by_call(opened.call);
   if (request == nullptr) {
     return;
   }
   const auto replica = request->call->replica;
-  note_answer(replica, what.head, now);
+  note_answer(replica, opened.head, now);
   request->may_have_run = true;
-  if (!what.head.sealed || what.head.encoded) {
-    commands_.emplace_back(cancel_call{what.call});
+  if (!opened.head.sealed || opened.head.encoded) {
+    commands_.emplace_back(cancel_call{opened.call});
     replicas_.note_failure(replica, now);
     close_call(*request);
-    repeat_or_fail(*request, now);
+    retry_or_fail(*request, now);
     return;
   }
-  if (!request->stream_begun) {
-    request->stream_head = what.head;
+  if (!request->has_begun_stream) {
+    request->stream_head = opened.head;
   }
   record(base::event_kind::stage_completed, *request, replica.text(),
          "head of the stream after " +
-             std::to_string(base::to_milliseconds(now - request->call->started)) + " ms");
+             std::to_string(base::to_milliseconds(now - request->call->started_at)) + " ms");
 }
 
 void dispatcher::begin_stream(active_request& request, base::time_point now) {
-  if (request.stream_begun) {
+  if (request.has_begun_stream) {
     return;
   }
-  request.stream_begun = true;
+  request.has_begun_stream = true;
   commands_.emplace_back(
       open_stream{request.client, request.stream_head->status, request.stream_head->headers});
-  counters_.first_byte.add(now - request.arrived);
+  counters_.first_byte.add(now - request.arrived_at);
   record(base::event_kind::stage_completed, request, "",
-         "first event after " + std::to_string(base::to_milliseconds(now - request.arrived)) +
+         "first event after " + std::to_string(base::to_milliseconds(now - request.arrived_at)) +
              " ms");
   if (request.call) {
-    directory_.note_first_event(request.content->own_tokens(), now - request.call->started);
-    estimate_.note_first_byte(request.service, request.content->own_tokens(),
-                              now - request.call->started);
+    engine_directory_.note_first_event(request.content->own_tokens(),
+                                       now - request.call->started_at);
+    admission_estimate_.note_first_byte(request.service, request.content->own_tokens(),
+                                        now - request.call->started_at);
   }
   if (request.graph) {
-    free(request.graph->take_unneeded(true));
+    release_results(request.graph->take_unneeded(true));
   }
 }
 
@@ -333,19 +337,19 @@
   if (request.first_event_at == base::time_point{}) {
     request.first_event_at = now;
   } else {
-    request.longest_pause =
-        std::max<base::duration>(request.longest_pause, now - request.latest_event_at);
+    request.longest_event_gap =
+        std::max<base::duration>(request.longest_event_gap, now - request.latest_event_at);
   }
   request.latest_event_at = now;
 }
 
-void dispatcher::on(const stream_bytes& what, base::time_point now) {
-  auto* request = find_by_call(what.call);
+void dispatcher::on_event(const stream_bytes& chunk, base::time_point now) {
+  auto* request = find_by_call(chunk.call);
   if (request == nullptr) {
     return;
   }
-  auto whole = request->events.feed(what.bytes);
-  if (!count_partial_event(*request)) {
+  auto whole = request->events.feed(chunk.bytes);
+  if (!reserve_partial_event(*request)) {
     answer_failed(*request, status::bad_gateway, "no memory for an event that is not whole", now);
     return;
   }
@@ -361,14 +365,14 @@
   watch_progress(*request, pause, now);
 }
 
-void dispatcher::on(const stream_closed& what, base::time_point now) {
-  auto* request = find_by_call(what.call);
+void dispatcher::on_event(const stream_closed& closed, base::time_point now) {
+  auto* request = find_by_call(closed.call);
   if (request == nullptr) {
     return;
   }
-  const bool is_whole = what.complete && !request->events.has_partial();
+  const bool is_whole = closed.complete && !request->events.has_partial();
   if (is_whole) {
-    note_run(*request, now);
+    note_completed_run(*request, now);
     note_survived(*request, now);
   }
   const auto call = close_call(*request);
@@ -384,15 +388,15 @@
            "the stream is complete, first event at " +
                std::to_string(base::to_milliseconds(request->first_event_at - request->arrived)) +
                " ms, longest pause " +
-               std::to_string(base::to_milliseconds(request->longest_pause)) + " ms,",
+               std::to_string(base::to_milliseconds(request->longest_event_gap)) + " ms,",
            now);
     return;
   }
   replicas_.note_failure(call.replica, now);
-  note_lost_call(*request, call.replica, call.life_end, now);
+  note_lost_call(*request, call.replica, call.incarnation_exit, now);
   record(base::event_kind::stage_retried, *request, call.replica.text(),
-         "the stream broke off" + identity_text(*request));
-  repeat_or_fail(*request, now);
+         "the stream broke off" + digest_text(*request));
+  retry_or_fail(*request, now);
 }
 
 } // namespace spurrack::serving
--- a/src/dispatch/dispatcher_constants.h
+++ b/src/dispatch/dispatcher_constants.h
@@ -21,9 +21,9 @@
 inline constexpr const char* deadline_passed = "deadline passed";
 
 /// A request is admitted up to this part of its target latency.
-inline constexpr double admitted_target_part = 1.3;
+inline constexpr double admission_target_factor = 1.3;
 
 /// Times the stages of a request are made again because results were lost.
-inline constexpr std::uint32_t most_remakes = 2;
+inline constexpr std::uint32_t max_recomputations = 2;
 
 } // namespace spurrack::serving
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -12,9 +12,9 @@
 /// A replica that is heard this long after it was taken to have ended, while it is published in the
 /// same life, has not ended: replicas write what is published of them every second or two, and the
 /// list lags by no more than the rest.
-constexpr base::duration withdrawal_time = std::chrono::seconds(5);
+constexpr base::duration min_withdrawal_age = std::chrono::seconds(5);
 /// What is over is looked for this often; the shortest time to be forgotten is 10 s.
-constexpr base::duration crash_expiry_period = std::chrono::seconds(1);
+constexpr base::duration crash_expiry_interval = std::chrono::seconds(1);
 
 constexpr const char* quarantine_reason =
     "held back: replicas ended while they ran this request; sending it again does not help";
@@ -24,49 +24,51 @@
 // --- finding out ---------------------------------------------------------------------------------
 
 void dispatcher::note_lost_call(const active_request& request, const base::replica_id& replica,
-                                replica_end life_end, base::time_point now) {
+                                replica_end incarnation_exit, base::time_point now) {
   const auto* state = replicas_.find(replica);
   // One that leaves as planned ends too, and no request is to blame.
   if (state == nullptr || state->record->draining || state->left) {
     return;
   }
-  if (crash_watch_.note_lost_call(replica, {digest_of(request), {life_end, now, replica}}, now)) {
+  if (crash_detector_.note_lost_call(replica,
+                                     {digest_of(request), {incarnation_exit, now, replica}}, now)) {
     commands_.emplace_back(probe_replica{{replica, state->record->address}});
   }
 }
 
-void dispatcher::on(const replica_probed& what, base::time_point now) {
-  switch (what.result) {
+void dispatcher::on_event(const replica_probed& probe, base::time_point now) {
+  switch (probe.result) {
   case probe_result::refused:
-    note_replica_ended(what.replica, "it refuses connections", now);
+    note_replica_exit(probe.replica, "it refuses connections", now);
     break;
   case probe_result::connected:
-    crash_watch_.note_connected(what.replica, now);
+    crash_detector_.note_connected(probe.replica, now);
     break;
   case probe_result::silent:
-    crash_watch_.note_silent(what.replica);
+    crash_detector_.note_silent(probe.replica);
     break;
   }
 }
 
-void dispatcher::find_ended_replicas(base::time_point now) {
-  for (const auto& replica : crash_watch_.watched()) {
+void dispatcher::find_exited_replicas(base::time_point now) {
+  for (const auto& replica : crash_detector_.watched()) {
     if (replicas_.find(replica) == nullptr) {
-      note_replica_ended(replica, "it is published no longer", now);
+      note_replica_exit(replica, "it is published no longer", now);
     }
   }
 }
 
-void dispatcher::note_replica_ended(const base::replica_id& replica, const char* evidence,
-                                    base::time_point now) {
-  for (const auto& call : crash_watch_.take_ended(replica)) {
-    note_end_under(call, replica, evidence, now);
+void dispatcher::note_replica_exit(const base::replica_id& replica, const char* evidence,
+                                   base::time_point now) {
+  for (const auto& call : crash_detector_.take_ended(replica)) {
+    note_exit_under_request(call, replica, evidence, now);
   }
 }
 
-void dispatcher::note_end_under(const quarantine::ended_call& call, const base::replica_id& replica,
-                                const char* evidence, base::time_point now) {
-  const auto change = crash_ledger_.note_end(call.digest, call.seen, now);
+void dispatcher::note_exit_under_request(const quarantine::ended_call& call,
+                                         const base::replica_id& replica, const char* evidence,
+                                         base::time_point now) {
+  const auto change = crash_registry_.note_end(call.digest, call.seen, now);
   if (!change.is_news) {
     return;
   }
@@ -74,39 +76,39 @@
   record_(base::event_kind::request_crashed_replica, {}, replica.text(),
           "request digest " + call.digest.text() + ", " + evidence + ", its call ended " +
               std::to_string(base::to_milliseconds(now - call.seen.at)) + " ms ago, " +
-              std::to_string(crash_ledger_.ends_of(call.digest)) + " ends under it");
-  crash_news_.note_changed(call.digest);
+              std::to_string(crash_registry_.ends_of(call.digest)) + " ends under it");
+  crash_reports_.note_changed(call.digest);
   if (change.begins_quarantine) {
-    newly_held_back_.push_back(call.digest);
+    newly_quarantined_.push_back(call.digest);
   }
 }
 
 void dispatcher::handle_peer(const base::network_address& address, const wire::crash_news& message,
                              base::time_point now) {
-  for (const auto& learned : crash_news_.handle(address, message, now)) {
+  for (const auto& learned : crash_reports_.handle(address, message, now)) {
     if (learned.begins_quarantine) {
-      newly_held_back_.push_back(learned.digest);
+      newly_quarantined_.push_back(learned.digest);
     }
   }
 }
 
 void dispatcher::advance_crashes(base::time_point now) {
-  if (now >= next_crash_expiry_) {
-    next_crash_expiry_ = now + crash_expiry_period;
-    crash_watch_.forget_old(now);
-    crash_ledger_.expire(now);
+  if (now >= next_crash_expiry_at_) {
+    next_crash_expiry_at_ = now + crash_expiry_interval;
+    crash_detector_.forget_old(now);
+    crash_registry_.expire(now);
   }
   // Not where it is learned: the request that is being looked at there may be among those ended.
-  for (const auto& digest : std::exchange(newly_held_back_, {})) {
+  for (const auto& digest : std::exchange(newly_quarantined_, {})) {
     quarantine_request(digest, now);
   }
-  crash_news_.advance(now);
+  crash_reports_.advance(now);
 }
 
 // --- letting go ----------------------------------------------------------------------------------
 
-void dispatcher::withdraw_end(const base::replica_id& replica, base::time_point now) {
-  if (crash_ledger_.empty()) {
+void dispatcher::withdraw_exit(const base::replica_id& replica, base::time_point now) {
+  if (crash_registry_.empty()) {
     return;
   }
   const auto* state = replicas_.find(replica);
@@ -114,8 +116,8 @@
     return;
   }
   const auto end = end_of_life(*state->record);
-  const auto ended_at = crash_ledger_.find_end(end);
-  if (ended_at && now - *ended_at >= withdrawal_time && crash_ledger_.withdraw(end, now)) {
+  const auto ended_at = crash_registry_.find_end(end);
+  if (ended_at && now - *ended_at >= min_withdrawal_age && crash_registry_.withdraw(end, now)) {
     record_(base::event_kind::request_cleared, {}, replica.text(),
             "the replica is heard in the life that seemed over " +
                 std::to_string(base::to_milliseconds(now - *ended_at)) + " ms ago");
@@ -123,47 +125,47 @@
 }
 
 void dispatcher::note_survived(const active_request& request, base::time_point now) {
-  if (crash_ledger_.empty()) {
+  if (crash_registry_.empty()) {
     return;
   }
   const auto& digest = digest_of(request);
-  if (crash_ledger_.note_survived(digest, now)) {
+  if (crash_registry_.note_survived(digest, now)) {
     ++counters_.requests_cleared;
     record(base::event_kind::request_cleared, request, "",
            "request digest " + digest.text() + ", a run of it ended and its replica lives");
-    crash_news_.note_changed(digest);
+    crash_reports_.note_changed(digest);
   }
 }
 
 bool dispatcher::release_request(const quarantine::request_digest& digest, base::time_point now) {
-  const bool was_known = crash_ledger_.release(digest, now);
+  const bool was_known = crash_registry_.release(digest, now);
   if (was_known) {
     record_(base::event_kind::request_cleared, {}, "",
             "request digest " + digest.text() + ", let go by an operator");
-    crash_news_.note_changed(digest);
+    crash_reports_.note_changed(digest);
   }
   return was_known;
 }
 
 // --- holding back --------------------------------------------------------------------------------
 
-quarantine::standing dispatcher::standing_of(const active_request& request,
-                                             base::time_point now) const {
-  return crash_ledger_.empty() ? quarantine::standing::free
-                               : crash_ledger_.standing_of(digest_of(request), now);
+quarantine::standing dispatcher::quarantine_state_of(const active_request& request,
+                                                     base::time_point now) const {
+  return crash_registry_.empty() ? quarantine::standing::free
+                                 : crash_registry_.standing_of(digest_of(request), now);
 }
 
-bool dispatcher::refuse_in_quarantine(active_request& request, base::time_point now) {
-  if (standing_of(request, now) != quarantine::standing::held_back) {
+bool dispatcher::refuse_if_quarantined(active_request& request, base::time_point now) {
+  if (quarantine_state_of(request, now) != quarantine::standing::held_back) {
     return false;
   }
   const auto& digest = digest_of(request);
-  crash_ledger_.note_asked(digest, now);
+  crash_registry_.note_asked(digest, now);
   ++counters_.refused_in_quarantine;
   record(base::event_kind::request_quarantined, request, "",
-         "request digest " + digest.text() + ", " + std::to_string(crash_ledger_.ends_of(digest)) +
-             " ends under it");
-  if (request.may_have_run || request.stream_begun) {
+         "request digest " + digest.text() + ", " +
+             std::to_string(crash_registry_.ends_of(digest)) + " ends under it");
+  if (request.may_have_run || request.has_begun_stream) {
     answer_failed(request, status::bad_gateway, quarantine_reason, now);
     return true;
   }
@@ -175,18 +177,18 @@
 
 void dispatcher::quarantine_request(const quarantine::request_digest& digest,
                                     base::time_point now) {
-  const auto* known = crash_ledger_.find(digest);
-  if (known == nullptr) {
+  const auto* found = crash_registry_.find(digest);
+  if (found == nullptr) {
     return;
   }
   ++counters_.quarantines;
   record_(base::event_kind::request_quarantined, {}, "",
           "request digest " + digest.text() + ", held back from now on, " +
-              std::to_string(crash_ledger_.ends_of(digest)) + " ends under it, the latest " +
-              std::to_string(base::to_milliseconds(now - known->newest())) + " ms ago");
+              std::to_string(crash_registry_.ends_of(digest)) + " ends under it, the latest " +
+              std::to_string(base::to_milliseconds(now - found->newest())) + " ms ago");
   std::vector<base::caller_id> clients;
   for (const auto& [client, request] : active_) {
-    const bool shows_events = request.call && request.latest_event_at > request.call->started;
+    const bool shows_events = request.call && request.latest_event_at > request.call->started_at;
     if (!shows_events && digest_of(request) == digest) {
       clients.push_back(client);
     }
@@ -195,7 +197,7 @@
     auto& request = active_.at(client);
     // A replica may be about to begin: closing the connection takes the request back.
     request.may_have_run = request.may_have_run || request.call.has_value();
-    refuse_in_quarantine(request, now);
+    refuse_if_quarantined(request, now);
   }
 }
 
--- a/src/dispatch/dispatcher_replica_restarts.cc
+++ b/src/dispatch/dispatcher_replica_restarts.cc
@@ -10,101 +10,101 @@
 /// A call at a life that seems over is given this time to show that its replica lives: the entry
 /// may reach this node later than the new process took its first calls. As long as a replica stays
 /// found lost before a request is ended for it.
-constexpr base::duration life_confirm_time = std::chrono::milliseconds(500);
+constexpr base::duration restart_confirm_time = std::chrono::milliseconds(500);
 
 /// @return the name under which calls at a life that is over are kept, so that nothing they bring
 ///         is told of the life that began.
-base::replica_id earlier_life_of(const base::replica_id& replica) {
+base::replica_id earlier_incarnation_of(const base::replica_id& replica) {
   return base::replica_id(replica.text() + " (earlier life)");
 }
 
 } // namespace
 
-void dispatcher::give_up_earlier_lives(base::time_point now) {
+void dispatcher::handle_replica_restarts(base::time_point now) {
   for (const auto& restart : replicas_.take_restarts()) {
-    give_up_earlier_life(restart, now);
+    handle_replica_restart(restart, now);
   }
 }
 
-void dispatcher::give_up_earlier_life(const replica_restart& restart, base::time_point now) {
+void dispatcher::handle_replica_restart(const replica_restart& restart, base::time_point now) {
   const auto& replica = restart.replica;
   ++counters_.replica_restarts;
   record_(base::event_kind::backend_restarted, {}, replica.text(),
           "started again, its earlier life was at " + restart.earlier_address.text());
-  note_replica_ended(replica, "it started again under its id", now);
-  directory_.forget(replica);
+  note_replica_exit(replica, "it started again under its id", now);
+  engine_directory_.forget(replica);
   stages_.on_restarted(replica, now);
   commands_.emplace_back(close_connections{restart.earlier_address});
   for (auto& [client, request] : active_) {
-    request.tried.erase(replica);
+    request.tried_replicas.erase(replica);
     if (request.graph) {
       request.graph->note_lost_results_of(restart.earlier_address);
     }
   }
-  const auto found = clients_at_.find(replica);
-  if (found == clients_at_.end()) {
+  const auto found = clients_by_replica_.find(replica);
+  if (found == clients_by_replica_.end()) {
     return;
   }
   const auto clients = found->second;
   for (const auto client : clients) {
     auto& request = active_.at(client);
-    const bool shows_events = request.latest_event_at > request.call->started &&
-                              now - request.latest_event_at < life_confirm_time;
-    if (!shows_events && replicas_.is_at_earlier_life(replica, request.call->started)) {
-      leave_earlier_life(request, now);
+    const bool shows_events = request.latest_event_at > request.call->started_at &&
+                              now - request.latest_event_at < restart_confirm_time;
+    if (!shows_events && replicas_.is_at_earlier_life(replica, request.call->started_at)) {
+      move_to_earlier_incarnation(request, now);
     } else {
-      request.tried.insert(replica);
+      request.tried_replicas.insert(replica);
     }
   }
 }
 
-void dispatcher::leave_earlier_life(active_request& request, base::time_point now) {
+void dispatcher::move_to_earlier_incarnation(active_request& request, base::time_point now) {
   auto& call = *request.call;
   const auto replica = call.replica;
   record(base::event_kind::stage_retried, request, replica.text(), "its replica started again");
-  note_end_under({digest_of(request), {call.life_end, now, replica}}, replica,
-                 "it started again under its id", now);
+  note_exit_under_request({digest_of(request), {call.incarnation_exit, now, replica}}, replica,
+                          "it started again under its id", now);
   replicas_.call_ended(replica);
-  auto& at_replica = clients_at_.at(replica);
+  auto& at_replica = clients_by_replica_.at(replica);
   at_replica.erase(request.client);
   if (at_replica.empty()) {
-    clients_at_.erase(replica);
+    clients_by_replica_.erase(replica);
   }
-  call.replica = earlier_life_of(replica);
-  clients_at_[call.replica].insert(request.client);
-  call.life_ended_at = now;
+  call.replica = earlier_incarnation_of(replica);
+  clients_by_replica_[call.replica].insert(request.client);
+  call.restart_seen_at = now;
   ++counters_.calls_at_earlier_lives;
-  if (!request.window_closed) {
+  if (!request.is_window_closed) {
     call.stalls_at = now;
     schedule_check(request);
   }
 }
 
-void dispatcher::end_at_earlier_life(active_request& request, base::time_point now) {
+void dispatcher::check_call_at_earlier_incarnation(active_request& request, base::time_point now) {
   auto& call = *request.call;
-  const auto decided_at = *call.life_ended_at + life_confirm_time;
-  if (request.latest_event_at > *call.life_ended_at) {
-    call.life_ended_at.reset();
-    call.stalls_at = now + life_confirm_time;
-  } else if (now >= decided_at) {
+  const auto decision_deadline = *call.restart_seen_at + restart_confirm_time;
+  if (request.latest_event_at > *call.restart_seen_at) {
+    call.restart_seen_at.reset();
+    call.stalls_at = now + restart_confirm_time;
+  } else if (now >= decision_deadline) {
     ++counters_.ended_at_lost_replicas;
     answer_failed(request, status::bad_gateway, "the replica started again", now);
   } else {
-    call.stalls_at = decided_at;
+    call.stalls_at = decision_deadline;
   }
 }
 
 void dispatcher::report_unknown_services() {
   const auto& unknown = replicas_.of_unknown_services();
   for (const auto& [id, service] : unknown) {
-    const auto reported = unknown_services_.find(id);
-    if (reported == unknown_services_.end() || reported->second != service) {
+    const auto reported = reported_unknown_services_.find(id);
+    if (reported == reported_unknown_services_.end() || reported->second != service) {
       ++counters_.replicas_of_unknown_services;
       record_(base::event_kind::entry_rejected, {}, std::string(model::replica_prefix) + id.text(),
               "no configuration names its service " + service);
     }
   }
-  unknown_services_ = unknown;
+  reported_unknown_services_ = unknown;
 }
 
 } // namespace spurrack::serving
--- a/src/dispatch/dispatcher_residency.cc
+++ b/src/dispatch/dispatcher_residency.cc
@@ -8,22 +8,22 @@
 
 std::optional<dispatcher::residency_refusal>
 dispatcher::residency_refusal_of(const active_request& request) const {
-  const auto& allowed = request.permitted_regions;
-  if (!allowed.is_restricted()) {
+  const auto& permitted = request.permitted_regions;
+  if (!permitted.is_restricted()) {
     return std::nullopt;
   }
-  if (allowed.is_empty()) {
+  if (permitted.is_empty()) {
     return residency_refusal{"no region is allowed", false};
   }
-  std::vector<std::string> needed{request.service};
+  std::vector<std::string> services{request.service};
   const auto& pieces = request.content->pieces;
   for (std::size_t stage = 0; stage < request.route->stages.size(); ++stage) {
     if (stage < pieces.size() && pieces[stage] > 0) {
-      needed.push_back(request.route->stages[stage].service);
+      services.push_back(request.route->stages[stage].service);
     }
   }
-  for (const auto& service : needed) {
-    switch (replicas_.presence_of(service, allowed)) {
+  for (const auto& service : services) {
+    switch (replicas_.presence_of(service, permitted)) {
     case replica_presence::none:
       return residency_refusal{"no replica of " + service + " in the regions allowed", false};
     case replica_presence::takes_none:
@@ -36,7 +36,7 @@
   return std::nullopt;
 }
 
-bool dispatcher::turn_away(active_request& request) {
+bool dispatcher::refuse_by_residency(active_request& request) {
   const auto refusal = residency_refusal_of(request);
   if (!refusal) {
     return false;
@@ -44,23 +44,23 @@
   ++counters_.turned_away_by_residency;
   record(base::event_kind::residency_refused, request, request.route->name, refusal->reason);
   refuse(request.client, request.content->id, status::unavailable, refusal->reason,
-         refusal->waiting_helps ? settings_.retry_after : base::duration{});
+         refusal->is_temporary ? settings_.retry_after : base::duration{});
   finish(request, status::unavailable, refusal->reason, {});
   return true;
 }
 
-void dispatcher::note_way(const active_request& request, const replica_state& chosen,
-                          base::time_point now) {
-  const auto ring = from_here_.ring_to(chosen.record->zone);
+void dispatcher::note_locality(const active_request& request, const replica_state& chosen,
+                               base::time_point now) {
+  const auto ring = distance_from_self_.ring_to(chosen.record->zone);
   ++counters_.calls_by_ring[static_cast<std::size_t>(ring)];
-  if (!request.permitted_regions.is_restricted() || request.sent > 1) {
+  if (!request.permitted_regions.is_restricted() || request.attempts > 1) {
     return;
   }
   const auto nearer = replicas_.available(request.service, now);
-  const bool is_kept = std::any_of(nearer.begin(), nearer.end(), [&](const auto* state) {
-    return from_here_.ring_to(state->record->zone) < ring;
+  const bool is_nearer_excluded = std::any_of(nearer.begin(), nearer.end(), [&](const auto* state) {
+    return distance_from_self_.ring_to(state->record->zone) < ring;
   });
-  if (is_kept) {
+  if (is_nearer_excluded) {
     ++counters_.kept_from_nearer_by_residency;
     record(base::event_kind::residency_confined, request, chosen.record->id.text(),
            "a nearer replica lies outside the regions allowed");
--- a/src/dispatch/dispatcher_self_reports.cc
+++ b/src/dispatch/dispatcher_self_reports.cc
@@ -60,20 +60,20 @@
                                                state->process};
 }
 
-void dispatcher::on(const statement_heard& what, base::time_point now) {
-  replicas_.note_statement(what, now);
-  record_statements();
+void dispatcher::on_event(const statement_heard& report, base::time_point now) {
+  replicas_.note_statement(report, now);
+  record_self_report_changes();
 }
 
 void dispatcher::handle_peer(const base::node_id& sender, const wire::rate_limits& message,
                              base::time_point now) {
-  statements_.handle(sender, message, now);
+  self_reports_.handle(sender, message, now);
   limits_.handle(sender, message, now);
-  record_statements();
+  record_self_report_changes();
 }
 
-void dispatcher::record_statements() {
-  for (const auto& change : statements_.take_changes()) {
+void dispatcher::record_self_report_changes() {
+  for (const auto& change : self_reports_.take_changes()) {
     record_(kind_of(change.what), {}, change.replica.text(), text_of(change));
     if (change.what == belief_change::matter::leaving) {
       stages_.on_departure();
--- a/src/dispatch/dispatcher_slow_clients.cc
+++ b/src/dispatch/dispatcher_slow_clients.cc
@@ -11,26 +11,26 @@
 /// A call paused for this long is cancelled ("let go") or buffered: well before the replica would
 /// cut the answer off, which it does when it stays unread for some seconds, and longer than the
 /// pauses of links that lose packets.
-constexpr base::duration longest_rest = std::chrono::milliseconds(1'500);
+constexpr base::duration max_call_pause = std::chrono::milliseconds(1'500);
 
 } // namespace
 
-void dispatcher::on(const client_window& what, base::time_point now) {
-  const auto found = active_.find(what.client);
+void dispatcher::on_event(const client_window& window_change, base::time_point now) {
+  const auto found = active_.find(window_change.client);
   if (found == active_.end()) {
     return;
   }
   auto& request = found->second;
-  if (what.open) {
-    go_on_with_stream(request, now);
+  if (window_change.open) {
+    resume_stream(request, now);
   } else {
     pause_stream(request, now);
   }
 }
 
 void dispatcher::pause_stream(active_request& request, base::time_point now) {
-  request.window_closed = true;
-  request.slow_reader_due = now + longest_rest;
+  request.is_window_closed = true;
+  request.slow_client_check_at = now + max_call_pause;
   if (request.call) {
     request.call->stalls_at.reset();
     commands_.emplace_back(pause_call{request.call->id});
@@ -38,10 +38,10 @@
   schedule_check(request);
 }
 
-void dispatcher::go_on_with_stream(active_request& request, base::time_point now) {
-  request.window_closed = false;
-  request.slow_reader_due.reset();
-  if (std::exchange(request.let_go, false)) {
+void dispatcher::resume_stream(active_request& request, base::time_point now) {
+  request.is_window_closed = false;
+  request.slow_client_check_at.reset();
+  if (std::exchange(request.is_suspended, false)) {
     ++counters_.streams_taken_up;
     record(base::event_kind::stage_retried, request, "", "the client reads on");
     send_to_replica(request, now);
@@ -51,77 +51,77 @@
   }
 }
 
-void dispatcher::on(const answer_paused& what, base::time_point now) {
-  if (auto* request = find_by_call(what.call)) {
+void dispatcher::on_event(const answer_paused& pause, base::time_point now) {
+  if (auto* request = find_by_call(pause.call)) {
     request->call->stalls_at.reset();
     note_heard(*request->call, now);
   }
 }
 
-void dispatcher::on(const answer_resumed& what, base::time_point now) {
-  if (auto* request = find_by_call(what.call)) {
+void dispatcher::on_event(const answer_resumed& resumption, base::time_point now) {
+  if (auto* request = find_by_call(resumption.call)) {
     watch_progress(*request, request->route->target_latency, now);
   }
 }
 
-bool dispatcher::can_be_let_go(const active_request& request) {
+bool dispatcher::can_suspend(const active_request& request) {
   // Results of stages would have to be made again for the second attempt.
-  return request.call && request.stream_begun && request.route->may_repeat() && !request.graph &&
-         request.events.last_id().has_value();
+  return request.call && request.has_begun_stream && request.route->may_repeat() &&
+         !request.graph && request.events.last_id().has_value();
 }
 
-void dispatcher::judge_slow(active_request& request) {
-  if (!std::exchange(request.judged_slow, true)) {
+void dispatcher::mark_slow_client(active_request& request) {
+  if (!std::exchange(request.is_slow_client, true)) {
     ++counters_.clients_judged_slow;
     record(base::event_kind::client_slow, request, request.call ? request.call->replica.text() : "",
            std::to_string(request.events.events()) + " events passed on");
   }
 }
 
-void dispatcher::decide_on_slow_reader(active_request& request, base::time_point now) {
-  request.slow_reader_due.reset();
+void dispatcher::handle_slow_client(active_request& request, base::time_point now) {
+  request.slow_client_check_at.reset();
   if (!request.call) {
     // Between two calls: the next one starts paused and is judged then.
-    if (!request.let_go) {
-      request.slow_reader_due = now + longest_rest;
+    if (!request.is_suspended) {
+      request.slow_client_check_at = now + max_call_pause;
     }
     return;
   }
-  judge_slow(request);
+  mark_slow_client(request);
   // A stopping node may be gone before the client reads on; what is buffered can still be read.
-  const bool may_wait = !stop_.has_begun() && can_be_let_go(request);
-  if (!may_wait || !may_send_again(request, now)) {
+  const bool can_wait = !stop_plan_.has_begun() && can_suspend(request);
+  if (!can_wait || !try_take_retry(request, now)) {
     commands_.emplace_back(widen_window{request.client});
     // Without memory now the call stays paused; it is looked at again.
-    request.slow_reader_due = now + longest_rest;
+    request.slow_client_check_at = now + max_call_pause;
     return;
   }
   commands_.emplace_back(cancel_call{request.call->id});
   const auto call = close_call(request);
   // The replica did not fail, and likely still keeps the prompt: it may be chosen again.
-  request.tried.erase(call.replica);
-  request.events.restart();
-  count_partial_event(request);
-  request.let_go = true;
+  request.tried_replicas.erase(call.replica);
+  request.events.drop_partial_event();
+  reserve_partial_event(request);
+  request.is_suspended = true;
   ++counters_.streams_let_go;
   record(base::event_kind::stage_cancelled, request, call.replica.text(),
          "let go until the client reads on");
 }
 
-bool dispatcher::count_partial_event(active_request& request) {
-  if (!budget_) {
+bool dispatcher::reserve_partial_event(active_request& request) {
+  if (!byte_budget_) {
     return true;
   }
-  if (!request.partial_event) {
-    request.partial_event.emplace(budget_, flow::byte_holder::partial_events);
+  if (!request.partial_event_reservation) {
+    request.partial_event_reservation.emplace(byte_budget_, flow::byte_holder::partial_events);
   }
-  auto& counted = *request.partial_event;
-  const auto wanted = request.events.partial_bytes();
-  if (wanted <= counted.bytes()) {
-    counted.shrink(counted.bytes() - wanted);
+  auto& reservation = *request.partial_event_reservation;
+  const auto needed_bytes = request.events.partial_bytes();
+  if (needed_bytes <= reservation.bytes()) {
+    reservation.shrink(reservation.bytes() - needed_bytes);
     return true;
   }
-  return counted.grow(flow::byte_use::stream_event, wanted - counted.bytes());
+  return reservation.grow(flow::byte_use::stream_event, needed_bytes - reservation.bytes());
 }
 
 } // namespace spurrack::serving
--- a/src/dispatch/event_stream.cc
+++ b/src/dispatch/event_stream.cc
@@ -5,8 +5,8 @@
 namespace spurrack::serving {
 namespace {
 
-constexpr std::string_view event_end = "\n\n";
-constexpr std::string_view event_end_with_returns = "\r\n\r\n";
+constexpr std::string_view lf_event_end = "\n\n";
+constexpr std::string_view crlf_event_end = "\r\n\r\n";
 constexpr std::string_view id_field = "id:";
 
 std::optional<std::uint64_t> id_of(std::string_view event) {
@@ -32,15 +32,15 @@
 
 /// @return length of the first whole event with the blank line that ends it; 0 where there is none.
 std::size_t whole_event_length(std::string_view bytes) {
-  const auto plain = bytes.find(event_end);
-  const auto with_returns = bytes.find(event_end_with_returns);
-  if (plain == std::string_view::npos && with_returns == std::string_view::npos) {
+  const auto lf_end = bytes.find(lf_event_end);
+  const auto crlf_end = bytes.find(crlf_event_end);
+  if (lf_end == std::string_view::npos && crlf_end == std::string_view::npos) {
     return 0;
   }
-  if (plain < with_returns) {
-    return plain + event_end.size();
+  if (lf_end < crlf_end) {
+    return lf_end + lf_event_end.size();
   }
-  return with_returns + event_end_with_returns.size();
+  return crlf_end + crlf_event_end.size();
 }
 
 } // namespace
@@ -48,20 +48,20 @@
 std::string event_stream::feed(std::string_view bytes) {
   pending_.append(bytes);
   std::string whole;
-  std::string_view rest = pending_;
-  while (const auto length = whole_event_length(rest)) {
-    const auto event = rest.substr(0, length);
-    if (take(event)) {
+  std::string_view remaining = pending_;
+  while (const auto length = whole_event_length(remaining)) {
+    const auto event = remaining.substr(0, length);
+    if (accept_once(event)) {
       whole.append(event);
       ++events_;
     }
-    rest.remove_prefix(length);
+    remaining.remove_prefix(length);
   }
-  pending_.erase(0, pending_.size() - rest.size());
+  pending_.erase(0, pending_.size() - remaining.size());
   return whole;
 }
 
-bool event_stream::take(std::string_view event) {
+bool event_stream::accept_once(std::string_view event) {
   const auto id = id_of(event);
   if (!id) {
     return true;
--- a/src/dispatch/event_stream.h
+++ b/src/dispatch/event_stream.h
@@ -26,11 +26,11 @@
   /// @return bytes held of an event that is not whole yet.
   [[nodiscard]] std::size_t partial_bytes() const { return pending_.size(); }
   /// A new run goes on where the last one broke off: what is held of a broken event is dropped.
-  void restart() { pending_.clear(); }
+  void drop_partial_event() { pending_.clear(); }
 
  private:
   /// @return whether the event is new and is to be passed on.
-  bool take(std::string_view event);
+  bool accept_once(std::string_view event);
 
   std::string pending_;
   std::optional<std::uint64_t> last_id_;
--- a/src/dispatch/replica_report_exchange.h
+++ b/src/dispatch/replica_report_exchange.h
@@ -21,7 +21,7 @@
 /// Messages sent and reports received, for metrics.
 struct replica_report_counts {
   std::uint64_t messages = 0;
-  std::uint64_t taken_in = 0;
+  std::uint64_t applied = 0;
   /// Reports on another life of a replica than the one this node knows, which were passed over.
   std::uint64_t of_other_incarnations = 0;
 };
@@ -30,12 +30,12 @@
 ///
 /// Nodes of a region use the same replicas, so reports stay within it. What a node sends does not
 /// grow with the fleet: one message of bounded size to a bounded number of nodes in a second.
-class replica_news {
+class replica_report_exchange {
  public:
   /// @param replicas source of own reports, takes in those of others; must outlive this object, as
   /// must `random`.
-  replica_news(replica_table& replicas, base::zone_id own_zone, const model::zone_regions& regions,
-               base::random_source& random);
+  replica_report_exchange(replica_table& replicas, base::zone_id own_zone,
+                          const model::zone_regions& regions, base::random_source& random);
 
   /// Nodes that may be sent reports.
   void set_peers(const std::vector<fleet_peer>& alive);
@@ -51,17 +51,17 @@
   [[nodiscard]] const replica_report_counts& counts() const { return counts_; }
 
  private:
-  [[nodiscard]] wire::replica_news collect(base::time_point now);
-  [[nodiscard]] bool is_of_another_life(const wire::replica_evidence& said) const;
+  [[nodiscard]] wire::replica_news collect_reports(base::time_point now);
+  [[nodiscard]] bool is_of_other_incarnation(const wire::replica_evidence& entry) const;
 
   replica_table* replicas_;
   base::zone_id own_zone_;
   model::zone_regions regions_;
   base::random_source* random_;
-  std::vector<base::network_address> near_;
+  std::vector<base::network_address> region_peers_;
   /// Replicas that did not fit into the last message.
-  std::set<base::replica_id> unreported_;
-  base::time_point next_message_;
+  std::set<base::replica_id> pending_;
+  base::time_point next_message_at_;
   wire::outbox messages_;
   replica_report_counts counts_;
 };
--- a/src/dispatch/retry_budget.cc
+++ b/src/dispatch/retry_budget.cc
@@ -6,100 +6,102 @@
 namespace {
 
 /// Part of the bound that is used; the rest covers windows that are cut differently.
-constexpr double used_part = 0.8;
+constexpr double usable_fraction = 0.8;
 /// What is left is divided by this for a loan.
-constexpr milli_retries lent_divisor = 2;
+constexpr milli_retries transfer_divisor = 2;
 
 } // namespace
 
-void retry_share::ledger::add(base::time_point when, milli_retries amount) {
-  entries.push_back({when, amount});
+void retry_budget::timed_amounts::add(base::time_point time, milli_retries amount) {
+  entries.push_back({time, amount});
   sum += amount;
 }
 
-void retry_share::ledger::forget_before(base::time_point oldest) {
-  while (!entries.empty() && entries.front().when < oldest) {
+void retry_budget::timed_amounts::drop_before(base::time_point oldest) {
+  while (!entries.empty() && entries.front().time < oldest) {
     sum -= entries.front().amount;
     entries.pop_front();
   }
 }
 
-retry_share::account& retry_share::current(const std::string& service, base::time_point now) {
-  auto& counted = accounts_[service];
+retry_budget::service_usage& retry_budget::current_usage(const std::string& service,
+                                                         base::time_point now) {
+  auto& usage = usage_by_service_[service];
   const base::time_point window_begin = now - limits_.window;
-  while (!counted.requests.empty() && counted.requests.front() < window_begin) {
-    counted.requests.pop_front();
+  while (!usage.requests.empty() && usage.requests.front() < window_begin) {
+    usage.requests.pop_front();
   }
-  counted.repeats.forget_before(window_begin);
-  counted.lent.forget_before(window_begin - transfer_lifetime);
-  counted.borrowed.forget_before(now);
-  return counted;
+  usage.retries.drop_before(window_begin);
+  usage.sent_transfers.drop_before(window_begin - transfer_lifetime);
+  usage.received_transfers.drop_before(now);
+  return usage;
 }
 
-milli_retries retry_share::own_allowance() const {
+milli_retries retry_budget::own_allowance() const {
   const auto nodes = static_cast<double>(std::max<std::size_t>(1, nodes_));
-  return static_cast<milli_retries>(used_part * limits_.allowance / nodes * one_retry);
+  return static_cast<milli_retries>(usable_fraction * limits_.allowance / nodes * one_retry);
 }
 
-milli_retries retry_share::left_of(const account& counted) const {
+milli_retries retry_budget::remaining_of(const service_usage& usage) const {
   const auto earned = static_cast<milli_retries>(
-      used_part * limits_.ratio * static_cast<double>(counted.requests.size()) * one_retry);
-  return own_allowance() + earned - counted.repeats.sum - counted.lent.sum;
+      usable_fraction * limits_.ratio * static_cast<double>(usage.requests.size()) * one_retry);
+  return own_allowance() + earned - usage.retries.sum - usage.sent_transfers.sum;
 }
 
-milli_retries retry_share::missing_of(const account& counted) const {
-  const auto left = std::max<milli_retries>(0, left_of(counted));
-  return std::max<milli_retries>(0, one_retry - counted.borrowed.sum - left);
+milli_retries retry_budget::shortfall_of(const service_usage& usage) const {
+  const auto remaining = std::max<milli_retries>(0, remaining_of(usage));
+  return std::max<milli_retries>(0, one_retry - usage.received_transfers.sum - remaining);
 }
 
-void retry_share::count_request(const std::string& service, base::time_point now) {
-  current(service, now).requests.push_back(now);
+void retry_budget::count_request(const std::string& service, base::time_point now) {
+  current_usage(service, now).requests.push_back(now);
 }
 
-milli_retries retry_share::missing(const std::string& service, base::time_point now) {
-  return missing_of(current(service, now));
+milli_retries retry_budget::shortfall(const std::string& service, base::time_point now) {
+  return shortfall_of(current_usage(service, now));
 }
 
-bool retry_share::take(const std::string& service, base::time_point now) {
-  auto& counted = current(service, now);
-  if (missing_of(counted) > 0) {
+bool retry_budget::try_take(const std::string& service, base::time_point now) {
+  auto& usage = current_usage(service, now);
+  if (shortfall_of(usage) > 0) {
     return false;
   }
-  auto wanted = one_retry;
-  auto& loans = counted.borrowed;
-  while (wanted > 0 && !loans.entries.empty()) {
-    auto& oldest = loans.entries.front();
-    const auto part = std::min(wanted, oldest.amount);
-    wanted -= part;
+  auto unpaid = one_retry;
+  auto& transfers = usage.received_transfers;
+  while (unpaid > 0 && !transfers.entries.empty()) {
+    auto& oldest = transfers.entries.front();
+    const auto part = std::min(unpaid, oldest.amount);
+    unpaid -= part;
     oldest.amount -= part;
-    loans.sum -= part;
+    transfers.sum -= part;
     if (oldest.amount == 0) {
-      loans.entries.pop_front();
+      transfers.entries.pop_front();
     }
   }
-  counted.repeats.add(now, wanted);
+  usage.retries.add(now, unpaid);
   return true;
 }
 
-milli_retries retry_share::lend(const std::string& service, milli_retries wanted,
-                                base::time_point now) {
-  auto& counted = current(service, now);
-  const auto from_allowance = own_allowance() - counted.lent.sum;
-  const auto given = std::min({wanted, left_of(counted) / lent_divisor, from_allowance});
-  if (given <= 0) {
+milli_retries retry_budget::donate(const std::string& service, milli_retries requested,
+                                   base::time_point now) {
+  auto& usage = current_usage(service, now);
+  const auto transferable = own_allowance() - usage.sent_transfers.sum;
+  const auto granted = std::min({requested, remaining_of(usage) / transfer_divisor, transferable});
+  if (granted <= 0) {
     return 0;
   }
-  counted.lent.add(now, given);
-  return given;
+  usage.sent_transfers.add(now, granted);
+  return granted;
 }
 
-void retry_share::add_loan(const std::string& service, milli_retries amount,
-                           base::time_point usable_until) {
-  auto& loans = accounts_[service].borrowed;
-  const auto later = std::find_if(loans.entries.begin(), loans.entries.end(),
-                                  [&](const amount_at& loan) { return loan.when > usable_until; });
-  loans.entries.insert(later, {usable_until, amount});
-  loans.sum += amount;
+void retry_budget::add_transfer(const std::string& service, milli_retries amount,
+                                base::time_point expires_at) {
+  auto& transfers = usage_by_service_[service].received_transfers;
+  const auto first_later =
+      std::find_if(transfers.entries.begin(), transfers.entries.end(),
+                   [&](const timed_amount& transfer) { return transfer.time > expires_at; });
+  transfers.entries.insert(first_later, {expires_at, amount});
+  transfers.sum += amount;
 }
 
 } // namespace spurrack::serving
--- a/src/dispatch/retry_budget.h
+++ b/src/dispatch/retry_budget.h
@@ -29,9 +29,9 @@
 /// lifetime of the loan. The loan is spent between that moment and the end of its lifetime, so in
 /// every window in which it is spent the lender has it on its books, whatever messages are lost,
 /// late or doubled, and whoever is cut off from whom. A lost loan is only not spent.
-class retry_share {
+class retry_budget {
  public:
-  explicit retry_share(retry_limits limits) : limits_(limits) {}
+  explicit retry_budget(retry_limits limits) : limits_(limits) {}
 
   /// @param nodes nodes of the fleet, dead ones included: those that cannot be seen may still be
   ///        using their share.
@@ -42,47 +42,47 @@
   void count_request(const std::string& service, base::time_point now);
   /// @return whether a repeat is within the share and what was borrowed; counts it if so. What was
   ///         borrowed is spent first, since it soon expires.
-  bool take(const std::string& service, base::time_point now);
+  bool try_take(const std::string& service, base::time_point now);
   /// @return what is missing for one repeat; 0 where one would be granted.
-  [[nodiscard]] milli_retries missing(const std::string& service, base::time_point now);
+  [[nodiscard]] milli_retries shortfall(const std::string& service, base::time_point now);
   /// Hands out part of what is left for another node: half, so that a node of its own troubles
   /// keeps some, and never what its requests have earned, which go with their window.
   /// @return how much of `wanted` is lent; it is spent for this node.
-  [[nodiscard]] milli_retries lend(const std::string& service, milli_retries wanted,
-                                   base::time_point now);
+  [[nodiscard]] milli_retries donate(const std::string& service, milli_retries requested,
+                                     base::time_point now);
   /// Takes in what another node lent.
-  /// @param usable_until end of its lifetime, counted from when it was asked for.
-  void add_loan(const std::string& service, milli_retries amount, base::time_point usable_until);
+  /// @param expires_at end of its lifetime, counted from when it was asked for.
+  void add_transfer(const std::string& service, milli_retries amount, base::time_point expires_at);
 
  private:
-  struct amount_at {
-    base::time_point when;
+  struct timed_amount {
+    base::time_point time;
     milli_retries amount = 0;
   };
   /// Amounts in the order of their times, and their sum.
-  struct ledger {
-    std::deque<amount_at> entries;
+  struct timed_amounts {
+    std::deque<timed_amount> entries;
     milli_retries sum = 0;
-    void add(base::time_point when, milli_retries amount);
-    void forget_before(base::time_point oldest);
+    void add(base::time_point time, milli_retries amount);
+    void drop_before(base::time_point oldest);
   };
-  struct account {
+  struct service_usage {
     std::deque<base::time_point> requests;
-    ledger repeats;
-    ledger lent;
+    timed_amounts retries;
+    timed_amounts sent_transfers;
     /// By the end of their lifetimes.
-    ledger borrowed;
+    timed_amounts received_transfers;
   };
-  account& current(const std::string& service, base::time_point now);
+  service_usage& current_usage(const std::string& service, base::time_point now);
   /// @return what this node may spend or lend in a window beside what its requests earn.
   [[nodiscard]] milli_retries own_allowance() const;
   /// @return what is left of the own share; negative where the share has shrunk.
-  [[nodiscard]] milli_retries left_of(const account& counted) const;
-  [[nodiscard]] milli_retries missing_of(const account& counted) const;
+  [[nodiscard]] milli_retries remaining_of(const service_usage& usage) const;
+  [[nodiscard]] milli_retries shortfall_of(const service_usage& usage) const;
 
   retry_limits limits_;
   std::size_t nodes_ = 1;
-  std::unordered_map<std::string, account> accounts_;
+  std::unordered_map<std::string, service_usage> usage_by_service_;
 };
 
 } // namespace spurrack::serving
--- a/src/dispatch/retry_budget_exchange.h
+++ b/src/dispatch/retry_budget_exchange.h
@@ -21,22 +21,22 @@
 
 /// What lending did, for metrics.
 struct budget_exchange_counts {
-  std::uint64_t questions = 0;
+  std::uint64_t queries = 0;
   std::uint64_t sent_milli_retries = 0;
   std::uint64_t received_milli_retries = 0;
 };
 
 /// Not thread-safe. Messages gather until they are taken.
-class retry_lending {
+class retry_budget_exchange {
  public:
   /// @param share what is lent and borrowed; must outlive this object, as must `random`.
   /// @param life of this process: an answer to an earlier one is none.
-  retry_lending(retry_share& share, base::zone_id own_zone, base::random_source& random,
-                base::incarnation life);
+  retry_budget_exchange(retry_budget& budget, base::zone_id own_zone, base::random_source& random,
+                        base::incarnation incarnation);
 
   /// This node works since `now`; later calls change nothing. It lends nothing in its first window:
   /// it may not know yet how many nodes share the bound, nor what its last life has lent.
-  void begin(base::time_point now);
+  void start(base::time_point now);
   /// Nodes that may be asked.
   void set_peers(const std::vector<fleet_peer>& alive);
 
@@ -44,9 +44,9 @@
   /// just done.
   /// @param repeats wanted in all, at least 1.
   /// @return whether answers are awaited.
-  bool ask(const std::string& service, std::size_t repeats, base::time_point now);
+  bool query_peers(const std::string& service, std::size_t retries, base::time_point now);
   /// @return whether answers are awaited that may still let a repeat be granted.
-  [[nodiscard]] bool is_awaiting(const std::string& service, base::time_point now) const;
+  [[nodiscard]] bool is_awaiting_answers(const std::string& service, base::time_point now) const;
 
   void handle(const base::node_id& sender, const base::network_address& address,
               const wire::retry_lending& message, base::time_point now);
@@ -56,33 +56,33 @@
 
  private:
   /// The latest question about one service.
-  struct question {
+  struct query {
     std::uint64_t number = 0;
-    base::time_point asked_at;
+    base::time_point sent_at;
     /// Those that did not answer yet. Each answers once: a message may come twice.
-    std::vector<base::node_id> awaited;
+    std::vector<base::node_id> awaited_donors;
     /// What was lent made up a repeat.
-    bool sufficed = false;
+    bool is_sufficient = false;
     /// Time to the next question; longer after each that did not suffice.
-    base::duration pause{};
+    base::duration interval{};
   };
-  void lend(const base::network_address& borrower, const wire::retry_lending& asked,
-            base::time_point now);
-  void take_loan(const base::node_id& lender, const wire::retry_lending& answer,
-                 base::time_point now);
+  void answer_query(const base::network_address& recipient, const wire::retry_lending& query,
+                    base::time_point now);
+  void receive_transfer(const base::node_id& donor, const wire::retry_lending& answer,
+                        base::time_point now);
   /// @return peers that are asked now: mostly near ones, which answer soon, and a far one, since
   ///         those near may share the trouble.
-  std::vector<const fleet_peer*> choose_lenders();
+  std::vector<const fleet_peer*> choose_donors();
 
-  retry_share* share_;
+  retry_budget* budget_;
   base::zone_id own_zone_;
   base::random_source* random_;
-  base::incarnation life_;
-  std::optional<base::time_point> begun_at_;
-  std::vector<fleet_peer> near_;
-  std::vector<fleet_peer> far_;
-  std::uint64_t next_question_ = 1;
-  std::map<std::string, question> questions_;
+  base::incarnation incarnation_;
+  std::optional<base::time_point> started_at_;
+  std::vector<fleet_peer> nearby_peers_;
+  std::vector<fleet_peer> remote_peers_;
+  std::uint64_t next_query_number_ = 1;
+  std::map<std::string, query> queries_;
   wire::outbox messages_;
   budget_exchange_counts counts_;
 };
--- a/src/dispatch/run_times.cc
+++ b/src/dispatch/run_times.cc
@@ -10,92 +10,93 @@
 /// Assumed while no runs are known: what a busy engine needs to the first event and for each token,
 /// and a long answer where the client did not say how many it wants, since one that lasts longer
 /// than expected is cut.
-constexpr base::duration usual_first_event = std::chrono::milliseconds(500);
-constexpr base::duration usual_token_time = std::chrono::milliseconds(10);
-constexpr std::uint32_t usual_tokens = 600;
+constexpr base::duration default_time_to_first_event = std::chrono::milliseconds(500);
+constexpr base::duration default_time_per_token = std::chrono::milliseconds(10);
+constexpr std::uint32_t default_output_tokens = 600;
 /// Fewer runs say too little of how long the longest last.
-constexpr std::size_t least_runs = 4;
+constexpr std::size_t min_runs = 4;
 /// One in so many runs may be longer than what is expected of the next.
-constexpr std::size_t runs_per_exception = 16;
+constexpr std::size_t runs_per_outlier = 16;
 /// The next run may be longer than all that were seen: of few the longest is often beaten by some
 /// hundredths.
-constexpr double beyond_seen = 1.1;
+constexpr double headroom_factor = 1.1;
 
-run_time usual_run(std::uint32_t output_tokens) {
-  const auto tokens = output_tokens > 0 ? output_tokens : usual_tokens;
-  return {usual_first_event, usual_token_time * tokens};
+run_time default_run(std::uint32_t output_tokens) {
+  const auto tokens = output_tokens > 0 ? output_tokens : default_output_tokens;
+  return {default_time_to_first_event, default_time_per_token * tokens};
 }
 
 /// @return the longest but for the exceptions, and more where they differ and few are known: of
 ///         streams of three to six seconds the longest of four was beaten by a second.
-double upper_of(std::vector<double> seconds) {
+double upper_estimate_of(std::vector<double> seconds) {
   std::sort(seconds.begin(), seconds.end());
-  const double longest = seconds[seconds.size() - 1 - seconds.size() / runs_per_exception];
+  const double longest = seconds[seconds.size() - 1 - seconds.size() / runs_per_outlier];
   const double spread = longest - seconds.front();
-  return beyond_seen * (longest + spread / std::sqrt(static_cast<double>(seconds.size())));
+  return headroom_factor * (longest + spread / std::sqrt(static_cast<double>(seconds.size())));
 }
 
 } // namespace
 
-void run_times::add(history& grown, const sample& added) {
-  grown.latest[grown.next] = added;
-  grown.next = (grown.next + 1) % remembered;
-  grown.count = std::min(grown.count + 1, remembered);
+void run_times::add_sample(history& runs, const sample& run) {
+  runs.latest[runs.next] = run;
+  runs.next = (runs.next + 1) % max_runs;
+  runs.count = std::min(runs.count + 1, max_runs);
 }
 
-void run_times::note(const std::string& route, const std::string& service,
-                     std::uint32_t output_tokens, const run_time& seen) {
-  const sample added{base::to_seconds(seen.to_first_event), base::to_seconds(seen.events),
-                     output_tokens};
-  add(by_route_[route], added);
-  add(by_service_[service], added);
+void run_times::note_run(const std::string& route, const std::string& service,
+                         std::uint32_t output_tokens, const run_time& observed) {
+  const sample run{base::to_seconds(observed.time_to_first_event),
+                   base::to_seconds(observed.streaming_time), output_tokens};
+  add_sample(runs_by_route_[route], run);
+  add_sample(runs_by_service_[service], run);
 }
 
 const run_times::history* run_times::find(const histories& known, const std::string& name) {
   const auto found = known.find(name);
-  const bool is_known = found != known.end() && found->second.count >= least_runs;
+  const bool is_known = found != known.end() && found->second.count >= min_runs;
   return is_known ? &found->second : nullptr;
 }
 
-bool run_times::is_by_token(const history& seen, std::uint32_t output_tokens) {
-  const auto end = seen.latest.begin() + static_cast<std::ptrdiff_t>(seen.count);
-  const auto stated = std::count_if(seen.latest.begin(), end,
-                                    [](const sample& run) { return run.output_tokens > 0; });
-  return output_tokens > 0 && static_cast<std::size_t>(stated) >= least_runs;
+bool run_times::can_scale_by_tokens(const history& runs, std::uint32_t output_tokens) {
+  const auto end = runs.latest.begin() + static_cast<std::ptrdiff_t>(runs.count);
+  const auto with_tokens = std::count_if(runs.latest.begin(), end,
+                                         [](const sample& run) { return run.output_tokens > 0; });
+  return output_tokens > 0 && static_cast<std::size_t>(with_tokens) >= min_runs;
 }
 
-double run_times::upper_events(const history& seen, std::uint32_t output_tokens) {
-  std::vector<double> whole;
-  std::vector<double> by_token;
-  for (std::size_t index = 0; index < seen.count; ++index) {
-    const auto& run = seen.latest[index];
-    whole.push_back(run.seconds_of_events);
+double run_times::upper_streaming_seconds(const history& runs, std::uint32_t output_tokens) {
+  std::vector<double> totals;
+  std::vector<double> per_token;
+  for (std::size_t index = 0; index < runs.count; ++index) {
+    const auto& run = runs.latest[index];
+    totals.push_back(run.streaming_seconds);
     if (run.output_tokens > 0) {
-      by_token.push_back(run.seconds_of_events / run.output_tokens);
+      per_token.push_back(run.streaming_seconds / run.output_tokens);
     }
   }
-  return is_by_token(seen, output_tokens) ? upper_of(std::move(by_token)) * output_tokens
-                                          : upper_of(std::move(whole));
+  return can_scale_by_tokens(runs, output_tokens)
+             ? upper_estimate_of(std::move(per_token)) * output_tokens
+             : upper_estimate_of(std::move(totals));
 }
 
-run_time run_times::upper(const std::string& route, const std::string& service,
-                          std::uint32_t output_tokens) const {
-  const auto* of_route = find(by_route_, route);
-  const auto* of_service = find(by_service_, service);
-  const auto* seen = of_route != nullptr ? of_route : of_service;
-  if (seen == nullptr) {
-    return usual_run(output_tokens);
+run_time run_times::upper_estimate(const std::string& route, const std::string& service,
+                                   std::uint32_t output_tokens) const {
+  const auto* route_runs = find(runs_by_route_, route);
+  const auto* service_runs = find(runs_by_service_, service);
+  const auto* runs = route_runs != nullptr ? route_runs : service_runs;
+  if (runs == nullptr) {
+    return default_run(output_tokens);
   }
   // By the token, routes of a service are alike; how long their answers are differs too much.
-  if (of_route == nullptr && !is_by_token(*seen, output_tokens)) {
-    return usual_run(output_tokens);
+  if (route_runs == nullptr && !can_scale_by_tokens(*runs, output_tokens)) {
+    return default_run(output_tokens);
   }
-  std::vector<double> first_events;
-  for (std::size_t index = 0; index < seen->count; ++index) {
-    first_events.push_back(seen->latest[index].seconds_to_first_event);
+  std::vector<double> seconds_to_first_events;
+  for (std::size_t index = 0; index < runs->count; ++index) {
+    seconds_to_first_events.push_back(runs->latest[index].seconds_to_first_event);
   }
-  return {base::from_seconds(upper_of(std::move(first_events))),
-          base::from_seconds(upper_events(*seen, output_tokens))};
+  return {base::from_seconds(upper_estimate_of(std::move(seconds_to_first_events))),
+          base::from_seconds(upper_streaming_seconds(*runs, output_tokens))};
 }
 
 } // namespace spurrack::serving
--- a/src/dispatch/stop_plan.cc
+++ b/src/dispatch/stop_plan.cc
@@ -13,19 +13,20 @@
   times_ = {now, must_end_at};
 }
 
-bool stop_plan::takes(const remaining_work& work, base::time_point now) const {
+bool stop_plan::accepts(const remaining_work& work, base::time_point now) const {
   if (!times_) {
     return true;
   }
-  const auto taken_for = work.is_stream ? windows_.streams : windows_.requests;
-  return now - times_->began < taken_for && may_send(work, now);
+  const auto accept_window = work.is_stream ? windows_.streams : windows_.requests;
+  return now - times_->begun_at < accept_window && may_send(work, now);
 }
 
 bool stop_plan::may_send(const remaining_work& work, base::time_point now) const {
-  if (!times_ || work.answered_by <= times_->must_end_at) {
+  if (!times_ || work.answer_deadline <= times_->must_end_at) {
     return true;
   }
-  return work.expected && now + *work.expected + end_margin <= times_->must_end_at;
+  return work.expected_duration &&
+         now + *work.expected_duration + end_margin <= times_->must_end_at;
 }
 
 } // namespace spurrack::serving
--- a/src/dispatch/stop_plan.h
+++ b/src/dispatch/stop_plan.h
@@ -19,9 +19,9 @@
   /// Its answer is a stream: once begun, it can only be ended whole or cut.
   bool is_stream = false;
   /// It gets its final answer by then, whatever happens.
-  base::time_point answered_by;
+  base::time_point answer_deadline;
   /// Time until it is expected to have ended; nothing where it cannot be served at all now.
-  std::optional<base::duration> expected;
+  std::optional<base::duration> expected_duration;
 };
 
 /// Not thread-safe.
@@ -34,13 +34,13 @@
   [[nodiscard]] bool has_begun() const { return times_.has_value(); }
 
   /// @return whether a request that has just arrived is taken.
-  [[nodiscard]] bool takes(const remaining_work& work, base::time_point now) const;
+  [[nodiscard]] bool accepts(const remaining_work& work, base::time_point now) const;
   /// @return whether a request that was taken may still be sent to a replica.
   [[nodiscard]] bool may_send(const remaining_work& work, base::time_point now) const;
 
  private:
   struct stop_times {
-    base::time_point began;
+    base::time_point begun_at;
     base::time_point must_end_at;
   };
 
--- a/tests/dispatch/event_stream_test.cc
+++ b/tests/dispatch/event_stream_test.cc
@@ -25,7 +25,7 @@
 BOOST_AUTO_TEST_CASE(drops_the_part_of_a_broken_event_on_restart) {
   event_stream stream;
   BOOST_TEST(stream.feed("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
-  stream.restart();
+  stream.drop_partial_event();
   BOOST_TEST(stream.feed("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
 }
 
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -205,7 +205,7 @@
   told("plain-a", wire::SIGN_UNREACHABLE, 1000, "y");
   BOOST_TEST(!subject.replicas().is_lost(base::replica_id("plain-a"), now));
   BOOST_TEST((state("plain-a").paused_until <= now));
-  BOOST_TEST(subject.news().of_other_incarnations == 2U);
+  BOOST_TEST(subject.replica_reports().of_other_incarnations == 2U);
   told("plain-a", wire::SIGN_SILENT, 2000, "x");
   told("plain-a", wire::SIGN_SILENT, 0, "y");
   BOOST_TEST(subject.replicas().is_lost(base::replica_id("plain-a"), now));
--- a/tests/dispatch/return_time_test.cc
+++ b/tests/dispatch/retry_after_test.cc
@@ -1,4 +1,4 @@
-#include "dispatch/return_time.h"
+#include "dispatch/retry_after.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -15,7 +15,7 @@
   base::seeded_random random(1);
   std::set<base::duration> told;
   for (int client = 0; client < 100; ++client) {
-    const auto wait = return_time(milliseconds(300), seconds(10), random);
+    const auto wait = jittered_retry_after(milliseconds(300), seconds(10), random);
     BOOST_TEST((wait >= milliseconds(300) && wait <= milliseconds(450)));
     told.insert(wait);
   }
@@ -25,15 +25,15 @@
 BOOST_AUTO_TEST_CASE(never_more_than_a_third_of_the_time_left) {
   base::seeded_random random(1);
   for (int left = 0; left < 2000; ++left) {
-    const auto wait = return_time(milliseconds(300), milliseconds(left), random);
+    const auto wait = jittered_retry_after(milliseconds(300), milliseconds(left), random);
     BOOST_TEST((wait * 3 <= milliseconds(left)));
   }
 }
 
 BOOST_AUTO_TEST_CASE(who_has_no_time_left_is_told_nothing) {
   base::seeded_random random(1);
-  BOOST_TEST((return_time(milliseconds(300), {}, random) == base::duration{}));
-  BOOST_TEST((return_time(milliseconds(300), -seconds(1), random) == base::duration{}));
+  BOOST_TEST((jittered_retry_after(milliseconds(300), {}, random) == base::duration{}));
+  BOOST_TEST((jittered_retry_after(milliseconds(300), -seconds(1), random) == base::duration{}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/dispatch/retry_budget_test.cc
+++ b/tests/dispatch/retry_budget_test.cc
@@ -3,15 +3,15 @@
 #include <boost/test/unit_test.hpp>
 
 using namespace spurrack;
-using serving::retry_share;
+using serving::retry_budget;
 
 namespace {
 
 const base::time_point start{std::chrono::hours(1)};
 
-std::size_t repeats_granted(retry_share& share, base::time_point now) {
+std::size_t take_all_retries(retry_budget& budget, base::time_point now) {
   std::size_t granted = 0;
-  while (share.take("s", now)) {
+  while (budget.try_take("s", now)) {
     ++granted;
   }
   return granted;
@@ -28,23 +28,23 @@
   constexpr std::size_t requests_each = 100;
   std::size_t granted = 0;
   for (std::size_t index = 0; index < nodes; ++index) {
-    retry_share share({ratio, allowance, std::chrono::seconds(10)});
-    share.set_fleet_size(nodes);
+    retry_budget budget({ratio, allowance, std::chrono::seconds(10)});
+    budget.set_fleet_size(nodes);
     for (std::size_t request = 0; request < requests_each; ++request) {
-      share.count_request("s", start);
+      budget.count_request("s", start);
     }
-    granted += repeats_granted(share, start);
+    granted += take_all_retries(budget, start);
   }
   BOOST_TEST(granted > 0);
   BOOST_TEST(static_cast<double>(granted) <= ratio * nodes * requests_each + allowance);
 }
 
 BOOST_AUTO_TEST_CASE(repeats_are_granted_again_when_the_window_has_passed) {
-  retry_share share({0, 10, std::chrono::seconds(10)});
-  const auto first = repeats_granted(share, start);
+  retry_budget budget({0, 10, std::chrono::seconds(10)});
+  const auto first = take_all_retries(budget, start);
   BOOST_TEST(first > 0);
-  BOOST_TEST(repeats_granted(share, start + std::chrono::seconds(9)) == 0);
-  BOOST_TEST(repeats_granted(share, start + std::chrono::seconds(11)) == first);
+  BOOST_TEST(take_all_retries(budget, start + std::chrono::seconds(9)) == 0);
+  BOOST_TEST(take_all_retries(budget, start + std::chrono::seconds(11)) == first);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
