--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -158,16 +158,16 @@
       counts.replicas_of_unknown_services);
   add("spurrack_replica_news_other_lives_total",
       "Reports of other nodes on another life of a replica, passed over.",
-      dispatcher.news().of_other_incarnations);
+      dispatcher.replica_reports().of_other_incarnations);
   add("spurrack_replica_news_sent_total", "Messages on replicas in trouble to other nodes.",
-      dispatcher.news().messages);
+      dispatcher.replica_reports().messages);
   add("spurrack_replica_news_heard_total", "Reports of other nodes on replicas in trouble.",
-      dispatcher.news().taken_in);
-  const auto& lending = dispatcher.lending();
+      dispatcher.replica_reports().applied);
+  const auto& budget_exchange = dispatcher.budget_exchange();
   add("spurrack_repeat_questions_total", "Questions to other nodes for part of their share.",
-      lending.questions);
+      budget_exchange.queries);
   add_counter(registry, "spurrack_repeats_lent_total", "Repeats lent to other nodes.",
-              static_cast<double>(lending.sent_milli_retries) / serving::one_retry);
+              static_cast<double>(budget_exchange.sent_milli_retries) / serving::one_retry);
 }
 
 void add_store(Registry& registry, const node::store_counters& store) {
@@ -228,12 +228,12 @@
       counts.requests_cleared);
   add("spurrack_crash_news_sent_total",
       "Messages to other nodes on requests under which replicas ended.",
-      dispatcher.crash_news().messages);
+      dispatcher.crash_reports().messages);
   add("spurrack_crash_news_heard_total",
       "Records of other nodes on requests under which replicas ended.",
-      dispatcher.crash_news().taken_in);
+      dispatcher.crash_reports().taken_in);
   add("spurrack_crash_news_malformed_total", "Such records that could not be read, passed over.",
-      dispatcher.crash_news().malformed);
+      dispatcher.crash_reports().malformed);
   add_gauge(registry, "spurrack_suspected_requests",
             "Requests that this node knows replicas to have ended under.",
             static_cast<double>(dispatcher.crashes().all().size()));
@@ -241,7 +241,7 @@
 
 /// What replicas say of themselves with their answers.
 void add_statements(Registry& registry, const serving::dispatcher& dispatcher) {
-  const auto& counts = dispatcher.statements().counts();
+  const auto& counts = dispatcher.replica_self_reports().counts();
   const auto add = count_adder(registry);
   add("spurrack_statement_messages_total",
       "Messages to other nodes on what replicas say of themselves.", counts.messages);
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -209,7 +209,7 @@
 json::object unavailable_document(const node::node& subject, base::time_point now) {
   json::array replicas;
   if (const auto* serving = subject.serving()) {
-    for (const auto& [process, known] : serving->statements().departures().all()) {
+    for (const auto& [process, known] : serving->replica_self_reports().departures().all()) {
       replicas.push_back(json::object{{"replica", process.replica.text()},
                                       {"why", "leaves"},
                                       {"since_ms", base::to_milliseconds(now - known.since)},
--- a/tests/rate_limits/limited_calls_test.cc
+++ b/tests/rate_limits/limited_calls_test.cc
@@ -189,7 +189,7 @@
   said.limit.unreadable = true;
   node.answer(node.last<start_call>().call, said, dispatcher_driver::good_head());
   BOOST_TEST(node.subject.limits().limited() == 1U);
-  BOOST_TEST(node.subject.statements().counts().unreadable == 1U);
+  BOOST_TEST(node.subject.replica_self_reports().counts().unreadable == 1U);
   BOOST_TEST(node.last<respond>().status == 200U);
 }
 
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -244,8 +244,8 @@
   said.backoff.unreadable = true;
   node.answer(call.call, said, dispatcher_driver::good_head());
   BOOST_TEST(node.last<respond>().status == 200U);
-  BOOST_TEST(node.subject.statements().counts().leaving_unreadable == 1U);
-  BOOST_TEST(node.subject.statements().counts().backoff_unreadable == 1U);
+  BOOST_TEST(node.subject.replica_self_reports().counts().leaving_unreadable == 1U);
+  BOOST_TEST(node.subject.replica_self_reports().counts().backoff_unreadable == 1U);
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 30; ++client) {
     node.arrive(client, "/safe/");
