--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -67,7 +67,7 @@
 
 BOOST_AUTO_TEST_CASE(refused_by_the_replica_an_unsafe_request_was_not_run) {
   arrive(1, "/unsafe/x");
-  happen(call_answered{last<start_call>().call, full_head(), ""});
+  happen(call_answered{last<start_call>().call, not_executed_head(), ""});
   const auto answer = last<respond>();
   BOOST_TEST(answer.status == 503);
   BOOST_TEST(answer.own_answer_to.has_value());
@@ -79,7 +79,7 @@
 BOOST_AUTO_TEST_CASE(never_not_run_after_an_attempt_that_may_have_run) {
   arrive(1, "/safe/x");
   happen(call_failed{last<start_call>().call, call_fate::may_have_run});
-  happen(call_answered{last<start_call>().call, full_head(), ""});
+  happen(call_answered{last<start_call>().call, not_executed_head(), ""});
   BOOST_TEST(last<respond>().status == 502);
 }
 
--- a/tests/dispatch/replica_changes_test.cc
+++ b/tests/dispatch/replica_changes_test.cc
@@ -98,9 +98,9 @@
           node.world.remove_replica(id);
         } else {
           // Some take the address of another, or of one that is gone.
-          node.world.add_life(id, services[random.below(4)], "a",
-                              "10.1.0." + std::to_string(random.below(12)) + ":80",
-                              1 + random.below(3));
+          node.world.add_incarnation(id, services[random.below(4)], "a",
+                                     "10.1.0." + std::to_string(random.below(12)) + ":80",
+                                     1 + random.below(3));
         }
       }
       if (random.below(20) == 0) {
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -15,7 +15,7 @@
 struct restart_driver : dispatcher_driver {
   restart_driver() {
     for (const std::string service : {"llm", "plain", "pool"}) {
-      world.add_life(service + "-a", service, "a", address_of(service, old_address), 1000);
+      world.add_incarnation(service + "-a", service, "a", address_of(service, old_address), 1000);
     }
     update();
   }
@@ -40,7 +40,7 @@
 
   void restart(const std::string& service, const std::string& base = old_address,
                std::uint64_t started_at = 2000) {
-    world.add_life(service + "-a", service, "a", address_of(service, base), started_at);
+    world.add_incarnation(service + "-a", service, "a", address_of(service, base), started_at);
     update();
   }
 
@@ -182,9 +182,9 @@
 
 BOOST_AUTO_TEST_CASE(an_entry_of_the_same_life_ends_nothing) {
   const auto call = call_at_a("/unsafe/x", 1);
-  world.add_life("plain-a", "plain", "a", address_of("plain", old_address), 1000, 500);
+  world.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 1000, 500);
   update();
-  world.add_life("plain-a", "plain", "a", address_of("plain", old_address), 0);
+  world.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 0);
   update();
   pass(milliseconds(600));
   BOOST_TEST(all<respond>().empty());
@@ -254,7 +254,7 @@
   const auto call = last<start_call>();
   restart("pool");
   // The replica found its inputs gone; it is sent again only with those made anew.
-  auto head = full_head();
+  auto head = not_executed_head();
   head.status = 409;
   happen(call_answered{call.call, head, ""});
   BOOST_TEST(all<start_call>().size() == 1);
@@ -273,7 +273,7 @@
     arrive(client, "/safe/x");
     BOOST_TEST(last<start_call>().target.replica.text() == "plain-b");
   }
-  world.add_life("plain-a", "plain", "a", address_of("plain", old_address), 1000);
+  world.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 1000);
   update();
   arrive(21, "/safe/x");
   BOOST_TEST(last<start_call>().target.replica.text() == "plain-a");
@@ -289,12 +289,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_replica_of_a_service_that_nobody_knows_is_reported_once) {
-  world.add_life("stranger", "nowhere", "a", "10.0.9.9:80", 1000);
+  world.add_incarnation("stranger", "nowhere", "a", "10.0.9.9:80", 1000);
   update();
-  world.add_life("stranger", "nowhere", "a", "10.0.9.9:80", 1000, 50);
+  world.add_incarnation("stranger", "nowhere", "a", "10.0.9.9:80", 1000, 50);
   update();
   BOOST_TEST(subject.counts().replicas_of_unknown_services == 1U);
-  world.add_life("stranger", "elsewhere", "a", "10.0.9.9:80", 1000);
+  world.add_incarnation("stranger", "elsewhere", "a", "10.0.9.9:80", 1000);
   update();
   BOOST_TEST(subject.counts().replicas_of_unknown_services == 2U);
   // The service appears.
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -347,7 +347,7 @@
       happen(call_failed{call.call, call_fate::not_sent});
       break;
     case 2:
-      happen(call_answered{call.call, full_head(), ""});
+      happen(call_answered{call.call, not_executed_head(), ""});
       break;
     case 3:
       happen(call_answered{call.call, good_head(500), ""});
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -100,9 +100,9 @@
   }
 
   /// Publishes a life of a replica; a start of 0 is not told.
-  void add_life(const std::string& id, const std::string& service, const std::string& zone,
-                const std::string& address, std::uint64_t started_at_milliseconds,
-                std::uint32_t cold_milliseconds = 0) {
+  void add_incarnation(const std::string& id, const std::string& service, const std::string& zone,
+                       const std::string& address, std::uint64_t started_at_milliseconds,
+                       std::uint32_t cold_milliseconds = 0) {
     wire::published_replica replica;
     replica.set_id(id);
     replica.set_service(service);
@@ -251,7 +251,7 @@
     head.sealed = true;
     return head;
   }
-  static answer_head full_head() {
+  static answer_head not_executed_head() {
     answer_head head;
     head.status = 503;
     head.not_executed = true;
--- a/tests/dispatch/virtual_time.h
+++ b/tests/dispatch/virtual_time.h
@@ -17,7 +17,7 @@
   }
 
   /// Has all happen that is due.
-  void happen_due() {
+  void run_due() {
     while (!due_.empty() && due_.begin()->first <= now) {
       const auto what = std::move(due_.begin()->second);
       due_.erase(due_.begin());
--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -124,7 +124,7 @@
     while (now < end) {
       now += milliseconds(1);
       serve_innocents();
-      happen_due();
+      run_due();
       for (std::size_t index = 0; index < nodes.size(); ++index) {
         advance(index);
       }
@@ -267,8 +267,8 @@
     const auto name = replica.service + "-" + std::to_string(index);
     const auto id = settings.keeps_ids ? name : name + "-" + std::to_string(replica.life);
     replica.id = base::replica_id(id);
-    world.add_life(id, replica.service, index % 2 == 0 ? "a" : "b", replica.address,
-                   settings.keeps_ids ? 1000 + replica.life : 0);
+    world.add_incarnation(id, replica.service, index % 2 == 0 ? "a" : "b", replica.address,
+                          settings.keeps_ids ? 1000 + replica.life : 0);
     publish();
   }
 
--- a/tests/rate_limits/limited_calls_test.cc
+++ b/tests/rate_limits/limited_calls_test.cc
@@ -197,7 +197,7 @@
   limited_node node;
   node.arrive(1, "/unsafe/");
   node.answer(node.last<start_call>().call, limited_node::limited(3),
-              dispatcher_driver::full_head());
+              dispatcher_driver::not_executed_head());
   BOOST_TEST(node.subject.limits().limited() == 1U);
 }
 
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -115,7 +115,7 @@
   void publish(unsigned index) {
     const auto& replica = replicas[index];
     const std::string zone(1, static_cast<char>('a' + index % settings.zones));
-    world.add_life(replica.id.text(), "plain", zone, replica.address, 1000 + replica.life);
+    world.add_incarnation(replica.id.text(), "plain", zone, replica.address, 1000 + replica.life);
   }
 
   /// A replica starts again under its id and names nothing.
@@ -277,7 +277,7 @@
 
   void step() {
     now += settings.step;
-    happen_due();
+    run_due();
     for (std::size_t index = 0; index < nodes.size(); ++index) {
       if (!nodes[index].is_frozen && nodes[index].wakes_at <= now) {
         advance(index);
@@ -409,7 +409,7 @@
                    bool is_turned_away) {
     auto& replica = replicas[place];
     const auto head =
-        is_turned_away ? dispatcher_driver::full_head() : dispatcher_driver::good_head();
+        is_turned_away ? dispatcher_driver::not_executed_head() : dispatcher_driver::good_head();
     replica_statement said;
     said.limit.per_second = replica.limit;
     said.leaving = replica.is_leaving;
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -169,7 +169,7 @@
   const base::replica_id resting("plain-a");
   for (const auto& call : first) {
     if (call.target.replica == resting) {
-      node.answer(call.call, backoff_of(seconds(3)), dispatcher_driver::full_head());
+      node.answer(call.call, backoff_of(seconds(3)), dispatcher_driver::not_executed_head());
     }
   }
   const auto before = node.commands.size();
@@ -195,10 +195,10 @@
     }
   }
   BOOST_REQUIRE(calls.size() > 3);
-  node.answer(calls[0], backoff_of(seconds(3)), dispatcher_driver::full_head());
+  node.answer(calls[0], backoff_of(seconds(3)), dispatcher_driver::not_executed_head());
   const auto before = node.commands.size();
   node.answer(calls[1], {}, dispatcher_driver::good_head());
-  node.answer(calls[2], backoff_of(milliseconds(50)), dispatcher_driver::full_head());
+  node.answer(calls[2], backoff_of(milliseconds(50)), dispatcher_driver::not_executed_head());
   node.pass(milliseconds(2'900));
   for (base::caller_id client = 100; client < 130; ++client) {
     node.arrive(client, "/safe/");
@@ -226,7 +226,7 @@
   auto said = leaving();
   said.limit.per_second = 5;
   said.backoff.span = milliseconds(300);
-  node.answer(call.call, said, dispatcher_driver::full_head());
+  node.answer(call.call, said, dispatcher_driver::not_executed_head());
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 60; ++client) {
     node.arrive(client, "/safe/");
@@ -255,13 +255,13 @@
 
 BOOST_AUTO_TEST_CASE(what_an_earlier_life_said_is_passed_over) {
   stated_node node;
-  node.world.add_life("plain-a", "plain", "a", "10.2.0.1:80", 1000);
+  node.world.add_incarnation("plain-a", "plain", "a", "10.2.0.1:80", 1000);
   node.world.remove_replica("plain-b");
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
   node.pass(milliseconds(10));
-  node.world.add_life("plain-a", "plain", "a", "10.2.0.1:80", 2000);
+  node.world.add_incarnation("plain-a", "plain", "a", "10.2.0.1:80", 2000);
   node.subject.update(node.world.content, node.now);
   auto said = leaving();
   said.backoff.span = seconds(60);
@@ -279,7 +279,8 @@
   node.world.remove_replica("plain-b");
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/safe/");
-  node.answer(node.last<start_call>().call, backoff_of(seconds(2)), dispatcher_driver::full_head());
+  node.answer(node.last<start_call>().call, backoff_of(seconds(2)),
+              dispatcher_driver::not_executed_head());
   const auto before = node.commands.size();
   node.arrive(2, "/safe/");
   node.pass(milliseconds(1'950));
@@ -294,7 +295,7 @@
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/safe/");
   node.answer(node.last<start_call>().call, backoff_of(seconds(20)),
-              dispatcher_driver::full_head());
+              dispatcher_driver::not_executed_head());
   const auto before = node.all<respond>().size();
   node.arrive(2, "/safe/");
   BOOST_REQUIRE(node.all<respond>().size() == before + 1);
@@ -312,7 +313,7 @@
   for (const std::string id : {"llm-a", "llm-b"}) {
     node.arrive(id == "llm-a" ? 1 : 2, "/fixed/");
     node.answer(node.last<start_call>().call, backoff_of(seconds(20)),
-                dispatcher_driver::full_head());
+                dispatcher_driver::not_executed_head());
   }
   node.arrive(3, "/staged/", {3, 1});
   BOOST_TEST(node.last<respond>().status == 503U);
@@ -327,7 +328,8 @@
   node.world.remove_replica("plain-b");
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/usual/");
-  node.answer(node.last<start_call>().call, backoff_of(seconds(1)), dispatcher_driver::full_head());
+  node.answer(node.last<start_call>().call, backoff_of(seconds(1)),
+              dispatcher_driver::not_executed_head());
   node.pass(milliseconds(500));
   for (base::caller_id client = 10; client < 20; ++client) {
     node.arrive(client, "/usual/");
--- a/tests/stage_work/stage_pool_test.cc
+++ b/tests/stage_work/stage_pool_test.cc
@@ -277,7 +277,7 @@
     publish(1000);
   }
   void publish(std::uint64_t started_at) {
-    world.add_life("pool-a", "pool", "a", "10.0.1.1:80", started_at);
+    world.add_incarnation("pool-a", "pool", "a", "10.0.1.1:80", started_at);
     replicas.update(world.content.replicas(), now);
   }
   void restart() {
@@ -336,9 +336,9 @@
 
 BOOST_FIXTURE_TEST_CASE(inputs_that_went_with_an_earlier_life_were_not_freed_too_early,
                         reading_driver) {
-  world.add_life("pool-b", "pool", "b", "10.0.1.1:80", 1000);
+  world.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 1000);
   replicas.update(world.content.replicas(), now);
-  world.add_life("pool-b", "pool", "b", "10.0.1.1:80", 2000);
+  world.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 2000);
   replicas.update(world.content.replicas(), now);
   pool.on_restarted(base::replica_id("pool-b"), now);
   miss_inputs(false);
