--- a/src/dispatch/admission_estimate.cc
+++ b/src/dispatch/admission_estimate.cc
@@ -5,11 +5,10 @@
 namespace spurrack::serving {
 namespace {
 
-/// Expected fill of a call, as a part of a full batch.
+/// Typical number of pieces in a call, as a fraction of a full batch.
 constexpr double typical_batch_fill = 0.6;
-/// Time a piece waits for a free replica where no replica is short, as a part of the time of a
-/// call: a piece arrives at a random moment of the call before its own, half of which is left on
-/// average.
+/// Time that a piece waits for a replica under moderate load, as a fraction of the call time. A
+/// piece arrives at a random moment during the preceding call, of which half remains on average.
 constexpr double typical_wait_fraction = 0.5;
 
 base::duration typical_call_time(const model::piece_capacity& capacity) {
@@ -17,7 +16,7 @@
   return capacity.call_time + base::from_seconds(base::to_seconds(capacity.item_time) * items);
 }
 
-/// Time to plan with for a stage that is still ahead: a full call and some waiting for its replica.
+/// @return time of a call with a full batch plus the typical wait for a replica.
 base::duration conservative_stage_time(const model::piece_capacity& capacity) {
   return capacity.call_time + capacity.item_time * capacity.batch +
          base::scaled(capacity.call_time, typical_wait_fraction);
--- a/src/dispatch/admission_estimate.h
+++ b/src/dispatch/admission_estimate.h
@@ -1,4 +1,5 @@
-/// Expected times of requests, for refusing early what cannot be served in time.
+/// Estimates the times of requests, so that requests that cannot be served in time are refused
+/// early.
 #pragma once
 
 #include "base/time.h"
@@ -12,34 +13,34 @@
 
 namespace spurrack::serving {
 
-/// Learns how long calls take to their first byte and adds up what is left of a request. Not
+/// Learns the times of calls to their first byte and adds up the remaining times of a request. Not
 /// thread-safe.
 class admission_estimate {
  public:
-  /// A call of a service took this long to its first byte.
-  /// @param own_tokens tokens of the prompt that no other request shares.
+  /// Records the time that a call of a service took to its first byte.
+  /// @param own_tokens number of tokens of the prompt outside its shared prefix.
   void note_first_byte(const std::string& service, std::uint32_t own_tokens,
                        base::duration duration);
 
-  /// @param final_call the call after the stages, and where their results are wanted.
-  /// @param standing whether the pieces of the request are in time.
-  /// @return time until the first byte of a request whose stages stand as `graph` says; nothing
-  ///         where some stage cannot be made at all.
+  /// @param final_call call after the stages, with the zone in which their results are needed.
+  /// @param order position of the request's pieces in the queues of the stages.
+  /// @return time until the first byte of a request with the progress in `graph`; std::nullopt if
+  ///         some stage cannot be computed now.
   [[nodiscard]] std::optional<base::duration>
   time_to_first_byte(const model::serving_configuration& configuration, const model::route& route,
                      const stage_graph& graph, const stage_exchange& stages,
                      const service_demand& final_call, std::uint32_t own_tokens,
                      piece_standing order, base::time_point now) const;
 
-  /// @return time to plan with from the begin of `stage` to the first byte: full calls and a usual
-  ///         wait for each stage on the longest way. A piece that starts with less of it left will
-  ///         likely make its request late.
+  /// @return conservative estimate of the time from the start of `stage` to the first byte: a call
+  ///         with a full batch and a typical wait for each stage on the longest path. A request
+  ///         whose piece starts with less time left will probably be late.
   [[nodiscard]] base::duration
   conservative_time_from(const model::serving_configuration& configuration,
                          const model::route& route, const stage_graph& graph, std::uint32_t stage,
                          const std::string& service, std::uint32_t own_tokens) const;
 
-  /// @return usual time of a call of a service to its first byte.
+  /// @return expected time of a call of a service to its first byte.
   [[nodiscard]] base::duration first_byte_time_of(const std::string& service,
                                                   std::uint32_t own_tokens) const;
 
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -11,18 +11,20 @@
 namespace spurrack::serving {
 namespace {
 
-/// Used where neither the client nor the route bounds a request.
+/// Timeout of a request if neither the client nor the route sets one.
 constexpr base::duration default_request_timeout = std::chrono::minutes(2);
-/// A client that comes back after a refusal has less than this part of its route's time.
+/// A request with less than this fraction of its route's timeout is taken for one that comes back
+/// after a refusal.
 constexpr double first_attempt_time_fraction = 0.97;
-/// Part of its time after which a request whose stages are not finished is judged again, and the
-/// part between two judgements from then on: what it needs changes with every replica that is lost.
-/// After the first, two in a row must agree: of seven looks at an estimate with an error one would
-/// give up what can still be served.
+/// Fraction of the time allowed by the client after which a request with unfinished stages is
+/// checked for feasibility, and the fraction between two such checks after that. The expected time
+/// changes with every replica that goes down. A request is aborted only if two consecutive checks
+/// agree, or by its first check: with seven checks of an inexact estimate, a single wrong one
+/// would abort a request that can still be served.
 constexpr double first_check_fraction = 0.42;
 constexpr double check_interval_fraction = 0.08;
 
-/// A request that waits for a loan is looked at again after this time where no answer comes.
+/// Interval at which requests that wait for a budget transfer are checked if no answer arrives.
 constexpr base::duration budget_check_interval = std::chrono::milliseconds(25);
 
 std::string seconds_text(base::duration span) {
@@ -43,7 +45,8 @@
   return "the client left";
 }
 
-/// Service of a route with several, the same for the same request on every node.
+/// Picks one of the route's services by weight.
+/// @return service, which is the same for a request on every node.
 const std::string& pick_service(const model::route& route, const base::request_id& id) {
   std::uint64_t total = 0;
   for (const auto& target : route.services) {
@@ -275,7 +278,8 @@
   stages_.refresh(now);
   const auto expected = expected_time_to_first_byte(request, piece_standing::in_time, now);
   const auto allowed = request.deadline - request.arrived_at;
-  // One that comes back has less time than its route gives; it is refused only without any hope.
+  // A returning request has less time than its route allows. It is refused only if it cannot end
+  // within its own time, whatever the target latency is.
   const bool is_returning_client =
       request.route->timeout && allowed < *request.route->timeout * first_attempt_time_fraction;
   const auto target = request.route->target_latency;
@@ -449,7 +453,7 @@
         handle_slow_client(request, now);
       }
     }
-    // Either may have ended it.
+    // Both on_stalled and handle_slow_client may have ended the request.
     if (const auto found = active_.find(client); found != active_.end()) {
       schedule_check(found->second);
     }
@@ -470,7 +474,7 @@
   check_requests(now);
   stages_.pump(now);
   if (process_piece_results(now)) {
-    // What was finished lets other stages begin.
+    // Finished pieces may allow other stages to begin.
     stages_.pump(now);
   }
   replica_reports_.advance(now);
--- a/src/dispatch/dispatcher_admission_queue.cc
+++ b/src/dispatch/dispatcher_admission_queue.cc
@@ -1,5 +1,6 @@
-/// Requests that no replica takes now, since each names a limit or asked for a pause: they wait for
-/// a place, the urgent first, and are refused at once where none can come in their time.
+/// Requests that no replica accepts now because each replica announces a limit or requested a
+/// backoff: they wait for a slot in the order of their priorities, and are refused at once if no
+/// slot is expected in time.
 #include "dispatch/dispatcher.h"
 
 #include "base/hashing.h"
@@ -12,12 +13,14 @@
 namespace spurrack::serving {
 namespace {
 
-/// Waiting requests are looked at this often; also whenever permits come.
+/// Interval at which the admission queues are processed; they are also processed when permits
+/// arrive.
 constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
-/// A request that waits already is given up only where this part of the expected wait exceeds the
-/// time it has left: waits vary as much as they last, and what it has waited would be lost.
+/// A request that already waits is refused only if this fraction of the expected wait exceeds its
+/// remaining time: waits vary by about their own length, and the time that the request has waited
+/// would be lost.
 constexpr double certain_wait_fraction = 0.5;
-/// More than any request may wait.
+/// Longer than any request may wait.
 constexpr base::duration unbounded_wait = std::chrono::hours(1);
 
 } // namespace
@@ -39,7 +42,7 @@
           results_zone};
 }
 
-// --- asking --------------------------------------------------------------------------------------
+// --- permits -------------------------------------------------------------------------------------
 
 void dispatcher::request_permit(const active_request& request, base::time_point now) {
   if (!limits_.any()) {
@@ -47,7 +50,8 @@
   }
   auto limited = replicas_.short_of_permits(demand_of(request), now);
   if (request.graph) {
-    // Elsewhere its results would have to be carried, so that a permit there is of no use.
+    // In another zone the results of its stages would have to be transferred, so a permit there is
+    // of no use.
     std::erase_if(limited, [&](const replica_state* state) {
       return state->record->zone != request.expected_zone;
     });
@@ -59,14 +63,16 @@
 
 void dispatcher::request_permits_for_waiting(const std::string& service, base::time_point now) {
   const auto& queue = admission_queues_.at(service);
-  // What the first in the queue may use, the others may, but for regions and tried replicas.
+  // The replicas of the first request in the queue stand for those of all requests, which differ
+  // only by regions and tried replicas.
   const auto limited =
       replicas_.short_of_permits(demand_of(active_.at(queue.begin()->client)), now);
   if (limited.empty()) {
     return;
   }
-  // A permit for any of them serves, so no more are asked for than requests wait. Others are asked
-  // after a while: the node that issues for the first ones may be lost.
+  // A permit for any of the replicas suffices, so no more permits are requested than requests wait.
+  // The first replica rotates with time because the node that issues the permits of some replicas
+  // may be down.
   const auto replica_count = std::min(limited.size(), queue.size());
   const auto permits_per_replica =
       static_cast<std::uint32_t>((queue.size() + replica_count - 1) / replica_count);
@@ -79,7 +85,7 @@
   }
 }
 
-// --- waiting -------------------------------------------------------------------------------------
+// --- queue ---------------------------------------------------------------------------------------
 
 std::optional<base::duration> dispatcher::expected_queue_wait(const active_request& request,
                                                               std::size_t requests_ahead,
@@ -108,7 +114,8 @@
   if (per_second <= 0) {
     return unbounded_wait;
   }
-  // Other nodes get permits too: what came here of late says more, where requests waited for it.
+  // Other nodes get permits too. If requests waited here recently, the rate at which this node got
+  // permits is a better estimate than the limits.
   const auto rate = std::min(per_second, drain_rate_of(service, now).value_or(per_second));
   return base::from_seconds(
       std::min(static_cast<double>(requests_ahead + 1) / rate, base::to_seconds(unbounded_wait)));
@@ -124,7 +131,7 @@
                                                  base::duration backoff_wait,
                                                  std::size_t requests_ahead,
                                                  base::time_point now) const {
-  // After a pause calls begin slowly; how fast is known once some have begun.
+  // After a backoff calls begin slowly; their rate is known after the first of them.
   const auto recent_rate = drain_rate_of(service, now);
   return recent_rate
              ? backoff_wait + base::from_seconds(static_cast<double>(requests_ahead) / *recent_rate)
@@ -156,7 +163,7 @@
   if (choose_replica_for(demand, now) != nullptr) {
     return false;
   }
-  // Also those come before it whose stages are being made: they want the same places.
+  // Requests whose stages are being computed also come first because they need the same slots.
   const auto requests_ahead = std::count_if(active_.begin(), active_.end(), [&](const auto& entry) {
     const auto& other = entry.second;
     return other.client != request.client && other.service == request.service && !other.call;
@@ -187,7 +194,7 @@
 
 const replica_state* dispatcher::choose_in_turn(active_request& request, base::time_point now) {
   if (is_behind_waiting_requests(request, now)) {
-    // Places that have come free go to those who wait; this one is next to them.
+    // Free slots go to the waiting requests first; this request joins the queue.
     enqueue(request);
     process_admission_queue(request.service, now);
     return nullptr;
@@ -220,7 +227,7 @@
   }
   ++counters_.awaited_places;
   record(base::event_kind::replica_limit, request, request.service,
-         "waits for a place behind " + std::to_string(requests_ahead) + " requests, " +
+         "waits for a slot behind " + std::to_string(requests_ahead) + " requests, " +
              std::to_string(base::to_milliseconds(*wait)) + " ms expected");
   enqueue(request);
   request_permits_for_waiting(request.service, now);
@@ -287,7 +294,7 @@
     }
     const auto wait = expected_queue_wait(request, requests_ahead, now);
     if (!wait) {
-      // No replica is left that takes it later: it ends as any request without a replica.
+      // No replica can accept the request later: it ends like any request without a replica.
       leave_admission_queue(request);
       send_to_replica(request, now);
     } else if (now + base::scaled(*wait, certain_wait_fraction) > client_deadline_of(request)) {
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -1,4 +1,4 @@
-/// The calls of requests at replicas: choice, repeats, answers and streams.
+/// Calls of requests at replicas: choice of the replica, failures, answers and streams.
 #include "dispatch/dispatcher.h"
 
 #include "dispatch/dispatcher_constants.h"
@@ -10,17 +10,18 @@
 namespace spurrack::serving {
 namespace {
 
-/// Replicas that could not be reached before a request is refused.
+/// Number of unreachable replicas after which a request is refused.
 constexpr std::uint32_t max_unreached_attempts = 4;
-/// A repeatable plain call is made elsewhere after this part of the target latency.
+/// Fraction of the target latency after which a call of a safe route counts as stalled.
 constexpr double plain_stall_fraction = 0.7;
-/// A resumable stream is taken up elsewhere after this many times the longest pause in time.
+/// A stream counts as stalled after this many times the target gap between two events.
 constexpr double stream_stall_factor = 2.5;
-/// A stream is a sign of life of its replica this often; each event would cost a look-up.
+/// Interval at which the events of a stream are recorded as contact with its replica; recording
+/// each event would cost a look-up.
 constexpr base::duration contact_note_interval = std::chrono::milliseconds(100);
-/// A prompt on an engine with a backlog is given this many times the expected time to its first
-/// event before it counts as stalled. It saves callers of long prompts a second reading of the same
-/// tokens, which would bring the first event no sooner (docs/design/engines.md).
+/// A prompt at an engine with a backlog counts as stalled after this many times its expected time
+/// to the first event. This saves long prompts a second prefill of the same tokens, which would not
+/// make the first event arrive sooner (docs/design/engines.md).
 constexpr double engine_stall_factor = 2;
 
 bool is_success(unsigned code) {
@@ -82,7 +83,7 @@
     return;
   }
   if (request.graph && request.graph->has_freed_final_inputs()) {
-    // An attempt before this one had them; they are made again for the next.
+    // The results were freed after an earlier attempt, and are recomputed for this attempt.
     remake_final_inputs(request, now);
     return;
   }
@@ -143,7 +144,7 @@
 void dispatcher::watch_progress(active_request& request, base::duration timeout,
                                 base::time_point now) {
   request.call->stalls_at.reset();
-  // A replica that is not read shows no progress, which says nothing of it.
+  // While reading from the replica is paused, missing progress says nothing about the replica.
   const bool is_read = !request.is_window_closed;
   if (is_read && timeout > base::duration::zero()) {
     const bool is_plain = request.route->kind == model::route_kind::safe;
@@ -188,7 +189,7 @@
   request->may_have_run = true;
   const bool lacked_memory = failure.fate == call_fate::no_memory;
   if (lacked_memory) {
-    // The replica did not fail: it may be chosen again.
+    // The replica did not fail, so it may be chosen again.
     request->tried_replicas.erase(call.replica);
   } else {
     replicas_.note_failure(call.replica, now);
@@ -379,7 +380,7 @@
   if (is_whole) {
     begin_stream(*request, now);
     if (request->first_event_at == base::time_point{}) {
-      // Without a new event its end is the first that the client hears of it.
+      // A resumed stream without new events: its end is the first message to the client.
       request->first_event_at = now;
     }
     replicas_.note_success(call.replica, now);
--- a/src/dispatch/dispatcher_constants.h
+++ b/src/dispatch/dispatcher_constants.h
@@ -1,11 +1,11 @@
-/// Constants that the files of the dispatcher share.
+/// Constants that several files of the dispatcher use.
 #pragma once
 
 #include <cstdint>
 
 namespace spurrack::serving {
 
-/// Status codes of answers.
+/// HTTP status codes of answers; 0 stands for a client that disconnected.
 namespace status {
 constexpr unsigned unauthorized = 401;
 constexpr unsigned not_found = 404;
@@ -17,13 +17,13 @@
 constexpr unsigned client_gone = 0;
 } // namespace status
 
-/// Reason of an answer to a request whose time is over.
+/// Reason in the answer to a request whose deadline has passed.
 inline constexpr const char* deadline_passed = "deadline passed";
 
-/// A request is admitted up to this part of its target latency.
+/// A request is admitted if its expected time is at most this many times its target latency.
 inline constexpr double admission_target_factor = 1.3;
 
-/// Times the stages of a request are made again because results were lost.
+/// Maximum number of times that stages of a request are recomputed because results were lost.
 inline constexpr std::uint32_t max_recomputations = 2;
 
 } // namespace spurrack::serving
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -1,5 +1,5 @@
-/// Requests under which replicas end: finding out that a replica ended, holding requests back, and
-/// letting them go.
+/// Requests under which replicas exit: detection of exits, quarantine of requests and their
+/// release.
 #include "dispatch/dispatcher.h"
 
 #include "dispatch/dispatcher_constants.h"
@@ -9,11 +9,11 @@
 namespace spurrack::serving {
 namespace {
 
-/// A replica that is heard this long after it was taken to have ended, while it is published in the
-/// same life, has not ended: replicas write what is published of them every second or two, and the
-/// list lags by no more than the rest.
+/// If a replica answers at least this long after its assumed exit and is still published with the
+/// same incarnation, it has not exited: replicas publish their entries every second or two, and the
+/// list lags by no more than the remainder of this time.
 constexpr base::duration min_withdrawal_age = std::chrono::seconds(5);
-/// What is over is looked for this often; the shortest time to be forgotten is 10 s.
+/// Interval of the search for expired records; the shortest lifetime of a record is 10 s.
 constexpr base::duration crash_expiry_interval = std::chrono::seconds(1);
 
 constexpr const char* quarantine_reason =
@@ -21,12 +21,12 @@
 
 } // namespace
 
-// --- finding out ---------------------------------------------------------------------------------
+// --- detection -----------------------------------------------------------------------------------
 
 void dispatcher::note_lost_call(const active_request& request, const base::replica_id& replica,
                                 replica_end incarnation_exit, base::time_point now) {
   const auto* state = replicas_.find(replica);
-  // One that leaves as planned ends too, and no request is to blame.
+  // A draining replica exits as planned, which no request caused.
   if (state == nullptr || state->record->draining || state->left) {
     return;
   }
@@ -76,7 +76,7 @@
   record_(base::event_kind::request_crashed_replica, {}, replica.text(),
           "request digest " + call.digest.text() + ", " + evidence + ", its call ended " +
               std::to_string(base::to_milliseconds(now - call.seen.at)) + " ms ago, " +
-              std::to_string(crash_registry_.ends_of(call.digest)) + " ends under it");
+              std::to_string(crash_registry_.ends_of(call.digest)) + " replica exits under it");
   crash_reports_.note_changed(call.digest);
   if (change.begins_quarantine) {
     newly_quarantined_.push_back(call.digest);
@@ -98,14 +98,15 @@
     crash_detector_.forget_old(now);
     crash_registry_.expire(now);
   }
-  // Not where it is learned: the request that is being looked at there may be among those ended.
+  // Deferred to `advance`: the quarantine may end the very request that is processed when the exit
+  // is recorded.
   for (const auto& digest : std::exchange(newly_quarantined_, {})) {
     quarantine_request(digest, now);
   }
   crash_reports_.advance(now);
 }
 
-// --- letting go ----------------------------------------------------------------------------------
+// --- release -------------------------------------------------------------------------------------
 
 void dispatcher::withdraw_exit(const base::replica_id& replica, base::time_point now) {
   if (crash_registry_.empty()) {
@@ -119,7 +120,7 @@
   const auto ended_at = crash_registry_.find_end(end);
   if (ended_at && now - *ended_at >= min_withdrawal_age && crash_registry_.withdraw(end, now)) {
     record_(base::event_kind::request_cleared, {}, replica.text(),
-            "the replica is heard in the life that seemed over " +
+            "the replica answered in the incarnation that seemed to have exited " +
                 std::to_string(base::to_milliseconds(now - *ended_at)) + " ms ago");
   }
 }
@@ -132,7 +133,7 @@
   if (crash_registry_.note_survived(digest, now)) {
     ++counters_.requests_cleared;
     record(base::event_kind::request_cleared, request, "",
-           "request digest " + digest.text() + ", a run of it ended and its replica lives");
+           "request digest " + digest.text() + ", a run of it ended and its replica survived");
     crash_reports_.note_changed(digest);
   }
 }
@@ -141,13 +142,13 @@
   const bool was_known = crash_registry_.release(digest, now);
   if (was_known) {
     record_(base::event_kind::request_cleared, {}, "",
-            "request digest " + digest.text() + ", let go by an operator");
+            "request digest " + digest.text() + ", released by an operator");
     crash_reports_.note_changed(digest);
   }
   return was_known;
 }
 
-// --- holding back --------------------------------------------------------------------------------
+// --- quarantine ----------------------------------------------------------------------------------
 
 quarantine::standing dispatcher::quarantine_state_of(const active_request& request,
                                                      base::time_point now) const {
@@ -164,12 +165,13 @@
   ++counters_.refused_in_quarantine;
   record(base::event_kind::request_quarantined, request, "",
          "request digest " + digest.text() + ", " +
-             std::to_string(crash_registry_.ends_of(digest)) + " ends under it");
+             std::to_string(crash_registry_.ends_of(digest)) + " replica exits under it");
   if (request.may_have_run || request.has_begun_stream) {
     answer_failed(request, status::bad_gateway, quarantine_reason, now);
     return true;
   }
-  // It has not run, so the answer says that; no time to come back, since coming back is no use.
+  // The answer states that the request was not run. It has no Retry-After time because a retry does
+  // not help.
   refuse(request.client, request.content->id, status::unavailable, quarantine_reason, {});
   finish(request, status::unavailable, quarantine_reason, now);
   return true;
@@ -183,8 +185,9 @@
   }
   ++counters_.quarantines;
   record_(base::event_kind::request_quarantined, {}, "",
-          "request digest " + digest.text() + ", held back from now on, " +
-              std::to_string(crash_registry_.ends_of(digest)) + " ends under it, the latest " +
+          "request digest " + digest.text() + ", quarantined, " +
+              std::to_string(crash_registry_.ends_of(digest)) +
+              " replica exits under it, the latest " +
               std::to_string(base::to_milliseconds(now - found->newest())) + " ms ago");
   std::vector<base::caller_id> clients;
   for (const auto& [client, request] : active_) {
@@ -195,7 +198,7 @@
   }
   for (const auto client : clients) {
     auto& request = active_.at(client);
-    // A replica may be about to begin: closing the connection takes the request back.
+    // The replica may be about to run the request; closing the connection cancels it there.
     request.may_have_run = request.may_have_run || request.call.has_value();
     refuse_if_quarantined(request, now);
   }
--- a/src/dispatch/dispatcher_replica_restarts.cc
+++ b/src/dispatch/dispatcher_replica_restarts.cc
@@ -1,4 +1,4 @@
-/// Replicas that started again under their id, and entries of replicas that cannot be used.
+/// Replicas that restarted under their id, and replicas of services that are not configured.
 #include "dispatch/dispatcher.h"
 
 #include "dispatch/dispatcher_constants.h"
@@ -7,15 +7,15 @@
 namespace spurrack::serving {
 namespace {
 
-/// A call at a life that seems over is given this time to show that its replica lives: the entry
-/// may reach this node later than the new process took its first calls. As long as a replica stays
-/// found lost before a request is ended for it.
+/// Time within which a call at an incarnation that seems to have exited can show events: the entry
+/// of a restarted replica may reach this node after the new process accepted its first calls. Equal
+/// to the time for which a replica must be down before a request ends for it.
 constexpr base::duration restart_confirm_time = std::chrono::milliseconds(500);
 
-/// @return the name under which calls at a life that is over are kept, so that nothing they bring
-///         is told of the life that began.
+/// @return id under which calls at an earlier incarnation are kept, so that their results are not
+///         attributed to the current incarnation.
 base::replica_id earlier_incarnation_of(const base::replica_id& replica) {
-  return base::replica_id(replica.text() + " (earlier life)");
+  return base::replica_id(replica.text() + " (earlier incarnation)");
 }
 
 } // namespace
@@ -30,8 +30,8 @@
   const auto& replica = restart.replica;
   ++counters_.replica_restarts;
   record_(base::event_kind::backend_restarted, {}, replica.text(),
-          "started again, its earlier life was at " + restart.earlier_address.text());
-  note_replica_exit(replica, "it started again under its id", now);
+          "restarted, its earlier incarnation was at " + restart.earlier_address.text());
+  note_replica_exit(replica, "it restarted under its id", now);
   engine_directory_.forget(replica);
   stages_.on_restarted(replica, now);
   commands_.emplace_back(close_connections{restart.earlier_address});
@@ -61,9 +61,9 @@
 void dispatcher::move_to_earlier_incarnation(active_request& request, base::time_point now) {
   auto& call = *request.call;
   const auto replica = call.replica;
-  record(base::event_kind::stage_retried, request, replica.text(), "its replica started again");
+  record(base::event_kind::stage_retried, request, replica.text(), "its replica restarted");
   note_exit_under_request({digest_of(request), {call.incarnation_exit, now, replica}}, replica,
-                          "it started again under its id", now);
+                          "it restarted under its id", now);
   replicas_.call_ended(replica);
   auto& at_replica = clients_by_replica_.at(replica);
   at_replica.erase(request.client);
--- a/src/dispatch/dispatcher_residency.cc
+++ b/src/dispatch/dispatcher_residency.cc
@@ -1,4 +1,5 @@
-/// What the regions a request is held to do to it: turned away on arrival, kept from near replicas.
+/// Residency of requests: refusal on arrival if the permitted regions cannot serve a request, and
+/// counts of calls by locality.
 #include "dispatch/dispatcher.h"
 #include "dispatch/dispatcher_constants.h"
 
@@ -63,7 +64,7 @@
   if (is_nearer_excluded) {
     ++counters_.kept_from_nearer_by_residency;
     record(base::event_kind::residency_confined, request, chosen.record->id.text(),
-           "a nearer replica lies outside the regions allowed");
+           "a nearer replica is outside the permitted regions");
   }
 }
 
--- a/src/dispatch/dispatcher_retries.cc
+++ b/src/dispatch/dispatcher_retries.cc
@@ -1,5 +1,4 @@
-/// Second chances: repeats within attempts and share, calls without progress, replicas that are
-/// found lost.
+/// Retries: attempts and retry budget, stalled calls, and calls at replicas that are down.
 #include "dispatch/dispatcher.h"
 
 #include "dispatch/dispatcher_constants.h"
@@ -10,19 +9,20 @@
 namespace spurrack::serving {
 namespace {
 
-/// A call without progress that cannot be made elsewhere is looked at again after this time: a
-/// tenth of the second within which a lost replica's requests are to be taken up.
+/// Interval of the checks of a stalled call for which no other replica or no budget is available: a
+/// tenth of the second within which the requests of a replica that goes down are to be retried.
 constexpr base::duration stall_check_interval = std::chrono::milliseconds(100);
-/// One that may not be made elsewhere is looked at again after this time, in case its replica is
-/// found lost: a quarter of that second.
+/// Interval of the checks whether the replica of a stalled call that cannot be retried is down: a
+/// quarter of that second.
 constexpr base::duration down_check_interval = std::chrono::milliseconds(250);
-/// A replica stays found lost for this time before a request is ended for it: whoever hears the
-/// replica has time to say so, and the second is kept.
+/// Time for which a replica must stay declared down before a request ends for it. Nodes that still
+/// have contact with the replica can report it in this time, and the request ends within the
+/// second.
 constexpr base::duration down_confirm_time = std::chrono::milliseconds(500);
 
 } // namespace
 
-// --- repeats -------------------------------------------------------------------------------------
+// --- retry budget --------------------------------------------------------------------------------
 
 bool dispatcher::has_attempt_left(const active_request& request, base::time_point now) {
   return request.attempts < request.route->max_attempts && now < request.deadline;
@@ -101,7 +101,8 @@
     const auto outcome = *std::exchange(request.pending_failure, std::nullopt);
     if (try_take_retry(request, now)) {
       ++counters_.repeats_borrowed;
-      record(base::event_kind::stage_retried, request, request.service, "with a loan");
+      record(base::event_kind::stage_retried, request, request.service,
+             "with transferred retry budget");
       send_retry(request, now);
     } else {
       end_with_failure(request, outcome, now);
@@ -115,7 +116,7 @@
   process_awaiting_budget(now);
 }
 
-// --- lost replicas -------------------------------------------------------------------------------
+// --- replicas that are down ----------------------------------------------------------------------
 
 void dispatcher::handle_peer(const base::node_id& sender, const wire::replica_news& message,
                              base::time_point now) {
@@ -123,7 +124,7 @@
   const auto down_replicas = replica_reports_.handle(sender, message, now);
   if (replicas_.ejections() > ejections_before) {
     record_(base::event_kind::backend_ejected, {}, down_replicas.front().text(),
-            "found lost by two nodes, the latest " + sender.text() + ", " +
+            "declared down by two nodes, the latest " + sender.text() + ", " +
                 std::to_string(down_replicas.size()) + " in one message");
   }
   for (const auto& replica : down_replicas) {
@@ -153,8 +154,9 @@
   return !replicas_.was_heard_after(request.call->replica, last_progress_at);
 }
 
-/// Answers wait in the sockets of a process that wakes. Without this every call under way is taken
-/// for stalled before its answer is read: its replica is reported silent, and repeats are spent.
+/// After a suspension, answers wait unread in the sockets. Without the extension every active call
+/// would count as stalled before its answer is read: its replica would be reported unresponsive,
+/// and retries would be spent.
 void dispatcher::resume_after_pause(base::duration gap, base::time_point now) {
   for (auto& [client, request] : active_) {
     if (request.call && request.call->stalls_at) {
@@ -196,14 +198,14 @@
 }
 
 void dispatcher::retry_elsewhere(active_request& request, base::time_point now) {
-  // Without time for another attempt before a planned stop, and for a request that is sent once in
-  // a try, the silent one is still the best there is.
+  // If a graceful stop leaves no time for another attempt, or the request is limited to one
+  // attempt, the stalled call is still the best option.
   if (!can_retry(request, now) || choose_replica(request, now) == nullptr) {
     request.call->stalls_at = now + stall_check_interval;
     return;
   }
   if (!try_take_retry(request, now)) {
-    // The other calls at the replica will want a repeat too.
+    // The other calls at the replica will need retries too.
     budget_exchange_.query_peers(request.service,
                                  clients_by_replica_.at(request.call->replica).size(), now);
     request.call->stalls_at = now + stall_check_interval;
--- a/src/dispatch/dispatcher_self_reports.cc
+++ b/src/dispatch/dispatcher_self_reports.cc
@@ -1,4 +1,4 @@
-/// What replicas say of themselves: taken in from answers and other nodes, and reported.
+/// Self-reports of replicas, from answers and from other nodes: recorded, and logged as events.
 #include "dispatch/dispatcher.h"
 
 #include <cstdio>
@@ -23,13 +23,13 @@
 std::string unreadable_text(belief_change::matter what) {
   switch (what) {
   case belief_change::matter::leaving:
-    return "what it says of its leaving cannot be read";
+    return "its drain announcement cannot be read";
   case belief_change::matter::backoff:
-    return "the pause that it asks for cannot be read";
+    return "its requested backoff cannot be read";
   case belief_change::matter::limit:
     break;
   }
-  return "its limit cannot be read, the one before stands";
+  return "its limit cannot be read, the previous limit stays in effect";
 }
 
 std::string text_of(const belief_change& change) {
@@ -37,13 +37,13 @@
     return unreadable_text(change.what);
   }
   if (change.what == belief_change::matter::leaving) {
-    return "leaves, says " + change.source;
+    return "drains, reported by " + change.source;
   }
   if (!change.per_second) {
-    return "names no limit any more, says " + change.source;
+    return "no longer announces a limit, reported by " + change.source;
   }
   char text[64];
-  std::snprintf(text, sizeof(text), "takes %g requests a second from all nodes, says ",
+  std::snprintf(text, sizeof(text), "accepts %g requests/s from all nodes, reported by ",
                 *change.per_second);
   return text + change.source;
 }
@@ -81,7 +81,7 @@
   }
   for (const auto& change : replicas_.take_backoff_changes()) {
     record_(base::event_kind::replica_backoff, {}, change.replica.text(),
-            "wants nothing for " + std::to_string(base::to_milliseconds(change.span)) + " ms");
+            "requests a backoff of " + std::to_string(base::to_milliseconds(change.span)) + " ms");
   }
 }
 
--- a/src/dispatch/dispatcher_slow_clients.cc
+++ b/src/dispatch/dispatcher_slow_clients.cc
@@ -1,6 +1,6 @@
-/// Clients that read more slowly than their replica answers: when reading from the replica is
-/// paused, when its call is cancelled and later resumed after the last event, and when the rest of
-/// the stream is buffered.
+/// Clients that read more slowly than their replica answers: reading from the replica is paused,
+/// and after a while its call is suspended and later resumed after the last event, or the remainder
+/// of the stream is buffered.
 #include "dispatch/dispatcher.h"
 
 #include <utility>
@@ -8,9 +8,9 @@
 namespace spurrack::serving {
 namespace {
 
-/// A call paused for this long is cancelled ("let go") or buffered: well before the replica would
-/// cut the answer off, which it does when it stays unread for some seconds, and longer than the
-/// pauses of links that lose packets.
+/// A call that is paused for this time is suspended or buffered. The time is well below the seconds
+/// after which a replica breaks an unread answer off, and longer than the pauses of links that lose
+/// packets.
 constexpr base::duration max_call_pause = std::chrono::milliseconds(1'500);
 
 } // namespace
@@ -65,7 +65,7 @@
 }
 
 bool dispatcher::can_suspend(const active_request& request) {
-  // Results of stages would have to be made again for the second attempt.
+  // A request with stages would need their results to be recomputed for the second attempt.
   return request.call && request.has_begun_stream && request.route->may_repeat() &&
          !request.graph && request.events.last_id().has_value();
 }
@@ -74,38 +74,38 @@
   if (!std::exchange(request.is_slow_client, true)) {
     ++counters_.clients_judged_slow;
     record(base::event_kind::client_slow, request, request.call ? request.call->replica.text() : "",
-           std::to_string(request.events.events()) + " events passed on");
+           std::to_string(request.events.events()) + " events forwarded");
   }
 }
 
 void dispatcher::handle_slow_client(active_request& request, base::time_point now) {
   request.slow_client_check_at.reset();
   if (!request.call) {
-    // Between two calls: the next one starts paused and is judged then.
+    // Between two calls: the next call starts paused and is checked again.
     if (!request.is_suspended) {
       request.slow_client_check_at = now + max_call_pause;
     }
     return;
   }
   mark_slow_client(request);
-  // A stopping node may be gone before the client reads on; what is buffered can still be read.
+  // A stopping node may exit before the client reads on; a buffered stream can still be read.
   const bool can_wait = !stop_plan_.has_begun() && can_suspend(request);
   if (!can_wait || !try_take_retry(request, now)) {
     commands_.emplace_back(widen_window{request.client});
-    // Without memory now the call stays paused; it is looked at again.
+    // Without free memory the call stays paused and is checked again.
     request.slow_client_check_at = now + max_call_pause;
     return;
   }
   commands_.emplace_back(cancel_call{request.call->id});
   const auto call = close_call(request);
-  // The replica did not fail, and likely still keeps the prompt: it may be chosen again.
+  // The replica did not fail and probably still has the prompt cached, so it may be chosen again.
   request.tried_replicas.erase(call.replica);
   request.events.drop_partial_event();
   reserve_partial_event(request);
   request.is_suspended = true;
   ++counters_.streams_let_go;
   record(base::event_kind::stage_cancelled, request, call.replica.text(),
-         "let go until the client reads on");
+         "suspended until the client reads on");
 }
 
 bool dispatcher::reserve_partial_event(active_request& request) {
--- a/src/dispatch/dispatcher_stages.cc
+++ b/src/dispatch/dispatcher_stages.cc
@@ -1,4 +1,4 @@
-/// The stages of requests: submitting pieces, taking results, making lost ones again.
+/// Stages of requests: submits pieces, applies their results and recomputes lost results.
 #include "dispatch/dispatcher.h"
 #include "dispatch/dispatcher_constants.h"
 #include "stage_work/result_handle.h"
@@ -58,7 +58,7 @@
   if (request.graph->is_last(stage)) {
     result_bytes = work.result_bytes;
   }
-  // Each piece reads every input.
+  // Each piece reads all results of the preceding stages.
   std::map<base::zone_id, double> input_bytes_by_zone;
   for (const auto predecessor : route.stages[stage].start_after) {
     for (const auto& handle : request.graph->results_of(predecessor)) {
@@ -91,7 +91,7 @@
 
 bool dispatcher::process_piece_results(base::time_point now) {
   free_fetched_stage_inputs();
-  // Before the results: a lost piece may end its request.
+  // Before the results are applied, because a failed piece may end its request.
   for (const auto& lost : stages_.take_lost()) {
     const auto owner = clients_by_ticket_.find(lost.ticket);
     if (owner != clients_by_ticket_.end()) {
@@ -155,7 +155,7 @@
   });
   release_results(obsolete_results);
   record(base::event_kind::stage_retried, request, request.route->name,
-         "results were gone, made again for the " + std::to_string(request.graph->remakes()) +
+         "results were lost, recomputed for the " + std::to_string(request.graph->remakes()) +
              ". time");
   submit_pieces(request, now);
 }
--- a/src/dispatch/dispatcher_stop.cc
+++ b/src/dispatch/dispatcher_stop.cc
@@ -1,4 +1,4 @@
-/// A planned stop: what is still taken, what is still sent, and the end of what is left.
+/// Graceful stop: requests that are still accepted or sent, and the end of the remaining requests.
 #include "dispatch/dispatcher.h"
 
 #include "dispatch/dispatcher_constants.h"
@@ -15,8 +15,8 @@
 void dispatcher::begin_stop(base::time_point now, base::time_point must_end_at) {
   stages_.begin_stop(now);
   stop_plan_.begin(now, must_end_at);
-  // What waits for its stages and cannot end any more is told so now, while its client has time to
-  // ask another node.
+  // Requests whose stages can no longer end in time are refused now, while their clients still have
+  // time to ask another node.
   for (auto& [client, request] : active_) {
     if (request.next_feasibility_check_at) {
       request.next_feasibility_check_at = now;
@@ -49,7 +49,7 @@
 
 base::duration dispatcher::streamed_time_of(const active_request& request,
                                             base::duration expected_events) {
-  // A slow reader's events took the time of its pauses too, which says nothing of the rest.
+  // The events of a slow client include its pauses, which say nothing about the remaining time.
   if (!request.has_begun_stream || request.is_slow_client) {
     return {};
   }
@@ -92,8 +92,8 @@
 
 void dispatcher::note_completed_run(const active_request& request, base::time_point now) {
   const auto& call = *request.call;
-  // A stream that was taken up elsewhere, by this node or its client, or whose client held it up,
-  // says nothing of a whole run.
+  // A stream that was resumed by this node or by its client, or that a slow client delayed, does
+  // not show the time of a whole run.
   const bool is_whole_run =
       request.attempts == 1 && !request.is_slow_client && !request.content->resume_after;
   if (!is_whole_run) {
--- a/src/dispatch/event_stream.cc
+++ b/src/dispatch/event_stream.cc
@@ -30,7 +30,8 @@
   return std::nullopt;
 }
 
-/// @return length of the first whole event with the blank line that ends it; 0 where there is none.
+/// @return length of the first whole event, including the blank line that ends it; 0 if there is no
+///         whole event.
 std::size_t whole_event_length(std::string_view bytes) {
   const auto lf_end = bytes.find(lf_event_end);
   const auto crlf_end = bytes.find(crlf_event_end);
--- a/src/dispatch/event_stream.h
+++ b/src/dispatch/event_stream.h
@@ -1,4 +1,4 @@
-/// Splits a streamed answer into whole events, so that no client is given part of one.
+/// Splits a streamed answer into whole events, so that no client receives part of an event.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,33 @@
 
 namespace spurrack::serving {
 
-/// Gathers bytes and gives back whole events (text/event-stream). Not thread-safe.
+/// Buffers bytes of a text/event-stream and returns the whole events. Not thread-safe.
 class event_stream {
  public:
-  /// @param after identifier of the last event already passed on; events up to it are left out.
+  /// @param after identifier of the last event that was already forwarded; events up to and
+  /// including
+  ///        this identifier are dropped.
   explicit event_stream(std::optional<std::uint64_t> after = std::nullopt) : last_id_(after) {}
 
-  /// Takes in bytes. @return the whole events they complete, in order, ready to pass on.
+  /// Appends bytes to the stream.
+  /// @return whole new events that the bytes complete, in order.
   std::string feed(std::string_view bytes);
 
-  /// @return identifier of the last whole event; nothing before the first one that has any.
+  /// @return identifier of the last whole event; std::nullopt before the first event with an
+  ///         identifier.
   [[nodiscard]] std::optional<std::uint64_t> last_id() const { return last_id_; }
-  /// @return whole events passed on.
+  /// @return number of whole events that were returned.
   [[nodiscard]] std::uint64_t events() const { return events_; }
-  /// @return whether bytes of an event that is not whole yet are held.
+  /// @return whether bytes of an incomplete event are buffered.
   [[nodiscard]] bool has_partial() const { return !pending_.empty(); }
-  /// @return bytes held of an event that is not whole yet.
+  /// @return number of buffered bytes of an incomplete event.
   [[nodiscard]] std::size_t partial_bytes() const { return pending_.size(); }
-  /// A new run goes on where the last one broke off: what is held of a broken event is dropped.
+  /// Drops the buffered bytes of an incomplete event, before another run resumes the stream.
   void drop_partial_event() { pending_.clear(); }
 
  private:
-  /// @return whether the event is new and is to be passed on.
+  /// Records the identifier of an event.
+  /// @return whether the event is new; events with an identifier up to `last_id` are duplicates.
   bool accept_once(std::string_view event);
 
   std::string pending_;
--- a/src/dispatch/replica_report_exchange.cc
+++ b/src/dispatch/replica_report_exchange.cc
@@ -6,13 +6,15 @@
 namespace spurrack::serving {
 namespace {
 
-/// Nodes of the region that one message goes to, drawn at random where there are more. In a region
-/// of 100 nodes a report of two nodes reaches about half of the others at once.
+/// Maximum number of nodes of the region that receive one message, drawn at random if the region
+/// has more. In a region of 100 nodes the reports of two nodes reach about half of the other nodes
+/// at once.
 constexpr std::size_t max_recipients = 32;
-/// Replicas in one message, about 300 bytes; those that only fail come last.
+/// Maximum number of replicas in one message of about 300 bytes. Replicas that only fail calls come
+/// last.
 constexpr std::size_t max_reports_per_message = 8;
-/// The first report is sent at once, the next after this time: 32 messages of 300 bytes a second
-/// are the most a node sends, and only while its calls fail.
+/// Minimum interval between two messages; the first report is sent at once. A node sends at most 32
+/// messages of 300 bytes per second, and only while its calls fail.
 constexpr base::duration message_interval = std::chrono::milliseconds(1000);
 
 wire::replica_sign to_wire(replica_sign sign) {
@@ -29,7 +31,7 @@
   return wire::SIGN_WELL;
 }
 
-/// Signs that only a newer version knows are taken for `well`.
+/// Maps values that only newer versions know to `well`.
 replica_sign from_wire(wire::replica_sign sign) {
   switch (sign) {
   case wire::SIGN_SILENT:
--- a/src/dispatch/replica_report_exchange.h
+++ b/src/dispatch/replica_report_exchange.h
@@ -1,5 +1,5 @@
-/// Reports to other nodes what this node's calls have shown of replicas, on change only, and takes
-/// in their reports. No I/O.
+/// Sends health reports on replicas to other nodes when the results of this node's calls change
+/// them, and records the reports of other nodes. No I/O.
 #pragma once
 
 #include "base/ids.h"
@@ -18,32 +18,37 @@
 
 namespace spurrack::serving {
 
-/// Messages sent and reports received, for metrics.
+/// Numbers of messages sent and reports received, for metrics.
 struct replica_report_counts {
   std::uint64_t messages = 0;
   std::uint64_t applied = 0;
-  /// Reports on another life of a replica than the one this node knows, which were passed over.
+  /// Reports that were ignored because they refer to another incarnation of a replica than the one
+  /// that this node knows.
   std::uint64_t of_other_incarnations = 0;
 };
 
-/// Not thread-safe. Messages gather until they are taken.
+/// Exchanges health reports on replicas with other nodes. Messages are collected until
+/// `take_messages` is called. Not thread-safe.
 ///
-/// Nodes of a region use the same replicas, so reports stay within it. What a node sends does not
-/// grow with the fleet: one message of bounded size to a bounded number of nodes in a second.
+/// Nodes of a region use the same replicas, so reports stay within the region. The traffic of a
+/// node does not grow with the fleet: it sends one message of bounded size to a bounded number of
+/// nodes per second.
 class replica_report_exchange {
  public:
-  /// @param replicas source of own reports, takes in those of others; must outlive this object, as
-  /// must `random`.
+  /// @param replicas source of this node's reports; records the reports of other nodes. Must
+  /// outlive
+  ///        this object, as must `random`.
   replica_report_exchange(replica_table& replicas, base::zone_id own_zone,
                           const model::zone_regions& regions, base::random_source& random);
 
-  /// Nodes that may be sent reports.
+  /// Replaces the nodes that can be sent reports; only nodes of the own region are used.
   void set_peers(const std::vector<fleet_peer>& alive);
-  /// Reports what has changed, where the last message is long enough ago.
+  /// Sends the changed reports if the last message is at least one message interval old.
   void advance(base::time_point now);
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
 
-  /// @return replicas of the message that are now found lost.
+  /// Records the reports of another node.
+  /// @return replicas of the message that are now declared down.
   std::vector<base::replica_id> handle(const base::node_id& sender,
                                        const wire::replica_news& message, base::time_point now);
 
@@ -59,7 +64,7 @@
   model::zone_regions regions_;
   base::random_source* random_;
   std::vector<base::network_address> region_peers_;
-  /// Replicas that did not fit into the last message.
+  /// Replicas whose reports did not fit into the last message.
   std::set<base::replica_id> pending_;
   base::time_point next_message_at_;
   wire::outbox messages_;
--- a/src/dispatch/retry_after.cc
+++ b/src/dispatch/retry_after.cc
@@ -5,7 +5,7 @@
 namespace spurrack::serving {
 namespace {
 
-/// Those who are refused together come back over this part of the wait.
+/// Maximum jitter as a fraction of the wait.
 constexpr double jitter_fraction = 0.5;
 
 } // namespace
--- a/src/dispatch/retry_after.h
+++ b/src/dispatch/retry_after.h
@@ -1,4 +1,4 @@
-/// When a client that was refused is told to come back.
+/// Retry-After times of refused requests.
 #pragma once
 
 #include "base/random.h"
@@ -6,15 +6,16 @@
 
 namespace spurrack::serving {
 
-/// Clients stay away for a third of the time they have left at the most.
+/// Fraction of the client's remaining time that a Retry-After time may take: less than a third.
 inline constexpr double max_retry_after_fraction = 0.3;
 
-/// Spreads those who are refused at one moment over the time after it, so that they do not find the
-/// same places taken by one another.
-/// @param wait when the first of them may find a place.
-/// @param time_left of the client; nothing to come back for where there is none.
-/// @return what the client is told: between `wait` and half of it more, and never more than
-///         `max_retry_after_fraction` of the time left; zero where it has none left.
+/// Adds jitter to a Retry-After time, so that clients that were refused at the same moment do not
+/// come back together and compete for the same slots.
+/// @param wait time after which a slot may be free.
+/// @param time_left remaining time of the client.
+/// @return time between `wait` and one and a half times `wait`, limited to
+/// `max_retry_after_fraction` of
+///         `time_left`; zero if the client has no time left.
 [[nodiscard]] base::duration jittered_retry_after(base::duration wait, base::duration time_left,
                                                   base::random_source& random);
 
--- a/src/dispatch/retry_budget.cc
+++ b/src/dispatch/retry_budget.cc
@@ -5,9 +5,10 @@
 namespace spurrack::serving {
 namespace {
 
-/// Part of the bound that is used; the rest covers windows that are cut differently.
+/// Fraction of the fleet-wide budget that the nodes use. The remainder covers windows
+/// that are aligned differently on different nodes.
 constexpr double usable_fraction = 0.8;
-/// What is left is divided by this for a loan.
+/// A transfer is at most the remaining budget divided by this.
 constexpr milli_retries transfer_divisor = 2;
 
 } // namespace
--- a/src/dispatch/retry_budget.h
+++ b/src/dispatch/retry_budget.h
@@ -1,5 +1,6 @@
-/// This node's share of the fleet's bound on repeats. Shares of all nodes add up to the bound, so
-/// no messages are needed to keep it; what a node lends of its share is spent for itself.
+/// This node's part of the fleet-wide retry budget. The parts of all nodes add up to the fleet-wide
+/// budget, so keeping it needs no messages. An amount that a node transfers to another node counts
+/// as spent at the donor.
 #pragma once
 
 #include "base/time.h"
@@ -13,45 +14,50 @@
 
 namespace spurrack::serving {
 
-/// An amount of repeats, in thousandths of one: shares of large fleets are less than a whole.
+/// Number of retries in thousandths: in a large fleet the budget of one node is less than one
+/// retry.
 using milli_retries = std::int64_t;
 
-/// One repeat.
+/// One retry.
 inline constexpr milli_retries one_retry = 1000;
 
-/// How long after it was asked for a loan may be spent: several ways between regions, and short
-/// beside the window, since the lender goes without it for the window and this time.
+/// Time after the query during which the recipient may spend a transfer. Covers several round trips
+/// between regions, and is short compared to the window because the donor cannot spend the amount
+/// for the window plus this time.
 inline constexpr base::duration transfer_lifetime = std::chrono::milliseconds(2000);
 
-/// Counts requests, repeats and loans of each service over a sliding window. Not thread-safe.
+/// Counts requests, retries and transfers of each service over a sliding window. Not thread-safe.
 ///
-/// Why loans keep the bound: a lender books a loan when it hands it out, for the window and the
-/// lifetime of the loan. The loan is spent between that moment and the end of its lifetime, so in
-/// every window in which it is spent the lender has it on its books, whatever messages are lost,
-/// late or doubled, and whoever is cut off from whom. A lost loan is only not spent.
+/// Transfers keep the fleet-wide budget for this reason: the donor counts a transfer from the
+/// moment at which it grants it, for the window plus `transfer_lifetime`. The recipient can spend
+/// the transfer only between that moment and the end of its lifetime. In every window in which the
+/// transfer is spent, the donor therefore counts it, even if messages are lost, late or duplicated
+/// and nodes are partitioned. A lost transfer is never spent.
 class retry_budget {
  public:
   explicit retry_budget(retry_limits limits) : limits_(limits) {}
 
-  /// @param nodes nodes of the fleet, dead ones included: those that cannot be seen may still be
-  ///        using their share.
+  /// @param nodes number of nodes of the fleet, including nodes that seem dead: an unreachable node
+  ///        may still be spending its part of the budget.
   void set_fleet_size(std::size_t nodes) { nodes_ = nodes; }
 
-  /// @return length of the window over which requests and repeats are counted.
+  /// @return length of the window over which requests and retries are counted.
   [[nodiscard]] base::duration window() const { return limits_.window; }
   void count_request(const std::string& service, base::time_point now);
-  /// @return whether a repeat is within the share and what was borrowed; counts it if so. What was
-  ///         borrowed is spent first, since it soon expires.
+  /// Takes one retry from the budget if it is available. Received transfers are spent first because
+  /// they expire soon.
+  /// @return whether the retry was granted.
   bool try_take(const std::string& service, base::time_point now);
-  /// @return what is missing for one repeat; 0 where one would be granted.
+  /// @return amount that the budget lacks for one retry; 0 if `try_take` would grant one.
   [[nodiscard]] milli_retries shortfall(const std::string& service, base::time_point now);
-  /// Hands out part of what is left for another node: half, so that a node of its own troubles
-  /// keeps some, and never what its requests have earned, which go with their window.
-  /// @return how much of `wanted` is lent; it is spent for this node.
+  /// Grants another node at most half of the remaining budget, so that this node keeps some for its
+  /// own retries. Budget earned by this node's requests is not granted because it expires with
+  /// their window.
+  /// @return granted part of `requested`; it counts as spent at this node.
   [[nodiscard]] milli_retries donate(const std::string& service, milli_retries requested,
                                      base::time_point now);
-  /// Takes in what another node lent.
-  /// @param expires_at end of its lifetime, counted from when it was asked for.
+  /// Adds an amount that another node granted.
+  /// @param expires_at time at which its lifetime ends; the lifetime starts with the query.
   void add_transfer(const std::string& service, milli_retries amount, base::time_point expires_at);
 
  private:
@@ -59,7 +65,7 @@
     base::time_point time;
     milli_retries amount = 0;
   };
-  /// Amounts in the order of their times, and their sum.
+  /// Amounts ordered by time, and their sum.
   struct timed_amounts {
     std::deque<timed_amount> entries;
     milli_retries sum = 0;
@@ -70,13 +76,15 @@
     std::deque<base::time_point> requests;
     timed_amounts retries;
     timed_amounts sent_transfers;
-    /// By the end of their lifetimes.
+    /// Ordered by expiry.
     timed_amounts received_transfers;
   };
   service_usage& current_usage(const std::string& service, base::time_point now);
-  /// @return what this node may spend or lend in a window beside what its requests earn.
+  /// @return amount that this node may spend or transfer in a window in addition to the amount that
+  ///         its requests earn.
   [[nodiscard]] milli_retries own_allowance() const;
-  /// @return what is left of the own share; negative where the share has shrunk.
+  /// @return unspent part of this node's budget, without received transfers; negative if the budget
+  ///         has shrunk.
   [[nodiscard]] milli_retries remaining_of(const service_usage& usage) const;
   [[nodiscard]] milli_retries shortfall_of(const service_usage& usage) const;
 
--- a/src/dispatch/retry_budget_exchange.cc
+++ b/src/dispatch/retry_budget_exchange.cc
@@ -5,19 +5,21 @@
 namespace spurrack::serving {
 namespace {
 
-/// Peers asked at once in the own zone and elsewhere. Each lends half of what it has left at most,
-/// so two that have spent nothing bring a whole repeat even where a share is little more than one.
+/// Numbers of peers that one query goes to in the own zone and in other zones. Each peer transfers
+/// at most half of its remaining budget, so two peers with unspent budgets suffice for a whole
+/// retry even if the budget of a node is little more than one retry.
 constexpr std::size_t nearby_donors = 2;
 constexpr std::size_t remote_donors = 1;
-/// Answers later than this are not waited for: three round trips between regions. A loan that comes
-/// later serves the next request, unless the service was asked about anew since.
+/// Time for which answers are awaited: three round trips between regions. A transfer that arrives
+/// later serves the next request, unless a newer query about the service was sent in the meantime.
 constexpr base::duration answer_timeout = std::chrono::milliseconds(150);
-/// Pause between two questions about a service. With three peers asked, a node that has spent its
-/// share sends less than 2 kB a second, and a tenth of it where nobody has anything left.
+/// Bounds of the interval between two queries about a service. With three peers per query, a node
+/// that has spent its budget sends less than 2 kB a second, and a tenth of that if no peer has
+/// budget left.
 constexpr base::duration shortest_query_interval = std::chrono::milliseconds(200);
 constexpr base::duration longest_query_interval = std::chrono::milliseconds(3200);
 
-/// Takes `count` of the peers by chance.
+/// Appends up to `count` randomly drawn peers to `chosen`.
 void choose_random_peers(const std::vector<fleet_peer>& from, std::size_t count,
                          base::random_source& random, std::vector<const fleet_peer*>& chosen) {
   std::vector<std::size_t> indexes(from.size());
@@ -144,7 +146,7 @@
     return;
   }
   latest.awaited_donors.erase(answered_donor);
-  // The lender counts from when it heard the question, which was later than this.
+  // The donor counts the transfer from the arrival of the query, which is later than `sent_at`.
   const base::time_point expires_at = latest.sent_at + transfer_lifetime;
   const auto amount = static_cast<milli_retries>(answer.lent().thousandths());
   if (amount == 0 || expires_at < now) {
--- a/src/dispatch/retry_budget_exchange.h
+++ b/src/dispatch/retry_budget_exchange.h
@@ -1,5 +1,5 @@
-/// Asks other nodes for part of their share of repeats when this node's is spent, and lends of its
-/// own. No I/O.
+/// Queries other nodes for a transfer of retry budget when this node's budget is spent, and answers
+/// such queries. No I/O.
 #pragma once
 
 #include "base/ids.h"
@@ -19,33 +19,36 @@
 
 namespace spurrack::serving {
 
-/// What lending did, for metrics.
+/// Numbers of queries and of transferred retries, for metrics.
 struct budget_exchange_counts {
   std::uint64_t queries = 0;
   std::uint64_t sent_milli_retries = 0;
   std::uint64_t received_milli_retries = 0;
 };
 
-/// Not thread-safe. Messages gather until they are taken.
+/// Exchanges retry budget with other nodes. Messages are collected until `take_messages` is called.
+/// Not thread-safe.
 class retry_budget_exchange {
  public:
-  /// @param share what is lent and borrowed; must outlive this object, as must `random`.
-  /// @param life of this process: an answer to an earlier one is none.
+  /// @param budget source and target of transfers; must outlive this object, as must `random`.
+  /// @param incarnation incarnation of this process; answers to an earlier incarnation are ignored.
   retry_budget_exchange(retry_budget& budget, base::zone_id own_zone, base::random_source& random,
                         base::incarnation incarnation);
 
-  /// This node works since `now`; later calls change nothing. It lends nothing in its first window:
-  /// it may not know yet how many nodes share the bound, nor what its last life has lent.
+  /// Records that this node serves requests from `now` on; later calls have no effect. The node
+  /// transfers no budget until one window and one transfer lifetime have passed: it may not know
+  /// yet how many nodes share the fleet-wide budget, nor which amounts its earlier incarnation
+  /// transferred.
   void start(base::time_point now);
-  /// Nodes that may be asked.
+  /// Replaces the nodes that can be queried.
   void set_peers(const std::vector<fleet_peer>& alive);
 
-  /// Repeats are wanted and the share is spent: asks others for what is missing, where that was not
-  /// just done.
-  /// @param repeats wanted in all, at least 1.
+  /// Queries other nodes for the shortfall of the budget, unless an earlier query about the service
+  /// is pending or too recent.
+  /// @param retries number of retries needed in all, at least 1.
   /// @return whether answers are awaited.
   bool query_peers(const std::string& service, std::size_t retries, base::time_point now);
-  /// @return whether answers are awaited that may still let a repeat be granted.
+  /// @return whether answers are awaited that may still allow a retry.
   [[nodiscard]] bool is_awaiting_answers(const std::string& service, base::time_point now) const;
 
   void handle(const base::node_id& sender, const base::network_address& address,
@@ -55,23 +58,24 @@
   [[nodiscard]] const budget_exchange_counts& counts() const { return counts_; }
 
  private:
-  /// The latest question about one service.
+  /// The latest query about one service.
   struct query {
     std::uint64_t number = 0;
     base::time_point sent_at;
-    /// Those that did not answer yet. Each answers once: a message may come twice.
+    /// Donors that have not answered yet. One answer of each donor counts because a message may
+    /// arrive twice.
     std::vector<base::node_id> awaited_donors;
-    /// What was lent made up a repeat.
+    /// The transfers sufficed for one retry.
     bool is_sufficient = false;
-    /// Time to the next question; longer after each that did not suffice.
+    /// Minimum time between this query and the next; doubles after each insufficient query.
     base::duration interval{};
   };
   void answer_query(const base::network_address& recipient, const wire::retry_lending& query,
                     base::time_point now);
   void receive_transfer(const base::node_id& donor, const wire::retry_lending& answer,
                         base::time_point now);
-  /// @return peers that are asked now: mostly near ones, which answer soon, and a far one, since
-  ///         those near may share the trouble.
+  /// @return peers to query: mostly peers of the own zone, which answer soon, and one of another
+  ///         zone because nearby peers may need their budgets for the same failure.
   std::vector<const fleet_peer*> choose_donors();
 
   retry_budget* budget_;
--- a/src/dispatch/run_times.cc
+++ b/src/dispatch/run_times.cc
@@ -7,18 +7,18 @@
 namespace spurrack::serving {
 namespace {
 
-/// Assumed while no runs are known: what a busy engine needs to the first event and for each token,
-/// and a long answer where the client did not say how many it wants, since one that lasts longer
-/// than expected is cut.
+/// Defaults while too few runs are known: the times that a busy engine needs to the first event and
+/// for each token, and the length of a long answer for requests that name no number of tokens. The
+/// length is generous because a stream that lasts longer than expected is broken off at a stop.
 constexpr base::duration default_time_to_first_event = std::chrono::milliseconds(500);
 constexpr base::duration default_time_per_token = std::chrono::milliseconds(10);
 constexpr std::uint32_t default_output_tokens = 600;
-/// Fewer runs say too little of how long the longest last.
+/// Number of runs below which the longest run is no reliable estimate.
 constexpr std::size_t min_runs = 4;
-/// One in so many runs may be longer than what is expected of the next.
+/// One of this number of runs may be longer than the estimate.
 constexpr std::size_t runs_per_outlier = 16;
-/// The next run may be longer than all that were seen: of few the longest is often beaten by some
-/// hundredths.
+/// The estimate is multiplied by this because the next run may be longer than all recorded runs:
+/// the longest of a few runs is often exceeded by some hundredths.
 constexpr double headroom_factor = 1.1;
 
 run_time default_run(std::uint32_t output_tokens) {
@@ -26,8 +26,9 @@
   return {default_time_to_first_event, default_time_per_token * tokens};
 }
 
-/// @return the longest but for the exceptions, and more where they differ and few are known: of
-///         streams of three to six seconds the longest of four was beaten by a second.
+/// @return longest value without the outliers, plus an allowance that grows with the spread of the
+///         values and shrinks with their number: for streams of three to six seconds, the longest
+///         of four was exceeded by a second.
 double upper_estimate_of(std::vector<double> seconds) {
   std::sort(seconds.begin(), seconds.end());
   const double longest = seconds[seconds.size() - 1 - seconds.size() / runs_per_outlier];
@@ -87,7 +88,7 @@
   if (runs == nullptr) {
     return default_run(output_tokens);
   }
-  // By the token, routes of a service are alike; how long their answers are differs too much.
+  // Routes of one service have similar times per token, but the lengths of their answers differ.
   if (route_runs == nullptr && !can_scale_by_tokens(*runs, output_tokens)) {
     return default_run(output_tokens);
   }
--- a/src/dispatch/run_times.h
+++ b/src/dispatch/run_times.h
@@ -1,4 +1,4 @@
-/// How long the runs of a route last at replicas, from what recent ones have shown.
+/// Estimates how long runs of a route last at replicas from the times of recent runs.
 #pragma once
 
 #include "base/time.h"
@@ -11,36 +11,37 @@
 
 namespace spurrack::serving {
 
-/// Time of one run that came to its end.
+/// Times of one completed run.
 struct run_time {
-  /// From the call to the first event; of a whole answer, to the answer.
+  /// Time from the call to the first event, or to the answer if it is not a stream.
   base::duration time_to_first_event{};
-  /// From the first event to the end; zero for whole answers.
+  /// Time from the first event to the end; zero if the answer is not a stream.
   base::duration streaming_time{};
 };
 
-/// Keeps the latest runs of each route. Not thread-safe.
+/// Keeps the times of the latest runs of each route and service. Not thread-safe.
 class run_times {
  public:
-  /// A run was served whole.
-  /// @param output_tokens that the client asked for; 0 where it did not say.
+  /// Records a run that was served completely.
+  /// @param output_tokens number of tokens that the client asked for; 0 if the request names none.
   void note_run(const std::string& route, const std::string& service, std::uint32_t output_tokens,
                 const run_time& observed);
 
-  /// @return a time that few of the recent runs of the route took longer than, for as many tokens;
-  ///         that of all runs at the service by the token while too few of the route were seen, and
-  ///         a usual time where that is not known either.
+  /// @return times that few of the recent runs of the route exceeded, scaled to `output_tokens` if
+  ///         enough of these runs have a known number of tokens. If too few runs of the route are
+  ///         known, the estimate is scaled from the times per token of all runs of the service; if
+  ///         these are not known either, it is a default.
   [[nodiscard]] run_time upper_estimate(const std::string& route, const std::string& service,
                                         std::uint32_t output_tokens) const;
 
  private:
-  /// Runs that are remembered: at one or two a second for a route and node, what load did to them
-  /// in the last half minute.
+  /// Number of runs that are kept. At one or two runs per second for a route on one node, they
+  /// cover the load of the last half minute.
   static constexpr std::size_t max_runs = 32;
   struct sample {
     double seconds_to_first_event = 0;
     double streaming_seconds = 0;
-    /// 0 where the client did not say.
+    /// 0 if the request names no number.
     std::uint32_t output_tokens = 0;
   };
   struct history {
@@ -51,12 +52,13 @@
   using histories = std::unordered_map<std::string, history>;
 
   static void add_sample(history& runs, const sample& run);
-  /// @return whether the tokens of a run and of enough of those seen are known.
+  /// @return whether the number of tokens is known for the coming run and for at least `min_runs`
+  ///         recorded runs.
   static bool can_scale_by_tokens(const history& runs, std::uint32_t output_tokens);
-  /// @return seconds from the first event to the end that few of the runs took longer than; by the
-  ///         token where the tokens of this one and of enough of them are known.
+  /// @return seconds from the first event to the end that few of the runs exceeded, scaled by the
+  ///         number of tokens if `can_scale_by_tokens`.
   static double upper_streaming_seconds(const history& runs, std::uint32_t output_tokens);
-  /// @return null while too few runs are known.
+  /// @return null if fewer than `min_runs` runs are known.
   static const history* find(const histories& known, const std::string& name);
 
   histories runs_by_route_;
--- a/src/dispatch/stop_plan.cc
+++ b/src/dispatch/stop_plan.cc
@@ -3,8 +3,8 @@
 namespace spurrack::serving {
 namespace {
 
-/// What is expected to end has ended this long before the process must: the last bytes are written,
-/// and a node short of processor time is late with everything.
+/// Time between the expected end of a request and the end of the process. It covers writing the
+/// last bytes, and the delays of a node that is short of processor time.
 constexpr base::duration end_margin = std::chrono::milliseconds(150);
 
 } // namespace
--- a/src/dispatch/stop_plan.h
+++ b/src/dispatch/stop_plan.h
@@ -1,10 +1,11 @@
-/// What a stopping node still takes on: only what it can end before the process must.
+/// Decides which requests a stopping node still accepts and sends: only those that it expects to
+/// end before the process must.
 ///
-/// A node that is asked to stop has a fixed time left. A stream that is under way when the time is
-/// over is cut in the middle of an answer that promised success, and nothing can be said to its
-/// client any more; a request that is not taken costs its client one more connection. So each
-/// request is weighed by itself, by the time it is expected to need, when it arrives and again
-/// before it is sent to a replica. No I/O.
+/// A node that is asked to stop has a fixed time left. A stream that is under way at the end of
+/// that time is broken off after its status promised success, and its client can no longer be sent
+/// an error; a request that is refused costs its client one more connection. Each request is
+/// therefore evaluated by the time it is expected to need, on arrival and again before it is sent
+/// to a replica. No I/O.
 #pragma once
 
 #include "base/time.h"
@@ -14,28 +15,28 @@
 
 namespace spurrack::serving {
 
-/// A request as far as a stop is concerned.
+/// Work that a request still needs, as an input of the decisions during a stop.
 struct remaining_work {
-  /// Its answer is a stream: once begun, it can only be ended whole or cut.
+  /// Whether the answer is a stream. A stream that has begun can only be completed or broken off.
   bool is_stream = false;
-  /// It gets its final answer by then, whatever happens.
+  /// Time by which the request gets its final answer in any case.
   base::time_point answer_deadline;
-  /// Time until it is expected to have ended; nothing where it cannot be served at all now.
+  /// Expected time until the end of the request; std::nullopt if it cannot be served now.
   std::optional<base::duration> expected_duration;
 };
 
-/// Not thread-safe.
+/// Evaluates requests against the end of a graceful stop. Not thread-safe.
 class stop_plan {
  public:
   explicit stop_plan(const stop_windows& windows = {}) : windows_(windows) {}
 
-  /// @param must_end_at what has not ended by then is given up.
+  /// @param must_end_at time at which requests that have not ended are aborted.
   void begin(base::time_point now, base::time_point must_end_at);
   [[nodiscard]] bool has_begun() const { return times_.has_value(); }
 
-  /// @return whether a request that has just arrived is taken.
+  /// @return whether a request that has just arrived is accepted; true if no stop has begun.
   [[nodiscard]] bool accepts(const remaining_work& work, base::time_point now) const;
-  /// @return whether a request that was taken may still be sent to a replica.
+  /// @return whether an accepted request may still be sent to a replica; true if no stop has begun.
   [[nodiscard]] bool may_send(const remaining_work& work, base::time_point now) const;
 
  private:
