--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -19,8 +19,8 @@
 /// Fraction of the time allowed by the client after which a request with unfinished stages is
 /// checked for feasibility, and the fraction between two such checks after that. The expected time
 /// changes with every replica that goes down. A request is aborted only if two consecutive checks
-/// agree, or by its first check: with seven checks of an inexact estimate, a single wrong one
-/// would abort a request that can still be served.
+/// agree, or by its first check: with seven checks of an inexact estimate, a single wrong one would
+/// abort a request that can still be served.
 constexpr double first_check_fraction = 0.42;
 constexpr double check_interval_fraction = 0.08;
 
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -258,8 +258,7 @@
   /// @return whether the request was refused.
   bool refuse_by_residency(active_request& request);
   /// @return reason for which a request cannot be served in its permitted regions; std::nullopt if
-  /// it
-  ///         can be served.
+  ///         it can be served.
   [[nodiscard]] std::optional<residency_refusal>
   residency_refusal_of(const active_request& request) const;
   /// Counts a call by the locality of its replica, and requests that residency keeps from a nearer
@@ -290,9 +289,8 @@
   [[nodiscard]] remaining_work remaining_work_of(const active_request& request,
                                                  base::time_point now) const;
   /// @return part of the expected time of the events that a stream has already used, if it is
-  /// resumed
-  ///         after its last event. Zero if the stream has already lasted longer than expected,
-  ///         because the remaining time is unknown then.
+  ///         resumed after its last event. Zero if the stream has already lasted longer than
+  ///         expected, because the remaining time is unknown then.
   [[nodiscard]] static base::duration streamed_time_of(const active_request& request,
                                                        base::duration expected_events);
   /// Records the times of a completed run, if one replica ran the request without interruptions.
@@ -332,8 +330,7 @@
   void send_to_replica(active_request& request, base::time_point now);
   [[nodiscard]] bool is_engine(const std::string& service) const;
   /// @return time within which a healthy replica shows progress with a new call; 0 if progress is
-  /// not
-  ///         watched.
+  ///         not watched.
   [[nodiscard]] base::duration progress_timeout(const active_request& request,
                                                 const replica_state& replica,
                                                 base::time_point now) const;
@@ -361,13 +358,12 @@
   void request_permit(const active_request& request, base::time_point now);
   [[nodiscard]] static waiting_request queue_entry_of(const active_request& request);
   /// @return whether a request with a higher rank waits in the admission queue and could be sent
-  /// now.
+  ///         now.
   [[nodiscard]] bool is_behind_waiting_requests(const active_request& request,
                                                 base::time_point now);
   /// Chooses a replica, or queues or refuses the request.
   /// @return replica for the request; null if the request waits in the admission queue, or was
-  /// refused
-  ///         because no replica accepts it in time.
+  ///         refused because no replica accepts it in time.
   const replica_state* choose_in_turn(active_request& request, base::time_point now);
   /// @return time after which a refused client may find a replica.
   [[nodiscard]] base::duration shortest_retry_after(const active_request& request,
@@ -375,8 +371,7 @@
   /// Queues a request that cannot be sent to any replica now, or refuses it if no slot is expected
   /// in time.
   /// @return whether the request was queued or refused; false if no replica that has slots later
-  /// could
-  ///         serve it.
+  ///         could serve it.
   bool queue_or_refuse(active_request& request, base::time_point now);
   void enqueue(active_request& request);
   /// @param requests_ahead number of queued requests before this request.
@@ -391,8 +386,7 @@
   expected_permit_wait(const std::string& service, const std::vector<const replica_state*>& limited,
                        std::size_t ahead, base::time_point now) const;
   /// @return rate per second at which queued requests of a service recently got slots; std::nullopt
-  /// if
-  ///         none waited recently.
+  ///         if none waited recently.
   [[nodiscard]] std::optional<double> drain_rate_of(const std::string& service,
                                                     base::time_point now) const;
   /// @param backoff_wait time until the first backoff of a replica ends.
@@ -452,8 +446,7 @@
   void quarantine_request(const quarantine::request_digest& digest, base::time_point now);
   [[nodiscard]] static bool has_attempt_left(const active_request& request, base::time_point now);
   /// @return whether another attempt is allowed and would end before the end of a graceful stop;
-  /// the
-  ///         retry budget is not checked.
+  ///         the retry budget is not checked.
   [[nodiscard]] bool can_retry(const active_request& request, base::time_point now) const;
   /// Retries or ends the requests that waited for a budget transfer.
   void process_awaiting_budget(base::time_point now);
@@ -482,8 +475,7 @@
   bool reserve_partial_event(active_request& request);
   void abort_request(active_request& request, const std::string& reason, base::time_point now);
   /// @return time of the earliest due check of a request: feasibility, fetched inputs, a stalled
-  /// call
-  ///         or a slow client.
+  ///         call or a slow client.
   [[nodiscard]] static std::optional<base::time_point>
   next_due_check(const active_request& request);
   /// Schedules the next due check of a request. If an earlier check is already scheduled, that
@@ -498,7 +490,7 @@
   /// it is not and the replica is down, and otherwise schedules another check.
   void on_stalled(active_request& request, base::time_point now);
   /// @return whether the replica of a call has shown no activity since the last progress of the
-  /// call.
+  ///         call.
   [[nodiscard]] bool is_replica_unresponsive(const active_request& request) const;
   /// Retries a stalled call at another replica if that is allowed and a replica is available;
   /// otherwise schedules another check because both may change.
--- a/src/dispatch/event_stream.h
+++ b/src/dispatch/event_stream.h
@@ -12,8 +12,7 @@
 class event_stream {
  public:
   /// @param after identifier of the last event that was already forwarded; events up to and
-  /// including
-  ///        this identifier are dropped.
+  ///        including this identifier are dropped.
   explicit event_stream(std::optional<std::uint64_t> after = std::nullopt) : last_id_(after) {}
 
   /// Appends bytes to the stream.
--- a/src/dispatch/replica_report_exchange.h
+++ b/src/dispatch/replica_report_exchange.h
@@ -36,8 +36,7 @@
 class replica_report_exchange {
  public:
   /// @param replicas source of this node's reports; records the reports of other nodes. Must
-  /// outlive
-  ///        this object, as must `random`.
+  ///        outlive this object, as must `random`.
   replica_report_exchange(replica_table& replicas, base::zone_id own_zone,
                           const model::zone_regions& regions, base::random_source& random);
 
--- a/src/dispatch/retry_after.h
+++ b/src/dispatch/retry_after.h
@@ -14,8 +14,7 @@
 /// @param wait time after which a slot may be free.
 /// @param time_left remaining time of the client.
 /// @return time between `wait` and one and a half times `wait`, limited to
-/// `max_retry_after_fraction` of
-///         `time_left`; zero if the client has no time left.
+///         `max_retry_after_fraction` of `time_left`; zero if the client has no time left.
 [[nodiscard]] base::duration jittered_retry_after(base::duration wait, base::duration time_left,
                                                   base::random_source& random);
 
--- a/src/dispatch/retry_budget.cc
+++ b/src/dispatch/retry_budget.cc
@@ -5,8 +5,8 @@
 namespace spurrack::serving {
 namespace {
 
-/// Fraction of the fleet-wide budget that the nodes use. The remainder covers windows
-/// that are aligned differently on different nodes.
+/// Fraction of the fleet-wide budget that the nodes use. The remainder covers windows that are
+/// aligned differently on different nodes.
 constexpr double usable_fraction = 0.8;
 /// A transfer is at most the remaining budget divided by this.
 constexpr milli_retries transfer_divisor = 2;
