--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -378,13 +378,14 @@
   /// @return time until the request is expected to get a slot; std::nullopt if no replica that has
   ///         slots later could serve it, and one hour if the limits of the replicas that could
   ///         serve it allow no requests.
-  [[nodiscard]] std::optional<base::duration>
-  expected_queue_wait(const active_request& request, std::size_t ahead, base::time_point now) const;
+  [[nodiscard]] std::optional<base::duration> expected_queue_wait(const active_request& request,
+                                                                  std::size_t requests_ahead,
+                                                                  base::time_point now) const;
   /// @param requests_ahead number of queued requests before the request.
   /// @return time until a permit for one of these replicas is expected.
   [[nodiscard]] base::duration
   expected_permit_wait(const std::string& service, const std::vector<const replica_state*>& limited,
-                       std::size_t ahead, base::time_point now) const;
+                       std::size_t requests_ahead, base::time_point now) const;
   /// @return rate per second at which queued requests of a service recently got slots; std::nullopt
   ///         if none waited recently.
   [[nodiscard]] std::optional<double> drain_rate_of(const std::string& service,
@@ -393,7 +394,8 @@
   /// @param requests_ahead number of queued requests before the request.
   /// @return time until the request is expected to be sent.
   [[nodiscard]] base::duration expected_backoff_wait(const std::string& service,
-                                                     base::duration backoff_wait, std::size_t ahead,
+                                                     base::duration backoff_wait,
+                                                     std::size_t requests_ahead,
                                                      base::time_point now) const;
   /// Refuses a request with stages if no replica is expected to accept it in time, so that its
   /// stages are not computed for nothing.
@@ -458,7 +460,7 @@
   /// Records the arrival of events; the times are logged at the end of the stream.
   static void note_event(active_request& request, base::time_point now);
   /// Schedules the time at which the call counts as stalled; a timeout of 0 disables it.
-  void watch_progress(active_request& request, base::duration allowed, base::time_point now);
+  void watch_progress(active_request& request, base::duration timeout, base::time_point now);
   /// Records contact with the replica in the replica table, at most once per interval.
   void note_heard(open_call& call, base::time_point now);
   /// Pauses reading from the replica until the client reads on.
--- a/tests/dispatch/client_leaves_test.cc
+++ b/tests/dispatch/client_leaves_test.cc
@@ -10,17 +10,17 @@
 
 namespace {
 
-struct leaving_client : dispatcher_driver {
-  leaving_client() { time_allowed = seconds(20); }
+struct disconnect_driver : dispatcher_driver {
+  disconnect_driver() { time_allowed = seconds(20); }
 
   void answer_pieces(const start_stage_call& call) {
-    stage_call_ended ended{call.call, stage_call_ended::result::answered, {}};
+    stage_call_ended call_ended{call.call, stage_call_ended::result::answered, {}};
     for (std::size_t index = 0; index < call.items.size(); ++index) {
-      ended.pieces.push_back({piece_fault::none, call.target.address.text() + "/h" +
-                                                     std::to_string(call.call) + "-" +
-                                                     std::to_string(index)});
+      call_ended.pieces.push_back({piece_fault::none, call.target.address.text() + "/h" +
+                                                          std::to_string(call.call) + "-" +
+                                                          std::to_string(index)});
     }
-    happen(ended);
+    happen(call_ended);
   }
 
   /// Takes a staged request with one piece a stage through its first `stages` stages.
@@ -34,13 +34,13 @@
   }
 
   /// The client leaves; whatever is sent later would be for nobody.
-  void leave() {
+  void disconnect() {
     happen(client_left{1});
     calls_before_ = all<start_call>().size();
     stage_calls_before_ = all<start_stage_call>().size();
   }
 
-  void check_nothing_was_sent_after() {
+  void check_nothing_sent_since_disconnect() {
     pass(seconds(3));
     BOOST_TEST(all<start_call>().size() == calls_before_);
     BOOST_TEST(all<start_stage_call>().size() == stage_calls_before_);
@@ -48,10 +48,10 @@
     BOOST_TEST(subject.active() == 0U);
   }
 
-  std::size_t freed() const {
+  std::size_t freed_results() const {
     std::size_t handles = 0;
-    for (const auto& wanted : all<free_results>()) {
-      handles += wanted.handles.size();
+    for (const auto& command : all<free_results>()) {
+      handles += command.handles.size();
     }
     return handles;
   }
@@ -63,97 +63,97 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(client_leaves_test, leaving_client)
+BOOST_FIXTURE_TEST_SUITE(client_leaves_test, disconnect_driver)
 
-BOOST_AUTO_TEST_CASE(before_the_first_stage_call) {
+BOOST_AUTO_TEST_CASE(disconnect_before_first_stage_call_sends_nothing) {
   arrive(1, "/staged/x", {1, 1});
   BOOST_TEST(all<start_stage_call>().empty());
-  leave();
-  check_nothing_was_sent_after();
+  disconnect();
+  check_nothing_sent_since_disconnect();
 }
 
-BOOST_AUTO_TEST_CASE(during_a_stage_call_whose_result_is_freed_when_it_comes) {
+BOOST_AUTO_TEST_CASE(disconnect_during_stage_call_frees_result_on_arrival) {
   arrive_staged(0);
   const auto call = last<start_stage_call>();
-  leave();
+  disconnect();
   answer_pieces(call);
   pass(milliseconds(50));
-  check_nothing_was_sent_after();
-  BOOST_TEST(freed() == 1U);
+  check_nothing_sent_since_disconnect();
+  BOOST_TEST(freed_results() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(between_two_stages) {
+BOOST_AUTO_TEST_CASE(disconnect_between_stages_frees_results) {
   arrive_staged(1);
   const auto second = last<start_stage_call>();
-  leave();
+  disconnect();
   answer_pieces(second);
   pass(milliseconds(50));
-  check_nothing_was_sent_after();
-  BOOST_TEST(freed() == 2U);
+  check_nothing_sent_since_disconnect();
+  BOOST_TEST(freed_results() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(after_the_stages_while_the_engine_has_not_begun) {
+BOOST_AUTO_TEST_CASE(disconnect_before_first_event_cancels_call) {
   arrive_staged(2);
   BOOST_TEST(all<start_call>().size() == 1U);
-  leave();
+  disconnect();
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
-  check_nothing_was_sent_after();
+  check_nothing_sent_since_disconnect();
 }
 
-BOOST_AUTO_TEST_CASE(in_the_middle_of_its_stream) {
+BOOST_AUTO_TEST_CASE(disconnect_during_stream_cancels_call) {
   arrive_staged(2);
   const auto call = last<start_call>();
   happen(stream_opened{call.call, good_head()});
   happen(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
-  leave();
+  disconnect();
   BOOST_TEST(last<cancel_call>().call == call.call);
   // What still comes is dropped.
   happen(stream_bytes{call.call, "id: 2\ndata: x\n\n"});
   happen(stream_closed{call.call, false});
-  check_nothing_was_sent_after();
+  check_nothing_sent_since_disconnect();
   BOOST_TEST(all<stream_data>().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(while_its_stream_is_taken_up_at_another_replica) {
+BOOST_AUTO_TEST_CASE(disconnect_while_stream_resumes_cancels_new_call) {
   arrive(1, "/stream/x");
   const auto first = last<start_call>();
   happen(stream_opened{first.call, good_head()});
   happen(stream_bytes{first.call, "id: 1\ndata: x\n\n"});
   happen(stream_closed{first.call, false});
   BOOST_TEST(all<start_call>().size() == 2U);
-  leave();
+  disconnect();
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
-  check_nothing_was_sent_after();
+  check_nothing_sent_since_disconnect();
 }
 
-BOOST_AUTO_TEST_CASE(while_its_call_stalls_and_no_other_replica_is_left) {
+BOOST_AUTO_TEST_CASE(disconnect_during_stalled_call_sends_nothing) {
   world.add_replica("llm-b", "llm", "b", true);
   subject.update(world.content, now);
   arrive(1, "/stream/x");
   pass(milliseconds(1500));
-  leave();
+  disconnect();
   world.add_replica("llm-b", "llm", "b");
   subject.update(world.content, now);
   pass(seconds(1));
-  check_nothing_was_sent_after();
+  check_nothing_sent_since_disconnect();
 }
 
-BOOST_AUTO_TEST_CASE(pieces_that_wait_at_another_node_are_dropped_there) {
+BOOST_AUTO_TEST_CASE(waiting_pieces_at_another_node_are_cancelled) {
   exchange_fleet fleet(3);
   // One piece is under way at the zone's replica, and the next waits at the gatherer.
   fleet.submit(*fleet.nodes[0]);
   fleet.run(milliseconds(100));
-  auto* gatherer = fleet.caller();
-  BOOST_REQUIRE(gatherer != nullptr);
-  auto& origin = fleet.other_than(*gatherer);
-  const auto calls_of = [&] {
+  auto* batcher_node = fleet.caller();
+  BOOST_REQUIRE(batcher_node != nullptr);
+  auto& origin = fleet.other_than(*batcher_node);
+  const auto total_calls = [&] {
     std::size_t calls = 0;
     for (const auto& node : fleet.nodes) {
       calls += node->calls.size();
     }
     return calls;
   };
-  const auto before = calls_of();
+  const auto before = total_calls();
   BOOST_TEST(before == 1U);
   const auto ticket = fleet.submit(origin);
   fleet.run(milliseconds(100));
@@ -166,7 +166,7 @@
     }
   }
   fleet.run(seconds(3));
-  BOOST_TEST(calls_of() == 0U);
+  BOOST_TEST(total_calls() == 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -6,7 +6,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(dispatcher_test, dispatcher_driver)
 
-BOOST_AUTO_TEST_CASE(a_request_is_sent_to_a_replica_and_its_answer_passed_on) {
+BOOST_AUTO_TEST_CASE(request_is_sent_and_answer_forwarded) {
   arrive(1, "/safe/x");
   const auto call = last<start_call>();
   BOOST_TEST(call.tenant == "tenant");
@@ -55,7 +55,7 @@
   BOOST_TEST(last<respond>().status == 502);
 }
 
-BOOST_AUTO_TEST_CASE(an_unsafe_request_that_was_not_sent_goes_elsewhere) {
+BOOST_AUTO_TEST_CASE(unsent_unsafe_request_goes_to_another_replica) {
   arrive(1, "/unsafe/x");
   const auto first = last<start_call>();
   happen(call_failed{first.call, call_fate::not_sent});
@@ -65,7 +65,7 @@
   BOOST_TEST(second.runs_at_most_once);
 }
 
-BOOST_AUTO_TEST_CASE(refused_by_the_replica_an_unsafe_request_was_not_run) {
+BOOST_AUTO_TEST_CASE(unsafe_request_refused_by_replica_is_answered_as_not_run) {
   arrive(1, "/unsafe/x");
   happen(call_answered{last<start_call>().call, not_executed_head(), ""});
   const auto answer = last<respond>();
@@ -93,7 +93,7 @@
   BOOST_TEST(last<respond>().body == "second");
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_without_seal_or_with_an_encoding_is_no_answer) {
+BOOST_AUTO_TEST_CASE(unsealed_or_encoded_answer_is_invalid) {
   arrive(1, "/unsafe/x");
   auto unsealed = good_head();
   unsealed.sealed = false;
@@ -107,7 +107,7 @@
   BOOST_TEST(last<respond>().own_answer_to->text() == "r2");
 }
 
-BOOST_AUTO_TEST_CASE(the_deadline_ends_a_request_truly) {
+BOOST_AUTO_TEST_CASE(deadline_ends_request_and_cancels_call) {
   arrive(1, "/unsafe/x");
   pass(std::chrono::milliseconds(5001));
   BOOST_TEST(last<respond>().status == 504);
@@ -115,7 +115,7 @@
   BOOST_TEST(subject.active() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_client_that_leaves_ends_its_call_at_once) {
+BOOST_AUTO_TEST_CASE(disconnect_cancels_call) {
   arrive(1, "/stream/x");
   happen(client_left{1});
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
@@ -143,7 +143,7 @@
   BOOST_TEST(last<start_call>().target.replica != first.target.replica);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_is_passed_on_event_by_event) {
+BOOST_AUTO_TEST_CASE(stream_is_forwarded_event_by_event) {
   arrive(1, "/stream/x");
   const auto call = last<start_call>().call;
   happen(stream_opened{call, good_head()});
@@ -183,7 +183,7 @@
   BOOST_TEST(!last<end_stream>().complete);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_ends_inside_an_event_is_not_complete) {
+BOOST_AUTO_TEST_CASE(stream_that_ends_inside_an_event_is_incomplete) {
   arrive(1, "/fixed/x");
   const auto call = last<start_call>().call;
   happen(stream_opened{call, good_head()});
@@ -238,7 +238,7 @@
   BOOST_TEST(last<free_results>().handles.size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(results_that_were_freed_too_early_are_kept_longer_from_then_on) {
+BOOST_AUTO_TEST_CASE(missing_input_extends_retention_of_later_results) {
   const auto play = [&](base::caller_id client) {
     arrive(client, "/staged/x", {1, 1});
     pass(std::chrono::milliseconds(20));
@@ -259,7 +259,7 @@
   BOOST_TEST(all<free_results>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_result_has_the_stages_made_again) {
+BOOST_AUTO_TEST_CASE(lost_result_is_recomputed) {
   arrive(1, "/staged/x", {1, 1});
   pass(std::chrono::milliseconds(20));
   const auto first = last<start_stage_call>();
@@ -301,7 +301,7 @@
   BOOST_TEST(!last<end_stream>().complete);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_whose_stages_fail_was_not_run) {
+BOOST_AUTO_TEST_CASE(request_with_failed_stages_is_answered_as_not_run) {
   arrive(1, "/staged/x", {1, 1});
   pass(std::chrono::milliseconds(20));
   happen(stage_call_ended{last<start_stage_call>().call,
@@ -311,7 +311,7 @@
   BOOST_TEST(all<start_call>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_replica_is_left_for_another_where_that_is_allowed) {
+BOOST_AUTO_TEST_CASE(stalled_safe_call_is_retried_and_stalled_unsafe_call_is_not) {
   arrive(1, "/safe/x");
   const auto first = last<start_call>();
   pass(std::chrono::milliseconds(900));
@@ -324,14 +324,14 @@
   BOOST_TEST(all<start_call>().size() == calls);
 }
 
-BOOST_AUTO_TEST_CASE(a_stop_that_can_wait_no_longer_answers_everybody) {
+BOOST_AUTO_TEST_CASE(abort_all_requests_ends_every_request) {
   arrive(1, "/unsafe/x");
   arrive(2, "/staged/x", {1, 1});
   subject.abort_all_requests(now);
   BOOST_TEST(subject.active() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_stalled_call_is_looked_at_again_until_there_is_another_replica) {
+BOOST_AUTO_TEST_CASE(stalled_call_is_retried_when_another_replica_appears) {
   world.add_replica("llm-b", "llm", "b", true);
   subject.update(world.content, now);
   arrive(1, "/stream/x");
@@ -347,7 +347,7 @@
   BOOST_TEST(last<cancel_call>().call == all<start_call>().front().call);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_without_progress_rests) {
+BOOST_AUTO_TEST_CASE(replica_with_stalled_call_is_paused) {
   arrive(1, "/stream/x");
   const auto first = last<start_call>();
   pass(std::chrono::milliseconds(1100));
@@ -358,7 +358,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(events_of_a_stream_put_its_stall_off) {
+BOOST_AUTO_TEST_CASE(stream_events_postpone_stall_timeout) {
   time_allowed = std::chrono::seconds(20);
   arrive(1, "/stream/x");
   const auto call = last<start_call>();
@@ -374,7 +374,7 @@
   BOOST_TEST(*last<start_call>().resume_after == 20U);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_is_judged_again_whenever_its_stages_may_have_fallen_behind) {
+BOOST_AUTO_TEST_CASE(request_is_aborted_when_its_stage_loses_the_last_replica) {
   world.remove_replica("pool-b");
   subject.update(world.content, now);
   time_allowed = std::chrono::seconds(5);
--- a/tests/dispatch/down_replica_test.cc
+++ b/tests/dispatch/down_replica_test.cc
@@ -8,44 +8,44 @@
 
 namespace {
 
-serving_settings without_own_repeats() {
+serving_settings settings_without_own_budget() {
   serving_settings settings;
   settings.retry = {0, 0, std::chrono::seconds(10)};
   return settings;
 }
 
-struct told_driver : dispatcher_driver {
-  explicit told_driver(const serving_settings& settings = {}) : dispatcher_driver(settings) {
+struct reporting_driver : dispatcher_driver {
+  explicit reporting_driver(const serving_settings& settings = {}) : dispatcher_driver(settings) {
     subject.set_peers(
         {{base::node_id("other"), base::zone_id("a"), base::network_address("other:1"), 1}}, 1);
   }
 
-  void told_silent(const base::replica_id& replica, const std::string& witness) {
-    wire::replica_news news;
-    auto& said = *news.add_evidence();
-    said.set_replica(replica.text());
-    said.set_sign(wire::SIGN_SILENT);
-    subject.handle_peer(base::node_id(witness), news, now);
+  void report_unresponsive(const base::replica_id& replica, const std::string& reporter) {
+    wire::replica_news message;
+    auto& entry = *message.add_evidence();
+    entry.set_replica(replica.text());
+    entry.set_sign(wire::SIGN_SILENT);
+    subject.handle_peer(base::node_id(reporter), message, now);
     pass(milliseconds(1));
   }
 
   /// @return what was told of replicas since the last call.
-  std::vector<wire::replica_news> news_sent() {
-    std::vector<wire::replica_news> found;
+  std::vector<wire::replica_news> sent_reports() {
+    std::vector<wire::replica_news> reports;
     for (const auto& message : subject.take_messages()) {
       if (message.message.has_replica_news()) {
-        found.push_back(message.message.replica_news());
+        reports.push_back(message.message.replica_news());
       }
     }
-    return found;
+    return reports;
   }
 };
 
 /// All repeats must be borrowed.
-struct borrowing_driver : told_driver {
-  borrowing_driver() : told_driver(without_own_repeats()) {}
+struct driver_without_own_budget : reporting_driver {
+  driver_without_own_budget() : reporting_driver(settings_without_own_budget()) {}
 
-  wire::retry_lending question_asked() {
+  wire::retry_lending sent_query() {
     for (const auto& message : subject.take_messages()) {
       if (message.message.has_retry_lending()) {
         return message.message.retry_lending();
@@ -55,26 +55,26 @@
     return {};
   }
 
-  void answer(const wire::retry_lending& asked, std::uint32_t thousandths) {
-    auto reply = asked;
-    reply.clear_asked();
-    reply.mutable_lent()->set_service(asked.asked().service());
-    reply.mutable_lent()->set_thousandths(thousandths);
-    subject.handle_peer(base::node_id("other"), base::network_address("other:1"), reply, now);
+  void transfer(const wire::retry_lending& query, std::uint32_t thousandths) {
+    auto answer = query;
+    answer.clear_asked();
+    answer.mutable_lent()->set_service(query.asked().service());
+    answer.mutable_lent()->set_thousandths(thousandths);
+    subject.handle_peer(base::node_id("other"), base::network_address("other:1"), answer, now);
     pass(milliseconds(1));
   }
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(lost_replica_test, told_driver)
+BOOST_FIXTURE_TEST_SUITE(down_replica_test, reporting_driver)
 
-BOOST_AUTO_TEST_CASE(an_unsafe_request_at_a_replica_that_two_found_silent_is_answered_at_once) {
+BOOST_AUTO_TEST_CASE(unsafe_request_at_down_replica_is_answered_before_deadline) {
   arrive(1, "/unsafe/x");
   const auto replica = last<start_call>().target.replica;
   pass(milliseconds(1010));
   BOOST_TEST(all<respond>().empty());
-  told_silent(replica, "other");
+  report_unresponsive(replica, "other");
   pass(milliseconds(900));
   BOOST_TEST(last<respond>().status == 502);
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
@@ -85,42 +85,42 @@
   arrive(1, "/unsafe/x");
   const auto replica = last<start_call>().target.replica;
   pass(milliseconds(1010));
-  told_silent(replica, "other");
+  report_unresponsive(replica, "other");
   pass(milliseconds(200));
-  wire::replica_news news;
-  news.add_evidence()->set_replica(replica.text());
-  subject.handle_peer(base::node_id("hearer"), news, now);
+  wire::replica_news message;
+  message.add_evidence()->set_replica(replica.text());
+  subject.handle_peer(base::node_id("hearer"), message, now);
   pass(milliseconds(900));
   BOOST_TEST(all<respond>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(who_hears_a_replica_that_another_took_for_lost_says_so) {
+BOOST_AUTO_TEST_CASE(answer_of_replica_reported_unresponsive_sends_healthy_report) {
   arrive(1, "/safe/x");
   const auto call = last<start_call>();
-  told_silent(call.target.replica, "other");
-  BOOST_TEST(news_sent().empty());
+  report_unresponsive(call.target.replica, "other");
+  BOOST_TEST(sent_reports().empty());
   happen(call_answered{call.call, good_head(), "body"});
-  const auto news = news_sent();
-  BOOST_REQUIRE(news.size() == 1);
-  BOOST_TEST(news[0].evidence(0).sign() == wire::SIGN_WELL);
+  const auto reports = sent_reports();
+  BOOST_REQUIRE(reports.size() == 1);
+  BOOST_TEST(reports[0].evidence(0).sign() == wire::SIGN_WELL);
 }
 
-BOOST_AUTO_TEST_CASE(the_word_of_others_alone_ends_no_unsafe_request_within_its_target) {
+BOOST_AUTO_TEST_CASE(reports_of_peers_end_no_unsafe_request_before_its_target) {
   arrive(1, "/unsafe/x");
-  told_silent(last<start_call>().target.replica, "x");
-  told_silent(last<start_call>().target.replica, "y");
+  report_unresponsive(last<start_call>().target.replica, "x");
+  report_unresponsive(last<start_call>().target.replica, "y");
   pass(milliseconds(500));
   BOOST_TEST(all<respond>().empty());
   happen(call_answered{last<start_call>().call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_safe_request_is_taken_up_elsewhere_as_soon_as_two_found_its_replica_silent) {
+BOOST_AUTO_TEST_CASE(safe_request_is_retried_when_two_nodes_report_unresponsive_replica) {
   arrive(1, "/safe/x");
   const auto first = last<start_call>();
-  told_silent(first.target.replica, "x");
+  report_unresponsive(first.target.replica, "x");
   BOOST_TEST(all<start_call>().size() == 1);
-  told_silent(first.target.replica, "y");
+  report_unresponsive(first.target.replica, "y");
   BOOST_REQUIRE(all<start_call>().size() == 2);
   BOOST_TEST(last<start_call>().target.replica != first.target.replica);
   BOOST_TEST(last<cancel_call>().call == first.call);
@@ -133,68 +133,69 @@
   happen(stream_bytes{call.call, "id: 1\ndata: a\n\n"});
   pass(milliseconds(50));
   happen(stream_bytes{call.call, "id: 2\ndata: b\n\n"});
-  told_silent(call.target.replica, "x");
+  report_unresponsive(call.target.replica, "x");
   pass(milliseconds(50));
   happen(stream_bytes{call.call, "id: 3\ndata: c\n\n"});
   BOOST_TEST(all<start_call>().size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(silence_is_told_once_and_again_while_it_lasts) {
+BOOST_AUTO_TEST_CASE(unresponsive_replica_is_reported_again_while_it_lasts) {
   arrive(1, "/unsafe/x");
   pass(milliseconds(990));
-  BOOST_TEST(news_sent().empty());
+  BOOST_TEST(sent_reports().empty());
   pass(milliseconds(30));
-  const auto news = news_sent();
-  BOOST_REQUIRE(news.size() == 1);
-  BOOST_TEST(news[0].evidence(0).replica() == last<start_call>().target.replica.text());
-  BOOST_TEST(news[0].evidence(0).sign() == wire::SIGN_SILENT);
+  const auto reports = sent_reports();
+  BOOST_REQUIRE(reports.size() == 1);
+  BOOST_TEST(reports[0].evidence(0).replica() == last<start_call>().target.replica.text());
+  BOOST_TEST(reports[0].evidence(0).sign() == wire::SIGN_SILENT);
   pass(milliseconds(900));
-  BOOST_TEST(news_sent().empty());
+  BOOST_TEST(sent_reports().empty());
   pass(milliseconds(400));
-  BOOST_TEST(news_sent().size() == 1);
+  BOOST_TEST(sent_reports().size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_call_that_is_answered_is_no_news) {
+BOOST_AUTO_TEST_CASE(answered_call_sends_no_report) {
   arrive(1, "/safe/x");
   happen(call_answered{last<start_call>().call, good_head(), "body"});
   pass(milliseconds(2000));
-  BOOST_TEST(news_sent().empty());
+  BOOST_TEST(sent_reports().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_failed_read_is_sent_again_with_what_another_node_lends,
-                        borrowing_driver) {
+BOOST_FIXTURE_TEST_CASE(failed_request_is_retried_with_transferred_budget,
+                        driver_without_own_budget) {
   arrive(1, "/safe/x");
   happen(call_answered{last<start_call>().call, good_head(500), "first"});
   BOOST_TEST(all<respond>().empty());
-  answer(question_asked(), 1000);
+  transfer(sent_query(), 1000);
   BOOST_TEST(all<start_call>().size() == 2);
   happen(call_answered{last<start_call>().call, good_head(), "second"});
   BOOST_TEST(last<respond>().body == "second");
   BOOST_TEST(subject.counts().repeats_borrowed == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(calls_without_progress_ask_for_a_loan_and_are_made_elsewhere_with_it,
-                        borrowing_driver) {
+BOOST_FIXTURE_TEST_CASE(stalled_call_is_retried_with_transferred_budget,
+                        driver_without_own_budget) {
   arrive(1, "/stream/x");
   const auto first = last<start_call>();
   pass(milliseconds(1010));
   BOOST_TEST(all<start_call>().size() == 1);
-  answer(question_asked(), 1000);
+  transfer(sent_query(), 1000);
   pass(milliseconds(100));
   BOOST_REQUIRE(all<start_call>().size() == 2);
   BOOST_TEST(last<start_call>().target.replica != first.target.replica);
 }
 
-BOOST_FIXTURE_TEST_CASE(where_nothing_is_lent_the_answer_is_passed_on_at_once, borrowing_driver) {
+BOOST_FIXTURE_TEST_CASE(failed_answer_is_forwarded_if_no_budget_is_transferred,
+                        driver_without_own_budget) {
   arrive(1, "/safe/x");
   happen(call_answered{last<start_call>().call, good_head(500), "first"});
-  answer(question_asked(), 0);
+  transfer(sent_query(), 0);
   BOOST_TEST(all<start_call>().size() == 1);
   BOOST_TEST(last<respond>().status == 500);
   BOOST_TEST(last<respond>().body == "first");
 }
 
-BOOST_FIXTURE_TEST_CASE(an_answer_that_never_comes_is_not_waited_for, borrowing_driver) {
+BOOST_FIXTURE_TEST_CASE(unanswered_budget_query_times_out, driver_without_own_budget) {
   arrive(1, "/safe/x");
   happen(call_answered{last<start_call>().call, good_head(500), "first"});
   pass(milliseconds(200));
@@ -202,12 +203,12 @@
   BOOST_TEST(subject.active() == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_client_that_leaves_while_a_loan_is_awaited_leaves_nothing,
-                        borrowing_driver) {
+BOOST_FIXTURE_TEST_CASE(disconnect_while_awaiting_budget_removes_request,
+                        driver_without_own_budget) {
   arrive(1, "/safe/x");
   happen(call_answered{last<start_call>().call, good_head(500), "first"});
   happen(client_left{1});
-  answer(question_asked(), 1000);
+  transfer(sent_query(), 1000);
   BOOST_TEST(all<start_call>().size() == 1);
   BOOST_TEST(subject.active() == 0);
 }
--- a/tests/dispatch/engine_requests_test.cc
+++ b/tests/dispatch/engine_requests_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// Both zones are of one region, so that both engines are near.
-serving_settings settings_with_many_repeats() {
+serving_settings settings_with_large_retry_budget() {
   serving_settings settings;
   settings.regions = model::zone_regions({{base::zone_id("a"), base::region_id("region")},
                                           {base::zone_id("b"), base::region_id("region")}});
@@ -24,7 +24,7 @@
 /// A service of engines with memory for 10,000 tokens.
 class engine_driver : public dispatcher_driver {
  public:
-  engine_driver() : dispatcher_driver(settings_with_many_repeats()) {
+  engine_driver() : dispatcher_driver(settings_with_large_retry_budget()) {
     for (auto& service : *world.configuration.mutable_services()) {
       if (service.name() == "llm") {
         service.mutable_engine()->set_memory_tokens(10'000);
@@ -38,12 +38,13 @@
     subject.update(world.content, now);
   }
 
-  void ask(base::caller_id client, std::uint32_t prompt_tokens, std::uint32_t output_tokens) {
-    ask(client, prompt_tokens, output_tokens, prompt_tokens / 2);
+  void send_prompt(base::caller_id client, std::uint32_t prompt_tokens,
+                   std::uint32_t output_tokens) {
+    send_prompt(client, prompt_tokens, output_tokens, prompt_tokens / 2);
   }
 
-  void ask(base::caller_id client, std::uint32_t prompt_tokens, std::uint32_t output_tokens,
-           std::uint32_t shared_tokens) {
+  void send_prompt(base::caller_id client, std::uint32_t prompt_tokens, std::uint32_t output_tokens,
+                   std::uint32_t shared_tokens) {
     auto content = content_for(client, "/stream/");
     content->model = "m";
     content->prompt_tokens = prompt_tokens;
@@ -64,7 +65,7 @@
 BOOST_FIXTURE_TEST_SUITE(engine_requests_test, engine_driver)
 
 BOOST_AUTO_TEST_CASE(a_request_larger_than_an_engine_is_refused_at_once_and_for_good) {
-  ask(1, 9'500, 501);
+  send_prompt(1, 9'500, 501);
   const auto answer = last<respond>();
   BOOST_TEST(answer.status == 503U);
   BOOST_TEST(std::none_of(answer.headers.begin(), answer.headers.end(),
@@ -73,14 +74,14 @@
   BOOST_TEST(subject.active() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_just_fits_is_sent) {
-  ask(1, 9'500, 500);
+BOOST_AUTO_TEST_CASE(request_that_fills_engine_memory_is_sent) {
+  send_prompt(1, 9'500, 500);
   BOOST_TEST(all<start_call>().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(requests_about_one_shared_part_go_to_one_engine) {
+BOOST_AUTO_TEST_CASE(requests_with_shared_prefix_go_to_one_engine) {
   for (base::caller_id client = 1; client <= 6; ++client) {
-    ask(client, 200, 10, 190);
+    send_prompt(client, 200, 10, 190);
   }
   const auto calls = all<start_call>();
   BOOST_TEST(calls.size() == 6U);
@@ -89,17 +90,17 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_part_whose_engine_has_much_to_read_has_a_second_home) {
-  ask(1, 9'500, 500, 1'000);
-  ask(2, 9'500, 500, 1'000);
+BOOST_AUTO_TEST_CASE(prefix_at_backlogged_engine_gets_second_engine) {
+  send_prompt(1, 9'500, 500, 1'000);
+  send_prompt(2, 9'500, 500, 1'000);
   const auto calls = all<start_call>();
   BOOST_REQUIRE(calls.size() == 2U);
   BOOST_TEST(calls.front().target.replica != calls.back().target.replica);
 }
 
-BOOST_AUTO_TEST_CASE(a_prompt_behind_much_that_is_unread_is_not_sent_elsewhere_at_its_target) {
+BOOST_AUTO_TEST_CASE(prompt_behind_backlog_is_not_retried_at_target_latency) {
   for (base::caller_id client = 1; client <= 10; ++client) {
-    ask(client, 9'500, 500);
+    send_prompt(client, 9'500, 500);
   }
   const auto calls = all<start_call>();
   BOOST_TEST(calls.size() == 10U);
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -11,14 +11,14 @@
 
 namespace {
 
-struct evacuated_dispatcher : dispatcher_driver {
+struct evacuation_driver : dispatcher_driver {
   /// Zone of the replica that a call goes to; replicas are named `SERVICE-ZONE`.
   static std::string zone_of(const start_call& call) {
     const auto name = call.target.replica.text();
     return name.substr(name.rfind('-') + 1);
   }
 
-  std::set<std::string> zones_of_calls() const {
+  std::set<std::string> called_zones() const {
     std::set<std::string> zones;
     for (const auto& call : all<start_call>()) {
       zones.insert(zone_of(call));
@@ -39,18 +39,18 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(evacuation_test, evacuated_dispatcher)
+BOOST_FIXTURE_TEST_SUITE(evacuation_test, evacuation_driver)
 
-BOOST_AUTO_TEST_CASE(plain_calls_and_streams_avoid_the_zone) {
+BOOST_AUTO_TEST_CASE(calls_and_streams_avoid_evacuated_zone) {
   evacuate("a");
   for (base::caller_id client = 1; client <= 20; ++client) {
     arrive(client, client % 2 == 0 ? "/safe/x" : "/stream/x");
   }
   BOOST_TEST(all<start_call>().size() == 20U);
-  BOOST_TEST(zones_of_calls() == std::set<std::string>{"b"}, boost::test_tools::per_element());
+  BOOST_TEST(called_zones() == std::set<std::string>{"b"}, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(an_attempt_after_a_failure_avoids_the_zone) {
+BOOST_AUTO_TEST_CASE(retry_avoids_evacuated_zone) {
   arrive(1, "/safe/x");
   BOOST_TEST(zone_of(last<start_call>()) == "a");
   // The other zone is the only one left, and then none is.
@@ -60,7 +60,7 @@
   BOOST_TEST(last<respond>().status == 502U);
 }
 
-BOOST_AUTO_TEST_CASE(a_resumed_stream_avoids_the_zone) {
+BOOST_AUTO_TEST_CASE(resumed_stream_avoids_evacuated_zone) {
   arrive(1, "/stream/x");
   const auto first = last<start_call>();
   happen(stream_opened{first.call, good_head()});
@@ -71,7 +71,7 @@
   BOOST_TEST(!last<end_stream>().complete);
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_that_is_the_only_one_with_a_service_is_refused_at_once) {
+BOOST_AUTO_TEST_CASE(request_is_refused_if_only_evacuated_zone_has_service) {
   world.remove_replica("plain-b");
   evacuate("a");
   arrive(1, "/safe/x");
@@ -80,7 +80,7 @@
   BOOST_TEST(subject.active() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(evacuations_overlap_and_come_again) {
+BOOST_AUTO_TEST_CASE(overlapping_and_repeated_evacuations_are_respected) {
   evacuate("a");
   evacuate("b");
   arrive(1, "/safe/x");
@@ -94,13 +94,13 @@
   BOOST_TEST(zone_of(last<start_call>()) == "b");
 }
 
-BOOST_AUTO_TEST_CASE(an_evacuation_of_an_unknown_zone_changes_nothing) {
+BOOST_AUTO_TEST_CASE(evacuation_of_unknown_zone_has_no_effect) {
   evacuate("elsewhere");
   arrive(1, "/safe/x");
   BOOST_TEST(zone_of(last<start_call>()) == "a");
 }
 
-BOOST_AUTO_TEST_CASE(pieces_and_frees_avoid_the_zone) {
+BOOST_AUTO_TEST_CASE(pieces_and_freed_results_avoid_evacuated_zone) {
   time_allowed = seconds(20);
   arrive(1, "/staged/x", {1, 1});
   pass(milliseconds(50));
@@ -116,8 +116,8 @@
   BOOST_TEST(last<start_stage_call>().target.replica.text() != name);
   happen(client_left{1});
   pass(milliseconds(50));
-  for (const auto& freed : all<free_results>()) {
-    BOOST_TEST(freed.maker.address != first.target.address);
+  for (const auto& command : all<free_results>()) {
+    BOOST_TEST(command.maker.address != first.target.address);
   }
 }
 
@@ -130,16 +130,16 @@
     arrive(client, "/stream/x");
   }
   // Nothing of the allowance has been saved up yet.
-  BOOST_TEST(zones_of_calls() == std::set<std::string>{"b"}, boost::test_tools::per_element());
+  BOOST_TEST(called_zones() == std::set<std::string>{"b"}, boost::test_tools::per_element());
   pass(serving_settings{}.cold_after_evacuation);
   commands.clear();
   for (base::caller_id client = 11; client <= 20; ++client) {
     arrive(client, "/stream/x");
   }
-  BOOST_TEST(zones_of_calls().contains("a"));
+  BOOST_TEST(called_zones().contains("a"));
 }
 
-BOOST_AUTO_TEST_CASE(gatherers_make_no_calls_to_the_zone) {
+BOOST_AUTO_TEST_CASE(batchers_make_no_calls_to_evacuated_zone) {
   exchange_fleet fleet(6, 2, one_region());
   fleet.world.evacuate("a");
   for (auto& node : fleet.nodes) {
@@ -151,11 +151,11 @@
       fleet.submit(*node);
     }
   }
-  std::set<std::string> called;
+  std::set<std::string> called_replicas;
   fleet.run_answering(seconds(3), [&](const exchange_node&, const start_stage_call& call) {
-    called.insert(call.target.replica.text());
+    called_replicas.insert(call.target.replica.text());
   });
-  BOOST_TEST(called == std::set<std::string>{"pool-b"}, boost::test_tools::per_element());
+  BOOST_TEST(called_replicas == std::set<std::string>{"pool-b"}, boost::test_tools::per_element());
   for (const auto& node : fleet.nodes) {
     BOOST_TEST(node->finished.size() == 5U);
   }
--- a/tests/dispatch/event_stream_test.cc
+++ b/tests/dispatch/event_stream_test.cc
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(event_stream_test)
 
-BOOST_AUTO_TEST_CASE(passes_on_whole_events_only) {
+BOOST_AUTO_TEST_CASE(returns_whole_events_only) {
   event_stream stream;
   BOOST_TEST(stream.feed("id: 1\ndata: a\n").empty());
   BOOST_TEST(stream.has_partial());
@@ -17,19 +17,19 @@
   BOOST_TEST(stream.last_id().value() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(leaves_out_events_that_were_passed_on) {
+BOOST_AUTO_TEST_CASE(drops_events_that_were_already_forwarded) {
   event_stream stream(4);
   BOOST_TEST(stream.feed("id: 4\ndata: a\n\nid: 5\ndata: b\n\n") == "id: 5\ndata: b\n\n");
 }
 
-BOOST_AUTO_TEST_CASE(drops_the_part_of_a_broken_event_on_restart) {
+BOOST_AUTO_TEST_CASE(drop_partial_event_discards_incomplete_event) {
   event_stream stream;
   BOOST_TEST(stream.feed("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
   stream.drop_partial_event();
   BOOST_TEST(stream.feed("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
 }
 
-BOOST_AUTO_TEST_CASE(understands_carriage_returns_and_events_without_id) {
+BOOST_AUTO_TEST_CASE(accepts_crlf_and_events_without_id) {
   event_stream stream;
   BOOST_TEST(stream.feed("data: a\r\n\r\ndata: b\n\n") == "data: a\r\n\r\ndata: b\n\n");
   BOOST_TEST(!stream.last_id().has_value());
--- a/tests/dispatch/planned_stop_requests_test.cc
+++ b/tests/dispatch/planned_stop_requests_test.cc
@@ -10,9 +10,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(planned_stop_requests_test, stopping_dispatcher)
 
-BOOST_AUTO_TEST_CASE(a_stream_that_arrives_with_time_enough_is_served) {
-  learn("/fixed/x");
-  stop();
+BOOST_AUTO_TEST_CASE(stream_with_enough_time_is_accepted) {
+  learn_run_times("/fixed/x");
+  begin_stop();
   pass(seconds(1));
   const auto calls = all<start_call>().size();
   arrive(10, "/fixed/x");
@@ -20,9 +20,9 @@
   BOOST_TEST(subject.counts().taken_while_stopping == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_arrives_too_late_is_refused_at_once) {
-  learn("/fixed/x");
-  stop();
+BOOST_AUTO_TEST_CASE(stream_without_enough_time_is_refused) {
+  learn_run_times("/fixed/x");
+  begin_stop();
   pass(milliseconds(5'200));
   const auto calls = all<start_call>().size();
   arrive(10, "/fixed/x");
@@ -33,31 +33,31 @@
   BOOST_TEST(subject.active() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_whose_stages_took_too_long_is_not_sent_any_more) {
-  learn("/staged/x", {1, 0});
+BOOST_AUTO_TEST_CASE(stream_with_late_stages_is_not_sent) {
+  learn_run_times("/staged/x", {1, 0});
   arrive(10, "/staged/x", {1, 0});
   const auto calls = all<start_call>().size();
   pass(milliseconds(20));
-  stop();
+  begin_stop();
   pass(milliseconds(5'500));
   BOOST_TEST(subject.active() == 1U);
-  finish_stage();
+  complete_stage_call();
   pass(milliseconds(10));
   BOOST_TEST(all<start_call>().size() == calls);
   BOOST_TEST(last<respond>().client == 10U);
   BOOST_TEST(last<respond>().status == 503);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_breaks_when_the_time_is_short_is_not_begun_anew) {
-  learn("/stream/x");
+BOOST_AUTO_TEST_CASE(broken_stream_without_enough_time_is_not_retried) {
+  learn_run_times("/stream/x");
   arrive(10, "/stream/x");
   const auto call = last<start_call>().call;
   happen(stream_opened{call, good_head()});
-  next_event(call);
-  stop();
+  send_next_event(call);
+  begin_stop();
   for (int steps = 0; steps < 11; ++steps) {
     pass(milliseconds(500));
-    next_event(call);
+    send_next_event(call);
   }
   const auto calls = all<start_call>().size();
   happen(stream_closed{call, false});
@@ -66,14 +66,14 @@
   BOOST_TEST(subject.active() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(short_requests_are_served_a_little_longer_than_streams) {
-  constexpr base::caller_id seen_before = 4;
-  for (base::caller_id client = 1; client <= seen_before; ++client) {
+BOOST_AUTO_TEST_CASE(short_requests_are_accepted_longer_than_streams) {
+  constexpr base::caller_id completed_requests = 4;
+  for (base::caller_id client = 1; client <= completed_requests; ++client) {
     arrive(client, "/unsafe/x");
     pass(milliseconds(50));
     happen(call_answered{last<start_call>().call, good_head(), "body"});
   }
-  stop();
+  begin_stop();
   pass(milliseconds(3'400));
   arrive(10, "/unsafe/x");
   happen(call_answered{last<start_call>().call, good_head(), "body"});
@@ -87,28 +87,28 @@
   // A crowd that asks as long as the process is there, for streams of drawn lengths.
   for (unsigned seed = 1; seed <= 20; ++seed) {
     stopping_dispatcher node;
-    node.learn("/fixed/x");
-    node.stop();
-    base::seeded_random drawn(seed);
-    std::map<base::call_id, base::time_point> ends;
+    node.learn_run_times("/fixed/x");
+    node.begin_stop();
+    base::seeded_random random(seed);
+    std::map<base::call_id, base::time_point> ends_by_call;
     base::caller_id client = 100;
-    while (node.now - node.stop_began < stop_time) {
+    while (node.now - node.stop_began_at < stop_time) {
       const auto calls = node.all<start_call>().size();
       node.arrive(++client, "/fixed/x");
       if (node.all<start_call>().size() > calls) {
         const auto call = node.last<start_call>().call;
         node.happen(stream_opened{call, node.good_head()});
-        node.next_event(call);
-        ends[call] = node.now + milliseconds(500 + drawn.below(1'500));
+        node.send_next_event(call);
+        ends_by_call[call] = node.now + milliseconds(500 + random.below(1'500));
       }
       node.pass(milliseconds(100));
-      std::erase_if(ends, [&](const auto& running) {
-        const bool is_over = running.second <= node.now;
-        node.next_event(running.first);
-        if (is_over) {
-          node.happen(stream_closed{running.first, true});
+      std::erase_if(ends_by_call, [&](const auto& entry) {
+        const bool has_ended = entry.second <= node.now;
+        node.send_next_event(entry.first);
+        if (has_ended) {
+          node.happen(stream_closed{entry.first, true});
         }
-        return is_over;
+        return has_ended;
       });
     }
     node.subject.abort_all_requests(node.now);
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -20,7 +20,7 @@
     update();
   }
 
-  void meet_another_node() {
+  void add_peer() {
     subject.set_peers(
         {{base::node_id("other"), base::zone_id("a"), base::network_address("other:1"), 1}}, 1);
   }
@@ -45,7 +45,7 @@
   }
 
   /// Sends requests until one is at the replica of zone a.
-  base::call_id call_at_a(const std::string& path, base::caller_id client) {
+  base::call_id call_at_zone_a(const std::string& path, base::caller_id client) {
     arrive(client, path);
     const auto call = last<start_call>();
     BOOST_REQUIRE(call.target.replica.text().ends_with("-a"));
@@ -56,16 +56,16 @@
     return *subject.replicas().find(base::replica_id(id));
   }
 
-  void told(const std::string& replica, wire::replica_sign sign, std::uint64_t started_at,
-            const std::string& witness) {
-    model::replica life;
-    life.life = model::replica_life{started_at};
-    wire::replica_news news;
-    auto& said = *news.add_evidence();
-    said.set_replica(replica);
-    said.set_sign(sign);
-    said.set_life_mark(started_at == 0 ? 0 : life_mark_of(life));
-    subject.handle_peer(base::node_id(witness), news, now);
+  void report(const std::string& replica, wire::replica_sign sign, std::uint64_t started_at,
+              const std::string& reporter) {
+    model::replica record;
+    record.life = model::replica_life{started_at};
+    wire::replica_news message;
+    auto& entry = *message.add_evidence();
+    entry.set_replica(replica);
+    entry.set_sign(sign);
+    entry.set_life_mark(started_at == 0 ? 0 : life_mark_of(record));
+    subject.handle_peer(base::node_id(reporter), message, now);
   }
 };
 
@@ -73,8 +73,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(replica_restart_test, restart_driver)
 
-BOOST_AUTO_TEST_CASE(a_safe_request_at_the_earlier_life_is_taken_up_elsewhere_at_once) {
-  const auto call = call_at_a("/safe/x", 1);
+BOOST_AUTO_TEST_CASE(safe_request_at_earlier_incarnation_is_retried_at_once) {
+  const auto call = call_at_zone_a("/safe/x", 1);
   pass(milliseconds(50));
   restart("plain");
   BOOST_TEST(last<cancel_call>().call == call);
@@ -85,18 +85,18 @@
   BOOST_TEST(subject.counts().replica_restarts == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(the_life_that_began_may_be_given_what_the_earlier_one_was) {
+BOOST_AUTO_TEST_CASE(request_at_earlier_incarnation_may_be_retried_at_restarted_replica) {
   world.remove_replica("plain-b");
   update();
-  call_at_a("/safe/x", 1);
+  call_at_zone_a("/safe/x", 1);
   restart("plain", new_address);
   BOOST_REQUIRE(all<start_call>().size() == 2);
   BOOST_TEST(last<start_call>().target.replica.text() == "plain-a");
   BOOST_TEST(last<start_call>().target.address.text() == address_of("plain", new_address));
 }
 
-BOOST_AUTO_TEST_CASE(an_unsafe_request_at_the_earlier_life_has_failed_and_is_never_not_run) {
-  const auto call = call_at_a("/unsafe/x", 1);
+BOOST_AUTO_TEST_CASE(unsafe_request_at_earlier_incarnation_is_answered_as_failed) {
+  const auto call = call_at_zone_a("/unsafe/x", 1);
   restart("plain");
   BOOST_TEST(all<respond>().empty());
   pass(milliseconds(510));
@@ -108,8 +108,8 @@
   BOOST_TEST(all<start_call>().size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_that_still_comes_is_delivered) {
-  const auto call = call_at_a("/unsafe/x", 1);
+BOOST_AUTO_TEST_CASE(answer_after_restart_is_delivered) {
+  const auto call = call_at_zone_a("/unsafe/x", 1);
   restart("plain");
   pass(milliseconds(100));
   happen(call_answered{call, good_head(), "body"});
@@ -117,8 +117,8 @@
   BOOST_TEST(last<respond>().body == "body");
 }
 
-BOOST_AUTO_TEST_CASE(a_failure_at_the_earlier_life_is_none_of_the_one_that_began) {
-  const auto call = call_at_a("/unsafe/x", 1);
+BOOST_AUTO_TEST_CASE(failure_at_earlier_incarnation_does_not_count_for_current) {
+  const auto call = call_at_zone_a("/unsafe/x", 1);
   restart("plain");
   happen(call_failed{call, call_fate::may_have_run});
   BOOST_TEST(last<respond>().status == 502);
@@ -127,8 +127,8 @@
   BOOST_TEST(state("plain-a").in_flight == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_resumable_stream_goes_on_at_another_replica_after_its_last_event) {
-  const auto call = call_at_a("/stream/x", 1);
+BOOST_AUTO_TEST_CASE(resumable_stream_resumes_at_another_replica_after_restart) {
+  const auto call = call_at_zone_a("/stream/x", 1);
   happen(stream_opened{call, good_head()});
   happen(stream_bytes{call, "id: 4\ndata: a\n\n"});
   pass(milliseconds(600));
@@ -137,8 +137,8 @@
   BOOST_TEST(last<start_call>().resume_after.value() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_whose_events_come_is_not_at_an_earlier_life) {
-  const auto call = call_at_a("/stream/x", 1);
+BOOST_AUTO_TEST_CASE(stream_with_recent_events_is_not_at_earlier_incarnation) {
+  const auto call = call_at_zone_a("/stream/x", 1);
   pass(milliseconds(10));
   happen(stream_opened{call, good_head()});
   happen(stream_bytes{call, "id: 1\ndata: a\n\n"});
@@ -150,8 +150,8 @@
   BOOST_TEST(last<end_stream>().complete);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_cannot_be_resumed_is_broken_off) {
-  const auto call = call_at_a("/fixed/x", 1);
+BOOST_AUTO_TEST_CASE(non_resumable_stream_is_broken_off_after_restart) {
+  const auto call = call_at_zone_a("/fixed/x", 1);
   happen(stream_opened{call, good_head()});
   happen(stream_bytes{call, "id: 1\ndata: a\n\n"});
   pass(milliseconds(600));
@@ -161,17 +161,17 @@
   BOOST_TEST(subject.active() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(requests_sent_after_the_news_are_left_where_they_are) {
+BOOST_AUTO_TEST_CASE(requests_sent_after_restart_are_not_moved) {
   restart("plain");
-  const auto call = call_at_a("/unsafe/x", 1);
+  const auto call = call_at_zone_a("/unsafe/x", 1);
   pass(milliseconds(600));
   BOOST_TEST(all<respond>().empty());
   happen(call_answered{call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_crash_that_took_the_entry_away_first_is_a_restart_all_the_same) {
-  call_at_a("/unsafe/x", 1);
+BOOST_AUTO_TEST_CASE(replica_that_was_removed_and_republished_counts_as_restarted) {
+  call_at_zone_a("/unsafe/x", 1);
   world.remove_replica("plain-a");
   update();
   pass(milliseconds(300));
@@ -180,8 +180,8 @@
   BOOST_TEST(last<respond>().status == 502);
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_of_the_same_life_ends_nothing) {
-  const auto call = call_at_a("/unsafe/x", 1);
+BOOST_AUTO_TEST_CASE(changed_entry_of_same_incarnation_ends_no_request) {
+  const auto call = call_at_zone_a("/unsafe/x", 1);
   world.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 1000, 500);
   update();
   world.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 0);
@@ -192,41 +192,41 @@
   BOOST_TEST(last<respond>().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(kept_connections_to_the_earlier_process_are_closed) {
+BOOST_AUTO_TEST_CASE(idle_connections_to_earlier_process_are_closed) {
   restart("plain", new_address);
   BOOST_TEST(last<close_connections>().address.text() == address_of("plain", old_address));
 }
 
-BOOST_AUTO_TEST_CASE(news_of_the_earlier_life_do_not_hit_the_one_that_began) {
-  const auto call = call_at_a("/unsafe/x", 1);
+BOOST_AUTO_TEST_CASE(reports_on_earlier_incarnation_are_ignored) {
+  const auto call = call_at_zone_a("/unsafe/x", 1);
   happen(call_answered{call, good_head(), "body"});
   restart("plain");
-  told("plain-a", wire::SIGN_SILENT, 1000, "x");
-  told("plain-a", wire::SIGN_UNREACHABLE, 1000, "y");
+  report("plain-a", wire::SIGN_SILENT, 1000, "x");
+  report("plain-a", wire::SIGN_UNREACHABLE, 1000, "y");
   BOOST_TEST(!subject.replicas().is_lost(base::replica_id("plain-a"), now));
   BOOST_TEST((state("plain-a").paused_until <= now));
   BOOST_TEST(subject.replica_reports().of_other_incarnations == 2U);
-  told("plain-a", wire::SIGN_SILENT, 2000, "x");
-  told("plain-a", wire::SIGN_SILENT, 0, "y");
+  report("plain-a", wire::SIGN_SILENT, 2000, "x");
+  report("plain-a", wire::SIGN_SILENT, 0, "y");
   BOOST_TEST(subject.replicas().is_lost(base::replica_id("plain-a"), now));
 }
 
-BOOST_AUTO_TEST_CASE(reports_name_the_life_they_are_about) {
-  meet_another_node();
-  call_at_a("/unsafe/x", 1);
+BOOST_AUTO_TEST_CASE(reports_name_their_incarnation) {
+  add_peer();
+  call_at_zone_a("/unsafe/x", 1);
   static_cast<void>(subject.take_messages());
   pass(milliseconds(1010));
-  std::uint32_t mark = 0;
+  std::uint32_t incarnation_mark = 0;
   for (const auto& message : subject.take_messages()) {
     if (message.message.has_replica_news()) {
-      mark = message.message.replica_news().evidence(0).life_mark();
+      incarnation_mark = message.message.replica_news().evidence(0).life_mark();
     }
   }
-  BOOST_TEST(mark == life_mark_of(*state("plain-a").record));
-  BOOST_TEST(mark != 0U);
+  BOOST_TEST(incarnation_mark == life_mark_of(*state("plain-a").record));
+  BOOST_TEST(incarnation_mark != 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_batch_of_pieces_at_the_earlier_life_is_made_again) {
+BOOST_AUTO_TEST_CASE(pieces_at_earlier_incarnation_are_recomputed) {
   arrive(1, "/staged/x", {1, 1});
   pass(milliseconds(20));
   const auto first = last<start_stage_call>();
@@ -238,7 +238,7 @@
   BOOST_TEST(last<start_stage_call>().items.front().piece_key == "pk");
 }
 
-BOOST_AUTO_TEST_CASE(the_last_results_are_made_again_before_the_request_is_sent_on) {
+BOOST_AUTO_TEST_CASE(lost_final_results_are_recomputed_before_retry) {
   const auto make_next = [&](const std::string& name) {
     pass(milliseconds(30));
     const auto call = last<start_stage_call>();
@@ -266,7 +266,7 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_good_entry_that_turns_malformed_gets_no_request_and_the_others_hold) {
+BOOST_AUTO_TEST_CASE(replica_whose_entry_turns_malformed_gets_no_request) {
   world.write_malformed("plain-a");
   update();
   for (base::caller_id client = 1; client <= 20; ++client) {
@@ -280,15 +280,15 @@
   BOOST_TEST(subject.counts().replica_restarts == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_under_way_at_an_entry_that_turns_malformed_gets_its_answer) {
-  const auto call = call_at_a("/unsafe/x", 1);
+BOOST_AUTO_TEST_CASE(active_request_survives_malformed_entry) {
+  const auto call = call_at_zone_a("/unsafe/x", 1);
   world.write_malformed("plain-a");
   update();
   happen(call_answered{call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_of_a_service_that_nobody_knows_is_reported_once) {
+BOOST_AUTO_TEST_CASE(replica_of_unknown_service_is_reported_once) {
   world.add_incarnation("stranger", "nowhere", "a", "10.0.9.9:80", 1000);
   update();
   world.add_incarnation("stranger", "nowhere", "a", "10.0.9.9:80", 1000, 50);
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -16,8 +16,8 @@
 using text_set = std::set<std::string>;
 
 /// A dispatcher in zone `a`. Replicas are named `SERVICE-ZONE` or `SERVICE-ZONE-NUMBER`.
-struct held_dispatcher : dispatcher_driver {
-  held_dispatcher() : dispatcher_driver(residency_settings()) {
+struct residency_driver : dispatcher_driver {
+  residency_driver() : dispatcher_driver(residency_settings()) {
     for (const std::string service : {"llm", "plain", "pool"}) {
       for (const auto& zone : residency_zones) {
         if (zone > "b") {
@@ -35,7 +35,7 @@
     subject.update(world.content, now);
   }
 
-  void hold_routes(const text_set& regions) {
+  void restrict_routes(const text_set& regions) {
     for (auto& route : *world.configuration.mutable_routes()) {
       route.clear_permitted_regions();
       for (const auto& region : regions) {
@@ -45,7 +45,7 @@
     publish();
   }
 
-  void hold_tenant(const text_set& regions) {
+  void restrict_tenant(const text_set& regions) {
     auto& tenant = *world.configuration.mutable_tenants(0);
     tenant.clear_permitted_regions();
     for (const auto& region : regions) {
@@ -60,7 +60,7 @@
   }
 
   /// @return zones of all calls so far, those for pieces among them.
-  text_set zones_of_calls() const {
+  text_set called_zones() const {
     text_set zones;
     for (const auto& call : all<start_call>()) {
       zones.insert(zone_of(call.target));
@@ -82,52 +82,52 @@
   }
 
   /// Lets every piece be made as it is asked for.
-  void make_pieces() {
+  void answer_piece_calls() {
     const auto calls = all<start_stage_call>();
-    for (; answered < calls.size(); ++answered) {
-      const auto& call = calls[answered];
+    for (; answered_calls < calls.size(); ++answered_calls) {
+      const auto& call = calls[answered_calls];
       stage_call_ended ended{call.call, stage_call_ended::result::answered, {}};
       for (std::size_t index = 0; index < call.items.size(); ++index) {
-        ended.pieces.push_back(
-            {piece_fault::none, call.target.address.text() + "/h" + std::to_string(++handles)});
+        ended.pieces.push_back({piece_fault::none, call.target.address.text() + "/h" +
+                                                       std::to_string(++handle_count)});
       }
       happen(ended);
     }
   }
 
-  std::size_t answered = 0;
-  int handles = 0;
+  std::size_t answered_calls = 0;
+  int handle_count = 0;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(request_residency_test, held_dispatcher)
+BOOST_FIXTURE_TEST_SUITE(request_residency_test, residency_driver)
 
-BOOST_AUTO_TEST_CASE(calls_stay_in_the_regions_that_route_and_tenant_both_allow) {
-  hold_routes({"south", "west"});
-  hold_tenant({"north", "south"});
+BOOST_AUTO_TEST_CASE(calls_stay_in_common_regions_of_route_and_tenant) {
+  restrict_routes({"south", "west"});
+  restrict_tenant({"north", "south"});
   for (base::caller_id client = 1; client <= 40; ++client) {
     arrive(client, client % 2 == 0 ? "/safe/x" : "/stream/x");
   }
   BOOST_TEST(all<start_call>().size() == 40U);
-  BOOST_TEST(zones_of_calls() == (text_set{"c", "d"}), boost::test_tools::per_element());
+  BOOST_TEST(called_zones() == (text_set{"c", "d"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(pieces_and_the_call_that_reads_them_stay_there) {
-  hold_routes({"west"});
+BOOST_AUTO_TEST_CASE(pieces_and_final_call_stay_in_permitted_region) {
+  restrict_routes({"west"});
   arrive(1, "/staged/x", {3, 2});
   for (int round = 0; round < 10; ++round) {
     pass(milliseconds(30));
-    make_pieces();
+    answer_piece_calls();
   }
   BOOST_TEST(all<start_call>().size() == 1U);
   BOOST_TEST(all<start_stage_call>().size() >= 2U);
-  BOOST_TEST(zones_of_calls() == text_set{"e"}, boost::test_tools::per_element());
+  BOOST_TEST(called_zones() == text_set{"e"}, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(an_empty_intersection_is_answered_at_once_without_a_time_to_come_back) {
-  hold_routes({"south"});
-  hold_tenant({"north"});
+BOOST_AUTO_TEST_CASE(empty_intersection_is_refused_without_retry_after) {
+  restrict_routes({"south"});
+  restrict_tenant({"north"});
   arrive(1, "/safe/x");
   BOOST_TEST(last<respond>().status == 503U);
   BOOST_TEST(retry_after() == "");
@@ -135,20 +135,20 @@
   BOOST_TEST(all<respond>().size() == 2U);
   BOOST_TEST(retry_after() == "");
   BOOST_TEST(subject.active() == 0U);
-  BOOST_TEST(zones_of_calls().empty());
+  BOOST_TEST(called_zones().empty());
   BOOST_TEST(subject.counts().turned_away_by_residency == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_region_that_nobody_knows_allows_nothing) {
-  hold_routes({"atlantis"});
+BOOST_AUTO_TEST_CASE(unknown_region_permits_no_call) {
+  restrict_routes({"atlantis"});
   arrive(1, "/safe/x");
   BOOST_TEST(last<respond>().status == 503U);
   BOOST_TEST(retry_after() == "");
-  BOOST_TEST(zones_of_calls().empty());
+  BOOST_TEST(called_zones().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_region_whose_replicas_may_come_back_says_when) {
-  hold_routes({"west"});
+BOOST_AUTO_TEST_CASE(evacuated_region_is_refused_with_retry_after) {
+  restrict_routes({"west"});
   world.evacuate("e");
   subject.update(world.content, now);
   arrive(1, "/safe/x");
@@ -159,11 +159,11 @@
   world.end_evacuation("e");
   subject.update(world.content, now);
   arrive(3, "/safe/x");
-  BOOST_TEST(zones_of_calls() == text_set{"e"}, boost::test_tools::per_element());
+  BOOST_TEST(called_zones() == text_set{"e"}, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_stage_without_replica_in_the_regions_allowed_is_told_at_once) {
-  hold_routes({"west"});
+BOOST_AUTO_TEST_CASE(stage_without_replica_in_permitted_region_is_refused) {
+  restrict_routes({"west"});
   world.remove_replica("pool-e");
   subject.update(world.content, now);
   arrive(1, "/staged/x", {1, 1});
@@ -173,7 +173,7 @@
   BOOST_TEST(all<start_call>().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_without_region_takes_only_what_is_held_nowhere) {
+BOOST_AUTO_TEST_CASE(zone_without_region_accepts_only_unrestricted_requests) {
   for (const auto& zone : residency_zones) {
     if (zone != "f") {
       world.remove_replica("plain-" + zone);
@@ -181,15 +181,15 @@
   }
   subject.update(world.content, now);
   arrive(1, "/safe/x");
-  BOOST_TEST(zones_of_calls() == text_set{"f"}, boost::test_tools::per_element());
-  hold_routes({"north", "south", "west"});
+  BOOST_TEST(called_zones() == text_set{"f"}, boost::test_tools::per_element());
+  restrict_routes({"north", "south", "west"});
   arrive(2, "/safe/x");
   BOOST_TEST(all<start_call>().size() == 1U);
   BOOST_TEST(last<respond>().status == 503U);
 }
 
-BOOST_AUTO_TEST_CASE(second_attempts_and_resumed_streams_stay_there) {
-  hold_routes({"west"});
+BOOST_AUTO_TEST_CASE(retries_and_resumed_streams_stay_in_permitted_region) {
+  restrict_routes({"west"});
   arrive(1, "/safe/x");
   happen(call_failed{last<start_call>().call, call_fate::may_have_run});
   arrive(2, "/stream/x");
@@ -203,15 +203,15 @@
   BOOST_TEST(!last<end_stream>().complete);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_keeps_the_regions_it_began_with) {
-  hold_routes({"west"});
+BOOST_AUTO_TEST_CASE(request_keeps_permitted_regions_of_its_arrival) {
+  restrict_routes({"west"});
   arrive(1, "/staged/x", {1, 1});
-  hold_routes({"north"});
+  restrict_routes({"north"});
   arrive(2, "/staged/x", {1, 1});
-  hold_routes({});
+  restrict_routes({});
   for (int round = 0; round < 10; ++round) {
     pass(milliseconds(30));
-    make_pieces();
+    answer_piece_calls();
   }
   std::map<std::string, text_set> zones;
   for (const auto& call : all<start_call>()) {
@@ -228,10 +228,10 @@
   BOOST_TEST((!zones["r2"].contains("e") && !zones["r2"].contains("f")));
 }
 
-BOOST_AUTO_TEST_CASE(requests_kept_from_a_nearer_replica_are_counted) {
+BOOST_AUTO_TEST_CASE(requests_confined_away_from_nearer_replica_are_counted) {
   arrive(1, "/safe/x");
   BOOST_TEST(subject.counts().kept_from_nearer_by_residency == 0U);
-  hold_routes({"south"});
+  restrict_routes({"south"});
   arrive(2, "/safe/x");
   BOOST_TEST(subject.counts().kept_from_nearer_by_residency == 1U);
   const auto& rings = subject.counts().calls_by_ring;
@@ -245,24 +245,24 @@
 
 /// Draws what happens, and checks each call against the set its request was given by what was
 /// published when it arrived.
-class drawn_day : public held_dispatcher {
+class random_run : public residency_driver {
  public:
-  explicit drawn_day(std::uint64_t seed) : drawn_(seed) {}
+  explicit random_run(std::uint64_t seed) : random_(seed) {}
 
-  void play(int steps) {
+  void run(int steps) {
     for (int step = 0; step < steps; ++step) {
-      act();
+      do_random_action();
       check_calls();
     }
   }
 
   int calls_checked = 0;
   int calls_outside = 0;
-  int refused_late = 0;
+  int late_refusals = 0;
 
  private:
-  void act() {
-    switch (drawn_.below(12)) {
+  void do_random_action() {
+    switch (random_.below(12)) {
     case 0:
     case 1:
     case 2:
@@ -286,33 +286,33 @@
       change_configuration();
       break;
     case 10:
-      subject.set_unreachable_zones({base::zone_id(draw_zone())});
+      subject.set_unreachable_zones({base::zone_id(random_zone())});
       break;
     default:
-      pass(milliseconds(drawn_.below(150)));
+      pass(milliseconds(random_.below(150)));
       break;
     }
   }
 
-  std::string draw_zone() { return residency_zones[drawn_.below(residency_zones.size())]; }
+  std::string random_zone() { return residency_zones[random_.below(residency_zones.size())]; }
 
-  text_set draw_regions() {
+  text_set random_regions() {
     text_set regions;
     for (const std::string region : {"north", "south", "west", "atlantis"}) {
-      if (drawn_.below(2) == 0) {
+      if (random_.below(2) == 0) {
         regions.insert(region);
       }
     }
     // One list in three restricts nothing.
-    return drawn_.below(3) == 0 ? text_set{} : regions;
+    return random_.below(3) == 0 ? text_set{} : regions;
   }
 
   void begin_request() {
     const auto index = static_cast<int>(
-        drawn_.below(static_cast<std::uint64_t>(world.configuration.routes_size())));
+        random_.below(static_cast<std::uint64_t>(world.configuration.routes_size())));
     const auto& route = world.configuration.routes(index);
     const auto& tenant = world.configuration.tenants(0);
-    const auto client = ++clients_;
+    const auto client = ++last_client_;
     auto& allowed = allowed_["r" + std::to_string(client)];
     for (const auto& zone : residency_zones) {
       const auto region = residency_regions().region_of(base::zone_id(zone));
@@ -320,9 +320,10 @@
         allowed.insert(zone);
       }
     }
-    arrive(client, route.path_prefix() + "x", {1 + static_cast<std::uint32_t>(drawn_.below(5)), 2});
+    arrive(client, route.path_prefix() + "x",
+           {1 + static_cast<std::uint32_t>(random_.below(5)), 2});
     if (allowed.empty() && (all<respond>().empty() || last<respond>().client != client)) {
-      ++refused_late;
+      ++late_refusals;
     }
   }
 
@@ -338,8 +339,8 @@
       return;
     }
     const auto call =
-        calls[calls.size() - 1 - drawn_.below(std::min<std::size_t>(8, calls.size()))];
-    switch (drawn_.below(6)) {
+        calls[calls.size() - 1 - random_.below(std::min<std::size_t>(8, calls.size()))];
+    switch (random_.below(6)) {
     case 0:
       happen(call_failed{call.call, call_fate::may_have_run});
       break;
@@ -355,7 +356,7 @@
     default:
       happen(stream_opened{call.call, good_head()});
       happen(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
-      happen(stream_closed{call.call, drawn_.below(3) == 0});
+      happen(stream_closed{call.call, random_.below(3) == 0});
       break;
     }
   }
@@ -366,24 +367,24 @@
       return;
     }
     const auto call =
-        calls[calls.size() - 1 - drawn_.below(std::min<std::size_t>(6, calls.size()))];
-    using how = stage_call_ended::result;
-    constexpr std::array<how, 8> ways{how::answered, how::answered,   how::answered,
-                                      how::answered, how::refused,    how::failed,
-                                      how::not_sent, how::misdirected};
-    stage_call_ended ended{call.call, ways[drawn_.below(ways.size())], {}};
+        calls[calls.size() - 1 - random_.below(std::min<std::size_t>(6, calls.size()))];
+    using result = stage_call_ended::result;
+    constexpr std::array<result, 8> results{result::answered, result::answered,   result::answered,
+                                            result::answered, result::refused,    result::failed,
+                                            result::not_sent, result::misdirected};
+    stage_call_ended ended{call.call, results[random_.below(results.size())], {}};
     for (std::size_t index = 0; index < call.items.size(); ++index) {
-      const auto fault = drawn_.below(8);
+      const auto fault = random_.below(8);
       if (fault == 0) {
         ended.pieces.push_back({piece_fault::input_gone, ""});
       } else if (fault == 1) {
         ended.pieces.push_back({piece_fault::error, ""});
       } else {
-        ended.pieces.push_back(
-            {piece_fault::none, call.target.address.text() + "/h" + std::to_string(++handles)});
+        ended.pieces.push_back({piece_fault::none, call.target.address.text() + "/h" +
+                                                       std::to_string(++handle_count)});
       }
     }
-    if (ended.how != how::answered) {
+    if (ended.how != result::answered) {
       ended.pieces.clear();
     }
     happen(ended);
@@ -391,10 +392,10 @@
 
   void change_replica() {
     const std::vector<std::string> services{"llm", "plain", "pool"};
-    const auto& service = services[drawn_.below(services.size())];
-    const auto zone = draw_zone();
+    const auto& service = services[random_.below(services.size())];
+    const auto zone = random_zone();
     const auto name = service + "-" + zone;
-    switch (drawn_.below(4)) {
+    switch (random_.below(4)) {
     case 0:
       world.remove_replica(name);
       break;
@@ -402,14 +403,14 @@
       world.add_replica(name, service, zone, true);
       break;
     default:
-      world.add_replica(name + "-" + std::to_string(drawn_.below(3)), service, zone);
+      world.add_replica(name + "-" + std::to_string(random_.below(3)), service, zone);
       break;
     }
     subject.update(world.content, now);
   }
 
   void change_evacuation() {
-    const auto zone = draw_zone();
+    const auto zone = random_zone();
     if (evacuated_.erase(zone) > 0) {
       world.end_evacuation(zone);
     } else {
@@ -420,10 +421,10 @@
   }
 
   void change_configuration() {
-    if (drawn_.below(2) == 0) {
-      hold_routes(draw_regions());
+    if (random_.below(2) == 0) {
+      restrict_routes(random_regions());
     } else {
-      hold_tenant(draw_regions());
+      restrict_tenant(random_regions());
     }
   }
 
@@ -444,8 +445,8 @@
     }
   }
 
-  base::seeded_random drawn_;
-  base::caller_id clients_ = 0;
+  base::seeded_random random_;
+  base::caller_id last_client_ = 0;
   std::size_t checked_ = 0;
   /// Zones in which each request may run.
   std::map<std::string, text_set> allowed_;
@@ -454,18 +455,18 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(drawn_residency_test)
+BOOST_AUTO_TEST_SUITE(random_residency_test)
 
 BOOST_AUTO_TEST_CASE(no_call_leaves_the_regions_of_its_request) {
-  constexpr std::uint64_t days = 60;
+  constexpr std::uint64_t runs = 60;
   constexpr int steps = 300;
   int checked = 0;
-  for (std::uint64_t seed = 1; seed <= days; ++seed) {
-    drawn_day day(seed);
-    day.play(steps);
-    BOOST_TEST(day.calls_outside == 0, "seed " << seed << ": " << day.calls_outside << " outside");
-    BOOST_TEST(day.refused_late == 0, "seed " << seed);
-    checked += day.calls_checked;
+  for (std::uint64_t seed = 1; seed <= runs; ++seed) {
+    random_run run(seed);
+    run.run(steps);
+    BOOST_TEST(run.calls_outside == 0, "seed " << seed << ": " << run.calls_outside << " outside");
+    BOOST_TEST(run.late_refusals == 0, "seed " << seed);
+    checked += run.calls_checked;
   }
   // The days are no days without calls.
   BOOST_TEST(checked > 1000);
--- a/tests/dispatch/retry_after_test.cc
+++ b/tests/dispatch/retry_after_test.cc
@@ -9,9 +9,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-BOOST_AUTO_TEST_SUITE(return_time_test)
+BOOST_AUTO_TEST_SUITE(retry_after_test)
 
-BOOST_AUTO_TEST_CASE(those_refused_together_come_back_one_after_another) {
+BOOST_AUTO_TEST_CASE(simultaneous_refusals_get_spread_retry_after_times) {
   base::seeded_random random(1);
   std::set<base::duration> told;
   for (int client = 0; client < 100; ++client) {
--- a/tests/dispatch/retry_budget_exchange_test.cc
+++ b/tests/dispatch/retry_budget_exchange_test.cc
@@ -143,9 +143,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(retry_lending_test)
+BOOST_AUTO_TEST_SUITE(retry_budget_exchange_test)
 
-BOOST_AUTO_TEST_CASE(a_node_that_has_spent_its_share_goes_on_with_what_idle_ones_lend) {
+BOOST_AUTO_TEST_CASE(node_with_spent_budget_retries_with_transfers) {
   // Two repeats a node in a window; one node has all the trouble.
   budget_fleet fleet(20, {0, 40, seconds(10)}, 1);
   auto& recipient = *fleet.all[0];
@@ -256,7 +256,7 @@
   BOOST_TEST(!budget.try_take("s", start + transfer_lifetime + milliseconds(1)));
 }
 
-BOOST_AUTO_TEST_CASE(where_nobody_has_anything_left_few_questions_are_asked) {
+BOOST_AUTO_TEST_CASE(fleet_with_spent_budget_sends_few_queries) {
   budget_fleet fleet(20, {0, 20, seconds(10)}, 1);
   for (auto& node : fleet.all) {
     node->budget.set_fleet_size(1000);
--- a/tests/dispatch/retry_budget_test.cc
+++ b/tests/dispatch/retry_budget_test.cc
@@ -19,7 +19,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(retry_share_test)
+BOOST_AUTO_TEST_SUITE(retry_budget_test)
 
 BOOST_AUTO_TEST_CASE(shares_of_all_nodes_stay_within_the_bound_of_the_fleet) {
   constexpr std::size_t nodes = 6;
@@ -39,7 +39,7 @@
   BOOST_TEST(static_cast<double>(granted) <= ratio * nodes * requests_each + allowance);
 }
 
-BOOST_AUTO_TEST_CASE(repeats_are_granted_again_when_the_window_has_passed) {
+BOOST_AUTO_TEST_CASE(retries_are_granted_again_after_the_window) {
   retry_budget budget({0, 10, std::chrono::seconds(10)});
   const auto first = take_all_retries(budget, start);
   BOOST_TEST(first > 0);
--- a/tests/dispatch/run_times_test.cc
+++ b/tests/dispatch/run_times_test.cc
@@ -12,7 +12,7 @@
 /// What is expected beyond the longest run that counts.
 constexpr double headroom_factor = 1.1;
 
-double seconds(const run_time& run) {
+double total_seconds(const run_time& run) {
   return base::to_seconds(run.time_to_first_event + run.streaming_time);
 }
 
@@ -20,54 +20,57 @@
 
 BOOST_AUTO_TEST_SUITE(run_times_test)
 
-BOOST_AUTO_TEST_CASE(a_route_with_few_runs_is_taken_for_like_others_of_its_service) {
+BOOST_AUTO_TEST_CASE(route_with_few_runs_uses_times_of_its_service) {
   run_times subject;
-  const auto usual = seconds(subject.upper_estimate("route", "service", 10));
+  const auto usual = total_seconds(subject.upper_estimate("route", "service", 10));
   for (int run = 0; run < 3; ++run) {
     subject.note_run("route", "service", 10, {milliseconds(100), milliseconds(500)});
   }
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 10)) == usual);
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 10)) == usual);
   subject.note_run("sibling", "service", 10, {milliseconds(100), milliseconds(900)});
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 10)) == headroom_factor * 1.2,
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 10)) == headroom_factor * 1.2,
              boost::test_tools::tolerance(0.001));
   subject.note_run("route", "service", 10, {milliseconds(100), milliseconds(500)});
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 10)) == headroom_factor * 0.6,
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 10)) == headroom_factor * 0.6,
              boost::test_tools::tolerance(0.001));
-  BOOST_TEST(seconds(subject.upper_estimate("route", "elsewhere", 10)) == headroom_factor * 0.6,
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "elsewhere", 10)) ==
+                 headroom_factor * 0.6,
              boost::test_tools::tolerance(0.001));
-  BOOST_TEST(seconds(subject.upper_estimate("other", "elsewhere", 10)) == usual);
+  BOOST_TEST(total_seconds(subject.upper_estimate("other", "elsewhere", 10)) == usual);
 }
 
-BOOST_AUTO_TEST_CASE(without_tokens_a_new_route_is_not_taken_for_short_like_others_of_its_service) {
+BOOST_AUTO_TEST_CASE(route_with_few_runs_and_unknown_tokens_uses_default) {
   run_times subject;
-  const auto usual = seconds(subject.upper_estimate("route", "service", 0));
+  const auto usual = total_seconds(subject.upper_estimate("route", "service", 0));
   for (int run = 0; run < 8; ++run) {
     subject.note_run("short", "service", 0, {milliseconds(100), milliseconds(200)});
   }
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 0)) == usual);
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 300)) ==
-             seconds(subject.upper_estimate("route", "other", 300)));
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) == usual);
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 300)) ==
+             total_seconds(subject.upper_estimate("route", "other", 300)));
 }
 
-BOOST_AUTO_TEST_CASE(while_nothing_is_known_longer_answers_are_expected_to_last_longer) {
+BOOST_AUTO_TEST_CASE(default_estimate_grows_with_tokens) {
   const run_times subject;
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 1000)) >
-             2 * seconds(subject.upper_estimate("route", "service", 300)));
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 0)) > 1.0);
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 1000)) >
+             2 * total_seconds(subject.upper_estimate("route", "service", 300)));
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) > 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(streams_last_by_the_tokens_asked_for) {
+BOOST_AUTO_TEST_CASE(estimate_scales_with_tokens) {
   run_times subject;
   for (int run = 0; run < 8; ++run) {
     subject.note_run("route", "service", 100, {milliseconds(200), milliseconds(1000)});
   }
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 100)) == headroom_factor * 1.2,
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 100)) ==
+                 headroom_factor * 1.2,
              boost::test_tools::tolerance(0.001));
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 300)) == headroom_factor * 3.2,
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 300)) ==
+                 headroom_factor * 3.2,
              boost::test_tools::tolerance(0.001));
 }
 
-BOOST_AUTO_TEST_CASE(the_fewer_runs_that_differ_are_known_the_more_is_expected_beyond_them) {
+BOOST_AUTO_TEST_CASE(allowance_for_spread_shrinks_with_number_of_runs) {
   run_times subject;
   const auto note = [&](int milliseconds_of_run) {
     subject.note_run("route", "service", 0, {{}, milliseconds(milliseconds_of_run)});
@@ -76,27 +79,28 @@
     note(run);
   }
   // Longer than any, by half of how far they differ: such streams last up to six seconds.
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 5.25,
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 5.25,
              boost::test_tools::tolerance(0.001));
   for (int repeat = 0; repeat < 3; ++repeat) {
     for (const int run : {3000, 4500, 3500, 4500}) {
       note(run);
     }
   }
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 4.875,
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) ==
+                 headroom_factor * 4.875,
              boost::test_tools::tolerance(0.001));
 }
 
-BOOST_AUTO_TEST_CASE(of_sixteen_runs_one_may_be_longer) {
+BOOST_AUTO_TEST_CASE(longest_of_sixteen_runs_is_an_outlier) {
   run_times subject;
   for (int run = 1; run <= 16; ++run) {
     subject.note_run("route", "service", 0, {milliseconds(100 * run), {}});
   }
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 1.85,
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 1.85,
              boost::test_tools::tolerance(0.001));
 }
 
-BOOST_AUTO_TEST_CASE(what_load_did_long_ago_is_forgotten) {
+BOOST_AUTO_TEST_CASE(oldest_runs_are_dropped) {
   run_times subject;
   for (int run = 0; run < 8; ++run) {
     subject.note_run("route", "service", 0, {milliseconds(5000), {}});
@@ -104,30 +108,31 @@
   for (int run = 0; run < 32; ++run) {
     subject.note_run("route", "service", 0, {milliseconds(100), {}});
   }
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 0.1,
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 0.1,
              boost::test_tools::tolerance(0.001));
 }
 
-BOOST_AUTO_TEST_CASE(
-    whether_a_client_says_how_many_tokens_it_wants_makes_no_run_longer_or_shorter) {
+BOOST_AUTO_TEST_CASE(unknown_tokens_leave_estimate_of_equal_runs_unchanged) {
   run_times subject;
   for (int run = 0; run < 8; ++run) {
     subject.note_run("stated", "engine", 100, {milliseconds(200), milliseconds(1000)});
     subject.note_run("unstated", "other", 0, {milliseconds(200), milliseconds(1000)});
   }
-  BOOST_TEST(seconds(subject.upper_estimate("stated", "engine", 0)) == headroom_factor * 1.2,
+  BOOST_TEST(total_seconds(subject.upper_estimate("stated", "engine", 0)) == headroom_factor * 1.2,
              boost::test_tools::tolerance(0.001));
-  BOOST_TEST(seconds(subject.upper_estimate("unstated", "other", 500)) == headroom_factor * 1.2,
+  BOOST_TEST(total_seconds(subject.upper_estimate("unstated", "other", 500)) ==
+                 headroom_factor * 1.2,
              boost::test_tools::tolerance(0.001));
 }
 
-BOOST_AUTO_TEST_CASE(runs_that_did_not_say_their_tokens_do_not_change_the_time_of_a_token) {
+BOOST_AUTO_TEST_CASE(runs_with_unknown_tokens_do_not_affect_time_per_token) {
   run_times subject;
   for (int run = 0; run < 8; ++run) {
     subject.note_run("route", "service", 100, {milliseconds(200), milliseconds(1000)});
     subject.note_run("route", "service", 0, {milliseconds(200), milliseconds(1000)});
   }
-  BOOST_TEST(seconds(subject.upper_estimate("route", "service", 300)) == headroom_factor * 3.2,
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 300)) ==
+                 headroom_factor * 3.2,
              boost::test_tools::tolerance(0.001));
 }
 
--- a/tests/dispatch/shared_evidence_test.cc
+++ b/tests/dispatch/shared_evidence_test.cc
@@ -15,7 +15,7 @@
 
 constexpr std::size_t node_count = 20;
 constexpr unsigned replica_count = 6;
-const base::replica_id silent_replica("plain-0");
+const base::replica_id unresponsive_replica("plain-0");
 
 fleet_peer peer_number(std::size_t index) {
   const auto name = "n" + std::to_string(index);
@@ -52,8 +52,8 @@
 };
 
 /// Every node sends a read each second and a half on the mean; replicas take 50 ms.
-struct evidence_fleet {
-  evidence_fleet() {
+struct reporting_fleet {
+  reporting_fleet() {
     for (const std::string id : {"plain-a", "plain-b"}) {
       world.remove_replica(id);
     }
@@ -95,8 +95,8 @@
     for (const auto& command : node.subject.take_commands()) {
       if (const auto* call = std::get_if<start_call>(&command)) {
         begin(index, *call);
-      } else if (const auto* end = std::get_if<cancel_call>(&command)) {
-        node.answers.erase(end->call);
+      } else if (const auto* cancelled = std::get_if<cancel_call>(&command)) {
+        node.answers.erase(cancelled->call);
       } else if (const auto* answer = std::get_if<respond>(&command)) {
         ++(answer->status == 200 ? served : not_served);
       }
@@ -116,9 +116,10 @@
   }
 
   void begin(std::size_t index, const start_call& call) {
-    const bool is_silent = call.target.replica == silent_replica && silent_for.contains(index);
-    calls_at_silent += is_silent ? 1 : 0;
-    if (!is_silent) {
+    const bool is_unresponsive =
+        call.target.replica == unresponsive_replica && nodes_without_answers.contains(index);
+    calls_at_unresponsive += is_unresponsive ? 1 : 0;
+    if (!is_unresponsive) {
       nodes[index]->answers[call.call] = now + milliseconds(50);
     }
   }
@@ -126,7 +127,7 @@
   void deliver() {
     for (auto& node : nodes) {
       for (const auto& message : node->subject.take_messages()) {
-        if (!message.message.has_replica_news() || !shares) {
+        if (!message.message.has_replica_news() || !shares_reports) {
           continue;
         }
         for (auto& other : nodes) {
@@ -146,9 +147,9 @@
     return all;
   }
 
-  void silence_for_all() {
+  void stop_answering_all() {
     for (std::size_t index = 0; index < nodes.size(); ++index) {
-      silent_for.insert(index);
+      nodes_without_answers.insert(index);
     }
   }
 
@@ -156,10 +157,10 @@
   base::time_point now{std::chrono::hours(1)};
   std::vector<std::unique_ptr<fleet_node>> nodes;
   /// Nodes that hear nothing of the silent replica.
-  std::set<std::size_t> silent_for;
-  bool shares = true;
+  std::set<std::size_t> nodes_without_answers;
+  bool shares_reports = true;
   std::uint64_t requests = 0;
-  std::size_t calls_at_silent = 0;
+  std::size_t calls_at_unresponsive = 0;
   std::size_t served = 0;
   std::size_t not_served = 0;
 };
@@ -168,41 +169,41 @@
 
 BOOST_AUTO_TEST_SUITE(shared_evidence_test)
 
-BOOST_AUTO_TEST_CASE(a_silent_replica_costs_the_fleet_fewer_calls_than_where_each_learns_alone) {
+BOOST_AUTO_TEST_CASE(shared_reports_reduce_calls_to_unresponsive_replica) {
   std::size_t calls[2] = {0, 0};
-  for (const bool shares : {false, true}) {
-    evidence_fleet fleet;
-    fleet.shares = shares;
+  for (const bool shares_reports : {false, true}) {
+    reporting_fleet fleet;
+    fleet.shares_reports = shares_reports;
     fleet.run(seconds(5));
-    fleet.silence_for_all();
+    fleet.stop_answering_all();
     fleet.run(seconds(15));
-    calls[shares ? 1 : 0] = fleet.calls_at_silent;
-    BOOST_TEST_MESSAGE((shares ? "shared: " : "alone: ")
-                       << fleet.calls_at_silent << " calls at the silent replica, " << fleet.served
-                       << " served, " << fleet.not_served << " not, " << fleet.ejections()
-                       << " rests");
+    calls[shares_reports ? 1 : 0] = fleet.calls_at_unresponsive;
+    BOOST_TEST_MESSAGE((shares_reports ? "shared: " : "alone: ")
+                       << fleet.calls_at_unresponsive << " calls at the silent replica, "
+                       << fleet.served << " served, " << fleet.not_served << " not, "
+                       << fleet.ejections() << " rests");
     BOOST_TEST(fleet.not_served == 0U);
   }
   BOOST_TEST(calls[1] * 2 < calls[0]);
 }
 
 BOOST_AUTO_TEST_CASE(one_node_that_is_cut_from_a_replica_takes_it_from_no_other) {
-  evidence_fleet fleet;
-  fleet.silent_for = {0};
+  reporting_fleet fleet;
+  fleet.nodes_without_answers = {0};
   fleet.run(seconds(20));
-  BOOST_TEST(fleet.calls_at_silent > 0U);
+  BOOST_TEST(fleet.calls_at_unresponsive > 0U);
   BOOST_TEST(fleet.ejections() == 0U);
   BOOST_TEST(fleet.not_served == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_replica_that_is_back_is_used_again) {
-  evidence_fleet fleet;
-  fleet.silence_for_all();
+  reporting_fleet fleet;
+  fleet.stop_answering_all();
   fleet.run(seconds(6));
-  fleet.silent_for.clear();
+  fleet.nodes_without_answers.clear();
   fleet.run(seconds(6));
   for (const auto& node : fleet.nodes) {
-    BOOST_TEST(!node->subject.replicas().is_lost(silent_replica, fleet.now));
+    BOOST_TEST(!node->subject.replicas().is_lost(unresponsive_replica, fleet.now));
   }
 }
 
--- a/tests/dispatch/slow_client_test.cc
+++ b/tests/dispatch/slow_client_test.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-struct slow_reader : dispatcher_driver {
-  slow_reader() { time_allowed = seconds(60); }
+struct slow_client_driver : dispatcher_driver {
+  slow_client_driver() { time_allowed = seconds(60); }
 
   /// A stream that has passed its first event on.
   start_call begin(const std::string& path) {
@@ -22,7 +22,7 @@
   void close_window() { happen(client_window{1, false}); }
   void open_window() { happen(client_window{1, true}); }
 
-  std::string passed_on() const {
+  std::string forwarded_bytes() const {
     std::string bytes;
     for (const auto& data : all<stream_data>()) {
       bytes += data.bytes;
@@ -33,9 +33,9 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(slow_reader_test, slow_reader)
+BOOST_FIXTURE_TEST_SUITE(slow_client_test, slow_client_driver)
 
-BOOST_AUTO_TEST_CASE(a_short_pause_rests_the_replica_and_nothing_else) {
+BOOST_AUTO_TEST_CASE(short_pause_only_pauses_reading) {
   const auto call = begin("/stream/x");
   close_window();
   BOOST_TEST(last<pause_call>().call == call.call);
@@ -44,13 +44,13 @@
   BOOST_TEST(last<resume_call>().call == call.call);
   happen(stream_bytes{call.call, "ta: y\n\n"});
   happen(stream_closed{call.call, true});
-  BOOST_TEST(passed_on() == "id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
+  BOOST_TEST(forwarded_bytes() == "id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
   BOOST_TEST(last<end_stream>().complete);
   BOOST_TEST(all<start_call>().size() == 1U);
   BOOST_TEST(subject.counts().clients_judged_slow == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_resting_stream_is_no_stalled_replica) {
+BOOST_AUTO_TEST_CASE(paused_stream_does_not_count_as_stalled) {
   // Not resumable without an event that has an identifier, so it is neither let go nor repeated.
   arrive(1, "/stream/x");
   const auto call = last<start_call>();
@@ -86,7 +86,7 @@
   happen(stream_bytes{second.call, "id: 2\ndata: y\n\n"});
   happen(stream_closed{second.call, true});
   // Half an event of the first run is not mixed into the second.
-  BOOST_TEST(passed_on() == "id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
+  BOOST_TEST(forwarded_bytes() == "id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
   BOOST_TEST(all<open_stream>().size() == 1U);
   BOOST_TEST(last<end_stream>().complete);
   BOOST_TEST(subject.counts().streams_taken_up == 1U);
@@ -110,7 +110,7 @@
   BOOST_TEST(subject.counts().clients_judged_slow == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_repeat_left_it_is_buffered) {
+BOOST_AUTO_TEST_CASE(stream_without_attempt_left_is_buffered) {
   begin("/stream/x");
   close_window();
   pass(milliseconds(1'600));
@@ -136,7 +136,7 @@
   BOOST_TEST(subject.active() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_client_that_leaves_while_paused_ends_its_replicas_work_at_once) {
+BOOST_AUTO_TEST_CASE(disconnect_while_paused_cancels_call) {
   const auto call = begin("/fixed/x");
   close_window();
   happen(client_left{1});
@@ -153,8 +153,7 @@
   BOOST_TEST(subject.active() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(
-    a_replica_that_breaks_off_while_its_client_rests_is_followed_by_one_that_rests) {
+BOOST_AUTO_TEST_CASE(stream_that_breaks_while_paused_is_resumed_paused) {
   const auto first = begin("/stream/x");
   close_window();
   happen(stream_closed{first.call, false});
@@ -177,7 +176,7 @@
   BOOST_TEST(budget->held() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(an_event_beyond_memory_ends_its_stream_as_not_whole) {
+BOOST_AUTO_TEST_CASE(event_beyond_memory_ends_stream_as_incomplete) {
   const auto budget = std::make_shared<flow::byte_budget>(1'000);
   subject.set_budget(budget);
   const auto call = begin("/fixed/x");
@@ -187,7 +186,7 @@
   BOOST_TEST(budget->held() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_that_waits_for_memory_is_not_a_replica_without_progress) {
+BOOST_AUTO_TEST_CASE(answer_that_waits_for_memory_does_not_count_as_stalled) {
   for (const std::string path : {"/safe/x", "/unsafe/x"}) {
     const base::caller_id client = path == "/safe/x" ? 91 : 92;
     arrive(client, path);
@@ -202,7 +201,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_that_found_memory_is_watched_again) {
+BOOST_AUTO_TEST_CASE(resumed_answer_can_stall) {
   arrive(1, "/safe/x");
   const auto call = last<start_call>();
   happen(answer_paused{call.call});
@@ -217,7 +216,7 @@
   BOOST_TEST(last<cancel_call>().call == call.call);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_given_up_for_memory_says_nothing_of_its_replica) {
+BOOST_AUTO_TEST_CASE(answer_dropped_for_memory_is_no_replica_failure) {
   arrive(1, "/safe/x");
   const auto first = last<start_call>();
   happen(call_failed{first.call, call_fate::no_memory});
--- a/tests/dispatch/stop_plan_test.cc
+++ b/tests/dispatch/stop_plan_test.cc
@@ -26,45 +26,45 @@
 
 BOOST_FIXTURE_TEST_SUITE(stop_plan_test, stop_fixture)
 
-BOOST_AUTO_TEST_CASE(without_a_stop_everything_is_taken) {
+BOOST_AUTO_TEST_CASE(without_stop_everything_is_accepted) {
   const stop_plan idle;
   BOOST_TEST(!idle.has_begun());
   BOOST_TEST(idle.accepts(work(true, seconds(60)), begun_at));
   BOOST_TEST(idle.may_send(work(true, std::nullopt), begun_at));
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_is_taken_while_it_can_end_and_clients_are_led_elsewhere) {
+BOOST_AUTO_TEST_CASE(stream_is_accepted_within_window_if_it_can_end) {
   BOOST_TEST(subject.accepts(work(true, seconds(6)), begun_at));
   BOOST_TEST(!subject.accepts(work(true, seconds(6)), begun_at + seconds(1)));
   BOOST_TEST(subject.accepts(work(true, seconds(1)), begun_at + seconds(2)));
   BOOST_TEST(!subject.accepts(work(true, seconds(1)), begun_at + seconds(3)));
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_waited_too_long_inside_is_not_sent) {
+BOOST_AUTO_TEST_CASE(stream_without_enough_time_left_is_not_sent) {
   BOOST_TEST(subject.may_send(work(true, seconds(3)), begun_at + milliseconds(3'800)));
   BOOST_TEST(!subject.may_send(work(true, seconds(3)), begun_at + milliseconds(3'900)));
 }
 
-BOOST_AUTO_TEST_CASE(a_whole_answer_is_taken_a_little_longer_and_sent_as_long_as_it_can_end) {
+BOOST_AUTO_TEST_CASE(short_request_is_accepted_longer_and_sent_if_it_can_end) {
   BOOST_TEST(subject.accepts(work(false, milliseconds(200)), begun_at + milliseconds(3'400)));
   BOOST_TEST(!subject.accepts(work(false, milliseconds(200)), begun_at + milliseconds(3'600)));
   BOOST_TEST(subject.may_send(work(false, milliseconds(200)), begun_at + milliseconds(6'500)));
   BOOST_TEST(!subject.may_send(work(false, milliseconds(200)), begun_at + milliseconds(6'700)));
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_served_now_is_not_taken) {
+BOOST_AUTO_TEST_CASE(request_that_cannot_be_served_now_is_refused) {
   BOOST_TEST(!subject.accepts(work(false, std::nullopt), begun_at));
   BOOST_TEST(!subject.accepts(work(true, std::nullopt), begun_at));
 }
 
-BOOST_AUTO_TEST_CASE(what_is_answered_in_time_anyway_is_sent) {
+BOOST_AUTO_TEST_CASE(request_with_deadline_before_stop_end_is_sent) {
   remaining_work short_deadline = work(true, std::nullopt);
   short_deadline.answer_deadline = begun_at + seconds(5);
   BOOST_TEST(subject.accepts(short_deadline, begun_at + seconds(2)));
   BOOST_TEST(subject.may_send(short_deadline, begun_at + seconds(4)));
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_taken_once_the_stop_must_have_ended) {
+BOOST_AUTO_TEST_CASE(nothing_is_accepted_after_stop_end) {
   BOOST_TEST(!subject.accepts(work(false, base::duration::zero()), begun_at + seconds(7)));
   BOOST_TEST(!subject.accepts(work(false, std::nullopt), begun_at + seconds(7)));
 }
--- a/tests/dispatch/stopping_dispatcher.h
+++ b/tests/dispatch/stopping_dispatcher.h
@@ -19,53 +19,53 @@
   stopping_dispatcher() { time_allowed = std::chrono::seconds(15); }
 
   /// @param pieces of the stages, of which the first has one where there are any.
-  void learn(const std::string& path, const std::vector<std::uint32_t>& pieces = {}) {
-    constexpr base::caller_id streams = 4;
-    for (base::caller_id client = 1; client <= streams; ++client) {
+  void learn_run_times(const std::string& path, const std::vector<std::uint32_t>& pieces = {}) {
+    constexpr base::caller_id stream_count = 4;
+    for (base::caller_id client = 1; client <= stream_count; ++client) {
       arrive(client, path, pieces);
       if (!pieces.empty()) {
         pass(std::chrono::milliseconds(20));
-        finish_stage();
+        complete_stage_call();
       }
-      stream_of_last_call(std::chrono::milliseconds(200), std::chrono::seconds(2));
+      complete_stream_of_last_call(std::chrono::milliseconds(200), std::chrono::seconds(2));
     }
   }
 
   /// The latest call of a stage makes its one piece.
-  void finish_stage() {
-    stage_call_ended made;
-    made.call = last<start_stage_call>().call;
-    made.how = stage_call_ended::result::answered;
-    made.pieces = {{piece_fault::none, "10.0.0.1:80/h"}};
-    happen(made);
+  void complete_stage_call() {
+    stage_call_ended ended;
+    ended.call = last<start_stage_call>().call;
+    ended.how = stage_call_ended::result::answered;
+    ended.pieces = {{piece_fault::none, "10.0.0.1:80/h"}};
+    happen(ended);
   }
 
-  void stream_of_last_call(base::duration to_first_event, base::duration events) {
+  void complete_stream_of_last_call(base::duration to_first_event, base::duration events) {
     const auto call = last<start_call>().call;
     pass(to_first_event);
     happen(stream_opened{call, good_head()});
-    next_event(call);
+    send_next_event(call);
     // Events come more often than a stall is suspected.
-    for (base::duration passed{}; passed < events; passed += std::chrono::milliseconds(500)) {
+    for (base::duration elapsed{}; elapsed < events; elapsed += std::chrono::milliseconds(500)) {
       pass(std::chrono::milliseconds(500));
-      next_event(call);
+      send_next_event(call);
     }
     happen(stream_closed{call, true});
   }
 
   /// The next event of the stream of a call.
-  void next_event(base::call_id call) {
-    const auto id = std::to_string(++events_of[call]);
+  void send_next_event(base::call_id call) {
+    const auto id = std::to_string(++events_by_call[call]);
     happen(stream_bytes{call, "id: " + id + "\ndata: a\n\n"});
   }
 
-  void stop() {
-    stop_began = now;
+  void begin_stop() {
+    stop_began_at = now;
     subject.begin_stop(now, now + stop_time);
   }
 
-  base::time_point stop_began;
-  std::map<base::call_id, unsigned> events_of;
+  base::time_point stop_began_at;
+  std::map<base::call_id, unsigned> events_by_call;
 };
 
 } // namespace spurrack::serving
--- a/tests/dispatch/virtual_time.h
+++ b/tests/dispatch/virtual_time.h
@@ -12,21 +12,21 @@
 struct virtual_time {
   base::time_point now{std::chrono::hours(1)};
 
-  void later(base::duration span, std::function<void()> what) {
-    due_.emplace(now + span, std::move(what));
+  void later(base::duration span, std::function<void()> action) {
+    actions_.emplace(now + span, std::move(action));
   }
 
   /// Has all happen that is due.
   void run_due() {
-    while (!due_.empty() && due_.begin()->first <= now) {
-      const auto what = std::move(due_.begin()->second);
-      due_.erase(due_.begin());
-      what();
+    while (!actions_.empty() && actions_.begin()->first <= now) {
+      const auto action = std::move(actions_.begin()->second);
+      actions_.erase(actions_.begin());
+      action();
     }
   }
 
  private:
-  std::multimap<base::time_point, std::function<void()>> due_;
+  std::multimap<base::time_point, std::function<void()>> actions_;
 };
 
 } // namespace spurrack::serving
