--- a/tests/dispatch/client_leaves_test.cc
+++ b/tests/dispatch/client_leaves_test.cc
@@ -1,5 +1,5 @@
-/// A client leaves before, during and after each step of its request: nothing is sent for it from
-/// then on, what runs is given up, what was made is freed.
+/// A client disconnects before, during or after each step of its request: no further calls are sent
+/// for the request, active calls are cancelled and results are freed.
 #include "exchange_fleet.h"
 #include "serving_fixture.h"
 
@@ -23,7 +23,7 @@
     happen(call_ended);
   }
 
-  /// Takes a staged request with one piece a stage through its first `stages` stages.
+  /// Sends a request with one piece per stage and completes its first `stages` stages.
   void arrive_staged(std::size_t stages) {
     arrive(1, "/staged/x", {1, 1});
     for (std::size_t stage = 0; stage < stages; ++stage) {
@@ -33,7 +33,7 @@
     pass(milliseconds(50));
   }
 
-  /// The client leaves; whatever is sent later would be for nobody.
+  /// Disconnects the client and counts the calls sent so far.
   void disconnect() {
     happen(client_left{1});
     calls_before_ = all<start_call>().size();
@@ -107,7 +107,7 @@
   happen(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
   disconnect();
   BOOST_TEST(last<cancel_call>().call == call.call);
-  // What still comes is dropped.
+  // Later bytes of the cancelled call are dropped.
   happen(stream_bytes{call.call, "id: 2\ndata: x\n\n"});
   happen(stream_closed{call.call, false});
   check_nothing_sent_since_disconnect();
@@ -140,7 +140,7 @@
 
 BOOST_AUTO_TEST_CASE(waiting_pieces_at_another_node_are_cancelled) {
   exchange_fleet fleet(3);
-  // One piece is under way at the zone's replica, and the next waits at the gatherer.
+  // One piece runs at the zone's replica, and the next piece waits at the batcher.
   fleet.submit(*fleet.nodes[0]);
   fleet.run(milliseconds(100));
   auto* batcher_node = fleet.caller();
--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -1,4 +1,4 @@
-/// One request after another against the rules of the serving path.
+/// Rules of the serving path, one request at a time.
 #include "serving_fixture.h"
 
 using namespace spurrack;
@@ -275,7 +275,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(stages_that_fail_under_a_begun_stream_break_it_off) {
-  // Found by trouble-2 of hccsa-spurrack: a whole answer was written into the stream.
+  // Regression: a whole answer was written into the stream that had begun.
   world.configuration.mutable_routes(4)->set_resumable(true);
   world.publish_configuration();
   subject.update(world.content, now);
@@ -336,7 +336,7 @@
   subject.update(world.content, now);
   arrive(1, "/stream/x");
   BOOST_TEST(last<start_call>().target.replica.text() == "llm-a");
-  // Its target passes while there is no other replica.
+  // The target latency passes while no other replica is available.
   pass(std::chrono::milliseconds(1500));
   BOOST_TEST(all<start_call>().size() == 1U);
   world.add_replica("llm-b", "llm", "b");
@@ -368,7 +368,7 @@
     pass(std::chrono::milliseconds(200));
   }
   BOOST_TEST(all<start_call>().size() == 1U);
-  // Two and a half times the longest pause in time.
+  // Two and a half times the target gap between events.
   pass(std::chrono::milliseconds(1100));
   BOOST_TEST(all<start_call>().size() == 2U);
   BOOST_TEST(*last<start_call>().resume_after == 20U);
@@ -379,7 +379,7 @@
   subject.update(world.content, now);
   time_allowed = std::chrono::seconds(5);
   arrive(1, "/staged/x", {1, 1});
-  // Well after the first judgement there is still a replica for its stages.
+  // Well after the first feasibility check a replica for the stages is still available.
   pass(std::chrono::milliseconds(2500));
   BOOST_TEST(all<respond>().empty());
   const auto lost_at = now;
--- a/tests/dispatch/down_replica_test.cc
+++ b/tests/dispatch/down_replica_test.cc
@@ -1,5 +1,5 @@
-/// Requests at a replica that falls silent, with what other nodes have seen of it; repeats with
-/// what other nodes lend.
+/// Requests at an unresponsive replica, with health reports of other nodes; retries with retry
+/// budget that other nodes transfer.
 #include "serving_fixture.h"
 
 using namespace spurrack;
@@ -29,7 +29,7 @@
     pass(milliseconds(1));
   }
 
-  /// @return what was told of replicas since the last call.
+  /// @return health reports sent since the last call.
   std::vector<wire::replica_news> sent_reports() {
     std::vector<wire::replica_news> reports;
     for (const auto& message : subject.take_messages()) {
@@ -41,7 +41,7 @@
   }
 };
 
-/// All repeats must be borrowed.
+/// The node has no retry budget of its own, so that each retry needs a transfer.
 struct driver_without_own_budget : reporting_driver {
   driver_without_own_budget() : reporting_driver(settings_without_own_budget()) {}
 
--- a/tests/dispatch/engine_requests_test.cc
+++ b/tests/dispatch/engine_requests_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Both zones are of one region, so that both engines are near.
+/// Both zones are in one region, so that both engines are nearby.
 serving_settings settings_with_large_retry_budget() {
   serving_settings settings;
   settings.regions = model::zone_regions({{base::zone_id("a"), base::region_id("region")},
@@ -31,7 +31,7 @@
       }
     }
     world.publish_configuration();
-    // So many slots that what engines have to read decides, and not how many calls they have.
+    // With this many slots the prefill backlog decides, not the number of calls.
     constexpr std::uint32_t slots = 64;
     world.add_replica("llm-a", "llm", "a", false, 0, slots);
     world.add_replica("llm-b", "llm", "b", false, 0, slots);
@@ -105,12 +105,13 @@
   const auto calls = all<start_call>();
   BOOST_TEST(calls.size() == 10U);
   const auto& first = calls.front();
-  // Others go to the second home; what matters is what waits behind the first.
+  // Some requests go to the second engine; the last call that waits behind the first call matters.
   const auto last = std::find_if(calls.rbegin(), calls.rend(), [&](const start_call& call) {
     return call.target.replica == first.target.replica;
   });
   BOOST_TEST(last->call >= first.call + 5);
-  // Both engines are silent. The first has nothing before it and is late at its target of 1 s.
+  // Both engines are unresponsive. No prompt is ahead of the first call, so it stalls at its target
+  // latency of 1 s.
   pass(std::chrono::milliseconds(1'050));
   BOOST_TEST(is_cancelled(first.call));
   BOOST_TEST(!is_cancelled(last->call));
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -1,4 +1,4 @@
-/// Evacuations of zones: what is sent while one stands, and after it has ended.
+/// Calls during an evacuation of a zone and after its end.
 #include "exchange_fleet.h"
 #include "serving_fixture.h"
 
@@ -53,7 +53,7 @@
 BOOST_AUTO_TEST_CASE(retry_avoids_evacuated_zone) {
   arrive(1, "/safe/x");
   BOOST_TEST(zone_of(last<start_call>()) == "a");
-  // The other zone is the only one left, and then none is.
+  // The other zone has the only untried replica, and is evacuated before the retry.
   evacuate("b");
   happen(call_failed{last<start_call>().call, call_fate::may_have_run});
   BOOST_TEST(all<start_call>().size() == 1U);
@@ -129,7 +129,7 @@
   for (base::caller_id client = 1; client <= 10; ++client) {
     arrive(client, "/stream/x");
   }
-  // Nothing of the allowance has been saved up yet.
+  // The allowance of cold replicas has not accumulated any requests yet.
   BOOST_TEST(called_zones() == std::set<std::string>{"b"}, boost::test_tools::per_element());
   pass(serving_settings{}.cold_after_evacuation);
   commands.clear();
--- a/tests/dispatch/planned_stop_requests_test.cc
+++ b/tests/dispatch/planned_stop_requests_test.cc
@@ -1,4 +1,4 @@
-/// Requests before, during and after the begin of a planned stop, through their whole life.
+/// Requests that arrive before and during a graceful stop.
 #include "stopping_dispatcher.h"
 
 #include <map>
@@ -84,7 +84,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(of_streams_asked_for_all_through_a_stop_none_is_cut) {
-  // A crowd that asks as long as the process is there, for streams of drawn lengths.
+  // A client requests streams of random lengths every 100 ms until the end of the stop.
   for (unsigned seed = 1; seed <= 20; ++seed) {
     stopping_dispatcher node;
     node.learn_run_times("/fixed/x");
--- a/tests/dispatch/planned_stop_retries_test.cc
+++ b/tests/dispatch/planned_stop_retries_test.cc
@@ -1,5 +1,4 @@
-/// What becomes of second chances during a planned stop: repeats, loans, streams that wait for a
-/// slow reader.
+/// Retries, resumed streams and streams of slow clients during a graceful stop.
 #include "stopping_dispatcher.h"
 
 using namespace spurrack;
@@ -10,7 +9,7 @@
 namespace {
 
 struct stop_retries_driver : stopping_dispatcher {
-  /// Runs of a route that answers as a whole.
+  /// Completes calls of a route without streams, so that the dispatcher learns their time.
   void learn_call_times(const std::string& path, base::duration call_time) {
     constexpr base::caller_id calls = 4;
     for (base::caller_id client = 1; client <= calls; ++client) {
@@ -20,7 +19,8 @@
     }
   }
 
-  /// A stream that has passed its first event on when the stop begins.
+  /// Begins a stop after the first event of a stream.
+  /// @return call of the stream.
   base::call_id stream_before_stop(const std::string& path) {
     learn_run_times(path);
     arrive(10, path);
@@ -31,7 +31,7 @@
     return call;
   }
 
-  /// The stream goes on for a time.
+  /// Sends an event of the stream every 500 ms for the given time.
   void continue_stream(base::call_id call, base::duration span) {
     for (base::duration elapsed{}; elapsed < span; elapsed += milliseconds(500)) {
       pass(milliseconds(500));
@@ -64,13 +64,13 @@
   BOOST_TEST(last<respond>().status == 500);
   BOOST_TEST(last<respond>().body == "failed");
   BOOST_TEST(subject.active() == 0);
-  // Nor is anything taken from the share of repeats for what is not sent.
+  // A retry that is not sent does not use retry budget.
   BOOST_TEST(subject.counts().repeats == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(paused_stream_is_buffered_while_stopping) {
   const auto call = stream_before_stop("/stream/x");
-  // Now there would be time to take it up again, but it ends only when the client reads on.
+  // There is time to resume the stream now, but it can end only after the client reads on.
   continue_stream(call, seconds(2));
   happen(client_window{10, false});
   pass(milliseconds(1'600));
@@ -89,7 +89,7 @@
   happen(stream_opened{call, good_head()});
   send_next_event(call);
   continue_stream(call, milliseconds(1'500));
-  // Less than a whole run needs, more than a first event and half a second.
+  // Less time than a whole run needs, but more than a first event and half a second.
   subject.begin_stop(now, now + milliseconds(1'800));
   const auto calls = all<start_call>().size();
   happen(stream_closed{call, false});
@@ -104,7 +104,7 @@
   const auto replica = last<start_call>().target.replica;
   continue_stream(call, milliseconds(4'500));
   const auto calls = all<start_call>().size();
-  // Two and a half times the longest pause in time.
+  // Two and a half times the target gap between events.
   pass(milliseconds(1'260));
   report_unresponsive(replica);
   pass(milliseconds(1'000));
@@ -116,7 +116,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(stream_resumed_by_client_is_not_recorded_as_whole_run) {
-  // Streams of two seconds, and their last tenths that clients ask for again.
+  // Streams of two seconds, and requests of clients for the last tenths of such streams.
   learn_run_times("/fixed/x");
   constexpr base::caller_id resumed_streams = 40;
   for (base::caller_id client = 11; client < 11 + resumed_streams; ++client) {
@@ -128,7 +128,8 @@
     happen(stream_bytes{call, "id: 6\ndata: a\n\n"});
     happen(stream_closed{call, true});
   }
-  // Too short for two seconds, and long enough for the rest of one.
+  // Too short for a whole stream of two seconds, and long enough for the remainder of a resumed
+  // one.
   subject.begin_stop(now, now + milliseconds(1'500));
   const auto calls = all<start_call>().size();
   arrive(100, "/fixed/x");
--- a/tests/dispatch/replica_changes_test.cc
+++ b/tests/dispatch/replica_changes_test.cc
@@ -1,5 +1,5 @@
-/// Replicas that change one after the other before a node that knows very many: what a change
-/// costs, and that nothing is missed.
+/// Incremental updates of a large replica table: the cost of a change, and equality with a full
+/// update.
 #include "serving_fixture.h"
 
 #include <boost/test/unit_test.hpp>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A dispatcher that knows many replicas.
+/// A dispatcher that knows `size` replicas besides those of `published_world`.
 struct large_fleet_driver : dispatcher_driver {
   explicit large_fleet_driver(int size) {
     for (int number = 0; number < size; ++number) {
@@ -21,7 +21,7 @@
   }
 
   static std::string replica_name(int number) { return "r" + std::to_string(number); }
-  /// @return records compared while an update is taken over.
+  /// @return number of records that an update compares.
   std::uint64_t records_compared_by_update() {
     const auto before = subject.replicas().records_compared();
     subject.update(world.content, now);
@@ -29,14 +29,14 @@
   }
 };
 
-/// Both tables find the same replicas, by id, by service and by address.
+/// Checks that both tables find the same replicas by id, service and address.
 void check_same_tables(const replica_table& incremental, const replica_table& full) {
   BOOST_REQUIRE_EQUAL(incremental.all().size(), full.all().size());
   for (const auto& [id, state] : full.all()) {
     const auto* incremental_state = incremental.find(id);
     BOOST_REQUIRE(incremental_state != nullptr);
     BOOST_TEST((incremental_state->record == state.record));
-    // Several may name one address.
+    // Several replicas may have the same address.
     const auto& address = state.record->address;
     BOOST_TEST((incremental.find_at(address)->record == full.find_at(address)->record));
   }
@@ -97,7 +97,7 @@
         if (random.below(4) == 0 && node.world.content.replicas().contains(base::replica_id(id))) {
           node.world.remove_replica(id);
         } else {
-          // Some take the address of another, or of one that is gone.
+          // Some replicas get the address of another replica or of a removed replica.
           node.world.add_incarnation(id, services[random.below(4)], "a",
                                      "10.1.0." + std::to_string(random.below(12)) + ":80",
                                      1 + random.below(3));
@@ -115,7 +115,7 @@
     full.set_configuration(node.world.content.serving());
     full.update(node.world.content.replicas(), node.now);
     for (const auto& [id, state] : node.subject.replicas().all()) {
-      // One whose service was configured once is kept; here none loses its configuration.
+      // Replicas whose service is no longer configured are kept; here all services stay configured.
       BOOST_TEST(full.find(id) != nullptr);
     }
     check_same_tables(node.subject.replicas(), full);
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -1,4 +1,5 @@
-/// Requests at replicas that start again under their id, or whose entry another writer writes over.
+/// Requests at replicas that restart under their id, or whose entry is overwritten by another
+/// writer.
 #include "serving_fixture.h"
 
 using namespace spurrack;
@@ -11,7 +12,8 @@
 const std::string old_address = "10.0.1.1:80";
 const std::string new_address = "10.0.1.2:80";
 
-/// Zone a has one replica of each service, in its first life; those of zone b are farther.
+/// Zone a has one replica of each service, in its first incarnation; the replicas of zone b are
+/// farther away.
 struct restart_driver : dispatcher_driver {
   restart_driver() {
     for (const std::string service : {"llm", "plain", "pool"}) {
@@ -25,7 +27,7 @@
         {{base::node_id("other"), base::zone_id("a"), base::network_address("other:1"), 1}}, 1);
   }
 
-  /// Each service has addresses of its own.
+  /// @return address derived from `base`, different for each service.
   static std::string address_of(const std::string& service, const std::string& base) {
     return base + std::to_string(service.size());
   }
@@ -44,7 +46,8 @@
     update();
   }
 
-  /// Sends requests until one is at the replica of zone a.
+  /// Sends a request.
+  /// @return its call, which is at the replica of zone a.
   base::call_id call_at_zone_a(const std::string& path, base::caller_id client) {
     arrive(client, path);
     const auto call = last<start_call>();
@@ -253,7 +256,8 @@
   BOOST_REQUIRE(lost.starts_with(address_of("pool", old_address)));
   const auto call = last<start_call>();
   restart("pool");
-  // The replica found its inputs gone; it is sent again only with those made anew.
+  // The replica answers that the inputs are gone; the request is sent again only after they are
+  // recomputed.
   auto head = not_executed_head();
   head.status = 409;
   happen(call_answered{call.call, head, ""});
@@ -297,7 +301,7 @@
   world.add_incarnation("stranger", "elsewhere", "a", "10.0.9.9:80", 1000);
   update();
   BOOST_TEST(subject.counts().replicas_of_unknown_services == 2U);
-  // The service appears.
+  // The service is configured now.
   world.add_service("elsewhere");
   world.publish_configuration();
   update();
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -1,4 +1,5 @@
-/// Requests that are held to regions: no call of theirs leaves their set, whatever happens.
+/// Requests that are restricted to regions: none of their calls goes to a replica outside these
+/// regions.
 #include "residency_fixture.h"
 #include "serving_fixture.h"
 
@@ -59,7 +60,7 @@
     return name.substr(name.find('-') + 1, 1);
   }
 
-  /// @return zones of all calls so far, those for pieces among them.
+  /// @return zones of all calls so far, including calls for pieces.
   text_set called_zones() const {
     text_set zones;
     for (const auto& call : all<start_call>()) {
@@ -71,7 +72,7 @@
     return zones;
   }
 
-  /// @return when the last answer tells to come back; empty where it does not.
+  /// @return Retry-After header of the last answer; empty if it has none.
   std::string retry_after() const {
     for (const auto& field : last<respond>().headers) {
       if (field.name == "Retry-After") {
@@ -81,7 +82,7 @@
     return "";
   }
 
-  /// Lets every piece be made as it is asked for.
+  /// Answers all open calls for pieces with results.
   void answer_piece_calls() {
     const auto calls = all<start_stage_call>();
     for (; answered_calls < calls.size(); ++answered_calls) {
@@ -197,7 +198,7 @@
   happen(stream_opened{stream, good_head()});
   happen(stream_bytes{stream, "id: 1\ndata: x\n\n"});
   happen(stream_closed{stream, false});
-  // The one replica of each service in the region has been tried.
+  // The only replica of each service in the region has been tried.
   BOOST_TEST(all<start_call>().size() == 2U);
   BOOST_TEST(last<respond>().status == 502U);
   BOOST_TEST(!last<end_stream>().complete);
@@ -243,8 +244,8 @@
 
 namespace {
 
-/// Draws what happens, and checks each call against the set its request was given by what was
-/// published when it arrived.
+/// Performs random actions, and checks each call against the zones that its request was permitted
+/// when it arrived.
 class random_run : public residency_driver {
  public:
   explicit random_run(std::uint64_t seed) : random_(seed) {}
@@ -303,7 +304,7 @@
         regions.insert(region);
       }
     }
-    // One list in three restricts nothing.
+    // One list in three is empty, which permits all regions.
     return random_.below(3) == 0 ? text_set{} : regions;
   }
 
@@ -448,7 +449,7 @@
   base::seeded_random random_;
   base::caller_id last_client_ = 0;
   std::size_t checked_ = 0;
-  /// Zones in which each request may run.
+  /// Permitted zones of each request, by request id.
   std::map<std::string, text_set> allowed_;
   text_set evacuated_;
 };
@@ -468,7 +469,7 @@
     BOOST_TEST(run.late_refusals == 0, "seed " << seed);
     checked += run.calls_checked;
   }
-  // The days are no days without calls.
+  // Guards against runs without calls.
   BOOST_TEST(checked > 1000);
 }
 
--- a/tests/dispatch/residency_fixture.h
+++ b/tests/dispatch/residency_fixture.h
@@ -1,4 +1,4 @@
-/// Three regions and a zone without one, for tests of what residency permits.
+/// Three regions and a zone without a region, for tests of residency.
 #pragma once
 
 #include "model/residency.h"
@@ -12,7 +12,7 @@
 
 namespace spurrack::serving {
 
-/// `f` has no region.
+/// Zone `f` has no region.
 inline const std::vector<std::string> residency_zones{"a", "b", "c", "d", "e", "f"};
 
 inline model::zone_regions residency_regions() {
--- a/tests/dispatch/retry_budget_exchange_test.cc
+++ b/tests/dispatch/retry_budget_exchange_test.cc
@@ -1,5 +1,5 @@
-/// Nodes lend each other their share of repeats, and the bound of the fleet holds whatever becomes
-/// of their messages.
+/// Nodes transfer retry budget to each other, and the fleet-wide budget holds even if messages are
+/// lost, late or duplicated, or nodes are partitioned.
 #include "dispatch/retry_budget_exchange.h"
 
 #include <boost/test/unit_test.hpp>
@@ -23,7 +23,7 @@
           base::network_address(name + ":1"), 1};
 }
 
-/// One node with its share, its requests and the repeats it was granted.
+/// One node with its retry budget and the retries that it was granted.
 struct budget_node {
   budget_node(std::size_t index, std::size_t nodes, const retry_limits& limits,
               base::random_source& random)
@@ -39,7 +39,8 @@
     exchange.start(start - seconds(20));
   }
 
-  /// @return whether a repeat was granted; asks others where not.
+  /// Takes a retry from the budget, or queries other nodes if none is available.
+  /// @return whether the retry was granted.
   bool request_retry(base::time_point now) {
     if (budget.try_take("s", now)) {
       retries.push_back(now);
@@ -52,12 +53,12 @@
   fleet_peer self;
   retry_budget budget;
   retry_budget_exchange exchange;
-  /// Requests that wait for a repeat beside the one that asks.
+  /// Number of requests that wait for a retry in addition to the request that queries.
   std::size_t waiting_retries = 0;
   std::vector<base::time_point> retries;
 };
 
-/// Messages between nodes that may be lost, late, doubled, or cut off.
+/// Nodes whose messages may be lost, late or duplicated, and that may be partitioned.
 struct budget_fleet {
   budget_fleet(std::size_t nodes, const retry_limits& limits, std::uint64_t seed) : random(seed) {
     for (std::size_t index = 0; index < nodes; ++index) {
@@ -113,7 +114,7 @@
            std::find(partitioned.begin(), partitioned.end(), recipient) != partitioned.end();
   }
 
-  /// @return the most repeats of the fleet that any window holds.
+  /// @return maximum number of retries of the fleet in any window.
   [[nodiscard]] std::size_t max_retries_in_window(base::duration window) const {
     std::vector<base::time_point> times;
     for (const auto& node : all) {
@@ -146,7 +147,7 @@
 BOOST_AUTO_TEST_SUITE(retry_budget_exchange_test)
 
 BOOST_AUTO_TEST_CASE(node_with_spent_budget_retries_with_transfers) {
-  // Two repeats a node in a window; one node has all the trouble.
+  // Two retries per node in a window; only one node needs retries.
   budget_fleet fleet(20, {0, 40, seconds(10)}, 1);
   auto& recipient = *fleet.all[0];
   for (int step = 0; step < 1000; ++step) {
@@ -158,7 +159,7 @@
       continue;
     }
   }
-  // Its own share allows one.
+  // The budget of the node itself allows one retry.
   BOOST_TEST(recipient.retries.size() >= 8U);
   BOOST_TEST(fleet.max_retries_in_window(seconds(10)) <= 40U);
 }
@@ -184,7 +185,7 @@
         }
       }
       fleet.deliver(now);
-      // The trouble moves through the fleet.
+      // The nodes that need retries change with time.
       const auto index = (fleet.random.below(retrying_nodes) + step / 500) % fleet.all.size();
       fleet.all[index]->request_retry(now);
     }
@@ -268,7 +269,8 @@
       node->request_retry(now);
     }
   }
-  // A node asks three and answers as many; 20 seconds, twice the longest pause to settle.
+  // A node queries three peers and answers as many queries. The 20 seconds include the growth of
+  // the query interval to its maximum, which takes about twice that maximum.
   BOOST_TEST(static_cast<double>(fleet.messages) / 20 / 20 < 4.0);
 }
 
--- a/tests/dispatch/run_times_test.cc
+++ b/tests/dispatch/run_times_test.cc
@@ -1,4 +1,4 @@
-/// How long runs last, as learned from recent ones.
+/// Estimates of run times from recent runs.
 #include "dispatch/run_times.h"
 
 #include <boost/test/unit_test.hpp>
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What is expected beyond the longest run that counts.
+/// Factor by which the estimate exceeds the longest run that is not an outlier.
 constexpr double headroom_factor = 1.1;
 
 double total_seconds(const run_time& run) {
@@ -78,7 +78,7 @@
   for (const int run : {3000, 4500, 3500, 4000}) {
     note(run);
   }
-  // Longer than any, by half of how far they differ: such streams last up to six seconds.
+  // Longer than the longest run by half of the spread: such streams last up to six seconds.
   BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 5.25,
              boost::test_tools::tolerance(0.001));
   for (int repeat = 0; repeat < 3; ++repeat) {
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -1,4 +1,4 @@
-/// A published world and a dispatcher over it, driven by hand.
+/// A published catalog and a driver that feeds events to a dispatcher.
 #pragma once
 
 #include "catalog/catalog.h"
@@ -74,7 +74,7 @@
     return route;
   }
 
-  /// Asks that nothing be sent to the replicas of a zone.
+  /// Publishes an evacuation of a zone, so that its replicas are sent no requests.
   void evacuate(const std::string& zone) {
     wire::published_evacuation evacuation;
     evacuation.set_zone(zone);
@@ -99,7 +99,7 @@
     put(std::string(model::replica_prefix) + id, replica.SerializeAsString(), false);
   }
 
-  /// Publishes a life of a replica; a start of 0 is not told.
+  /// Publishes an incarnation of a replica; a start of 0 leaves the start unset.
   void add_incarnation(const std::string& id, const std::string& service, const std::string& zone,
                        const std::string& address, std::uint64_t started_at_milliseconds,
                        std::uint32_t cold_milliseconds = 0) {
@@ -114,7 +114,7 @@
     put(std::string(model::replica_prefix) + id, replica.SerializeAsString(), false);
   }
 
-  /// Another writer writes over the entry of a replica.
+  /// Overwrites the entry of a replica with a malformed record, as another writer may do.
   void write_malformed(const std::string& id) {
     wire::published_replica replica;
     replica.set_id(id);
@@ -152,7 +152,7 @@
   unsigned addresses_ = 1;
 };
 
-/// Drives one dispatcher and keeps what it asks for.
+/// Drives one dispatcher and keeps its commands.
 class dispatcher_driver {
  public:
   explicit dispatcher_driver(const serving_settings& settings = {})
@@ -162,7 +162,7 @@
     subject.update(world.content, now);
   }
 
-  /// Sends a request and takes the commands it leads to.
+  /// Delivers a request to the dispatcher and collects the resulting commands.
   void arrive(base::caller_id client, const std::string& path,
               std::vector<std::uint32_t> pieces = {}) {
     auto content = content_for(client, path);
@@ -171,7 +171,7 @@
     happen(request_arrived{client, content, now});
   }
 
-  /// @return what a client asks for on a path, to be changed before it arrives.
+  /// @return request content for a path, which the test may change before the request arrives.
   [[nodiscard]] std::shared_ptr<request_content> content_for(base::caller_id client,
                                                              const std::string& path) const {
     auto content = std::make_shared<request_content>();
@@ -190,12 +190,12 @@
     take();
   }
 
-  /// The head of the answer to a call of any kind says something of its replica.
+  /// Delivers a self-report of a replica from the head of its answer to a call of any kind.
   void say(base::call_id call, const replica_statement& said) {
     const auto& made = made_calls_.at(call);
     happen(statement_heard{made.replica, made.at, said});
   }
-  /// A call is answered whole, with what the replica says of itself.
+  /// Delivers a whole answer to a call together with a self-report of its replica.
   void answer(base::call_id call, const replica_statement& said, const answer_head& head) {
     say(call, said);
     happen(call_answered{call, head, ""});
@@ -211,7 +211,7 @@
     }
   }
 
-  /// @return the commands of one type so far, oldest first.
+  /// @return commands of one type so far, oldest first.
   template <typename wanted>
   std::vector<wanted> all() const {
     std::vector<wanted> found;
@@ -229,7 +229,8 @@
     return found.back();
   }
 
-  /// @return the replicas of all calls since `first` commands, of any kind, and of freed results.
+  /// @return replicas of all calls of any kind and of freed results after the first `first`
+  ///         commands.
   [[nodiscard]] std::vector<base::replica_id> called_since(std::size_t first) const {
     std::vector<base::replica_id> called;
     for (std::size_t index = first; index < commands.size(); ++index) {
--- a/tests/dispatch/shared_evidence_test.cc
+++ b/tests/dispatch/shared_evidence_test.cc
@@ -1,5 +1,5 @@
-/// A fleet of nodes before replicas of which one falls silent: what it costs requests with and
-/// without what nodes tell each other.
+/// A fleet of nodes and replicas of which one stops answering: calls lost at it with and without
+/// health reports between the nodes.
 #include "serving_fixture.h"
 
 #include <map>
@@ -47,11 +47,11 @@
   base::seeded_random random;
   dispatcher subject;
   base::time_point next_request;
-  /// Answers on their way, by call.
+  /// Arrival times of pending answers, by call.
   std::map<base::call_id, base::time_point> answers;
 };
 
-/// Every node sends a read each second and a half on the mean; replicas take 50 ms.
+/// Every node sends a request each second and a half on average; replicas answer after 50 ms.
 struct reporting_fleet {
   reporting_fleet() {
     for (const std::string id : {"plain-a", "plain-b"}) {
@@ -156,7 +156,7 @@
   published_world world;
   base::time_point now{std::chrono::hours(1)};
   std::vector<std::unique_ptr<fleet_node>> nodes;
-  /// Nodes that hear nothing of the silent replica.
+  /// Indexes of nodes that get no answers from the unresponsive replica.
   std::set<std::size_t> nodes_without_answers;
   bool shares_reports = true;
   std::uint64_t requests = 0;
@@ -179,9 +179,9 @@
     fleet.run(seconds(15));
     calls[shares_reports ? 1 : 0] = fleet.calls_at_unresponsive;
     BOOST_TEST_MESSAGE((shares_reports ? "shared: " : "alone: ")
-                       << fleet.calls_at_unresponsive << " calls at the silent replica, "
+                       << fleet.calls_at_unresponsive << " calls at the unresponsive replica, "
                        << fleet.served << " served, " << fleet.not_served << " not, "
-                       << fleet.ejections() << " rests");
+                       << fleet.ejections() << " ejections");
     BOOST_TEST(fleet.not_served == 0U);
   }
   BOOST_TEST(calls[1] * 2 < calls[0]);
--- a/tests/dispatch/slow_client_test.cc
+++ b/tests/dispatch/slow_client_test.cc
@@ -1,4 +1,4 @@
-/// What becomes of a stream whose client reads more slowly than its replica answers.
+/// Streams of clients that read more slowly than their replica answers.
 #include "serving_fixture.h"
 
 using namespace spurrack;
@@ -11,7 +11,7 @@
 struct slow_client_driver : dispatcher_driver {
   slow_client_driver() { time_allowed = seconds(60); }
 
-  /// A stream that has passed its first event on.
+  /// Begins a stream and delivers its first event.
   start_call begin(const std::string& path) {
     arrive(1, path);
     auto call = last<start_call>();
@@ -51,18 +51,19 @@
 }
 
 BOOST_AUTO_TEST_CASE(paused_stream_does_not_count_as_stalled) {
-  // Not resumable without an event that has an identifier, so it is neither let go nor repeated.
+  // Without an event identifier the stream cannot be resumed, so it is neither suspended nor
+  // retried.
   arrive(1, "/stream/x");
   const auto call = last<start_call>();
   happen(stream_opened{call.call, good_head()});
   happen(stream_bytes{call.call, "data: x\n\n"});
   close_window();
-  // What was on its way still comes, which must not start the watch again.
+  // Bytes that were already on their way must not restart the stall timeout.
   happen(stream_bytes{call.call, "data: y\n\n"});
   pass(seconds(10));
   BOOST_TEST(all<start_call>().size() == 1U);
   BOOST_TEST(all<cancel_call>().empty());
-  // Once it is read on, it is watched again.
+  // The stall timeout applies again after the client reads on.
   open_window();
   pass(seconds(3));
   BOOST_TEST(all<start_call>().size() == 2U);
@@ -85,7 +86,7 @@
   happen(stream_opened{second.call, good_head()});
   happen(stream_bytes{second.call, "id: 2\ndata: y\n\n"});
   happen(stream_closed{second.call, true});
-  // Half an event of the first run is not mixed into the second.
+  // The partial event of the first run is not mixed into the second run.
   BOOST_TEST(forwarded_bytes() == "id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
   BOOST_TEST(all<open_stream>().size() == 1U);
   BOOST_TEST(last<end_stream>().complete);
@@ -99,7 +100,7 @@
   pass(milliseconds(1'600));
   BOOST_TEST(last<widen_window>().client == 1U);
   BOOST_TEST(all<cancel_call>().empty());
-  // Memory may come later: it is asked for again while the window stays closed.
+  // Memory may become free later: it is requested again while the window stays closed.
   pass(milliseconds(1'600));
   BOOST_TEST(all<widen_window>().size() == 2U);
   open_window();
@@ -210,7 +211,7 @@
   happen(answer_resumed{call.call});
   pass(milliseconds(600));
   BOOST_TEST(all<start_call>().size() == 1U);
-  // The rest of the answer does not come: the call is made elsewhere.
+  // The remainder of the answer does not arrive, so the call is retried at another replica.
   pass(milliseconds(400));
   BOOST_TEST(all<start_call>().size() == 2U);
   BOOST_TEST(last<cancel_call>().call == call.call);
@@ -220,7 +221,7 @@
   arrive(1, "/safe/x");
   const auto first = last<start_call>();
   happen(call_failed{first.call, call_fate::no_memory});
-  // It may be made again, also where it was.
+  // The request may be retried, also at the same replica.
   BOOST_REQUIRE(all<start_call>().size() == 2U);
   happen(call_failed{last<start_call>().call, call_fate::no_memory});
   BOOST_TEST(last<respond>().status == 502U);
--- a/tests/dispatch/stop_plan_test.cc
+++ b/tests/dispatch/stop_plan_test.cc
@@ -1,4 +1,4 @@
-/// What a stopping node still takes on, request by request.
+/// Requests that a stopping node accepts and sends.
 #include "dispatch/stop_plan.h"
 
 #include <boost/test/unit_test.hpp>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A stop that began at `began` and must end seven seconds later.
+/// A stop that began at `begun_at` and must end seven seconds later.
 struct stop_fixture {
   stop_fixture() { subject.begin(begun_at, begun_at + seconds(7)); }
 
--- a/tests/dispatch/stopping_dispatcher.h
+++ b/tests/dispatch/stopping_dispatcher.h
@@ -1,5 +1,4 @@
-/// A dispatcher with routes of which it has learned how long their runs last, before a planned
-/// stop.
+/// A dispatcher that has learned the run times of its routes before a graceful stop.
 #pragma once
 
 #include "serving_fixture.h"
@@ -11,14 +10,15 @@
 
 namespace spurrack::serving {
 
-/// Time that a node is given between the begin of a stop and its end.
+/// Time between the begin of a stop and its end.
 constexpr std::chrono::milliseconds stop_time{7'300};
 
-/// A dispatcher that has served some streams, which last two seconds from their first event.
+/// A dispatcher that has served streams which last two seconds from their first event.
 struct stopping_dispatcher : dispatcher_driver {
   stopping_dispatcher() { time_allowed = std::chrono::seconds(15); }
 
-  /// @param pieces of the stages, of which the first has one where there are any.
+  /// Completes some streams of a route, so that the dispatcher learns their times.
+  /// @param pieces numbers of pieces of the stages; if not empty, the first stage has one piece.
   void learn_run_times(const std::string& path, const std::vector<std::uint32_t>& pieces = {}) {
     constexpr base::caller_id stream_count = 4;
     for (base::caller_id client = 1; client <= stream_count; ++client) {
@@ -31,7 +31,7 @@
     }
   }
 
-  /// The latest call of a stage makes its one piece.
+  /// Answers the latest call for a stage with a result for its only piece.
   void complete_stage_call() {
     stage_call_ended ended;
     ended.call = last<start_stage_call>().call;
@@ -45,7 +45,7 @@
     pass(to_first_event);
     happen(stream_opened{call, good_head()});
     send_next_event(call);
-    // Events come more often than a stall is suspected.
+    // The events arrive within the stall timeout.
     for (base::duration elapsed{}; elapsed < events; elapsed += std::chrono::milliseconds(500)) {
       pass(std::chrono::milliseconds(500));
       send_next_event(call);
@@ -53,7 +53,7 @@
     happen(stream_closed{call, true});
   }
 
-  /// The next event of the stream of a call.
+  /// Delivers the next event of a call's stream.
   void send_next_event(base::call_id call) {
     const auto id = std::to_string(++events_by_call[call]);
     happen(stream_bytes{call, "id: " + id + "\ndata: a\n\n"});
--- a/tests/dispatch/virtual_time.h
+++ b/tests/dispatch/virtual_time.h
@@ -1,4 +1,4 @@
-/// Virtual time for fleets of dispatchers: what is due at which moment.
+/// Virtual time with scheduled actions, for simulated fleets of dispatchers.
 #pragma once
 
 #include "base/time.h"
@@ -16,7 +16,7 @@
     actions_.emplace(now + span, std::move(action));
   }
 
-  /// Has all happen that is due.
+  /// Runs all actions that are due.
   void run_due() {
     while (!actions_.empty() && actions_.begin()->first <= now) {
       const auto action = std::move(actions_.begin()->second);
