--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -191,13 +191,13 @@
   }
 
   /// Delivers a self-report of a replica from the head of its answer to a call of any kind.
-  void say(base::call_id call, const replica_statement& said) {
+  void deliver_self_report(base::call_id call, const replica_statement& report) {
     const auto& made = made_calls_.at(call);
-    happen(statement_heard{made.replica, made.at, said});
+    happen(statement_heard{made.replica, made.at, report});
   }
   /// Delivers a whole answer to a call together with a self-report of its replica.
-  void answer(base::call_id call, const replica_statement& said, const answer_head& head) {
-    say(call, said);
+  void answer(base::call_id call, const replica_statement& report, const answer_head& head) {
+    deliver_self_report(call, report);
     happen(call_answered{call, head, ""});
   }
 
