--- a/tests/rate_limits/limited_calls_test.cc
+++ b/tests/rate_limits/limited_calls_test.cc
@@ -82,7 +82,7 @@
     // The pool answers what it has; each result is one more to be freed.
     const auto calls = node.all<start_stage_call>();
     for (; answered < calls.size(); ++answered) {
-      node.say(calls[answered].call, limited_node::limited(limit));
+      node.deliver_self_report(calls[answered].call, limited_node::limited(limit));
       stage_call_ended ended{calls[answered].call, stage_call_ended::result::answered, {}};
       for (std::size_t piece = 0; piece < calls[answered].items.size(); ++piece) {
         ended.pieces.push_back({piece_fault::none, calls[answered].target.address.text() + "/" +
@@ -133,7 +133,7 @@
 BOOST_AUTO_TEST_CASE(stages_are_not_begun_for_a_replica_that_takes_nothing) {
   limited_node node;
   node.arrive(1, "/stream/");
-  node.say(node.last<start_call>().call, limited_node::limited(0));
+  node.deliver_self_report(node.last<start_call>().call, limited_node::limited(0));
   node.happen(stream_opened{node.last<start_call>().call, dispatcher_driver::good_head()});
   node.arrive(2, "/staged/", {3, 1});
   BOOST_TEST(node.last<respond>().status == 503U);
@@ -143,7 +143,7 @@
 BOOST_AUTO_TEST_CASE(few_stages_are_made_for_requests_that_find_no_place_afterwards) {
   limited_node node;
   node.arrive(1, "/stream/");
-  node.say(node.last<start_call>().call, limited_node::limited(1));
+  node.deliver_self_report(node.last<start_call>().call, limited_node::limited(1));
   node.happen(stream_opened{node.last<start_call>().call, dispatcher_driver::good_head()});
   node.happen(stream_closed{node.last<start_call>().call, true});
   std::size_t pieces = 0;
@@ -155,7 +155,7 @@
       node.pass(milliseconds(50));
       const auto calls = node.all<start_stage_call>();
       for (; answered < calls.size(); ++answered) {
-        node.say(calls[answered].call, {});
+        node.deliver_self_report(calls[answered].call, {});
         stage_call_ended ended{calls[answered].call, stage_call_ended::result::answered, {}};
         for (std::size_t piece = 0; piece < calls[answered].items.size(); ++piece) {
           ended.pieces.push_back({piece_fault::none, calls[answered].target.address.text() + "/" +
@@ -165,7 +165,7 @@
       }
       const auto sent = node.all<start_call>();
       for (; streams < sent.size(); ++streams) {
-        node.say(sent[streams].call, limited_node::limited(1));
+        node.deliver_self_report(sent[streams].call, limited_node::limited(1));
         node.happen(stream_opened{sent[streams].call, dispatcher_driver::good_head()});
         node.happen(stream_bytes{sent[streams].call, "id: 1\ndata: x\n\n"});
         node.happen(stream_closed{sent[streams].call, true});
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -35,7 +35,7 @@
     const auto calls = all<start_stage_call>();
     for (; answered_ < calls.size(); ++answered_) {
       const auto& call = calls[answered_];
-      say(call.call, said);
+      deliver_self_report(call.call, said);
       stage_call_ended ended{call.call, stage_call_ended::result::answered, {}};
       for (std::size_t piece = 0; piece < call.items.size(); ++piece) {
         ended.pieces.push_back(
@@ -48,7 +48,7 @@
   /// Ends the latest call as a stream that is served whole.
   void serve_stream() {
     const auto call = last<start_call>().call;
-    say(call, {});
+    deliver_self_report(call, {});
     happen(stream_opened{call, good_head()});
     happen(stream_bytes{call, "id: 1\ndata: x\n\n"});
     happen(stream_closed{call, true});
@@ -83,7 +83,7 @@
   stated_node node;
   node.arrive(1, "/stream/");
   const auto call = node.last<start_call>();
-  node.say(call.call, leaving());
+  node.deliver_self_report(call.call, leaving());
   node.happen(stream_opened{call.call, dispatcher_driver::good_head()});
   node.happen(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
   const auto before = node.commands.size();
@@ -102,7 +102,7 @@
   stated_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
-  node.say(call.call, leaving());
+  node.deliver_self_report(call.call, leaving());
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 20; ++client) {
     node.arrive(client, "/safe/");
@@ -265,7 +265,7 @@
   node.subject.update(node.world.content, node.now);
   auto said = leaving();
   said.backoff.span = seconds(60);
-  node.say(call.call, said);
+  node.deliver_self_report(call.call, said);
   node.pass(milliseconds(10));
   const auto before = node.commands.size();
   node.arrive(2, "/safe/");
