--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -33,8 +33,8 @@
   return text;
 }
 
-const char* reason_text(leave_reason why) {
-  switch (why) {
+const char* reason_text(leave_reason reason) {
+  switch (reason) {
   case leave_reason::unread:
     return "the client took nothing for too long";
   case leave_reason::no_memory:
@@ -139,8 +139,8 @@
   engine_directory_.forget_gone();
 }
 
-void dispatcher::handle(const event& what, base::time_point now) {
-  std::visit([&](const auto& happened) { on_event(happened, now); }, what);
+void dispatcher::handle(const event& input_event, base::time_point now) {
+  std::visit([&](const auto& typed_event) { on_event(typed_event, now); }, input_event);
 }
 
 void dispatcher::record(base::event_kind kind, const active_request& request,
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -73,7 +73,7 @@
   ///         under way.
   [[nodiscard]] bool is_busy() const { return !active_.empty() || stages_.has_calls_under_way(); }
 
-  void handle(const event& what, base::time_point now);
+  void handle(const event& input_event, base::time_point now);
   /// Processes a message of another node about stage work.
   void handle_peer(const base::node_id& sender, const wire::stage_work& message,
                    base::time_point now);
@@ -462,7 +462,7 @@
   /// Schedules the time at which the call counts as stalled; a timeout of 0 disables it.
   void watch_progress(active_request& request, base::duration timeout, base::time_point now);
   /// Records contact with the replica in the replica table, at most once per interval.
-  void note_heard(open_call& call, base::time_point now);
+  void note_contact(open_call& call, base::time_point now);
   /// Pauses reading from the replica until the client reads on.
   void pause_stream(active_request& request, base::time_point now);
   /// Resumes reading from the replica, or sends the request again if its call was suspended.
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -220,7 +220,7 @@
   retry_or_end(request, {status::bad_gateway, "replicas are full", {}, !request.may_have_run}, now);
 }
 
-void dispatcher::note_heard(open_call& call, base::time_point now) {
+void dispatcher::note_contact(open_call& call, base::time_point now) {
   if (call.contact_noted_at == base::time_point{} ||
       now - call.contact_noted_at >= contact_note_interval) {
     call.contact_noted_at = now;
@@ -359,7 +359,7 @@
   }
   begin_stream(*request, now);
   note_event(*request, now);
-  note_heard(*request->call, now);
+  note_contact(*request->call, now);
   commands_.emplace_back(stream_data{request->client, std::move(whole)});
   const auto pause =
       std::chrono::duration_cast<base::duration>(request->route->gap_target * stream_stall_factor);
