--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -349,18 +349,18 @@
   if (request == nullptr) {
     return;
   }
-  auto whole = request->events.feed(chunk.bytes);
+  auto whole_events = request->events.feed(chunk.bytes);
   if (!reserve_partial_event(*request)) {
     answer_failed(*request, status::bad_gateway, "no memory for an event that is not whole", now);
     return;
   }
-  if (whole.empty()) {
+  if (whole_events.empty()) {
     return;
   }
   begin_stream(*request, now);
   note_event(*request, now);
   note_contact(*request->call, now);
-  commands_.emplace_back(stream_data{request->client, std::move(whole)});
+  commands_.emplace_back(stream_data{request->client, std::move(whole_events)});
   const auto pause =
       std::chrono::duration_cast<base::duration>(request->route->gap_target * stream_stall_factor);
   watch_progress(*request, pause, now);
--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -282,10 +282,10 @@
   arrive(1, "/staged/x", {1, 1});
   for (const std::string handle : {"/1", "/2"}) {
     pass(std::chrono::milliseconds(20));
-    const auto made = last<start_stage_call>();
-    happen(stage_call_ended{made.call,
+    const auto stage_call = last<start_stage_call>();
+    happen(stage_call_ended{stage_call.call,
                             stage_call_ended::result::answered,
-                            {{piece_fault::none, made.target.address.text() + handle}}});
+                            {{piece_fault::none, stage_call.target.address.text() + handle}}});
   }
   const auto first = last<start_stage_call>();
   const auto call = last<start_call>().call;
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -242,7 +242,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(lost_final_results_are_recomputed_before_retry) {
-  const auto make_next = [&](const std::string& name) {
+  const auto complete_next_piece = [&](const std::string& name) {
     pass(milliseconds(30));
     const auto call = last<start_stage_call>();
     auto handle = call.target.address.text() + "/" + name;
@@ -251,8 +251,8 @@
     return handle;
   };
   arrive(1, "/staged/x", {1, 1});
-  make_next("1");
-  const auto lost = make_next("2");
+  complete_next_piece("1");
+  const auto lost = complete_next_piece("2");
   BOOST_REQUIRE(lost.starts_with(address_of("pool", old_address)));
   const auto call = last<start_call>();
   restart("pool");
@@ -262,9 +262,9 @@
   head.status = 409;
   happen(call_answered{call.call, head, ""});
   BOOST_TEST(all<start_call>().size() == 1);
-  make_next("3");
+  complete_next_piece("3");
   BOOST_TEST(all<start_call>().size() == 1);
-  const auto made_again = make_next("4");
+  const auto made_again = complete_next_piece("4");
   BOOST_REQUIRE(all<start_call>().size() == 2);
   BOOST_TEST(last<start_call>().inputs == std::vector<std::string>{made_again},
              boost::test_tools::per_element());
--- a/tests/dispatch/run_times_test.cc
+++ b/tests/dispatch/run_times_test.cc
@@ -22,11 +22,11 @@
 
 BOOST_AUTO_TEST_CASE(route_with_few_runs_uses_times_of_its_service) {
   run_times subject;
-  const auto usual = total_seconds(subject.upper_estimate("route", "service", 10));
+  const auto default_seconds = total_seconds(subject.upper_estimate("route", "service", 10));
   for (int run = 0; run < 3; ++run) {
     subject.note_run("route", "service", 10, {milliseconds(100), milliseconds(500)});
   }
-  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 10)) == usual);
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 10)) == default_seconds);
   subject.note_run("sibling", "service", 10, {milliseconds(100), milliseconds(900)});
   BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 10)) == headroom_factor * 1.2,
              boost::test_tools::tolerance(0.001));
@@ -36,16 +36,16 @@
   BOOST_TEST(total_seconds(subject.upper_estimate("route", "elsewhere", 10)) ==
                  headroom_factor * 0.6,
              boost::test_tools::tolerance(0.001));
-  BOOST_TEST(total_seconds(subject.upper_estimate("other", "elsewhere", 10)) == usual);
+  BOOST_TEST(total_seconds(subject.upper_estimate("other", "elsewhere", 10)) == default_seconds);
 }
 
 BOOST_AUTO_TEST_CASE(route_with_few_runs_and_unknown_tokens_uses_default) {
   run_times subject;
-  const auto usual = total_seconds(subject.upper_estimate("route", "service", 0));
+  const auto default_seconds = total_seconds(subject.upper_estimate("route", "service", 0));
   for (int run = 0; run < 8; ++run) {
     subject.note_run("short", "service", 0, {milliseconds(100), milliseconds(200)});
   }
-  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) == usual);
+  BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) == default_seconds);
   BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 300)) ==
              total_seconds(subject.upper_estimate("route", "other", 300)));
 }
@@ -81,7 +81,7 @@
   // Longer than the longest run by half of the spread: such streams last up to six seconds.
   BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 5.25,
              boost::test_tools::tolerance(0.001));
-  for (int repeat = 0; repeat < 3; ++repeat) {
+  for (int round = 0; round < 3; ++round) {
     for (const int run : {3000, 4500, 3500, 4500}) {
       note(run);
     }
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -184,16 +184,16 @@
     return content;
   }
 
-  void happen(const event& what) {
-    subject.handle(what, now);
+  void happen(const event& input_event) {
+    subject.handle(input_event, now);
     subject.advance(now);
-    take();
+    collect_commands();
   }
 
   /// Delivers a self-report of a replica from the head of its answer to a call of any kind.
   void deliver_self_report(base::call_id call, const replica_statement& report) {
-    const auto& made = made_calls_.at(call);
-    happen(statement_heard{made.replica, made.at, report});
+    const auto& sent = made_calls_.at(call);
+    happen(statement_heard{sent.replica, sent.at, report});
   }
   /// Delivers a whole answer to a call together with a self-report of its replica.
   void answer(base::call_id call, const replica_statement& report, const answer_head& head) {
@@ -207,24 +207,24 @@
     while (now < end) {
       now = std::min(end, now + step);
       subject.advance(now);
-      take();
+      collect_commands();
     }
   }
 
   /// @return commands of one type so far, oldest first.
-  template <typename wanted>
-  std::vector<wanted> all() const {
-    std::vector<wanted> found;
+  template <typename command_type>
+  std::vector<command_type> all() const {
+    std::vector<command_type> found;
     for (const auto& command : commands) {
-      if (const auto* one = std::get_if<wanted>(&command)) {
-        found.push_back(*one);
+      if (const auto* match = std::get_if<command_type>(&command)) {
+        found.push_back(*match);
       }
     }
     return found;
   }
-  template <typename wanted>
-  wanted last() const {
-    const auto found = all<wanted>();
+  template <typename command_type>
+  command_type last() const {
+    const auto found = all<command_type>();
     BOOST_REQUIRE(!found.empty());
     return found.back();
   }
@@ -274,20 +274,18 @@
   };
 
   template <typename other_command>
-  void note_call(const other_command& /*wanted*/) {}
-  void note_call(const start_call& wanted) {
-    made_calls_[wanted.call] = {wanted.target.replica, now};
-  }
-  void note_call(const start_stage_call& wanted) {
-    made_calls_[wanted.call] = {wanted.target.replica, now};
+  void note_call(const other_command& /*command*/) {}
+  void note_call(const start_call& call) { made_calls_[call.call] = {call.target.replica, now}; }
+  void note_call(const start_stage_call& call) {
+    made_calls_[call.call] = {call.target.replica, now};
   }
 
-  void take() {
-    auto wanted = subject.take_commands();
-    for (const auto& command : wanted) {
-      std::visit([this](const auto& one) { note_call(one); }, command);
+  void collect_commands() {
+    auto new_commands = subject.take_commands();
+    for (const auto& command : new_commands) {
+      std::visit([this](const auto& typed_command) { note_call(typed_command); }, command);
     }
-    std::move(wanted.begin(), wanted.end(), std::back_inserter(commands));
+    std::move(new_commands.begin(), new_commands.end(), std::back_inserter(commands));
   }
 
   std::map<base::call_id, made_call> made_calls_;
