--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -159,16 +159,16 @@
       counts.replicas_of_unknown_services);
   add("spurrack_replica_news_other_lives_total",
       "Reports of other nodes on another life of a replica, passed over.",
-      dispatcher.news().of_other_incarnations);
+      dispatcher.replica_reports().of_other_incarnations);
   add("spurrack_replica_news_sent_total", "Messages on replicas in trouble to other nodes.",
-      dispatcher.news().messages);
+      dispatcher.replica_reports().messages);
   add("spurrack_replica_news_heard_total", "Reports of other nodes on replicas in trouble.",
-      dispatcher.news().taken_in);
-  const auto& lending = dispatcher.lending();
+      dispatcher.replica_reports().applied);
+  const auto& budget_exchange = dispatcher.budget_exchange();
   add("spurrack_repeat_questions_total", "Questions to other nodes for part of their share.",
-      lending.questions);
+      budget_exchange.queries);
   add_counter(registry, "spurrack_repeats_lent_total", "Repeats lent to other nodes.",
-              static_cast<double>(lending.lent_thousandths) / serving::one_repeat);
+              static_cast<double>(budget_exchange.sent_milli_retries) / serving::one_retry);
 }
 
 void add_store(Registry& registry, const node::store_counters& store) {
--- /dev/null
+++ b/src/dispatch/dispatcher_admission_queue.cc
@@ -0,0 +1,312 @@
+/// Requests that no replica accepts now because each replica announces a limit or requested a
+/// backoff: they wait for a slot in the order of their priorities, and are refused at once if no
+/// slot is expected in time.
+#include "dispatch/dispatcher.h"
+
+#include "base/hashing.h"
+#include "dispatch/dispatcher_constants.h"
+#include "dispatch/retry_after.h"
+
+#include <algorithm>
+#include <iterator>
+
+namespace spurrack::serving {
+namespace {
+
+/// Interval at which the admission queues are processed; they are also processed when permits
+/// arrive.
+constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
+/// A request that already waits is refused only if this fraction of the expected wait exceeds its
+/// remaining time: waits vary by about their own length, and the time that the request has waited
+/// would be lost.
+constexpr double certain_wait_fraction = 0.5;
+/// Longer than any request may wait.
+constexpr base::duration unbounded_wait = std::chrono::hours(1);
+
+} // namespace
+
+void dispatcher::advance_self_reports(base::time_point now) {
+  self_reports_.advance(now);
+  limits_.advance(now);
+  const auto received = limits_.counts().permits_received;
+  if (received != counted_permits_) {
+    counted_permits_ = received;
+    next_queue_check_at_ = now;
+  }
+  process_admission_queues(now);
+}
+
+replica_demand dispatcher::demand_of(const active_request& request) {
+  const auto* results_zone = request.graph ? &request.expected_zone : nullptr;
+  return {request.service, *request.content, request.permitted_regions, request.tried_replicas,
+          results_zone};
+}
+
+// --- permits -------------------------------------------------------------------------------------
+
+void dispatcher::request_permit(const active_request& request, base::time_point now) {
+  if (!limits_.has_limits()) {
+    return;
+  }
+  auto limited = replicas_.candidates_without_permit(demand_of(request), now);
+  if (request.graph) {
+    // In another zone the results of its stages would have to be transferred, so a permit there is
+    // of no use.
+    std::erase_if(limited, [&](const replica_state* state) {
+      return state->record->zone != request.expected_zone;
+    });
+  }
+  if (!limited.empty()) {
+    limits_.note_unmet_demand(base::take_random(limited, *random_)->record->id, now);
+  }
+}
+
+void dispatcher::request_permits_for_waiting(const std::string& service, base::time_point now) {
+  const auto& queue = admission_queues_.at(service);
+  // The replicas of the first request in the queue stand for those of all requests, which differ
+  // only by regions and tried replicas.
+  const auto limited =
+      replicas_.candidates_without_permit(demand_of(active_.at(queue.begin()->client)), now);
+  if (limited.empty()) {
+    return;
+  }
+  // A permit for any of the replicas suffices, so no more permits are requested than requests wait.
+  // The first replica rotates with time because the node that issues the permits of some replicas
+  // may be down.
+  const auto replica_count = std::min(limited.size(), queue.size());
+  const auto permits_per_replica =
+      static_cast<std::uint32_t>((queue.size() + replica_count - 1) / replica_count);
+  const auto round =
+      static_cast<std::uint64_t>(now.time_since_epoch() / rate_limits::query_lifetime);
+  const auto first = (base::stable_hash(self_.node.text()) + round) % limited.size();
+  for (std::size_t index = 0; index < replica_count; ++index) {
+    const auto* replica = limited[(first + index) % limited.size()];
+    limits_.note_waiting(replica->record->id, permits_per_replica, now);
+  }
+}
+
+// --- queue ---------------------------------------------------------------------------------------
+
+std::optional<base::duration> dispatcher::expected_queue_wait(const active_request& request,
+                                                              std::size_t requests_ahead,
+                                                              base::time_point now) const {
+  const auto demand = demand_of(request);
+  std::optional<base::duration> shortest_wait;
+  if (const auto backoff_wait = replicas_.time_until_backoff_ends(demand, now)) {
+    shortest_wait = expected_backoff_wait(request.service, *backoff_wait, requests_ahead, now);
+  }
+  const auto limited = replicas_.candidates_without_permit(demand, now);
+  if (!limited.empty()) {
+    const auto wait = expected_permit_wait(request.service, limited, requests_ahead, now);
+    shortest_wait = std::min(shortest_wait.value_or(wait), wait);
+  }
+  return shortest_wait;
+}
+
+base::duration dispatcher::expected_permit_wait(const std::string& service,
+                                                const std::vector<const replica_state*>& limited,
+                                                std::size_t requests_ahead,
+                                                base::time_point now) const {
+  double per_second = 0;
+  for (const auto* replica : limited) {
+    per_second += replicas_.limit_of(*replica).value_or(0);
+  }
+  if (per_second <= 0) {
+    return unbounded_wait;
+  }
+  // Other nodes get permits too. If requests waited here recently, the rate at which this node got
+  // permits is a better estimate than the limits.
+  const auto rate = std::min(per_second, drain_rate_of(service, now).value_or(per_second));
+  return base::from_seconds(
+      std::min(static_cast<double>(requests_ahead + 1) / rate, base::to_seconds(unbounded_wait)));
+}
+
+std::optional<double> dispatcher::drain_rate_of(const std::string& service,
+                                                base::time_point now) const {
+  const auto drain = drain_rates_.find(service);
+  return drain == drain_rates_.end() ? std::nullopt : drain->second.per_second(now);
+}
+
+base::duration dispatcher::expected_backoff_wait(const std::string& service,
+                                                 base::duration backoff_wait,
+                                                 std::size_t requests_ahead,
+                                                 base::time_point now) const {
+  // After a backoff calls begin slowly; their rate is known after the first of them.
+  const auto recent_rate = drain_rate_of(service, now);
+  return recent_rate
+             ? backoff_wait + base::from_seconds(static_cast<double>(requests_ahead) / *recent_rate)
+             : backoff_wait;
+}
+
+void dispatcher::refuse_without_slot(active_request& request, base::duration wait,
+                                     base::time_point now) {
+  ++counters_.refused_without_slot;
+  leave_admission_queue(request);
+  const auto reason = "replicas take no more now, a place is expected after " +
+                      std::to_string(base::to_milliseconds(wait)) + " ms";
+  if (request.may_have_run || request.has_begun_stream) {
+    answer_failed(request, status::bad_gateway, reason, now);
+    return;
+  }
+  refuse(request.client, request.content->id, status::unavailable, reason,
+         jittered_retry_after(wait, request.deadline - now, *random_));
+  finish(request, status::unavailable, reason, now);
+}
+
+bool dispatcher::refuse_without_expected_slot(active_request& request, base::time_point now) {
+  const bool is_unlimited = !limits_.has_limits() && !replicas_.has_backoffs(now);
+  if (is_unlimited || !request.graph) {
+    return false;
+  }
+  auto demand = demand_of(request);
+  demand.is_planned = true;
+  if (choose_replica_for(demand, now) != nullptr) {
+    return false;
+  }
+  // Requests whose stages are being computed also come first because they need the same slots.
+  const auto requests_ahead = std::count_if(active_.begin(), active_.end(), [&](const auto& entry) {
+    const auto& other = entry.second;
+    return other.client != request.client && other.service == request.service && !other.call;
+  });
+  const auto wait = expected_queue_wait(request, static_cast<std::size_t>(requests_ahead), now);
+  const auto target = request.route->target_latency;
+  const auto target_deadline = request.arrived_at + base::scaled(target, admission_target_factor);
+  const auto client_deadline = client_deadline_of(request);
+  const auto latest_useful_at = target > base::duration::zero()
+                                    ? std::min<base::time_point>(target_deadline, client_deadline)
+                                    : client_deadline;
+  if (!wait || now + *wait <= latest_useful_at) {
+    return false;
+  }
+  refuse_without_slot(request, *wait, now);
+  return true;
+}
+
+bool dispatcher::is_behind_waiting_requests(const active_request& request, base::time_point now) {
+  const auto queue = admission_queues_.find(request.service);
+  if (is_processing_queue_ || queue == admission_queues_.end()) {
+    return false;
+  }
+  const auto& first = *queue->second.begin();
+  return first < queue_entry_of(request) &&
+         choose_replica(active_.at(first.client), now) != nullptr;
+}
+
+const replica_state* dispatcher::choose_in_turn(active_request& request, base::time_point now) {
+  if (is_behind_waiting_requests(request, now)) {
+    // Free slots go to the waiting requests first; this request joins the queue.
+    enqueue(request);
+    process_admission_queue(request.service, now);
+    return nullptr;
+  }
+  const auto* chosen = choose_replica(request, now);
+  if (chosen == nullptr && !queue_or_refuse(request, now)) {
+    answer_not_run(request, request.may_have_run ? "no replica is left" : "no replica", now);
+  }
+  return chosen;
+}
+
+dispatcher::waiting_request dispatcher::queue_entry_of(const active_request& request) {
+  return {request.priority, request.deadline, request.client};
+}
+
+bool dispatcher::queue_or_refuse(active_request& request, base::time_point now) {
+  const auto entry = queue_entry_of(request);
+  const auto queue = admission_queues_.find(request.service);
+  const auto requests_ahead =
+      queue == admission_queues_.end()
+          ? 0
+          : std::distance(queue->second.begin(), queue->second.lower_bound(entry));
+  const auto wait = expected_queue_wait(request, static_cast<std::size_t>(requests_ahead), now);
+  if (!wait) {
+    return false;
+  }
+  if (now + *wait > client_deadline_of(request)) {
+    refuse_without_slot(request, *wait, now);
+    return true;
+  }
+  ++counters_.slot_waits;
+  record(base::event_kind::replica_limit, request, request.service,
+         "waits for a slot behind " + std::to_string(requests_ahead) + " requests, " +
+             std::to_string(base::to_milliseconds(*wait)) + " ms expected");
+  enqueue(request);
+  request_permits_for_waiting(request.service, now);
+  return true;
+}
+
+base::duration dispatcher::shortest_retry_after(const active_request& request,
+                                                base::time_point now) const {
+  const std::set<base::replica_id> no_tried_replicas;
+  const replica_demand demand{request.service, *request.content, request.permitted_regions,
+                              no_tried_replicas, nullptr};
+  const auto backoff_wait = replicas_.time_until_backoff_ends(demand, now);
+  const bool can_be_called_now = !backoff_wait || !replicas_.candidates_for(demand, now).empty();
+  return can_be_called_now ? base::duration{settings_.retry_after}
+                           : std::max<base::duration>(settings_.retry_after, *backoff_wait);
+}
+
+void dispatcher::enqueue(active_request& request) {
+  const auto entry = queue_entry_of(request);
+  request.queue_entry = entry;
+  admission_queues_[request.service].insert(entry);
+}
+
+void dispatcher::leave_admission_queue(active_request& request) {
+  if (!request.queue_entry) {
+    return;
+  }
+  const auto queue = admission_queues_.find(request.service);
+  queue->second.erase(*request.queue_entry);
+  if (queue->second.empty()) {
+    admission_queues_.erase(queue);
+  }
+  request.queue_entry.reset();
+}
+
+void dispatcher::process_admission_queues(base::time_point now) {
+  if (admission_queues_.empty() || now < next_queue_check_at_) {
+    return;
+  }
+  next_queue_check_at_ = now + queue_check_interval;
+  std::vector<std::string> services;
+  for (const auto& [service, queue] : admission_queues_) {
+    services.push_back(service);
+  }
+  for (const auto& service : services) {
+    process_admission_queue(service, now);
+  }
+}
+
+void dispatcher::process_admission_queue(const std::string& service, base::time_point now) {
+  const auto waiting = admission_queues_.at(service);
+  is_processing_queue_ = true;
+  std::size_t requests_ahead = 0;
+  for (const auto& entry : waiting) {
+    auto& request = active_.at(entry.client);
+    if (end_if_late_for_stop(request, now)) {
+      continue;
+    }
+    if (choose_replica(request, now) != nullptr) {
+      leave_admission_queue(request);
+      drain_rates_[service].note_dispatched(1, waiting.size() - 1, now);
+      send_to_replica(request, now);
+      continue;
+    }
+    const auto wait = expected_queue_wait(request, requests_ahead, now);
+    if (!wait) {
+      // No replica can accept the request later: it ends like any request without a replica.
+      leave_admission_queue(request);
+      send_to_replica(request, now);
+    } else if (now + base::scaled(*wait, certain_wait_fraction) > client_deadline_of(request)) {
+      refuse_without_slot(request, *wait, now);
+    } else {
+      ++requests_ahead;
+    }
+  }
+  is_processing_queue_ = false;
+  if (admission_queues_.contains(service)) {
+    request_permits_for_waiting(service, now);
+  }
+}
+
+} // namespace spurrack::serving
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -1,5 +1,5 @@
-/// Requests under which replicas end: finding out that a replica ended, holding requests back, and
-/// letting them go.
+/// Requests under which replicas exit: detection of exits, quarantine of requests and their
+/// release.
 #include "dispatch/dispatcher.h"
 
 #include "dispatch/dispatcher_constants.h"
@@ -9,24 +9,24 @@
 namespace spurrack::serving {
 namespace {
 
-/// A replica that is heard this long after it was taken to have ended, while it is published in the
-/// same life, has not ended: replicas write what is published of them every second or two, and the
-/// list lags by no more than the rest.
-constexpr base::duration withdrawal_time = std::chrono::seconds(5);
-/// What is over is looked for this often; the shortest time to be forgotten is 10 s.
-constexpr base::duration crash_expiry_period = std::chrono::seconds(1);
+/// If a replica answers at least this long after its assumed exit and is still published with the
+/// same incarnation, it has not exited: replicas publish their entries every second or two, and the
+/// list lags by no more than the remainder of this time.
+constexpr base::duration min_withdrawal_age = std::chrono::seconds(5);
+/// Interval of the search for expired records; the shortest lifetime of a record is 10 s.
+constexpr base::duration crash_expiry_interval = std::chrono::seconds(1);
 
 constexpr const char* quarantine_reason =
     "held back: replicas ended while they ran this request; sending it again does not help";
 
 } // namespace
 
-// --- finding out ---------------------------------------------------------------------------------
+// --- detection -----------------------------------------------------------------------------------
 
 void dispatcher::note_lost_call(const active_request& request, const base::replica_id& replica,
                                 replica_exit incarnation_exit, base::time_point now) {
   const auto* state = replicas_.find(replica);
-  // One that leaves as planned ends too, and no request is to blame.
+  // A draining replica exits as planned, which no request caused.
   if (state == nullptr || state->record->draining || state->is_replaced) {
     return;
   }
@@ -36,37 +36,38 @@
   }
 }
 
-void dispatcher::on(const replica_probed& what, base::time_point now) {
-  switch (what.result) {
+void dispatcher::on_event(const replica_probed& probe, base::time_point now) {
+  switch (probe.result) {
   case probe_result::refused:
-    note_replica_ended(what.replica, "it refuses connections", now);
+    note_replica_exit(probe.replica, "it refuses connections", now);
     break;
   case probe_result::connected:
-    crash_detector_.note_connected(what.replica, now);
+    crash_detector_.note_connected(probe.replica, now);
     break;
   case probe_result::unresponsive:
-    crash_detector_.note_probe_failed(what.replica);
+    crash_detector_.note_probe_failed(probe.replica);
     break;
   }
 }
 
-void dispatcher::find_ended_replicas(base::time_point now) {
+void dispatcher::find_exited_replicas(base::time_point now) {
   for (const auto& replica : crash_detector_.watched_replicas()) {
     if (replicas_.find(replica) == nullptr) {
-      note_replica_ended(replica, "it is published no longer", now);
+      note_replica_exit(replica, "it is published no longer", now);
     }
   }
 }
 
-void dispatcher::note_replica_ended(const base::replica_id& replica, const char* evidence,
-                                    base::time_point now) {
+void dispatcher::note_replica_exit(const base::replica_id& replica, const char* evidence,
+                                   base::time_point now) {
   for (const auto& call : crash_detector_.take_lost_calls(replica)) {
-    note_end_under(call, replica, evidence, now);
+    note_exit_under_request(call, replica, evidence, now);
   }
 }
 
-void dispatcher::note_end_under(const quarantine::lost_call& call, const base::replica_id& replica,
-                                const char* evidence, base::time_point now) {
+void dispatcher::note_exit_under_request(const quarantine::lost_call& call,
+                                         const base::replica_id& replica, const char* evidence,
+                                         base::time_point now) {
   const auto change = crash_registry_.note_exit(call.digest, call.exit, now);
   if (!change.has_new_information) {
     return;
@@ -75,38 +76,40 @@
   record_(base::event_kind::request_crashed_replica, {}, replica.text(),
           "request digest " + call.digest.text() + ", " + evidence + ", its call ended " +
               std::to_string(base::to_milliseconds(now - call.exit.at)) + " ms ago, " +
-              std::to_string(crash_registry_.counted_exits_of(call.digest)) + " ends under it");
-  crash_report_exchange_.note_changed(call.digest);
+              std::to_string(crash_registry_.counted_exits_of(call.digest)) +
+              " replica exits under it");
+  crash_reports_.note_changed(call.digest);
   if (change.begins_quarantine) {
-    newly_held_back_.push_back(call.digest);
+    newly_quarantined_.push_back(call.digest);
   }
 }
 
 void dispatcher::handle_peer(const base::network_address& address, const wire::crash_news& message,
                              base::time_point now) {
-  for (const auto& learned : crash_report_exchange_.handle(address, message, now)) {
+  for (const auto& learned : crash_reports_.handle(address, message, now)) {
     if (learned.begins_quarantine) {
-      newly_held_back_.push_back(learned.digest);
+      newly_quarantined_.push_back(learned.digest);
     }
   }
 }
 
 void dispatcher::advance_crashes(base::time_point now) {
-  if (now >= next_crash_expiry_) {
-    next_crash_expiry_ = now + crash_expiry_period;
+  if (now >= next_crash_expiry_at_) {
+    next_crash_expiry_at_ = now + crash_expiry_interval;
     crash_detector_.drop_expired(now);
     crash_registry_.expire(now);
   }
-  // Not where it is learned: the request that is being looked at there may be among those ended.
-  for (const auto& digest : std::exchange(newly_held_back_, {})) {
+  // Deferred to `advance`: the quarantine may end the very request that is processed when the exit
+  // is recorded.
+  for (const auto& digest : std::exchange(newly_quarantined_, {})) {
     quarantine_request(digest, now);
   }
-  crash_report_exchange_.advance(now);
+  crash_reports_.advance(now);
 }
 
-// --- letting go ----------------------------------------------------------------------------------
+// --- release -------------------------------------------------------------------------------------
 
-void dispatcher::withdraw_end(const base::replica_id& replica, base::time_point now) {
+void dispatcher::withdraw_exit(const base::replica_id& replica, base::time_point now) {
   if (crash_registry_.empty()) {
     return;
   }
@@ -116,9 +119,9 @@
   }
   const auto end = exit_id_of(*state->record);
   const auto ended_at = crash_registry_.exit_time_of(end);
-  if (ended_at && now - *ended_at >= withdrawal_time && crash_registry_.withdraw(end, now)) {
+  if (ended_at && now - *ended_at >= min_withdrawal_age && crash_registry_.withdraw(end, now)) {
     record_(base::event_kind::request_cleared, {}, replica.text(),
-            "the replica is heard in the life that seemed over " +
+            "the replica answered in the incarnation that seemed to have exited " +
                 std::to_string(base::to_milliseconds(now - *ended_at)) + " ms ago");
   }
 }
@@ -131,8 +134,8 @@
   if (crash_registry_.note_survived(digest, now)) {
     ++counters_.requests_cleared;
     record(base::event_kind::request_cleared, request, "",
-           "request digest " + digest.text() + ", a run of it ended and its replica lives");
-    crash_report_exchange_.note_changed(digest);
+           "request digest " + digest.text() + ", a run of it ended and its replica survived");
+    crash_reports_.note_changed(digest);
   }
 }
 
@@ -140,13 +143,13 @@
   const bool was_known = crash_registry_.release(digest, now);
   if (was_known) {
     record_(base::event_kind::request_cleared, {}, "",
-            "request digest " + digest.text() + ", let go by an operator");
-    crash_report_exchange_.note_changed(digest);
+            "request digest " + digest.text() + ", released by an operator");
+    crash_reports_.note_changed(digest);
   }
   return was_known;
 }
 
-// --- holding back --------------------------------------------------------------------------------
+// --- quarantine ----------------------------------------------------------------------------------
 
 quarantine::quarantine_state dispatcher::quarantine_state_of(const active_request& request,
                                                              base::time_point now) const {
@@ -154,7 +157,7 @@
                                  : crash_registry_.quarantine_state_of(digest_of(request), now);
 }
 
-bool dispatcher::refuse_in_quarantine(active_request& request, base::time_point now) {
+bool dispatcher::refuse_if_quarantined(active_request& request, base::time_point now) {
   if (quarantine_state_of(request, now) != quarantine::quarantine_state::quarantined) {
     return false;
   }
@@ -163,12 +166,13 @@
   ++counters_.refused_in_quarantine;
   record(base::event_kind::request_quarantined, request, "",
          "request digest " + digest.text() + ", " +
-             std::to_string(crash_registry_.counted_exits_of(digest)) + " ends under it");
-  if (request.may_have_run || request.stream_begun) {
+             std::to_string(crash_registry_.counted_exits_of(digest)) + " replica exits under it");
+  if (request.may_have_run || request.has_begun_stream) {
     answer_failed(request, status::bad_gateway, quarantine_reason, now);
     return true;
   }
-  // It has not run, so the answer says that; no time to come back, since coming back is no use.
+  // The answer states that the request was not run. It has no Retry-After time because a retry does
+  // not help.
   refuse(request.client, request.content->id, status::unavailable, quarantine_reason, {});
   finish(request, status::unavailable, quarantine_reason, now);
   return true;
@@ -176,28 +180,28 @@
 
 void dispatcher::quarantine_request(const quarantine::request_digest& digest,
                                     base::time_point now) {
-  const auto* known = crash_registry_.find(digest);
-  if (known == nullptr) {
+  const auto* found = crash_registry_.find(digest);
+  if (found == nullptr) {
     return;
   }
   ++counters_.quarantines;
   record_(base::event_kind::request_quarantined, {}, "",
-          "request digest " + digest.text() + ", held back from now on, " +
+          "request digest " + digest.text() + ", quarantined, " +
               std::to_string(crash_registry_.counted_exits_of(digest)) +
-              " ends under it, the latest " +
-              std::to_string(base::to_milliseconds(now - known->last_update_at())) + " ms ago");
+              " replica exits under it, the latest " +
+              std::to_string(base::to_milliseconds(now - found->last_update_at())) + " ms ago");
   std::vector<base::caller_id> clients;
   for (const auto& [client, request] : active_) {
-    const bool shows_events = request.call && request.latest_event_at > request.call->started;
+    const bool shows_events = request.call && request.latest_event_at > request.call->started_at;
     if (!shows_events && digest_of(request) == digest) {
       clients.push_back(client);
     }
   }
   for (const auto client : clients) {
     auto& request = active_.at(client);
-    // A replica may be about to begin: closing the connection takes the request back.
+    // The replica may be about to run the request; closing the connection cancels it there.
     request.may_have_run = request.may_have_run || request.call.has_value();
-    refuse_in_quarantine(request, now);
+    refuse_if_quarantined(request, now);
   }
 }
 
--- /dev/null
+++ b/src/dispatch/dispatcher_retries.cc
@@ -0,0 +1,223 @@
+/// Retries: attempts and retry budget, stalled calls, and calls at replicas that are down.
+#include "dispatch/dispatcher.h"
+
+#include "dispatch/dispatcher_constants.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace spurrack::serving {
+namespace {
+
+/// Interval of the checks of a stalled call for which no other replica or no budget is available: a
+/// tenth of the second within which the requests of a replica that goes down are to be retried.
+constexpr base::duration stall_check_interval = std::chrono::milliseconds(100);
+/// Interval of the checks whether the replica of a stalled call that cannot be retried is down: a
+/// quarter of that second.
+constexpr base::duration down_check_interval = std::chrono::milliseconds(250);
+/// Time for which a replica must stay declared down before a request ends for it. Nodes that still
+/// have contact with the replica can report it in this time, and the request ends within the
+/// second.
+constexpr base::duration down_confirm_time = std::chrono::milliseconds(500);
+
+} // namespace
+
+// --- retry budget --------------------------------------------------------------------------------
+
+bool dispatcher::has_attempt_left(const active_request& request, base::time_point now) {
+  return request.attempts < request.route->max_attempts && now < request.deadline;
+}
+
+bool dispatcher::can_retry(const active_request& request, base::time_point now) const {
+  return has_attempt_left(request, now) && has_time_before_stop(request, now) &&
+         quarantine_state_of(request, now) == quarantine::quarantine_state::unrestricted;
+}
+
+bool dispatcher::try_take_retry(active_request& request, base::time_point now) {
+  if (!can_retry(request, now)) {
+    return false;
+  }
+  if (!retry_budget_.try_take(request.service, now)) {
+    ++counters_.retries_denied;
+    return false;
+  }
+  ++counters_.retries;
+  return true;
+}
+
+void dispatcher::retry_or_fail(active_request& request, base::time_point now) {
+  failure_outcome outcome{status::bad_gateway, "the replica gave no whole answer", {}, false};
+  if (request.route->may_repeat()) {
+    retry_or_end(request, std::move(outcome), now);
+  } else {
+    end_with_failure(request, outcome, now);
+  }
+}
+
+void dispatcher::send_retry(active_request& request, base::time_point now) {
+  request.events.drop_partial_event();
+  counters_.streams_resumed += request.has_begun_stream ? 1 : 0;
+  send_to_replica(request, now);
+}
+
+void dispatcher::retry_or_end(active_request& request, failure_outcome outcome,
+                              base::time_point now) {
+  if (try_take_retry(request, now)) {
+    send_retry(request, now);
+    return;
+  }
+  if (can_retry(request, now) &&
+      budget_exchange_.query_peers(request.service, awaiting_budget_.size() + 1, now)) {
+    request.pending_failure = std::move(outcome);
+    awaiting_budget_.push_back(request.client);
+    return;
+  }
+  end_with_failure(request, outcome, now);
+}
+
+void dispatcher::end_with_failure(active_request& request, const failure_outcome& outcome,
+                                  base::time_point now) {
+  if (outcome.answer) {
+    forward_answer(request, *outcome.answer, now);
+  } else if (outcome.is_not_run) {
+    answer_not_run(request, outcome.reason, now);
+  } else {
+    answer_failed(request, outcome.code, outcome.reason, now);
+  }
+}
+
+void dispatcher::process_awaiting_budget(base::time_point now) {
+  for (const auto client : std::exchange(awaiting_budget_, {})) {
+    const auto found = active_.find(client);
+    if (found == active_.end() || !found->second.pending_failure) {
+      continue;
+    }
+    auto& request = found->second;
+    if (retry_budget_.shortfall(request.service, now) > 0 &&
+        budget_exchange_.is_awaiting_answers(request.service, now)) {
+      awaiting_budget_.push_back(client);
+      continue;
+    }
+    const auto outcome = *std::exchange(request.pending_failure, std::nullopt);
+    if (try_take_retry(request, now)) {
+      ++counters_.retries_on_transferred_budget;
+      record(base::event_kind::stage_retried, request, request.service,
+             "with transferred retry budget");
+      send_retry(request, now);
+    } else {
+      end_with_failure(request, outcome, now);
+    }
+  }
+}
+
+void dispatcher::handle_peer(const base::node_id& sender, const base::network_address& address,
+                             const wire::retry_lending& message, base::time_point now) {
+  budget_exchange_.handle(sender, address, message, now);
+  process_awaiting_budget(now);
+}
+
+// --- replicas that are down ----------------------------------------------------------------------
+
+void dispatcher::handle_peer(const base::node_id& sender, const wire::replica_news& message,
+                             base::time_point now) {
+  const auto ejections_before = replicas_.ejections();
+  const auto down_replicas = replica_reports_.handle(sender, message, now);
+  if (replicas_.ejections() > ejections_before) {
+    record_(base::event_kind::backend_ejected, {}, down_replicas.front().text(),
+            "declared down by two nodes, the latest " + sender.text() + ", " +
+                std::to_string(down_replicas.size()) + " in one message");
+  }
+  for (const auto& replica : down_replicas) {
+    recheck_calls_at(replica, now);
+  }
+}
+
+void dispatcher::recheck_calls_at(const base::replica_id& replica, base::time_point now) {
+  const auto found = clients_by_replica_.find(replica);
+  if (found == clients_by_replica_.end()) {
+    return;
+  }
+  for (const auto client : found->second) {
+    auto& request = active_.at(client);
+    const bool is_watched = request.call->stalls_at && *request.call->stalls_at > now;
+    const bool shows_events = request.latest_event_at > request.call->started_at;
+    if (is_watched && !shows_events && request.route->may_repeat() &&
+        is_replica_unresponsive(request)) {
+      request.call->stalls_at = now;
+      schedule_check(request);
+    }
+  }
+}
+
+bool dispatcher::is_replica_unresponsive(const active_request& request) const {
+  const auto last_progress_at = std::max(request.call->started_at, request.latest_event_at);
+  return !replicas_.was_active_after(request.call->replica, last_progress_at);
+}
+
+/// After a suspension, answers wait unread in the sockets. Without the extension every active call
+/// would count as stalled before its answer is read: its replica would be reported unresponsive,
+/// and retries would be spent.
+void dispatcher::resume_after_suspension(base::duration gap, base::time_point now) {
+  for (auto& [client, request] : active_) {
+    if (request.call && request.call->stalls_at) {
+      *request.call->stalls_at += gap;
+    }
+    if (request.slow_client_check_at) {
+      *request.slow_client_check_at += gap;
+    }
+  }
+  stages_.resume_after_suspension(gap);
+  crash_reports_.resume_after_suspension(now);
+  limits_.resume_after_suspension(now);
+}
+
+void dispatcher::on_stalled(active_request& request, base::time_point now) {
+  const bool is_unresponsive = is_replica_unresponsive(request);
+  if (is_unresponsive) {
+    replicas_.note_unresponsive(request.call->replica, now);
+  }
+  if (request.route->may_repeat() && has_attempt_left(request, now)) {
+    retry_elsewhere(request, now);
+    return;
+  }
+  auto& call = *request.call;
+  if (call.restart_seen_at) {
+    check_call_at_earlier_incarnation(request, now);
+    return;
+  }
+  if (!is_unresponsive || !replicas_.is_declared_down(call.replica, now)) {
+    call.down_since.reset();
+  } else if (!call.down_since) {
+    call.down_since = now;
+  } else if (now - *call.down_since >= down_confirm_time) {
+    ++counters_.ended_at_down_replicas;
+    answer_failed(request, status::bad_gateway, "the replica is lost", now);
+    return;
+  }
+  call.stalls_at = now + down_check_interval;
+}
+
+void dispatcher::retry_elsewhere(active_request& request, base::time_point now) {
+  // If a graceful stop leaves no time for another attempt, or the request is limited to one
+  // attempt, the stalled call is still the best option.
+  if (!can_retry(request, now) || choose_replica(request, now) == nullptr) {
+    request.call->stalls_at = now + stall_check_interval;
+    return;
+  }
+  if (!try_take_retry(request, now)) {
+    // The other calls at the replica will need retries too.
+    budget_exchange_.query_peers(request.service,
+                                 clients_by_replica_.at(request.call->replica).size(), now);
+    request.call->stalls_at = now + stall_check_interval;
+    return;
+  }
+  commands_.emplace_back(cancel_call{request.call->id});
+  const auto call = close_call(request);
+  replicas_.note_stalled(call.replica, now);
+  request.may_have_run = true;
+  request.events.drop_partial_event();
+  record(base::event_kind::stage_retried, request, call.replica.text(), "no progress");
+  send_to_replica(request, now);
+}
+
+} // namespace spurrack::serving
--- /dev/null
+++ b/src/dispatch/retry_budget.h
@@ -0,0 +1,96 @@
+/// This node's part of the fleet-wide retry budget. The parts of all nodes add up to the fleet-wide
+/// budget, so keeping it needs no messages. An amount that a node transfers to another node counts
+/// as spent at the donor.
+#pragma once
+
+#include "base/time.h"
+#include "serving/settings.h"
+
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+#include <string>
+#include <unordered_map>
+
+namespace spurrack::serving {
+
+/// Number of retries in thousandths: in a large fleet the budget of one node is less than one
+/// retry.
+using milli_retries = std::int64_t;
+
+/// One retry.
+inline constexpr milli_retries one_retry = 1000;
+
+/// Time after the query during which the recipient may spend a transfer. Covers several round trips
+/// between regions, and is short compared to the window because the donor cannot spend the amount
+/// for the window plus this time.
+inline constexpr base::duration transfer_lifetime = std::chrono::milliseconds(2000);
+
+/// Counts requests, retries and transfers of each service over a sliding window. Not thread-safe.
+///
+/// Transfers keep the fleet-wide budget for this reason: the donor counts a transfer from the
+/// moment at which it grants it, for the window plus `transfer_lifetime`. The recipient can spend
+/// the transfer only between that moment and the end of its lifetime. In every window in which the
+/// transfer is spent, the donor therefore counts it, even if messages are lost, late or duplicated
+/// and nodes are partitioned. A lost transfer is never spent.
+class retry_budget {
+ public:
+  explicit retry_budget(retry_limits limits) : limits_(limits) {}
+
+  /// @param nodes number of nodes of the fleet, including nodes that seem dead: an unreachable node
+  ///        may still be spending its part of the budget.
+  void set_fleet_size(std::size_t nodes) { nodes_ = nodes; }
+
+  /// @return length of the window over which requests and retries are counted.
+  [[nodiscard]] base::duration window() const { return limits_.window; }
+  void count_request(const std::string& service, base::time_point now);
+  /// Takes one retry from the budget if it is available. Received transfers are spent first because
+  /// they expire soon.
+  /// @return whether the retry was granted.
+  bool try_take(const std::string& service, base::time_point now);
+  /// @return amount that the budget lacks for one retry; 0 if `try_take` would grant one.
+  [[nodiscard]] milli_retries shortfall(const std::string& service, base::time_point now);
+  /// Grants another node at most half of the remaining budget, so that this node keeps some for its
+  /// own retries. Budget earned by this node's requests is not granted because it expires with
+  /// their window.
+  /// @return granted part of `requested`; it counts as spent at this node.
+  [[nodiscard]] milli_retries donate(const std::string& service, milli_retries requested,
+                                     base::time_point now);
+  /// Adds an amount that another node granted.
+  /// @param expires_at time at which its lifetime ends; the lifetime starts with the query.
+  void add_transfer(const std::string& service, milli_retries amount, base::time_point expires_at);
+
+ private:
+  struct timed_amount {
+    base::time_point time;
+    milli_retries amount = 0;
+  };
+  /// Amounts ordered by time, and their sum.
+  struct timed_amounts {
+    std::deque<timed_amount> entries;
+    milli_retries sum = 0;
+    void add(base::time_point time, milli_retries amount);
+    void drop_before(base::time_point oldest);
+  };
+  struct service_usage {
+    std::deque<base::time_point> requests;
+    timed_amounts retries;
+    timed_amounts sent_transfers;
+    /// Ordered by expiry.
+    timed_amounts received_transfers;
+  };
+  service_usage& current_usage(const std::string& service, base::time_point now);
+  /// @return amount that this node may spend or transfer in a window in addition to the amount that
+  ///         its requests earn.
+  [[nodiscard]] milli_retries own_allowance() const;
+  /// @return unspent part of this node's budget, without received transfers; negative if the budget
+  ///         has shrunk.
+  [[nodiscard]] milli_retries remaining_of(const service_usage& usage) const;
+  [[nodiscard]] milli_retries shortfall_of(const service_usage& usage) const;
+
+  retry_limits limits_;
+  std::size_t nodes_ = 1;
+  std::unordered_map<std::string, service_usage> usage_by_service_;
+};
+
+} // namespace spurrack::serving
--- a/src/dispatch/run_times.h
+++ b/src/dispatch/run_times.h
@@ -1,4 +1,4 @@
-/// How long the runs of a route last at replicas, from what recent ones have shown.
+/// Estimates how long runs of a route last at replicas from the times of recent runs.
 #pragma once
 
 #include "base/time.h"
@@ -11,56 +11,58 @@
 
 namespace spurrack::serving {
 
-/// Time of one run that came to its end.
+/// Times of one completed run.
 struct run_time {
-  /// From the call to the first event; of a whole answer, to the answer.
-  base::duration to_first_event{};
-  /// From the first event to the end; zero for whole answers.
-  base::duration events{};
+  /// Time from the call to the first event, or to the answer if it is not a stream.
+  base::duration time_to_first_event{};
+  /// Time from the first event to the end; zero if the answer is not a stream.
+  base::duration streaming_time{};
 };
 
-/// Keeps the latest runs of each route. Not thread-safe.
+/// Keeps the times of the latest runs of each route and service. Not thread-safe.
 class run_times {
  public:
-  /// A run was served whole.
-  /// @param output_tokens that the client asked for; 0 where it did not say.
-  void note(const std::string& route, const std::string& service, std::uint32_t output_tokens,
-            const run_time& seen);
+  /// Records a run that was served completely.
+  /// @param output_tokens number of tokens that the client asked for; 0 if the request names none.
+  void note_run(const std::string& route, const std::string& service, std::uint32_t output_tokens,
+                const run_time& observed);
 
-  /// @return a time that few of the recent runs of the route took longer than, for as many tokens;
-  ///         that of all runs at the service by the token while too few of the route were seen, and
-  ///         a usual time where that is not known either.
-  [[nodiscard]] run_time upper(const std::string& route, const std::string& service,
-                               std::uint32_t output_tokens) const;
+  /// @return times that few of the recent runs of the route exceeded, scaled to `output_tokens` if
+  ///         enough of these runs have a known number of tokens. If too few runs of the route are
+  ///         known, the estimate is scaled from the times per token of all runs of the service; if
+  ///         these are not known either, it is a default.
+  [[nodiscard]] run_time upper_estimate(const std::string& route, const std::string& service,
+                                        std::uint32_t output_tokens) const;
 
  private:
-  /// Runs that are remembered: at one or two a second for a route and node, what load did to them
-  /// in the last half minute.
-  static constexpr std::size_t remembered = 32;
+  /// Number of runs that are kept. At one or two runs per second for a route on one node, they
+  /// cover the load of the last half minute.
+  static constexpr std::size_t max_runs = 32;
   struct sample {
     double seconds_to_first_event = 0;
-    double seconds_of_events = 0;
-    /// 0 where the client did not say.
+    double streaming_seconds = 0;
+    /// 0 if the request names no number.
     std::uint32_t output_tokens = 0;
   };
   struct history {
-    std::array<sample, remembered> latest;
+    std::array<sample, max_runs> latest;
     std::size_t count = 0;
     std::size_t next = 0;
   };
   using histories = std::unordered_map<std::string, history>;
 
-  static void add(history& grown, const sample& added);
-  /// @return whether the tokens of a run and of enough of those seen are known.
-  static bool is_by_token(const history& seen, std::uint32_t output_tokens);
-  /// @return seconds from the first event to the end that few of the runs took longer than; by the
-  ///         token where the tokens of this one and of enough of them are known.
-  static double upper_events(const history& seen, std::uint32_t output_tokens);
-  /// @return null while too few runs are known.
+  static void add_sample(history& runs, const sample& run);
+  /// @return whether the number of tokens is known for the coming run and for at least `min_runs`
+  ///         recorded runs.
+  static bool can_scale_by_tokens(const history& runs, std::uint32_t output_tokens);
+  /// @return seconds from the first event to the end that few of the runs exceeded, scaled by the
+  ///         number of tokens if `can_scale_by_tokens`.
+  static double upper_streaming_seconds(const history& runs, std::uint32_t output_tokens);
+  /// @return null if fewer than `min_runs` runs are known.
   static const history* find(const histories& known, const std::string& name);
 
-  histories by_route_;
-  histories by_service_;
+  histories runs_by_route_;
+  histories runs_by_service_;
 };
 
 } // namespace spurrack::serving
--- a/src/dispatch/stop_plan.cc
+++ b/src/dispatch/stop_plan.cc
@@ -3,8 +3,8 @@
 namespace spurrack::serving {
 namespace {
 
-/// What is expected to end has ended this long before the process must: the last bytes are written,
-/// and a node short of processor time is late with everything.
+/// Time between the expected end of a request and the end of the process. It covers writing the
+/// last bytes, and the delays of a node that is short of processor time.
 constexpr base::duration end_margin = std::chrono::milliseconds(150);
 
 } // namespace
@@ -13,19 +13,20 @@
   times_ = {now, must_end_at};
 }
 
-bool stop_plan::takes(const work_ahead& work, base::time_point now) const {
+bool stop_plan::accepts(const remaining_work& work, base::time_point now) const {
   if (!times_) {
     return true;
   }
-  const auto taken_for = work.is_stream ? windows_.streams : windows_.requests;
-  return now - times_->began < taken_for && may_send(work, now);
+  const auto accept_window = work.is_stream ? windows_.streams : windows_.requests;
+  return now - times_->begun_at < accept_window && may_send(work, now);
 }
 
-bool stop_plan::may_send(const work_ahead& work, base::time_point now) const {
-  if (!times_ || work.answered_by <= times_->must_end_at) {
+bool stop_plan::may_send(const remaining_work& work, base::time_point now) const {
+  if (!times_ || work.answer_deadline <= times_->must_end_at) {
     return true;
   }
-  return work.expected && now + *work.expected + end_margin <= times_->must_end_at;
+  return work.expected_duration &&
+         now + *work.expected_duration + end_margin <= times_->must_end_at;
 }
 
 } // namespace spurrack::serving
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -1,4 +1,4 @@
-/// A published world and a dispatcher over it, driven by hand.
+/// A published catalog and a driver that feeds events to a dispatcher.
 #pragma once
 
 #include "catalog/catalog.h"
@@ -74,7 +74,7 @@
     return route;
   }
 
-  /// Asks that nothing be sent to the replicas of a zone.
+  /// Publishes an evacuation of a zone, so that its replicas are sent no requests.
   void evacuate(const std::string& zone) {
     wire::published_evacuation evacuation;
     evacuation.set_zone(zone);
@@ -99,10 +99,10 @@
     put(std::string(model::replica_prefix) + id, replica.SerializeAsString(), false);
   }
 
-  /// Publishes a life of a replica; a start of 0 is not told.
-  void add_life(const std::string& id, const std::string& service, const std::string& zone,
-                const std::string& address, std::uint64_t started_at_milliseconds,
-                std::uint32_t cold_milliseconds = 0) {
+  /// Publishes an incarnation of a replica; a start of 0 leaves the start unset.
+  void add_incarnation(const std::string& id, const std::string& service, const std::string& zone,
+                       const std::string& address, std::uint64_t started_at_milliseconds,
+                       std::uint32_t cold_milliseconds = 0) {
     wire::published_replica replica;
     replica.set_id(id);
     replica.set_service(service);
@@ -114,7 +114,7 @@
     put(std::string(model::replica_prefix) + id, replica.SerializeAsString(), false);
   }
 
-  /// Another writer writes over the entry of a replica.
+  /// Overwrites the entry of a replica with a malformed record, as another writer may do.
   void write_malformed(const std::string& id) {
     wire::published_replica replica;
     replica.set_id(id);
@@ -152,7 +152,7 @@
   unsigned addresses_ = 1;
 };
 
-/// Drives one dispatcher and keeps what it asks for.
+/// Drives one dispatcher and keeps its commands.
 class dispatcher_driver {
  public:
   explicit dispatcher_driver(const serving_settings& settings = {})
@@ -162,7 +162,7 @@
     subject.update(world.content, now);
   }
 
-  /// Sends a request and takes the commands it leads to.
+  /// Delivers a request to the dispatcher and collects the resulting commands.
   void arrive(base::caller_id client, const std::string& path,
               std::vector<std::uint32_t> pieces = {}) {
     auto content = content_for(client, path);
@@ -171,7 +171,7 @@
     happen(request_arrived{client, content, now});
   }
 
-  /// @return what a client asks for on a path, to be changed before it arrives.
+  /// @return request content for a path, which the test may change before the request arrives.
   [[nodiscard]] std::shared_ptr<request_content> content_for(base::caller_id client,
                                                              const std::string& path) const {
     auto content = std::make_shared<request_content>();
@@ -184,20 +184,20 @@
     return content;
   }
 
-  void happen(const event& what) {
-    subject.handle(what, now);
+  void happen(const event& input_event) {
+    subject.handle(input_event, now);
     subject.advance(now);
-    take();
+    collect_commands();
   }
 
-  /// The head of the answer to a call of any kind says something of its replica.
-  void say(base::call_id call, const replica_self_report& said) {
-    const auto& made = made_calls_.at(call);
-    happen(self_report_received{made.replica, made.at, said});
+  /// Delivers a self-report of a replica from the head of its answer to a call of any kind.
+  void deliver_self_report(base::call_id call, const replica_self_report& report) {
+    const auto& sent = made_calls_.at(call);
+    happen(self_report_received{sent.replica, sent.at, report});
   }
-  /// A call is answered whole, with what the replica says of itself.
-  void answer(base::call_id call, const replica_self_report& said, const answer_head& head) {
-    say(call, said);
+  /// Delivers a whole answer to a call together with a self-report of its replica.
+  void answer(base::call_id call, const replica_self_report& report, const answer_head& head) {
+    deliver_self_report(call, report);
     happen(call_answered{call, head, ""});
   }
 
@@ -207,29 +207,30 @@
     while (now < end) {
       now = std::min(end, now + step);
       subject.advance(now);
-      take();
+      collect_commands();
     }
   }
 
-  /// @return the commands of one type so far, oldest first.
-  template <typename wanted>
-  std::vector<wanted> all() const {
-    std::vector<wanted> found;
+  /// @return commands of one type so far, oldest first.
+  template <typename command_type>
+  std::vector<command_type> all() const {
+    std::vector<command_type> found;
     for (const auto& command : commands) {
-      if (const auto* one = std::get_if<wanted>(&command)) {
-        found.push_back(*one);
+      if (const auto* match = std::get_if<command_type>(&command)) {
+        found.push_back(*match);
       }
     }
     return found;
   }
-  template <typename wanted>
-  wanted last() const {
-    const auto found = all<wanted>();
+  template <typename command_type>
+  command_type last() const {
+    const auto found = all<command_type>();
     BOOST_REQUIRE(!found.empty());
     return found.back();
   }
 
-  /// @return the replicas of all calls since `first` commands, of any kind, and of freed results.
+  /// @return replicas of all calls of any kind and of freed results after the first `first`
+  ///         commands.
   [[nodiscard]] std::vector<base::replica_id> called_since(std::size_t first) const {
     std::vector<base::replica_id> called;
     for (std::size_t index = first; index < commands.size(); ++index) {
@@ -251,7 +252,7 @@
     head.sealed = true;
     return head;
   }
-  static answer_head full_head() {
+  static answer_head not_executed_head() {
     answer_head head;
     head.status = 503;
     head.not_executed = true;
@@ -273,20 +274,18 @@
   };
 
   template <typename other_command>
-  void note_call(const other_command& /*wanted*/) {}
-  void note_call(const start_call& wanted) {
-    made_calls_[wanted.call] = {wanted.target.replica, now};
-  }
-  void note_call(const start_stage_call& wanted) {
-    made_calls_[wanted.call] = {wanted.target.replica, now};
+  void note_call(const other_command& /*command*/) {}
+  void note_call(const start_call& call) { made_calls_[call.call] = {call.target.replica, now}; }
+  void note_call(const start_stage_call& call) {
+    made_calls_[call.call] = {call.target.replica, now};
   }
 
-  void take() {
-    auto wanted = subject.take_commands();
-    for (const auto& command : wanted) {
-      std::visit([this](const auto& one) { note_call(one); }, command);
+  void collect_commands() {
+    auto new_commands = subject.take_commands();
+    for (const auto& command : new_commands) {
+      std::visit([this](const auto& typed_command) { note_call(typed_command); }, command);
     }
-    std::move(wanted.begin(), wanted.end(), std::back_inserter(commands));
+    std::move(new_commands.begin(), new_commands.end(), std::back_inserter(commands));
   }
 
   std::map<base::call_id, made_call> made_calls_;
--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -125,7 +125,7 @@
     while (now < end) {
       now += milliseconds(1);
       send_harmless_requests();
-      happen_due();
+      run_due();
       for (std::size_t index = 0; index < nodes.size(); ++index) {
         advance(index);
       }
@@ -270,8 +270,8 @@
     const auto id =
         settings.keeps_ids_on_restart ? name : name + "-" + std::to_string(replica.incarnation);
     replica.id = base::replica_id(id);
-    world.add_life(id, replica.service, index % 2 == 0 ? "a" : "b", replica.address,
-                   settings.keeps_ids_on_restart ? 1000 + replica.incarnation : 0);
+    world.add_incarnation(id, replica.service, index % 2 == 0 ? "a" : "b", replica.address,
+                          settings.keeps_ids_on_restart ? 1000 + replica.incarnation : 0);
     publish();
   }
 
--- a/tests/rate_limits/limited_calls_test.cc
+++ b/tests/rate_limits/limited_calls_test.cc
@@ -82,7 +82,7 @@
     // The pool answers its calls; each result causes one more call, which frees it.
     const auto calls = node.all<start_stage_call>();
     for (; answered_calls < calls.size(); ++answered_calls) {
-      node.say(calls[answered_calls].call, limited_node::limited(limit));
+      node.deliver_self_report(calls[answered_calls].call, limited_node::limited(limit));
       stage_call_ended ended{calls[answered_calls].call, stage_call_ended::result::answered, {}};
       for (std::size_t piece = 0; piece < calls[answered_calls].items.size(); ++piece) {
         ended.pieces.push_back({piece_fault::none, calls[answered_calls].target.address.text() +
@@ -134,7 +134,7 @@
 BOOST_AUTO_TEST_CASE(stages_are_not_begun_for_a_replica_that_accepts_nothing) {
   limited_node node;
   node.arrive(1, "/stream/");
-  node.say(node.last<start_call>().call, limited_node::limited(0));
+  node.deliver_self_report(node.last<start_call>().call, limited_node::limited(0));
   node.happen(stream_opened{node.last<start_call>().call, dispatcher_driver::good_head()});
   node.arrive(2, "/staged/", {3, 1});
   BOOST_TEST(node.last<respond>().status == 503U);
@@ -144,7 +144,7 @@
 BOOST_AUTO_TEST_CASE(few_stages_run_for_requests_that_cannot_be_sent_afterwards) {
   limited_node node;
   node.arrive(1, "/stream/");
-  node.say(node.last<start_call>().call, limited_node::limited(1));
+  node.deliver_self_report(node.last<start_call>().call, limited_node::limited(1));
   node.happen(stream_opened{node.last<start_call>().call, dispatcher_driver::good_head()});
   node.happen(stream_closed{node.last<start_call>().call, true});
   std::size_t piece_count = 0;
@@ -156,7 +156,7 @@
       node.pass(milliseconds(50));
       const auto calls = node.all<start_stage_call>();
       for (; answered_calls < calls.size(); ++answered_calls) {
-        node.say(calls[answered_calls].call, {});
+        node.deliver_self_report(calls[answered_calls].call, {});
         stage_call_ended ended{calls[answered_calls].call, stage_call_ended::result::answered, {}};
         for (std::size_t piece = 0; piece < calls[answered_calls].items.size(); ++piece) {
           ended.pieces.push_back({piece_fault::none, calls[answered_calls].target.address.text() +
@@ -166,7 +166,7 @@
       }
       const auto sent = node.all<start_call>();
       for (; stream_count < sent.size(); ++stream_count) {
-        node.say(sent[stream_count].call, limited_node::limited(1));
+        node.deliver_self_report(sent[stream_count].call, limited_node::limited(1));
         node.happen(stream_opened{sent[stream_count].call, dispatcher_driver::good_head()});
         node.happen(stream_bytes{sent[stream_count].call, "id: 1\ndata: x\n\n"});
         node.happen(stream_closed{sent[stream_count].call, true});
@@ -200,7 +200,7 @@
   limited_node node;
   node.arrive(1, "/unsafe/");
   node.answer(node.last<start_call>().call, limited_node::limited(3),
-              dispatcher_driver::full_head());
+              dispatcher_driver::not_executed_head());
   BOOST_TEST(node.subject.limits().limited_replicas() == 1U);
 }
 
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -117,7 +117,8 @@
   void publish(unsigned index) {
     const auto& replica = replicas[index];
     const std::string zone(1, static_cast<char>('a' + index % settings.zones));
-    world.add_life(replica.id.text(), "plain", zone, replica.address, 1000 + replica.incarnation);
+    world.add_incarnation(replica.id.text(), "plain", zone, replica.address,
+                          1000 + replica.incarnation);
   }
 
   /// Restarts a replica under its id. It announces nothing afterwards.
@@ -288,7 +289,7 @@
 
   void step() {
     now += settings.step;
-    happen_due();
+    run_due();
     for (std::size_t index = 0; index < nodes.size(); ++index) {
       if (!nodes[index].is_suspended && nodes[index].wakeup_at <= now) {
         advance(index);
@@ -421,7 +422,8 @@
   void answer_call(std::size_t index, base::incarnation incarnation, std::size_t replica_index,
                    base::call_id call, bool is_refused) {
     auto& replica = replicas[replica_index];
-    const auto head = is_refused ? dispatcher_driver::full_head() : dispatcher_driver::good_head();
+    const auto head =
+        is_refused ? dispatcher_driver::not_executed_head() : dispatcher_driver::good_head();
     replica_self_report self_report;
     self_report.limit.per_second = replica.limit;
     self_report.is_draining = replica.is_draining;
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -34,7 +34,7 @@
     const auto calls = all<start_stage_call>();
     for (; answered_ < calls.size(); ++answered_) {
       const auto& call = calls[answered_];
-      say(call.call, report);
+      deliver_self_report(call.call, report);
       stage_call_ended ended{call.call, stage_call_ended::result::answered, {}};
       for (std::size_t piece = 0; piece < call.items.size(); ++piece) {
         ended.pieces.push_back(
@@ -47,7 +47,7 @@
   /// Answers the latest call with a complete stream.
   void serve_stream() {
     const auto call = last<start_call>().call;
-    say(call, {});
+    deliver_self_report(call, {});
     happen(stream_opened{call, good_head()});
     happen(stream_bytes{call, "id: 1\ndata: x\n\n"});
     happen(stream_closed{call, true});
@@ -82,7 +82,7 @@
   self_report_node node;
   node.arrive(1, "/stream/");
   const auto call = node.last<start_call>();
-  node.say(call.call, draining());
+  node.deliver_self_report(call.call, draining());
   node.happen(stream_opened{call.call, dispatcher_driver::good_head()});
   node.happen(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
   const auto before = node.commands.size();
@@ -101,7 +101,7 @@
   self_report_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
-  node.say(call.call, draining());
+  node.deliver_self_report(call.call, draining());
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 20; ++client) {
     node.arrive(client, "/safe/");
@@ -168,7 +168,7 @@
   const base::replica_id backed_off_replica("plain-a");
   for (const auto& call : first) {
     if (call.target.replica == backed_off_replica) {
-      node.answer(call.call, backoff_report(seconds(3)), dispatcher_driver::full_head());
+      node.answer(call.call, backoff_report(seconds(3)), dispatcher_driver::not_executed_head());
     }
   }
   const auto before = node.commands.size();
@@ -194,10 +194,10 @@
     }
   }
   BOOST_REQUIRE(calls.size() > 3);
-  node.answer(calls[0], backoff_report(seconds(3)), dispatcher_driver::full_head());
+  node.answer(calls[0], backoff_report(seconds(3)), dispatcher_driver::not_executed_head());
   const auto before = node.commands.size();
   node.answer(calls[1], {}, dispatcher_driver::good_head());
-  node.answer(calls[2], backoff_report(milliseconds(50)), dispatcher_driver::full_head());
+  node.answer(calls[2], backoff_report(milliseconds(50)), dispatcher_driver::not_executed_head());
   node.pass(milliseconds(2'900));
   for (base::caller_id client = 100; client < 130; ++client) {
     node.arrive(client, "/safe/");
@@ -225,7 +225,7 @@
   auto report = draining();
   report.limit.per_second = 5;
   report.backoff.span = milliseconds(300);
-  node.answer(call.call, report, dispatcher_driver::full_head());
+  node.answer(call.call, report, dispatcher_driver::not_executed_head());
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 60; ++client) {
     node.arrive(client, "/safe/");
@@ -254,17 +254,17 @@
 
 BOOST_AUTO_TEST_CASE(self_reports_of_an_earlier_incarnation_are_ignored) {
   self_report_node node;
-  node.world.add_life("plain-a", "plain", "a", "10.2.0.1:80", 1000);
+  node.world.add_incarnation("plain-a", "plain", "a", "10.2.0.1:80", 1000);
   node.world.remove_replica("plain-b");
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
   node.pass(milliseconds(10));
-  node.world.add_life("plain-a", "plain", "a", "10.2.0.1:80", 2000);
+  node.world.add_incarnation("plain-a", "plain", "a", "10.2.0.1:80", 2000);
   node.subject.update(node.world.content, node.now);
   auto report = draining();
   report.backoff.span = seconds(60);
-  node.say(call.call, report);
+  node.deliver_self_report(call.call, report);
   node.pass(milliseconds(10));
   const auto before = node.commands.size();
   node.arrive(2, "/safe/");
@@ -279,7 +279,7 @@
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/safe/");
   node.answer(node.last<start_call>().call, backoff_report(seconds(2)),
-              dispatcher_driver::full_head());
+              dispatcher_driver::not_executed_head());
   const auto before = node.commands.size();
   node.arrive(2, "/safe/");
   node.pass(milliseconds(1'950));
@@ -294,7 +294,7 @@
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/safe/");
   node.answer(node.last<start_call>().call, backoff_report(seconds(20)),
-              dispatcher_driver::full_head());
+              dispatcher_driver::not_executed_head());
   const auto before = node.all<respond>().size();
   node.arrive(2, "/safe/");
   BOOST_REQUIRE(node.all<respond>().size() == before + 1);
@@ -312,7 +312,7 @@
   for (const std::string id : {"llm-a", "llm-b"}) {
     node.arrive(id == "llm-a" ? 1 : 2, "/fixed/");
     node.answer(node.last<start_call>().call, backoff_report(seconds(20)),
-                dispatcher_driver::full_head());
+                dispatcher_driver::not_executed_head());
   }
   node.arrive(3, "/staged/", {3, 1});
   BOOST_TEST(node.last<respond>().status == 503U);
@@ -328,7 +328,7 @@
   node.subject.update(node.world.content, node.now);
   node.arrive(1, "/usual/");
   node.answer(node.last<start_call>().call, backoff_report(seconds(1)),
-              dispatcher_driver::full_head());
+              dispatcher_driver::not_executed_head());
   node.pass(milliseconds(500));
   for (base::caller_id client = 10; client < 20; ++client) {
     node.arrive(client, "/usual/");
--- a/tests/stage_work/stage_pool_test.cc
+++ b/tests/stage_work/stage_pool_test.cc
@@ -279,7 +279,7 @@
     publish(1000);
   }
   void publish(std::uint64_t started_at) {
-    world.add_life("pool-a", "pool", "a", "10.0.1.1:80", started_at);
+    world.add_incarnation("pool-a", "pool", "a", "10.0.1.1:80", started_at);
     replicas.update(world.content.replicas(), now);
   }
   void restart() {
@@ -337,9 +337,9 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(inputs_lost_in_a_restart_do_not_extend_the_fetch_time, input_driver) {
-  world.add_life("pool-b", "pool", "b", "10.0.1.1:80", 1000);
+  world.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 1000);
   replicas.update(world.content.replicas(), now);
-  world.add_life("pool-b", "pool", "b", "10.0.1.1:80", 2000);
+  world.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 2000);
   replicas.update(world.content.replicas(), now);
   pool.on_replica_restarted(base::replica_id("pool-b"), now);
   fail_with_missing_input(false);
