--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -385,12 +385,13 @@
     }
     replicas_.note_success(call.replica, now);
     commands_.emplace_back(end_stream{request->client, true});
-    finish(*request, request->stream_head->status,
-           "the stream is complete, first event at " +
-               std::to_string(base::to_milliseconds(request->first_event_at - request->arrived)) +
-               " ms, longest pause " +
-               std::to_string(base::to_milliseconds(request->longest_event_gap)) + " ms,",
-           now);
+    finish(
+        *request, request->stream_head->status,
+        "the stream is complete, first event at " +
+            std::to_string(base::to_milliseconds(request->first_event_at - request->arrived_at)) +
+            " ms, longest pause " +
+            std::to_string(base::to_milliseconds(request->longest_event_gap)) + " ms,",
+        now);
     return;
   }
   replicas_.note_failure(call.replica, now);
