--- a/src/execution/effect_guard.cc
+++ b/src/execution/effect_guard.cc
@@ -22,7 +22,7 @@
                                                              : base::duration::zero()),
       lists_(settings.list_window) {}
 
-void effect_guard::update_list(const catalog::machine_map& machines, base::time_point now) {
+void effect_guard::update_node_list(const catalog::machine_map& machines, base::time_point now) {
   lists_.update(machines, now);
 }
 
@@ -50,7 +50,7 @@
   }
 }
 
-void effect_guard::begin_forwarded(guarded_request request, base::time_point now) {
+void effect_guard::submit_forwarded(guarded_request request, base::time_point now) {
   const auto key = key_of(request);
   if (join_known_effect(key, request)) {
     return;
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -72,7 +72,7 @@
                address_lookup lookup, event_recorder record, base::time_point started);
 
   /// Takes over the published node list.
-  void update_list(const catalog::machine_map& machines, base::time_point now);
+  void update_node_list(const catalog::machine_map& machines, base::time_point now);
 
   /// @return text of a new ticket of this node.
   std::string issue(base::time_point now);
@@ -80,7 +80,7 @@
   void begin(guarded_request request, base::time_point now);
   /// Like `begin`, for a request that a peer forwarded because this node is the owner; never asks
   /// witnesses and never forwards again.
-  void begin_forwarded(guarded_request request, base::time_point now);
+  void submit_forwarded(guarded_request request, base::time_point now);
   /// Handles witness and forward messages; other bodies are ignored.
   void handle(const wire::envelope& message, base::time_point now);
   /// Keeps the answer of an owned request for replay.
--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -224,7 +224,7 @@
     break;
   case call_status::refused_leaving: {
     const auto* target = backends_->find(backend);
-    if (target != nullptr && backends_->mark_leaving(backend, target->generation)) {
+    if (target != nullptr && backends_->mark_draining(backend, target->generation)) {
       record_(base::event_kind::backend_leaving, {}, backend.text(), "refused a call");
     }
     break;
@@ -327,7 +327,7 @@
   return limit && now - active.call->last_progress > *limit;
 }
 
-void executor::expire_stalled_calls(base::time_point now) {
+void executor::retry_stalled_calls(base::time_point now) {
   std::vector<base::request_id> stalled;
   for (const auto& [id, active] : active_) {
     if (is_stalled(active, now)) {
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -59,11 +59,11 @@
   void expire(base::time_point now);
   /// Gives up repeatable calls that make no progress, and makes them again elsewhere. Call about
   /// every 100 ms.
-  void expire_stalled_calls(base::time_point now);
+  void retry_stalled_calls(base::time_point now);
   /// Dispatches what can be dispatched.
   void pump(base::time_point now);
   /// While on hold nothing is dispatched (after a pause, until the node is up to date again).
-  void set_hold(bool hold) { hold_ = hold; }
+  void set_dispatch_paused(bool hold) { hold_ = hold; }
 
   [[nodiscard]] std::optional<base::time_point> next_deadline() const;
   [[nodiscard]] std::size_t active() const { return active_.size(); }
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -156,7 +156,7 @@
   record(base::event_kind::node_resumed_after_pause, {}, settings_.self.node.text(),
          std::to_string(base::to_milliseconds(gap)) + " ms");
   membership_.resume_after_suspension(now);
-  executor_.set_hold(true);
+  executor_.set_dispatch_paused(true);
   hold_until_ = now + settings_.resync_wait;
   if (serving_) {
     serving_->resume_after_suspension(gap, now);
@@ -181,7 +181,7 @@
   peer_synced_ = true;
   if (hold_until_ && message.has_acknowledgement() && message.acknowledgement().resync()) {
     hold_until_.reset();
-    executor_.set_hold(false);
+    executor_.set_dispatch_paused(false);
   }
   check_ready(now);
 }
@@ -213,14 +213,14 @@
   membership_.tick(now, outbox_);
   update_sharing();
   update_serving_peers(now);
-  executor_.expire_stalled_calls(now);
+  executor_.retry_stalled_calls(now);
   read_services(now);
   if (!ready_) {
     begin_resync(now);
   }
   if (hold_until_ && now >= *hold_until_) {
     hold_until_.reset();
-    executor_.set_hold(false);
+    executor_.set_dispatch_paused(false);
   }
   check_ready(now);
 }
@@ -244,8 +244,8 @@
 void node::update_sharing() {
   const auto nodes = membership_.live_zone_nodes();
   const auto place = std::find(nodes.begin(), nodes.end(), settings_.self.node);
-  backends_.set_sharing(static_cast<std::uint32_t>(nodes.size()),
-                        static_cast<std::uint32_t>(place - nodes.begin()));
+  backends_.set_sharing_nodes(static_cast<std::uint32_t>(nodes.size()),
+                              static_cast<std::uint32_t>(place - nodes.begin()));
 }
 
 // --- catalog -------------------------------------------------------------------------------------
@@ -283,7 +283,7 @@
   seen_machine_changes_ = catalog_.machine_changes();
   membership_.set_published(catalog_.machines(), now);
   backends_.update(catalog_.machines());
-  guard_.update_list(catalog_.machines(), now);
+  guard_.update_node_list(catalog_.machines(), now);
   update_sharing();
 }
 
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -98,7 +98,7 @@
       id,           std::make_shared<const model::pipeline_plan>(std::move(*plan)),
       body.input(), deadline,
       caller,       false};
-  guard_.begin_forwarded({std::move(request), body.idempotency_key(), body.ticket()}, now);
+  guard_.submit_forwarded({std::move(request), body.idempotency_key(), body.ticket()}, now);
 }
 
 void node::answer_peer(const execution::remote_caller& peer, const execution::answer& content,
--- a/src/node/node_peers.cc
+++ b/src/node/node_peers.cc
@@ -74,7 +74,7 @@
 void node::on_backend_notice(const wire::backend_notice& notice, bool from_zone,
                              base::time_point /*now*/) {
   const base::backend_id backend(notice.backend());
-  if (!backends_.mark_leaving(backend, notice.generation())) {
+  if (!backends_.mark_draining(backend, notice.generation())) {
     return;
   }
   record(base::event_kind::backend_leaving, {}, notice.backend(), "told by a peer");
--- a/src/routing/backend_table.cc
+++ b/src/routing/backend_table.cc
@@ -44,7 +44,7 @@
   });
 }
 
-bool backend_table::mark_leaving(const base::backend_id& id, std::uint64_t generation) {
+bool backend_table::mark_draining(const base::backend_id& id, std::uint64_t generation) {
   auto& known = leaving_generation_[id];
   if (generation <= known) {
     return false;
@@ -62,7 +62,7 @@
          (notice != leaving_generation_.end() && notice->second >= target.generation);
 }
 
-void backend_table::set_sharing(std::uint32_t sharing_nodes, std::uint32_t own_rank) {
+void backend_table::set_sharing_nodes(std::uint32_t sharing_nodes, std::uint32_t own_rank) {
   sharing_nodes_ = std::max<std::uint32_t>(1, sharing_nodes);
   own_rank_ = own_rank;
 }
--- a/src/routing/backend_table.h
+++ b/src/routing/backend_table.h
@@ -70,7 +70,7 @@
 
   /// Takes note that a back end leaves at `generation` or before.
   /// @return whether that was news.
-  bool mark_leaving(const base::backend_id& id, std::uint64_t generation);
+  bool mark_draining(const base::backend_id& id, std::uint64_t generation);
   [[nodiscard]] bool is_leaving(const backend& target) const;
   [[nodiscard]] const std::map<base::backend_id, std::uint64_t>& leave_notices() const {
     return leaving_generation_;
@@ -78,7 +78,7 @@
 
   /// @param sharing_nodes how many nodes share the limits of this zone's back ends.
   /// @param own_rank rank of this node among them, for the remainder of the division.
-  void set_sharing(std::uint32_t sharing_nodes, std::uint32_t own_rank);
+  void set_sharing_nodes(std::uint32_t sharing_nodes, std::uint32_t own_rank);
 
   /// @return back ends of the own zone with a free slot or, where there is none, of other zones.
   /// @param ignore_limits also those whose share is used up (policies without admission).
--- a/tests/admission/scheduling_test.cc
+++ b/tests/admission/scheduling_test.cc
@@ -37,7 +37,7 @@
 routing::backend_table table(int count, std::uint32_t concurrency, std::uint32_t nodes) {
   routing::backend_table made{base::zone_id("a")};
   made.update(backends(count, concurrency));
-  made.set_sharing(nodes, 0);
+  made.set_sharing_nodes(nodes, 0);
   return made;
 }
 
@@ -128,7 +128,7 @@
     std::uint32_t total = 0;
     for (std::uint32_t rank = 0; rank < nodes; ++rank) {
       auto shared = table(1, 8, nodes);
-      shared.set_sharing(nodes, rank);
+      shared.set_sharing_nodes(nodes, rank);
       total += shared.slots(base::pool_id("p"), start);
     }
     BOOST_TEST(total == 8U);
@@ -160,8 +160,8 @@
 
 BOOST_AUTO_TEST_CASE(a_leave_notice_holds_for_its_generation) {
   auto shared = table(1, 8, 1);
-  BOOST_TEST(shared.mark_leaving(backend_id("b0"), 1));
-  BOOST_TEST(!shared.mark_leaving(backend_id("b0"), 1));
+  BOOST_TEST(shared.mark_draining(backend_id("b0"), 1));
+  BOOST_TEST(!shared.mark_draining(backend_id("b0"), 1));
   BOOST_TEST(shared.candidates(base::pool_id("p"), start, false).empty());
   BOOST_TEST(!shared.has_pool(base::pool_id("p")));
   auto again = backends(1, 8);
