--- a/src/admission/stage_scheduler.cc
+++ b/src/admission/stage_scheduler.cc
@@ -71,9 +71,9 @@
   return base::from_seconds(waiting / slots * base::to_seconds(found->second.service_time.mean()));
 }
 
-std::optional<refusal> stage_scheduler::judge(const model::pipeline_plan& plan,
-                                              base::time_point deadline,
-                                              base::time_point now) const {
+std::optional<refusal> stage_scheduler::check_admission(const model::pipeline_plan& plan,
+                                                        base::time_point deadline,
+                                                        base::time_point now) const {
   base::duration wait{};
   for (const auto& step : plan.stages) {
     if (!backends_->has_pool(step.pool)) {
--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -47,8 +47,9 @@
 
   /// Judges a new request. An admitted one must be reported with `commit` and, stage by stage,
   /// `stage_done`.
-  [[nodiscard]] std::optional<refusal> judge(const model::pipeline_plan& plan,
-                                             base::time_point deadline, base::time_point now) const;
+  [[nodiscard]] std::optional<refusal> check_admission(const model::pipeline_plan& plan,
+                                                       base::time_point deadline,
+                                                       base::time_point now) const;
   /// Counts the work of a plan from a stage on as admitted, or takes it back.
   void commit(const model::pipeline_plan& plan);
   void release(const model::pipeline_plan& plan, std::size_t from_stage);
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -107,7 +107,7 @@
                                     {"concurrency", target.concurrency},
                                     {"in_flight", target.in_flight},
                                     {"average_ms", milliseconds(target.average_latency)},
-                                    {"leaving", subject.backends().is_leaving(target)},
+                                    {"leaving", subject.backends().is_draining(target)},
                                     {"avoided", now < target.avoid_until}});
   }
   return {{"backends", std::move(backends)}};
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -194,7 +194,7 @@
                  "request answered",
                  {{"request_id", content.request.text()},
                   {"outcome", std::string(model::name_of(content.outcome))},
-                  {"reason", std::string(execution::name_of(content.why))}});
+                  {"reason", std::string(execution::name_of(content.failure_reason))}});
 }
 
 void runtime::log_decision(const base::event& what) {
--- a/src/execution/answer.h
+++ b/src/execution/answer.h
@@ -72,7 +72,7 @@
 /// Final word on a request.
 struct answer {
   model::outcome outcome = model::outcome::not_run;
-  reason why = reason::none;
+  reason failure_reason = reason::none;
   base::request_id request;
   std::vector<stage_output> outputs;
   /// When a caller may try again; zero where that does not help.
--- a/src/execution/answer_wire.cc
+++ b/src/execution/answer_wire.cc
@@ -15,7 +15,7 @@
 wire::request_answer to_wire(const answer& content) {
   wire::request_answer message;
   message.set_outcome(static_cast<std::uint32_t>(content.outcome));
-  message.set_reason(static_cast<std::uint32_t>(content.why));
+  message.set_reason(static_cast<std::uint32_t>(content.failure_reason));
   message.set_request(content.request.text());
   message.set_retry_after_milliseconds(
       static_cast<std::uint64_t>(base::to_milliseconds(content.retry_after)));
@@ -40,7 +40,7 @@
   constexpr auto last_reason = static_cast<std::uint32_t>(reason::caller_gone);
   answer content;
   content.outcome = static_cast<model::outcome>(std::min(message.outcome(), last_outcome));
-  content.why = static_cast<reason>(std::min(message.reason(), last_reason));
+  content.failure_reason = static_cast<reason>(std::min(message.reason(), last_reason));
   content.request = base::request_id(message.request());
   content.retry_after = std::chrono::milliseconds(message.retry_after_milliseconds());
   for (const auto& output : message.outputs()) {
--- a/src/execution/effect_guard.cc
+++ b/src/execution/effect_guard.cc
@@ -33,13 +33,13 @@
   return "key/" + guarded.request.plan->tenant.text() + "/" + guarded.idempotency_key;
 }
 
-std::string effect_guard::issue(base::time_point now) {
+std::string effect_guard::issue_ticket(base::time_point now) {
   const auto issued = idempotency::issue_ticket(self_.node, self_.process_start, *random_);
   effects_.issue("ticket/" + issued.text(), now + settings_.ticket_lifetime);
   return issued.text();
 }
 
-void effect_guard::begin(guarded_request request, base::time_point now) {
+void effect_guard::submit(guarded_request request, base::time_point now) {
   if (join_known_effect(key_of(request), request)) {
     return;
   }
@@ -288,10 +288,10 @@
 
 void effect_guard::refuse(const guarded_request& guarded,
                           const std::vector<caller_ref>& more_callers, model::outcome outcome,
-                          reason why, base::duration retry_after) {
+                          reason failure_reason, base::duration retry_after) {
   answer content;
   content.outcome = outcome;
-  content.why = why;
+  content.failure_reason = failure_reason;
   content.request = guarded.request.id;
   content.retry_after = retry_after;
   decide_answer(guarded, guarded.request.caller, content);
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -75,10 +75,10 @@
   void update_node_list(const catalog::machine_map& machines, base::time_point now);
 
   /// @return text of a new ticket of this node.
-  std::string issue(base::time_point now);
+  std::string issue_ticket(base::time_point now);
   /// Asks for permission; the decision may come at once or later.
-  void begin(guarded_request request, base::time_point now);
-  /// Like `begin`, for a request that a peer forwarded because this node is the owner; never asks
+  void submit(guarded_request request, base::time_point now);
+  /// Like `submit`, for a request that a peer forwarded because this node is the owner; never asks
   /// witnesses and never forwards again.
   void submit_forwarded(guarded_request request, base::time_point now);
   /// Handles witness and forward messages; other bodies are ignored.
@@ -133,7 +133,7 @@
   void run(admitted_request request, const std::string& key,
            const std::vector<caller_ref>& more_callers, base::time_point expires);
   void refuse(const guarded_request& guarded, const std::vector<caller_ref>& more_callers,
-              model::outcome outcome, reason why, base::duration retry_after);
+              model::outcome outcome, reason failure_reason, base::duration retry_after);
   void decide_answer(const guarded_request& guarded, const caller_ref& caller,
                      const answer& content);
   [[nodiscard]] static std::string key_of(const guarded_request& guarded);
--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -74,7 +74,7 @@
                       affinity_of(active.current(), active.stage_input));
 }
 
-void executor::pump(base::time_point now) {
+void executor::dispatch_waiting(base::time_point now) {
   while (!hold_) {
     const auto chosen = scheduler_->next(now);
     if (!chosen) {
@@ -346,31 +346,31 @@
   }
 }
 
-void executor::give_up(active_request& active, reason why, base::time_point now) {
+void executor::give_up(active_request& active, reason failure_reason, base::time_point now) {
   const auto outcome =
       switches_.truthful_outcome ? active.ledger.give_up() : model::outcome::not_run;
   cancel_call_in_flight(active, now);
-  finish(active, outcome, why, now);
+  finish(active, outcome, failure_reason, now);
 }
 
-void executor::finish(active_request& active, model::outcome outcome, reason why,
+void executor::finish(active_request& active, model::outcome outcome, reason failure_reason,
                       base::time_point now) {
   answer content;
   content.outcome = outcome;
-  content.why = why;
+  content.failure_reason = failure_reason;
   content.request = active.request.id;
   content.costs = active.costs;
   if (outcome == model::outcome::completed) {
     content.outputs = std::move(active.outputs);
   } else if (outcome != model::outcome::unknown) {
     const auto refusal =
-        scheduler_->judge(*active.request.plan, now + active.request.plan->deadline, now);
+        scheduler_->check_admission(*active.request.plan, now + active.request.plan->deadline, now);
     content.retry_after = refusal ? refusal->retry_after : base::duration::zero();
   }
   scheduler_->release(*active.request.plan, active.stage);
   count(active, content);
   record_(base::event_kind::request_answered, content.request, std::string(model::name_of(outcome)),
-          std::string(name_of(why)));
+          std::string(name_of(failure_reason)));
   completed_(content);
   for (const auto& caller : active.callers) {
     if (const auto* local = std::get_if<local_caller>(&caller)) {
@@ -396,8 +396,8 @@
     total.tokens += cost.tokens;
     total.attempts += cost.attempts;
   }
-  if (content.why != reason::none) {
-    ++counters_.refusals[content.why];
+  if (content.failure_reason != reason::none) {
+    ++counters_.refusals[content.failure_reason];
   }
 }
 
@@ -405,7 +405,7 @@
   if (!key.tenant.empty()) {
     ++counters_.pipelines[key].outcomes[static_cast<std::size_t>(refusal.outcome)];
   }
-  ++counters_.refusals[refusal.why];
+  ++counters_.refusals[refusal.failure_reason];
 }
 
 void executor::on_caller_gone(base::caller_id caller, base::time_point now) {
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -44,7 +44,7 @@
   executor(routing::backend_table& backends, admission::stage_scheduler& scheduler,
            event_recorder record, completion_observer completed, base::safety_switches switches);
 
-  /// Starts a request. The first dispatch happens at the next `pump`.
+  /// Starts a request. The first dispatch happens at the next `dispatch_waiting`.
   void start(admitted_request request, base::time_point now);
   /// Adds another caller who waits for the same request.
   /// @return whether the request is still running.
@@ -61,7 +61,7 @@
   /// every 100 ms.
   void retry_stalled_calls(base::time_point now);
   /// Dispatches what can be dispatched.
-  void pump(base::time_point now);
+  void dispatch_waiting(base::time_point now);
   /// While on hold nothing is dispatched (after a pause, until the node is up to date again).
   void set_dispatch_paused(bool hold) { hold_ = hold; }
 
@@ -109,8 +109,9 @@
                             base::time_point now);
   void retry_or_give_up(active_request& active, call_status status, base::time_point now);
   void cancel_call_in_flight(active_request& active, base::time_point now);
-  void give_up(active_request& active, reason why, base::time_point now);
-  void finish(active_request& active, model::outcome outcome, reason why, base::time_point now);
+  void give_up(active_request& active, reason failure_reason, base::time_point now);
+  void finish(active_request& active, model::outcome outcome, reason failure_reason,
+              base::time_point now);
   void count(const active_request& active, const answer& content);
   /// @return whether a result is whole and belongs to the call in flight.
   [[nodiscard]] bool is_right_answer(const active_request& active, const call_result& result) const;
--- a/src/http/answer_json.cc
+++ b/src/http/answer_json.cc
@@ -96,15 +96,16 @@
 }
 
 status status_of(const execution::answer& content) {
-  return content.outcome == model::outcome::completed ? status::ok : status_of_reason(content.why);
+  return content.outcome == model::outcome::completed ? status::ok
+                                                      : status_of_reason(content.failure_reason);
 }
 
 json::object to_json(const execution::answer& content) {
   json::object body;
   body["request_id"] = content.request.text();
   body["outcome"] = model::name_of(content.outcome);
-  if (content.why != reason::none) {
-    body["code"] = execution::name_of(content.why);
+  if (content.failure_reason != reason::none) {
+    body["code"] = execution::name_of(content.failure_reason);
   }
   if (content.retry_after.count() > 0) {
     body["retry_after_ms"] = base::to_milliseconds(content.retry_after);
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -336,7 +336,7 @@
 void node::flush(base::time_point now) {
   for (std::size_t round = 0; round < most_loopback_rounds; ++round) {
     carry_out_guard_decisions(now);
-    executor_.pump(now);
+    executor_.dispatch_waiting(now);
     if (serving_) {
       serving_->advance(now);
       for (auto& wanted : serving_->take_commands()) {
@@ -405,7 +405,7 @@
   if (!wanted) {
     return;
   }
-  for (const auto& [backend, generation] : backends_.leave_notices()) {
+  for (const auto& [backend, generation] : backends_.drain_notices()) {
     auto& notice = message.has_zone_digest() ? *message.mutable_zone_digest()->add_leaving()
                                              : *message.mutable_acknowledgement()->add_leaving();
     notice.set_backend(backend.text());
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -24,7 +24,7 @@
                   execution::reason why, base::duration retry_after, bool may_be_resent) {
   execution::answer content;
   content.outcome = may_be_resent ? model::outcome::unknown : model::outcome::not_run;
-  content.why = why;
+  content.failure_reason = why;
   content.request = id;
   content.retry_after = retry_after;
   execution::answer_decision decision{caller, std::move(content), {}};
@@ -56,7 +56,7 @@
   execution::admitted_request request{
       id, resolved.plan, what.request.input, resolved.deadline, caller, what.request.stream};
   if (resolved.plan->has_non_repeatable_stage() && may_be_resent) {
-    guard_.begin({std::move(request), what.request.idempotency_key, what.request.ticket}, now);
+    guard_.submit({std::move(request), what.request.idempotency_key, what.request.ticket}, now);
     carry_out_guard_decisions(now);
     return;
   }
@@ -77,7 +77,7 @@
     refuse(caller, id, execution::reason::unknown_token, {}, false);
   } else {
     commands_.emplace_back(
-        send_ticket{what.caller, guard_.issue(now), settings_.guard.ticket_lifetime});
+        send_ticket{what.caller, guard_.issue_ticket(now), settings_.guard.ticket_lifetime});
   }
 }
 
@@ -123,13 +123,13 @@
 
 void node::carry_out(execution::run_decision& decision, base::time_point now) {
   auto& request = decision.request;
-  const auto refusal = scheduler_.judge(*request.plan, request.deadline, now);
+  const auto refusal = scheduler_.check_admission(*request.plan, request.deadline, now);
   if (!refusal) {
     executor_.start(std::move(request), now);
     return;
   }
   execution::answer content;
-  content.why =
+  content.failure_reason =
       refusal->no_backend ? execution::reason::no_backend : execution::reason::deadline_unreachable;
   content.request = request.id;
   content.retry_after = refusal->retry_after;
@@ -143,7 +143,7 @@
   if (!executor_.attach(decision.running, decision.caller)) {
     execution::answer content;
     content.outcome = model::outcome::unknown;
-    content.why = execution::reason::key_in_use;
+    content.failure_reason = execution::reason::key_in_use;
     content.request = decision.running;
     execution::answer_decision answered{decision.caller, std::move(content), {}};
     carry_out(answered, last_event_);
@@ -154,7 +154,7 @@
   executor_.count_refusal(decision.key, decision.content);
   record(base::event_kind::request_answered, decision.content.request,
          std::string(model::name_of(decision.content.outcome)),
-         std::string(execution::name_of(decision.content.why)));
+         std::string(execution::name_of(decision.content.failure_reason)));
   emit(execution::send_answer{decision.caller, std::move(decision.content)});
 }
 
--- a/src/node/node_peers.cc
+++ b/src/node/node_peers.cc
@@ -84,7 +84,7 @@
 }
 
 void node::announce_new_leave_notices() {
-  for (const auto& [backend, generation] : backends_.leave_notices()) {
+  for (const auto& [backend, generation] : backends_.drain_notices()) {
     auto& announced = announced_leaving_[backend];
     if (announced < generation) {
       announced = generation;
--- a/src/routing/backend_table.cc
+++ b/src/routing/backend_table.cc
@@ -53,7 +53,7 @@
   return true;
 }
 
-bool backend_table::is_leaving(const backend& target) const {
+bool backend_table::is_draining(const backend& target) const {
   if (!limits_.switches.leave_notices) {
     return false;
   }
@@ -86,7 +86,7 @@
 }
 
 bool backend_table::is_usable(const backend& target, base::time_point now) const {
-  return !is_leaving(target) && now >= target.avoid_until;
+  return !is_draining(target) && now >= target.avoid_until;
 }
 
 const backend_table::pool_members& backend_table::members_of(const base::pool_id& pool) const {
@@ -127,7 +127,7 @@
   std::uint32_t total = 0;
   for (const auto& id : members) {
     const auto& target = backends_.at(id);
-    total += is_leaving(target) ? 0 : share_of(target, now);
+    total += is_draining(target) ? 0 : share_of(target, now);
   }
   return total;
 }
@@ -139,7 +139,7 @@
 }
 
 bool backend_table::has_pool(const base::pool_id& pool) const {
-  const auto stays = [&](const base::backend_id& id) { return !is_leaving(backends_.at(id)); };
+  const auto stays = [&](const base::backend_id& id) { return !is_draining(backends_.at(id)); };
   const auto& members = members_of(pool);
   return std::any_of(members.own_zone.begin(), members.own_zone.end(), stays) ||
          std::any_of(members.other_zones.begin(), members.other_zones.end(), stays);
@@ -240,7 +240,7 @@
   for (const auto* list : {&members.own_zone, &members.other_zones}) {
     for (const auto& id : *list) {
       const auto& target = backends_.at(id);
-      if (!is_leaving(target) && target.avoid_until > now) {
+      if (!is_draining(target) && target.avoid_until > now) {
         earliest = earliest ? std::min(*earliest, target.avoid_until) : target.avoid_until;
       }
     }
--- a/src/routing/backend_table.h
+++ b/src/routing/backend_table.h
@@ -71,8 +71,8 @@
   /// Takes note that a back end leaves at `generation` or before.
   /// @return whether that was news.
   bool mark_draining(const base::backend_id& id, std::uint64_t generation);
-  [[nodiscard]] bool is_leaving(const backend& target) const;
-  [[nodiscard]] const std::map<base::backend_id, std::uint64_t>& leave_notices() const {
+  [[nodiscard]] bool is_draining(const backend& target) const;
+  [[nodiscard]] const std::map<base::backend_id, std::uint64_t>& drain_notices() const {
     return leaving_generation_;
   }
 
--- a/src/simulation/promise_checker.cc
+++ b/src/simulation/promise_checker.cc
@@ -190,7 +190,7 @@
     if (executions[record.answer->request] > 0) {
       report("'not run' is true",
              "caller " + std::to_string(id) + " was told not_run (" +
-                 std::string(execution::name_of(record.answer->why)) + ")",
+                 std::string(execution::name_of(record.answer->failure_reason)) + ")",
              record.answer->request);
     }
   }
@@ -209,7 +209,7 @@
       if (same && run.at < record.answered_at) {
         report("'not run' is true",
                "caller " + std::to_string(id) + " was told not_run (" +
-                   std::string(execution::name_of(record.answer->why)) +
+                   std::string(execution::name_of(record.answer->failure_reason)) +
                    ") of a request that ran under its key",
                record.answer->request);
       }
--- a/tests/admission/scheduling_test.cc
+++ b/tests/admission/scheduling_test.cc
@@ -181,11 +181,11 @@
     scheduler.observe(request, 0, milliseconds(100));
   }
   const auto deadline = start + milliseconds(300);
-  BOOST_CHECK(!scheduler.judge(request, deadline, start));
+  BOOST_CHECK(!scheduler.check_admission(request, deadline, start));
   for (int index = 0; index < 20; ++index) {
     scheduler.commit(request);
   }
-  const auto refused = scheduler.judge(request, deadline, start);
+  const auto refused = scheduler.check_admission(request, deadline, start);
   BOOST_TEST_REQUIRE(refused.has_value());
   BOOST_TEST(base::to_seconds(refused->retry_after) > 0.3);
   BOOST_TEST(base::to_seconds(refused->retry_after) < 2.0);
