--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -11,12 +11,12 @@
   /// Retries earned by one success.
   static constexpr double tokens_per_success = 0.1;
   /// Retries that can be saved up; also the amount at start.
-  static constexpr double most_tokens = 20.0;
+  static constexpr double max_tokens = 20.0;
 
-  void add_success() { tokens_ = std::min(most_tokens, tokens_ + tokens_per_success); }
+  void add_success() { tokens_ = std::min(max_tokens, tokens_ + tokens_per_success); }
 
   /// @return whether a retry is within the budget; takes a token if so.
-  bool take() {
+  bool try_take() {
     if (tokens_ < 1.0) {
       return false;
     }
@@ -25,7 +25,7 @@
   }
 
  private:
-  double tokens_ = most_tokens;
+  double tokens_ = max_tokens;
 };
 
 } // namespace spurrack::admission
--- a/src/admission/stage_queue.cc
+++ b/src/admission/stage_queue.cc
@@ -42,22 +42,22 @@
   return true;
 }
 
-double stage_queue::ahead_of(const queue_entry& entry) const {
+double stage_queue::requests_ahead_of(const queue_entry& entry) const {
   const auto own = tenants_.find(entry.tenant);
   double own_ahead = 0;
   if (own != tenants_.end()) {
     own_ahead = static_cast<double>(
         std::distance(own->second.waiting.begin(), own->second.waiting.lower_bound(entry)));
   }
-  double others = 0;
+  double other_tenants_ahead = 0;
   for (const auto& [name, tenant] : tenants_) {
     if (name == entry.tenant) {
       continue;
     }
-    const double fair_part = (own_ahead + 1) * tenant.weight / entry.weight;
-    others += std::min(fair_part, static_cast<double>(tenant.waiting.size()));
+    const double fair_count = (own_ahead + 1) * tenant.weight / entry.weight;
+    other_tenants_ahead += std::min(fair_count, static_cast<double>(tenant.waiting.size()));
   }
-  return own_ahead + others;
+  return own_ahead + other_tenants_ahead;
 }
 
 } // namespace spurrack::admission
--- a/src/admission/stage_queue.h
+++ b/src/admission/stage_queue.h
@@ -35,7 +35,7 @@
   /// @return how many waiting requests would be served before one of this tenant and deadline, as
   /// far
   ///         as can be told: its own tenant's earlier deadlines and the others' fair part.
-  [[nodiscard]] double ahead_of(const queue_entry& entry) const;
+  [[nodiscard]] double requests_ahead_of(const queue_entry& entry) const;
 
  private:
   struct by_deadline {
--- a/src/admission/stage_scheduler.cc
+++ b/src/admission/stage_scheduler.cc
@@ -11,9 +11,9 @@
 /// A call without progress for longer than almost all calls take is taken for lost.
 constexpr double stall_quantile = 0.99;
 constexpr double stall_factor = 1.6;
-constexpr std::uint64_t stall_samples = 50;
-constexpr base::duration least_stall_limit = std::chrono::milliseconds(100);
-constexpr base::duration least_retry_after = std::chrono::milliseconds(50);
+constexpr std::uint64_t min_stall_samples = 50;
+constexpr base::duration min_stall_timeout = std::chrono::milliseconds(100);
+constexpr base::duration min_retry_after = std::chrono::milliseconds(50);
 constexpr base::duration no_backend_retry_after = std::chrono::seconds(1);
 
 /// Weight of a request in the fair queue: its tenant's weight, scaled by its priority.
@@ -36,17 +36,18 @@
   return state;
 }
 
-queue_entry stage_scheduler::entry_of(const model::pipeline_plan& plan,
-                                      const base::request_id& request, base::time_point deadline) {
+queue_entry stage_scheduler::make_entry(const model::pipeline_plan& plan,
+                                        const base::request_id& request,
+                                        base::time_point deadline) {
   return {request, plan.tenant, queue_weight(plan), deadline};
 }
 
-double stage_scheduler::committed_ahead(const pool_state& state,
-                                        const model::pipeline_plan& plan) const {
-  const auto own = state.committed.find(plan.tenant);
-  const double own_count = own == state.committed.end() ? 0.0 : own->second;
+double stage_scheduler::admitted_ahead(const pool_state& state,
+                                       const model::pipeline_plan& plan) const {
+  const auto own = state.admitted.find(plan.tenant);
+  const double own_count = own == state.admitted.end() ? 0.0 : own->second;
   double ahead = own_count;
-  for (const auto& [tenant, count] : state.committed) {
+  for (const auto& [tenant, count] : state.admitted) {
     if (tenant != plan.tenant) {
       // With fair queueing the others get at most their part while this tenant's work is served;
       // equal weights are assumed, the queue itself applies the real ones.
@@ -64,7 +65,7 @@
     return base::duration::zero();
   }
   const double slots = std::max<std::uint32_t>(1, backends_->slots(name, now));
-  const double waiting = committed_ahead(found->second, plan) + 1 - slots;
+  const double waiting = admitted_ahead(found->second, plan) + 1 - slots;
   if (waiting <= 0) {
     return base::duration::zero();
   }
@@ -76,7 +77,7 @@
                                                         base::time_point now) const {
   base::duration wait{};
   for (const auto& step : plan.stages) {
-    if (!backends_->has_pool(step.pool)) {
+    if (!backends_->has_backends(step.pool)) {
       return refusal{true, no_backend_retry_after};
     }
     wait = std::max(wait, expected_wait(step.pool, plan, now));
@@ -85,53 +86,53 @@
     return std::nullopt;
   }
   // Waits of several stages overlap in time: the longest one counts.
-  const auto finish = now + wait + expected_service(plan, 0);
+  const auto finish = now + wait + expected_service_time(plan, 0);
   if (finish <= deadline) {
     return std::nullopt;
   }
-  return refusal{false, std::max(least_retry_after, finish - deadline)};
+  return refusal{false, std::max(min_retry_after, finish - deadline)};
 }
 
-void stage_scheduler::commit(const model::pipeline_plan& plan) {
+void stage_scheduler::add_admitted(const model::pipeline_plan& plan) {
   for (const auto& step : plan.stages) {
-    ++pool(step.pool).committed[plan.tenant];
+    ++pool(step.pool).admitted[plan.tenant];
   }
 }
 
-void stage_scheduler::uncommit(pool_state& state, const base::tenant_id& tenant) {
-  const auto found = state.committed.find(tenant);
-  if (found != state.committed.end() && --found->second == 0) {
-    state.committed.erase(found);
+void stage_scheduler::decrease_admitted(pool_state& state, const base::tenant_id& tenant) {
+  const auto found = state.admitted.find(tenant);
+  if (found != state.admitted.end() && --found->second == 0) {
+    state.admitted.erase(found);
   }
 }
 
-void stage_scheduler::release(const model::pipeline_plan& plan, std::size_t from_stage) {
+void stage_scheduler::remove_admitted(const model::pipeline_plan& plan, std::size_t from_stage) {
   for (std::size_t stage = from_stage; stage < plan.stages.size(); ++stage) {
-    uncommit(pool(plan.stages[stage].pool), plan.tenant);
+    decrease_admitted(pool(plan.stages[stage].pool), plan.tenant);
   }
 }
 
-void stage_scheduler::stage_done(const model::pipeline_plan& plan, std::size_t stage) {
-  uncommit(pool(plan.stages[stage].pool), plan.tenant);
+void stage_scheduler::note_stage_completed(const model::pipeline_plan& plan, std::size_t stage) {
+  decrease_admitted(pool(plan.stages[stage].pool), plan.tenant);
 }
 
 void stage_scheduler::enqueue(const model::pipeline_plan& plan, std::size_t stage,
                               const base::request_id& request, base::time_point deadline,
                               std::uint64_t affinity) {
   auto& state = pool(plan.stages[stage].pool);
-  state.queue.push(entry_of(plan, request, deadline));
+  state.queue.push(make_entry(plan, request, deadline));
   state.affinities[request] = affinity;
 }
 
 void stage_scheduler::remove(const model::pipeline_plan& plan, std::size_t stage,
                              const base::request_id& request, base::time_point deadline) {
   auto& state = pool(plan.stages[stage].pool);
-  state.queue.remove(entry_of(plan, request, deadline));
+  state.queue.remove(make_entry(plan, request, deadline));
   state.affinities.erase(request);
 }
 
-std::optional<dispatch> stage_scheduler::next(base::time_point now) {
-  const bool ignore_limits = !routing::keeps_limits(settings_.policy);
+std::optional<dispatch_choice> stage_scheduler::take_next(base::time_point now) {
+  const bool ignore_limits = !routing::enforces_limits(settings_.policy);
   for (auto& [name, state] : pools_) {
     if (state.queue.empty()) {
       continue;
@@ -143,7 +144,7 @@
     const auto entry = state.queue.pop();
     const auto affinity = state.affinities.extract(entry->request);
     const routing::call_hint hint{affinity.empty() ? 0 : affinity.mapped()};
-    return dispatch{entry->request, state.policy->choose(candidates, hint).target->id};
+    return dispatch_choice{entry->request, state.policy->choose(candidates, hint).target->id};
   }
   return std::nullopt;
 }
@@ -154,7 +155,7 @@
     if (state.queue.empty()) {
       continue;
     }
-    const auto available = backends_->next_available(name, now);
+    const auto available = backends_->next_usable_at(name, now);
     if (available && (!earliest || *available < *earliest)) {
       earliest = available;
     }
@@ -168,15 +169,15 @@
   return {plan.template_name, step.name, step.model};
 }
 
-void stage_scheduler::observe(const model::pipeline_plan& plan, std::size_t stage,
-                              base::duration service_time) {
+void stage_scheduler::add_service_time(const model::pipeline_plan& plan, std::size_t stage,
+                                       base::duration service_time) {
   const auto& step = plan.stages[stage];
   pool(step.pool).service_time.add(service_time);
   stage_times_[key_of(plan, stage)].add(service_time);
 }
 
-base::duration stage_scheduler::expected_service(const model::pipeline_plan& plan,
-                                                 std::size_t from_stage) const {
+base::duration stage_scheduler::expected_service_time(const model::pipeline_plan& plan,
+                                                      std::size_t from_stage) const {
   base::duration total{};
   for (std::size_t stage = from_stage; stage < plan.stages.size(); ++stage) {
     const auto found = stage_times_.find(key_of(plan, stage));
@@ -187,14 +188,14 @@
   return total;
 }
 
-std::optional<base::duration> stage_scheduler::stall_limit(const model::pipeline_plan& plan,
-                                                           std::size_t stage) const {
+std::optional<base::duration> stage_scheduler::stall_timeout(const model::pipeline_plan& plan,
+                                                             std::size_t stage) const {
   const auto found = stage_times_.find(key_of(plan, stage));
-  if (found == stage_times_.end() || found->second.count() < stall_samples) {
+  if (found == stage_times_.end() || found->second.count() < min_stall_samples) {
     return std::nullopt;
   }
-  const auto usual = base::to_seconds(found->second.quantile(stall_quantile));
-  return std::max(least_stall_limit, base::from_seconds(usual * stall_factor));
+  const auto usual_seconds = base::to_seconds(found->second.quantile(stall_quantile));
+  return std::max(min_stall_timeout, base::from_seconds(usual_seconds * stall_factor));
 }
 
 std::size_t stage_scheduler::waiting() const {
--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -1,5 +1,5 @@
 /// Admission and dispatch of stage calls at one node: predicts whether a request can finish in
-/// time, keeps the queues, and chooses the back end of the next call.
+/// time, keeps the queues, and chooses the back end of the take_next call.
 #pragma once
 
 #include "admission/retry_budget.h"
@@ -33,7 +33,7 @@
 };
 
 /// A call that may be made now.
-struct dispatch {
+struct dispatch_choice {
   base::request_id request;
   base::backend_id backend;
 };
@@ -46,34 +46,35 @@
                   base::random_source& random);
 
   /// Judges a new request. An admitted one must be reported with `commit` and, stage by stage,
-  /// `stage_done`.
+  /// `note_stage_completed`.
   [[nodiscard]] std::optional<refusal> check_admission(const model::pipeline_plan& plan,
                                                        base::time_point deadline,
                                                        base::time_point now) const;
   /// Counts the work of a plan from a stage on as admitted, or takes it back.
-  void commit(const model::pipeline_plan& plan);
-  void release(const model::pipeline_plan& plan, std::size_t from_stage);
-  void stage_done(const model::pipeline_plan& plan, std::size_t stage);
+  void add_admitted(const model::pipeline_plan& plan);
+  void remove_admitted(const model::pipeline_plan& plan, std::size_t from_stage);
+  void note_stage_completed(const model::pipeline_plan& plan, std::size_t stage);
 
   void enqueue(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
                base::time_point deadline, std::uint64_t affinity);
   void remove(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
               base::time_point deadline);
-  /// @return the next call that can be made in any pool; the request leaves its queue.
-  std::optional<dispatch> next(base::time_point now);
+  /// @return the take_next call that can be made in any pool; the request leaves its queue.
+  std::optional<dispatch_choice> take_next(base::time_point now);
   /// @return when a paused back end may free a waiting request; nothing where none waits for that.
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   /// Adds a measured service time.
-  void observe(const model::pipeline_plan& plan, std::size_t stage, base::duration service_time);
+  void add_service_time(const model::pipeline_plan& plan, std::size_t stage,
+                        base::duration service_time);
   /// @return expected time of the stages from `from_stage` on, without waiting.
-  [[nodiscard]] base::duration expected_service(const model::pipeline_plan& plan,
-                                                std::size_t from_stage) const;
+  [[nodiscard]] base::duration expected_service_time(const model::pipeline_plan& plan,
+                                                     std::size_t from_stage) const;
   /// @return how long a repeatable call may go without progress before it is given up and made
   ///         elsewhere; nothing while too little is known of the stage.
-  [[nodiscard]] std::optional<base::duration> stall_limit(const model::pipeline_plan& plan,
-                                                          std::size_t stage) const;
-  retry_budget& budget(const base::pool_id& pool) { return pools_[pool].retries; }
+  [[nodiscard]] std::optional<base::duration> stall_timeout(const model::pipeline_plan& plan,
+                                                            std::size_t stage) const;
+  retry_budget& retry_budget_of(const base::pool_id& pool) { return pools_[pool].retries; }
   [[nodiscard]] std::size_t waiting() const;
   [[nodiscard]] const scheduling_settings& settings() const { return settings_; }
 
@@ -83,7 +84,7 @@
     retry_budget retries;
     std::map<base::request_id, std::uint64_t> affinities;
     /// Admitted requests that still have to finish a stage in this pool, by tenant.
-    std::map<base::tenant_id, std::uint32_t> committed;
+    std::map<base::tenant_id, std::uint32_t> admitted;
     routing::latency_estimator service_time;
     std::unique_ptr<routing::balancing_policy> policy;
   };
@@ -96,15 +97,15 @@
   };
 
   pool_state& pool(const base::pool_id& name);
-  static queue_entry entry_of(const model::pipeline_plan& plan, const base::request_id& request,
-                              base::time_point deadline);
-  [[nodiscard]] double committed_ahead(const pool_state& state,
-                                       const model::pipeline_plan& plan) const;
+  static queue_entry make_entry(const model::pipeline_plan& plan, const base::request_id& request,
+                                base::time_point deadline);
+  [[nodiscard]] double admitted_ahead(const pool_state& state,
+                                      const model::pipeline_plan& plan) const;
   [[nodiscard]] base::duration expected_wait(const base::pool_id& name,
                                              const model::pipeline_plan& plan,
                                              base::time_point now) const;
   static stage_key key_of(const model::pipeline_plan& plan, std::size_t stage);
-  static void uncommit(pool_state& state, const base::tenant_id& tenant);
+  static void decrease_admitted(pool_state& state, const base::tenant_id& tenant);
 
   scheduling_settings settings_;
   routing::backend_table* backends_;
--- a/src/execution/effect_guard.cc
+++ b/src/execution/effect_guard.cc
@@ -6,24 +6,24 @@
 namespace spurrack::execution {
 namespace {
 
-constexpr base::duration young_witness_retry = std::chrono::seconds(5);
+constexpr base::duration young_witness_retry_after = std::chrono::seconds(5);
 /// Messages may be lost; questions are repeated, which witnesses and owners recognise.
-constexpr base::duration resend_period = std::chrono::milliseconds(100);
-constexpr base::duration no_majority_retry = std::chrono::seconds(1);
+constexpr base::duration resend_interval = std::chrono::milliseconds(100);
+constexpr base::duration no_majority_retry_after = std::chrono::seconds(1);
 
 } // namespace
 
 effect_guard::effect_guard(guard_settings settings, membership::identity self,
-                           base::random_source& random, address_lookup lookup,
-                           event_recorder record, base::time_point started)
-    : settings_(settings), self_(std::move(self)), random_(&random), lookup_(std::move(lookup)),
-      record_(std::move(record)),
-      witness_(started, settings.switches.young_witness_wait ? settings.key_lifetime
-                                                             : base::duration::zero()),
-      lists_(settings.list_window) {}
+                           base::random_source& random, address_lookup lookup_address,
+                           event_recorder record, base::time_point started_at)
+    : settings_(settings), self_(std::move(self)), random_(&random),
+      lookup_address_(std::move(lookup_address)), record_(std::move(record)),
+      witness_store_(started_at, settings.switches.young_witness_wait ? settings.key_lifetime
+                                                                      : base::duration::zero()),
+      witness_lists_(settings.list_window) {}
 
 void effect_guard::update_node_list(const catalog::machine_map& machines, base::time_point now) {
-  lists_.update(machines, now);
+  witness_lists_.update(machines, now);
 }
 
 std::string effect_guard::key_of(const guarded_request& guarded) {
@@ -35,7 +35,7 @@
 
 std::string effect_guard::issue_ticket(base::time_point now) {
   const auto issued = idempotency::issue_ticket(self_.node, self_.process_start, *random_);
-  effects_.issue("ticket/" + issued.text(), now + settings_.ticket_lifetime);
+  effects_.add_ticket("ticket/" + issued.text(), now + settings_.ticket_lifetime);
   return issued.text();
 }
 
@@ -44,9 +44,9 @@
     return;
   }
   if (!request.ticket.empty()) {
-    begin_with_ticket(std::move(request), now);
+    submit_with_ticket(std::move(request), now);
   } else {
-    begin_with_key(std::move(request), now);
+    submit_with_key(std::move(request), now);
   }
 }
 
@@ -57,13 +57,13 @@
   }
   const auto pending = acquiring_.find(key);
   if (pending != acquiring_.end()) {
-    pending->second.more_callers.push_back(request.request.caller);
+    pending->second.attached_callers.push_back(request.request.caller);
   } else if (!request.ticket.empty()) {
-    begin_with_ticket(std::move(request), now);
+    submit_with_ticket(std::move(request), now);
   } else {
     // A witness named this node, but its request gave the key up before it was dispatched. Whether
     // yet another node ran the key before that is not known here.
-    refuse(request, {}, model::outcome::unknown, reason::key_in_use, no_majority_retry);
+    refuse(request, {}, model::outcome::unknown, reason::key_in_use, no_majority_retry_after);
   }
 }
 
@@ -77,74 +77,75 @@
     return true;
   }
   const bool may_run_again = known->answer->outcome == model::outcome::not_run &&
-                             guarded.request.deadline < known->expires;
+                             guarded.request.deadline < known->expires_at;
   if (may_run_again) {
-    run(guarded.request, key, {}, known->expires);
+    decide_run(guarded.request, key, {}, known->expires_at);
   } else {
     decide_answer(guarded, guarded.request.caller, *known->answer);
   }
   return true;
 }
 
-void effect_guard::begin_with_ticket(guarded_request guarded, base::time_point now) {
+void effect_guard::submit_with_ticket(guarded_request guarded, base::time_point now) {
   const auto parsed = idempotency::ticket::parse(guarded.ticket);
   if (!parsed) {
     refuse(guarded, {}, model::outcome::not_run, reason::ticket_invalid, {});
     return;
   }
   if (parsed->node != self_.node) {
-    const auto owner = lookup_(parsed->node);
+    const auto owner = lookup_address_(parsed->node);
     if (!owner) {
       refuse(guarded, {}, model::outcome::unknown, reason::owner_unreachable, {});
       return;
     }
-    forward(std::move(guarded), {}, *owner, parsed->process_start, now);
+    forward_to_owner(std::move(guarded), {}, *owner, parsed->process_start, now);
     return;
   }
   const auto key = key_of(guarded);
   const auto* known = effects_.find(key);
-  const bool other_life =
-      parsed->process_start != self_.process_start || known == nullptr || known->expires <= now;
-  if (other_life && settings_.switches.ticket_binds_process) {
+  const bool is_outdated =
+      parsed->process_start != self_.process_start || known == nullptr || known->expires_at <= now;
+  if (is_outdated && settings_.switches.ticket_binds_process) {
     // Whether an earlier life, or this one before the record was dropped, ran it is not known.
     refuse(guarded, {}, model::outcome::unknown, reason::ticket_expired, {});
     return;
   }
-  run(std::move(guarded.request), key, {}, now + settings_.key_lifetime);
+  decide_run(std::move(guarded.request), key, {}, now + settings_.key_lifetime);
 }
 
-void effect_guard::begin_with_key(guarded_request guarded, base::time_point now) {
+void effect_guard::submit_with_key(guarded_request guarded, base::time_point now) {
   const auto key = key_of(guarded);
   const auto pending = acquiring_.find(key);
   if (pending != acquiring_.end()) {
-    pending->second.more_callers.push_back(guarded.request.caller);
+    pending->second.attached_callers.push_back(guarded.request.caller);
     return;
   }
   if (!settings_.switches.witness_majority) {
-    run(std::move(guarded.request), key, {}, now + settings_.key_lifetime);
+    decide_run(std::move(guarded.request), key, {}, now + settings_.key_lifetime);
     return;
   }
-  idempotency::key_acquisition acquisition(key, lists_.sets_for(key, now));
-  const auto give_up_at = std::min(now + settings_.witness_timeout, guarded.request.deadline);
-  const auto place = acquiring_
-                         .emplace(key, acquiring_request{std::move(guarded),
-                                                         std::move(acquisition),
-                                                         {},
-                                                         give_up_at,
-                                                         now + resend_period})
-                         .first;
-  ask_witnesses(place->second, key);
-  settle(key, now);
+  idempotency::key_acquisition acquisition(key, witness_lists_.sets_for(key, now));
+  const auto acquisition_deadline =
+      std::min(now + settings_.witness_timeout, guarded.request.deadline);
+  const auto inserted = acquiring_
+                            .emplace(key, acquiring_request{std::move(guarded),
+                                                            std::move(acquisition),
+                                                            {},
+                                                            acquisition_deadline,
+                                                            now + resend_interval})
+                            .first;
+  query_witnesses(inserted->second, key);
+  resolve_acquisition(key, now);
 }
 
-void effect_guard::ask_witnesses(const acquiring_request& acquiring, const std::string& key) {
-  for (const auto& witness : acquiring.acquisition.unanswered()) {
-    const auto address = witness == self_.node ? self_.address : lookup_(witness);
+void effect_guard::query_witnesses(const acquiring_request& acquiring, const std::string& key) {
+  for (const auto& witness : acquiring.acquisition.unanswered_witnesses()) {
+    const auto address = witness == self_.node ? self_.address : lookup_address_(witness);
     if (!address) {
       continue;
     }
-    wire::outgoing question{*address, {}};
-    auto& body = *question.message.mutable_record_key();
+    wire::outgoing query{*address, {}};
+    auto& body = *query.message.mutable_record_key();
     body.set_key(key);
     body.mutable_owner()->set_node(self_.node.text());
     body.mutable_owner()->set_incarnation(self_.process_start);
@@ -152,8 +153,8 @@
     body.mutable_owner()->set_address(self_.address.text());
     body.set_lifetime_milliseconds(
         static_cast<std::uint64_t>(base::to_milliseconds(settings_.key_lifetime)));
-    body.set_node_list_hash(lists_.current_hash());
-    messages_.push_back(std::move(question));
+    body.set_node_list_hash(witness_lists_.current_hash());
+    messages_.push_back(std::move(query));
   }
 }
 
@@ -161,12 +162,12 @@
   if (message.has_record_key()) {
     wire::outgoing reply{base::network_address(message.sender_address()), {}};
     *reply.message.mutable_record_key_reply() =
-        witness_.record(message.record_key(), lists_.current_hash(), now);
+        witness_store_.record(message.record_key(), witness_lists_.current_hash(), now);
     messages_.push_back(std::move(reply));
   } else if (message.has_record_key_reply()) {
     on_record_reply(message, now);
   } else if (message.has_key_release()) {
-    witness_.release(message.key_release());
+    witness_store_.release(message.key_release());
   } else if (message.has_forwarded_reply()) {
     on_forwarded_reply(message.forwarded_reply());
   }
@@ -179,10 +180,10 @@
     return;
   }
   found->second.acquisition.on_reply(base::node_id(message.sender()), reply);
-  settle(reply.key(), now);
+  resolve_acquisition(reply.key(), now);
 }
 
-void effect_guard::settle(const std::string& key, base::time_point now) {
+void effect_guard::resolve_acquisition(const std::string& key, base::time_point now) {
   const auto state = acquiring_.at(key).acquisition.state();
   if (state == idempotency::acquisition_state::pending) {
     return;
@@ -190,34 +191,35 @@
   auto entry = std::move(acquiring_.extract(key).mapped());
   if (state == idempotency::acquisition_state::acquired) {
     record_(base::event_kind::key_recorded, entry.guarded.request.id, key, "majority of witnesses");
-    run(std::move(entry.guarded.request), key, entry.more_callers, now + settings_.key_lifetime);
+    decide_run(std::move(entry.guarded.request), key, entry.attached_callers,
+               now + settings_.key_lifetime);
     return;
   }
-  release(entry);
+  release_key(entry);
   record_(base::event_kind::key_refused, entry.guarded.request.id, key,
           state == idempotency::acquisition_state::held ? "held by another request"
                                                         : "no majority of witnesses");
   const auto& holder = entry.acquisition.holder();
   if (state == idempotency::acquisition_state::held && holder->node() != self_.node.text()) {
-    forward(std::move(entry.guarded), std::move(entry.more_callers),
-            base::network_address(holder->address()), holder->incarnation(), now);
+    forward_to_owner(std::move(entry.guarded), std::move(entry.attached_callers),
+                     base::network_address(holder->address()), holder->incarnation(), now);
     return;
   }
   // Without a majority it is not known whether an earlier send of the same key was run elsewhere.
   if (state == idempotency::acquisition_state::held) {
-    refuse(entry.guarded, entry.more_callers, model::outcome::unknown, reason::key_in_use,
-           no_majority_retry);
+    refuse(entry.guarded, entry.attached_callers, model::outcome::unknown, reason::key_in_use,
+           no_majority_retry_after);
     return;
   }
-  const bool young = entry.acquisition.met_young_witness();
-  refuse(entry.guarded, entry.more_callers, model::outcome::unknown,
-         young ? reason::key_witnesses_young : reason::key_no_majority,
-         young ? young_witness_retry : no_majority_retry);
+  const bool has_young_witness = entry.acquisition.has_young_witness();
+  refuse(entry.guarded, entry.attached_callers, model::outcome::unknown,
+         has_young_witness ? reason::key_witnesses_young : reason::key_no_majority,
+         has_young_witness ? young_witness_retry_after : no_majority_retry_after);
 }
 
-void effect_guard::release(const acquiring_request& acquiring) {
+void effect_guard::release_key(const acquiring_request& acquiring) {
   for (const auto& witness : acquiring.acquisition.witnesses()) {
-    const auto address = witness == self_.node ? self_.address : lookup_(witness);
+    const auto address = witness == self_.node ? self_.address : lookup_address_(witness);
     if (address) {
       wire::outgoing message{*address, {}};
       message.message.mutable_key_release()->set_key(acquiring.acquisition.key());
@@ -227,21 +229,24 @@
   }
 }
 
-void effect_guard::forward(guarded_request guarded, std::vector<caller_ref> more_callers,
-                           const base::network_address& owner, base::incarnation owner_incarnation,
-                           base::time_point now) {
-  const auto id = next_forward_++;
+void effect_guard::forward_to_owner(guarded_request guarded,
+                                    std::vector<caller_ref> attached_callers,
+                                    const base::network_address& owner,
+                                    base::incarnation owner_incarnation, base::time_point now) {
+  const auto id = next_forward_id_++;
   record_(base::event_kind::request_forwarded, guarded.request.id, owner.text(), "");
-  const auto place =
-      forwarded_
-          .emplace(id,
-                   forwarded_entry{
-                       std::move(guarded), std::move(more_callers), owner, owner_incarnation, {}})
-          .first;
-  send_forward(id, place->second, now);
+  const auto inserted = forwarded_
+                            .emplace(id, forwarded_entry{std::move(guarded),
+                                                         std::move(attached_callers),
+                                                         owner,
+                                                         owner_incarnation,
+                                                         {}})
+                            .first;
+  send_forwarded_request(id, inserted->second, now);
 }
 
-void effect_guard::send_forward(std::uint64_t id, forwarded_entry& entry, base::time_point now) {
+void effect_guard::send_forwarded_request(std::uint64_t id, forwarded_entry& entry,
+                                          base::time_point now) {
   const auto& guarded = entry.guarded;
   wire::outgoing message{entry.owner, {}};
   auto& body = *message.message.mutable_forwarded_request();
@@ -255,7 +260,7 @@
   body.set_idempotency_key(guarded.idempotency_key);
   body.set_owner_incarnation(entry.owner_incarnation);
   messages_.push_back(std::move(message));
-  entry.resend_at = now + resend_period;
+  entry.resend_at = now + resend_interval;
 }
 
 void effect_guard::on_forwarded_reply(const wire::forwarded_reply& reply) {
@@ -265,29 +270,30 @@
   }
   const auto& entry = found.mapped();
   if (!reply.is_owner()) {
-    refuse(entry.guarded, entry.more_callers, model::outcome::unknown, reason::owner_unreachable,
-           {});
+    refuse(entry.guarded, entry.attached_callers, model::outcome::unknown,
+           reason::owner_unreachable, {});
     return;
   }
   const auto content = from_wire(reply.answer());
   decide_answer(entry.guarded, entry.guarded.request.caller, content);
-  for (const auto& caller : entry.more_callers) {
+  for (const auto& caller : entry.attached_callers) {
     decide_answer(entry.guarded, caller, content);
   }
 }
 
-void effect_guard::run(admitted_request request, const std::string& key,
-                       const std::vector<caller_ref>& more_callers, base::time_point expires) {
+void effect_guard::decide_run(admitted_request request, const std::string& key,
+                              const std::vector<caller_ref>& attached_callers,
+                              base::time_point expires_at) {
   const auto id = request.id;
-  effects_.run(key, id, expires);
+  effects_.mark_running(key, id, expires_at);
   decisions_.emplace_back(run_decision{std::move(request)});
-  for (const auto& caller : more_callers) {
+  for (const auto& caller : attached_callers) {
     decisions_.emplace_back(attach_decision{id, caller});
   }
 }
 
 void effect_guard::refuse(const guarded_request& guarded,
-                          const std::vector<caller_ref>& more_callers, model::outcome outcome,
+                          const std::vector<caller_ref>& attached_callers, model::outcome outcome,
                           reason failure_reason, base::duration retry_after) {
   answer content;
   content.outcome = outcome;
@@ -295,7 +301,7 @@
   content.request = guarded.request.id;
   content.retry_after = retry_after;
   decide_answer(guarded, guarded.request.caller, content);
-  for (const auto& caller : more_callers) {
+  for (const auto& caller : attached_callers) {
     decide_answer(guarded, caller, content);
   }
 }
@@ -307,49 +313,49 @@
 }
 
 void effect_guard::on_answer(const answer& content) {
-  effects_.answer(content.request, content);
+  effects_.record_answer(content.request, content);
 }
 
 void effect_guard::tick(base::time_point now) {
-  witness_.expire(now);
+  witness_store_.expire(now);
   effects_.expire(now);
   tick_acquisitions(now);
   tick_forwards(now);
 }
 
 void effect_guard::tick_acquisitions(base::time_point now) {
-  std::vector<std::string> late;
+  std::vector<std::string> expired;
   for (auto& [key, entry] : acquiring_) {
-    if (entry.give_up_at <= now) {
-      late.push_back(key);
+    if (entry.acquisition_deadline <= now) {
+      expired.push_back(key);
     } else if (entry.resend_at <= now) {
-      entry.resend_at = now + resend_period;
-      ask_witnesses(entry, key);
+      entry.resend_at = now + resend_interval;
+      query_witnesses(entry, key);
     }
   }
-  for (const auto& key : late) {
+  for (const auto& key : expired) {
     const auto entry = std::move(acquiring_.extract(key).mapped());
-    release(entry);
+    release_key(entry);
     record_(base::event_kind::key_refused, entry.guarded.request.id, key,
             "witnesses did not answer");
-    refuse(entry.guarded, entry.more_callers, model::outcome::unknown, reason::key_no_majority,
-           no_majority_retry);
+    refuse(entry.guarded, entry.attached_callers, model::outcome::unknown, reason::key_no_majority,
+           no_majority_retry_after);
   }
 }
 
 void effect_guard::tick_forwards(base::time_point now) {
-  std::vector<std::uint64_t> late;
+  std::vector<std::uint64_t> expired;
   for (auto& [id, entry] : forwarded_) {
     if (entry.guarded.request.deadline <= now) {
-      late.push_back(id);
+      expired.push_back(id);
     } else if (entry.resend_at <= now) {
-      send_forward(id, entry, now);
+      send_forwarded_request(id, entry, now);
     }
   }
-  for (const auto id : late) {
+  for (const auto id : expired) {
     const auto entry = std::move(forwarded_.extract(id).mapped());
-    refuse(entry.guarded, entry.more_callers, model::outcome::unknown, reason::owner_unreachable,
-           {});
+    refuse(entry.guarded, entry.attached_callers, model::outcome::unknown,
+           reason::owner_unreachable, {});
   }
 }
 
@@ -359,7 +365,7 @@
     earliest = earliest ? std::min(*earliest, when) : when;
   };
   for (const auto& [key, entry] : acquiring_) {
-    consider(std::min(entry.give_up_at, entry.resend_at));
+    consider(std::min(entry.acquisition_deadline, entry.resend_at));
   }
   for (const auto& [id, entry] : forwarded_) {
     consider(std::min(entry.guarded.request.deadline, entry.resend_at));
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -69,7 +69,7 @@
 class effect_guard {
  public:
   effect_guard(guard_settings settings, membership::identity self, base::random_source& random,
-               address_lookup lookup, event_recorder record, base::time_point started);
+               address_lookup lookup_address, event_recorder record, base::time_point started_at);
 
   /// Takes over the published node list.
   void update_node_list(const catalog::machine_map& machines, base::time_point now);
@@ -90,8 +90,10 @@
 
   [[nodiscard]] std::optional<base::time_point> next_deadline() const;
   [[nodiscard]] std::size_t pending() const { return acquiring_.size() + forwarded_.size(); }
-  [[nodiscard]] bool may_witness(base::time_point now) const { return witness_.may_grant(now); }
-  [[nodiscard]] std::size_t witnessed() const { return witness_.size(); }
+  [[nodiscard]] bool may_witness(base::time_point now) const {
+    return witness_store_.may_grant(now);
+  }
+  [[nodiscard]] std::size_t witnessed_keys() const { return witness_store_.size(); }
   [[nodiscard]] const guard_settings& settings() const { return settings_; }
 
   std::vector<guard_decision> take_decisions();
@@ -101,38 +103,38 @@
   struct acquiring_request {
     guarded_request guarded;
     idempotency::key_acquisition acquisition;
-    std::vector<caller_ref> more_callers;
-    base::time_point give_up_at;
+    std::vector<caller_ref> attached_callers;
+    base::time_point acquisition_deadline;
     base::time_point resend_at;
   };
   struct forwarded_entry {
     guarded_request guarded;
-    std::vector<caller_ref> more_callers;
+    std::vector<caller_ref> attached_callers;
     base::network_address owner;
     base::incarnation owner_incarnation = 0;
     base::time_point resend_at;
   };
 
-  void begin_with_ticket(guarded_request guarded, base::time_point now);
-  void begin_with_key(guarded_request guarded, base::time_point now);
+  void submit_with_ticket(guarded_request guarded, base::time_point now);
+  void submit_with_key(guarded_request guarded, base::time_point now);
   /// Joins an effect that this node owns already. One whose answer was `not_run` may run again
   /// under the same record, which still keeps every other node out.
   /// @return whether a decision was made.
   bool join_known_effect(const std::string& key, const guarded_request& guarded);
-  void ask_witnesses(const acquiring_request& acquiring, const std::string& key);
+  void query_witnesses(const acquiring_request& acquiring, const std::string& key);
   void on_record_reply(const wire::envelope& message, base::time_point now);
-  void settle(const std::string& key, base::time_point now);
-  void release(const acquiring_request& acquiring);
-  void forward(guarded_request guarded, std::vector<caller_ref> more_callers,
-               const base::network_address& owner, base::incarnation owner_incarnation,
-               base::time_point now);
-  void send_forward(std::uint64_t id, forwarded_entry& entry, base::time_point now);
+  void resolve_acquisition(const std::string& key, base::time_point now);
+  void release_key(const acquiring_request& acquiring);
+  void forward_to_owner(guarded_request guarded, std::vector<caller_ref> attached_callers,
+                        const base::network_address& owner, base::incarnation owner_incarnation,
+                        base::time_point now);
+  void send_forwarded_request(std::uint64_t id, forwarded_entry& entry, base::time_point now);
   void tick_acquisitions(base::time_point now);
   void tick_forwards(base::time_point now);
   void on_forwarded_reply(const wire::forwarded_reply& reply);
-  void run(admitted_request request, const std::string& key,
-           const std::vector<caller_ref>& more_callers, base::time_point expires);
-  void refuse(const guarded_request& guarded, const std::vector<caller_ref>& more_callers,
+  void decide_run(admitted_request request, const std::string& key,
+                  const std::vector<caller_ref>& attached_callers, base::time_point expires_at);
+  void refuse(const guarded_request& guarded, const std::vector<caller_ref>& attached_callers,
               model::outcome outcome, reason failure_reason, base::duration retry_after);
   void decide_answer(const guarded_request& guarded, const caller_ref& caller,
                      const answer& content);
@@ -141,14 +143,14 @@
   guard_settings settings_;
   membership::identity self_;
   base::random_source* random_;
-  address_lookup lookup_;
+  address_lookup lookup_address_;
   event_recorder record_;
-  idempotency::witness_store witness_;
-  idempotency::witness_lists lists_;
+  idempotency::witness_store witness_store_;
+  idempotency::witness_lists witness_lists_;
   idempotency::effect_registry<answer> effects_;
   std::map<std::string, acquiring_request> acquiring_;
   std::map<std::uint64_t, forwarded_entry> forwarded_;
-  std::uint64_t next_forward_ = 1;
+  std::uint64_t next_forward_id_ = 1;
   std::vector<guard_decision> decisions_;
   wire::outbox messages_;
 };
--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Attempts of one stage that failed at a back end before the request is given up.
-constexpr std::uint32_t most_failures = 4;
+constexpr std::uint32_t max_failures_per_stage = 4;
 /// Bytes of a prompt that identify its prefix for affinity.
 constexpr std::size_t affinity_prefix_bytes = 64;
 
@@ -28,10 +28,10 @@
 } // namespace
 
 executor::executor(routing::backend_table& backends, admission::stage_scheduler& scheduler,
-                   event_recorder record, completion_observer completed,
+                   event_recorder record, completion_observer report_completion,
                    base::safety_switches switches)
     : backends_(&backends), scheduler_(&scheduler), record_(std::move(record)),
-      completed_(std::move(completed)), switches_(switches) {}
+      report_completion_(std::move(report_completion)), switches_(switches) {}
 
 void executor::start(admitted_request request, base::time_point now) {
   const auto id = request.id;
@@ -48,9 +48,9 @@
     local_callers_[local->id] = id;
   }
   deadlines_.emplace(active.request.deadline, id);
-  scheduler_->commit(*active.request.plan);
+  scheduler_->add_admitted(*active.request.plan);
   if (active.request.deadline <= now) {
-    give_up(active, reason::deadline_passed, now);
+    abort_request(active, reason::deadline_passed, now);
     return;
   }
   enqueue(active);
@@ -71,12 +71,12 @@
 void executor::enqueue(active_request& active) {
   const auto& request = active.request;
   scheduler_->enqueue(*request.plan, active.stage, request.id, request.deadline,
-                      affinity_of(active.current(), active.stage_input));
+                      affinity_of(active.current_stage(), active.stage_input));
 }
 
 void executor::dispatch_waiting(base::time_point now) {
-  while (!hold_) {
-    const auto chosen = scheduler_->next(now);
+  while (!is_dispatch_paused_) {
+    const auto chosen = scheduler_->take_next(now);
     if (!chosen) {
       return;
     }
@@ -86,13 +86,13 @@
     }
     auto& active = found->second;
     if (now >= active.request.deadline) {
-      give_up(active, reason::deadline_passed, now);
+      abort_request(active, reason::deadline_passed, now);
       continue;
     }
     if (scheduler_->settings().predict &&
-        now + scheduler_->expected_service(*active.request.plan, active.stage) >
+        now + scheduler_->expected_service_time(*active.request.plan, active.stage) >
             active.request.deadline) {
-      give_up(active, reason::deadline_unreachable, now);
+      abort_request(active, reason::deadline_unreachable, now);
       continue;
     }
     dispatch(active, chosen->backend, now);
@@ -100,7 +100,7 @@
 }
 
 stage_call executor::make_call(const active_request& active, const routing::backend& target) const {
-  const auto& step = active.current();
+  const auto& step = active.current_stage();
   stage_call call;
   call.call = active.call->id;
   call.identity = {active.request.id, step.name, active.next_attempt - 1};
@@ -125,12 +125,12 @@
   active.call = call_in_flight{next_call_++, backend, now, now};
   ++active.next_attempt;
   ++active.costs[active.stage].attempts;
-  active.ledger.call_started(active.current().repeatable);
+  active.ledger.call_started(active.current_stage().repeatable);
   backends_->call_started(backend);
   calls_[active.call->id] = active.request.id;
   commands_.emplace_back(start_call{make_call(active, *target)});
   record_(base::event_kind::stage_dispatched, active.request.id, backend.text(),
-          active.current().name);
+          active.current_stage().name);
 }
 
 executor::active_request* executor::find_by_call(base::call_id call) {
@@ -142,12 +142,13 @@
   return request == active_.end() ? nullptr : &request->second;
 }
 
-bool executor::is_right_answer(const active_request& active, const call_result& result) const {
-  const call_identity expected{active.request.id, active.current().name, active.next_attempt - 1};
-  const bool whole = active.current().kind != model::stage_kind::generate ||
-                     result.tokens == active.tokens_received;
-  const bool is_echo_right = result.identity == expected || !switches_.answer_identity_check;
-  return whole && is_echo_right;
+bool executor::is_valid_answer(const active_request& active, const call_result& result) const {
+  const call_identity expected{active.request.id, active.current_stage().name,
+                               active.next_attempt - 1};
+  const bool is_complete = active.current_stage().kind != model::stage_kind::generate ||
+                           result.tokens == active.tokens_received;
+  const bool is_identity_valid = result.identity == expected || !switches_.answer_identity_check;
+  return is_complete && is_identity_valid;
 }
 
 void executor::on_result(const call_result& result, base::time_point now) {
@@ -158,47 +159,47 @@
             std::string(name_of(result.status)));
     return;
   }
-  auto judged = result;
-  if (result.status == call_status::completed && !is_right_answer(*active, result)) {
+  auto checked_result = result;
+  if (result.status == call_status::completed && !is_valid_answer(*active, result)) {
     ++counters_.misdirected_answers;
-    judged.status = call_status::broken;
+    checked_result.status = call_status::broken;
   }
   const auto call = *active->call;
   active->call.reset();
   calls_.erase(result.call);
-  const bool completed = judged.status == call_status::completed;
-  const auto elapsed = now - call.started;
+  const bool completed = checked_result.status == call_status::completed;
+  const auto elapsed = now - call.started_at;
   if (result.reported_in_flight > 0) {
-    backends_->report_load(call.backend, result.reported_in_flight, now);
+    backends_->record_load(call.backend, result.reported_in_flight, now);
   }
   if (backends_->call_ended(call.backend, completed ? std::optional(elapsed) : std::nullopt, now)) {
     record_(base::event_kind::backend_ejected, {}, call.backend.text(), "slower than its pool");
   }
   if (completed) {
-    scheduler_->observe(*active->request.plan, active->stage, elapsed);
-    complete_stage(*active, judged, now);
+    scheduler_->add_service_time(*active->request.plan, active->stage, elapsed);
+    complete_stage(*active, checked_result, now);
     return;
   }
-  if (judged.status == call_status::broken) {
+  if (checked_result.status == call_status::broken) {
     active->costs[active->stage].wasted_time += elapsed;
   }
-  handle_failure(*active, judged, call.backend, now);
+  handle_failure(*active, checked_result, call.backend, now);
 }
 
 void executor::complete_stage(active_request& active, const call_result& result,
                               base::time_point now) {
-  const auto& step = active.current();
+  const auto& step = active.current_stage();
   auto& cost = active.costs[active.stage];
   cost.backend_time += result.backend_time;
   cost.tokens += result.tokens;
   active.ledger.call_completed(step.repeatable);
-  scheduler_->budget(step.pool).add_success();
+  scheduler_->retry_budget_of(step.pool).add_success();
   record_(base::event_kind::stage_completed, active.request.id, step.name, "");
   auto output = step.kind == model::stage_kind::generate ? active.generated : result.output;
   if (is_visible(step.kind)) {
     active.outputs.push_back({step.name, output});
   }
-  scheduler_->stage_done(*active.request.plan, active.stage);
+  scheduler_->note_stage_completed(*active.request.plan, active.stage);
   ++active.stage;
   active.stage_input = std::move(output);
   active.generated.clear();
@@ -217,10 +218,10 @@
   switch (result.status) {
   case call_status::never_sent:
   case call_status::broken:
-    backends_->connect_failed(backend, now);
+    backends_->note_call_failure(backend, now);
     break;
   case call_status::refused_overloaded:
-    backends_->overloaded(backend, now);
+    backends_->note_overload(backend, now);
     break;
   case call_status::refused_leaving: {
     const auto* target = backends_->find(backend);
@@ -236,7 +237,7 @@
 
 void executor::handle_failure(active_request& active, const call_result& result,
                               const base::backend_id& backend, base::time_point now) {
-  const bool repeatable = active.current().repeatable;
+  const bool repeatable = active.current_stage().repeatable;
   note_backend_failure(result, backend, now);
   switch (result.status) {
   case call_status::never_sent:
@@ -246,36 +247,37 @@
     break;
   case call_status::rejected:
     active.ledger.call_completed(repeatable);
-    give_up(active, reason::backend_failed, now);
+    abort_request(active, reason::backend_failed, now);
     return;
   default:
     if (!repeatable && switches_.no_repeat_after_send) {
-      give_up(active, reason::backend_failed, now);
+      abort_request(active, reason::backend_failed, now);
       return;
     }
     active.ledger.call_completed(repeatable);
     break;
   }
-  retry_or_give_up(active, result.status, now);
+  retry_or_abort(active, result.status, now);
 }
 
-void executor::retry_or_give_up(active_request& active, call_status status, base::time_point now) {
-  const auto& step = active.current();
+void executor::retry_or_abort(active_request& active, call_status status, base::time_point now) {
+  const auto& step = active.current_stage();
   if (now >= active.request.deadline) {
-    give_up(active, reason::deadline_passed, now);
+    abort_request(active, reason::deadline_passed, now);
     return;
   }
   // A refusal cost the back end next to nothing and goes back to the queue; a failed call counts
   // against the budget.
   if (status == call_status::broken) {
     ++active.failures;
-    if (active.failures >= most_failures || !scheduler_->budget(step.pool).take()) {
-      give_up(active, reason::retries_exhausted, now);
+    if (active.failures >= max_failures_per_stage ||
+        !scheduler_->retry_budget_of(step.pool).try_take()) {
+      abort_request(active, reason::retries_exhausted, now);
       return;
     }
   }
-  if (!backends_->has_pool(step.pool)) {
-    give_up(active, reason::no_backend, now);
+  if (!backends_->has_backends(step.pool)) {
+    abort_request(active, reason::no_backend, now);
     return;
   }
   ++counters_.retries;
@@ -290,7 +292,7 @@
     return;
   }
   ++active->tokens_received;
-  active->call->last_progress = now;
+  active->call->last_progress_at = now;
   active->generated += token.text;
   if (!active->request.stream) {
     return;
@@ -300,18 +302,18 @@
   }
 }
 
-void executor::cancel_call_in_flight(active_request& active, base::time_point now) {
+void executor::cancel_current_stage(active_request& active, base::time_point now) {
   if (!active.call) {
     scheduler_->remove(*active.request.plan, active.stage, active.request.id,
                        active.request.deadline);
     return;
   }
   abandon_call(active, now);
-  record_(base::event_kind::stage_cancelled, active.request.id, active.current().name, "");
+  record_(base::event_kind::stage_cancelled, active.request.id, active.current_stage().name, "");
 }
 
 void executor::abandon_call(active_request& active, base::time_point now) {
-  active.costs[active.stage].wasted_time += now - active.call->started;
+  active.costs[active.stage].wasted_time += now - active.call->started_at;
   backends_->call_ended(active.call->backend, std::nullopt, now);
   calls_.erase(active.call->id);
   commands_.emplace_back(cancel_call{active.call->id});
@@ -320,11 +322,11 @@
 }
 
 bool executor::is_stalled(const active_request& active, base::time_point now) const {
-  if (!active.call || !active.current().repeatable) {
+  if (!active.call || !active.current_stage().repeatable) {
     return false;
   }
-  const auto limit = scheduler_->stall_limit(*active.request.plan, active.stage);
-  return limit && now - active.call->last_progress > *limit;
+  const auto timeout = scheduler_->stall_timeout(*active.request.plan, active.stage);
+  return timeout && now - active.call->last_progress_at > *timeout;
 }
 
 void executor::retry_stalled_calls(base::time_point now) {
@@ -340,16 +342,16 @@
     auto& active = active_.at(id);
     const auto backend = active.call->backend;
     abandon_call(active, now);
-    call_result lost;
-    lost.status = call_status::broken;
-    handle_failure(active, lost, backend, now);
+    call_result stalled_result;
+    stalled_result.status = call_status::broken;
+    handle_failure(active, stalled_result, backend, now);
   }
 }
 
-void executor::give_up(active_request& active, reason failure_reason, base::time_point now) {
+void executor::abort_request(active_request& active, reason failure_reason, base::time_point now) {
   const auto outcome =
       switches_.truthful_outcome ? active.ledger.give_up() : model::outcome::not_run;
-  cancel_call_in_flight(active, now);
+  cancel_current_stage(active, now);
   finish(active, outcome, failure_reason, now);
 }
 
@@ -367,11 +369,11 @@
         scheduler_->check_admission(*active.request.plan, now + active.request.plan->deadline, now);
     content.retry_after = refusal ? refusal->retry_after : base::duration::zero();
   }
-  scheduler_->release(*active.request.plan, active.stage);
+  scheduler_->remove_admitted(*active.request.plan, active.stage);
   count(active, content);
   record_(base::event_kind::request_answered, content.request, std::string(model::name_of(outcome)),
           std::string(name_of(failure_reason)));
-  completed_(content);
+  report_completion_(content);
   for (const auto& caller : active.callers) {
     if (const auto* local = std::get_if<local_caller>(&caller)) {
       local_callers_.erase(local->id);
@@ -420,16 +422,16 @@
   }
   auto& active = request->second;
   std::erase(active.callers, caller_ref(local_caller{caller}));
-  const bool effect_under_way = active.call && !active.current().repeatable;
-  if (active.callers.empty() && !effect_under_way) {
-    give_up(active, reason::caller_gone, now);
+  const bool is_effect_running = active.call && !active.current_stage().repeatable;
+  if (active.callers.empty() && !is_effect_running) {
+    abort_request(active, reason::caller_gone, now);
   }
 }
 
 void executor::expire(base::time_point now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     const auto found = active_.find(deadlines_.begin()->second);
-    give_up(found->second, reason::deadline_passed, now);
+    abort_request(found->second, reason::deadline_passed, now);
   }
 }
 
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -42,7 +42,8 @@
  public:
   /// @param backends and scheduler must outlive this object.
   executor(routing::backend_table& backends, admission::stage_scheduler& scheduler,
-           event_recorder record, completion_observer completed, base::safety_switches switches);
+           event_recorder record, completion_observer report_completion,
+           base::safety_switches switches);
 
   /// Starts a request. The first dispatch happens at the next `dispatch_waiting`.
   void start(admitted_request request, base::time_point now);
@@ -62,8 +63,8 @@
   void retry_stalled_calls(base::time_point now);
   /// Dispatches what can be dispatched.
   void dispatch_waiting(base::time_point now);
-  /// While on hold nothing is dispatched (after a pause, until the node is up to date again).
-  void set_dispatch_paused(bool hold) { hold_ = hold; }
+  /// While on paused nothing is dispatched (after a pause, until the node is up to date again).
+  void set_dispatch_paused(bool paused) { is_dispatch_paused_ = paused; }
 
   [[nodiscard]] std::optional<base::time_point> next_deadline() const;
   [[nodiscard]] std::size_t active() const { return active_.size(); }
@@ -76,9 +77,9 @@
   struct call_in_flight {
     base::call_id id = 0;
     base::backend_id backend;
-    base::time_point started;
+    base::time_point started_at;
     /// Dispatch or last token.
-    base::time_point last_progress;
+    base::time_point last_progress_at;
   };
   struct active_request {
     admitted_request request;
@@ -94,7 +95,7 @@
     std::vector<stage_output> outputs;
     std::vector<stage_cost> costs;
 
-    [[nodiscard]] const model::stage& current() const { return request.plan->stages[stage]; }
+    [[nodiscard]] const model::stage& current_stage() const { return request.plan->stages[stage]; }
   };
 
   void dispatch(active_request& active, const base::backend_id& backend, base::time_point now);
@@ -107,27 +108,27 @@
                       const base::backend_id& backend, base::time_point now);
   void note_backend_failure(const call_result& result, const base::backend_id& backend,
                             base::time_point now);
-  void retry_or_give_up(active_request& active, call_status status, base::time_point now);
-  void cancel_call_in_flight(active_request& active, base::time_point now);
-  void give_up(active_request& active, reason failure_reason, base::time_point now);
+  void retry_or_abort(active_request& active, call_status status, base::time_point now);
+  void cancel_current_stage(active_request& active, base::time_point now);
+  void abort_request(active_request& active, reason failure_reason, base::time_point now);
   void finish(active_request& active, model::outcome outcome, reason failure_reason,
               base::time_point now);
   void count(const active_request& active, const answer& content);
   /// @return whether a result is whole and belongs to the call in flight.
-  [[nodiscard]] bool is_right_answer(const active_request& active, const call_result& result) const;
+  [[nodiscard]] bool is_valid_answer(const active_request& active, const call_result& result) const;
   active_request* find_by_call(base::call_id call);
 
   routing::backend_table* backends_;
   admission::stage_scheduler* scheduler_;
   event_recorder record_;
-  completion_observer completed_;
+  completion_observer report_completion_;
   base::safety_switches switches_;
   std::unordered_map<base::request_id, active_request> active_;
   std::unordered_map<base::call_id, base::request_id> calls_;
   std::set<std::pair<base::time_point, base::request_id>> deadlines_;
   std::map<base::caller_id, base::request_id> local_callers_;
   base::call_id next_call_ = 1;
-  bool hold_ = false;
+  bool is_dispatch_paused_ = false;
   counters counters_;
   command_list commands_;
 };
--- a/src/execution/plan_resolver.cc
+++ b/src/execution/plan_resolver.cc
@@ -20,12 +20,12 @@
   if (!plan) {
     return reason::unknown_template;
   }
-  const auto allowed = std::min(request.deadline.value_or(plan->deadline), plan->deadline);
-  if (allowed <= base::duration::zero()) {
+  const auto timeout = std::min(request.deadline.value_or(plan->deadline), plan->deadline);
+  if (timeout <= base::duration::zero()) {
     return reason::invalid_deadline;
   }
   return resolved_request{std::make_shared<const model::pipeline_plan>(std::move(*plan)),
-                          arrived_at + allowed};
+                          arrived_at + timeout};
 }
 
 } // namespace spurrack::execution
--- a/src/idempotency/effect_registry.h
+++ b/src/idempotency/effect_registry.h
@@ -24,24 +24,25 @@
   struct record {
     effect_state state = effect_state::issued;
     base::request_id request;
-    base::time_point expires;
+    base::time_point expires_at;
     /// Set once answered.
     std::shared_ptr<const answer_type> answer;
   };
 
   /// Adds a ticket that nobody has redeemed yet.
-  void issue(const std::string& key, base::time_point expires) {
-    records_[key] = {effect_state::issued, {}, expires, nullptr};
+  void add_ticket(const std::string& key, base::time_point expires_at) {
+    records_[key] = {effect_state::issued, {}, expires_at, nullptr};
   }
 
-  /// Marks an effect as running under a request, until at least `expires`.
-  void run(const std::string& key, const base::request_id& request, base::time_point expires) {
-    records_[key] = {effect_state::running, request, expires, nullptr};
+  /// Marks an effect as running under a request, until at least `expires_at`.
+  void mark_running(const std::string& key, const base::request_id& request,
+                    base::time_point expires_at) {
+    records_[key] = {effect_state::running, request, expires_at, nullptr};
     keys_by_request_[request] = key;
   }
 
   /// Keeps the answer of a request for replay; ignored for requests that own no effect.
-  void answer(const base::request_id& request, const answer_type& content) {
+  void record_answer(const base::request_id& request, const answer_type& content) {
     const auto found = keys_by_request_.find(request);
     if (found == keys_by_request_.end()) {
       return;
@@ -57,14 +58,15 @@
     return found == records_.end() ? nullptr : &found->second;
   }
 
-  /// Drops records whose life has ended; running ones stay.
+  /// Drops records whose life has is_expired; running ones stay.
   void expire(base::time_point now) {
     std::erase_if(records_, [&](const auto& entry) {
-      const bool ended = entry.second.state != effect_state::running && entry.second.expires <= now;
-      if (ended) {
+      const bool is_expired =
+          entry.second.state != effect_state::running && entry.second.expires_at <= now;
+      if (is_expired) {
         keys_by_request_.erase(entry.second.request);
       }
-      return ended;
+      return is_expired;
     });
   }
 
--- a/src/idempotency/key_acquisition.cc
+++ b/src/idempotency/key_acquisition.cc
@@ -13,14 +13,14 @@
 }
 
 std::vector<base::node_id> key_acquisition::witnesses() const {
-  std::set<base::node_id> all;
+  std::set<base::node_id> unique_witnesses;
   for (const auto& group : sets_) {
-    all.insert(group.witnesses.begin(), group.witnesses.end());
+    unique_witnesses.insert(group.witnesses.begin(), group.witnesses.end());
   }
-  return {all.begin(), all.end()};
+  return {unique_witnesses.begin(), unique_witnesses.end()};
 }
 
-std::vector<base::node_id> key_acquisition::unanswered() const {
+std::vector<base::node_id> key_acquisition::unanswered_witnesses() const {
   auto nodes = witnesses();
   std::erase_if(nodes, [&](const base::node_id& node) {
     return granted_.contains(node) || refused_.contains(node);
@@ -28,22 +28,22 @@
   return nodes;
 }
 
-std::size_t key_acquisition::count_in(const witness_set& group,
-                                      const std::set<base::node_id>& nodes) {
+std::size_t key_acquisition::count_members_in(const witness_set& group,
+                                              const std::set<base::node_id>& nodes) {
   return static_cast<std::size_t>(
       std::count_if(group.witnesses.begin(), group.witnesses.end(),
                     [&](const base::node_id& node) { return nodes.contains(node); }));
 }
 
-bool key_acquisition::all_sets_granted() const {
+bool key_acquisition::has_all_majorities() const {
   return std::all_of(sets_.begin(), sets_.end(), [&](const witness_set& group) {
-    return count_in(group, granted_) >= group.majority();
+    return count_members_in(group, granted_) >= group.majority();
   });
 }
 
-bool key_acquisition::some_set_lost() const {
+bool key_acquisition::is_any_majority_lost() const {
   return std::any_of(sets_.begin(), sets_.end(), [&](const witness_set& group) {
-    return group.witnesses.size() - count_in(group, refused_) < group.majority();
+    return group.witnesses.size() - count_members_in(group, refused_) < group.majority();
   });
 }
 
@@ -56,14 +56,14 @@
     granted_.insert(witness);
   } else {
     refused_.insert(witness);
-    met_young_witness_ = met_young_witness_ || reply.verdict() == wire::TOO_YOUNG;
+    has_young_witness_ = has_young_witness_ || reply.verdict() == wire::TOO_YOUNG;
     if (reply.verdict() == wire::HELD) {
       holder_ = reply.holder();
     }
   }
-  if (all_sets_granted()) {
+  if (has_all_majorities()) {
     state_ = acquisition_state::acquired;
-  } else if (some_set_lost()) {
+  } else if (is_any_majority_lost()) {
     state_ = holder_ ? acquisition_state::held : acquisition_state::refused;
   }
   return state_;
--- a/src/idempotency/key_acquisition.h
+++ b/src/idempotency/key_acquisition.h
@@ -29,7 +29,7 @@
   /// @return every witness to ask, each once.
   [[nodiscard]] std::vector<base::node_id> witnesses() const;
   /// @return the witnesses that have not answered yet.
-  [[nodiscard]] std::vector<base::node_id> unanswered() const;
+  [[nodiscard]] std::vector<base::node_id> unanswered_witnesses() const;
   /// Accounts for a reply. @return the state after it.
   acquisition_state on_reply(const base::node_id& witness, const wire::record_key_reply& reply);
 
@@ -37,19 +37,20 @@
   [[nodiscard]] const std::optional<wire::key_owner>& holder() const { return holder_; }
   [[nodiscard]] const std::string& key() const { return key_; }
   /// @return whether some witness was too young to grant; waiting helps then.
-  [[nodiscard]] bool met_young_witness() const { return met_young_witness_; }
+  [[nodiscard]] bool has_young_witness() const { return has_young_witness_; }
 
  private:
-  [[nodiscard]] bool all_sets_granted() const;
-  [[nodiscard]] bool some_set_lost() const;
-  static std::size_t count_in(const witness_set& group, const std::set<base::node_id>& nodes);
+  [[nodiscard]] bool has_all_majorities() const;
+  [[nodiscard]] bool is_any_majority_lost() const;
+  static std::size_t count_members_in(const witness_set& group,
+                                      const std::set<base::node_id>& nodes);
 
   std::string key_;
   std::vector<witness_set> sets_;
   std::set<base::node_id> granted_;
   std::set<base::node_id> refused_;
   std::optional<wire::key_owner> holder_;
-  bool met_young_witness_ = false;
+  bool has_young_witness_ = false;
   acquisition_state state_ = acquisition_state::pending;
 };
 
--- a/src/idempotency/ticket.cc
+++ b/src/idempotency/ticket.cc
@@ -28,20 +28,21 @@
 }
 
 std::optional<ticket> ticket::parse(const std::string& text) {
-  const auto second = text.rfind(separator);
-  if (second == std::string::npos || second == 0) {
+  const auto second_separator = text.rfind(separator);
+  if (second_separator == std::string::npos || second_separator == 0) {
     return std::nullopt;
   }
-  const auto first = text.rfind(separator, second - 1);
-  if (first == std::string::npos || first == 0) {
+  const auto first_separator = text.rfind(separator, second_separator - 1);
+  if (first_separator == std::string::npos || first_separator == 0) {
     return std::nullopt;
   }
-  const auto process_start = parse_number(text.substr(first + 1, second - first - 1));
-  const auto nonce = parse_number(text.substr(second + 1));
+  const auto process_start =
+      parse_number(text.substr(first_separator + 1, second_separator - first_separator - 1));
+  const auto nonce = parse_number(text.substr(second_separator + 1));
   if (!process_start || !nonce) {
     return std::nullopt;
   }
-  return ticket{base::node_id(text.substr(0, first)), *process_start, *nonce};
+  return ticket{base::node_id(text.substr(0, first_separator)), *process_start, *nonce};
 }
 
 ticket issue_ticket(const base::node_id& node, base::incarnation process_start,
--- a/src/idempotency/witness_lists.cc
+++ b/src/idempotency/witness_lists.cc
@@ -19,21 +19,21 @@
 } // namespace
 
 void witness_lists::update(const catalog::machine_map& machines, base::time_point now) {
-  node_list fresh;
+  node_list updated_list;
   for (const auto& [id, machine] : machines) {
     if (machine->role == model::machine_role::node) {
-      fresh.nodes.emplace_back(id);
+      updated_list.nodes.emplace_back(id);
     }
   }
-  if (fresh.nodes.empty() || fresh.nodes == current_.nodes) {
+  if (updated_list.nodes.empty() || updated_list.nodes == current_.nodes) {
     return;
   }
-  fresh.hash = hash_of(fresh.nodes);
+  updated_list.hash = hash_of(updated_list.nodes);
   if (!current_.nodes.empty()) {
     current_.replaced_at = now;
     replaced_.push_back(std::move(current_));
   }
-  current_ = std::move(fresh);
+  current_ = std::move(updated_list);
 }
 
 std::vector<witness_set> witness_lists::sets_for(const std::string& key, base::time_point now) {
@@ -47,10 +47,10 @@
     }
     auto chosen = base::rendezvous_top(key, list.nodes, witnesses_per_key);
     std::sort(chosen.begin(), chosen.end());
-    const bool repeated = std::any_of(sets.begin(), sets.end(), [&](const witness_set& other) {
+    const bool is_duplicate = std::any_of(sets.begin(), sets.end(), [&](const witness_set& other) {
       return other.witnesses == chosen;
     });
-    if (!repeated) {
+    if (!is_duplicate) {
       sets.push_back({std::move(chosen)});
     }
   };
--- a/src/idempotency/witness_store.h
+++ b/src/idempotency/witness_store.h
@@ -16,14 +16,14 @@
 /// Not thread-safe.
 class witness_store {
  public:
-  /// @param started when this process began.
-  /// @param longest_key_life no key lives longer; a younger witness refuses.
-  witness_store(base::time_point started, base::duration longest_key_life)
-      : started_(started), longest_key_life_(longest_key_life) {}
+  /// @param started_at when this process began.
+  /// @param max_key_lifetime no key lives longer; a younger witness refuses.
+  witness_store(base::time_point started_at, base::duration max_key_lifetime)
+      : started_at_(started_at), max_key_lifetime_(max_key_lifetime) {}
 
   /// @param own_list_hash hash of the node list this witness knows.
   /// @return the verdict, with the holder where another one holds the key.
-  wire::record_key_reply record(const wire::record_key& question, std::uint64_t own_list_hash,
+  wire::record_key_reply record(const wire::record_key& query, std::uint64_t own_list_hash,
                                 base::time_point now);
   /// Drops a record of an owner that never dispatched.
   void release(const wire::key_release& message);
@@ -33,17 +33,17 @@
   [[nodiscard]] std::size_t size() const { return records_.size(); }
   /// @return whether this witness has been up long enough to grant records.
   [[nodiscard]] bool may_grant(base::time_point now) const {
-    return now - started_ >= longest_key_life_;
+    return now - started_at_ >= max_key_lifetime_;
   }
 
  private:
   struct key_record {
     wire::key_owner owner;
-    base::time_point expires;
+    base::time_point expires_at;
   };
 
-  base::time_point started_;
-  base::duration longest_key_life_;
+  base::time_point started_at_;
+  base::duration max_key_lifetime_;
   std::map<std::string, key_record> records_;
 };
 
--- a/src/routing/backend_table.cc
+++ b/src/routing/backend_table.cc
@@ -9,12 +9,12 @@
 
 constexpr double latency_smoothing = 0.2;
 /// Calls one node may send to each back end of another zone.
-constexpr std::uint32_t foreign_zone_share = 1;
+constexpr std::uint32_t other_zone_call_quota = 1;
 
 base::duration blend(base::duration old_value, base::duration sample) {
-  const double mixed = base::to_seconds(old_value) * (1 - latency_smoothing) +
-                       base::to_seconds(sample) * latency_smoothing;
-  return base::from_seconds(mixed);
+  const double blended_seconds = base::to_seconds(old_value) * (1 - latency_smoothing) +
+                                 base::to_seconds(sample) * latency_smoothing;
+  return base::from_seconds(blended_seconds);
 }
 
 } // namespace
@@ -35,7 +35,7 @@
     entry.pool = machine->pool;
     entry.concurrency = machine->concurrency;
     entry.generation = machine->generation;
-    entry.listed_as_leaving = machine->state == model::machine_state::leaving;
+    entry.is_listed_as_draining = machine->state == model::machine_state::leaving;
     auto& pool = pools_[machine->pool];
     (machine->zone == own_zone_ ? pool.own_zone : pool.other_zones).push_back(name);
   }
@@ -45,11 +45,11 @@
 }
 
 bool backend_table::mark_draining(const base::backend_id& id, std::uint64_t generation) {
-  auto& known = leaving_generation_[id];
-  if (generation <= known) {
+  auto& known_generation = draining_generations_[id];
+  if (generation <= known_generation) {
     return false;
   }
-  known = generation;
+  known_generation = generation;
   return true;
 }
 
@@ -57,9 +57,9 @@
   if (!limits_.switches.leave_notices) {
     return false;
   }
-  const auto notice = leaving_generation_.find(target.id);
-  return target.listed_as_leaving ||
-         (notice != leaving_generation_.end() && notice->second >= target.generation);
+  const auto notice = draining_generations_.find(target.id);
+  return target.is_listed_as_draining ||
+         (notice != draining_generations_.end() && notice->second >= target.generation);
 }
 
 void backend_table::set_sharing_nodes(std::uint32_t sharing_nodes, std::uint32_t own_rank) {
@@ -67,22 +67,25 @@
   own_rank_ = own_rank;
 }
 
-std::uint32_t backend_table::share_of(const backend& target, base::time_point now) const {
+std::uint32_t backend_table::call_quota_of(const backend& target, base::time_point now) const {
   if (target.zone != own_zone_) {
-    return foreign_zone_share;
+    return other_zone_call_quota;
   }
   const auto remainder = target.concurrency % sharing_nodes_;
-  const std::uint32_t extra = own_rank_ < remainder ? 1 : 0;
-  const auto fair = std::max<std::uint32_t>(1, target.concurrency / sharing_nodes_ + extra);
-  if (now - target.reported_at > limits_.report_lifetime) {
-    return fair;
+  const std::uint32_t remainder_slot = own_rank_ < remainder ? 1 : 0;
+  const auto fair_quota =
+      std::max<std::uint32_t>(1, target.concurrency / sharing_nodes_ + remainder_slot);
+  if (now - target.reported_at > limits_.load_report_lifetime) {
+    return fair_quota;
   }
   // The others leave room: the part of the limit that they do not use may be borrowed.
-  const auto others = target.reported_in_flight > target.in_flight
-                          ? target.reported_in_flight - target.in_flight
-                          : 0;
-  const auto unused = target.concurrency > others ? target.concurrency - others : 0;
-  return std::max(fair, unused);
+  const auto in_flight_from_other_nodes = target.reported_in_flight > target.in_flight
+                                              ? target.reported_in_flight - target.in_flight
+                                              : 0;
+  const auto unused_slots = target.concurrency > in_flight_from_other_nodes
+                                ? target.concurrency - in_flight_from_other_nodes
+                                : 0;
+  return std::max(fair_quota, unused_slots);
 }
 
 bool backend_table::is_usable(const backend& target, base::time_point now) const {
@@ -90,23 +93,23 @@
 }
 
 const backend_table::pool_members& backend_table::members_of(const base::pool_id& pool) const {
-  static const pool_members none;
+  static const pool_members empty;
   const auto found = pools_.find(pool);
-  return found == pools_.end() ? none : found->second;
+  return found == pools_.end() ? empty : found->second;
 }
 
-std::vector<candidate> backend_table::with_free_slot(const std::vector<base::backend_id>& members,
-                                                     base::time_point now,
-                                                     bool ignore_limits) const {
+std::vector<candidate>
+backend_table::members_with_free_slot(const std::vector<base::backend_id>& members,
+                                      base::time_point now, bool ignore_limits) const {
   std::vector<candidate> found;
   for (const auto& id : members) {
     const auto& target = backends_.at(id);
     if (!is_usable(target, now)) {
       continue;
     }
-    const auto share = share_of(target, now);
-    if (ignore_limits || target.in_flight < share) {
-      found.push_back({&target, share});
+    const auto call_quota = call_quota_of(target, now);
+    if (ignore_limits || target.in_flight < call_quota) {
+      found.push_back({&target, call_quota});
     }
   }
   return found;
@@ -115,9 +118,9 @@
 std::vector<candidate> backend_table::candidates(const base::pool_id& pool, base::time_point now,
                                                  bool ignore_limits) const {
   const auto& members = members_of(pool);
-  auto found = with_free_slot(members.own_zone, now, ignore_limits);
+  auto found = members_with_free_slot(members.own_zone, now, ignore_limits);
   if (found.empty()) {
-    found = with_free_slot(members.other_zones, now, ignore_limits);
+    found = members_with_free_slot(members.other_zones, now, ignore_limits);
   }
   return found;
 }
@@ -127,7 +130,7 @@
   std::uint32_t total = 0;
   for (const auto& id : members) {
     const auto& target = backends_.at(id);
-    total += is_draining(target) ? 0 : share_of(target, now);
+    total += is_draining(target) ? 0 : call_quota_of(target, now);
   }
   return total;
 }
@@ -138,11 +141,13 @@
   return local > 0 ? local : slots_of(members.other_zones, now);
 }
 
-bool backend_table::has_pool(const base::pool_id& pool) const {
-  const auto stays = [&](const base::backend_id& id) { return !is_draining(backends_.at(id)); };
+bool backend_table::has_backends(const base::pool_id& pool) const {
+  const auto is_not_draining = [&](const base::backend_id& id) {
+    return !is_draining(backends_.at(id));
+  };
   const auto& members = members_of(pool);
-  return std::any_of(members.own_zone.begin(), members.own_zone.end(), stays) ||
-         std::any_of(members.other_zones.begin(), members.other_zones.end(), stays);
+  return std::any_of(members.own_zone.begin(), members.own_zone.end(), is_not_draining) ||
+         std::any_of(members.other_zones.begin(), members.other_zones.end(), is_not_draining);
 }
 
 void backend_table::call_started(const base::backend_id& id) {
@@ -163,7 +168,7 @@
   if (!service_time) {
     return false;
   }
-  target.connect_backoff = base::duration::zero();
+  target.failure_backoff = base::duration::zero();
   target.average_latency =
       target.samples == 0 ? *service_time : blend(target.average_latency, *service_time);
   ++target.samples;
@@ -171,36 +176,39 @@
 }
 
 bool backend_table::eject_if_slow(backend& target, base::time_point now) {
-  if (target.samples < limits_.ejection_samples) {
+  if (target.samples < limits_.min_ejection_samples) {
     return false;
   }
-  base::duration others{};
-  std::int64_t counted = 0;
-  std::size_t avoided = 0;
+  base::duration latency_sum{};
+  std::int64_t compared_backends = 0;
+  std::size_t avoided_backends = 0;
   const auto& pool = members_of(target.pool);
   const auto& members = target.zone == own_zone_ ? pool.own_zone : pool.other_zones;
   for (const auto& id : members) {
     const auto& other = backends_.at(id);
-    avoided += now < other.avoid_until ? 1 : 0;
-    if (id != target.id && other.samples >= limits_.ejection_samples) {
-      others += other.average_latency;
-      ++counted;
+    avoided_backends += now < other.avoid_until ? 1 : 0;
+    if (id != target.id && other.samples >= limits_.min_ejection_samples) {
+      latency_sum += other.average_latency;
+      ++compared_backends;
     }
   }
-  const auto allowed = limits_.ejection_share * static_cast<double>(members.size());
-  if (counted == 0 || static_cast<double>(avoided + 1) > allowed) {
+  const auto max_avoided_backends =
+      limits_.max_ejected_fraction * static_cast<double>(members.size());
+  if (compared_backends == 0 || static_cast<double>(avoided_backends + 1) > max_avoided_backends) {
     return false;
   }
-  const auto mean = base::to_seconds(others) / static_cast<double>(counted);
-  if (base::to_seconds(target.average_latency) < limits_.ejection_ratio * mean) {
+  const auto mean_latency_seconds =
+      base::to_seconds(latency_sum) / static_cast<double>(compared_backends);
+  if (base::to_seconds(target.average_latency) <
+      limits_.ejection_latency_ratio * mean_latency_seconds) {
     return false;
   }
-  target.avoid_until = now + limits_.ejection_time;
+  target.avoid_until = now + limits_.ejection_duration;
   target.samples = 0;
   return true;
 }
 
-void backend_table::report_load(const base::backend_id& id, std::uint32_t in_flight,
+void backend_table::record_load(const base::backend_id& id, std::uint32_t in_flight,
                                 base::time_point now) {
   const auto found = backends_.find(id);
   if (found != backends_.end()) {
@@ -209,22 +217,22 @@
   }
 }
 
-void backend_table::connect_failed(const base::backend_id& id, base::time_point now) {
+void backend_table::note_call_failure(const base::backend_id& id, base::time_point now) {
   const auto found = backends_.find(id);
   if (found == backends_.end()) {
     return;
   }
   auto& target = found->second;
-  target.connect_backoff = std::clamp(target.connect_backoff * 2, limits_.connect_backoff_first,
-                                      limits_.connect_backoff_longest);
-  target.avoid_until = std::max(target.avoid_until, now + target.connect_backoff);
+  target.failure_backoff = std::clamp(target.failure_backoff * 2, limits_.min_failure_backoff,
+                                      limits_.max_failure_backoff);
+  target.avoid_until = std::max(target.avoid_until, now + target.failure_backoff);
 }
 
-void backend_table::overloaded(const base::backend_id& id, base::time_point now) {
+void backend_table::note_overload(const base::backend_id& id, base::time_point now) {
   const auto found = backends_.find(id);
   if (found != backends_.end()) {
     auto& target = found->second;
-    target.avoid_until = std::max(target.avoid_until, now + limits_.overload_pause);
+    target.avoid_until = std::max(target.avoid_until, now + limits_.overload_backoff);
   }
 }
 
@@ -233,7 +241,7 @@
   return found == backends_.end() ? nullptr : &found->second;
 }
 
-std::optional<base::time_point> backend_table::next_available(const base::pool_id& pool,
+std::optional<base::time_point> backend_table::next_usable_at(const base::pool_id& pool,
                                                               base::time_point now) const {
   std::optional<base::time_point> earliest;
   const auto& members = members_of(pool);
--- a/src/routing/balancing_policy.cc
+++ b/src/routing/balancing_policy.cc
@@ -26,8 +26,8 @@
                           const call_hint& /*hint*/) override {
     const auto start = random_->below(candidates.size());
     const candidate* best = &candidates[start];
-    for (std::size_t step = 1; step < candidates.size(); ++step) {
-      const auto& other = candidates[(start + step) % candidates.size()];
+    for (std::size_t offset = 1; offset < candidates.size(); ++offset) {
+      const auto& other = candidates[(start + offset) % candidates.size()];
       if (other.target->in_flight < best->target->in_flight) {
         best = &other;
       }
@@ -66,8 +66,8 @@
   base::random_source* random_;
 };
 
-/// Expected wait from own calls in flight and latency; a prompt prefix goes to its preferred back
-/// end while that one has a free slot (bounded load: the candidates all have one).
+/// Expected wait from own calls in flight and latency; a prompt prefix goes to its preferred_for
+/// back end while that one has a free slot (bounded load: the candidates all have one).
 class adaptive final : public balancing_policy {
  public:
   explicit adaptive(base::random_source& random) : random_(&random) {}
@@ -75,7 +75,7 @@
   const candidate& choose(const std::vector<candidate>& candidates,
                           const call_hint& hint) override {
     if (hint.affinity != 0) {
-      return preferred(candidates, hint.affinity);
+      return preferred_for(candidates, hint.affinity);
     }
     return better_of_two(candidates, *random_, expected_wait);
   }
@@ -83,13 +83,13 @@
  private:
   static double expected_wait(const candidate& option) {
     const auto& target = *option.target;
-    const double load = (target.in_flight + 1.0) / std::max<std::uint32_t>(1, option.share);
+    const double load = (target.in_flight + 1.0) / std::max<std::uint32_t>(1, option.call_quota);
     const double latency = base::to_seconds(target.average_latency);
     return load * (latency > 0 ? latency : 1e-3);
   }
 
-  static const candidate& preferred(const std::vector<candidate>& candidates,
-                                    std::uint64_t affinity) {
+  static const candidate& preferred_for(const std::vector<candidate>& candidates,
+                                        std::uint64_t affinity) {
     return *std::max_element(candidates.begin(), candidates.end(),
                              [&](const candidate& left, const candidate& right) {
                                return base::stable_hash(left.target->id.text(), affinity) <
--- a/src/routing/balancing_policy.h
+++ b/src/routing/balancing_policy.h
@@ -43,7 +43,7 @@
 std::unique_ptr<balancing_policy> make_policy(policy_kind kind, base::random_source& random);
 
 /// @return whether the policy keeps limits and queues; round robin sends at once.
-constexpr bool keeps_limits(policy_kind kind) {
+constexpr bool enforces_limits(policy_kind kind) {
   return kind != policy_kind::round_robin;
 }
 
--- a/src/routing/latency_estimator.cc
+++ b/src/routing/latency_estimator.cc
@@ -6,28 +6,28 @@
 namespace spurrack::routing {
 namespace {
 
-constexpr double smallest_microseconds = 50.0;
-const double log_growth = std::log(1.1);
+constexpr double first_bucket_microseconds = 50.0;
+const double log_bucket_growth = std::log(1.1);
 
 } // namespace
 
 std::size_t latency_estimator::bucket_of(base::duration sample) {
   const double microseconds = base::to_seconds(sample) * 1e6;
-  if (microseconds <= smallest_microseconds) {
+  if (microseconds <= first_bucket_microseconds) {
     return 0;
   }
-  const auto index = std::log(microseconds / smallest_microseconds) / log_growth;
+  const auto index = std::log(microseconds / first_bucket_microseconds) / log_bucket_growth;
   return std::min(bucket_count - 1, static_cast<std::size_t>(index) + 1);
 }
 
-base::duration latency_estimator::upper_edge(std::size_t bucket) {
+base::duration latency_estimator::upper_bound_of(std::size_t bucket) {
   const double microseconds =
-      smallest_microseconds * std::exp(log_growth * static_cast<double>(bucket));
+      first_bucket_microseconds * std::exp(log_bucket_growth * static_cast<double>(bucket));
   return base::from_seconds(microseconds / 1e6);
 }
 
 void latency_estimator::add(base::duration sample) {
-  if (total_weight_ >= decay_weight) {
+  if (total_weight_ >= halving_weight) {
     constexpr float half = 0.5F;
     for (auto& weight : weights_) {
       weight *= half;
@@ -49,10 +49,10 @@
   for (std::size_t bucket = 0; bucket < bucket_count; ++bucket) {
     remaining -= weights_[bucket];
     if (remaining <= 0) {
-      return upper_edge(bucket);
+      return upper_bound_of(bucket);
     }
   }
-  return upper_edge(bucket_count - 1);
+  return upper_bound_of(bucket_count - 1);
 }
 
 base::duration latency_estimator::mean() const {
--- a/src/routing/latency_estimator.h
+++ b/src/routing/latency_estimator.h
@@ -25,10 +25,10 @@
  private:
   static constexpr std::size_t bucket_count = 160;
   /// Samples after which all counts are halved.
-  static constexpr double decay_weight = 256.0;
+  static constexpr double halving_weight = 256.0;
 
   static std::size_t bucket_of(base::duration sample);
-  static base::duration upper_edge(std::size_t bucket);
+  static base::duration upper_bound_of(std::size_t bucket);
 
   std::array<float, bucket_count> weights_{};
   double total_weight_ = 0;
--- a/tests/admission/scheduling_test.cc
+++ b/tests/admission/scheduling_test.cc
@@ -94,7 +94,7 @@
 BOOST_AUTO_TEST_CASE(retries_are_a_share_of_successes) {
   admission::retry_budget budget;
   int taken = 0;
-  while (budget.take()) {
+  while (budget.try_take()) {
     ++taken;
   }
   BOOST_TEST(taken == 20);
@@ -102,7 +102,7 @@
     budget.add_success();
   }
   taken = 0;
-  while (budget.take()) {
+  while (budget.try_take()) {
     ++taken;
   }
   BOOST_TEST(taken >= 9);
@@ -138,7 +138,7 @@
 BOOST_AUTO_TEST_CASE(unused_parts_of_a_limit_may_be_borrowed_while_reports_are_fresh) {
   auto shared = table(1, 8, 4);
   BOOST_TEST(shared.slots(base::pool_id("p"), start) == 2U);
-  shared.report_load(backend_id("b0"), 1, start);
+  shared.record_load(backend_id("b0"), 1, start);
   BOOST_TEST(shared.slots(base::pool_id("p"), start) == 7U);
   BOOST_TEST(shared.slots(base::pool_id("p"), start + seconds(1)) == 2U);
 }
@@ -163,7 +163,7 @@
   BOOST_TEST(shared.mark_draining(backend_id("b0"), 1));
   BOOST_TEST(!shared.mark_draining(backend_id("b0"), 1));
   BOOST_TEST(shared.candidates(base::pool_id("p"), start, false).empty());
-  BOOST_TEST(!shared.has_pool(base::pool_id("p")));
+  BOOST_TEST(!shared.has_backends(base::pool_id("p")));
   auto again = backends(1, 8);
   auto returned = std::make_shared<model::machine>(*again["b0"]);
   returned->generation = 2;
@@ -178,18 +178,18 @@
   admission::stage_scheduler scheduler({}, shared, random);
   const auto request = plan();
   for (int index = 0; index < 50; ++index) {
-    scheduler.observe(request, 0, milliseconds(100));
+    scheduler.add_service_time(request, 0, milliseconds(100));
   }
   const auto deadline = start + milliseconds(300);
   BOOST_CHECK(!scheduler.check_admission(request, deadline, start));
   for (int index = 0; index < 20; ++index) {
-    scheduler.commit(request);
+    scheduler.add_admitted(request);
   }
   const auto refused = scheduler.check_admission(request, deadline, start);
   BOOST_TEST_REQUIRE(refused.has_value());
   BOOST_TEST(base::to_seconds(refused->retry_after) > 0.3);
   BOOST_TEST(base::to_seconds(refused->retry_after) < 2.0);
-  scheduler.release(request, 0);
+  scheduler.remove_admitted(request, 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
