--- a/src/execution/answer.h
+++ b/src/execution/answer.h
@@ -1,4 +1,4 @@
-/// What a caller asks and what it is told.
+/// Requests of callers and the answers to them.
 #pragma once
 
 #include "base/ids.h"
@@ -13,7 +13,8 @@
 
 namespace spurrack::execution {
 
-/// Why a request was not completed. Names are stable: they are the `code` of the HTTP interface.
+/// Reason for which a request was not completed. The names are stable: clients read them as `code`
+/// in HTTP responses.
 enum class reason : std::uint8_t {
   none,
   unknown_token,
@@ -36,26 +37,28 @@
   caller_gone,
 };
 
-/// @return the stable lower-case name.
+/// @return the stable name, in lower case.
 std::string_view name_of(reason value);
 
-/// A request as a caller sent it; already bounded and parsed, not yet judged.
+/// Request as a caller sent it: parsed and within the size limits, not yet checked against the
+/// catalog.
 struct caller_request {
   /// Lower-case hexadecimal SHA-256 of the bearer token.
   std::string token_sha256;
   base::template_id pipeline;
   std::string input;
-  /// Time from arrival; the template's deadline where absent. Never later than the template's.
+  /// Time from the arrival of the request. The template's deadline applies if this one is absent or
+  /// longer.
   std::optional<base::duration> deadline;
   std::string idempotency_key;
   std::string ticket;
   bool stream = false;
 };
 
-/// What one stage of one request cost.
+/// Cost of one stage of one request.
 struct stage_cost {
   std::string stage;
-  /// Time back ends worked on calls whose result was used.
+  /// Time that back ends worked on calls whose result was used.
   base::duration backend_time{};
   /// Time spent on calls whose result was not used.
   base::duration wasted_time{};
@@ -63,19 +66,19 @@
   std::uint32_t attempts = 0;
 };
 
-/// Result of a stage that the caller is meant to see (`generate` and `call` stages).
+/// Result of a stage that is returned to the caller (`generate` and `call` stages).
 struct stage_output {
   std::string stage;
   std::string text;
 };
 
-/// Final word on a request.
+/// Final answer to a request.
 struct answer {
   model::outcome outcome = model::outcome::not_run;
   reason failure_reason = reason::none;
   base::request_id request;
   std::vector<stage_output> outputs;
-  /// When a caller may try again; zero where that does not help.
+  /// Time after which the caller may send the request again; zero if none is recommended.
   base::duration retry_after{};
   std::vector<stage_cost> costs;
 };
--- a/src/execution/commands.h
+++ b/src/execution/commands.h
@@ -1,4 +1,4 @@
-/// What the execution of requests wants done. Produced by decision logic, carried out by adapters.
+/// Commands that the execution of requests issues and adapters carry out.
 #pragma once
 
 #include "base/ids.h"
@@ -12,36 +12,37 @@
 
 namespace spurrack::execution {
 
-/// A caller connected to this node.
+/// Caller that is connected to this node.
 struct local_caller {
   base::caller_id id = 0;
   auto operator<=>(const local_caller&) const = default;
 };
 
-/// A peer that forwarded a request of its own caller.
+/// Peer that forwarded a request of a caller of its own.
 struct remote_caller {
   base::network_address peer;
   std::uint64_t forward_id = 0;
   auto operator<=>(const remote_caller&) const = default;
 };
 
-/// Who is to be answered.
+/// Caller that waits for an answer.
 using caller_ref = std::variant<local_caller, remote_caller>;
 
+/// Starts a call at a back end.
 struct start_call {
   stage_call call;
 };
-/// Give a call up: close its connection, ignore what still comes.
+/// Cancels a call: the adapter closes its connection and ignores further data of the call.
 struct cancel_call {
   base::call_id call = 0;
 };
-/// Pass a token on to a streaming caller.
+/// Sends one token to a streaming caller.
 struct send_token {
   base::caller_id caller = 0;
   std::uint32_t offset = 0;
   std::string text;
 };
-/// Give a caller its final answer.
+/// Sends the final answer to a caller.
 struct send_answer {
   caller_ref caller;
   answer content;
--- a/src/execution/counters.h
+++ b/src/execution/counters.h
@@ -1,4 +1,4 @@
-/// Counts of one node's executions, for metrics and reports.
+/// Counts of the requests that one node executed or refused, for metrics and reports.
 #pragma once
 
 #include "base/time.h"
@@ -11,24 +11,30 @@
 
 namespace spurrack::execution {
 
-/// Outcome counts and cost of one (tenant, template).
+/// Outcome counts and costs of the requests of one tenant and template.
 struct pipeline_counters {
+  /// Number of answers, indexed by `model::outcome`.
   std::array<std::uint64_t, 4> outcomes{};
+  /// Summed costs by stage name.
   std::map<std::string, stage_cost> stages;
 };
 
-/// What a pipeline's counts are kept by.
+/// Tenant and template by which requests are counted.
 struct pipeline_key {
   base::tenant_id tenant;
   base::template_id pipeline;
   auto operator<=>(const pipeline_key&) const = default;
 };
 
+/// Totals since the node started.
 struct counters {
   std::map<pipeline_key, pipeline_counters> pipelines;
+  /// Number of requests that were not completed, by reason.
   std::map<reason, std::uint64_t> refusals;
   std::uint64_t retries = 0;
+  /// Results of calls that had already ended or been cancelled.
   std::uint64_t late_answers = 0;
+  /// Completed results that echoed the identity of another call or lacked tokens.
   std::uint64_t misdirected_answers = 0;
   std::uint64_t cancelled_calls = 0;
 };
--- a/src/execution/effect_guard.cc
+++ b/src/execution/effect_guard.cc
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr base::duration young_witness_retry_after = std::chrono::seconds(5);
-/// Messages may be lost; questions are repeated, which witnesses and owners recognise.
+/// Queries and forwarded requests are sent again because messages may be lost; witnesses and owners
+/// recognize the duplicates.
 constexpr base::duration resend_interval = std::chrono::milliseconds(100);
 constexpr base::duration no_majority_retry_after = std::chrono::seconds(1);
 
@@ -61,8 +62,8 @@
   } else if (!request.ticket.empty()) {
     submit_with_ticket(std::move(request), now);
   } else {
-    // A witness named this node, but its request gave the key up before it was dispatched. Whether
-    // yet another node ran the key before that is not known here.
+    // A witness named this node as the holder, but this node's request released the key before it
+    // was dispatched. Another node may have run a request with the key earlier.
     refuse(request, {}, model::outcome::unknown, reason::key_in_use, no_majority_retry_after);
   }
 }
@@ -106,7 +107,8 @@
   const bool is_outdated =
       parsed->process_start != self_.process_start || known == nullptr || known->expires_at <= now;
   if (is_outdated && settings_.switches.ticket_binds_process) {
-    // Whether an earlier life, or this one before the record was dropped, ran it is not known.
+    // An earlier incarnation of this process, or this process before its record expired, may have
+    // run the request.
     refuse(guarded, {}, model::outcome::unknown, reason::ticket_expired, {});
     return;
   }
@@ -205,7 +207,7 @@
                      base::network_address(holder->address()), holder->incarnation(), now);
     return;
   }
-  // Without a majority it is not known whether an earlier send of the same key was run elsewhere.
+  // Without a majority, another node may have run an earlier request with the same key.
   if (state == idempotency::acquisition_state::held) {
     refuse(entry.guarded, entry.attached_callers, model::outcome::unknown, reason::key_in_use,
            no_majority_retry_after);
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -1,5 +1,7 @@
-/// Permission for requests that may run at most once: by ticket, by idempotency key with witnesses,
-/// or by forwarding to the node that owns the ticket or key.
+/// Permission to run requests that may run at most once. A request carries a ticket or an
+/// idempotency key. The node that issued the ticket, or whose request acquired the key from a
+/// majority of the key's witnesses, owns the effect and runs it; the other nodes forward their
+/// requests to the owner.
 #pragma once
 
 #include "base/event_log.h"
@@ -25,36 +27,37 @@
 
 namespace spurrack::execution {
 
-/// How long keys and tickets live.
+/// Lifetimes of keys and tickets, and time limits of their checks.
 struct guard_settings {
-  /// Life of an idempotency key; also how long a new witness waits before it grants.
+  /// Lifetime of an idempotency key, and time for which a witness grants no keys after its start.
   base::duration key_lifetime = std::chrono::minutes(10);
-  /// Time within which a ticket must be redeemed.
+  /// Time from its issue within which a ticket must be redeemed.
   base::duration ticket_lifetime = std::chrono::minutes(1);
-  /// How long a replaced node list still counts for witnesses.
+  /// Time after the replacement of a node list during which its witnesses must grant keys too.
   base::duration list_window = std::chrono::minutes(60);
-  /// Longest wait for witnesses.
+  /// Longest time that a request waits for the replies of witnesses.
   base::duration witness_timeout = std::chrono::milliseconds(500);
   base::safety_switches switches;
 };
 
-/// A request that asks for permission.
+/// Request that needs permission to run. Either the key or the ticket is set; if both are, the
+/// ticket counts.
 struct guarded_request {
   admitted_request request;
   std::string idempotency_key;
   std::string ticket;
 };
 
-/// The request may run now.
+/// Decision to run the request at this node.
 struct run_decision {
   admitted_request request;
 };
-/// The caller waits for a request that runs already.
+/// Decision to let the caller wait for the answer of a running request.
 struct attach_decision {
   base::request_id running;
   caller_ref caller;
 };
-/// The caller is answered without running anything here.
+/// Decision to answer the caller without running the request at this node.
 struct answer_decision {
   caller_ref caller;
   answer content;
@@ -62,37 +65,44 @@
 };
 using guard_decision = std::variant<run_decision, attach_decision, answer_decision>;
 
-/// Finds the address of a published node; nothing where it is not listed.
+/// Returns the address of a published node; std::nullopt if the node is not listed.
 using address_lookup = std::function<std::optional<base::network_address>(const base::node_id&)>;
 
-/// Not thread-safe. Decisions and messages gather until they are taken.
+/// Decides which requests may run at this node. Decisions and messages are collected until
+/// `take_decisions` and `take_messages` are called. Not thread-safe.
 class effect_guard {
  public:
   effect_guard(guard_settings settings, membership::identity self, base::random_source& random,
                address_lookup lookup_address, event_recorder record, base::time_point started_at);
 
-  /// Takes over the published node list.
+  /// Replaces the published node list, from which witnesses are chosen.
   void update_node_list(const catalog::machine_map& machines, base::time_point now);
 
-  /// @return text of a new ticket of this node.
+  /// Issues a ticket of this node. @return its text.
   std::string issue_ticket(base::time_point now);
-  /// Asks for permission; the decision may come at once or later.
+  /// Requests permission to run. The decision is made during this call or later.
   void submit(guarded_request request, base::time_point now);
-  /// Like `submit`, for a request that a peer forwarded because this node is the owner; never asks
-  /// witnesses and never forwards again.
+  /// Like `submit`, for a request that a peer forwarded because this node owns its ticket or key.
+  /// Never queries witnesses; a request with a key is never forwarded again.
   void submit_forwarded(guarded_request request, base::time_point now);
-  /// Handles witness and forward messages; other bodies are ignored.
+  /// Processes witness and forwarding messages; ignores all other bodies.
   void handle(const wire::envelope& message, base::time_point now);
-  /// Keeps the answer of an owned request for replay.
+  /// Stores the answer for replay if this node owns the effect of the request.
   void on_answer(const answer& content);
-  /// Drops what has expired and refuses what waited too long.
+  /// Drops expired records, refuses requests whose wait has timed out, and resends messages that
+  /// have not been answered.
   void tick(base::time_point now);
 
+  /// @return time at which `tick` next has to refuse a request or resend a message; std::nullopt if
+  ///         no request is pending.
   [[nodiscard]] std::optional<base::time_point> next_deadline() const;
+  /// @return number of requests that wait for witnesses or for the owner they were forwarded to.
   [[nodiscard]] std::size_t pending() const { return acquiring_.size() + forwarded_.size(); }
+  /// @return whether this node has been up long enough to grant keys as a witness.
   [[nodiscard]] bool may_witness(base::time_point now) const {
     return witness_store_.may_grant(now);
   }
+  /// @return number of keys that this node has recorded as a witness.
   [[nodiscard]] std::size_t witnessed_keys() const { return witness_store_.size(); }
   [[nodiscard]] const guard_settings& settings() const { return settings_; }
 
@@ -100,6 +110,7 @@
   wire::outbox take_messages();
 
  private:
+  /// Request that waits for the witnesses of its key.
   struct acquiring_request {
     guarded_request guarded;
     idempotency::key_acquisition acquisition;
@@ -107,6 +118,7 @@
     base::time_point acquisition_deadline;
     base::time_point resend_at;
   };
+  /// Request that waits for the answer of the node it was forwarded to.
   struct forwarded_entry {
     guarded_request guarded;
     std::vector<caller_ref> attached_callers;
@@ -117,13 +129,16 @@
 
   void submit_with_ticket(guarded_request guarded, base::time_point now);
   void submit_with_key(guarded_request guarded, base::time_point now);
-  /// Joins an effect that this node owns already. One whose answer was `not_run` may run again
-  /// under the same record, which still keeps every other node out.
+  /// Decides on a request whose effect this node already runs or has answered: attaches it to the
+  /// running request or replays the answer. If the answer was `not_run`, the request may run again
+  /// under the same record, which still prevents all other nodes from running it.
   /// @return whether a decision was made.
   bool join_known_effect(const std::string& key, const guarded_request& guarded);
   void query_witnesses(const acquiring_request& acquiring, const std::string& key);
   void on_record_reply(const wire::envelope& message, base::time_point now);
+  /// Runs, forwards or refuses the request if its acquisition has a result.
   void resolve_acquisition(const std::string& key, base::time_point now);
+  /// Sends all witnesses of the key a message that drops this request's record.
   void release_key(const acquiring_request& acquiring);
   void forward_to_owner(guarded_request guarded, std::vector<caller_ref> attached_callers,
                         const base::network_address& owner, base::incarnation owner_incarnation,
@@ -155,7 +170,7 @@
   wire::outbox messages_;
 };
 
-/// Conversions between answers and their wire form.
+/// Converts answers to and from their wire form.
 wire::request_answer to_wire(const answer& content);
 answer from_wire(const wire::request_answer& message);
 
--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -8,9 +8,9 @@
 namespace spurrack::execution {
 namespace {
 
-/// Attempts of one stage that failed at a back end before the request is given up.
+/// Number of broken calls of one stage at which the request is aborted.
 constexpr std::uint32_t max_failures_per_stage = 4;
-/// Bytes of a prompt that identify its prefix for affinity.
+/// Length of the prompt prefix, in bytes, that determines the affinity to a back end.
 constexpr std::size_t affinity_prefix_bytes = 64;
 
 std::uint64_t affinity_of(const model::stage& step, const std::string& input) {
@@ -266,8 +266,8 @@
     abort_request(active, reason::deadline_passed, now);
     return;
   }
-  // A refusal cost the back end next to nothing and goes back to the queue; a failed call counts
-  // against the budget.
+  // Only broken calls take from the retry budget: a refusal costs the back end almost nothing, so
+  // the request is queued again.
   if (status == call_status::broken) {
     ++active.failures;
     if (active.failures >= max_failures_per_stage ||
@@ -336,7 +336,7 @@
       stalled.push_back(id);
     }
   }
-  // The table of requests has no order of its own; runs must repeat.
+  // `active_` is unordered, and simulation runs must be reproducible.
   std::sort(stalled.begin(), stalled.end());
   for (const auto& id : stalled) {
     auto& active = active_.at(id);
--- a/src/execution/plan_resolver.h
+++ b/src/execution/plan_resolver.h
@@ -1,4 +1,4 @@
-/// Judges a caller's request against the catalog: who asks, for what, until when.
+/// Resolves a caller's request against the catalog: tenant, pipeline and deadline.
 #pragma once
 
 #include "catalog/catalog.h"
@@ -10,16 +10,16 @@
 
 namespace spurrack::execution {
 
-/// A request that may go on.
+/// Request whose tenant, template and deadline are valid.
 struct resolved_request {
   std::shared_ptr<const model::pipeline_plan> plan;
   base::time_point deadline;
 };
 
-/// @param arrived_at when the request reached this machine; its deadline counts from then.
-/// @return the plan with the request's deadline, or the reason of a refusal. A caller's deadline
-/// can
-///         only shorten the published one.
+/// @param arrived_at time at which the request reached this machine; its deadline counts from this
+///        time.
+/// @return the plan and the deadline of the request, or the reason for its refusal. A caller's
+///         deadline can only shorten the published deadline.
 std::variant<resolved_request, reason> resolve_request(const catalog::catalog& content,
                                                        const caller_request& request,
                                                        base::time_point arrived_at);
--- a/src/execution/stage_call.h
+++ b/src/execution/stage_call.h
@@ -1,4 +1,4 @@
-/// One call of one stage at one back end: what is sent and what comes back.
+/// Call of one stage at one back end: its request, its tokens and its result.
 #pragma once
 
 #include "base/ids.h"
@@ -10,7 +10,8 @@
 
 namespace spurrack::execution {
 
-/// Names the call a result belongs to. A back end echoes it; results with another one are dropped.
+/// Identity of a call. The back end echoes it; a completed result with another identity counts as
+/// `broken`.
 struct call_identity {
   base::request_id request;
   std::string stage;
@@ -18,7 +19,7 @@
   bool operator==(const call_identity&) const = default;
 };
 
-/// A call to make. The adapter must not write any byte at or after `not_after`, checked on the boot
+/// Call to start. The adapter must not begin to write at or after `not_after`; it checks the boot
 /// clock right before the write.
 struct stage_call {
   base::call_id call = 0;
@@ -31,44 +32,44 @@
   std::string adapter;
   std::string input;
   std::uint32_t max_tokens = 0;
-  /// Tokens of an earlier attempt that need not be sent again.
+  /// Number of tokens received from earlier attempts, which the back end need not send again.
   std::uint32_t resume_offset = 0;
   int priority = 0;
   bool repeatable = true;
   base::time_point not_after;
 };
 
-/// How a call ended.
+/// Way in which a call ended.
 enum class call_status : std::uint8_t {
-  completed,          ///< A whole, well-formed answer.
-  never_sent,         ///< No byte was written: connect failure or expiry before the write.
-  refused_overloaded, ///< The back end says it did not run the call: no room.
-  refused_leaving,    ///< The back end says it did not run the call: it is leaving.
-  rejected,           ///< The back end says the call itself is wrong.
-  broken,             ///< Anything else after the first byte: reset, truncation, bad answer.
+  completed,  ///< The back end returned a complete, well-formed answer.
+  never_sent, ///< No byte was written: connecting failed or the call expired before the write.
+  refused_overloaded, ///< The back end was at capacity and did not run the call.
+  refused_leaving,    ///< The back end is draining and did not run the call.
+  rejected,           ///< The back end reported that the call is invalid.
+  broken, ///< Any other failure after the first byte: reset, truncation, malformed answer.
 };
 
-/// @return a stable name.
+/// @return the stable name.
 std::string_view name_of(call_status value);
 
-/// The end of a call.
+/// Result of a call, completed or not.
 struct call_result {
   base::call_id call = 0;
   call_status status = call_status::broken;
-  /// As echoed by the back end; meaningful for `completed`.
+  /// Identity that the back end echoed; valid only if `status` is `completed`.
   call_identity identity;
   std::string output;
   std::uint32_t tokens = 0;
-  /// Time the back end says it worked.
+  /// Time that the back end worked on the call, as it reported.
   base::duration backend_time{};
-  /// Calls in flight at the back end, as it says; 0 where it does not say.
+  /// Number of calls in flight at the back end, as it reported; 0 if it did not report it.
   std::uint32_t reported_in_flight = 0;
 };
 
 /// One token of a generating call.
 struct call_token {
   base::call_id call = 0;
-  /// Position in the whole generated text, counted from 0 over all attempts.
+  /// Position in the generated text, in tokens from 0 over all attempts.
   std::uint32_t offset = 0;
   std::string text;
 };
