--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -1,21 +1,22 @@
-/// Bounds retries to a share of the successes, so that retries cannot multiply an overload.
+/// Retry budget of a pool: limits retries to a fraction of the successful calls, so that retries
+/// cannot amplify an overload.
 #pragma once
 
 #include <algorithm>
 
 namespace spurrack::admission {
 
-/// Token bucket of one pool: each success adds a part of a token, each retry takes a whole one.
+/// Token bucket of one pool: each success adds a fraction of a token, each retry takes one token.
 class retry_budget {
  public:
-  /// Retries earned by one success.
+  /// Number of retries that one success earns.
   static constexpr double tokens_per_success = 0.1;
-  /// Retries that can be saved up; also the amount at start.
+  /// Capacity of the bucket, which is full at the start.
   static constexpr double max_tokens = 20.0;
 
   void add_success() { tokens_ = std::min(max_tokens, tokens_ + tokens_per_success); }
 
-  /// @return whether a retry is within the budget; takes a token if so.
+  /// Takes one token for a retry. @return false if the budget is exhausted.
   bool try_take() {
     if (tokens_ < 1.0) {
       return false;
--- a/src/admission/stage_queue.h
+++ b/src/admission/stage_queue.h
@@ -1,5 +1,5 @@
-/// Requests of one node that wait for a back end of one pool: weighted-fair between tenants
-/// (start-time fair queueing), earliest deadline first within a tenant.
+/// Queue of the requests of one node that wait for a back end of one pool: weighted-fair between
+/// tenants (start-time fair queueing), earliest deadline first within a tenant.
 #pragma once
 
 #include "base/ids.h"
@@ -12,11 +12,11 @@
 
 namespace spurrack::admission {
 
-/// A waiting request.
+/// Waiting request.
 struct queue_entry {
   base::request_id request;
   base::tenant_id tenant;
-  /// Share relative to other tenants; positive.
+  /// Weight of the tenant relative to other tenants; positive.
   double weight = 1;
   base::time_point deadline;
 };
@@ -25,16 +25,17 @@
 class stage_queue {
  public:
   void push(const queue_entry& entry);
-  /// @return the next request to dispatch, removed; nothing where the queue is empty.
+  /// Removes the next request to dispatch. @return the request; std::nullopt if the queue is empty.
   std::optional<queue_entry> pop();
-  /// Removes a request wherever it waits. @return whether it was there.
+  /// Removes a request from any position; tenant, deadline and id must match. @return whether it
+  /// was queued.
   bool remove(const queue_entry& entry);
 
   [[nodiscard]] std::size_t size() const { return size_; }
   [[nodiscard]] bool empty() const { return size_ == 0; }
-  /// @return how many waiting requests would be served before one of this tenant and deadline, as
-  /// far
-  ///         as can be told: its own tenant's earlier deadlines and the others' fair part.
+  /// @return estimated number of waiting requests that would be served before this one: requests of
+  ///         its tenant with an earlier deadline, and the requests of other tenants that fair
+  ///         queueing serves meanwhile.
   [[nodiscard]] double requests_ahead_of(const queue_entry& entry) const;
 
  private:
@@ -46,7 +47,7 @@
   };
   struct tenant_queue {
     std::set<queue_entry, by_deadline> waiting;
-    /// Virtual time at which this tenant's next request starts.
+    /// Virtual time at which the next request of this tenant starts.
     double virtual_start = 0;
     double weight = 1;
   };
--- a/src/admission/stage_scheduler.cc
+++ b/src/admission/stage_scheduler.cc
@@ -6,9 +6,10 @@
 namespace spurrack::admission {
 namespace {
 
-/// Quantile of the service time that a prediction counts with.
+/// Quantile of the service time that predictions use.
 constexpr double predicted_quantile = 0.9;
-/// A call without progress for longer than almost all calls take is taken for lost.
+/// A call counts as stalled if it makes no progress for longer than almost all calls take:
+/// `stall_factor` times the `stall_quantile` of the service time.
 constexpr double stall_quantile = 0.99;
 constexpr double stall_factor = 1.6;
 constexpr std::uint64_t min_stall_samples = 50;
@@ -16,7 +17,7 @@
 constexpr base::duration min_retry_after = std::chrono::milliseconds(50);
 constexpr base::duration no_backend_retry_after = std::chrono::seconds(1);
 
-/// Weight of a request in the fair queue: its tenant's weight, scaled by its priority.
+/// Returns the weight of a request in the fair queue: the tenant's weight scaled by the priority.
 double queue_weight(const model::pipeline_plan& plan) {
   constexpr double neutral_priority = 5.0;
   return plan.weight * (1.0 + plan.priority) / (1.0 + neutral_priority);
@@ -49,8 +50,8 @@
   double ahead = own_count;
   for (const auto& [tenant, count] : state.admitted) {
     if (tenant != plan.tenant) {
-      // With fair queueing the others get at most their part while this tenant's work is served;
-      // equal weights are assumed, the queue itself applies the real ones.
+      // With fair queueing each other tenant is served at most as often as this tenant. Equal
+      // weights are assumed here; the queue applies the real weights.
       ahead += std::min<double>(count, own_count + 1);
     }
   }
@@ -85,7 +86,7 @@
   if (!settings_.predict) {
     return std::nullopt;
   }
-  // Waits of several stages overlap in time: the longest one counts.
+  // The waits of several stages overlap in time, so only the longest wait counts.
   const auto finish = now + wait + expected_service_time(plan, 0);
   if (finish <= deadline) {
     return std::nullopt;
--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -1,5 +1,5 @@
-/// Admission and dispatch of stage calls at one node: predicts whether a request can finish in
-/// time, keeps the queues, and chooses the back end of the take_next call.
+/// Admission and dispatch of stage calls at one node: predicts whether a request can meet its
+/// deadline, queues waiting requests, and chooses the back end of the next call.
 #pragma once
 
 #include "admission/retry_budget.h"
@@ -19,62 +19,72 @@
 
 namespace spurrack::admission {
 
-/// What operators set.
+/// Settings of operators.
 struct scheduling_settings {
   routing::policy_kind policy = routing::policy_kind::adaptive;
-  /// Whether requests that cannot finish in time are refused at once.
+  /// Whether requests that are expected to miss their deadline are refused at once.
   bool predict = true;
 };
 
-/// Why a request is not admitted and when to come back.
+/// Refusal of a request.
 struct refusal {
+  /// A pool of the plan has no back end; otherwise the request is expected to miss its deadline.
   bool no_backend = false;
+  /// Time after which the caller may send the request again.
   base::duration retry_after{};
 };
 
-/// A call that may be made now.
+/// Request whose call may be started now, and the back end chosen for it.
 struct dispatch_choice {
   base::request_id request;
   base::backend_id backend;
 };
 
-/// Not thread-safe.
+/// Schedules the stage calls of one node. Not thread-safe.
 class stage_scheduler {
  public:
-  /// @param backends and random must outlive this object.
+  /// @param backends must outlive this object.
+  /// @param random must outlive this object.
   stage_scheduler(scheduling_settings settings, routing::backend_table& backends,
                   base::random_source& random);
 
-  /// Judges a new request. An admitted one must be reported with `commit` and, stage by stage,
-  /// `note_stage_completed`.
+  /// Checks whether a new request can be admitted. The caller must report an admitted request with
+  /// `add_admitted`, and each stage that it completes with `note_stage_completed`.
+  /// @return std::nullopt if the request can be admitted.
   [[nodiscard]] std::optional<refusal> check_admission(const model::pipeline_plan& plan,
                                                        base::time_point deadline,
                                                        base::time_point now) const;
-  /// Counts the work of a plan from a stage on as admitted, or takes it back.
+  /// Counts all stages of a plan as admitted work of their pools.
   void add_admitted(const model::pipeline_plan& plan);
+  /// Removes the stages from `from_stage` on from the admitted work.
   void remove_admitted(const model::pipeline_plan& plan, std::size_t from_stage);
+  /// Removes one completed stage from the admitted work.
   void note_stage_completed(const model::pipeline_plan& plan, std::size_t stage);
 
+  /// @param affinity see `routing::call_hint`.
   void enqueue(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
                base::time_point deadline, std::uint64_t affinity);
   void remove(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
               base::time_point deadline);
-  /// @return the take_next call that can be made in any pool; the request leaves its queue.
+  /// Removes from its queue the next request, of any pool, whose call can be started now.
+  /// @return the request and its back end; std::nullopt if no call can be started.
   std::optional<dispatch_choice> take_next(base::time_point now);
-  /// @return when a paused back end may free a waiting request; nothing where none waits for that.
+  /// @return earliest time at which a backoff or ejection ends in a pool with waiting requests;
+  ///         std::nullopt if there is none.
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
-  /// Adds a measured service time.
+  /// Records the service time of a completed call.
   void add_service_time(const model::pipeline_plan& plan, std::size_t stage,
                         base::duration service_time);
-  /// @return expected time of the stages from `from_stage` on, without waiting.
+  /// @return expected service time of the stages from `from_stage` on, without queueing.
   [[nodiscard]] base::duration expected_service_time(const model::pipeline_plan& plan,
                                                      std::size_t from_stage) const;
-  /// @return how long a repeatable call may go without progress before it is given up and made
-  ///         elsewhere; nothing while too little is known of the stage.
+  /// @return time without progress after which a repeatable call is cancelled and retried;
+  ///         std::nullopt if there are too few samples of the stage.
   [[nodiscard]] std::optional<base::duration> stall_timeout(const model::pipeline_plan& plan,
                                                             std::size_t stage) const;
   retry_budget& retry_budget_of(const base::pool_id& pool) { return pools_[pool].retries; }
+  /// @return number of waiting requests in all pools.
   [[nodiscard]] std::size_t waiting() const;
   [[nodiscard]] const scheduling_settings& settings() const { return settings_; }
 
@@ -83,12 +93,12 @@
     stage_queue queue;
     retry_budget retries;
     std::map<base::request_id, std::uint64_t> affinities;
-    /// Admitted requests that still have to finish a stage in this pool, by tenant.
+    /// Number of admitted stages that have not completed in this pool, by tenant.
     std::map<base::tenant_id, std::uint32_t> admitted;
     routing::latency_estimator service_time;
     std::unique_ptr<routing::balancing_policy> policy;
   };
-  /// What decides how long a stage takes; tenants with the same model share one estimate.
+  /// Key of the service time estimates. Tenants that use the same model share one estimate.
   struct stage_key {
     base::template_id pipeline;
     std::string stage;
@@ -99,6 +109,7 @@
   pool_state& pool(const base::pool_id& name);
   static queue_entry make_entry(const model::pipeline_plan& plan, const base::request_id& request,
                                 base::time_point deadline);
+  /// @return estimated number of admitted stages that a pool serves before one of this plan.
   [[nodiscard]] double admitted_ahead(const pool_state& state,
                                       const model::pipeline_plan& plan) const;
   [[nodiscard]] base::duration expected_wait(const base::pool_id& name,
--- a/src/idempotency/effect_registry.h
+++ b/src/idempotency/effect_registry.h
@@ -1,5 +1,5 @@
-/// What this node knows of the requests it owns by a ticket or an idempotency key: issued, running
-/// or answered. Kept in memory until the key's life ends.
+/// State of the requests that this node owns by a ticket or an idempotency key. Kept in memory
+/// until the lifetime of the ticket or key ends.
 #pragma once
 
 #include "base/ids.h"
@@ -13,11 +13,15 @@
 
 namespace spurrack::idempotency {
 
-/// Where an effect stands at its owner.
-enum class effect_state : std::uint8_t { issued, running, answered };
+/// State of an effect at its owner.
+enum class effect_state : std::uint8_t {
+  issued,  ///< The ticket was issued and has not been redeemed.
+  running, ///< A request runs the effect.
+  answered ///< The request was answered.
+};
 
-/// Not thread-safe.
-/// @tparam answer_type final answer kept for replay.
+/// Registry of the effects that this node owns. Not thread-safe.
+/// @tparam answer_type final answer that is stored for replay.
 template <typename answer_type>
 class effect_registry {
  public:
@@ -25,23 +29,23 @@
     effect_state state = effect_state::issued;
     base::request_id request;
     base::time_point expires_at;
-    /// Set once answered.
+    /// Set if the state is `answered`.
     std::shared_ptr<const answer_type> answer;
   };
 
-  /// Adds a ticket that nobody has redeemed yet.
+  /// Adds a new ticket, which no request has redeemed.
   void add_ticket(const std::string& key, base::time_point expires_at) {
     records_[key] = {effect_state::issued, {}, expires_at, nullptr};
   }
 
-  /// Marks an effect as running under a request, until at least `expires_at`.
+  /// Marks an effect as running under a request. The record is kept at least until `expires_at`.
   void mark_running(const std::string& key, const base::request_id& request,
                     base::time_point expires_at) {
     records_[key] = {effect_state::running, request, expires_at, nullptr};
     keys_by_request_[request] = key;
   }
 
-  /// Keeps the answer of a request for replay; ignored for requests that own no effect.
+  /// Stores the answer of a request for replay. Does nothing if the request owns no effect.
   void record_answer(const base::request_id& request, const answer_type& content) {
     const auto found = keys_by_request_.find(request);
     if (found == keys_by_request_.end()) {
@@ -52,13 +56,13 @@
     entry.answer = std::make_shared<const answer_type>(content);
   }
 
-  /// @return the record; null where there is none.
+  /// @return the record of a key; nullptr if there is none.
   [[nodiscard]] const record* find(const std::string& key) const {
     const auto found = records_.find(key);
     return found == records_.end() ? nullptr : &found->second;
   }
 
-  /// Drops records whose life has is_expired; running ones stay.
+  /// Drops expired records, except those of running effects.
   void expire(base::time_point now) {
     std::erase_if(records_, [&](const auto& entry) {
       const bool is_expired =
--- a/src/idempotency/key_acquisition.h
+++ b/src/idempotency/key_acquisition.h
@@ -1,4 +1,5 @@
-/// Asker side of at-most-once: one key on its way to a majority of its witnesses.
+/// Requester side of at-most-once execution: acquisition of one idempotency key from a majority of
+/// its witnesses.
 #pragma once
 
 #include "base/ids.h"
@@ -14,33 +15,41 @@
 
 namespace spurrack::idempotency {
 
+/// Progress of an acquisition.
 enum class acquisition_state : std::uint8_t {
   pending,  ///< More replies are needed.
-  acquired, ///< A majority of every set granted.
-  held,     ///< Another request holds the key; see `holder`.
-  refused,  ///< No majority can be had now.
+  acquired, ///< A majority of every witness set granted the key.
+  held,     ///< Another request holds the key: see `holder`.
+  refused,  ///< A majority can no longer be reached.
 };
 
-/// Not thread-safe. Once `acquired` or refused the state does not change.
+/// Counts the replies of witnesses. The state does not change once it is no longer `pending`. Not
+/// thread-safe.
 class key_acquisition {
  public:
+  /// @param sets witnesses of the key under each node list that counts; without any, the key is
+  ///        refused.
   key_acquisition(std::string key, std::vector<witness_set> sets);
 
-  /// @return every witness to ask, each once.
+  /// @return the witnesses of all sets, each once.
   [[nodiscard]] std::vector<base::node_id> witnesses() const;
-  /// @return the witnesses that have not answered yet.
+  /// @return the witnesses that have not replied.
   [[nodiscard]] std::vector<base::node_id> unanswered_witnesses() const;
-  /// Accounts for a reply. @return the state after it.
+  /// Records the reply of a witness. @return the resulting state.
   acquisition_state on_reply(const base::node_id& witness, const wire::record_key_reply& reply);
 
   [[nodiscard]] acquisition_state state() const { return state_; }
+  /// @return the request that holds the key according to a witness; std::nullopt if no witness
+  ///         named a holder.
   [[nodiscard]] const std::optional<wire::key_owner>& holder() const { return holder_; }
   [[nodiscard]] const std::string& key() const { return key_; }
-  /// @return whether some witness was too young to grant; waiting helps then.
+  /// @return whether a witness refused because it started too recently; a later attempt may succeed
+  ///         then.
   [[nodiscard]] bool has_young_witness() const { return has_young_witness_; }
 
  private:
   [[nodiscard]] bool has_all_majorities() const;
+  /// @return whether the refusals leave some set without a possible majority.
   [[nodiscard]] bool is_any_majority_lost() const;
   static std::size_t count_members_in(const witness_set& group,
                                       const std::set<base::node_id>& nodes);
--- a/src/idempotency/ticket.h
+++ b/src/idempotency/ticket.h
@@ -1,6 +1,6 @@
-/// Tickets: permission to run one request once, bound to one life of one node. The ticket/redeem
-/// split follows brokered leases (Irwin et al., USENIX 2006): the issuer alone redeems, so no
-/// agreement between nodes is needed and it holds in every partition.
+/// Tickets: permission to run one request once, bound to one incarnation of one node. Separate
+/// issue and redemption follow brokered leases (Irwin et al., USENIX 2006): only the issuer redeems
+/// a ticket, so that nodes need not agree and the guarantee holds under every partition.
 #pragma once
 
 #include "base/ids.h"
@@ -13,15 +13,17 @@
 
 namespace spurrack::idempotency {
 
-/// What a ticket says. Its text form is given to callers, who treat it as opaque.
+/// Content of a ticket. Callers receive its text form, which is opaque to them.
 struct ticket {
+  /// Node that issued the ticket.
   base::node_id node;
+  /// Incarnation of that node.
   base::incarnation process_start = 0;
   std::uint64_t nonce = 0;
 
-  /// @return `node~process_start~nonce`, numbers in hexadecimal.
+  /// @return `node~process_start~nonce`, with the numbers in hexadecimal.
   [[nodiscard]] std::string text() const;
-  /// @return nothing where the text is not a ticket.
+  /// @return the ticket; std::nullopt if the text is not a ticket.
   static std::optional<ticket> parse(const std::string& text);
 };
 
--- a/src/idempotency/witness_lists.h
+++ b/src/idempotency/witness_lists.h
@@ -1,5 +1,5 @@
-/// The published node lists among which witnesses are chosen: the current one, and those replaced
-/// within the reconfiguration window, since records may still stand with their witnesses.
+/// Published node lists from which witnesses are chosen: the current list, and the lists that were
+/// replaced within the reconfiguration window, because their witnesses may still hold records.
 #pragma once
 
 #include "base/ids.h"
@@ -13,31 +13,30 @@
 
 namespace spurrack::idempotency {
 
-/// Witnesses of one key under one list.
+/// Witnesses of one key under one node list.
 struct witness_set {
   std::vector<base::node_id> witnesses;
-  /// How many must grant.
+  /// @return number of witnesses that must grant the key.
   [[nodiscard]] std::size_t majority() const { return witnesses.size() / 2 + 1; }
 };
 
-/// Not thread-safe.
+/// Chooses the witnesses of keys. Not thread-safe.
 class witness_lists {
  public:
-  /// Witnesses of one key; a majority of them must grant.
+  /// Number of witnesses of one key under one list; a majority of them must grant the key.
   static constexpr std::size_t witnesses_per_key = 5;
 
-  /// @param window how long a replaced list still counts.
+  /// @param window time after its replacement during which a list still counts.
   explicit witness_lists(base::duration window) : window_(window) {}
 
-  /// Takes over the published list, where it differs from the current one.
+  /// Replaces the current list if the published list differs from it and is not empty.
   void update(const catalog::machine_map& machines, base::time_point now);
 
-  /// @return hash of the current list; 0 where none is known.
+  /// @return hash of the current list; 0 if there is none.
   [[nodiscard]] std::uint64_t current_hash() const { return current_.hash; }
 
-  /// @return the witnesses of a key under each list that counts; equal sets once. Empty where no
-  /// list
-  ///         is known.
+  /// @return the witnesses of a key under each list that counts, equal sets only once; empty if no
+  ///         list is known.
   [[nodiscard]] std::vector<witness_set> sets_for(const std::string& key, base::time_point now);
 
  private:
--- a/src/idempotency/witness_store.h
+++ b/src/idempotency/witness_store.h
@@ -1,6 +1,6 @@
-/// Witness side of at-most-once: records which request owns an idempotency key, in memory, until
-/// the key's life ends. A restarted witness has forgotten, so it grants nothing for the longest key
-/// life.
+/// Witness side of at-most-once execution: records which request owns an idempotency key, in
+/// memory, until the lifetime of the key ends. A restarted witness has lost its records, so it
+/// grants no key for the longest lifetime of a key.
 #pragma once
 
 #include "base/ids.h"
@@ -13,23 +13,27 @@
 
 namespace spurrack::idempotency {
 
-/// Not thread-safe.
+/// Grants keys to requests and stores the grants. Not thread-safe.
 class witness_store {
  public:
-  /// @param started_at when this process began.
-  /// @param max_key_lifetime no key lives longer; a younger witness refuses.
+  /// @param started_at time at which this process started.
+  /// @param max_key_lifetime longest lifetime of a key; no key is granted for this time after
+  ///        `started_at`.
   witness_store(base::time_point started_at, base::duration max_key_lifetime)
       : started_at_(started_at), max_key_lifetime_(max_key_lifetime) {}
 
-  /// @param own_list_hash hash of the node list this witness knows.
-  /// @return the verdict, with the holder where another one holds the key.
+  /// Grants a key if it is free or held by the same request, this witness has been up long enough,
+  /// and both nodes know the same node list.
+  /// @param own_list_hash hash of this witness's node list.
+  /// @return the verdict, with the holder if another request holds the key.
   wire::record_key_reply record(const wire::record_key& query, std::uint64_t own_list_hash,
                                 base::time_point now);
-  /// Drops a record of an owner that never dispatched.
+  /// Drops the record of an owner that gave the key back without dispatching its request.
   void release(const wire::key_release& message);
-  /// Drops records whose life has ended.
+  /// Drops expired records.
   void expire(base::time_point now);
 
+  /// @return number of recorded keys.
   [[nodiscard]] std::size_t size() const { return records_.size(); }
   /// @return whether this witness has been up long enough to grant records.
   [[nodiscard]] bool may_grant(base::time_point now) const {
--- a/src/routing/backend_table.cc
+++ b/src/routing/backend_table.cc
@@ -7,8 +7,9 @@
 namespace spurrack::routing {
 namespace {
 
+/// Weight of the latest sample in the moving average of the latency.
 constexpr double latency_smoothing = 0.2;
-/// Calls one node may send to each back end of another zone.
+/// Number of calls that one node may have in flight at each back end of another zone.
 constexpr std::uint32_t other_zone_call_quota = 1;
 
 base::duration blend(base::duration old_value, base::duration sample) {
@@ -78,7 +79,7 @@
   if (now - target.reported_at > limits_.load_report_lifetime) {
     return fair_quota;
   }
-  // The others leave room: the part of the limit that they do not use may be borrowed.
+  // This node may also use the part of the limit that the other nodes leave unused.
   const auto in_flight_from_other_nodes = target.reported_in_flight > target.in_flight
                                               ? target.reported_in_flight - target.in_flight
                                               : 0;
--- a/src/routing/backend_table.h
+++ b/src/routing/backend_table.h
@@ -1,5 +1,5 @@
-/// What one node knows of the back ends: the published list, leave notices, its own calls in
-/// flight, failures and latencies. Decides which back ends may get a call now.
+/// Back ends as one node sees them: the published list, drain notices, the node's own calls in
+/// flight, failures and latencies. Determines which back ends can be sent a call now.
 #pragma once
 
 #include "base/ids.h"
@@ -15,107 +15,131 @@
 
 namespace spurrack::routing {
 
-/// One back end as this node sees it.
+/// Published record and observations of one back end.
 struct backend {
   base::backend_id id;
   base::zone_id zone;
   base::network_address address;
   base::pool_id pool;
+  /// Largest number of calls in flight, over all nodes.
   std::uint32_t concurrency = 1;
   std::uint64_t generation = 0;
+  /// The published state is `leaving`.
   bool is_listed_as_draining = false;
-  /// Calls of this node that are under way.
+  /// Number of calls of this node in flight.
   std::uint32_t in_flight = 0;
-  /// No calls before this time: connection failures, overload answers or ejection.
+  /// Time before which no calls are sent, because of failed calls, overload answers or ejection.
   base::time_point avoid_until;
+  /// Latest backoff after a failed call; zero after a completed call.
   base::duration failure_backoff{};
   /// Moving average of the service time; zero before the first sample.
   base::duration average_latency{};
+  /// Number of samples since the last ejection.
   std::uint64_t samples = 0;
-  /// Calls in flight at the back end from all nodes, as its last answer said, and when.
+  /// Number of calls in flight from all nodes, as the back end last reported, and time of the
+  /// report.
   std::uint32_t reported_in_flight = 0;
   base::time_point reported_at;
 };
 
-/// A back end that may get a call, with this node's share of its limit.
+/// Back end that can be sent a call, with the number of calls that this node may have in flight at
+/// it.
 struct candidate {
   const backend* target = nullptr;
   std::uint32_t call_quota = 1;
 };
 
-/// Limits and thresholds. Durations of the boot clock.
+/// Limits and thresholds. Durations are measured by the boot clock.
 struct routing_limits {
   base::duration overload_backoff = std::chrono::milliseconds(20);
   base::duration min_failure_backoff = std::chrono::milliseconds(100);
   base::duration max_failure_backoff = std::chrono::seconds(5);
   base::duration ejection_duration = std::chrono::seconds(3);
-  /// A back end slower than this multiple of its pool's mean is ejected.
+  /// A back end is ejected if its latency is at least this multiple of the mean of the other back
+  /// ends of its pool.
   double ejection_latency_ratio = 3.0;
+  /// Number of samples that a back end needs to be ejected, or compared with.
   std::uint64_t min_ejection_samples = 8;
-  /// At most this share of a pool is ejected at a time.
+  /// Largest fraction of a pool that may be ejected or backing off; at this fraction no further
+  /// back end is ejected.
   double max_ejected_fraction = 0.34;
-  /// Reports of load older than this are not used to exceed the own share.
+  /// Age up to which a load report lets this node exceed its fair part of a back end's limit.
   base::duration load_report_lifetime = std::chrono::milliseconds(200);
   base::safety_switches switches;
 };
 
-/// Not thread-safe. Pointers to back ends are valid until the next `update`.
+/// Table of the back ends. Pointers to back ends are valid until the next `update`. Not
+/// thread-safe.
 class backend_table {
  public:
   explicit backend_table(base::zone_id own_zone, routing_limits limits = {})
       : own_zone_(std::move(own_zone)), limits_(limits) {}
 
-  /// Takes over the published list. Calls in flight to a back end that left it are still counted.
+  /// Applies the published list. Calls in flight at a back end that is no longer listed are still
+  /// counted.
   void update(const catalog::machine_map& machines);
 
-  /// Takes note that a back end leaves at `generation` or before.
-  /// @return whether that was news.
+  /// Records that a back end drains at every published generation up to `generation`.
+  /// @return false if this was already known.
   bool mark_draining(const base::backend_id& id, std::uint64_t generation);
   [[nodiscard]] bool is_draining(const backend& target) const;
+  /// @return the drain notices: for each back end the latest generation at which it drains. States
+  ///         of the published list are not included.
   [[nodiscard]] const std::map<base::backend_id, std::uint64_t>& drain_notices() const {
     return draining_generations_;
   }
 
-  /// @param sharing_nodes how many nodes share the limits of this zone's back ends.
-  /// @param own_rank rank of this node among them, for the remainder of the division.
+  /// Divides the limits of this zone's back ends among the nodes of the zone.
+  /// @param sharing_nodes number of nodes that share the limits, including this node.
+  /// @param own_rank rank of this node among them; the first ranks get the remainder of the
+  ///        division.
   void set_sharing_nodes(std::uint32_t sharing_nodes, std::uint32_t own_rank);
 
-  /// @return back ends of the own zone with a free slot or, where there is none, of other zones.
-  /// @param ignore_limits also those whose share is used up (policies without admission).
+  /// @param ignore_limits includes back ends whose call quota is used up (policies without
+  ///        admission).
+  /// @return back ends of this zone with a free slot; if there are none, those of other zones.
   [[nodiscard]] std::vector<candidate> candidates(const base::pool_id& pool, base::time_point now,
                                                   bool ignore_limits) const;
-  /// @return calls this node may have under way in the pool, over the zone's usable back ends.
+  /// @return number of calls that this node may have in flight in the pool: at the back ends of its
+  ///         zone that do not drain, or in other zones if its zone has no such back end.
   [[nodiscard]] std::uint32_t slots(const base::pool_id& pool, base::time_point now) const;
-  /// @return whether any back end of the pool is usable, now or after a pause.
+  /// @return whether the pool has a back end that does not drain, including back ends that are
+  ///         backing off or ejected.
   [[nodiscard]] bool has_backends(const base::pool_id& pool) const;
 
   void call_started(const base::backend_id& id);
-  /// @param service_time time the call took; nothing where it did not run to its end.
+  /// @param service_time duration of the call; std::nullopt if it did not complete.
   /// @return whether the back end was ejected for being slow.
   bool call_ended(const base::backend_id& id, std::optional<base::duration> service_time,
                   base::time_point now);
+  /// Records the number of calls in flight that a back end reported.
   void record_load(const base::backend_id& id, std::uint32_t in_flight, base::time_point now);
+  /// Starts or doubles the backoff of a back end at which a call broke or could not be sent.
   void note_call_failure(const base::backend_id& id, base::time_point now);
+  /// Starts the backoff of a back end that refused a call because of overload.
   void note_overload(const base::backend_id& id, base::time_point now);
 
   [[nodiscard]] const backend* find(const base::backend_id& id) const;
   [[nodiscard]] const std::map<base::backend_id, backend>& all() const { return backends_; }
-  /// @return earliest time at which a paused back end of the pool may be used again.
+  /// @return earliest time at which a back end of the pool ends its backoff or ejection;
+  ///         std::nullopt if there is none.
   [[nodiscard]] std::optional<base::time_point> next_usable_at(const base::pool_id& pool,
                                                                base::time_point now) const;
 
  private:
-  /// Back ends of one pool. The two lists are apart since a node looks at the other zones'
-  /// thousands only where its own zone has nothing.
+  /// Back ends of one pool. The two lists are separate because a node visits the thousands of back
+  /// ends of other zones only if its own zone has no candidate.
   struct pool_members {
     std::vector<base::backend_id> own_zone;
     std::vector<base::backend_id> other_zones;
   };
 
+  /// @return number of calls that this node may have in flight at a back end.
   [[nodiscard]] std::uint32_t call_quota_of(const backend& target, base::time_point now) const;
   [[nodiscard]] bool is_usable(const backend& target, base::time_point now) const;
+  /// Ejects a back end that is much slower than its pool. @return whether it was ejected.
   bool eject_if_slow(backend& target, base::time_point now);
-  /// @return the usable members of a list that have a free slot.
+  /// @return the usable back ends of a list that have a free slot.
   [[nodiscard]] std::vector<candidate>
   members_with_free_slot(const std::vector<base::backend_id>& members, base::time_point now,
                          bool ignore_limits) const;
--- a/src/routing/balancing_policy.cc
+++ b/src/routing/balancing_policy.cc
@@ -39,7 +39,7 @@
   base::random_source* random_;
 };
 
-/// Chooses two different candidates at random and keeps the one with the lower cost.
+/// Draws two different candidates at random and returns the candidate with the lower cost.
 template <typename cost_function>
 const candidate& better_of_two(const std::vector<candidate>& candidates,
                                base::random_source& random, cost_function cost) {
@@ -66,8 +66,9 @@
   base::random_source* random_;
 };
 
-/// Expected wait from own calls in flight and latency; a prompt prefix goes to its preferred_for
-/// back end while that one has a free slot (bounded load: the candidates all have one).
+/// Chooses by the expected wait, computed from the calls of this node in flight and the latency.
+/// Calls with a prompt prefix go to the preferred back end of the prefix as long as it has a free
+/// slot (bounded load: every candidate has a free slot).
 class adaptive final : public balancing_policy {
  public:
   explicit adaptive(base::random_source& random) : random_(&random) {}
--- a/src/routing/balancing_policy.h
+++ b/src/routing/balancing_policy.h
@@ -1,5 +1,5 @@
-/// Which of several usable back ends gets a call. Baselines stand beside the default so that they
-/// are compared in the same run.
+/// Policies that choose one of several usable back ends for a call. The simple policies exist
+/// beside the default as baselines, so that they can be compared with it in the same run.
 #pragma once
 
 #include "base/random.h"
@@ -12,20 +12,21 @@
 
 namespace spurrack::routing {
 
+/// Kinds of policies. The names are values of the setting `policy`.
 enum class policy_kind : std::uint8_t {
-  round_robin,     ///< In turn; no limits, no admission.
-  least_in_flight, ///< Fewest own calls in flight; limits hold.
-  power_of_two,    ///< Better of two random ones by own calls in flight; limits hold.
-  adaptive,        ///< Better of two random ones by expected wait, with prefix affinity.
+  round_robin,     ///< Back ends in turn; without limits and admission.
+  least_in_flight, ///< Fewest calls of this node in flight; enforces limits.
+  power_of_two,    ///< Of two random back ends, fewer calls of this node; enforces limits.
+  adaptive,        ///< Of two random back ends, shorter expected wait; limits, prefix affinity.
 };
 
-/// Facts of the call that a policy may use.
+/// Properties of the call that a policy may use.
 struct call_hint {
-  /// Stable hash of the prompt prefix; 0 where affinity does not matter.
+  /// Stable hash of the prompt prefix; 0 if the call has no affinity.
   std::uint64_t affinity = 0;
 };
 
-/// Chooser among candidates. Not thread-safe.
+/// Chooses among candidates. Not thread-safe.
 class balancing_policy {
  public:
   balancing_policy() = default;
@@ -34,7 +35,7 @@
   virtual ~balancing_policy() = default;
 
   /// @param candidates at least one.
-  /// @return the chosen one of `candidates`.
+  /// @return the chosen element of `candidates`.
   virtual const candidate& choose(const std::vector<candidate>& candidates,
                                   const call_hint& hint) = 0;
 };
@@ -42,12 +43,13 @@
 /// @param random must outlive the policy.
 std::unique_ptr<balancing_policy> make_policy(policy_kind kind, base::random_source& random);
 
-/// @return whether the policy keeps limits and queues; round robin sends at once.
+/// @return whether calls wait in a queue while all back ends are at their limit; round robin starts
+///         them at once.
 constexpr bool enforces_limits(policy_kind kind) {
   return kind != policy_kind::round_robin;
 }
 
-/// @return the name used in settings.
+/// @return the name that settings use.
 std::string_view name_of(policy_kind kind);
 
 } // namespace spurrack::routing
--- a/src/routing/latency_estimator.h
+++ b/src/routing/latency_estimator.h
@@ -1,5 +1,5 @@
-/// Running distribution of a duration: logarithmic buckets whose counts decay, so that quantiles
-/// follow a change within a few hundred samples at constant memory.
+/// Running distribution of a duration: a histogram with logarithmic buckets whose weights decay, so
+/// that quantiles follow a change within a few hundred samples. Uses constant memory.
 #pragma once
 
 #include "base/time.h"
@@ -10,21 +10,23 @@
 
 namespace spurrack::routing {
 
-/// Not thread-safe.
+/// Estimates quantiles and mean of a duration. Not thread-safe.
 class latency_estimator {
  public:
   void add(base::duration sample);
 
   /// @param fraction in (0, 1].
-  /// @return the quantile, at the upper edge of its bucket (within 10%); zero without samples.
+  /// @return the quantile, rounded up to the upper bound of its bucket (within 10%); zero if there
+  ///         are no samples.
   [[nodiscard]] base::duration quantile(double fraction) const;
+  /// @return mean of the decayed samples; zero if there are none.
   [[nodiscard]] base::duration mean() const;
-  /// @return samples ever added.
+  /// @return number of samples added so far, without decay.
   [[nodiscard]] std::uint64_t count() const { return count_; }
 
  private:
   static constexpr std::size_t bucket_count = 160;
-  /// Samples after which all counts are halved.
+  /// Total weight, in samples, at which all weights are halved.
   static constexpr double halving_weight = 256.0;
 
   static std::size_t bucket_of(base::duration sample);
