--- a/src/idempotency/witness_store.h
+++ b/src/idempotency/witness_store.h
@@ -28,7 +28,7 @@
   /// @return the verdict, with the holder if another request holds the key.
   wire::record_key_reply record(const wire::record_key& query, std::uint64_t own_list_hash,
                                 base::time_point now);
-  /// Drops the record of an owner that gave the key back without dispatching its request.
+  /// Drops the record of a request that released the key before it was dispatched.
   void release(const wire::key_release& message);
   /// Drops expired records.
   void expire(base::time_point now);
--- a/tests/admission/scheduling_test.cc
+++ b/tests/admission/scheduling_test.cc
@@ -1,4 +1,5 @@
-/// Fair queues, retry budgets, latency estimates, shares of limits, ejection.
+/// Fair queueing, retry budgets, latency estimates, call quotas, ejection, drain notices,
+/// admission.
 #include "admission/retry_budget.h"
 #include "admission/stage_queue.h"
 #include "admission/stage_scheduler.h"
@@ -16,12 +17,13 @@
 
 const time_point start{seconds(1000)};
 
-admission::queue_entry entry(const std::string& tenant, int number, double weight = 1) {
+admission::queue_entry make_entry(const std::string& tenant, int number, double weight = 1) {
   return {base::request_id(tenant + std::to_string(number)), base::tenant_id(tenant), weight,
           start + milliseconds(number)};
 }
 
-catalog::machine_map backends(int count, std::uint32_t concurrency, const std::string& zone = "a") {
+catalog::machine_map make_backends(int count, std::uint32_t concurrency,
+                                   const std::string& zone = "a") {
   catalog::machine_map map;
   for (int index = 0; index < count; ++index) {
     auto machine = std::make_shared<model::machine>();
@@ -34,82 +36,82 @@
   return map;
 }
 
-routing::backend_table table(int count, std::uint32_t concurrency, std::uint32_t nodes) {
-  routing::backend_table made{base::zone_id("a")};
-  made.update(backends(count, concurrency));
-  made.set_sharing_nodes(nodes, 0);
-  return made;
+routing::backend_table make_table(int count, std::uint32_t concurrency, std::uint32_t nodes) {
+  routing::backend_table table{base::zone_id("a")};
+  table.update(make_backends(count, concurrency));
+  table.set_sharing_nodes(nodes, 0);
+  return table;
 }
 
-model::pipeline_plan plan() {
-  model::pipeline_plan made;
-  made.tenant = base::tenant_id("t");
+model::pipeline_plan make_plan() {
+  model::pipeline_plan plan;
+  plan.tenant = base::tenant_id("t");
   model::stage step;
   step.name = "s";
   step.pool = base::pool_id("p");
-  made.stages.push_back(step);
-  return made;
+  plan.stages.push_back(step);
+  return plan;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(scheduling)
 
-BOOST_AUTO_TEST_CASE(a_large_tenant_cannot_push_a_small_one_aside) {
+BOOST_AUTO_TEST_CASE(small_tenant_gets_fair_service_beside_large_tenant) {
   admission::stage_queue queue;
   for (int index = 0; index < 90; ++index) {
-    queue.push(entry("large", index));
+    queue.push(make_entry("large", index));
   }
   for (int index = 0; index < 10; ++index) {
-    queue.push(entry("small", 1000 + index));
+    queue.push(make_entry("small", 1000 + index));
   }
-  int small = 0;
+  int small_count = 0;
   for (int index = 0; index < 20; ++index) {
-    small += queue.pop()->tenant.text() == "small" ? 1 : 0;
+    small_count += queue.pop()->tenant.text() == "small" ? 1 : 0;
   }
-  BOOST_TEST(small == 10);
+  BOOST_TEST(small_count == 10);
 }
 
-BOOST_AUTO_TEST_CASE(weights_divide_and_deadlines_order) {
+BOOST_AUTO_TEST_CASE(tenants_are_served_by_weight_and_requests_by_deadline) {
   admission::stage_queue queue;
   for (int index = 30; index > 0; --index) {
-    queue.push(entry("heavy", index, 2));
-    queue.push(entry("light", index, 1));
+    queue.push(make_entry("heavy", index, 2));
+    queue.push(make_entry("light", index, 1));
   }
-  int heavy = 0;
-  auto earliest = start;
+  int heavy_count = 0;
+  auto previous_deadline = start;
   for (int index = 0; index < 30; ++index) {
     const auto next = queue.pop();
     if (next->tenant.text() == "heavy") {
-      ++heavy;
-      BOOST_CHECK(next->deadline > earliest);
-      earliest = next->deadline;
+      ++heavy_count;
+      BOOST_CHECK(next->deadline > previous_deadline);
+      previous_deadline = next->deadline;
     }
   }
-  BOOST_TEST(heavy == 20);
-  BOOST_TEST(queue.remove(entry("light", 30, 1)));
-  BOOST_TEST(!queue.remove(entry("light", 30, 1)));
+  BOOST_TEST(heavy_count == 20);
+  BOOST_TEST(queue.remove(make_entry("light", 30, 1)));
+  BOOST_TEST(!queue.remove(make_entry("light", 30, 1)));
 }
 
-BOOST_AUTO_TEST_CASE(retries_are_a_share_of_successes) {
+BOOST_AUTO_TEST_CASE(retries_are_limited_to_a_tenth_of_successes) {
   admission::retry_budget budget;
-  int taken = 0;
+  int retries = 0;
   while (budget.try_take()) {
-    ++taken;
+    ++retries;
   }
-  BOOST_TEST(taken == 20);
+  BOOST_TEST(retries == 20);
   for (int index = 0; index < 100; ++index) {
     budget.add_success();
   }
-  taken = 0;
+  retries = 0;
   while (budget.try_take()) {
-    ++taken;
+    ++retries;
   }
-  BOOST_TEST(taken >= 9);
-  BOOST_TEST(taken <= 10);
+  BOOST_TEST(retries >= 9);
+  BOOST_TEST(retries <= 10);
 }
 
-BOOST_AUTO_TEST_CASE(quantiles_are_within_a_tenth_and_follow_a_change) {
+BOOST_AUTO_TEST_CASE(quantiles_are_accurate_within_a_tenth_and_follow_a_change) {
   routing::latency_estimator estimator;
   for (int index = 1; index <= 1000; ++index) {
     estimator.add(milliseconds(index % 100 + 1));
@@ -123,60 +125,60 @@
   BOOST_TEST(base::to_seconds(estimator.quantile(0.5)) > 0.9);
 }
 
-BOOST_AUTO_TEST_CASE(limits_are_shared_by_the_nodes_of_the_zone) {
+BOOST_AUTO_TEST_CASE(call_quotas_of_all_nodes_add_up_to_the_limit) {
   for (const std::uint32_t nodes : {1U, 2U, 3U, 5U}) {
     std::uint32_t total = 0;
     for (std::uint32_t rank = 0; rank < nodes; ++rank) {
-      auto shared = table(1, 8, nodes);
-      shared.set_sharing_nodes(nodes, rank);
-      total += shared.slots(base::pool_id("p"), start);
+      auto table = make_table(1, 8, nodes);
+      table.set_sharing_nodes(nodes, rank);
+      total += table.slots(base::pool_id("p"), start);
     }
     BOOST_TEST(total == 8U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(unused_parts_of_a_limit_may_be_borrowed_while_reports_are_fresh) {
-  auto shared = table(1, 8, 4);
-  BOOST_TEST(shared.slots(base::pool_id("p"), start) == 2U);
-  shared.record_load(backend_id("b0"), 1, start);
-  BOOST_TEST(shared.slots(base::pool_id("p"), start) == 7U);
-  BOOST_TEST(shared.slots(base::pool_id("p"), start + seconds(1)) == 2U);
+BOOST_AUTO_TEST_CASE(recent_load_report_raises_the_call_quota_by_unused_slots) {
+  auto table = make_table(1, 8, 4);
+  BOOST_TEST(table.slots(base::pool_id("p"), start) == 2U);
+  table.record_load(backend_id("b0"), 1, start);
+  BOOST_TEST(table.slots(base::pool_id("p"), start) == 7U);
+  BOOST_TEST(table.slots(base::pool_id("p"), start + seconds(1)) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_slow_back_end_is_ejected_but_never_more_than_a_third) {
-  auto shared = table(6, 8, 1);
+BOOST_AUTO_TEST_CASE(slow_back_ends_are_ejected_up_to_a_third_of_the_pool) {
+  auto table = make_table(6, 8, 1);
   int ejected = 0;
-  for (int round = 0; round < 40; ++round) {
+  for (int iteration = 0; iteration < 40; ++iteration) {
     for (int index = 0; index < 6; ++index) {
       const backend_id id("b" + std::to_string(index));
-      shared.call_started(id);
-      const auto took = index < 4 ? milliseconds(200) : milliseconds(10);
-      ejected += shared.call_ended(id, took, start) ? 1 : 0;
+      table.call_started(id);
+      const auto service_time = index < 4 ? milliseconds(200) : milliseconds(10);
+      ejected += table.call_ended(id, service_time, start) ? 1 : 0;
     }
   }
   BOOST_TEST(ejected <= 2);
-  BOOST_TEST(shared.candidates(base::pool_id("p"), start, false).size() >= 4U);
+  BOOST_TEST(table.candidates(base::pool_id("p"), start, false).size() >= 4U);
 }
 
-BOOST_AUTO_TEST_CASE(a_leave_notice_holds_for_its_generation) {
-  auto shared = table(1, 8, 1);
-  BOOST_TEST(shared.mark_draining(backend_id("b0"), 1));
-  BOOST_TEST(!shared.mark_draining(backend_id("b0"), 1));
-  BOOST_TEST(shared.candidates(base::pool_id("p"), start, false).empty());
-  BOOST_TEST(!shared.has_backends(base::pool_id("p")));
-  auto again = backends(1, 8);
-  auto returned = std::make_shared<model::machine>(*again["b0"]);
-  returned->generation = 2;
-  again["b0"] = returned;
-  shared.update(again);
-  BOOST_TEST(shared.candidates(base::pool_id("p"), start, false).size() == 1U);
+BOOST_AUTO_TEST_CASE(drain_notice_applies_up_to_its_generation) {
+  auto table = make_table(1, 8, 1);
+  BOOST_TEST(table.mark_draining(backend_id("b0"), 1));
+  BOOST_TEST(!table.mark_draining(backend_id("b0"), 1));
+  BOOST_TEST(table.candidates(base::pool_id("p"), start, false).empty());
+  BOOST_TEST(!table.has_backends(base::pool_id("p")));
+  auto updated = make_backends(1, 8);
+  auto restored = std::make_shared<model::machine>(*updated["b0"]);
+  restored->generation = 2;
+  updated["b0"] = restored;
+  table.update(updated);
+  BOOST_TEST(table.candidates(base::pool_id("p"), start, false).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_finish_is_refused_with_a_time_to_come_back) {
+BOOST_AUTO_TEST_CASE(infeasible_request_is_refused_with_retry_after) {
   base::seeded_random random(1);
-  auto shared = table(1, 2, 1);
-  admission::stage_scheduler scheduler({}, shared, random);
-  const auto request = plan();
+  auto table = make_table(1, 2, 1);
+  admission::stage_scheduler scheduler({}, table, random);
+  const auto request = make_plan();
   for (int index = 0; index < 50; ++index) {
     scheduler.add_service_time(request, 0, milliseconds(100));
   }
