--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -1,4 +1,4 @@
-/// The life of requests at one node: stage after stage, retries, streaming, deadlines, answers.
+/// Execution of requests at one node: stages in order, retries, streaming, deadlines, answers.
 #pragma once
 
 #include "admission/stage_scheduler.h"
@@ -21,7 +21,8 @@
 
 namespace spurrack::execution {
 
-/// A request that was judged and, where it may run at most once, has its permission.
+/// Request that was resolved against the catalog and, if it may run at most once, has permission to
+/// run.
 struct admitted_request {
   base::request_id id;
   std::shared_ptr<const model::pipeline_plan> plan;
@@ -31,41 +32,53 @@
   bool stream = false;
 };
 
-/// Called at each event for the time line.
+/// Records an event in the event log of the node.
 using event_recorder = std::function<void(base::event_kind, const base::request_id&,
                                           const std::string& subject, const std::string& detail)>;
 /// Called once for each request that ends, before its callers are answered.
 using completion_observer = std::function<void(const answer&)>;
 
-/// Not thread-safe. Commands gather in `commands` until they are taken.
+/// Runs requests stage by stage. Commands are collected until `take_commands` is called. Not
+/// thread-safe.
 class executor {
  public:
-  /// @param backends and scheduler must outlive this object.
+  /// @param backends must outlive this object.
+  /// @param scheduler must outlive this object.
   executor(routing::backend_table& backends, admission::stage_scheduler& scheduler,
-           event_recorder record, completion_observer completed, base::safety_switches switches);
+           event_recorder record, completion_observer report_completion,
+           base::safety_switches switches);
 
-  /// Starts a request. The first dispatch happens at the next `pump`.
+  /// Starts a request. Its first stage waits until the next `dispatch_waiting`.
   void start(admitted_request request, base::time_point now);
-  /// Adds another caller who waits for the same request.
-  /// @return whether the request is still running.
+  /// Adds a caller that waits for the answer of a running request.
+  /// @return false if the request has ended; the caller is not added then.
   bool attach(const base::request_id& id, const caller_ref& caller);
 
+  /// Completes, retries or aborts the stage whose call ended. If the call is no longer in flight,
+  /// the result is only counted.
   void on_result(const call_result& result, base::time_point now);
+  /// Appends a token to the generated text and sends it to a streaming caller. Ignores tokens of
+  /// calls that are no longer in flight and tokens out of order.
   void on_token(const call_token& token, base::time_point now);
-  /// A caller went away; its request is given up unless others wait or an effect is under way.
+  /// Removes a caller that disconnected, and aborts its request unless other callers wait for it or
+  /// a non-repeatable call is in flight.
   void on_caller_gone(base::caller_id caller, base::time_point now);
 
-  /// Gives up what is past its deadline.
+  /// Aborts the requests whose deadline has passed.
   void expire(base::time_point now);
-  /// Gives up repeatable calls that make no progress, and makes them again elsewhere. Call about
-  /// every 100 ms.
-  void expire_stalled_calls(base::time_point now);
-  /// Dispatches what can be dispatched.
-  void pump(base::time_point now);
-  /// While on hold nothing is dispatched (after a pause, until the node is up to date again).
-  void set_hold(bool hold) { hold_ = hold; }
+  /// Cancels repeatable calls that make no progress and retries them. Must be called about every
+  /// 100 ms.
+  void retry_stalled_calls(base::time_point now);
+  /// Starts calls for waiting requests while back ends have free slots; aborts the waiting requests
+  /// that can no longer meet their deadline.
+  void dispatch_waiting(base::time_point now);
+  /// Pauses or resumes `dispatch_waiting`. Dispatch is paused after a suspension of this process,
+  /// until the node is up to date again.
+  void set_dispatch_paused(bool paused) { is_dispatch_paused_ = paused; }
 
+  /// @return earliest deadline of an active request; std::nullopt if none is active.
   [[nodiscard]] std::optional<base::time_point> next_deadline() const;
+  /// @return number of active requests.
   [[nodiscard]] std::size_t active() const { return active_.size(); }
   [[nodiscard]] const counters& counts() const { return counters_; }
   /// Counts a request that was refused before it became active.
@@ -76,57 +89,65 @@
   struct call_in_flight {
     base::call_id id = 0;
     base::backend_id backend;
-    base::time_point started;
-    /// Dispatch or last token.
-    base::time_point last_progress;
+    base::time_point started_at;
+    /// Time of the dispatch or of the last token.
+    base::time_point last_progress_at;
   };
   struct active_request {
     admitted_request request;
     std::vector<caller_ref> callers;
     model::dispatch_ledger ledger;
+    /// Index of the current stage in the plan.
     std::size_t stage = 0;
     std::string stage_input;
+    /// Text generated by the current stage, over all attempts.
     std::string generated;
     std::uint32_t tokens_received = 0;
     std::uint32_t next_attempt = 1;
+    /// Number of broken calls of the current stage.
     std::uint32_t failures = 0;
     std::optional<call_in_flight> call;
     std::vector<stage_output> outputs;
     std::vector<stage_cost> costs;
 
-    [[nodiscard]] const model::stage& current() const { return request.plan->stages[stage]; }
+    [[nodiscard]] const model::stage& current_stage() const { return request.plan->stages[stage]; }
   };
 
   void dispatch(active_request& active, const base::backend_id& backend, base::time_point now);
   stage_call make_call(const active_request& active, const routing::backend& target) const;
   void enqueue(active_request& active);
   void complete_stage(active_request& active, const call_result& result, base::time_point now);
+  /// Cancels the call in flight; the request stays active.
   void abandon_call(active_request& active, base::time_point now);
   [[nodiscard]] bool is_stalled(const active_request& active, base::time_point now) const;
   void handle_failure(active_request& active, const call_result& result,
                       const base::backend_id& backend, base::time_point now);
   void note_backend_failure(const call_result& result, const base::backend_id& backend,
                             base::time_point now);
-  void retry_or_give_up(active_request& active, call_status status, base::time_point now);
-  void cancel_call_in_flight(active_request& active, base::time_point now);
-  void give_up(active_request& active, reason why, base::time_point now);
-  void finish(active_request& active, model::outcome outcome, reason why, base::time_point now);
+  /// Enqueues the current stage again, or aborts the request if a retry is not possible.
+  void retry_or_abort(active_request& active, call_status status, base::time_point now);
+  /// Cancels the call in flight or, if there is none, removes the request from its queue.
+  void cancel_current_stage(active_request& active, base::time_point now);
+  void abort_request(active_request& active, reason failure_reason, base::time_point now);
+  /// Answers all callers of a request and forgets it.
+  void finish(active_request& active, model::outcome outcome, reason failure_reason,
+              base::time_point now);
   void count(const active_request& active, const answer& content);
-  /// @return whether a result is whole and belongs to the call in flight.
-  [[nodiscard]] bool is_right_answer(const active_request& active, const call_result& result) const;
+  /// @return whether a result is complete and echoes the identity of the call in flight.
+  [[nodiscard]] bool is_valid_answer(const active_request& active, const call_result& result) const;
   active_request* find_by_call(base::call_id call);
 
   routing::backend_table* backends_;
   admission::stage_scheduler* scheduler_;
   event_recorder record_;
-  completion_observer completed_;
+  completion_observer report_completion_;
   base::safety_switches switches_;
   std::unordered_map<base::request_id, active_request> active_;
   std::unordered_map<base::call_id, base::request_id> calls_;
   std::set<std::pair<base::time_point, base::request_id>> deadlines_;
   std::map<base::caller_id, base::request_id> local_callers_;
   base::call_id next_call_ = 1;
-  bool hold_ = false;
+  bool is_dispatch_paused_ = false;
   counters counters_;
   command_list commands_;
 };
--- a/src/node/node_peers.cc
+++ b/src/node/node_peers.cc
@@ -74,7 +74,7 @@
 void node::on_backend_notice(const wire::backend_notice& notice, bool from_zone,
                              base::time_point /*now*/) {
   const base::backend_id backend(notice.backend());
-  if (!backends_.mark_leaving(backend, notice.generation())) {
+  if (!backends_.mark_draining(backend, notice.generation())) {
     return;
   }
   record(base::event_kind::backend_leaving, {}, notice.backend(), "told by a peer");
@@ -84,7 +84,7 @@
 }
 
 void node::announce_new_leave_notices() {
-  for (const auto& [backend, generation] : backends_.leave_notices()) {
+  for (const auto& [backend, generation] : backends_.drain_notices()) {
     auto& announced = announced_leaving_[backend];
     if (announced < generation) {
       announced = generation;
