--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -127,7 +127,7 @@
   const auto& known = place.accepted->entry;
   auto changed = std::make_shared<model::replica>(**replica);
   if (known.deleted()) {
-    changed->may_be_gone = true;
+    changed->may_be_deleted = true;
   } else {
     const auto before = model::parse_replica(known.value());
     const auto* record = std::get_if<std::shared_ptr<const model::replica>>(&before);
--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -174,11 +174,11 @@
 void add_store(Registry& registry, const node::store_counters& store) {
   add_count(registry, "spurrack_store_eras_total",
             "Times a service was found to have come back from an older copy, by source.",
-            store.eras_begun);
+            store.era_changes);
   add_count(registry, "spurrack_store_answers_outdated_total",
-            "Answers of an era before the one that is known, passed over.", store.answers_outdated);
+            "Answers of an era before the one that is known, passed over.", store.outdated_answers);
   add_count(registry, "spurrack_store_eras_unreadable_total",
-            "Answers that told an era which cannot be read.", store.eras_unreadable);
+            "Answers that told an era which cannot be read.", store.unreadable_eras);
 }
 
 void add_store_calls(Registry& registry, const node::node& subject) {
@@ -398,7 +398,7 @@
                    .Name("spurrack_control_sent_bytes_by_kind_total")
                    .Help("Bytes sent to peers, by kind of message and by how far they went.")
                    .Register(registry);
-  for (const auto& [flow, bytes] : control.bytes_sent_by_flow) {
+  for (const auto& [flow, bytes] : control.bytes_sent_by_class) {
     sent.Add({{"kind", name_of(flow.kind)}, {"reach", std::string(model::name_of(flow.reach))}})
         .Increment(static_cast<double>(bytes));
   }
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -286,7 +286,7 @@
     return std::nullopt;
   }
   const auto digest = quarantine::request_digest::from_text(path.substr(release.size()));
-  return digest ? std::optional<node::event>(node::release_wanted{*digest}) : std::nullopt;
+  return digest ? std::optional<node::event>(node::release_requested{*digest}) : std::nullopt;
 }
 
 } // namespace spurrack::daemon
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -100,11 +100,12 @@
       io, settings_.configuration_service, settings_.machine_list_service,
       {[this](node::service_answered answer) { post(std::move(answer)); },
        [this](node::service_failed failure) { post(failure); }});
-  callers_ = http::make_caller_server(
-      io, settings_.caller_listen, settings_.callers,
-      {[this](node::caller_arrived arrived) { post(std::move(arrived)); },
-       [this](node::ticket_wanted wanted) { post(std::move(wanted)); },
-       [this](node::caller_left left) { post(left); }, [this] { return node_.is_ready(); }});
+  callers_ =
+      http::make_caller_server(io, settings_.caller_listen, settings_.callers,
+                               {[this](node::caller_arrived arrived) { post(std::move(arrived)); },
+                                [this](node::ticket_requested wanted) { post(std::move(wanted)); },
+                                [this](node::caller_disconnected left) { post(left); },
+                                [this] { return node_.is_ready(); }});
 }
 
 void runtime::post(node::event what) {
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -66,7 +66,7 @@
   new_call.time_left = request.deadline - now;
   new_call.tenant = request.tenant;
   new_call.streaming = request.route->kind == model::route_kind::streaming;
-  new_call.runs_at_most_once = !request.route->may_repeat();
+  new_call.runs_at_most_once = !request.route->is_repeatable();
   new_call.resume_after = request.events.last_id();
   if (request.graph) {
     new_call.inputs = request.graph->final_inputs();
@@ -268,7 +268,7 @@
   if (!unusable && !request->has_begun_stream) {
     outcome.answer = answered;
   }
-  if (request->route->may_repeat()) {
+  if (request->route->is_repeatable()) {
     retry_or_end(*request, std::move(outcome), now);
   } else {
     end_with_failure(*request, outcome, now);
--- a/src/dispatch/dispatcher_retries.cc
+++ b/src/dispatch/dispatcher_retries.cc
@@ -47,7 +47,7 @@
 
 void dispatcher::retry_or_fail(active_request& request, base::time_point now) {
   failure_outcome outcome{status::bad_gateway, "the replica gave no whole answer", {}, false};
-  if (request.route->may_repeat()) {
+  if (request.route->is_repeatable()) {
     retry_or_end(request, std::move(outcome), now);
   } else {
     end_with_failure(request, outcome, now);
@@ -141,7 +141,7 @@
     auto& request = active_.at(client);
     const bool is_watched = request.call->stalls_at && *request.call->stalls_at > now;
     const bool shows_events = request.latest_event_at > request.call->started_at;
-    if (is_watched && !shows_events && request.route->may_repeat() &&
+    if (is_watched && !shows_events && request.route->is_repeatable() &&
         is_replica_unresponsive(request)) {
       request.call->stalls_at = now;
       schedule_check(request);
@@ -176,7 +176,7 @@
   if (is_unresponsive) {
     replicas_.note_unresponsive(request.call->replica, now);
   }
-  if (request.route->may_repeat() && has_attempt_left(request, now)) {
+  if (request.route->is_repeatable() && has_attempt_left(request, now)) {
     retry_elsewhere(request, now);
     return;
   }
--- a/src/dispatch/dispatcher_slow_clients.cc
+++ b/src/dispatch/dispatcher_slow_clients.cc
@@ -66,7 +66,7 @@
 
 bool dispatcher::can_suspend(const active_request& request) {
   // A request with stages would need their results to be recomputed for the second attempt.
-  return request.call && request.has_begun_stream && request.route->may_repeat() &&
+  return request.call && request.has_begun_stream && request.route->is_repeatable() &&
          !request.graph && request.events.last_id().has_value();
 }
 
--- a/src/dispatch/replica_report_exchange.cc
+++ b/src/dispatch/replica_report_exchange.cc
@@ -59,7 +59,7 @@
 void replica_report_exchange::set_peers(const std::vector<fleet_peer>& alive) {
   region_peers_.clear();
   for (const auto& peer : alive) {
-    if (regions_.same_region(peer.zone, own_zone_)) {
+    if (regions_.are_in_same_region(peer.zone, own_zone_)) {
       region_peers_.push_back(peer.address);
     }
   }
--- a/src/engines/engine_directory.cc
+++ b/src/engines/engine_directory.cc
@@ -69,10 +69,10 @@
 const fleet_peer* engine_directory::accounting_node_of(const model::replica& engine) const {
   const auto seed = base::stable_hash(engine.id.text());
   const fleet_peer* best = nullptr;
-  const bool self_is_near = regions_.same_region(engine.zone, self_.zone);
+  const bool self_is_near = regions_.are_in_same_region(engine.zone, self_.zone);
   std::uint64_t best_rank = self_is_near ? base::stable_hash(self_.node.text(), seed) : 0;
   for (const auto& peer : peers_) {
-    if (!regions_.same_region(engine.zone, peer.zone)) {
+    if (!regions_.are_in_same_region(engine.zone, peer.zone)) {
       continue;
     }
     const auto rank = base::stable_hash(peer.node.text(), seed);
@@ -135,7 +135,7 @@
   estimated_backlogs_[engine].raise_to(tokens, rate, now);
   std::vector<base::network_address> receivers;
   for (const auto& peer : peers_) {
-    if (regions_.same_region(peer.zone, self_.zone)) {
+    if (regions_.are_in_same_region(peer.zone, self_.zone)) {
       receivers.push_back(peer.address);
     }
   }
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -83,7 +83,7 @@
   struct active_request {
     admitted_request request;
     std::vector<caller_ref> callers;
-    model::dispatch_ledger ledger;
+    model::call_tracker ledger;
     std::size_t stage = 0;
     std::string stage_input;
     std::string generated;
--- a/src/fleet_view/peer_directory.cc
+++ b/src/fleet_view/peer_directory.cc
@@ -109,7 +109,7 @@
 }
 
 bool peer_directory::is_in_other_region(const base::zone_id& zone) const {
-  return regions_.are_regions_apart(self_.zone, zone);
+  return regions_.are_in_different_regions(self_.zone, zone);
 }
 
 peer_state* peer_directory::find(const base::node_id& node) {
--- a/src/http/caller_server.h
+++ b/src/http/caller_server.h
@@ -17,8 +17,8 @@
 /// What the listener hands on. Called on the thread of the io_context.
 struct caller_observer {
   std::function<void(node::caller_arrived)> on_request;
-  std::function<void(node::ticket_wanted)> on_ticket_wanted;
-  std::function<void(node::caller_left)> on_gone;
+  std::function<void(node::ticket_requested)> on_ticket_wanted;
+  std::function<void(node::caller_disconnected)> on_gone;
   /// Whether the node takes new requests, for the balancer's health check.
   std::function<bool()> is_ready;
 };
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -411,7 +411,7 @@
                                      base::time_point now) const {
   std::vector<base::zone_id> heard{self_.zone};
   for (const auto& [zone, nodes] : live().remote) {
-    if (!regions_.are_regions_apart(self_.zone, zone) && zones_.hears(zone, now)) {
+    if (!regions_.are_in_different_regions(self_.zone, zone) && zones_.hears(zone, now)) {
       heard.push_back(zone);
     }
   }
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -82,7 +82,7 @@
   const bool anywhere = random_->below(questions_per_far_question) == 0;
   std::vector<const member*> near;
   for (const auto& [node, other] : members_) {
-    const bool in_reach = anywhere || regions_.same_region(other.zone, self_.zone);
+    const bool in_reach = anywhere || regions_.are_in_same_region(other.zone, self_.zone);
     if (in_reach && other.state == wire::ALIVE) {
       near.push_back(&other);
     }
@@ -147,7 +147,7 @@
     }
   }
   for (const auto& [zone, nodes] : view.remote) {
-    if (!regions_.are_regions_apart(self_.zone, zone)) {
+    if (!regions_.are_in_different_regions(self_.zone, zone)) {
       tell_zone_of_region(zone, members, now, out);
     }
   }
@@ -205,7 +205,7 @@
 std::set<base::region_id> membership::other_regions() const {
   std::set<base::region_id> found;
   for (const auto& [zone, nodes] : live().remote) {
-    if (regions_.are_regions_apart(self_.zone, zone)) {
+    if (regions_.are_in_different_regions(self_.zone, zone)) {
       found.insert(*regions_.region_of(zone));
     }
   }
--- a/src/membership/zone_contact.cc
+++ b/src/membership/zone_contact.cc
@@ -48,7 +48,7 @@
 
 void zone_contact::take_told(const wire::zone_digest& digest, const base::zone_id& sender_zone,
                              base::time_point now) {
-  const bool from_other_region = regions_.are_regions_apart(own_zone_, sender_zone);
+  const bool from_other_region = regions_.are_in_different_regions(own_zone_, sender_zone);
   for (const auto& told : digest.heard()) {
     const base::zone_id zone(told.zone());
     if (zone == own_zone_) {
@@ -84,7 +84,7 @@
 
 void zone_contact::tell_region(wire::zone_digest& digest, base::time_point now) const {
   for (const auto& [zone, known] : contacts_) {
-    if (regions_.are_regions_apart(own_zone_, zone)) {
+    if (regions_.are_in_different_regions(own_zone_, zone)) {
       add_age(digest, zone, std::max(known.heard_directly, known.told_by_region), now);
     }
   }
@@ -92,7 +92,7 @@
 
 void zone_contact::tell_other_region(wire::zone_digest& digest, base::time_point now) const {
   for (const auto& [zone, known] : contacts_) {
-    if (!regions_.are_regions_apart(own_zone_, zone)) {
+    if (!regions_.are_in_different_regions(own_zone_, zone)) {
       add_age(digest, zone, known.heard_directly, now);
     }
   }
--- a/src/model/outcome.cc
+++ b/src/model/outcome.cc
@@ -16,23 +16,23 @@
   return "unknown";
 }
 
-void dispatch_ledger::call_started(bool repeatable) {
+void call_tracker::call_started(bool repeatable) {
   ++calls_open_;
   effects_open_ += repeatable ? 0 : 1;
 }
 
-void dispatch_ledger::call_never_sent(bool repeatable) {
+void call_tracker::call_never_sent(bool repeatable) {
   --calls_open_;
   effects_open_ -= repeatable ? 0 : 1;
 }
 
-void dispatch_ledger::call_completed(bool repeatable) {
+void call_tracker::call_completed(bool repeatable) {
   --calls_open_;
   ++calls_completed_;
   effects_open_ -= repeatable ? 0 : 1;
 }
 
-outcome dispatch_ledger::give_up() const {
+outcome call_tracker::give_up() const {
   if (effects_open_ > 0) {
     return outcome::unknown;
   }
--- a/src/model/outcome.h
+++ b/src/model/outcome.h
@@ -20,7 +20,7 @@
 
 /// Account of what one request handed out. The only source of a failure outcome, so that `not_run`
 /// cannot be claimed for a request that may have run.
-class dispatch_ledger {
+class call_tracker {
  public:
   /// A stage call is handed to the network.
   void call_started(bool repeatable);
--- a/src/model/residency.cc
+++ b/src/model/residency.cc
@@ -49,16 +49,17 @@
   return found == regions_.end() ? std::nullopt : std::optional(found->second);
 }
 
-neighbourhood zone_regions::neighbourhood_of(const base::zone_id& zone) const {
+effective_region zone_regions::effective_region_of(const base::zone_id& zone) const {
   const auto region = region_of(zone);
   return {region, region ? region->text() : zone.text()};
 }
 
-bool zone_regions::are_regions_apart(const base::zone_id& one, const base::zone_id& other) const {
+bool zone_regions::are_in_different_regions(const base::zone_id& one,
+                                            const base::zone_id& other) const {
   return region_of(one) && region_of(other) && region_of(one) != region_of(other);
 }
 
-bool zone_regions::same_region(const base::zone_id& one, const base::zone_id& other) const {
+bool zone_regions::are_in_same_region(const base::zone_id& one, const base::zone_id& other) const {
   const auto region = region_of(one);
   return one == other || (region && region == region_of(other));
 }
@@ -68,7 +69,7 @@
   if (one == other) {
     return locality::zone;
   }
-  return same_region(one, other) ? locality::region : locality::elsewhere;
+  return are_in_same_region(one, other) ? locality::region : locality::elsewhere;
 }
 
 } // namespace spurrack::model
--- a/src/model/residency.h
+++ b/src/model/residency.h
@@ -53,12 +53,12 @@
 
 /// What is near to itself: a region, or a zone whose region is not known. The two never compare
 /// equal, so that a zone is not taken for a region of the same name.
-struct neighbourhood {
+struct effective_region {
   /// Nothing where the settings name none.
   std::optional<base::region_id> region;
   /// Of the region, or of the zone that has none.
   std::string name;
-  auto operator<=>(const neighbourhood&) const = default;
+  auto operator<=>(const effective_region&) const = default;
 };
 
 /// The region of each zone, from the settings.
@@ -72,15 +72,16 @@
   [[nodiscard]] std::optional<base::region_id> region_of(const base::zone_id& zone) const;
   /// @return every zone that has a region.
   [[nodiscard]] const std::map<base::zone_id, base::region_id>& all() const { return regions_; }
-  [[nodiscard]] neighbourhood neighbourhood_of(const base::zone_id& zone) const;
+  [[nodiscard]] effective_region effective_region_of(const base::zone_id& zone) const;
   /// @return whether both zones are of one region; a zone without region is near itself alone.
-  [[nodiscard]] bool same_region(const base::zone_id& one, const base::zone_id& other) const;
+  [[nodiscard]] bool are_in_same_region(const base::zone_id& one, const base::zone_id& other) const;
   /// @return how far two zones are from one another.
   [[nodiscard]] locality locality_between(const base::zone_id& one,
                                           const base::zone_id& other) const;
   /// @return whether both zones are known to lie in different regions. Where the settings name no
   ///         region, all zones are taken for one.
-  [[nodiscard]] bool are_regions_apart(const base::zone_id& one, const base::zone_id& other) const;
+  [[nodiscard]] bool are_in_different_regions(const base::zone_id& one,
+                                              const base::zone_id& other) const;
 
  private:
   std::map<base::zone_id, base::region_id> regions_;
--- a/src/model/serving_records.h
+++ b/src/model/serving_records.h
@@ -67,7 +67,7 @@
   residency permitted_regions;
 
   /// @return whether a request may run more than once.
-  [[nodiscard]] bool may_repeat() const {
+  [[nodiscard]] bool is_repeatable() const {
     return kind == route_kind::safe || (kind == route_kind::streaming && resumable);
   }
 };
@@ -82,7 +82,7 @@
   base::duration call_time{};
   base::duration item_time{};
   /// Room for results that wait to be fetched, in bytes.
-  double result_room_bytes = 0;
+  double result_capacity_bytes = 0;
   /// How long a result lives after its call.
   base::duration result_lifetime{};
 };
@@ -164,7 +164,7 @@
   std::uint32_t slots = 1;
   bool draining = false;
   /// It was published no longer and is so again only since the store came back from an older copy.
-  bool may_be_gone = false;
+  bool may_be_deleted = false;
   /// How much longer it stays cold, counted from its publication; 0 where it is warm.
   base::duration cold_for{};
   /// Nothing where the replica does not say.
--- a/src/node/events.h
+++ b/src/node/events.h
@@ -36,11 +36,11 @@
   /// deadlines count from here, so that a request which waited out a pause is not run late.
   base::time_point arrived_at;
 };
-struct caller_left {
+struct caller_disconnected {
   base::caller_id caller = 0;
 };
 /// A caller wants a ticket.
-struct ticket_wanted {
+struct ticket_requested {
   base::caller_id caller = 0;
   std::string token_sha256;
 };
@@ -52,7 +52,7 @@
   /// Counts how often the service came back from an older copy; nothing where it does not tell.
   std::optional<base::store_era> era;
   /// It told an era that cannot be read.
-  bool era_unreadable = false;
+  bool is_era_unreadable = false;
   /// The entries are everything the service held at that revision, not only what is newer.
   bool complete = false;
 };
@@ -67,14 +67,14 @@
 };
 
 /// An operator lets a request go that is held back.
-struct release_wanted {
+struct release_requested {
   quarantine::request_digest digest;
 };
 
 using event =
-    std::variant<time_passed, peer_message, caller_arrived, caller_left, ticket_wanted,
+    std::variant<time_passed, peer_message, caller_arrived, caller_disconnected, ticket_requested,
                  execution::call_result, execution::call_token, service_answered, service_failed,
-                 stop_requested, seeds_changed, release_wanted, serving::event>;
+                 stop_requested, seeds_changed, release_requested, serving::event>;
 
 /// Read a service for what is newer than a revision; the service may hold the answer back until
 /// there is something.
@@ -83,7 +83,7 @@
   /// 0: everything is listed.
   base::revision after = 0;
   /// A listing that is some seconds old serves as well.
-  bool may_be_old = false;
+  bool allow_stale = false;
   /// How long the service may hold the answer back.
   base::duration hold{};
 };
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -100,7 +100,7 @@
 
 std::uint64_t control_counters::bytes_sent_of(wire::envelope::BodyCase kind) const {
   std::uint64_t sum = 0;
-  for (const auto& [flow, bytes] : bytes_sent_by_flow) {
+  for (const auto& [flow, bytes] : bytes_sent_by_class) {
     sum += flow.kind == kind ? bytes : 0;
   }
   return sum;
@@ -157,7 +157,7 @@
          std::to_string(base::to_milliseconds(gap)) + " ms");
   membership_.resume_after_suspension(now);
   executor_.set_hold(true);
-  hold_until_ = now + settings_.resync_wait;
+  hold_until_ = now + settings_.resync_timeout;
   if (serving_) {
     serving_->resume_after_suspension(gap, now);
   }
@@ -191,7 +191,7 @@
     return;
   }
   const bool service_read = watches_[0].has_answered() && watches_[1].has_answered();
-  const bool waited = now - started_ >= settings_.resync_wait;
+  const bool waited = now - started_ >= settings_.resync_timeout;
   const bool knows_enough = peer_synced_ || (service_read && waited);
   const bool has_content = serving_ ? catalog_.serving() != nullptr : catalog_.size() > 0;
   if (has_content && knows_enough) {
@@ -227,7 +227,7 @@
 
 bool node::is_near(const base::zone_id& zone) const {
   const auto& own = settings_.self.zone;
-  return !serving_ || !settings_.serving->regions.are_regions_apart(own, zone);
+  return !serving_ || !settings_.serving->regions.are_in_different_regions(own, zone);
 }
 
 model::locality node::reach_of(const base::network_address& peer) const {
@@ -301,7 +301,7 @@
   membership_.set_seeds(what.seeds);
 }
 
-void node::on(const release_wanted& what, base::time_point now) {
+void node::on(const release_requested& what, base::time_point now) {
   if (serving_) {
     serving_->release_request(what.digest, now);
   }
@@ -370,8 +370,8 @@
   }
   const bool idle =
       executor_.active() == 0 && guard_.pending() == 0 && (!serving_ || !serving_->is_busy());
-  const bool quiet = now - disturbed_at_ >= settings_.stop_linger ||
-                     now - stop_began_ >= settings_.stop_linger_longest;
+  const bool quiet = now - disturbed_at_ >= settings_.stop_linger_time ||
+                     now - stop_began_ >= settings_.max_stop_linger_time;
   if ((idle && quiet) || must_end_serving(now) || !settings_.switches.drain_before_stop) {
     stop_reported_ = true;
     commands_.emplace_back(stop_completed{});
@@ -437,7 +437,7 @@
     ++control_.messages_sent;
     const auto size = envelope.ByteSizeLong();
     control_.bytes_sent += size;
-    control_.bytes_sent_by_flow[{envelope.body_case(), reach_of(message.to)}] += size;
+    control_.bytes_sent_by_class[{envelope.body_case(), reach_of(message.to)}] += size;
     commands_.emplace_back(std::move(message));
   }
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -39,12 +39,12 @@
   base::duration pause_threshold = std::chrono::milliseconds(1000);
   catalog::watch_timing service_timing;
   /// How long a node waits for peers before it is ready on the service's word, or serves alone.
-  base::duration resync_wait = std::chrono::milliseconds(1000);
+  base::duration resync_timeout = std::chrono::milliseconds(1000);
   /// A stopping node ends only after no request reached it for this time: the balancer learns of
   /// the stop late, and requests may have waited in sockets through a pause of the process.
-  base::duration stop_linger = std::chrono::milliseconds(300);
+  base::duration stop_linger_time = std::chrono::milliseconds(300);
   /// Callers that do not stop sending cannot hold a stopping node longer than this.
-  base::duration stop_linger_longest = std::chrono::seconds(10);
+  base::duration max_stop_linger_time = std::chrono::seconds(10);
   std::size_t event_log_capacity = 4096;
   /// Wall clock minus boot clock, in microseconds.
   std::int64_t wall_offset_microseconds = 0;
@@ -67,7 +67,7 @@
 
   std::uint64_t messages_sent = 0;
   std::uint64_t bytes_sent = 0;
-  std::map<control_flow, std::uint64_t> bytes_sent_by_flow;
+  std::map<control_flow, std::uint64_t> bytes_sent_by_class;
   std::uint64_t messages_received = 0;
   std::uint64_t bytes_received = 0;
 };
@@ -75,9 +75,9 @@
 /// What answers of the services said of their era.
 struct store_counters {
   /// Times a service came back from an older copy, each source counted.
-  std::uint64_t eras_begun = 0;
-  std::uint64_t answers_outdated = 0;
-  std::uint64_t eras_unreadable = 0;
+  std::uint64_t era_changes = 0;
+  std::uint64_t outdated_answers = 0;
+  std::uint64_t unreadable_eras = 0;
 };
 
 /// Not thread-safe; one owner drives it.
@@ -130,15 +130,15 @@
   void on(const time_passed& what, base::time_point now);
   void on(const peer_message& what, base::time_point now);
   void on(const caller_arrived& what, base::time_point now);
-  void on(const caller_left& what, base::time_point now);
-  void on(const ticket_wanted& what, base::time_point now);
+  void on(const caller_disconnected& what, base::time_point now);
+  void on(const ticket_requested& what, base::time_point now);
   void on(const execution::call_result& what, base::time_point now);
   void on(const execution::call_token& what, base::time_point now);
   void on(const service_answered& what, base::time_point now);
   void on(const service_failed& what, base::time_point now);
   void on(const stop_requested& what, base::time_point now);
   void on(const seeds_changed& what, base::time_point now);
-  void on(const release_wanted& what, base::time_point now);
+  void on(const release_requested& what, base::time_point now);
   void on(const serving::event& what, base::time_point now);
 
   /// Reports what an answer says of the service's era.
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -64,11 +64,11 @@
   carry_out(decision, now);
 }
 
-void node::on(const caller_left& what, base::time_point now) {
+void node::on(const caller_disconnected& what, base::time_point now) {
   executor_.on_caller_gone(what.caller, now);
 }
 
-void node::on(const ticket_wanted& what, base::time_point now) {
+void node::on(const ticket_requested& what, base::time_point now) {
   const auto id = next_request_id();
   const execution::local_caller caller{what.caller};
   if (stopping_ || !ready_) {
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -63,8 +63,8 @@
     watch.note_known(newest.era, newest.revision, now);
     if (const auto after = watch.next_read(reads_service(source, now), now)) {
       // What a first listing lacks the watch that goes on from it tells at once.
-      const bool may_be_old = *after == 0 && !watch.has_answered();
-      commands_.emplace_back(read_service{source, *after, may_be_old, watch.hold()});
+      const bool allow_stale = *after == 0 && !watch.has_answered();
+      commands_.emplace_back(read_service{source, *after, allow_stale, watch.hold()});
     }
     if (serving_ && watch.takes_probe(now)) {
       commands_.emplace_back(probe_service{source});
@@ -127,22 +127,22 @@
 
 void node::note_era(const service_answered& what, const catalog::answer_meaning& meaning) {
   const std::string era = std::to_string(meaning.era);
-  if (what.era_unreadable) {
-    ++store_.eras_unreadable;
+  if (what.is_era_unreadable) {
+    ++store_.unreadable_eras;
     record(base::event_kind::service_era, {}, "", "unreadable, taken for " + era);
   }
   if (meaning.is_implausible) {
-    ++store_.eras_unreadable;
+    ++store_.unreadable_eras;
     record(base::event_kind::service_era, {}, std::to_string(*what.era),
            "too far beyond " + era + " to be one, passed over");
   }
   if (meaning.is_outdated) {
-    ++store_.answers_outdated;
+    ++store_.outdated_answers;
     record(base::event_kind::service_era, {}, std::to_string(*what.era),
            "an answer of an era before " + era + ", passed over");
   }
   if (meaning.begins_era) {
-    ++store_.eras_begun;
+    ++store_.era_changes;
     record(base::event_kind::service_era, {}, era,
            "the service came back from an older copy, now at revision " +
                std::to_string(what.service_revision) + "; it is listed anew");
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -108,7 +108,7 @@
     restarts_.push_back(std::move(*restart));
   }
   mark_cold(state, record->cold_for, now);
-  if (record->may_be_gone) {
+  if (record->may_be_deleted) {
     state.paused_until = std::max(state.paused_until, now + entry_expiry_time);
   }
   state.record = record;
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -210,10 +210,10 @@
     serving.regions = model::zone_regions(std::move(by_zone));
   }
   result.node.serving = serving;
-  result.node.stop_linger = std::chrono::milliseconds(1'500);
-  result.node.stop_linger_longest =
+  result.node.stop_linger_time = std::chrono::milliseconds(1'500);
+  result.node.max_stop_linger_time =
       std::min(serving.max_stop_duration, serving.stop_admission.requests);
-  result.node.resync_wait = std::chrono::milliseconds(300);
+  result.node.resync_timeout = std::chrono::milliseconds(300);
   result.node.service_timing = read_watch_timing(*section);
   section->finish();
 }
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -270,7 +270,7 @@
 base::duration fleet_simulation::delay_between(const std::string& zone, const std::string& other) {
   const auto& serving = settings_.node.serving;
   const bool near =
-      !serving || serving->regions.same_region(base::zone_id(zone), base::zone_id(other));
+      !serving || serving->regions.are_in_same_region(base::zone_id(zone), base::zone_id(other));
   return network_delay() + (near ? base::duration{} : settings_.network.region_delay);
 }
 
@@ -548,7 +548,7 @@
   const auto id = next_caller_++;
   callers_[id].id = id;
   callers_[id].node = name;
-  deliver(name, nodes_.at(name).life, node::ticket_wanted{id, token_sha256});
+  deliver(name, nodes_.at(name).life, node::ticket_requested{id, token_sha256});
   run_until([&] { return tickets_.contains(id); }, std::chrono::seconds(1));
   callers_.erase(id);
   return tickets_[id];
@@ -556,7 +556,7 @@
 
 void fleet_simulation::hang_up(base::caller_id caller) {
   const auto& record = callers_.at(caller);
-  deliver(record.node, nodes_.at(record.node).life, node::caller_left{caller});
+  deliver(record.node, nodes_.at(record.node).life, node::caller_disconnected{caller});
 }
 
 void fleet_simulation::answer_caller(const execution::send_answer& wanted) {
--- a/src/stage_work/shard_map.cc
+++ b/src/stage_work/shard_map.cc
@@ -69,7 +69,7 @@
   }
 }
 
-std::map<model::neighbourhood, shard_map::zone_replicas>
+std::map<model::effective_region, shard_map::zone_replicas>
 shard_map::replicas_by_region(const std::string& service) {
   zone_replicas by_zone;
   for (const auto* state : replicas_->of_service(service)) {
@@ -81,20 +81,20 @@
       by_zone[record.zone].push_back(state);
     }
   }
-  std::map<model::neighbourhood, zone_replicas> regions;
+  std::map<model::effective_region, zone_replicas> regions;
   for (auto& [zone, replicas] : by_zone) {
-    regions[regions_.neighbourhood_of(zone)][zone] = std::move(replicas);
+    regions[regions_.effective_region_of(zone)][zone] = std::move(replicas);
   }
   return regions;
 }
 
 shard_map::candidate_nodes shard_map::find_candidates(bool is_stopping) {
   std::map<base::zone_id, double> strongest_of_zone;
-  std::map<model::neighbourhood, double> strongest_of_region;
+  std::map<model::effective_region, double> strongest_of_region;
   const auto note_strongest = [&](const base::zone_id& zone, double share) {
     auto& in_zone = strongest_of_zone[zone];
     in_zone = std::max(in_zone, share);
-    auto& in_region = strongest_of_region[regions_.neighbourhood_of(zone)];
+    auto& in_region = strongest_of_region[regions_.effective_region_of(zone)];
     in_region = std::max(in_region, share);
   };
   candidate_nodes found;
@@ -103,7 +103,7 @@
     if (node.processor_share >= strongest_of_zone[node.zone] * min_share_of_strongest) {
       found.by_zone[node.zone].push_back(node.node);
     }
-    const auto region = regions_.neighbourhood_of(node.zone);
+    const auto region = regions_.effective_region_of(node.zone);
     if (node.processor_share >= strongest_of_region[region] * min_share_of_strongest) {
       found.by_region[region].push_back(node.node);
       found.all.push_back(node.node);
--- a/src/stage_work/shard_map.h
+++ b/src/stage_work/shard_map.h
@@ -21,7 +21,7 @@
 /// Replicas of one service for which one node batches pieces.
 struct shard {
   std::string service;
-  model::neighbourhood region;
+  model::effective_region region;
   /// Set if all replicas of the shard are in one zone.
   std::optional<base::zone_id> zone;
   std::vector<base::replica_id> replicas;
@@ -56,7 +56,8 @@
   [[nodiscard]] const std::set<base::replica_id>& own_replicas() const { return own_replicas_; }
   /// @return services of the replicas for which this node is the batcher, with the regions of these
   ///         replicas.
-  [[nodiscard]] const std::map<std::string, std::set<model::neighbourhood>>& own_services() const {
+  [[nodiscard]] const std::map<std::string, std::set<model::effective_region>>&
+  own_services() const {
     return own_services_;
   }
   /// @return whether this node is the batcher of a shard that is not limited to one zone.
@@ -71,13 +72,13 @@
   /// Nodes that may be batchers.
   struct candidate_nodes {
     std::map<base::zone_id, std::vector<base::node_id>> by_zone;
-    std::map<model::neighbourhood, std::vector<base::node_id>> by_region;
+    std::map<model::effective_region, std::vector<base::node_id>> by_region;
     std::vector<base::node_id> all;
   };
 
   [[nodiscard]] candidate_nodes find_candidates(bool is_stopping);
   /// @return replicas of a service that accept work.
-  [[nodiscard]] std::map<model::neighbourhood, zone_replicas>
+  [[nodiscard]] std::map<model::effective_region, zone_replicas>
   replicas_by_region(const std::string& service);
   /// Adds the shards of the replicas of one service in one region.
   /// @param common service and region of the shards.
@@ -97,7 +98,7 @@
   bool is_stopping_ = false;
   std::vector<shard> shards_;
   std::set<base::replica_id> own_replicas_;
-  std::map<std::string, std::set<model::neighbourhood>> own_services_;
+  std::map<std::string, std::set<model::effective_region>> own_services_;
   std::uint64_t evaluations_ = 0;
 };
 
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -60,8 +60,8 @@
   // would wait here forever.
   const auto own = shards_.own_services().find(replica.record->service);
   return own == shards_.own_services().end() ||
-         std::none_of(own->second.begin(), own->second.end(), [&](const auto& neighbourhood) {
-           return permitted_regions.permits(neighbourhood.region);
+         std::none_of(own->second.begin(), own->second.end(), [&](const auto& effective_region) {
+           return permitted_regions.permits(effective_region.region);
          });
 }
 
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -126,7 +126,7 @@
   /// A node that batches the pieces for some replicas of a service.
   struct batcher {
     base::node_id node;
-    model::neighbourhood region;
+    model::effective_region region;
     /// Set if all these replicas are in one zone.
     std::optional<base::zone_id> zone;
     /// Number of its replicas that can be called now; a replica with an announced limit counts as
--- a/src/stage_work/stage_exchange_batchers.cc
+++ b/src/stage_work/stage_exchange_batchers.cc
@@ -153,7 +153,7 @@
         peer_directory::is_eligible(peer) && replicas_->is_reachable(zone) &&
         !replicas_->is_evacuated(zone)) {
       const auto replicas = static_cast<double>(load->second.replicas());
-      found.push_back({node, regions_.neighbourhood_of(zone), zone, replicas, {}});
+      found.push_back({node, regions_.effective_region_of(zone), zone, replicas, {}});
     }
   }
   std::erase_if(found, [&](const batcher& candidate) {
@@ -207,7 +207,7 @@
 double stage_exchange::distance_seconds(const batcher& candidate, const base::zone_id& zone,
                                         double result_bytes) const {
   auto locality = model::locality::zone;
-  if (candidate.region != regions_.neighbourhood_of(zone)) {
+  if (candidate.region != regions_.effective_region_of(zone)) {
     locality = model::locality::elsewhere;
   } else if (candidate.zone && *candidate.zone != zone) {
     locality = model::locality::region;
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -88,7 +88,7 @@
     const auto busy = busy_until.find(replica->record->id);
     auto free_at = busy == busy_until.end() ? now : std::max(now, busy->second);
     if (free_result_bytes(replica->record->id, capacity, now) <
-        capacity.result_room_bytes * low_memory_share) {
+        capacity.result_capacity_bytes * low_memory_share) {
       free_at = std::max<base::time_point>(free_at, now + full_call_time);
     }
     free_at = std::max(free_at, replica->backoff.ends_at());
@@ -139,7 +139,7 @@
       const auto free_slots = capacity.batch - batch.size();
       const bool is_divisible =
           group.pieces.size() > capacity.batch ||
-          group.result_bytes > capacity.result_room_bytes * usable_memory_share;
+          group.result_bytes > capacity.result_capacity_bytes * usable_memory_share;
       const bool does_fit = group.pieces.size() <= free_slots && group.result_bytes <= free_bytes;
       if (!does_fit && !is_divisible) {
         continue;
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -78,7 +78,7 @@
 bool stage_pool::is_short_of_memory(const replica_state& replica, base::time_point now) const {
   const auto* capacity = capacity_of(replica.record->service);
   return capacity != nullptr && free_result_bytes(replica.record->id, *capacity, now) <
-                                    capacity->result_room_bytes * low_memory_share;
+                                    capacity->result_capacity_bytes * low_memory_share;
 }
 
 void stage_pool::free_deferred_results(bool only_short_of_memory, base::time_point now) {
@@ -123,7 +123,7 @@
       unaccounted != unaccounted_memory_.end() && now < unaccounted->second.until) {
     used_bytes += unaccounted->second.bytes;
   }
-  return capacity.result_room_bytes * usable_memory_share - used_bytes;
+  return capacity.result_capacity_bytes * usable_memory_share - used_bytes;
 }
 
 void stage_pool::note_memory_exhausted(const open_call& call, base::time_point now) {
@@ -133,7 +133,7 @@
   }
   const auto& replica = call.command.target.replica;
   const auto unaccounted =
-      capacity->result_room_bytes * usable_memory_share - result_bytes_by_replica_[replica];
+      capacity->result_capacity_bytes * usable_memory_share - result_bytes_by_replica_[replica];
   unaccounted_memory_[replica] = {std::max(0.0, unaccounted), now + unaccounted_memory_lifetime};
 }
 
--- a/tests/catalog/store_era_test.cc
+++ b/tests/catalog/store_era_test.cc
@@ -134,7 +134,7 @@
   content.apply(entry(1, 100, replica_key, replica(false)));
   content.apply(entry(1, 110, replica_key, ""));
   content.apply(entry(2, 100, replica_key, replica(false)));
-  BOOST_TEST(known_replica(content).may_be_gone);
+  BOOST_TEST(known_replica(content).may_be_deleted);
 }
 
 BOOST_AUTO_TEST_CASE(a_listing_of_a_new_era_shows_what_is_gone_whatever_its_revision_was) {
@@ -164,7 +164,7 @@
   content.apply(entry(0, 100, replica_key, replica(false)));
   content.apply(entry(0, 110, replica_key, ""));
   content.apply(entry(1, 120, replica_key, replica(false)));
-  BOOST_TEST(!known_replica(content).may_be_gone);
+  BOOST_TEST(!known_replica(content).may_be_deleted);
 }
 
 BOOST_AUTO_TEST_CASE(the_hash_is_that_of_a_build_that_knows_no_era) {
--- a/tests/model/outcome_test.cc
+++ b/tests/model/outcome_test.cc
@@ -3,13 +3,13 @@
 
 #include <boost/test/unit_test.hpp>
 
-using spurrack::model::dispatch_ledger;
+using spurrack::model::call_tracker;
 using spurrack::model::outcome;
 
 BOOST_AUTO_TEST_SUITE(dispatch_ledger_outcomes)
 
 BOOST_AUTO_TEST_CASE(follows_what_was_handed_out) {
-  dispatch_ledger ledger;
+  call_tracker ledger;
   BOOST_CHECK(ledger.give_up() == outcome::not_run);
   ledger.call_started(true);
   BOOST_CHECK(ledger.give_up() == outcome::failed);
--- a/tests/model/residency_test.cc
+++ b/tests/model/residency_test.cc
@@ -48,11 +48,11 @@
   const base::zone_id other("s1");
   const base::zone_id unnamed("x");
   const model::zone_regions regions({{first, north}, {second, north}, {other, south}});
-  BOOST_TEST(regions.same_region(first, second));
-  BOOST_TEST(!regions.same_region(first, other));
+  BOOST_TEST(regions.are_in_same_region(first, second));
+  BOOST_TEST(!regions.are_in_same_region(first, other));
   BOOST_TEST(!regions.region_of(unnamed).has_value());
-  BOOST_TEST(regions.same_region(unnamed, unnamed));
-  BOOST_TEST(!regions.same_region(unnamed, base::zone_id("y")));
+  BOOST_TEST(regions.are_in_same_region(unnamed, unnamed));
+  BOOST_TEST(!regions.are_in_same_region(unnamed, base::zone_id("y")));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/node/planned_stop_test.cc
+++ b/tests/node/planned_stop_test.cc
@@ -21,8 +21,8 @@
   static node::node_settings settings_with(base::duration max_stop_duration) {
     auto settings = usual_settings();
     settings.serving->max_stop_duration = max_stop_duration;
-    settings.stop_linger = milliseconds(1'500);
-    settings.stop_linger_longest = milliseconds(3'500);
+    settings.stop_linger_time = milliseconds(1'500);
+    settings.max_stop_linger_time = milliseconds(3'500);
     return settings;
   }
 
--- a/tests/node/store_era_test.cc
+++ b/tests/node/store_era_test.cc
@@ -82,7 +82,7 @@
   }
   answer(1, 900, true, late);
   BOOST_TEST(subject.content().highest_revision() < 900U);
-  BOOST_TEST(subject.store().answers_outdated == 1U);
+  BOOST_TEST(subject.store().outdated_answers == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(an_era_that_is_missing_or_unreadable_is_taken_for_the_last) {
@@ -90,10 +90,10 @@
   node::service_answered unreadable;
   unreadable.source = node::source_kind::machine_list;
   unreadable.service_revision = 102;
-  unreadable.era_unreadable = true;
+  unreadable.is_era_unreadable = true;
   happen(unreadable);
-  BOOST_TEST(subject.store().eras_unreadable == 1U);
-  BOOST_TEST(subject.store().eras_begun == 0U);
+  BOOST_TEST(subject.store().unreadable_eras == 1U);
+  BOOST_TEST(subject.store().era_changes == 0U);
   BOOST_TEST(!subject.content().replicas().empty());
 }
 
--- a/tests/platform/record_translator_test.cc
+++ b/tests/platform/record_translator_test.cc
@@ -90,7 +90,7 @@
   BOOST_TEST(configuration.version == 7);
   const auto route = configuration.find_route("h.example", "/a/b/c");
   BOOST_REQUIRE(route);
-  BOOST_TEST(route->may_repeat());
+  BOOST_TEST(route->is_repeatable());
   BOOST_TEST(route->max_attempts == 2);
   BOOST_TEST(base::to_milliseconds(*route->timeout) == 8000);
   BOOST_TEST(base::to_milliseconds(route->gap_target) == 500);
@@ -100,7 +100,7 @@
   const auto* pool = configuration.find_service("one");
   BOOST_REQUIRE(pool != nullptr && pool->pieces.has_value());
   BOOST_TEST(pool->pieces->batch == 8);
-  BOOST_TEST(pool->pieces->result_room_bytes == 18e6);
+  BOOST_TEST(pool->pieces->result_capacity_bytes == 18e6);
   BOOST_TEST(configuration.find_service("llm")->engine->slots == 128);
   BOOST_TEST(configuration.keys.at("k2").tenant.text() == "t");
   BOOST_TEST(configuration.keys.at("k2").priority.value() == 1);
--- a/tests/simulation/control_traffic_test.cc
+++ b/tests/simulation/control_traffic_test.cc
@@ -171,7 +171,7 @@
   for (const auto& name : fleet.node_names()) {
     const auto& control = fleet.node(name).control();
     std::uint64_t sum = 0;
-    for (const auto& [flow, bytes] : control.bytes_sent_by_flow) {
+    for (const auto& [flow, bytes] : control.bytes_sent_by_class) {
       sum += bytes;
     }
     BOOST_TEST(sum == control.bytes_sent);
--- a/tests/simulation/serving_fleet.h
+++ b/tests/simulation/serving_fleet.h
@@ -23,7 +23,7 @@
   configuration.set_version(1);
   settings.records[std::string(model::configuration_key)] = configuration.SerializeAsString();
   settings.node.serving.emplace();
-  settings.node.resync_wait = std::chrono::milliseconds(300);
+  settings.node.resync_timeout = std::chrono::milliseconds(300);
   auto& timing = settings.node.membership_timing;
   timing.probe_period = std::chrono::milliseconds(300);
   timing.acknowledgement_timeout = std::chrono::milliseconds(100);
