--- a/src/model/outcome.cc
+++ b/src/model/outcome.cc
@@ -17,26 +17,26 @@
 }
 
 void call_tracker::call_started(bool repeatable) {
-  ++calls_open_;
-  effects_open_ += repeatable ? 0 : 1;
+  ++open_calls_;
+  open_effects_ += repeatable ? 0 : 1;
 }
 
 void call_tracker::call_never_sent(bool repeatable) {
-  --calls_open_;
-  effects_open_ -= repeatable ? 0 : 1;
+  --open_calls_;
+  open_effects_ -= repeatable ? 0 : 1;
 }
 
 void call_tracker::call_completed(bool repeatable) {
-  --calls_open_;
-  ++calls_completed_;
-  effects_open_ -= repeatable ? 0 : 1;
+  --open_calls_;
+  ++completed_calls_;
+  open_effects_ -= repeatable ? 0 : 1;
 }
 
-outcome call_tracker::give_up() const {
-  if (effects_open_ > 0) {
+outcome call_tracker::failure_outcome() const {
+  if (open_effects_ > 0) {
     return outcome::unknown;
   }
-  return calls_open_ + calls_completed_ > 0 ? outcome::failed : outcome::not_run;
+  return open_calls_ + completed_calls_ > 0 ? outcome::failed : outcome::not_run;
 }
 
 } // namespace spurrack::model
--- a/src/model/outcome.h
+++ b/src/model/outcome.h
@@ -32,14 +32,14 @@
   void call_completed(bool repeatable);
 
   /// @return whether every non-repeatable call that was started has a known end.
-  [[nodiscard]] bool effect_in_doubt() const { return effects_open_ > 0; }
+  [[nodiscard]] bool has_effect_in_doubt() const { return open_effects_ > 0; }
   /// @return what to tell the caller of a request that is given up now.
-  [[nodiscard]] outcome give_up() const;
+  [[nodiscard]] outcome failure_outcome() const;
 
  private:
-  unsigned calls_open_ = 0;
-  unsigned calls_completed_ = 0;
-  unsigned effects_open_ = 0;
+  unsigned open_calls_ = 0;
+  unsigned completed_calls_ = 0;
+  unsigned open_effects_ = 0;
 };
 
 } // namespace spurrack::model
--- a/src/model/record_parser.cc
+++ b/src/model/record_parser.cc
@@ -47,11 +47,11 @@
   for (auto& child : reader.sequence("stages", true)) {
     result->stages.push_back(parse_stage(child));
     if (!names.insert(result->stages.back().name).second) {
-      child.fault(errc::unknown_value, "name", "a name not used by another stage");
+      child.add_fault(errc::unknown_value, "name", "a name not used by another stage");
     }
   }
   if (result->stages.empty() || result->stages.size() > max_stages) {
-    reader.fault(errc::out_of_range, "stages", "1 to 16 stages");
+    reader.add_fault(errc::out_of_range, "stages", "1 to 16 stages");
   }
   reader.finish();
   return result;
@@ -78,7 +78,7 @@
   result->name = base::tenant_id(reader.required_text("name"));
   result->token_sha256 = reader.required_text("token_sha256");
   if (!result->token_sha256.empty() && !is_sha256_hex(result->token_sha256)) {
-    reader.fault(errc::unknown_value, "token_sha256", "64 lower-case hexadecimal digits");
+    reader.add_fault(errc::unknown_value, "token_sha256", "64 lower-case hexadecimal digits");
   }
   result->weight = static_cast<int>(reader.integer("weight", 1, max_weight, 1));
   if (auto templates = reader.mapping("templates", true)) {
@@ -110,7 +110,7 @@
   return result;
 }
 
-std::string name_in(const record& value) {
+std::string record_name(const record& value) {
   if (const auto* pipeline = std::get_if<std::shared_ptr<const pipeline_template>>(&value)) {
     return (*pipeline)->name.text();
   }
@@ -130,7 +130,7 @@
   if (key.starts_with(machine_prefix)) {
     return parse_machine(reader);
   }
-  reader.fault(errc::unknown_key_space, "name", "templates/, tenants/, machines/");
+  reader.add_fault(errc::unknown_key_space, "name", "templates/, tenants/, machines/");
   return std::nullopt;
 }
 
@@ -152,8 +152,8 @@
     return result;
   }
   const auto expected = key.substr(key.find('/') + 1);
-  if (name_in(*value) != expected) {
-    reader.fault(errc::name_mismatch, "name", expected);
+  if (record_name(*value) != expected) {
+    reader.add_fault(errc::name_mismatch, "name", expected);
   }
   if (result.faults.empty()) {
     result.value = std::move(value);
--- a/src/model/serving_record_parser.cc
+++ b/src/model/serving_record_parser.cc
@@ -11,12 +11,12 @@
 namespace {
 
 /// A fault found while a configuration is built; ends the work on it.
-struct fault_found {
+struct validation_error {
   std::string text;
 };
 
 [[noreturn]] void refuse(std::string text) {
-  throw fault_found{std::move(text)};
+  throw validation_error{std::move(text)};
 }
 
 void require(bool holds, const std::string& text) {
@@ -236,7 +236,7 @@
   }
   try {
     return build_configuration(published);
-  } catch (const fault_found& fault) {
+  } catch (const validation_error& fault) {
     return refusal_reason{fault.text};
   }
 }
--- a/src/model/yaml_reader.cc
+++ b/src/model/yaml_reader.cc
@@ -69,8 +69,8 @@
   return path_.empty() ? name : path_ + "." + name;
 }
 
-void mapping_reader::fault(std::error_code code, const std::string& name,
-                           const std::string& allowed) {
+void mapping_reader::add_fault(std::error_code code, const std::string& name,
+                               const std::string& allowed) {
   const auto child = std::as_const(node_)[name];
   const int line = child.IsDefined() ? line_of(child) : line_of(node_);
   faults_->push_back({code, line, path_of(name), allowed});
@@ -84,11 +84,11 @@
 std::string mapping_reader::required_text(const std::string& name, const std::string& allowed) {
   const auto child = find(name);
   if (!child.IsDefined()) {
-    fault(errc::missing_field, name, allowed);
+    add_fault(errc::missing_field, name, allowed);
     return {};
   }
   if (!child.IsScalar() || child.Scalar().empty()) {
-    fault(errc::wrong_type, name, allowed);
+    add_fault(errc::wrong_type, name, allowed);
     return {};
   }
   return child.Scalar();
@@ -112,7 +112,7 @@
   const auto found = std::find(values.begin(), values.end(), text);
   if (found == values.end()) {
     if (!text.empty()) {
-      fault(errc::unknown_value, name, join(values));
+      add_fault(errc::unknown_value, name, join(values));
     }
     return fallback.value_or(0);
   }
@@ -125,17 +125,17 @@
   const auto child = find(name);
   if (!child.IsDefined()) {
     if (!fallback) {
-      fault(errc::missing_field, name, allowed);
+      add_fault(errc::missing_field, name, allowed);
     }
     return fallback.value_or(low);
   }
   std::int64_t value = 0;
   if (!child.IsScalar() || !YAML::convert<std::int64_t>::decode(child, value)) {
-    fault(errc::wrong_type, name, allowed);
+    add_fault(errc::wrong_type, name, allowed);
     return fallback.value_or(low);
   }
   if (value < low || value > high) {
-    fault(errc::out_of_range, name, allowed);
+    add_fault(errc::out_of_range, name, allowed);
     return fallback.value_or(low);
   }
   return value;
@@ -147,17 +147,17 @@
   const auto child = find(name);
   if (!child.IsDefined()) {
     if (!fallback) {
-      fault(errc::missing_field, name, allowed);
+      add_fault(errc::missing_field, name, allowed);
     }
     return fallback.value_or(low);
   }
   double value = 0;
   if (!child.IsScalar() || !YAML::convert<double>::decode(child, value)) {
-    fault(errc::wrong_type, name, allowed);
+    add_fault(errc::wrong_type, name, allowed);
     return fallback.value_or(low);
   }
   if (!(value >= low && value <= high)) {
-    fault(errc::out_of_range, name, allowed);
+    add_fault(errc::out_of_range, name, allowed);
     return fallback.value_or(low);
   }
   return value;
@@ -170,7 +170,7 @@
   }
   bool value = fallback;
   if (!child.IsScalar() || !YAML::convert<bool>::decode(child, value)) {
-    fault(errc::wrong_type, name, "true, false");
+    add_fault(errc::wrong_type, name, "true, false");
   }
   return value;
 }
@@ -188,12 +188,12 @@
     return values;
   }
   if (!child.IsSequence()) {
-    fault(errc::wrong_type, name, "a list of texts");
+    add_fault(errc::wrong_type, name, "a list of texts");
     return values;
   }
   for (const auto& element : child) {
     if (!element.IsScalar()) {
-      fault(errc::wrong_type, name, "a list of texts");
+      add_fault(errc::wrong_type, name, "a list of texts");
       return values;
     }
     values.push_back(element.Scalar());
@@ -206,12 +206,12 @@
   const auto child = find(name);
   if (!child.IsDefined()) {
     if (required) {
-      fault(errc::missing_field, name, "a list of mappings");
+      add_fault(errc::missing_field, name, "a list of mappings");
     }
     return readers;
   }
   if (!child.IsSequence()) {
-    fault(errc::wrong_type, name, "a list of mappings");
+    add_fault(errc::wrong_type, name, "a list of mappings");
     return readers;
   }
   std::size_t index = 0;
@@ -230,7 +230,7 @@
   const auto child = find(name);
   if (!child.IsDefined()) {
     if (required) {
-      fault(errc::missing_field, name, "a mapping");
+      add_fault(errc::missing_field, name, "a mapping");
     }
     return std::nullopt;
   }
@@ -238,7 +238,7 @@
     return mapping_reader(YAML::Node(YAML::NodeType::Map), path_of(name), *faults_);
   }
   if (!child.IsMap()) {
-    fault(errc::wrong_type, name, "a mapping");
+    add_fault(errc::wrong_type, name, "a mapping");
     return std::nullopt;
   }
   return mapping_reader(child, path_of(name), *faults_);
--- a/src/model/yaml_reader.h
+++ b/src/model/yaml_reader.h
@@ -64,7 +64,7 @@
   std::vector<std::string> entry_names();
 
   /// Adds a fault at a field of this mapping.
-  void fault(std::error_code code, const std::string& name, const std::string& allowed);
+  void add_fault(std::error_code code, const std::string& name, const std::string& allowed);
   /// Reports fields that are not known.
   void finish();
 
--- a/src/node/events.h
+++ b/src/node/events.h
@@ -54,7 +54,7 @@
   /// It told an era that cannot be read.
   bool is_era_unreadable = false;
   /// The entries are everything the service held at that revision, not only what is newer.
-  bool complete = false;
+  bool is_listing = false;
 };
 struct service_failed {
   source_kind source = source_kind::configuration;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -8,16 +8,16 @@
 
 constexpr base::duration periodic_interval = std::chrono::milliseconds(100);
 /// A node that runs sees an event at least every `periodic_interval`.
-constexpr base::duration longest_usual_gap = 2 * periodic_interval;
+constexpr base::duration max_regular_event_interval = 2 * periodic_interval;
 /// Members of other zones with which published records are exchanged at once: in the own region,
 /// and in others, whose bytes are dear.
 constexpr std::size_t near_replication_peers = 2;
 constexpr std::size_t far_replication_peers = 1;
 /// Peers asked at once for what this node missed: with 10 of them one answers even while half the
 /// fleet starts, and a fleet that starts as a whole is not flooded.
-constexpr std::size_t most_resync_peers = 10;
+constexpr std::size_t max_resync_peers = 10;
 /// Messages a node sends to itself while it handles one event; a bound against loops.
-constexpr std::size_t most_loopback_rounds = 8;
+constexpr std::size_t max_loopback_rounds = 8;
 
 /// Hands the switches on to the parts that have them.
 node_settings with_switches(node_settings settings) {
@@ -26,7 +26,7 @@
   return settings;
 }
 
-base::event_kind event_of(wire::member_state state) {
+base::event_kind event_kind_of(wire::member_state state) {
   switch (state) {
   case wire::ALIVE:
     return base::event_kind::member_alive;
@@ -37,7 +37,7 @@
   }
 }
 
-base::event_kind event_of(catalog::apply_verdict verdict) {
+base::event_kind event_kind_of(catalog::apply_verdict verdict) {
   switch (verdict) {
   case catalog::apply_verdict::accepted:
     return base::event_kind::entry_accepted;
@@ -51,12 +51,12 @@
 } // namespace
 
 node::node(node_settings settings, base::random_source& random, base::time_point now)
-    : settings_(with_switches(std::move(settings))), started_(now), last_event_(now),
+    : settings_(with_switches(std::move(settings))), started_at_(now), last_event_at_(now),
       clock_(settings_.wall_offset_microseconds), events_(settings_.event_log_capacity),
       catalog_(settings_.switches),
       replicator_(catalog_, random,
                   [this](const wire::catalog_entry& entry, const catalog::apply_result& result) {
-                    record(event_of(result.verdict), {}, entry.key(),
+                    record(event_kind_of(result.verdict), {}, entry.key(),
                            "revision " + std::to_string(entry.revision()) +
                                (result.reason.empty() ? "" : ": " + result.reason));
                   }),
@@ -65,7 +65,7 @@
       membership_(
           settings_.self, settings_.membership_timing, random,
           [this](const membership::member& subject) {
-            record(event_of(subject.state), {}, subject.node.text(), "");
+            record(event_kind_of(subject.state), {}, subject.node.text(), "");
           },
           settings_.serving ? settings_.serving->regions : model::zone_regions()),
       backends_(settings_.self.zone, settings_.routing),
@@ -82,9 +82,9 @@
           [this](base::event_kind kind, const base::request_id& request, const std::string& subject,
                  const std::string& detail) { record(kind, request, subject, detail); },
           now),
-      random_(&random), next_periodic_(now) {
+      random_(&random), next_periodic_at_(now) {
   if (settings_.serving) {
-    wait_for_peers_part_ = random.unit();
+    peer_wait_fraction_ = random.unit();
     const serving::fleet_peer self{settings_.self.node, settings_.self.zone, settings_.self.address,
                                    settings_.self.processor_share};
     serving_.emplace(self, *settings_.serving, random, settings_.self.process_start,
@@ -107,8 +107,8 @@
 }
 
 command_list node::handle(const event& what, base::time_point now) {
-  detect_pause(now);
-  last_event_ = now;
+  detect_suspension(now);
+  last_event_at_ = now;
   // What has expired is given up before anything else is decided.
   executor_.expire(now);
   guard_.tick(now);
@@ -118,22 +118,22 @@
 }
 
 base::time_point node::next_wakeup() const {
-  auto earliest = next_periodic_;
+  auto earliest = next_periodic_at_;
   const auto consider = [&](const std::optional<base::time_point>& when) {
     earliest = when ? std::min(earliest, *when) : earliest;
   };
   consider(executor_.next_deadline());
   consider(guard_.next_deadline());
-  consider(scheduler_.next_wakeup(last_event_));
+  consider(scheduler_.next_wakeup(last_event_at_));
   if (serving_) {
-    consider(serving_->next_wakeup(last_event_));
+    consider(serving_->next_wakeup(last_event_at_));
   }
   return earliest;
 }
 
 void node::record(base::event_kind kind, const base::request_id& request,
                   const std::string& subject, const std::string& detail) {
-  base::event entry{clock_.next(last_event_), kind, request, subject, detail};
+  base::event entry{clock_.next(last_event_at_), kind, request, subject, detail};
   if (settings_.serving) {
     commands_.emplace_back(log_decision{entry});
   }
@@ -142,31 +142,31 @@
 
 // --- pauses and readiness ------------------------------------------------------------------------
 
-void node::detect_pause(base::time_point now) {
+void node::detect_suspension(base::time_point now) {
   // Requests may have waited in sockets through any gap, also one too short to count as a pause:
   // only time awake is quiet time of a stop.
-  if (now - last_event_ > longest_usual_gap) {
-    disturbed_at_ = now;
+  if (now - last_event_at_ > max_regular_event_interval) {
+    quiet_since_ = now;
   }
-  if (now - last_event_ <= settings_.pause_threshold) {
+  if (now - last_event_at_ <= settings_.suspension_threshold) {
     return;
   }
-  const auto gap = now - last_event_;
-  last_event_ = now;
+  const auto gap = now - last_event_at_;
+  last_event_at_ = now;
   record(base::event_kind::node_resumed_after_pause, {}, settings_.self.node.text(),
          std::to_string(base::to_milliseconds(gap)) + " ms");
   membership_.resume_after_suspension(now);
   executor_.set_hold(true);
-  hold_until_ = now + settings_.resync_timeout;
+  hold_ends_at_ = now + settings_.resync_timeout;
   if (serving_) {
     serving_->resume_after_suspension(gap, now);
   }
-  begin_resync(now);
+  request_resync(now);
 }
 
-void node::begin_resync(base::time_point /*now*/) {
+void node::request_resync(base::time_point /*now*/) {
   auto peers = replication_peers();
-  for (std::size_t asked = 0; asked < most_resync_peers && !peers.empty(); ++asked) {
+  for (std::size_t asked = 0; asked < max_resync_peers && !peers.empty(); ++asked) {
     wire::outgoing message{base::take_random(peers, *random_), {}};
     message.message.mutable_ping()->set_resync(true);
     outbox_.push_back(std::move(message));
@@ -178,24 +178,24 @@
   if (!equal) {
     return;
   }
-  peer_synced_ = true;
-  if (hold_until_ && message.has_acknowledgement() && message.acknowledgement().resync()) {
-    hold_until_.reset();
+  is_synced_with_peer_ = true;
+  if (hold_ends_at_ && message.has_acknowledgement() && message.acknowledgement().resync()) {
+    hold_ends_at_.reset();
     executor_.set_hold(false);
   }
-  check_ready(now);
+  update_readiness(now);
 }
 
-void node::check_ready(base::time_point now) {
-  if (ready_) {
+void node::update_readiness(base::time_point now) {
+  if (is_ready_) {
     return;
   }
   const bool service_read = watches_[0].has_answered() && watches_[1].has_answered();
-  const bool waited = now - started_ >= settings_.resync_timeout;
-  const bool knows_enough = peer_synced_ || (service_read && waited);
+  const bool waited = now - started_at_ >= settings_.resync_timeout;
+  const bool knows_enough = is_synced_with_peer_ || (service_read && waited);
   const bool has_content = serving_ ? catalog_.serving() != nullptr : catalog_.size() > 0;
   if (has_content && knows_enough) {
-    ready_ = true;
+    is_ready_ = true;
     record(base::event_kind::node_ready, {}, settings_.self.node.text(), "");
   }
 }
@@ -203,8 +203,8 @@
 // --- periodic work -------------------------------------------------------------------------------
 
 void node::on(const time_passed& /*what*/, base::time_point now) {
-  if (now >= next_periodic_) {
-    next_periodic_ = now + periodic_interval;
+  if (now >= next_periodic_at_) {
+    next_periodic_at_ = now + periodic_interval;
     run_periodic(now);
   }
 }
@@ -215,14 +215,14 @@
   update_serving_peers(now);
   executor_.expire_stalled_calls(now);
   read_services(now);
-  if (!ready_) {
-    begin_resync(now);
+  if (!is_ready_) {
+    request_resync(now);
   }
-  if (hold_until_ && now >= *hold_until_) {
-    hold_until_.reset();
+  if (hold_ends_at_ && now >= *hold_ends_at_) {
+    hold_ends_at_.reset();
     executor_.set_hold(false);
   }
-  check_ready(now);
+  update_readiness(now);
 }
 
 bool node::is_near(const base::zone_id& zone) const {
@@ -230,7 +230,7 @@
   return !serving_ || !settings_.serving->regions.are_in_different_regions(own, zone);
 }
 
-model::locality node::reach_of(const base::network_address& peer) const {
+model::locality node::peer_locality(const base::network_address& peer) const {
   const auto* zone = membership_.zone_at(peer);
   if (zone == nullptr) {
     return model::locality::elsewhere;
@@ -243,9 +243,9 @@
 
 void node::update_sharing() {
   const auto nodes = membership_.live_zone_nodes();
-  const auto place = std::find(nodes.begin(), nodes.end(), settings_.self.node);
+  const auto own_entry = std::find(nodes.begin(), nodes.end(), settings_.self.node);
   backends_.set_sharing(static_cast<std::uint32_t>(nodes.size()),
-                        static_cast<std::uint32_t>(place - nodes.begin()));
+                        static_cast<std::uint32_t>(own_entry - nodes.begin()));
 }
 
 // --- catalog -------------------------------------------------------------------------------------
@@ -262,10 +262,10 @@
     return;
   }
   serving_->set_unreachable_zones(membership_.zones().silent(now));
-  if (membership_.version() == seen_members_) {
+  if (membership_.version() == seen_membership_version_) {
     return;
   }
-  seen_members_ = membership_.version();
+  seen_membership_version_ = membership_.version();
   std::vector<serving::fleet_peer> alive;
   for (const auto& [name, other] : membership_.members()) {
     if (other.state != wire::DEAD) {
@@ -312,7 +312,7 @@
     return;
   }
   if (std::holds_alternative<serving::request_arrived>(what)) {
-    disturbed_at_ = now;
+    quiet_since_ = now;
   }
   serving_->handle(what, now);
 }
@@ -320,10 +320,10 @@
 // --- stop ----------------------------------------------------------------------------------------
 
 void node::on(const stop_requested& /*what*/, base::time_point now) {
-  if (!stopping_) {
-    stopping_ = true;
-    stop_began_ = now;
-    disturbed_at_ = now;
+  if (!is_stopping_) {
+    is_stopping_ = true;
+    stop_started_at_ = now;
+    quiet_since_ = now;
     if (serving_) {
       serving_->begin_stop(now, now + settings_.serving->max_stop_duration);
     }
@@ -334,16 +334,16 @@
 // --- output --------------------------------------------------------------------------------------
 
 void node::flush(base::time_point now) {
-  for (std::size_t round = 0; round < most_loopback_rounds; ++round) {
-    carry_out_guard_decisions(now);
+  for (std::size_t round = 0; round < max_loopback_rounds; ++round) {
+    execute_guard_decisions(now);
     executor_.pump(now);
     if (serving_) {
       serving_->advance(now);
       for (auto& wanted : serving_->take_commands()) {
         commands_.emplace_back(std::move(wanted));
       }
-      auto told = serving_->take_messages();
-      std::move(told.begin(), told.end(), std::back_inserter(outbox_));
+      auto serving_messages = serving_->take_messages();
+      std::move(serving_messages.begin(), serving_messages.end(), std::back_inserter(outbox_));
     }
     for (auto& wanted : executor_.take_commands()) {
       std::visit([&](auto& chosen) { emit(std::move(chosen)); }, wanted);
@@ -360,30 +360,30 @@
 }
 
 void node::check_stop(base::time_point now) {
-  if (!stopping_) {
+  if (!is_stopping_) {
     return;
   }
   // Also once the end was reported: requests may still come on connections that are read.
-  check_serving_stop(now);
-  if (stop_reported_) {
+  abort_overdue_requests(now);
+  if (is_stop_reported_) {
     return;
   }
   const bool idle =
       executor_.active() == 0 && guard_.pending() == 0 && (!serving_ || !serving_->is_busy());
-  const bool quiet = now - disturbed_at_ >= settings_.stop_linger_time ||
-                     now - stop_began_ >= settings_.max_stop_linger_time;
-  if ((idle && quiet) || must_end_serving(now) || !settings_.switches.drain_before_stop) {
-    stop_reported_ = true;
+  const bool quiet = now - quiet_since_ >= settings_.stop_linger_time ||
+                     now - stop_started_at_ >= settings_.max_stop_linger_time;
+  if ((idle && quiet) || must_abort_requests(now) || !settings_.switches.drain_before_stop) {
+    is_stop_reported_ = true;
     commands_.emplace_back(stop_completed{});
   }
 }
 
-bool node::must_end_serving(base::time_point now) const {
-  return serving_ && now - stop_began_ >= settings_.serving->max_stop_duration;
+bool node::must_abort_requests(base::time_point now) const {
+  return serving_ && now - stop_started_at_ >= settings_.serving->max_stop_duration;
 }
 
-void node::check_serving_stop(base::time_point now) {
-  if (must_end_serving(now) && serving_->active() > 0) {
+void node::abort_overdue_requests(base::time_point now) {
+  if (must_abort_requests(now) && serving_->active() > 0) {
     serving_->abort_all_requests(now);
     for (auto& wanted : serving_->take_commands()) {
       commands_.emplace_back(std::move(wanted));
@@ -423,7 +423,7 @@
     envelope.set_sender_zone(settings_.self.zone.text());
     envelope.set_sender_address(settings_.self.address.text());
     envelope.set_catalog_hash(hash);
-    envelope.set_sender_is_ready(ready_);
+    envelope.set_sender_is_ready(is_ready_);
     add_leave_notices(envelope);
     const auto at = clock_.next(now);
     envelope.mutable_sent_at()->set_wall_microseconds(at.wall_microseconds);
@@ -437,7 +437,7 @@
     ++control_.messages_sent;
     const auto size = envelope.ByteSizeLong();
     control_.bytes_sent += size;
-    control_.bytes_sent_by_class[{envelope.body_case(), reach_of(message.to)}] += size;
+    control_.bytes_sent_by_class[{envelope.body_case(), peer_locality(message.to)}] += size;
     commands_.emplace_back(std::move(message));
   }
 }
@@ -462,9 +462,9 @@
       (is_near(other.zone) ? near : far).push_back(other.address);
     }
   }
-  const auto wanted_near =
+  const auto near_count =
       far.empty() ? near_replication_peers + far_replication_peers : near_replication_peers;
-  for (std::size_t taken = 0; taken < wanted_near && !near.empty(); ++taken) {
+  for (std::size_t taken = 0; taken < near_count && !near.empty(); ++taken) {
     addresses.push_back(base::take_random(near, *random_));
   }
   for (std::size_t taken = 0; taken < far_replication_peers && !far.empty(); ++taken) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -36,7 +36,7 @@
   admission::scheduling_settings scheduling;
   routing::routing_limits routing;
   /// A gap between two events longer than this means the process was paused.
-  base::duration pause_threshold = std::chrono::milliseconds(1000);
+  base::duration suspension_threshold = std::chrono::milliseconds(1000);
   catalog::watch_timing service_timing;
   /// How long a node waits for peers before it is ready on the service's word, or serves alone.
   base::duration resync_timeout = std::chrono::milliseconds(1000);
@@ -54,10 +54,10 @@
 };
 
 /// Bytes of one kind of message that went as far.
-struct control_flow {
+struct traffic_class {
   wire::envelope::BodyCase kind = wire::envelope::BODY_NOT_SET;
-  model::locality reach = model::locality::elsewhere;
-  auto operator<=>(const control_flow&) const = default;
+  model::locality locality = model::locality::elsewhere;
+  auto operator<=>(const traffic_class&) const = default;
 };
 
 /// Bytes and messages a node spent on control.
@@ -67,7 +67,7 @@
 
   std::uint64_t messages_sent = 0;
   std::uint64_t bytes_sent = 0;
-  std::map<control_flow, std::uint64_t> bytes_sent_by_class;
+  std::map<traffic_class, std::uint64_t> bytes_sent_by_class;
   std::uint64_t messages_received = 0;
   std::uint64_t bytes_received = 0;
 };
@@ -96,8 +96,8 @@
   /// @return when `time_passed` must be given at the latest.
   [[nodiscard]] base::time_point next_wakeup() const;
 
-  [[nodiscard]] bool is_ready() const { return ready_ && !stopping_; }
-  [[nodiscard]] bool is_stopping() const { return stopping_; }
+  [[nodiscard]] bool is_ready() const { return is_ready_ && !is_stopping_; }
+  [[nodiscard]] bool is_stopping() const { return is_stopping_; }
   [[nodiscard]] const node_settings& settings() const { return settings_; }
   [[nodiscard]] const membership::membership& members() const { return membership_; }
   [[nodiscard]] const catalog::catalog& content() const { return catalog_; }
@@ -110,7 +110,7 @@
   [[nodiscard]] const store_counters& store() const { return store_; }
   /// @return whether this node reads a service of the platform now: for others, as it starts, or in
   ///         place of a node that cannot.
-  [[nodiscard]] bool reads_service(source_kind source, base::time_point now) const;
+  [[nodiscard]] bool should_read_service(source_kind source, base::time_point now) const;
   /// Counts what the serving path holds of events that are not whole yet; nothing where the node
   /// serves no published routes.
   void set_budget(std::shared_ptr<flow::byte_budget> budget) {
@@ -143,10 +143,10 @@
 
   /// Reports what an answer says of the service's era.
   void note_era(const service_answered& what, const catalog::answer_meaning& meaning);
-  void detect_pause(base::time_point now);
-  void begin_resync(base::time_point now);
+  void detect_suspension(base::time_point now);
+  void request_resync(base::time_point now);
   void check_resync(const wire::envelope& message, base::time_point now);
-  void check_ready(base::time_point now);
+  void update_readiness(base::time_point now);
   void run_periodic(base::time_point now);
   /// @return whether this node watches a service for others as long as it lives.
   [[nodiscard]] bool has_watch_job(source_kind source, base::time_point now) const;
@@ -158,32 +158,32 @@
   void apply_serving_changes(base::time_point now);
   void update_serving_peers(base::time_point now);
   /// @return time after its start at which a node that is not ready reads the services itself.
-  [[nodiscard]] base::duration wait_for_peers() const;
+  [[nodiscard]] base::duration peer_wait_time() const;
   /// @return whether no node that is known has much more of a processor.
   [[nodiscard]] bool is_strong() const;
   /// @return whether a zone is of the own region; all are where the settings name no region.
   [[nodiscard]] bool is_near(const base::zone_id& zone) const;
   /// @return how far a peer is; `elsewhere` where it is not known yet.
-  [[nodiscard]] model::locality reach_of(const base::network_address& peer) const;
+  [[nodiscard]] model::locality peer_locality(const base::network_address& peer) const;
   void update_sharing();
   void dispatch_message(const wire::envelope& message, base::time_point now);
   void on_backend_notice(const wire::backend_notice& notice, bool from_zone, base::time_point now);
   void broadcast_notice(const wire::backend_notice& notice);
   void announce_new_leave_notices();
   void on_forwarded_request(const wire::envelope& message, base::time_point now);
-  void carry_out_guard_decisions(base::time_point now);
-  void carry_out(execution::run_decision& decision, base::time_point now);
-  void carry_out(execution::attach_decision& decision, base::time_point now);
-  void carry_out(execution::answer_decision& decision, base::time_point now);
+  void execute_guard_decisions(base::time_point now);
+  void execute(execution::run_decision& decision, base::time_point now);
+  void execute(execution::attach_decision& decision, base::time_point now);
+  void execute(execution::answer_decision& decision, base::time_point now);
   /// Refuses a request at the door. One that carries a ticket or key may have been run when it was
   /// sent before, so its outcome is `unknown` there.
   void refuse(const execution::caller_ref& caller, const base::request_id& id,
               execution::reason why, base::duration retry_after, bool may_be_resent);
   void flush(base::time_point now);
   void check_stop(base::time_point now);
-  void check_serving_stop(base::time_point now);
+  void abort_overdue_requests(base::time_point now);
   /// @return whether a planned stop can wait no longer for requests on published routes.
-  [[nodiscard]] bool must_end_serving(base::time_point now) const;
+  [[nodiscard]] bool must_abort_requests(base::time_point now) const;
   void emit(execution::send_answer&& wanted);
   template <typename other_command>
   void emit(other_command&& wanted) {
@@ -204,8 +204,8 @@
   [[nodiscard]] std::optional<base::network_address> address_of(const base::node_id& node) const;
 
   node_settings settings_;
-  base::time_point started_;
-  base::time_point last_event_;
+  base::time_point started_at_;
+  base::time_point last_event_at_;
   base::hybrid_clock clock_;
   base::event_log events_;
   catalog::catalog catalog_;
@@ -213,10 +213,10 @@
   std::array<catalog::service_watch, source_count> watches_;
   /// A service that this node watches for another.
   struct watch_substitution {
-    base::time_point until;
+    base::time_point ends_at;
     std::uint32_t handovers_left = 0;
     /// When this node may ask another to watch for it.
-    base::time_point next_handover;
+    base::time_point next_handover_at;
   };
   std::array<watch_substitution, source_count> substitutions_;
   membership::membership membership_;
@@ -224,26 +224,26 @@
   admission::stage_scheduler scheduler_;
   execution::executor executor_;
   execution::effect_guard guard_;
-  std::map<base::backend_id, std::uint64_t> announced_leaving_;
+  std::map<base::backend_id, std::uint64_t> announced_leave_generations_;
   std::optional<serving::dispatcher> serving_;
   std::uint64_t seen_machine_changes_ = 0;
   std::uint64_t seen_serving_changes_ = 0;
   /// Version of the membership that the serving path knows.
-  std::uint64_t seen_members_ = 0;
+  std::uint64_t seen_membership_version_ = 0;
   base::random_source* random_;
-  bool peer_synced_ = false;
-  bool ready_ = false;
-  bool stopping_ = false;
-  bool stop_reported_ = false;
-  base::time_point stop_began_;
+  bool is_synced_with_peer_ = false;
+  bool is_ready_ = false;
+  bool is_stopping_ = false;
+  bool is_stop_reported_ = false;
+  base::time_point stop_started_at_;
   /// Last time a request reached this node, or it woke from a pause.
-  base::time_point disturbed_at_;
+  base::time_point quiet_since_;
   /// Part of the longest wait for peers that this node waits, 0 to 1; drawn at its start.
-  double wait_for_peers_part_ = 0;
+  double peer_wait_fraction_ = 0;
   /// Set while dispatch is on hold after a pause.
-  std::optional<base::time_point> hold_until_;
-  base::time_point next_periodic_;
-  std::uint64_t next_request_ = 1;
+  std::optional<base::time_point> hold_ends_at_;
+  base::time_point next_periodic_at_;
+  std::uint64_t next_request_number_ = 1;
   control_counters control_;
   store_counters store_;
   wire::outbox outbox_;
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -9,14 +9,14 @@
 namespace spurrack::node {
 namespace {
 
-constexpr base::duration not_ready_retry = std::chrono::milliseconds(500);
+constexpr base::duration not_ready_retry_after = std::chrono::milliseconds(500);
 
 } // namespace
 
 base::request_id node::next_request_id() {
   std::ostringstream text;
   text << settings_.self.node.text() << '-' << std::hex << settings_.self.process_start << '-'
-       << std::dec << next_request_++;
+       << std::dec << next_request_number_++;
   return base::request_id(text.str());
 }
 
@@ -28,27 +28,27 @@
   content.request = id;
   content.retry_after = retry_after;
   execution::answer_decision decision{caller, std::move(content), {}};
-  carry_out(decision, last_event_);
+  execute(decision, last_event_at_);
 }
 
 void node::on(const caller_arrived& what, base::time_point now) {
   const execution::local_caller caller{what.caller};
   const auto id = next_request_id();
-  disturbed_at_ = now;
+  quiet_since_ = now;
   record(base::event_kind::request_received, id, what.request.pipeline.text(), "");
   const bool may_be_resent = !what.request.ticket.empty() || !what.request.idempotency_key.empty();
-  if (stopping_ || !ready_) {
+  if (is_stopping_ || !is_ready_) {
     refuse(caller, id,
-           stopping_ ? execution::reason::node_stopping : execution::reason::node_not_ready,
-           not_ready_retry, may_be_resent);
+           is_stopping_ ? execution::reason::node_stopping : execution::reason::node_not_ready,
+           not_ready_retry_after, may_be_resent);
     return;
   }
-  auto judged = execution::resolve_request(catalog_, what.request, what.arrived_at);
-  if (const auto* why = std::get_if<execution::reason>(&judged)) {
+  auto resolution = execution::resolve_request(catalog_, what.request, what.arrived_at);
+  if (const auto* why = std::get_if<execution::reason>(&resolution)) {
     refuse(caller, id, *why, {}, may_be_resent && *why != execution::reason::unknown_token);
     return;
   }
-  auto& resolved = std::get<execution::resolved_request>(judged);
+  auto& resolved = std::get<execution::resolved_request>(resolution);
   if (resolved.deadline <= now) {
     refuse(caller, id, execution::reason::deadline_passed, {}, may_be_resent);
     return;
@@ -57,11 +57,11 @@
       id, resolved.plan, what.request.input, resolved.deadline, caller, what.request.stream};
   if (resolved.plan->has_non_repeatable_stage() && may_be_resent) {
     guard_.begin({std::move(request), what.request.idempotency_key, what.request.ticket}, now);
-    carry_out_guard_decisions(now);
+    execute_guard_decisions(now);
     return;
   }
   execution::run_decision decision{std::move(request)};
-  carry_out(decision, now);
+  execute(decision, now);
 }
 
 void node::on(const caller_disconnected& what, base::time_point now) {
@@ -71,8 +71,8 @@
 void node::on(const ticket_requested& what, base::time_point now) {
   const auto id = next_request_id();
   const execution::local_caller caller{what.caller};
-  if (stopping_ || !ready_) {
-    refuse(caller, id, execution::reason::node_not_ready, not_ready_retry, false);
+  if (is_stopping_ || !is_ready_) {
+    refuse(caller, id, execution::reason::node_not_ready, not_ready_retry_after, false);
   } else if (!catalog_.find_tenant_by_token(what.token_sha256)) {
     refuse(caller, id, execution::reason::unknown_token, {}, false);
   } else {
@@ -111,17 +111,17 @@
   outbox_.push_back(std::move(message));
 }
 
-void node::carry_out_guard_decisions(base::time_point now) {
+void node::execute_guard_decisions(base::time_point now) {
   // Carrying one out may answer a request and so bring about further ones.
   for (auto decisions = guard_.take_decisions(); !decisions.empty();
        decisions = guard_.take_decisions()) {
     for (auto& decision : decisions) {
-      std::visit([&](auto& chosen) { carry_out(chosen, now); }, decision);
+      std::visit([&](auto& chosen) { execute(chosen, now); }, decision);
     }
   }
 }
 
-void node::carry_out(execution::run_decision& decision, base::time_point now) {
+void node::execute(execution::run_decision& decision, base::time_point now) {
   auto& request = decision.request;
   const auto refusal = scheduler_.judge(*request.plan, request.deadline, now);
   if (!refusal) {
@@ -136,21 +136,21 @@
   guard_.on_answer(content);
   execution::answer_decision answered{
       request.caller, std::move(content), {request.plan->tenant, request.plan->template_name}};
-  carry_out(answered, now);
+  execute(answered, now);
 }
 
-void node::carry_out(execution::attach_decision& decision, base::time_point /*now*/) {
+void node::execute(execution::attach_decision& decision, base::time_point /*now*/) {
   if (!executor_.attach(decision.running, decision.caller)) {
     execution::answer content;
     content.outcome = model::outcome::unknown;
     content.why = execution::reason::key_in_use;
     content.request = decision.running;
     execution::answer_decision answered{decision.caller, std::move(content), {}};
-    carry_out(answered, last_event_);
+    execute(answered, last_event_at_);
   }
 }
 
-void node::carry_out(execution::answer_decision& decision, base::time_point /*now*/) {
+void node::execute(execution::answer_decision& decision, base::time_point /*now*/) {
   executor_.count_refusal(decision.key, decision.content);
   record(base::event_kind::request_answered, decision.content.request,
          std::string(model::name_of(decision.content.outcome)),
--- a/src/node/node_peers.cc
+++ b/src/node/node_peers.cc
@@ -64,7 +64,7 @@
     // From another region the catalog is fetched only where the own one has had nothing for a
     // while.
     const bool near = is_near(base::zone_id(message.sender_zone()));
-    const bool wants_all = !ready_ || hold_until_.has_value();
+    const bool wants_all = !is_ready_ || hold_ends_at_.has_value();
     const bool eager = wants_all && near && message.sender_is_ready();
     replicator_.compare(sender, message.catalog_hash(), eager, now, outbox_);
   }
@@ -79,13 +79,13 @@
   }
   record(base::event_kind::backend_leaving, {}, notice.backend(), "told by a peer");
   if (from_zone) {
-    announced_leaving_[backend] = notice.generation();
+    announced_leave_generations_[backend] = notice.generation();
   }
 }
 
 void node::announce_new_leave_notices() {
   for (const auto& [backend, generation] : backends_.leave_notices()) {
-    auto& announced = announced_leaving_[backend];
+    auto& announced = announced_leave_generations_[backend];
     if (announced < generation) {
       announced = generation;
       wire::backend_notice notice;
--- a/src/node/node_roles.cc
+++ b/src/node/node_roles.cc
@@ -6,9 +6,9 @@
 
 node_roles roles_of(const node& subject, base::time_point now) {
   node_roles roles;
-  roles.watches_configuration = subject.reads_service(source_kind::configuration, now);
-  roles.watches_replicas = subject.reads_service(source_kind::machine_list, now);
-  roles.relays = subject.members().is_relay();
+  roles.watches_configuration = subject.should_read_service(source_kind::configuration, now);
+  roles.watches_replicas = subject.should_read_service(source_kind::machine_list, now);
+  roles.is_relay = subject.members().is_relay();
   if (const auto* serving = subject.serving()) {
     const auto& shards = serving->stages().shards().shards();
     roles.shards = static_cast<std::size_t>(
--- a/src/node/node_roles.h
+++ b/src/node/node_roles.h
@@ -15,7 +15,7 @@
   bool watches_configuration = false;
   bool watches_replicas = false;
   /// It tells other zones of its own, and its own of the others.
-  bool relays = false;
+  bool is_relay = false;
   /// Shards of stage replicas for which it gathers pieces.
   std::size_t shards = 0;
   /// Engines whose account it holds.
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -15,23 +15,23 @@
 /// in the first half of the time, others after all of it: on a link of 10 Mbit/s 3,000 replicas
 /// take more than a second, and each node that reads them takes 12 ms of the store's link from all
 /// others.
-constexpr base::duration wait_for_peers_per_member = std::chrono::milliseconds(12);
-constexpr base::duration longest_wait_for_peers = std::chrono::milliseconds(1200);
+constexpr base::duration peer_wait_time_per_member = std::chrono::milliseconds(12);
+constexpr base::duration max_peer_wait_time = std::chrono::milliseconds(1200);
 /// Nodes with at least this part of the processor of the strongest one known are strong.
-constexpr float least_share_of_strong_node = 0.5F;
+constexpr float min_strong_node_fraction = 0.5F;
 /// Until then after its introduction a starting node knows neither how large the fleet is nor
 /// whether it is a strong one: two rounds of questions for members. Without it 178 of 300 nodes
 /// that returned together read the store (control_traffic_test).
-constexpr base::duration time_to_meet = std::chrono::milliseconds(200);
+constexpr base::duration discovery_time = std::chrono::milliseconds(200);
 /// A starting node that knows nobody waits this long to be introduced at a seed.
-constexpr base::duration introduction_wait = std::chrono::milliseconds(300);
+constexpr base::duration join_timeout = std::chrono::milliseconds(300);
 /// A watch that a node cannot hold goes from node to node so many times. While a third of the nodes
 /// are turned away, one in 27 is then held by none of them, and there are several.
-constexpr std::uint32_t most_handovers = 2;
+constexpr std::uint32_t max_handovers = 2;
 /// A node watches for another so long; asked again before, it goes on. The store is asked no more
 /// often than by the nodes whose job it is while it answers nobody.
-constexpr base::duration substitution_time = std::chrono::seconds(10);
-constexpr base::duration handover_period = substitution_time / 2;
+constexpr base::duration substitution_duration = std::chrono::seconds(10);
+constexpr base::duration handover_interval = substitution_duration / 2;
 
 constexpr std::array<const char*, source_count> watch_jobs{"watch/configuration", "watch/machines"};
 
@@ -47,12 +47,12 @@
                   : membership_.holds_job(job, service_watch::watchers_per_zone);
 }
 
-bool node::reads_service(source_kind source, base::time_point now) const {
-  if (!ready_) {
-    return now - started_ >= wait_for_peers();
+bool node::should_read_service(source_kind source, base::time_point now) const {
+  if (!is_ready_) {
+    return now - started_at_ >= peer_wait_time();
   }
   const auto& substitution = substitutions_[static_cast<std::size_t>(source)];
-  return now < substitution.until || has_watch_job(source, now);
+  return now < substitution.ends_at || has_watch_job(source, now);
 }
 
 void node::read_services(base::time_point now) {
@@ -61,7 +61,7 @@
     const auto newest = source == source_kind::machine_list ? catalog_.newest_replica_position()
                                                             : catalog_.newest_operator_position();
     watch.note_known(newest.era, newest.revision, now);
-    if (const auto after = watch.next_read(reads_service(source, now), now)) {
+    if (const auto after = watch.next_read(should_read_service(source, now), now)) {
       // What a first listing lacks the watch that goes on from it tells at once.
       const bool allow_stale = *after == 0 && !watch.has_answered();
       commands_.emplace_back(read_service{source, *after, allow_stale, watch.hold()});
@@ -72,25 +72,25 @@
   }
 }
 
-base::duration node::wait_for_peers() const {
+base::duration node::peer_wait_time() const {
   if (!serving_) {
     return {};
   }
   const auto known = static_cast<int>(membership_.members().size());
   if (known == 0) {
-    return membership_.seeds().empty() ? base::duration{} : introduction_wait;
+    return membership_.seeds().empty() ? base::duration{} : join_timeout;
   }
-  const auto longest = std::min(wait_for_peers_per_member * known, longest_wait_for_peers);
-  const double part = is_strong() ? wait_for_peers_part_ / 2 : 1 + wait_for_peers_part_;
-  const auto introduced = membership_.introduced_at().value_or(started_) - started_;
-  return introduced + time_to_meet + base::from_seconds(base::to_seconds(longest) * part);
+  const auto longest = std::min(peer_wait_time_per_member * known, max_peer_wait_time);
+  const double part = is_strong() ? peer_wait_fraction_ / 2 : 1 + peer_wait_fraction_;
+  const auto introduced = membership_.introduced_at().value_or(started_at_) - started_at_;
+  return introduced + discovery_time + base::from_seconds(base::to_seconds(longest) * part);
 }
 
 bool node::is_strong() const {
   const auto own = settings_.self.processor_share;
   const auto& known = membership_.members();
   return std::none_of(known.begin(), known.end(), [&](const auto& entry) {
-    return own < entry.second.processor_share * least_share_of_strong_node;
+    return own < entry.second.processor_share * min_strong_node_fraction;
   });
 }
 
@@ -98,8 +98,8 @@
 
 void node::on(const service_answered& what, base::time_point now) {
   auto& watch = watches_[static_cast<std::size_t>(what.source)];
-  const auto meaning =
-      watch.on_answer({what.era, what.service_revision, what.complete}, !what.entries.empty(), now);
+  const auto meaning = watch.on_answer({what.era, what.service_revision, what.is_listing},
+                                       !what.entries.empty(), now);
   note_era(what, meaning);
   if (meaning.is_outdated || meaning.is_implausible) {
     return;
@@ -121,7 +121,7 @@
   }
   replicator_.offer(entries, replication_peers(), outbox_);
   apply_machine_changes(now);
-  check_ready(now);
+  update_readiness(now);
   read_services(now);
 }
 
@@ -162,11 +162,11 @@
 
 void node::hand_over_watch(source_kind source, base::time_point now) {
   auto& substitution = substitutions_[static_cast<std::size_t>(source)];
-  std::uint32_t handovers = now < substitution.until ? substitution.handovers_left : 0;
-  substitution.until = {};
-  if (ready_ && now >= substitution.next_handover && has_watch_job(source, now)) {
-    substitution.next_handover = now + handover_period;
-    handovers = most_handovers;
+  std::uint32_t handovers = now < substitution.ends_at ? substitution.handovers_left : 0;
+  substitution.ends_at = {};
+  if (is_ready_ && now >= substitution.next_handover_at && has_watch_job(source, now)) {
+    substitution.next_handover_at = now + handover_interval;
+    handovers = max_handovers;
   }
   auto peers = handovers == 0 ? std::vector<base::network_address>{} : replication_peers();
   if (peers.empty()) {
@@ -180,12 +180,12 @@
 }
 
 void node::on_watch_handover(const wire::watch_handover& asked, base::time_point now) {
-  if (asked.source() >= source_count || !ready_) {
+  if (asked.source() >= source_count || !is_ready_) {
     return;
   }
   auto& substitution = substitutions_[asked.source()];
-  substitution.until = now + substitution_time;
-  substitution.handovers_left = std::min(asked.handovers_left(), most_handovers - 1);
+  substitution.ends_at = now + substitution_duration;
+  substitution.handovers_left = std::min(asked.handovers_left(), max_handovers - 1);
   read_services(now);
 }
 
--- a/tests/node/store_era_test.cc
+++ b/tests/node/store_era_test.cc
@@ -15,14 +15,14 @@
 struct reading_node : driven_node {
   reading_node() { answer(1, 100, true, entries); }
 
-  void answer(std::optional<base::store_era> era, base::revision revision, bool complete,
+  void answer(std::optional<base::store_era> era, base::revision revision, bool is_listing,
               std::vector<wire::catalog_entry> content,
               node::source_kind source = node::source_kind::machine_list) {
     node::service_answered answered;
     answered.source = source;
     answered.entries = std::move(content);
     answered.service_revision = revision;
-    answered.complete = complete;
+    answered.is_listing = is_listing;
     answered.era = era;
     happen(answered);
   }
