--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -209,7 +209,7 @@
   const auto roles = node::roles_of(subject, now);
   add("watches_configuration", roles.watches_configuration ? 1 : 0);
   add("watches_replicas", roles.watches_replicas ? 1 : 0);
-  add("relay", roles.relays ? 1 : 0);
+  add("relay", roles.is_relay ? 1 : 0);
   add("gatherer", static_cast<double>(roles.shards));
   add("account_holder", static_cast<double>(roles.engine_accounts));
 }
@@ -399,7 +399,7 @@
                    .Help("Bytes sent to peers, by kind of message and by how far they went.")
                    .Register(registry);
   for (const auto& [flow, bytes] : control.bytes_sent_by_class) {
-    sent.Add({{"kind", name_of(flow.kind)}, {"reach", std::string(model::name_of(flow.reach))}})
+    sent.Add({{"kind", name_of(flow.kind)}, {"reach", std::string(model::name_of(flow.locality))}})
         .Increment(static_cast<double>(bytes));
   }
 }
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -58,7 +58,7 @@
   const auto roles = node::roles_of(subject, now);
   body["roles"] = json::object{{"watches_configuration", roles.watches_configuration},
                                {"watches_replicas", roles.watches_replicas},
-                               {"relays", roles.relays},
+                               {"relays", roles.is_relay},
                                {"shards", roles.shards},
                                {"engine_accounts", roles.engine_accounts}};
   json::array rejections;
--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -348,7 +348,7 @@
 
 void executor::give_up(active_request& active, reason why, base::time_point now) {
   const auto outcome =
-      switches_.truthful_outcome ? active.ledger.give_up() : model::outcome::not_run;
+      switches_.truthful_outcome ? active.ledger.failure_outcome() : model::outcome::not_run;
   cancel_call_in_flight(active, now);
   finish(active, outcome, why, now);
 }
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -31,7 +31,7 @@
 std::string read_address(mapping_reader& reader, const std::string& name) {
   auto text = reader.required_text(name, "IP:port");
   if (!text.empty() && !is_address(text)) {
-    reader.fault(model::errc::unknown_value, name, "IP:port");
+    reader.add_fault(model::errc::unknown_value, name, "IP:port");
   }
   return text;
 }
@@ -59,7 +59,7 @@
   for (const auto* name : {"public_key", "secret_key"}) {
     const auto& text = std::string(name) == "public_key" ? keys.public_key : keys.secret_key;
     if (!text.empty() && text.size() != curve_key_length) {
-      curve->fault(model::errc::unknown_value, name, "40 characters of Z85");
+      curve->add_fault(model::errc::unknown_value, name, "40 characters of Z85");
     }
   }
   curve->finish();
@@ -80,7 +80,7 @@
   guard.witness_timeout = section->milliseconds("witness_timeout_ms", 10, 60'000,
                                                 milliseconds_of(guard.witness_timeout));
   if (guard.list_window < guard.key_lifetime) {
-    section->fault(model::errc::out_of_range, "list_window_ms", "at least key_lifetime_ms");
+    section->add_fault(model::errc::out_of_range, "list_window_ms", "at least key_lifetime_ms");
   }
   section->finish();
 }
@@ -111,8 +111,8 @@
   timing.relay_period =
       section->milliseconds("relay_period_ms", 100, 60'000, milliseconds_of(timing.relay_period));
   if (timing.acknowledgement_timeout >= timing.probe_period) {
-    section->fault(model::errc::out_of_range, "acknowledgement_timeout_ms",
-                   "less than probe_period_ms");
+    section->add_fault(model::errc::out_of_range, "acknowledgement_timeout_ms",
+                       "less than probe_period_ms");
   }
   section->finish();
 }
@@ -241,7 +241,7 @@
   value.operator_listen = read_address(reader, "operator_listen");
   for (const auto& seed : reader.text_list("seeds")) {
     if (!is_address(seed)) {
-      reader.fault(model::errc::unknown_value, "seeds", "a list of IP:port");
+      reader.add_fault(model::errc::unknown_value, "seeds", "a list of IP:port");
     }
     value.node.seeds.emplace_back(seed);
   }
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -97,7 +97,7 @@
     const auto roles = node::roles_of(fleet.node(name), fleet.now());
     configuration += roles.watches_configuration ? 1 : 0;
     replicas += roles.watches_replicas ? 1 : 0;
-    relays += roles.relays ? 1 : 0;
+    relays += roles.is_relay ? 1 : 0;
   }
   BOOST_TEST(configuration == 4);
   BOOST_TEST(replicas == 4);
