--- a/src/node/events.h
+++ b/src/node/events.h
@@ -1,5 +1,6 @@
-/// What can happen to a node, and what a node can ask for. The seam between decision logic and the
-/// world: the daemon, the simulation and hollow nodes drive the same objects through it.
+/// Events that a node processes and commands that it returns. The interface between the decision
+/// logic and its environment: the daemon, the simulation and the tests drive the same objects
+/// through it.
 #pragma once
 
 #include "base/event_log.h"
@@ -23,50 +24,58 @@
 enum class source_kind : std::uint8_t { configuration, machine_list };
 inline constexpr std::size_t source_count = 2;
 
-/// Time passed; nothing else happened.
+/// Time has passed without another event.
 struct time_passed {};
-/// A peer's message arrived; its origin is authenticated.
+/// A message arrived from a peer, whose identity has been authenticated.
 struct peer_message {
   wire::envelope message;
 };
+/// A caller sent a request.
 struct caller_arrived {
   base::caller_id caller = 0;
   execution::caller_request request;
-  /// When the request reached this machine, which is earlier than now where the process was paused:
-  /// deadlines count from here, so that a request which waited out a pause is not run late.
+  /// Time at which the request reached this machine. It is earlier than the time of the event if
+  /// the process was suspended. Deadlines count from it, so that a request that waited during the
+  /// suspension is not run late.
   base::time_point arrived_at;
 };
+/// The connection of a caller ended.
 struct caller_disconnected {
   base::caller_id caller = 0;
 };
-/// A caller wants a ticket.
+/// A caller requested a ticket.
 struct ticket_requested {
   base::caller_id caller = 0;
+  /// Lower-case hexadecimal SHA-256 of the caller's token.
   std::string token_sha256;
 };
-/// The platform answered a read.
+/// A service of the platform answered a read.
 struct service_answered {
   source_kind source = source_kind::configuration;
   std::vector<wire::catalog_entry> entries;
+  /// Revision of the service that the answer reflects.
   base::revision service_revision = 0;
-  /// Counts how often the service came back from an older copy; nothing where it does not tell.
+  /// Era of the service, which increases by one each time the service is restored from an older
+  /// copy; std::nullopt if the answer names no readable era.
   std::optional<base::store_era> era;
-  /// It told an era that cannot be read.
+  /// Whether the answer names an era that cannot be read.
   bool is_era_unreadable = false;
-  /// The entries are everything the service held at that revision, not only what is newer.
+  /// Whether `entries` holds everything that the service held at `service_revision`, instead of
+  /// only the changes after the requested revision.
   bool is_listing = false;
 };
+/// A read or a probe of a service of the platform failed.
 struct service_failed {
   source_kind source = source_kind::configuration;
 };
-/// A planned stop begins.
+/// A graceful stop begins.
 struct stop_requested {};
-/// The settings name other seeds now.
+/// The settings were reloaded with other seeds.
 struct seeds_changed {
   std::vector<base::network_address> seeds;
 };
 
-/// An operator lets a request go that is held back.
+/// An operator releases a quarantined request.
 struct release_requested {
   quarantine::request_digest digest;
 };
@@ -76,32 +85,34 @@
                  execution::call_result, execution::call_token, service_answered, service_failed,
                  stop_requested, seeds_changed, release_requested, serving::event>;
 
-/// Read a service for what is newer than a revision; the service may hold the answer back until
-/// there is something.
+/// Reads the changes of a service after a revision. The service may hold the answer back until
+/// there is a change (long polling).
 struct read_service {
   source_kind source = source_kind::configuration;
-  /// 0: everything is listed.
+  /// Revision after which changes are returned; 0 for a listing of all entries.
   base::revision after = 0;
-  /// A listing that is some seconds old serves as well.
+  /// Whether a listing that is some seconds old is accepted.
   bool allow_stale = false;
-  /// How long the service may hold the answer back.
+  /// Maximum time for which the service may hold the answer back.
   base::duration hold{};
 };
-/// Ask a service for little, beside a read that it holds. Only a failure is told, as that of a
-/// read.
+/// Sends a small query to a service while it holds the answer to a read, to check that it still
+/// answers. Only a failure is reported, as `service_failed`.
 struct probe_service {
   source_kind source = source_kind::configuration;
 };
+/// Sends a ticket to the caller that requested it.
 struct send_ticket {
   base::caller_id caller = 0;
   std::string ticket;
   base::duration lifetime{};
 };
-/// A decision of the serving path, for the log.
+/// Writes a decision of the serving path to the log.
 struct log_decision {
   base::event what;
 };
-/// All requests have ended after `stop_requested`; the process may exit.
+/// All requests have ended after `stop_requested`, or the maximum duration of the stop has passed;
+/// the process may exit.
 struct stop_completed {};
 
 using command =
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -7,19 +7,22 @@
 namespace {
 
 constexpr base::duration periodic_interval = std::chrono::milliseconds(100);
-/// A node that runs sees an event at least every `periodic_interval`.
+/// Longest interval between two events that does not count as a gap: a running node processes an
+/// event at least every `periodic_interval`.
 constexpr base::duration max_regular_event_interval = 2 * periodic_interval;
-/// Members of other zones with which published records are exchanged at once: in the own region,
-/// and in others, whose bytes are dear.
-constexpr std::size_t near_replication_peers = 2;
-constexpr std::size_t far_replication_peers = 1;
-/// Peers asked at once for what this node missed: with 10 of them one answers even while half the
-/// fleet starts, and a fleet that starts as a whole is not flooded.
+/// Maximum number of members of other zones with which published records are exchanged at a time:
+/// in the own region, and in other regions, to which traffic is expensive.
+constexpr std::size_t max_near_replication_peers = 2;
+constexpr std::size_t max_far_replication_peers = 1;
+/// Maximum number of peers that are requested at once to send the changes that this node missed:
+/// with 10 of them one answers even if half of the fleet is starting, and a fleet that starts as a
+/// whole is not flooded.
 constexpr std::size_t max_resync_peers = 10;
-/// Messages a node sends to itself while it handles one event; a bound against loops.
+/// Maximum number of rounds of messages from a node to itself within one event, against endless
+/// loops.
 constexpr std::size_t max_loopback_rounds = 8;
 
-/// Hands the switches on to the parts that have them.
+/// Copies the safety switches to the settings of the parts that use them.
 node_settings with_switches(node_settings settings) {
   settings.guard.switches = settings.switches;
   settings.routing.switches = settings.switches;
@@ -106,21 +109,21 @@
   return sum;
 }
 
-command_list node::handle(const event& what, base::time_point now) {
+command_list node::handle(const event& input_event, base::time_point now) {
   detect_suspension(now);
   last_event_at_ = now;
-  // What has expired is given up before anything else is decided.
+  // Expired requests are aborted before the event is processed.
   executor_.expire(now);
   guard_.tick(now);
-  std::visit([&](const auto& happened) { on(happened, now); }, what);
+  std::visit([&](const auto& concrete_event) { on(concrete_event, now); }, input_event);
   flush(now);
   return std::exchange(commands_, {});
 }
 
 base::time_point node::next_wakeup() const {
   auto earliest = next_periodic_at_;
-  const auto consider = [&](const std::optional<base::time_point>& when) {
-    earliest = when ? std::min(earliest, *when) : earliest;
+  const auto consider = [&](const std::optional<base::time_point>& wakeup_at) {
+    earliest = wakeup_at ? std::min(earliest, *wakeup_at) : earliest;
   };
   consider(executor_.next_deadline());
   consider(guard_.next_deadline());
@@ -140,11 +143,11 @@
   events_.add(std::move(entry));
 }
 
-// --- pauses and readiness ------------------------------------------------------------------------
+// --- suspension and readiness --------------------------------------------------------------------
 
 void node::detect_suspension(base::time_point now) {
-  // Requests may have waited in sockets through any gap, also one too short to count as a pause:
-  // only time awake is quiet time of a stop.
+  // Requests may have waited in sockets during any gap, even if it is too short to count as a
+  // suspension, so the time before a gap does not count as time without requests.
   if (now - last_event_at_ > max_regular_event_interval) {
     quiet_since_ = now;
   }
@@ -166,7 +169,7 @@
 
 void node::request_resync(base::time_point /*now*/) {
   auto peers = replication_peers();
-  for (std::size_t asked = 0; asked < max_resync_peers && !peers.empty(); ++asked) {
+  for (std::size_t sent = 0; sent < max_resync_peers && !peers.empty(); ++sent) {
     wire::outgoing message{base::take_random(peers, *random_), {}};
     message.message.mutable_ping()->set_resync(true);
     outbox_.push_back(std::move(message));
@@ -174,8 +177,8 @@
 }
 
 void node::check_resync(const wire::envelope& message, base::time_point now) {
-  const bool equal = message.catalog_hash() == catalog_.content_hash() && catalog_.size() > 0;
-  if (!equal) {
+  const bool is_equal = message.catalog_hash() == catalog_.content_hash() && catalog_.size() > 0;
+  if (!is_equal) {
     return;
   }
   is_synced_with_peer_ = true;
@@ -190,11 +193,11 @@
   if (is_ready_) {
     return;
   }
-  const bool service_read = watches_[0].has_answered() && watches_[1].has_answered();
-  const bool waited = now - started_at_ >= settings_.resync_timeout;
-  const bool knows_enough = is_synced_with_peer_ || (service_read && waited);
+  const bool have_services_answered = watches_[0].has_answered() && watches_[1].has_answered();
+  const bool has_waited = now - started_at_ >= settings_.resync_timeout;
+  const bool is_up_to_date = is_synced_with_peer_ || (have_services_answered && has_waited);
   const bool has_content = serving_ ? catalog_.serving() != nullptr : catalog_.size() > 0;
-  if (has_content && knows_enough) {
+  if (has_content && is_up_to_date) {
     is_ready_ = true;
     record(base::event_kind::node_ready, {}, settings_.self.node.text(), "");
   }
@@ -202,7 +205,7 @@
 
 // --- periodic work -------------------------------------------------------------------------------
 
-void node::on(const time_passed& /*what*/, base::time_point now) {
+void node::on(const time_passed& /*input_event*/, base::time_point now) {
   if (now >= next_periodic_at_) {
     next_periodic_at_ = now + periodic_interval;
     run_periodic(now);
@@ -289,37 +292,37 @@
 
 // --- back ends -----------------------------------------------------------------------------------
 
-void node::on(const execution::call_result& what, base::time_point now) {
-  executor_.on_result(what, now);
+void node::on(const execution::call_result& input_event, base::time_point now) {
+  executor_.on_result(input_event, now);
 }
 
-void node::on(const execution::call_token& what, base::time_point now) {
-  executor_.on_token(what, now);
+void node::on(const execution::call_token& input_event, base::time_point now) {
+  executor_.on_token(input_event, now);
 }
 
-void node::on(const seeds_changed& what, base::time_point /*now*/) {
-  membership_.set_seeds(what.seeds);
+void node::on(const seeds_changed& input_event, base::time_point /*now*/) {
+  membership_.set_seeds(input_event.seeds);
 }
 
-void node::on(const release_requested& what, base::time_point now) {
+void node::on(const release_requested& input_event, base::time_point now) {
   if (serving_) {
-    serving_->release_request(what.digest, now);
+    serving_->release_request(input_event.digest, now);
   }
 }
 
-void node::on(const serving::event& what, base::time_point now) {
+void node::on(const serving::event& input_event, base::time_point now) {
   if (!serving_) {
     return;
   }
-  if (std::holds_alternative<serving::request_arrived>(what)) {
+  if (std::holds_alternative<serving::request_arrived>(input_event)) {
     quiet_since_ = now;
   }
-  serving_->handle(what, now);
+  serving_->handle(input_event, now);
 }
 
 // --- stop ----------------------------------------------------------------------------------------
 
-void node::on(const stop_requested& /*what*/, base::time_point now) {
+void node::on(const stop_requested& /*input_event*/, base::time_point now) {
   if (!is_stopping_) {
     is_stopping_ = true;
     stop_started_at_ = now;
@@ -339,14 +342,14 @@
     executor_.pump(now);
     if (serving_) {
       serving_->advance(now);
-      for (auto& wanted : serving_->take_commands()) {
-        commands_.emplace_back(std::move(wanted));
+      for (auto& queued : serving_->take_commands()) {
+        commands_.emplace_back(std::move(queued));
       }
       auto serving_messages = serving_->take_messages();
       std::move(serving_messages.begin(), serving_messages.end(), std::back_inserter(outbox_));
     }
-    for (auto& wanted : executor_.take_commands()) {
-      std::visit([&](auto& chosen) { emit(std::move(chosen)); }, wanted);
+    for (auto& queued : executor_.take_commands()) {
+      std::visit([&](auto& concrete_command) { emit(std::move(concrete_command)); }, queued);
     }
     announce_new_leave_notices();
     auto messages = guard_.take_messages();
@@ -363,16 +366,16 @@
   if (!is_stopping_) {
     return;
   }
-  // Also once the end was reported: requests may still come on connections that are read.
+  // Also after the end of the stop was reported: requests may still arrive on open connections.
   abort_overdue_requests(now);
   if (is_stop_reported_) {
     return;
   }
-  const bool idle =
+  const bool is_idle =
       executor_.active() == 0 && guard_.pending() == 0 && (!serving_ || !serving_->is_busy());
-  const bool quiet = now - quiet_since_ >= settings_.stop_linger_time ||
-                     now - stop_started_at_ >= settings_.max_stop_linger_time;
-  if ((idle && quiet) || must_abort_requests(now) || !settings_.switches.drain_before_stop) {
+  const bool is_quiet = now - quiet_since_ >= settings_.stop_linger_time ||
+                        now - stop_started_at_ >= settings_.max_stop_linger_time;
+  if ((is_idle && is_quiet) || must_abort_requests(now) || !settings_.switches.drain_before_stop) {
     is_stop_reported_ = true;
     commands_.emplace_back(stop_completed{});
   }
@@ -385,24 +388,24 @@
 void node::abort_overdue_requests(base::time_point now) {
   if (must_abort_requests(now) && serving_->active() > 0) {
     serving_->abort_all_requests(now);
-    for (auto& wanted : serving_->take_commands()) {
-      commands_.emplace_back(std::move(wanted));
+    for (auto& queued : serving_->take_commands()) {
+      commands_.emplace_back(std::move(queued));
     }
   }
 }
 
-void node::emit(execution::send_answer&& wanted) {
-  if (const auto* peer = std::get_if<execution::remote_caller>(&wanted.caller)) {
-    answer_peer(*peer, wanted.content, true);
+void node::emit(execution::send_answer&& answer) {
+  if (const auto* peer = std::get_if<execution::remote_caller>(&answer.caller)) {
+    answer_peer(*peer, answer.content, true);
   } else {
-    commands_.emplace_back(std::move(wanted));
+    commands_.emplace_back(std::move(answer));
   }
 }
 
 void node::add_leave_notices(wire::envelope& message) const {
-  const bool wanted = message.has_zone_digest() ||
-                      (message.has_acknowledgement() && message.acknowledgement().resync());
-  if (!wanted) {
+  const bool carries_notices = message.has_zone_digest() || (message.has_acknowledgement() &&
+                                                             message.acknowledgement().resync());
+  if (!carries_notices) {
     return;
   }
   for (const auto& [backend, generation] : backends_.leave_notices()) {
@@ -462,12 +465,12 @@
       (is_near(other.zone) ? near : far).push_back(other.address);
     }
   }
-  const auto near_count =
-      far.empty() ? near_replication_peers + far_replication_peers : near_replication_peers;
-  for (std::size_t taken = 0; taken < near_count && !near.empty(); ++taken) {
+  const auto near_count = far.empty() ? max_near_replication_peers + max_far_replication_peers
+                                      : max_near_replication_peers;
+  for (std::size_t added = 0; added < near_count && !near.empty(); ++added) {
     addresses.push_back(base::take_random(near, *random_));
   }
-  for (std::size_t taken = 0; taken < far_replication_peers && !far.empty(); ++taken) {
+  for (std::size_t added = 0; added < max_far_replication_peers && !far.empty(); ++added) {
     addresses.push_back(base::take_random(far, *random_));
   }
   return addresses;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
-/// One spurrackd as pure decision logic: membership, configuration, routing, execution, wired
-/// together behind one function. No I/O, no clock, no threads.
+/// Decision logic of one spurrackd: membership, configuration, routing and execution behind one
+/// function. No I/O, no clock, no threads.
 #pragma once
 
 #include "admission/stage_scheduler.h"
@@ -27,7 +27,7 @@
 
 namespace spurrack::node {
 
-/// Everything a node is told at its start.
+/// Settings of a node, given at its start.
 struct node_settings {
   membership::identity self;
   std::vector<base::network_address> seeds;
@@ -35,34 +35,38 @@
   execution::guard_settings guard;
   admission::scheduling_settings scheduling;
   routing::routing_limits routing;
-  /// A gap between two events longer than this means the process was paused.
+  /// The process counts as suspended if the interval between two events exceeds this.
   base::duration suspension_threshold = std::chrono::milliseconds(1000);
   catalog::watch_timing service_timing;
-  /// How long a node waits for peers before it is ready on the service's word, or serves alone.
+  /// Time for which a starting node waits for a peer with an equal catalog before it becomes ready
+  /// with only the answers of the services, and for which dispatch stays on hold after a suspension
+  /// if no such peer answers.
   base::duration resync_timeout = std::chrono::milliseconds(1000);
-  /// A stopping node ends only after no request reached it for this time: the balancer learns of
-  /// the stop late, and requests may have waited in sockets through a pause of the process.
+  /// Time without new requests after which a stopping node may exit: load balancers learn of the
+  /// stop late, and requests may have waited in sockets during a suspension of the process.
   base::duration stop_linger_time = std::chrono::milliseconds(300);
-  /// Callers that do not stop sending cannot hold a stopping node longer than this.
+  /// Time after the start of a stop from which `stop_linger_time` no longer applies, so that
+  /// callers that keep sending cannot delay the exit further.
   base::duration max_stop_linger_time = std::chrono::seconds(10);
+  /// Maximum number of events that the event log keeps.
   std::size_t event_log_capacity = 4096;
   /// Wall clock minus boot clock, in microseconds.
   std::int64_t wall_offset_microseconds = 0;
   base::safety_switches switches;
-  /// Set where the node serves published routes.
+  /// Set if the node serves published routes.
   std::optional<serving::serving_settings> serving;
 };
 
-/// Bytes of one kind of message that went as far.
+/// Class of messages to peers: their kind and the locality of the receivers.
 struct traffic_class {
   wire::envelope::BodyCase kind = wire::envelope::BODY_NOT_SET;
   model::locality locality = model::locality::elsewhere;
   auto operator<=>(const traffic_class&) const = default;
 };
 
-/// Bytes and messages a node spent on control.
+/// Counts of the messages that a node exchanged with its peers.
 struct control_counters {
-  /// @return bytes sent in one kind of message.
+  /// @return number of bytes sent in messages of one kind.
   [[nodiscard]] std::uint64_t bytes_sent_of(wire::envelope::BodyCase kind) const;
 
   std::uint64_t messages_sent = 0;
@@ -72,15 +76,17 @@
   std::uint64_t bytes_received = 0;
 };
 
-/// What answers of the services said of their era.
+/// Counts of what the answers of the services showed about their eras.
 struct store_counters {
-  /// Times a service came back from an older copy, each source counted.
+  /// Number of times that a source turned out to be restored from an older copy, over all sources.
   std::uint64_t era_changes = 0;
+  /// Ignored answers of an era before the latest known era.
   std::uint64_t outdated_answers = 0;
+  /// Answers that named an era that cannot be read or is implausible.
   std::uint64_t unreadable_eras = 0;
 };
 
-/// Not thread-safe; one owner drives it.
+/// Node of the fleet, driven by events. Not thread-safe.
 class node {
  public:
   /// @param random must outlive the node.
@@ -88,12 +94,12 @@
   node(const node&) = delete;
   node& operator=(const node&) = delete;
 
-  /// Takes in one event.
-  /// @param now time of the event; never earlier than that of the event before.
-  /// @return what is to be done, in order.
-  command_list handle(const event& what, base::time_point now);
+  /// Processes an event.
+  /// @param now time of the event; must not be earlier than the time of the previous event.
+  /// @return the commands to carry out, in order.
+  command_list handle(const event& input_event, base::time_point now);
 
-  /// @return when `time_passed` must be given at the latest.
+  /// @return the latest time at which `time_passed` must be delivered.
   [[nodiscard]] base::time_point next_wakeup() const;
 
   [[nodiscard]] bool is_ready() const { return is_ready_ && !is_stopping_; }
@@ -108,17 +114,18 @@
   [[nodiscard]] const base::event_log& events() const { return events_; }
   [[nodiscard]] const control_counters& control() const { return control_; }
   [[nodiscard]] const store_counters& store() const { return store_; }
-  /// @return whether this node reads a service of the platform now: for others, as it starts, or in
-  ///         place of a node that cannot.
+  /// @return whether this node should read a service of the platform now: as one of the nodes that
+  ///         watch the service for the others, because the node is starting, or in place of a node
+  ///         that cannot read the service.
   [[nodiscard]] bool should_read_service(source_kind source, base::time_point now) const;
-  /// Counts what the serving path holds of events that are not whole yet; nothing where the node
-  /// serves no published routes.
+  /// Sets the budget that the buffered bytes of incomplete events of the serving path count
+  /// against. Has no effect if the node serves no published routes.
   void set_budget(std::shared_ptr<flow::byte_budget> budget) {
     if (serving_) {
       serving_->set_budget(std::move(budget));
     }
   }
-  /// @return null where the node serves no published routes.
+  /// @return the dispatcher of the serving path; null if the node serves no published routes.
   [[nodiscard]] const serving::dispatcher* serving() const {
     return serving_ ? &*serving_ : nullptr;
   }
@@ -127,70 +134,89 @@
   }
 
  private:
-  void on(const time_passed& what, base::time_point now);
-  void on(const peer_message& what, base::time_point now);
-  void on(const caller_arrived& what, base::time_point now);
-  void on(const caller_disconnected& what, base::time_point now);
-  void on(const ticket_requested& what, base::time_point now);
-  void on(const execution::call_result& what, base::time_point now);
-  void on(const execution::call_token& what, base::time_point now);
-  void on(const service_answered& what, base::time_point now);
-  void on(const service_failed& what, base::time_point now);
-  void on(const stop_requested& what, base::time_point now);
-  void on(const seeds_changed& what, base::time_point now);
-  void on(const release_requested& what, base::time_point now);
-  void on(const serving::event& what, base::time_point now);
-
-  /// Reports what an answer says of the service's era.
-  void note_era(const service_answered& what, const catalog::answer_meaning& meaning);
+  void on(const time_passed& input_event, base::time_point now);
+  void on(const peer_message& input_event, base::time_point now);
+  void on(const caller_arrived& arrival, base::time_point now);
+  void on(const caller_disconnected& input_event, base::time_point now);
+  void on(const ticket_requested& request, base::time_point now);
+  void on(const execution::call_result& input_event, base::time_point now);
+  void on(const execution::call_token& input_event, base::time_point now);
+  void on(const service_answered& answer, base::time_point now);
+  void on(const service_failed& failure, base::time_point now);
+  void on(const stop_requested& input_event, base::time_point now);
+  void on(const seeds_changed& input_event, base::time_point now);
+  void on(const release_requested& input_event, base::time_point now);
+  void on(const serving::event& input_event, base::time_point now);
+
+  /// Counts and records an answer that shows a new, outdated or unreadable era.
+  void note_era(const service_answered& answer, const catalog::answer_meaning& meaning);
+  /// Detects that the process or its machine was suspended, by the time since the last event. After
+  /// a suspension puts dispatch on hold and requests the missed changes from peers.
   void detect_suspension(base::time_point now);
+  /// Requests the changes of the catalog and the leave notices from several peers.
   void request_resync(base::time_point now);
+  /// Checks whether the sender of a message has an equal catalog; ends the hold of dispatch if the
+  /// message also answers a resync request.
   void check_resync(const wire::envelope& message, base::time_point now);
+  /// Makes the node ready once it has a catalog that is recent enough.
   void update_readiness(base::time_point now);
   void run_periodic(base::time_point now);
-  /// @return whether this node watches a service for others as long as it lives.
+  /// @return whether this node is one of the nodes that watch a service for the others.
   [[nodiscard]] bool has_watch_job(source_kind source, base::time_point now) const;
   void read_services(base::time_point now);
-  /// This node cannot read a service: another, which may reach it, is asked to watch it.
+  /// Requests a peer to watch a service that this node failed to read.
   void hand_over_watch(source_kind source, base::time_point now);
-  void on_watch_handover(const wire::watch_handover& asked, base::time_point now);
+  void on_watch_handover(const wire::watch_handover& handover, base::time_point now);
   void apply_machine_changes(base::time_point now);
   void apply_serving_changes(base::time_point now);
   void update_serving_peers(base::time_point now);
-  /// @return time after its start at which a node that is not ready reads the services itself.
+  /// @return time after the start of this node from which it reads the services itself if it is not
+  ///         ready.
   [[nodiscard]] base::duration peer_wait_time() const;
-  /// @return whether no node that is known has much more of a processor.
+  /// @return whether this node has at least `min_strong_node_fraction` times as many cores as the
+  ///         known node with the most.
   [[nodiscard]] bool is_strong() const;
-  /// @return whether a zone is of the own region; all are where the settings name no region.
+  /// @return whether a zone is not known to be in another region; true for every zone if the
+  ///         settings name no regions.
   [[nodiscard]] bool is_near(const base::zone_id& zone) const;
-  /// @return how far a peer is; `elsewhere` where it is not known yet.
+  /// @return locality of a peer; `elsewhere` if the zone of the peer is not known.
   [[nodiscard]] model::locality peer_locality(const base::network_address& peer) const;
+  /// Updates the number of nodes that share the concurrency limits of the back ends of this zone.
   void update_sharing();
   void dispatch_message(const wire::envelope& message, base::time_point now);
   void on_backend_notice(const wire::backend_notice& notice, bool from_zone, base::time_point now);
+  /// Sends a leave notice to all nodes of the own zone.
   void broadcast_notice(const wire::backend_notice& notice);
+  /// Broadcasts the leave notices that this node has not sent to its zone yet.
   void announce_new_leave_notices();
   void on_forwarded_request(const wire::envelope& message, base::time_point now);
   void execute_guard_decisions(base::time_point now);
   void execute(execution::run_decision& decision, base::time_point now);
   void execute(execution::attach_decision& decision, base::time_point now);
   void execute(execution::answer_decision& decision, base::time_point now);
-  /// Refuses a request at the door. One that carries a ticket or key may have been run when it was
-  /// sent before, so its outcome is `unknown` there.
+  /// Refuses a request on arrival.
+  /// @param may_be_resent whether the request carries a ticket or a key: it may have run when it
+  ///        was sent before, so the outcome is `unknown` instead of `not_run`.
   void refuse(const execution::caller_ref& caller, const base::request_id& id,
               execution::reason why, base::duration retry_after, bool may_be_resent);
+  /// Advances all parts and collects their commands and messages. Processes messages to this node
+  /// itself at once, in a limited number of rounds.
   void flush(base::time_point now);
+  /// Completes a graceful stop if no request is active and none has arrived for long enough.
   void check_stop(base::time_point now);
+  /// Aborts the requests on published routes once the maximum duration of a stop has passed.
   void abort_overdue_requests(base::time_point now);
-  /// @return whether a planned stop can wait no longer for requests on published routes.
+  /// @return whether the maximum duration of a graceful stop has passed for requests on published
+  ///         routes.
   [[nodiscard]] bool must_abort_requests(base::time_point now) const;
-  void emit(execution::send_answer&& wanted);
+  void emit(execution::send_answer&& answer);
   template <typename other_command>
-  void emit(other_command&& wanted) {
-    commands_.emplace_back(std::forward<other_command>(wanted));
+  void emit(other_command&& other) {
+    commands_.emplace_back(std::forward<other_command>(other));
   }
-  /// Adds the known leave notices to digests and to answers to a resync.
+  /// Adds the known leave notices to digests and to answers to resync requests.
   void add_leave_notices(wire::envelope& message) const;
+  /// Completes the queued messages and sends them; delivers those to this node itself at once.
   void flush_messages(base::time_point now);
   void answer_peer(const execution::remote_caller& peer, const execution::answer& content,
                    bool is_owner);
@@ -198,8 +224,8 @@
               const std::string& detail);
   base::request_id next_request_id();
   [[nodiscard]] std::vector<base::network_address> zone_peer_addresses() const;
-  /// Peers with which published records are exchanged: those of the zone, and a few of other zones
-  /// where the node serves published routes.
+  /// @return peers with which published records are exchanged: the peers of the zone and, if the
+  ///         node serves published routes, a few random members of other zones.
   [[nodiscard]] std::vector<base::network_address> replication_peers();
   [[nodiscard]] std::optional<base::network_address> address_of(const base::node_id& node) const;
 
@@ -211,11 +237,12 @@
   catalog::catalog catalog_;
   catalog::replicator replicator_;
   std::array<catalog::service_watch, source_count> watches_;
-  /// A service that this node watches for another.
+  /// State of watching a service in place of a node that cannot read it.
   struct watch_substitution {
     base::time_point ends_at;
+    /// Number of times that the watch may still be handed over to a further node.
     std::uint32_t handovers_left = 0;
-    /// When this node may ask another to watch for it.
+    /// Time from which this node may request another node to watch in its place.
     base::time_point next_handover_at;
   };
   std::array<watch_substitution, source_count> substitutions_;
@@ -224,23 +251,28 @@
   admission::stage_scheduler scheduler_;
   execution::executor executor_;
   execution::effect_guard guard_;
+  /// Generation of the latest leave notice that was sent to the own zone, by back end.
   std::map<base::backend_id, std::uint64_t> announced_leave_generations_;
   std::optional<serving::dispatcher> serving_;
+  /// Change counts of the catalog that have been applied.
   std::uint64_t seen_machine_changes_ = 0;
   std::uint64_t seen_serving_changes_ = 0;
-  /// Version of the membership that the serving path knows.
+  /// Version of the membership that has been passed to the serving path.
   std::uint64_t seen_membership_version_ = 0;
   base::random_source* random_;
+  /// Whether a peer with an equal, non-empty catalog has been seen since the start.
   bool is_synced_with_peer_ = false;
   bool is_ready_ = false;
   bool is_stopping_ = false;
   bool is_stop_reported_ = false;
   base::time_point stop_started_at_;
-  /// Last time a request reached this node, or it woke from a pause.
+  /// Start of the current span without disturbance, which ends a stop if it is long enough. A
+  /// disturbance is a new request, a gap between events or the start of the stop.
   base::time_point quiet_since_;
-  /// Part of the longest wait for peers that this node waits, 0 to 1; drawn at its start.
+  /// Random fraction of the maximum wait for peers, 0 to 1; drawn at the start.
   double peer_wait_fraction_ = 0;
-  /// Set while dispatch is on hold after a pause.
+  /// Time at which the hold of dispatch after a suspension ends; std::nullopt if dispatch is not on
+  /// hold.
   std::optional<base::time_point> hold_ends_at_;
   base::time_point next_periodic_at_;
   std::uint64_t next_request_number_ = 1;
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -1,4 +1,4 @@
-/// What a node does with its callers' requests, up to the executor and back.
+/// Processing of callers' requests by a node: checks on arrival, execution, answers.
 #include "node/node.h"
 
 #include "execution/plan_resolver.h"
@@ -9,6 +9,7 @@
 namespace spurrack::node {
 namespace {
 
+/// Retry-After of requests to a node that is starting or stopping.
 constexpr base::duration not_ready_retry_after = std::chrono::milliseconds(500);
 
 } // namespace
@@ -31,19 +32,20 @@
   execute(decision, last_event_at_);
 }
 
-void node::on(const caller_arrived& what, base::time_point now) {
-  const execution::local_caller caller{what.caller};
+void node::on(const caller_arrived& arrival, base::time_point now) {
+  const execution::local_caller caller{arrival.caller};
   const auto id = next_request_id();
   quiet_since_ = now;
-  record(base::event_kind::request_received, id, what.request.pipeline.text(), "");
-  const bool may_be_resent = !what.request.ticket.empty() || !what.request.idempotency_key.empty();
+  record(base::event_kind::request_received, id, arrival.request.pipeline.text(), "");
+  const bool may_be_resent =
+      !arrival.request.ticket.empty() || !arrival.request.idempotency_key.empty();
   if (is_stopping_ || !is_ready_) {
     refuse(caller, id,
            is_stopping_ ? execution::reason::node_stopping : execution::reason::node_not_ready,
            not_ready_retry_after, may_be_resent);
     return;
   }
-  auto resolution = execution::resolve_request(catalog_, what.request, what.arrived_at);
+  auto resolution = execution::resolve_request(catalog_, arrival.request, arrival.arrived_at);
   if (const auto* why = std::get_if<execution::reason>(&resolution)) {
     refuse(caller, id, *why, {}, may_be_resent && *why != execution::reason::unknown_token);
     return;
@@ -54,9 +56,10 @@
     return;
   }
   execution::admitted_request request{
-      id, resolved.plan, what.request.input, resolved.deadline, caller, what.request.stream};
+      id, resolved.plan, arrival.request.input, resolved.deadline, caller, arrival.request.stream};
   if (resolved.plan->has_non_repeatable_stage() && may_be_resent) {
-    guard_.begin({std::move(request), what.request.idempotency_key, what.request.ticket}, now);
+    guard_.begin({std::move(request), arrival.request.idempotency_key, arrival.request.ticket},
+                 now);
     execute_guard_decisions(now);
     return;
   }
@@ -64,20 +67,20 @@
   execute(decision, now);
 }
 
-void node::on(const caller_disconnected& what, base::time_point now) {
-  executor_.on_caller_gone(what.caller, now);
+void node::on(const caller_disconnected& input_event, base::time_point now) {
+  executor_.on_caller_gone(input_event.caller, now);
 }
 
-void node::on(const ticket_requested& what, base::time_point now) {
+void node::on(const ticket_requested& request, base::time_point now) {
   const auto id = next_request_id();
-  const execution::local_caller caller{what.caller};
+  const execution::local_caller caller{request.caller};
   if (is_stopping_ || !is_ready_) {
     refuse(caller, id, execution::reason::node_not_ready, not_ready_retry_after, false);
-  } else if (!catalog_.find_tenant_by_token(what.token_sha256)) {
+  } else if (!catalog_.find_tenant_by_token(request.token_sha256)) {
     refuse(caller, id, execution::reason::unknown_token, {}, false);
   } else {
     commands_.emplace_back(
-        send_ticket{what.caller, guard_.issue(now), settings_.guard.ticket_lifetime});
+        send_ticket{request.caller, guard_.issue(now), settings_.guard.ticket_lifetime});
   }
 }
 
@@ -112,7 +115,7 @@
 }
 
 void node::execute_guard_decisions(base::time_point now) {
-  // Carrying one out may answer a request and so bring about further ones.
+  // Executing a decision may answer a request, which may lead to further decisions.
   for (auto decisions = guard_.take_decisions(); !decisions.empty();
        decisions = guard_.take_decisions()) {
     for (auto& decision : decisions) {
--- a/src/node/node_peers.cc
+++ b/src/node/node_peers.cc
@@ -1,12 +1,12 @@
-/// What a node does with the messages of its peers.
+/// Processing of messages from peers.
 #include "node/node.h"
 
 #include <utility>
 
 namespace spurrack::node {
 
-void node::on(const peer_message& what, base::time_point now) {
-  const auto& message = what.message;
+void node::on(const peer_message& input_event, base::time_point now) {
+  const auto& message = input_event.message;
   ++control_.messages_received;
   control_.bytes_received += message.ByteSizeLong();
   clock_.observe({message.sent_at().wall_microseconds(), message.sent_at().logical()}, now);
@@ -61,8 +61,7 @@
   const bool probe =
       message.has_ping() || message.has_acknowledgement() || message.has_zone_digest();
   if (probe) {
-    // From another region the catalog is fetched only where the own one has had nothing for a
-    // while.
+    // The catalog is requested from another region only after a difference has lasted for a while.
     const bool near = is_near(base::zone_id(message.sender_zone()));
     const bool wants_all = !is_ready_ || hold_ends_at_.has_value();
     const bool eager = wants_all && near && message.sender_is_ready();
@@ -77,7 +76,7 @@
   if (!backends_.mark_leaving(backend, notice.generation())) {
     return;
   }
-  record(base::event_kind::backend_leaving, {}, notice.backend(), "told by a peer");
+  record(base::event_kind::backend_leaving, {}, notice.backend(), "announced by a peer");
   if (from_zone) {
     announced_leave_generations_[backend] = notice.generation();
   }
@@ -98,7 +97,7 @@
 
 void node::broadcast_notice(const wire::backend_notice& notice) {
   for (const auto& [name, other] : membership_.members()) {
-    // Other zones hear of it through the relays.
+    // Other zones receive the notice through the relays.
     if (other.zone != settings_.self.zone || other.state == wire::DEAD) {
       continue;
     }
--- a/src/node/node_roles.cc
+++ b/src/node/node_roles.cc
@@ -12,8 +12,8 @@
   if (const auto* serving = subject.serving()) {
     const auto& shards = serving->stages().shards().shards();
     roles.shards = static_cast<std::size_t>(
-        std::count_if(shards.begin(), shards.end(), [&](const serving::shard& one) {
-          return one.batcher == subject.settings().self.node;
+        std::count_if(shards.begin(), shards.end(), [&](const serving::shard& shard) {
+          return shard.batcher == subject.settings().self.node;
         }));
     roles.engine_accounts = serving->engine_accounts();
   }
--- a/src/node/node_roles.h
+++ b/src/node/node_roles.h
@@ -1,5 +1,5 @@
-/// What a node does for others beside its own requests, so that operators of a large fleet can tell
-/// apart what each of these costs.
+/// Work that a node does for other nodes besides its own requests. Lets operators of a large fleet
+/// distinguish the costs of each role.
 #pragma once
 
 #include "base/time.h"
@@ -10,18 +10,20 @@
 
 namespace spurrack::node {
 
+/// Roles of a node at one time.
 struct node_roles {
-  /// It watches the store's configuration, or its replicas, for other nodes.
+  /// Whether the node watches the configuration or the replicas in the store for other nodes.
   bool watches_configuration = false;
   bool watches_replicas = false;
-  /// It tells other zones of its own, and its own of the others.
+  /// Whether the node exchanges digests of its zone with other zones.
   bool is_relay = false;
-  /// Shards of stage replicas for which it gathers pieces.
+  /// Number of shards of stage replicas for which the node batches pieces.
   std::size_t shards = 0;
-  /// Engines whose account it holds.
+  /// Number of engines for which the node is the accounting node.
   std::size_t engine_accounts = 0;
 };
 
+/// @return the current roles of a node.
 [[nodiscard]] node_roles roles_of(const node& subject, base::time_point now);
 
 } // namespace spurrack::node
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -1,4 +1,5 @@
-/// Who reads the platform's services when, and what becomes of their answers.
+/// Reads of the platform's services by a node: which node reads them at which time, and the
+/// processing of their answers.
 #include "node/node.h"
 
 #include <algorithm>
@@ -9,27 +10,30 @@
 namespace spurrack::node {
 namespace {
 
-/// A starting node that serves published routes reads the services itself after a random part of
-/// this time for each member it knows, unless peers have told it everything by then: of a large
-/// fleet that starts as a whole, few nodes read, and a small one loses no time. Strong nodes read
-/// in the first half of the time, others after all of it: on a link of 10 Mbit/s 3,000 replicas
-/// take more than a second, and each node that reads them takes 12 ms of the store's link from all
-/// others.
+/// Maximum wait of a starting node that serves published routes before it reads the services
+/// itself, for each member that it knows. The node waits for a random fraction of this time and
+/// does not read the services if peers have sent it everything before: in a large fleet that starts
+/// as a whole few nodes read, and a small fleet loses no time. Strong nodes read in the first half
+/// of the time, the other nodes after all of it: on a link of 10 Mbit/s 3,000 replicas take more
+/// than a second, and each node that reads them occupies the store's link for 12 ms, at the expense
+/// of all other nodes.
 constexpr base::duration peer_wait_time_per_member = std::chrono::milliseconds(12);
 constexpr base::duration max_peer_wait_time = std::chrono::milliseconds(1200);
-/// Nodes with at least this part of the processor of the strongest one known are strong.
+/// Nodes with at least this fraction of the cores of the strongest known node are strong.
 constexpr float min_strong_node_fraction = 0.5F;
-/// Until then after its introduction a starting node knows neither how large the fleet is nor
-/// whether it is a strong one: two rounds of questions for members. Without it 178 of 300 nodes
-/// that returned together read the store (control_traffic_test).
+/// Time that a starting node needs, after it learned of the first other member, to learn the size
+/// of the fleet and whether it is a strong node: two rounds of queries for members. Without this
+/// time 178 of 300 nodes that returned together read the store (control_traffic_test).
 constexpr base::duration discovery_time = std::chrono::milliseconds(200);
-/// A starting node that knows nobody waits this long to be introduced at a seed.
+/// Time for which a starting node that knows no other member waits for a seed to send it members.
 constexpr base::duration join_timeout = std::chrono::milliseconds(300);
-/// A watch that a node cannot hold goes from node to node so many times. While a third of the nodes
-/// are turned away, one in 27 is then held by none of them, and there are several.
+/// Maximum number of times that a watch is handed over from a node that cannot read the service to
+/// the next. While a third of the nodes cannot read a service, one of its watches in 27 is then
+/// held by no node; a service has several watches.
 constexpr std::uint32_t max_handovers = 2;
-/// A node watches for another so long; asked again before, it goes on. The store is asked no more
-/// often than by the nodes whose job it is while it answers nobody.
+/// Time for which a node watches in place of another; a further handover before its end extends it.
+/// While the store answers no node, it is queried no more often than by the nodes whose job it is
+/// to watch.
 constexpr base::duration substitution_duration = std::chrono::seconds(10);
 constexpr base::duration handover_interval = substitution_duration / 2;
 
@@ -58,11 +62,12 @@
 void node::read_services(base::time_point now) {
   for (const auto source : {source_kind::configuration, source_kind::machine_list}) {
     auto& watch = watches_[static_cast<std::size_t>(source)];
-    const auto newest = source == source_kind::machine_list ? catalog_.newest_replica_position()
+    const auto latest = source == source_kind::machine_list ? catalog_.newest_replica_position()
                                                             : catalog_.newest_operator_position();
-    watch.note_known(newest.era, newest.revision, now);
+    watch.note_known(latest.era, latest.revision, now);
     if (const auto after = watch.next_read(should_read_service(source, now), now)) {
-      // What a first listing lacks the watch that goes on from it tells at once.
+      // The first listing may be stale: the watch that continues from its revision returns the
+      // changes that it lacks at once.
       const bool allow_stale = *after == 0 && !watch.has_answered();
       commands_.emplace_back(read_service{source, *after, allow_stale, watch.hold()});
     }
@@ -80,10 +85,11 @@
   if (known == 0) {
     return membership_.seeds().empty() ? base::duration{} : join_timeout;
   }
-  const auto longest = std::min(peer_wait_time_per_member * known, max_peer_wait_time);
-  const double part = is_strong() ? peer_wait_fraction_ / 2 : 1 + peer_wait_fraction_;
-  const auto introduced = membership_.introduced_at().value_or(started_at_) - started_at_;
-  return introduced + discovery_time + base::from_seconds(base::to_seconds(longest) * part);
+  const auto max_wait = std::min(peer_wait_time_per_member * known, max_peer_wait_time);
+  const double fraction = is_strong() ? peer_wait_fraction_ / 2 : 1 + peer_wait_fraction_;
+  const auto time_to_first_member = membership_.introduced_at().value_or(started_at_) - started_at_;
+  return time_to_first_member + discovery_time +
+         base::from_seconds(base::to_seconds(max_wait) * fraction);
 }
 
 bool node::is_strong() const {
@@ -96,15 +102,15 @@
 
 // --- answers -------------------------------------------------------------------------------------
 
-void node::on(const service_answered& what, base::time_point now) {
-  auto& watch = watches_[static_cast<std::size_t>(what.source)];
-  const auto meaning = watch.on_answer({what.era, what.service_revision, what.is_listing},
-                                       !what.entries.empty(), now);
-  note_era(what, meaning);
+void node::on(const service_answered& answer, base::time_point now) {
+  auto& watch = watches_[static_cast<std::size_t>(answer.source)];
+  const auto meaning = watch.on_answer({answer.era, answer.service_revision, answer.is_listing},
+                                       !answer.entries.empty(), now);
+  note_era(answer, meaning);
   if (meaning.is_outdated || meaning.is_implausible) {
     return;
   }
-  auto entries = what.entries;
+  auto entries = answer.entries;
   for (auto& entry : entries) {
     entry.set_era(meaning.era);
   }
@@ -113,11 +119,11 @@
     for (const auto& entry : entries) {
       listed.insert(entry.key());
     }
-    const catalog::store_position at{meaning.era, what.service_revision};
-    auto gone = what.source == source_kind::machine_list
-                    ? catalog_.deletions_of_unlisted_replicas(listed, at)
-                    : catalog_.deletions_of_unlisted_evacuations(listed, at);
-    std::move(gone.begin(), gone.end(), std::back_inserter(entries));
+    const catalog::store_position at{meaning.era, answer.service_revision};
+    auto deletions = answer.source == source_kind::machine_list
+                         ? catalog_.deletions_of_unlisted_replicas(listed, at)
+                         : catalog_.deletions_of_unlisted_evacuations(listed, at);
+    std::move(deletions.begin(), deletions.end(), std::back_inserter(entries));
   }
   replicator_.offer(entries, replication_peers(), outbox_);
   apply_machine_changes(now);
@@ -125,40 +131,40 @@
   read_services(now);
 }
 
-void node::note_era(const service_answered& what, const catalog::answer_meaning& meaning) {
+void node::note_era(const service_answered& answer, const catalog::answer_meaning& meaning) {
   const std::string era = std::to_string(meaning.era);
-  if (what.is_era_unreadable) {
+  if (answer.is_era_unreadable) {
     ++store_.unreadable_eras;
-    record(base::event_kind::service_era, {}, "", "unreadable, taken for " + era);
+    record(base::event_kind::service_era, {}, "", "unreadable, treated as " + era);
   }
   if (meaning.is_implausible) {
     ++store_.unreadable_eras;
-    record(base::event_kind::service_era, {}, std::to_string(*what.era),
-           "too far beyond " + era + " to be one, passed over");
+    record(base::event_kind::service_era, {}, std::to_string(*answer.era),
+           "implausibly far beyond " + era + ", ignored");
   }
   if (meaning.is_outdated) {
     ++store_.outdated_answers;
-    record(base::event_kind::service_era, {}, std::to_string(*what.era),
-           "an answer of an era before " + era + ", passed over");
+    record(base::event_kind::service_era, {}, std::to_string(*answer.era),
+           "answer of an era before " + era + ", ignored");
   }
   if (meaning.begins_era) {
     ++store_.era_changes;
     record(base::event_kind::service_era, {}, era,
-           "the service came back from an older copy, now at revision " +
-               std::to_string(what.service_revision) + "; it is listed anew");
+           "the service was restored from an older copy, now at revision " +
+               std::to_string(answer.service_revision) + "; listing it again");
   }
   if (meaning.went_back) {
     record(base::event_kind::service_behind, {}, "",
-           "service went back to revision " + std::to_string(what.service_revision));
+           "service went back to revision " + std::to_string(answer.service_revision));
   }
 }
 
-void node::on(const service_failed& what, base::time_point now) {
-  watches_[static_cast<std::size_t>(what.source)].on_failure(now);
-  hand_over_watch(what.source, now);
+void node::on(const service_failed& failure, base::time_point now) {
+  watches_[static_cast<std::size_t>(failure.source)].on_failure(now);
+  hand_over_watch(failure.source, now);
 }
 
-// --- watches that others hold --------------------------------------------------------------------
+// --- watches in place of other nodes -------------------------------------------------------------
 
 void node::hand_over_watch(source_kind source, base::time_point now) {
   auto& substitution = substitutions_[static_cast<std::size_t>(source)];
@@ -173,19 +179,19 @@
     return;
   }
   wire::outgoing message{base::take_random(peers, *random_), {}};
-  auto& asked = *message.message.mutable_watch_handover();
-  asked.set_source(static_cast<std::uint32_t>(source));
-  asked.set_handovers_left(handovers - 1);
+  auto& handover = *message.message.mutable_watch_handover();
+  handover.set_source(static_cast<std::uint32_t>(source));
+  handover.set_handovers_left(handovers - 1);
   outbox_.push_back(std::move(message));
 }
 
-void node::on_watch_handover(const wire::watch_handover& asked, base::time_point now) {
-  if (asked.source() >= source_count || !is_ready_) {
+void node::on_watch_handover(const wire::watch_handover& handover, base::time_point now) {
+  if (handover.source() >= source_count || !is_ready_) {
     return;
   }
-  auto& substitution = substitutions_[asked.source()];
+  auto& substitution = substitutions_[handover.source()];
   substitution.ends_at = now + substitution_duration;
-  substitution.handovers_left = std::min(asked.handovers_left(), max_handovers - 1);
+  substitution.handovers_left = std::min(handover.handovers_left(), max_handovers - 1);
   read_services(now);
 }
 
