--- a/src/model/errc.h
+++ b/src/model/errc.h
@@ -1,4 +1,4 @@
-/// Errors of reading published records (templates, tenants, machines).
+/// Errors of parsing published records (templates, tenants, machines) and settings.
 #pragma once
 
 #include <system_error>
@@ -17,6 +17,7 @@
   unknown_key_space,
 };
 
+/// @return the error code in the error category `model`.
 std::error_code make_error_code(errc code);
 
 } // namespace spurrack::model
--- a/src/model/outcome.h
+++ b/src/model/outcome.h
@@ -1,5 +1,5 @@
-/// Outcome of a request: four values, and a ledger that makes an untrue `not_run` impossible to
-/// build.
+/// Outcome of a request, one of four values, and the tracker of its calls that makes it impossible
+/// to report `not_run` for a request that may have run.
 #pragma once
 
 #include <cstdint>
@@ -7,33 +7,33 @@
 
 namespace spurrack::model {
 
-/// What a caller is told about its request.
+/// Outcome of a request as reported to its caller.
 enum class outcome : std::uint8_t {
-  completed, ///< The whole answer is given.
-  not_run,   ///< No byte of any stage call was handed to a socket.
-  failed,    ///< Something ran, the answer was not complete in time; no effect is in doubt.
-  unknown,   ///< A call that may not be repeated may have run.
+  completed, ///< The answer is complete.
+  not_run,   ///< No stage call ran: none was written to a socket, or back ends refused them.
+  failed,    ///< Calls may have run; the answer was not complete in time; no effect is in doubt.
+  unknown,   ///< A call that must not be repeated may have run.
 };
 
-/// @return the name used in answers, logs and metrics.
+/// @return the name of an outcome in answers, logs and metrics.
 std::string_view name_of(outcome value);
 
-/// Account of what one request handed out. The only source of a failure outcome, so that `not_run`
-/// cannot be claimed for a request that may have run.
+/// Tracks the stage calls of one request. The only source of failure outcomes, so that `not_run`
+/// cannot be reported for a request that may have run.
 class call_tracker {
  public:
-  /// A stage call is handed to the network.
+  /// Records that a stage call is passed to the network.
   void call_started(bool repeatable);
-  /// The network reports that no byte of the call was written.
+  /// Records that no byte of a started call was written.
   void call_never_sent(bool repeatable);
-  /// The back end answered that it refused the call without running it.
+  /// Records that the back end refused a started call without running it.
   void call_refused(bool repeatable) { call_never_sent(repeatable); }
-  /// The call is known to have run to its end.
+  /// Records that a started call has run to its end.
   void call_completed(bool repeatable);
 
-  /// @return whether every non-repeatable call that was started has a known end.
+  /// @return whether any non-repeatable call was started whose end is not known.
   [[nodiscard]] bool has_effect_in_doubt() const { return open_effects_ > 0; }
-  /// @return what to tell the caller of a request that is given up now.
+  /// @return the outcome of the request if it is aborted now.
   [[nodiscard]] outcome failure_outcome() const;
 
  private:
--- a/src/model/record_parser.h
+++ b/src/model/record_parser.h
@@ -1,5 +1,5 @@
-/// Parsers of published records. Validation looks at one record alone and at nothing else, so that
-/// every node comes to the same verdict in whatever order records arrive.
+/// Parsers of published records. Each record is validated without any other record, so that the
+/// result is the same on every node and does not depend on the order in which records arrive.
 #pragma once
 
 #include "model/records.h"
@@ -13,25 +13,27 @@
 
 namespace spurrack::model {
 
-/// A valid record of any kind.
+/// Valid record of any kind.
 using record = std::variant<std::shared_ptr<const pipeline_template>, std::shared_ptr<const tenant>,
                             std::shared_ptr<const machine>>;
 
-/// Verdict on one published value.
+/// Result of parsing one published value.
 struct parse_result {
-  /// Set where there are no faults.
+  /// Set if there are no faults.
   std::optional<record> value;
   std::vector<document_fault> faults;
 };
 
+/// Prefixes of the keys of each kind of record; the name of the record follows.
 inline constexpr std::string_view template_prefix = "templates/";
 inline constexpr std::string_view tenant_prefix = "tenants/";
 inline constexpr std::string_view machine_prefix = "machines/";
-/// Largest published value accepted, in bytes.
+/// Maximum size of a published value in bytes.
 inline constexpr std::size_t max_value_bytes = 1'000'000;
 
-/// @param key full key, such as `templates/client-answer`; its prefix decides the kind.
-/// @param text YAML (or JSON, which is YAML).
+/// Parses and validates a published value.
+/// @param key full key, such as `templates/client-answer`; its prefix determines the kind.
+/// @param text YAML, or JSON, which is a subset of YAML.
 parse_result parse_record(const std::string& key, const std::string& text);
 
 } // namespace spurrack::model
--- a/src/model/records.h
+++ b/src/model/records.h
@@ -1,4 +1,5 @@
-/// The records that users publish, validated: pipeline templates, tenant parameters, machines.
+/// Validated records that users publish: pipeline templates, tenants with their parameters,
+/// machines.
 #pragma once
 
 #include "base/ids.h"
@@ -14,33 +15,35 @@
 
 namespace spurrack::model {
 
-/// What a stage does; decides how its answer is read (`generate` streams tokens).
+/// Kind of work of a stage; determines how its answer is read (`generate` streams tokens).
 enum class stage_kind : std::uint8_t { encode, retrieve, rerank, generate, call };
 
-/// @return the name used in published records.
+/// @return the name of a kind in published records.
 std::string_view name_of(stage_kind kind);
 
-/// One step of a pipeline.
+/// Step of a pipeline.
 struct stage {
   std::string name;
   stage_kind kind = stage_kind::encode;
+  /// Pool of back ends that run the stage.
   base::pool_id pool;
-  /// Whether the call may be made again after an attempt whose fate is not known.
+  /// Whether the call may be retried after an attempt with unknown result.
   bool repeatable = true;
   std::string model;
   std::string adapter;
-  /// Upper bound of tokens for `generate`; 0 elsewhere.
+  /// Maximum number of tokens of a `generate` stage; 0 for other kinds.
   std::uint32_t max_tokens = 0;
 };
 
-/// A pipeline as operators publish it under `templates/<name>`.
+/// Pipeline template that operators publish under `templates/<name>`.
 struct pipeline_template {
   base::template_id name;
   std::vector<stage> stages;
   base::duration deadline{};
 };
 
-/// What one tenant sets for one template.
+/// Parameters that a tenant sets for a template. Parameters without a value keep that of the
+/// template.
 struct template_parameters {
   std::set<std::string> skipped_stages;
   std::optional<std::string> model;
@@ -50,35 +53,37 @@
   int priority = 5;
 };
 
-/// A tenant as operators publish it under `tenants/<name>`.
+/// Tenant that operators publish under `tenants/<name>`.
 struct tenant {
   base::tenant_id name;
   /// Lower-case hexadecimal SHA-256 of the tenant's token.
   std::string token_sha256;
   /// Share of contended capacity relative to the other tenants, 1 to 1000.
   int weight = 1;
+  /// Templates that the tenant may use, with its parameters.
   std::map<base::template_id, template_parameters> templates;
 };
 
 enum class machine_role : std::uint8_t { node, backend };
 enum class machine_state : std::uint8_t { live, leaving };
 
-/// A machine of the platform's list, under `machines/<id>`.
+/// Machine of the platform's list, published under `machines/<id>`.
 struct machine {
   std::string id;
   machine_role role = machine_role::backend;
   machine_state state = machine_state::live;
   base::zone_id zone;
   base::network_address address;
-  /// Raised by the platform each time the machine comes back; a leave holds for one generation.
+  /// Increased by the platform each time the machine returns; a leave notice is valid for one
+  /// generation.
   std::uint64_t generation = 1;
-  /// Back ends only.
+  /// Pool and maximum number of concurrent calls; only used for back ends.
   base::pool_id pool;
   std::uint32_t concurrency = 1;
 };
 
-/// A pipeline with one tenant's parameters applied: what a request executes. Immutable; a request
-/// keeps the one it began with whatever is published meanwhile.
+/// Pipeline template with the parameters of a tenant applied; the plan that a request executes.
+/// Immutable: a request keeps its plan even if new records are published while it runs.
 struct pipeline_plan {
   base::template_id template_name;
   base::tenant_id tenant;
@@ -87,12 +92,12 @@
   base::duration deadline{};
   std::vector<stage> stages;
 
-  /// @return whether some stage may run at most once.
+  /// @return whether any stage must run at most once.
   [[nodiscard]] bool has_non_repeatable_stage() const;
 };
 
 /// Applies a tenant's parameters to a template.
-/// @return nothing where the tenant does not list the template or every stage is skipped.
+/// @return the plan; std::nullopt if the tenant does not list the template or skips all its stages.
 std::optional<pipeline_plan> resolve(const pipeline_template& pipeline, const tenant& owner);
 
 } // namespace spurrack::model
--- a/src/model/residency.cc
+++ b/src/model/residency.cc
@@ -6,9 +6,9 @@
 namespace spurrack::model {
 
 residency residency::within(std::set<base::region_id> regions) {
-  residency made;
-  made.regions_ = std::move(regions);
-  return made;
+  residency result;
+  result.regions_ = std::move(regions);
+  return result;
 }
 
 residency residency::intersect(const residency& other) const {
@@ -32,8 +32,8 @@
   return regions_.value_or(std::set<base::region_id>());
 }
 
-std::string_view name_of(locality which) {
-  switch (which) {
+std::string_view name_of(locality value) {
+  switch (value) {
   case locality::zone:
     return "zone";
   case locality::region:
@@ -54,22 +54,23 @@
   return {region, region ? region->text() : zone.text()};
 }
 
-bool zone_regions::are_in_different_regions(const base::zone_id& one,
-                                            const base::zone_id& other) const {
-  return region_of(one) && region_of(other) && region_of(one) != region_of(other);
+bool zone_regions::are_in_different_regions(const base::zone_id& first,
+                                            const base::zone_id& second) const {
+  return region_of(first) && region_of(second) && region_of(first) != region_of(second);
 }
 
-bool zone_regions::are_in_same_region(const base::zone_id& one, const base::zone_id& other) const {
-  const auto region = region_of(one);
-  return one == other || (region && region == region_of(other));
+bool zone_regions::are_in_same_region(const base::zone_id& first,
+                                      const base::zone_id& second) const {
+  const auto region = region_of(first);
+  return first == second || (region && region == region_of(second));
 }
 
-locality zone_regions::locality_between(const base::zone_id& one,
-                                        const base::zone_id& other) const {
-  if (one == other) {
+locality zone_regions::locality_between(const base::zone_id& first,
+                                        const base::zone_id& second) const {
+  if (first == second) {
     return locality::zone;
   }
-  return are_in_same_region(one, other) ? locality::region : locality::elsewhere;
+  return are_in_same_region(first, second) ? locality::region : locality::elsewhere;
 }
 
 } // namespace spurrack::model
--- a/src/model/residency.h
+++ b/src/model/residency.h
@@ -1,4 +1,4 @@
-/// Where the requests of a customer may be served and what they make may be kept.
+/// Regions in which the requests of a tenant may be served and their data may be stored.
 #pragma once
 
 #include "base/ids.h"
@@ -14,25 +14,26 @@
 
 namespace spurrack::model {
 
-/// The regions a request is held to. Immutable: a request is given one when it is taken in, and
-/// everything that is done for it asks the same one.
+/// Set of regions that a request is confined to, or no restriction. Immutable: it is determined
+/// once when the request arrives, and all work for the request is checked against it.
 class residency {
  public:
-  /// Restricts nothing.
+  /// Constructs a residency without restriction.
   residency() = default;
   static residency everywhere() { return {}; }
-  /// @param regions the only regions allowed; none of them allows nothing.
+  /// @param regions the only allowed regions; if it is empty, no region is allowed.
   static residency within(std::set<base::region_id> regions);
 
-  /// @return the regions that both allow.
+  /// @return the residency that allows the regions that both allow.
   [[nodiscard]] residency intersect(const residency& other) const;
   [[nodiscard]] bool is_restricted() const { return regions_.has_value(); }
-  /// @return whether no region is left.
+  /// @return whether no region is allowed.
   [[nodiscard]] bool is_empty() const { return regions_ && regions_->empty(); }
-  /// @param region where something would be done; nothing where its region is not known, which only
-  ///        a request without restriction may use.
+  /// @param region region of the work; std::nullopt if it is not known, which is allowed only
+  ///        without restriction.
+  /// @return whether work may be done in a region.
   [[nodiscard]] bool permits(const std::optional<base::region_id>& region) const;
-  /// @return the regions allowed; empty where there is no restriction.
+  /// @return the allowed regions; empty if there is no restriction.
   [[nodiscard]] std::set<base::region_id> regions() const;
 
   bool operator==(const residency&) const = default;
@@ -41,47 +42,50 @@
   std::optional<std::set<base::region_id>> regions_;
 };
 
-/// How far a place is, nearest first.
+/// Locality of a zone relative to another zone, nearest first.
 enum class locality : std::uint8_t {
   zone,      ///< The same zone.
-  region,    ///< Another zone of the region.
-  elsewhere, ///< Another region, or a zone whose region is not known.
+  region,    ///< Another zone of the same region.
+  elsewhere, ///< A zone of another region, or another zone whose region is not known.
 };
 inline constexpr std::size_t locality_count = 3;
-/// @return the stable lower-case name, for metrics.
-std::string_view name_of(locality which);
+/// @return the lower-case name for metrics, which stays the same between versions.
+std::string_view name_of(locality value);
 
-/// What is near to itself: a region, or a zone whose region is not known. The two never compare
-/// equal, so that a zone is not taken for a region of the same name.
+/// Region of a zone, or the zone itself as a region of its own if its region is not known. A region
+/// and a zone never compare equal, even if they have the same name.
 struct effective_region {
-  /// Nothing where the settings name none.
+  /// std::nullopt if the settings name no region for the zone.
   std::optional<base::region_id> region;
-  /// Of the region, or of the zone that has none.
+  /// Name of the region, or of the zone if its region is not known.
   std::string name;
   auto operator<=>(const effective_region&) const = default;
 };
 
-/// The region of each zone, from the settings.
+/// Regions of the zones, from the settings.
 class zone_regions {
  public:
   zone_regions() = default;
   explicit zone_regions(std::map<base::zone_id, base::region_id> regions)
       : regions_(std::move(regions)) {}
 
-  /// @return nothing where the settings name no region for the zone.
+  /// @return the region of a zone; std::nullopt if the settings name none.
   [[nodiscard]] std::optional<base::region_id> region_of(const base::zone_id& zone) const;
-  /// @return every zone that has a region.
+  /// @return the region of each zone for which the settings name one.
   [[nodiscard]] const std::map<base::zone_id, base::region_id>& all() const { return regions_; }
+  /// @return the region of a zone, or the zone as a region of its own.
   [[nodiscard]] effective_region effective_region_of(const base::zone_id& zone) const;
-  /// @return whether both zones are of one region; a zone without region is near itself alone.
-  [[nodiscard]] bool are_in_same_region(const base::zone_id& one, const base::zone_id& other) const;
-  /// @return how far two zones are from one another.
-  [[nodiscard]] locality locality_between(const base::zone_id& one,
-                                          const base::zone_id& other) const;
-  /// @return whether both zones are known to lie in different regions. Where the settings name no
-  ///         region, all zones are taken for one.
-  [[nodiscard]] bool are_in_different_regions(const base::zone_id& one,
-                                              const base::zone_id& other) const;
+  /// @return whether both zones are in the same region. A zone whose region is not known is in the
+  ///         same region only as itself.
+  [[nodiscard]] bool are_in_same_region(const base::zone_id& first,
+                                        const base::zone_id& second) const;
+  /// @return locality of two zones relative to each other.
+  [[nodiscard]] locality locality_between(const base::zone_id& first,
+                                          const base::zone_id& second) const;
+  /// @return whether both zones are known to be in different regions; false if the region of either
+  ///         zone is not known.
+  [[nodiscard]] bool are_in_different_regions(const base::zone_id& first,
+                                              const base::zone_id& second) const;
 
  private:
   std::map<base::zone_id, base::region_id> regions_;
--- a/src/model/serving_record_parser.cc
+++ b/src/model/serving_record_parser.cc
@@ -10,7 +10,7 @@
 namespace spurrack::model {
 namespace {
 
-/// A fault found while a configuration is built; ends the work on it.
+/// Error in a published configuration; thrown to stop building it.
 struct validation_error {
   std::string text;
 };
@@ -19,8 +19,8 @@
   throw validation_error{std::move(text)};
 }
 
-void require(bool holds, const std::string& text) {
-  if (!holds) {
+void require(bool is_valid, const std::string& text) {
+  if (!is_valid) {
     refuse(text);
   }
 }
@@ -30,8 +30,9 @@
 }
 
 std::string lower_case(std::string text) {
-  std::transform(text.begin(), text.end(), text.begin(),
-                 [](unsigned char sign) { return static_cast<char>(std::tolower(sign)); });
+  std::transform(text.begin(), text.end(), text.begin(), [](unsigned char character) {
+    return static_cast<char>(std::tolower(character));
+  });
   return text;
 }
 
@@ -43,7 +44,8 @@
   return built;
 }
 
-/// Removes stages whose predecessors are all gone, again and again; what remains is a cycle.
+/// @return whether any stages depend on each other in a cycle. Repeatedly marks the stages whose
+///         predecessors are all marked; stages that remain are on a cycle or depend on one.
 bool has_cycle(const std::vector<stage_step>& stages) {
   std::set<std::uint32_t> finished;
   bool progressed = true;
@@ -51,10 +53,10 @@
     progressed = false;
     for (std::uint32_t index = 0; index < stages.size(); ++index) {
       const auto& needed = stages[index].start_after;
-      const bool free = std::all_of(needed.begin(), needed.end(), [&](std::uint32_t before) {
-        return finished.contains(before);
+      const bool is_ready = std::all_of(needed.begin(), needed.end(), [&](std::uint32_t required) {
+        return finished.contains(required);
       });
-      if (free && finished.insert(index).second) {
+      if (is_ready && finished.insert(index).second) {
         progressed = true;
       }
     }
@@ -64,11 +66,12 @@
 
 void check_stages(const route& built, const serving_configuration& configuration) {
   for (const auto& step : built.stages) {
-    const auto* worker = configuration.find_service(step.service);
-    require(worker != nullptr, "route " + built.name + ": stage service does not exist");
-    require(worker->pieces.has_value(), "route " + built.name + ": stage service has no pieces");
-    for (const auto before : step.start_after) {
-      require(before < built.stages.size(), "route " + built.name + ": stage out of range");
+    const auto* stage_service = configuration.find_service(step.service);
+    require(stage_service != nullptr, "route " + built.name + ": stage service does not exist");
+    require(stage_service->pieces.has_value(),
+            "route " + built.name + ": stage service has no pieces");
+    for (const auto required : step.start_after) {
+      require(required < built.stages.size(), "route " + built.name + ": stage out of range");
     }
   }
   require(!has_cycle(built.stages), "route " + built.name + ": stages form a cycle");
@@ -186,12 +189,12 @@
   auto built = std::make_shared<serving_configuration>();
   built->version = published.version();
   for (const auto& given : published.services()) {
-    auto one = build_service(given);
-    built->services[one.name] = std::move(one);
+    auto added = build_service(given);
+    built->services[added.name] = std::move(added);
   }
   for (const auto& given : published.routes()) {
-    auto one = build_route(given, *built);
-    built->routes_by_host[one->host].push_back(std::move(one));
+    auto added = build_route(given, *built);
+    built->routes_by_host[added->host].push_back(std::move(added));
   }
   for (auto& [host, routes] : built->routes_by_host) {
     std::stable_sort(routes.begin(), routes.end(), [](const auto& left, const auto& right) {
@@ -236,8 +239,8 @@
   }
   try {
     return build_configuration(published);
-  } catch (const validation_error& fault) {
-    return refusal_reason{fault.text};
+  } catch (const validation_error& error) {
+    return refusal_reason{error.text};
   }
 }
 
--- a/src/model/serving_record_parser.h
+++ b/src/model/serving_record_parser.h
@@ -1,5 +1,5 @@
-/// Builds validated records of the serving path from their published form. A record is refused as a
-/// whole where any part of it does not hold.
+/// Parsers of the published records of the serving path. A record is refused as a whole if any part
+/// of it is invalid.
 #pragma once
 
 #include "model/serving_records.h"
@@ -10,13 +10,13 @@
 
 namespace spurrack::model {
 
-/// Key of the configuration and prefix of the keys of replicas in the catalog.
+/// Key of the configuration in the catalog, and prefix of the keys of replicas.
 inline constexpr std::string_view configuration_key = "serving/configuration";
 inline constexpr std::string_view replica_prefix = "replicas/";
-/// Prefix of the keys of evacuations; the zone follows.
+/// Prefix of the keys of evacuations; the name of the zone follows.
 inline constexpr std::string_view evacuation_prefix = "evacuations/";
 
-/// Why a published record is refused, for people.
+/// Reason for which a published record is refused, as text for operators.
 struct refusal_reason {
   std::string text;
 };
@@ -27,12 +27,15 @@
 
 using evacuation_result = std::variant<evacuation, refusal_reason>;
 
+/// Parses and validates a configuration.
 /// @param bytes a serialized `wire::published_configuration`.
 configuration_result parse_configuration(const std::string& bytes);
 
+/// Parses and validates the record of a replica.
 /// @param bytes a serialized `wire::published_replica`.
 replica_result parse_replica(const std::string& bytes);
 
+/// Parses and validates an evacuation.
 /// @param bytes a serialized `wire::published_evacuation`.
 evacuation_result parse_evacuation(const std::string& bytes);
 
--- a/src/model/serving_records.h
+++ b/src/model/serving_records.h
@@ -1,5 +1,5 @@
-/// Published records of the serving path, validated: routes, services, access keys and replicas.
-/// Immutable once built; a request keeps the configuration it began with.
+/// Validated published records of the serving path: routes, services, access keys and replicas.
+/// Immutable after construction; a request uses one configuration from its arrival to its end.
 #pragma once
 
 #include "base/ids.h"
@@ -17,53 +17,57 @@
 
 namespace spurrack::model {
 
-/// What may be repeated, and how an answer is read.
+/// Kind of a route: whether its requests may be retried, and how their answers are read.
 enum class route_kind : std::uint8_t {
   safe,      ///< May run more than once.
   unsafe,    ///< Runs at most once.
-  streaming, ///< Answers with events; runs at most once unless it may be resumed.
+  streaming, ///< Answers with events; runs at most once unless the route is resumable.
 };
 
-/// Work that must be finished before a request may run.
+/// Stage of a route: work that must be complete before a request runs.
 struct stage_step {
   std::string service;
-  /// Indices of the stages whose results each piece of this one needs. Never contains a cycle.
+  /// Indices of the stages whose results each piece of this stage needs. The stages of a route form
+  /// no cycle.
   std::vector<std::uint32_t> start_after;
-  /// Approximate size of one result.
+  /// Approximate size of one result, in bytes.
   double result_bytes = 0;
 };
 
+/// Service of a route with its relative share of the route's requests.
 struct weighted_service {
   std::string service;
   std::uint32_t weight = 1;
 };
 
-/// A route: which requests it takes and how they are served.
+/// Route: the requests that it matches and how they are served.
 struct route {
   std::string name;
   std::string host;
   /// Begins and ends with a slash.
   std::string path_prefix;
   route_kind kind = route_kind::unsafe;
-  /// At least one; weights add up to more than 0.
+  /// Has at least one entry; the sum of the weights is greater than 0.
   std::vector<weighted_service> services;
-  /// Longest time a request is held; nothing where there is none.
+  /// Maximum time for which a request is held; std::nullopt if there is no limit.
   std::optional<base::duration> timeout;
-  /// Time within which an answer is worth most.
+  /// Time within which an answer has its full value.
   base::duration target_latency{};
   /// 0 is the highest.
   std::uint32_t priority = 0;
-  /// Most replicas one request may be sent to.
+  /// Maximum number of replicas that a request is sent to.
   std::uint32_t max_attempts = 1;
+  /// Whether requests need no access key.
   bool is_public = false;
+  /// Whether a stream can be resumed at another replica.
   bool resumable = false;
-  /// Longest pause between two events that is still in time.
+  /// Longest interval between two events of a stream that is still in time.
   base::duration gap_target{};
-  /// Clients leave when nothing has come after this time; nothing where they wait for all of
-  /// theirs.
+  /// Time after which clients disconnect if they have received nothing; std::nullopt if they wait
+  /// until the deadline of their request.
   std::optional<base::duration> client_patience;
   std::vector<stage_step> stages;
-  /// Regions in which requests of the route may be served and what they make may be kept.
+  /// Regions in which requests of the route may be served and their data may be stored.
   residency permitted_regions;
 
   /// @return whether a request may run more than once.
@@ -72,54 +76,63 @@
   }
 };
 
-/// Capacity of one replica of a service that works on pieces of stages.
+/// Capacity of one replica of a service that runs pieces of stages.
 struct piece_capacity {
+  /// Number of calls that run at the same time.
   std::uint32_t slots = 1;
+  /// Number of calls that may wait at the replica for a slot.
   std::uint32_t queue = 0;
-  /// Most pieces a call may hold.
+  /// Maximum number of pieces in one call.
   std::uint32_t batch = 1;
-  /// Time a call takes whatever it holds, and the time each piece adds.
+  /// Fixed time of a call, and the time that each piece adds to it.
   base::duration call_time{};
   base::duration item_time{};
-  /// Room for results that wait to be fetched, in bytes.
+  /// Memory for results that wait to be fetched, in bytes.
   double result_capacity_bytes = 0;
-  /// How long a result lives after its call.
+  /// Time after its call for which a result is kept.
   base::duration result_lifetime{};
 };
 
 /// Capacity of one replica of a service that generates tokens.
 struct engine_capacity {
+  /// Number of requests that run at the same time.
   std::uint32_t slots = 1;
-  /// Tokens that running requests and parts of prompts kept for later ones take together.
+  /// Memory for the tokens of running requests and of cached prompt prefixes, in tokens; 0 if it is
+  /// not published.
   std::uint64_t memory_tokens = 0;
-  /// Size of one token in that memory, in bytes, and how fast replicas carry it to one another;
-  /// 0 where that is not told.
+  /// Size of one token in that memory in bytes, and the bandwidth at which replicas transfer tokens
+  /// to each other in bits per second; 0 if they are not published.
   double token_bytes = 0;
   double link_bits_per_second = 0;
 };
 
+/// Service: a group of replicas that answer the same requests.
 struct service {
   std::string name;
+  /// Path of the health check of a replica.
   std::string health_path;
-  /// Connections a replica takes from all callers together; 0 where it is not told.
+  /// Maximum number of connections of a replica, from all callers together; 0 if it is not
+  /// published.
   std::uint32_t max_connections = 0;
+  /// Set if the replicas run pieces of stages.
   std::optional<piece_capacity> pieces;
+  /// Set if the replicas generate tokens.
   std::optional<engine_capacity> engine;
-  /// Requests a second that a replica bears while it is cold, from all nodes together; 0 where
-  /// there is no bound.
+  /// Requests per second that a replica sustains while it is cold, from all nodes together; 0 if
+  /// there is no limit.
   double cold_requests_per_second = 0;
 };
 
-/// Holder of a key, and what it may claim.
+/// Tenant that holds an access key, with the rights of the key.
 struct key_holder {
   base::tenant_id tenant;
-  /// Takes precedence over the route's priority.
+  /// Replaces the priority of the route if it is set.
   std::optional<std::uint32_t> priority;
-  /// Regions in which the tenant's requests may be served and what they make may be kept.
+  /// Regions in which the tenant's requests may be served and their data may be stored.
   residency permitted_regions;
 };
 
-/// What a client may send, and how long it may take.
+/// Limits on the sizes and durations of client requests.
 struct client_limits {
   std::uint32_t max_header_bytes = 16'384;
   std::uint32_t max_body_bytes = 4'194'304;
@@ -127,51 +140,55 @@
   base::duration idle_timeout = std::chrono::seconds(15);
 };
 
-/// The whole configuration of the serving path.
+/// Complete configuration of the serving path.
 class serving_configuration {
  public:
   std::uint64_t version = 0;
   std::unordered_map<std::string, service> services;
-  /// Key text to holder; empty where requests need no key.
+  /// Holders by the text of their key; empty if requests need no key.
   std::unordered_map<std::string, key_holder> keys;
   client_limits limits;
-  /// By host; within a host the longest path prefix first.
+  /// Routes by host, for each host sorted by length of the path prefix, longest first.
   std::unordered_map<std::string, std::vector<std::shared_ptr<const route>>> routes_by_host;
 
   /// @param host without a port, in lower case; @param path without a query.
-  /// @return the route with the longest prefix of `path`; null where there is none.
+  /// @return the route with the longest path prefix that matches `path`; null if none matches.
   [[nodiscard]] std::shared_ptr<const route> find_route(std::string_view host,
                                                         std::string_view path) const;
-  /// Null where there is none.
+  /// @return the service; null if it does not exist.
   [[nodiscard]] const service* find_service(const std::string& name) const;
 };
 
-/// One life of a replica, from its start to its end. A replica that starts again under its id knows
-/// nothing of before.
+/// Incarnation of a replica: one run of its process. A replica that restarts under its id has no
+/// state of its earlier incarnations.
 struct replica_incarnation {
-  /// Unix milliseconds by the clock of the replica's machine: only whether two are equal means
-  /// anything.
+  /// Start time in Unix milliseconds by the clock of the replica's machine. Only comparable for
+  /// equality.
   std::uint64_t started_at_milliseconds = 0;
   bool operator==(const replica_incarnation&) const = default;
 };
 
-/// A replica as published.
+/// Published record of a replica.
 struct replica {
   base::replica_id id;
   std::string service;
   base::network_address address;
   base::zone_id zone;
+  /// Number of requests that run at the same time.
   std::uint32_t slots = 1;
   bool draining = false;
-  /// It was published no longer and is so again only since the store came back from an older copy.
+  /// Whether the record had been deleted and reappeared only because the store was restored from an
+  /// older copy.
   bool may_be_deleted = false;
-  /// How much longer it stays cold, counted from its publication; 0 where it is warm.
+  /// Remaining time for which the replica is cold, from the publication of the record; 0 if it is
+  /// warm.
   base::duration cold_for{};
-  /// Nothing where the replica does not say.
+  /// std::nullopt if the replica does not publish it.
   std::optional<replica_incarnation> incarnation;
 };
 
-/// The operator asks to send nothing to the replicas of a zone, for as long as this is published.
+/// Evacuation of a zone by an operator: while it is published, the replicas of the zone are sent no
+/// requests.
 struct evacuation {
   base::zone_id zone;
 };
--- a/src/model/yaml_reader.h
+++ b/src/model/yaml_reader.h
@@ -1,5 +1,5 @@
-/// Checked reading of YAML mappings: every field is named, typed and bounded, and an error says
-/// where it is and what is allowed. Used for published records and for the settings of the daemon.
+/// Validating reader of YAML mappings. Each field has a name, a type and bounds; a fault names its
+/// line, its field and the allowed values. Used for published records and the daemon's settings.
 #pragma once
 
 #include "base/time.h"
@@ -17,64 +17,76 @@
 
 namespace spurrack::model {
 
-/// One fault of a document.
+/// Fault of a document.
 struct document_fault {
   std::error_code code;
-  /// 1-based line; 0 where it is not known.
+  /// Line of the fault, from 1; 0 if it is not known.
   int line = 0;
-  /// Dotted path of the field.
+  /// Dotted path of the field; empty if the fault concerns the whole document.
   std::string field;
-  /// What would be allowed, for people.
+  /// Allowed values, as text for operators.
   std::string allowed;
 };
 
-/// @return the fault as one line: `line 3: stages[1].pool: required field is missing (allowed: …)`.
+/// @return a fault as one line: `line 3: stages[1].pool: required field is missing (allowed: …)`.
 std::string describe(const document_fault& fault);
 
 /// Parses text into a document.
-/// @return nothing, with a fault added, where it is not well-formed YAML.
+/// @return the document; std::nullopt, with a fault added, if the text is not a well-formed YAML
+///         mapping.
 std::optional<YAML::Node> parse_yaml(const std::string& text, std::vector<document_fault>& faults);
 
-/// Reader of one mapping. Fields that were never asked for are reported by `finish`.
+/// Reader of one mapping. Adds faults instead of throwing exceptions; `finish` reports the fields
+/// that were never read.
 class mapping_reader {
  public:
-  /// @param faults where faults are added; must outlive the reader.
+  /// @param path dotted path of the mapping in the document; empty for the document itself.
+  /// @param faults receives the faults; must outlive the reader.
   mapping_reader(const YAML::Node& node, std::string path, std::vector<document_fault>& faults);
 
-  /// Text that must be there and not be empty.
+  /// Reads a text that must be present and not empty.
   std::string required_text(const std::string& name, const std::string& allowed = "non-empty text");
+  /// Reads a text that must not be empty if it is present.
   std::optional<std::string> optional_text(const std::string& name);
-  /// Text out of a fixed set. @return the index in `values`, or `fallback` where absent or wrong.
+  /// Reads a text from a fixed set; required if there is no fallback.
+  /// @return the index in `values`; `fallback`, or 0 without one, if the text is absent or invalid.
   std::size_t choice(const std::string& name, std::initializer_list<std::string_view> values,
                      std::optional<std::size_t> fallback);
-  /// Whole number within [low, high]; required where there is no fallback.
+  /// Reads an integer within [low, high]; required if there is no fallback.
+  /// @return the value; `fallback`, or `low` without one, if it is absent or invalid.
   std::int64_t integer(const std::string& name, std::int64_t low, std::int64_t high,
                        std::optional<std::int64_t> fallback);
-  /// Number within [low, high]; required where there is no fallback.
+  /// Reads a number within [low, high]; required if there is no fallback.
+  /// @return the value; `fallback`, or `low` without one, if it is absent or invalid.
   double number(const std::string& name, double low, double high, std::optional<double> fallback);
+  /// @return the value; `fallback` if it is absent or invalid.
   bool boolean(const std::string& name, bool fallback);
-  /// Milliseconds within [low, high].
+  /// Reads an integer number of milliseconds like `integer`.
   base::duration milliseconds(const std::string& name, std::int64_t low, std::int64_t high,
                               std::optional<std::int64_t> fallback);
+  /// Reads a list of texts; empty if it is absent.
   std::vector<std::string> text_list(const std::string& name);
-  /// Children of a sequence or the entries of a mapping, for nested readers.
+  /// Returns readers of the mappings in a sequence.
   std::vector<mapping_reader> sequence(const std::string& name, bool required);
+  /// Returns a reader of a nested mapping; std::nullopt if it is absent or invalid.
   std::optional<mapping_reader> mapping(const std::string& name, bool required);
-  /// Names of the entries of this mapping; marks them all as known.
+  /// Returns the names of all entries of this mapping and marks them as known.
   std::vector<std::string> entry_names();
 
-  /// Adds a fault at a field of this mapping.
+  /// Adds a fault of a field of this mapping.
   void add_fault(std::error_code code, const std::string& name, const std::string& allowed);
-  /// Reports fields that are not known.
+  /// Adds a fault for each field that is not known. Call after all fields have been read.
   void finish();
 
  private:
+  /// Returns a field and marks its name as known.
   YAML::Node find(const std::string& name);
   [[nodiscard]] std::string path_of(const std::string& name) const;
 
   YAML::Node node_;
   std::string path_;
   std::vector<document_fault>* faults_;
+  /// Names of the fields that have been read.
   std::set<std::string> known_;
 };
 
