--- a/tests/model/outcome_test.cc
+++ b/tests/model/outcome_test.cc
@@ -1,4 +1,4 @@
-/// `not_run` can only come out of a tracker in which nothing was handed out.
+/// Outcomes of a call tracker: `not_run` only if no started call may have run.
 #include "model/outcome.h"
 
 #include <boost/test/unit_test.hpp>
@@ -6,9 +6,9 @@
 using spurrack::model::call_tracker;
 using spurrack::model::outcome;
 
-BOOST_AUTO_TEST_SUITE(dispatch_ledger_outcomes)
+BOOST_AUTO_TEST_SUITE(call_tracker_outcomes)
 
-BOOST_AUTO_TEST_CASE(follows_what_was_handed_out) {
+BOOST_AUTO_TEST_CASE(the_failure_outcome_follows_the_calls) {
   call_tracker tracker;
   BOOST_CHECK(tracker.failure_outcome() == outcome::not_run);
   tracker.call_started(true);
--- a/tests/model/record_parser_test.cc
+++ b/tests/model/record_parser_test.cc
@@ -1,4 +1,4 @@
-/// What is accepted and refused, with the line, field and allowed values an operator is shown.
+/// Accepted and refused records. Faults name the line, the field and the allowed values.
 #include "model/record_parser.h"
 
 #include <boost/test/unit_test.hpp>
@@ -11,11 +11,12 @@
 using spurrack::model::describe;
 using spurrack::model::parse_record;
 
+/// Record that is refused.
 struct refused_case {
   std::string key;
   std::string text;
-  /// What the first fault says.
-  std::string says;
+  /// Part of the description of the first fault.
+  std::string expected_text;
 };
 
 const std::vector<refused_case> refused_cases{
@@ -50,24 +51,24 @@
 
 BOOST_AUTO_TEST_SUITE(record_parser)
 
-BOOST_AUTO_TEST_CASE(refuses_with_line_field_and_what_is_allowed) {
-  for (const auto& wrong : refused_cases) {
-    const auto result = parse_record(wrong.key, wrong.text);
-    BOOST_TEST_CONTEXT(wrong.text) {
+BOOST_AUTO_TEST_CASE(refused_records_name_line_field_and_allowed_values) {
+  for (const auto& refused : refused_cases) {
+    const auto result = parse_record(refused.key, refused.text);
+    BOOST_TEST_CONTEXT(refused.text) {
       BOOST_TEST(!result.value.has_value());
       BOOST_TEST_REQUIRE(!result.faults.empty());
-      BOOST_TEST(describe(result.faults.front()).find(wrong.says) != std::string::npos,
+      BOOST_TEST(describe(result.faults.front()).find(refused.expected_text) != std::string::npos,
                  describe(result.faults.front()));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(refuses_values_over_a_megabyte) {
+BOOST_AUTO_TEST_CASE(values_over_a_megabyte_are_refused) {
   const std::string large(spurrack::model::max_value_bytes + 1, 'x');
   BOOST_TEST(!parse_record("templates/t", large).value.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(resolves_a_tenant_over_a_template) {
+BOOST_AUTO_TEST_CASE(parameters_of_a_tenant_replace_those_of_the_template) {
   const auto pipeline = std::get<std::shared_ptr<const spurrack::model::pipeline_template>>(
       *parse_record("templates/t",
                     "name: t\ndeadline_ms: 500\nstages:\n"
--- a/tests/model/residency_test.cc
+++ b/tests/model/residency_test.cc
@@ -1,3 +1,4 @@
+/// Regions that a residency allows, and the regions of zones.
 #include "model/residency.h"
 
 #include <boost/test/unit_test.hpp>
@@ -15,7 +16,7 @@
 
 BOOST_AUTO_TEST_SUITE(residency_test)
 
-BOOST_AUTO_TEST_CASE(without_restriction_every_region_is_allowed_also_an_unknown_one) {
+BOOST_AUTO_TEST_CASE(an_unrestricted_residency_allows_every_region_and_an_unknown_one) {
   const auto allowed = residency::everywhere();
   BOOST_TEST(!allowed.is_restricted());
   BOOST_TEST(!allowed.is_empty());
@@ -23,26 +24,26 @@
   BOOST_TEST(allowed.permits(std::nullopt));
 }
 
-BOOST_AUTO_TEST_CASE(a_restricted_request_may_not_go_where_the_region_is_unknown) {
+BOOST_AUTO_TEST_CASE(a_restricted_residency_allows_only_its_known_regions) {
   const auto allowed = residency::within({north});
   BOOST_TEST(allowed.permits(north));
   BOOST_TEST(!allowed.permits(south));
   BOOST_TEST(!allowed.permits(std::nullopt));
 }
 
-BOOST_AUTO_TEST_CASE(route_and_tenant_must_both_allow_a_region) {
+BOOST_AUTO_TEST_CASE(an_intersection_allows_only_the_regions_of_both) {
   const auto route = residency::within({north, south});
   const auto tenant = residency::within({south, west});
   BOOST_TEST((route.intersect(tenant) == residency::within({south})));
   BOOST_TEST((route.intersect(residency::everywhere()) == route));
   BOOST_TEST((residency::everywhere().intersect(tenant) == tenant));
-  const auto nothing = route.intersect(residency::within({west}));
-  BOOST_TEST(nothing.is_empty());
-  BOOST_TEST(nothing.is_restricted());
-  BOOST_TEST(!nothing.permits(west));
+  const auto none = route.intersect(residency::within({west}));
+  BOOST_TEST(none.is_empty());
+  BOOST_TEST(none.is_restricted());
+  BOOST_TEST(!none.permits(west));
 }
 
-BOOST_AUTO_TEST_CASE(zones_are_of_one_region_only_where_the_settings_say_so) {
+BOOST_AUTO_TEST_CASE(zones_are_in_the_same_region_only_if_the_settings_say_so) {
   const base::zone_id first("n1");
   const base::zone_id second("n2");
   const base::zone_id other("s1");
--- a/tests/node/driven_node.h
+++ b/tests/node/driven_node.h
@@ -1,4 +1,5 @@
-/// A node that serves the published world, driven by hand: its clock, its events, what it asks for.
+/// Node that serves a published catalog. Tests drive its clock and its events and read its
+/// commands.
 #pragma once
 
 #include "node/node.h"
@@ -10,18 +11,20 @@
 
 namespace spurrack {
 
+/// Holds the node, its clock and its commands so far. The node gets the published catalog at its
+/// start.
 struct driven_node {
-  /// @param step time between two looks at the node while time passes.
+  /// @param step interval between two events while time advances.
   explicit driven_node(const node::node_settings& settings = usual_settings(),
                        base::duration step = std::chrono::milliseconds(50))
-      : step_time(step), random(1), subject(settings, random, now) {
+      : time_step(step), random(1), subject(settings, random, now) {
     catalog::catalog::bucket_set all_buckets;
     all_buckets.set();
     entries = world.content.entries_in(all_buckets);
     node::service_answered published;
     published.entries = entries;
     published.service_revision = 100;
-    happen(published);
+    deliver(published);
   }
 
   static node::node_settings usual_settings() {
@@ -31,20 +34,24 @@
     return settings;
   }
 
-  void happen(const node::event& what) {
-    auto wanted = subject.handle(what, now);
-    std::move(wanted.begin(), wanted.end(), std::back_inserter(commands));
+  /// Delivers an event to the node and collects the resulting commands.
+  void deliver(const node::event& input_event) {
+    auto new_commands = subject.handle(input_event, now);
+    std::move(new_commands.begin(), new_commands.end(), std::back_inserter(commands));
   }
 
-  void pass(base::duration span) {
+  /// Advances the clock in steps and delivers `time_passed` after each step.
+  void advance_time(base::duration span) {
     for (const auto end = now + span; now < end;) {
-      now += step_time;
-      happen(node::time_passed{});
+      now += time_step;
+      deliver(node::time_passed{});
     }
   }
 
-  void arrive(base::caller_id client, const std::string& path, base::time_point arrived_at,
-              base::duration allowed) {
+  /// Delivers a request on a published route.
+  /// @param allowed time from the arrival to the deadline of the request.
+  void deliver_request(base::caller_id client, const std::string& path, base::time_point arrived_at,
+                       base::duration allowed) {
     auto content = std::make_shared<serving::request_content>();
     content->method = "POST";
     content->host = "h";
@@ -52,24 +59,24 @@
     content->id = base::request_id("r" + std::to_string(client));
     content->api_key = "key";
     content->time_allowed = allowed;
-    happen(serving::event(serving::request_arrived{client, content, arrived_at}));
+    deliver(serving::event(serving::request_arrived{client, content, arrived_at}));
   }
 
-  /// @return the commands of the serving path of one type so far, oldest first.
-  template <typename wanted>
-  [[nodiscard]] std::vector<wanted> all() const {
-    std::vector<wanted> found;
+  /// @return the commands of one type from the serving path so far, oldest first.
+  template <typename command_type>
+  [[nodiscard]] std::vector<command_type> all() const {
+    std::vector<command_type> found;
     for (const auto& command : commands) {
       if (const auto* serving = std::get_if<serving::command>(&command)) {
-        if (const auto* one = std::get_if<wanted>(serving)) {
-          found.push_back(*one);
+        if (const auto* match = std::get_if<command_type>(serving)) {
+          found.push_back(*match);
         }
       }
     }
     return found;
   }
 
-  base::duration step_time;
+  base::duration time_step;
   base::time_point now{std::chrono::hours(1)};
   base::seeded_random random;
   serving::published_world world;
--- a/tests/node/planned_stop_test.cc
+++ b/tests/node/planned_stop_test.cc
@@ -1,5 +1,5 @@
-/// When a stopping node ends, and what it ends before: with requests that come until the last
-/// moment.
+/// Time at which a stopping node completes its stop, and the end of its active requests, if
+/// requests arrive until the last moment.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A node that is told how long its stop may last.
+/// Node with a maximum duration of its stop.
 struct stopping_node : driven_node {
   explicit stopping_node(base::duration max_stop_duration = milliseconds(7'300))
       : driven_node(settings_with(max_stop_duration), milliseconds(10)) {}
@@ -26,8 +26,9 @@
     return settings;
   }
 
-  base::call_id arrive(base::caller_id client, const std::string& path) {
-    driven_node::arrive(client, path, now, seconds(60));
+  /// @return the latest call that the node has started; 0 if it has started none.
+  base::call_id deliver_request(base::caller_id client, const std::string& path) {
+    driven_node::deliver_request(client, path, now, seconds(60));
     return all<serving::start_call>().empty() ? 0 : all<serving::start_call>().back().call;
   }
 
@@ -35,7 +36,7 @@
     serving::answer_head head;
     head.status = 200;
     head.sealed = true;
-    happen(serving::event(serving::call_answered{call, head, "body"}));
+    deliver(serving::event(serving::call_answered{call, head, "body"}));
   }
 
   bool has_stopped() const {
@@ -49,52 +50,52 @@
 
 BOOST_FIXTURE_TEST_SUITE(planned_stop_test, stopping_node)
 
-BOOST_AUTO_TEST_CASE(what_comes_last_is_given_up_when_the_process_must_end) {
+BOOST_AUTO_TEST_CASE(requests_active_at_the_stop_deadline_are_aborted) {
   for (base::caller_id client = 1; client <= 4; ++client) {
-    const auto call = arrive(client, "/unsafe/x");
-    pass(milliseconds(50));
+    const auto call = deliver_request(client, "/unsafe/x");
+    advance_time(milliseconds(50));
     answer(call);
   }
-  happen(node::stop_requested{});
-  pass(milliseconds(1'600));
+  deliver(node::stop_requested{});
+  advance_time(milliseconds(1'600));
   BOOST_REQUIRE(has_stopped());
-  // On a connection that the process still waits for; its replica takes longer than others did.
-  const auto call = arrive(10, "/unsafe/x");
+  // Arrives on a connection that is still open; its replica takes longer than for earlier requests.
+  const auto call = deliver_request(10, "/unsafe/x");
   BOOST_TEST(all<serving::start_call>().size() == 5U);
-  pass(milliseconds(5'600));
+  advance_time(milliseconds(5'600));
   BOOST_TEST(all<serving::respond>().size() == 4U);
-  pass(milliseconds(200));
+  advance_time(milliseconds(200));
   BOOST_REQUIRE(all<serving::respond>().size() == 5U);
   BOOST_TEST(all<serving::respond>().back().client == 10U);
   BOOST_TEST(all<serving::respond>().back().status == 504);
   BOOST_TEST(all<serving::cancel_call>().back().call == call);
 }
 
-BOOST_AUTO_TEST_CASE(whole_answers_that_overlap_do_not_hold_a_stop_up) {
+BOOST_AUTO_TEST_CASE(overlapping_requests_do_not_delay_a_stop) {
   stopping_node node(seconds(600));
-  std::map<base::call_id, base::time_point> ends;
+  std::map<base::call_id, base::time_point> answer_times;
   base::caller_id client = 0;
-  const auto go_on = [&](base::duration span) {
+  const auto run_load = [&](base::duration span) {
     for (const auto end = node.now + span; node.now < end && !node.has_stopped();) {
-      const auto call = node.arrive(++client, "/unsafe/x");
-      if (!ends.contains(call) && call != 0) {
-        ends[call] = node.now + milliseconds(400);
+      const auto call = node.deliver_request(++client, "/unsafe/x");
+      if (!answer_times.contains(call) && call != 0) {
+        answer_times[call] = node.now + milliseconds(400);
       }
-      node.pass(milliseconds(100));
-      for (auto& [running, until] : ends) {
-        if (until != base::time_point::max() && until <= node.now) {
-          until = base::time_point::max();
+      node.advance_time(milliseconds(100));
+      for (auto& [running, answer_at] : answer_times) {
+        if (answer_at != base::time_point::max() && answer_at <= node.now) {
+          answer_at = base::time_point::max();
           node.answer(running);
         }
       }
     }
   };
-  go_on(seconds(2));
-  node.happen(node::stop_requested{});
-  const auto began = node.now;
-  go_on(seconds(60));
+  run_load(seconds(2));
+  node.deliver(node::stop_requested{});
+  const auto stop_started_at = node.now;
+  run_load(seconds(60));
   BOOST_TEST(node.has_stopped());
-  BOOST_TEST((node.now - began < seconds(6)));
+  BOOST_TEST((node.now - stop_started_at < seconds(6)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/node/store_era_test.cc
+++ b/tests/node/store_era_test.cc
@@ -1,4 +1,4 @@
-/// A node before a store that comes back from an older copy.
+/// Behaviour of a node if the store is restored from an older copy.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A node that reads the services itself.
+/// Node that reads the services itself, after a listing of the replicas in era 1.
 struct reading_node : driven_node {
   reading_node() { answer(1, 100, true, entries); }
 
@@ -24,9 +24,11 @@
     answered.service_revision = revision;
     answered.is_listing = is_listing;
     answered.era = era;
-    happen(answered);
+    deliver(answered);
   }
 
+  /// @return the revision after which the node last read a service; std::nullopt if it has not read
+  ///         it.
   [[nodiscard]] std::optional<base::revision> latest_read(node::source_kind source) const {
     std::optional<base::revision> latest;
     for (const auto& command : commands) {
@@ -38,10 +40,11 @@
     return latest;
   }
 
+  /// @return number of recorded events of a kind.
   [[nodiscard]] std::size_t events(base::event_kind kind) const {
     const auto& all = subject.events().entries();
     return static_cast<std::size_t>(std::count_if(
-        all.begin(), all.end(), [&](const base::event& one) { return one.kind == kind; }));
+        all.begin(), all.end(), [&](const base::event& entry) { return entry.kind == kind; }));
   }
 };
 
@@ -49,27 +52,26 @@
 
 BOOST_FIXTURE_TEST_SUITE(node_store_era, reading_node)
 
-BOOST_AUTO_TEST_CASE(
-    a_new_era_is_listed_anew_and_replicas_that_it_lost_stay_until_they_are_missed_twice) {
-  pass(milliseconds(1500));
+BOOST_AUTO_TEST_CASE(replicas_missing_in_a_new_era_are_kept_until_its_second_listing) {
+  advance_time(milliseconds(1500));
   answer(2, 90, false, {});
   BOOST_TEST((latest_read(node::source_kind::machine_list) == 0U));
   BOOST_TEST(events(base::event_kind::service_era) == 1U);
-  // A listing that lacks all replicas, a moment after the store came back.
+  // A listing without replicas, immediately after the store was restored.
   answer(2, 90, true, {});
   BOOST_TEST(!subject.content().replicas().empty());
-  pass(seconds(4));
+  advance_time(seconds(4));
   answer(2, 95, true, {});
   BOOST_TEST(subject.content().replicas().empty());
 }
 
-BOOST_AUTO_TEST_CASE(what_replicas_write_again_at_lower_revisions_is_taken) {
-  auto again = entries;
-  for (auto& entry : again) {
+BOOST_AUTO_TEST_CASE(entries_of_a_new_era_are_accepted_at_lower_revisions) {
+  auto rewritten = entries;
+  for (auto& entry : rewritten) {
     entry.set_revision(entry.revision() / 2 + 1);
   }
-  answer(2, 60, true, again);
-  for (const auto& entry : again) {
+  answer(2, 60, true, rewritten);
+  for (const auto& entry : rewritten) {
     BOOST_TEST(subject.content().revision_of(entry.key()) == entry.revision());
   }
 }
@@ -85,13 +87,13 @@
   BOOST_TEST(subject.store().outdated_answers == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(an_era_that_is_missing_or_unreadable_is_taken_for_the_last) {
+BOOST_AUTO_TEST_CASE(a_missing_or_unreadable_era_counts_as_the_latest_era) {
   answer(std::nullopt, 101, false, {});
   node::service_answered unreadable;
   unreadable.source = node::source_kind::machine_list;
   unreadable.service_revision = 102;
   unreadable.is_era_unreadable = true;
-  happen(unreadable);
+  deliver(unreadable);
   BOOST_TEST(subject.store().unreadable_eras == 1U);
   BOOST_TEST(subject.store().era_changes == 0U);
   BOOST_TEST(!subject.content().replicas().empty());
--- a/tests/node/watch_handover_test.cc
+++ b/tests/node/watch_handover_test.cc
@@ -1,4 +1,4 @@
-/// A node that is asked to watch a service for another.
+/// Handover of the watch of a service to a node by another node.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,28 +12,29 @@
 
 namespace {
 
-/// A ready node whose watches answer nothing from now on.
-struct asked_node : driven_node {
-  asked_node() {
+/// Ready node whose reads are not answered after its start.
+struct substitute_node : driven_node {
+  substitute_node() {
     node::service_answered replicas;
     replicas.source = node::source_kind::machine_list;
     replicas.service_revision = 100;
-    happen(replicas);
-    pass(seconds(2));
+    deliver(replicas);
+    advance_time(seconds(2));
     commands.clear();
   }
-  void ask(std::uint32_t source, std::uint32_t handovers) {
-    node::peer_message asked;
-    asked.message.set_sender("other");
-    asked.message.set_sender_zone("a");
-    asked.message.set_sender_address("other:1");
-    auto& body = *asked.message.mutable_watch_handover();
+  /// Delivers a handover from a peer.
+  void hand_over(std::uint32_t source, std::uint32_t handovers) {
+    node::peer_message handover;
+    handover.message.set_sender("other");
+    handover.message.set_sender_zone("a");
+    handover.message.set_sender_address("other:1");
+    auto& body = *handover.message.mutable_watch_handover();
     body.set_source(source);
     body.set_handovers_left(handovers);
-    happen(asked);
+    deliver(handover);
   }
-  /// @return handovers that this node sent on.
-  [[nodiscard]] std::ptrdiff_t sent_on() const {
+  /// @return number of handovers that this node sent to further nodes.
+  [[nodiscard]] std::ptrdiff_t sent_handovers() const {
     return std::count_if(commands.begin(), commands.end(), [](const auto& command) {
       const auto* message = std::get_if<wire::outgoing>(&command);
       return message != nullptr && message->message.has_watch_handover();
@@ -45,23 +46,23 @@
 
 BOOST_AUTO_TEST_SUITE(watch_handover_test)
 
-BOOST_AUTO_TEST_CASE(a_source_that_is_none_is_passed_over) {
-  asked_node node;
+BOOST_AUTO_TEST_CASE(a_handover_of_an_unknown_source_is_ignored) {
+  substitute_node node;
   BOOST_REQUIRE(node.subject.is_ready());
   for (const std::uint32_t source : {2U, 1'000U, std::numeric_limits<std::uint32_t>::max()}) {
-    node.ask(source, 1);
+    node.hand_over(source, 1);
   }
   BOOST_TEST(node.subject.is_ready());
 }
 
-BOOST_AUTO_TEST_CASE(a_huge_number_of_handovers_is_not_believed) {
-  asked_node node;
-  for (int time = 0; time < 100; ++time) {
-    node.ask(0, std::numeric_limits<std::uint32_t>::max());
-    node.happen(node::service_failed{node::source_kind::configuration});
+BOOST_AUTO_TEST_CASE(the_number_of_handovers_left_is_limited) {
+  substitute_node node;
+  for (int attempt = 0; attempt < 100; ++attempt) {
+    node.hand_over(0, std::numeric_limits<std::uint32_t>::max());
+    node.deliver(node::service_failed{node::source_kind::configuration});
   }
-  // Each question leads to one more at the most.
-  BOOST_TEST(node.sent_on() <= 100);
+  // Each handover leads to at most one further handover.
+  BOOST_TEST(node.sent_handovers() <= 100);
   for (const auto& command : node.commands) {
     if (const auto* message = std::get_if<wire::outgoing>(&command);
         message != nullptr && message->message.has_watch_handover()) {
