--- a/src/node/node.h
+++ b/src/node/node.h
@@ -251,7 +251,8 @@
   admission::stage_scheduler scheduler_;
   execution::executor executor_;
   execution::effect_guard guard_;
-  /// Generation of the latest leave notice that was sent to the own zone, by back end.
+  /// Generation of the latest leave notice that was sent to the own zone or received from it, by
+  /// back end.
   std::map<base::backend_id, std::uint64_t> announced_leave_generations_;
   std::optional<serving::dispatcher> serving_;
   /// Change counts of the catalog that have been applied.
--- a/src/node/node_roles.h
+++ b/src/node/node_roles.h
@@ -12,7 +12,8 @@
 
 /// Roles of a node at one time.
 struct node_roles {
-  /// Whether the node watches the configuration or the replicas in the store for other nodes.
+  /// Whether the node reads the configuration or the replicas from the store; most nodes receive
+  /// them from peers.
   bool watches_configuration = false;
   bool watches_replicas = false;
   /// Whether the node exchanges digests of its zone with other zones.
