--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -350,7 +350,7 @@
 
 void executor::abort_request(active_request& active, reason failure_reason, base::time_point now) {
   const auto outcome =
-      switches_.truthful_outcome ? active.ledger.give_up() : model::outcome::not_run;
+      switches_.truthful_outcome ? active.ledger.failure_outcome() : model::outcome::not_run;
   cancel_current_stage(active, now);
   finish(active, outcome, failure_reason, now);
 }
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -96,7 +96,7 @@
   struct active_request {
     admitted_request request;
     std::vector<caller_ref> callers;
-    model::dispatch_ledger ledger;
+    model::call_tracker ledger;
     /// Index of the current stage in the plan.
     std::size_t stage = 0;
     std::string stage_input;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -7,26 +7,29 @@
 namespace {
 
 constexpr base::duration periodic_interval = std::chrono::milliseconds(100);
-/// A node that runs sees an event at least every `periodic_interval`.
-constexpr base::duration longest_usual_gap = 2 * periodic_interval;
-/// Members of other zones with which published records are exchanged at once: in the own region,
-/// and in others, whose bytes are dear.
-constexpr std::size_t near_replication_peers = 2;
-constexpr std::size_t far_replication_peers = 1;
-/// Peers asked at once for what this node missed: with 10 of them one answers even while half the
-/// fleet starts, and a fleet that starts as a whole is not flooded.
-constexpr std::size_t most_resync_peers = 10;
-/// Messages a node sends to itself while it handles one event; a bound against loops.
-constexpr std::size_t most_loopback_rounds = 8;
-
-/// Hands the switches on to the parts that have them.
+/// Longest interval between two events that does not count as a gap: a running node processes an
+/// event at least every `periodic_interval`.
+constexpr base::duration max_regular_event_interval = 2 * periodic_interval;
+/// Maximum number of members of other zones with which published records are exchanged at a time:
+/// in the own region, and in other regions, to which traffic is expensive.
+constexpr std::size_t max_near_replication_peers = 2;
+constexpr std::size_t max_far_replication_peers = 1;
+/// Maximum number of peers that are requested at once to send the changes that this node missed:
+/// with 10 of them one answers even if half of the fleet is starting, and a fleet that starts as a
+/// whole is not flooded.
+constexpr std::size_t max_resync_peers = 10;
+/// Maximum number of rounds of messages from a node to itself within one event, against endless
+/// loops.
+constexpr std::size_t max_loopback_rounds = 8;
+
+/// Copies the safety switches to the settings of the parts that use them.
 node_settings with_switches(node_settings settings) {
   settings.guard.switches = settings.switches;
   settings.routing.switches = settings.switches;
   return settings;
 }
 
-base::event_kind event_of(wire::member_state state) {
+base::event_kind event_kind_of(wire::member_state state) {
   switch (state) {
   case wire::ALIVE:
     return base::event_kind::member_alive;
@@ -37,7 +40,7 @@
   }
 }
 
-base::event_kind event_of(catalog::apply_verdict verdict) {
+base::event_kind event_kind_of(catalog::apply_verdict verdict) {
   switch (verdict) {
   case catalog::apply_verdict::accepted:
     return base::event_kind::entry_accepted;
@@ -51,12 +54,12 @@
 } // namespace
 
 node::node(node_settings settings, base::random_source& random, base::time_point now)
-    : settings_(with_switches(std::move(settings))), started_(now), last_event_(now),
+    : settings_(with_switches(std::move(settings))), started_at_(now), last_event_at_(now),
       clock_(settings_.wall_offset_microseconds), events_(settings_.event_log_capacity),
       catalog_(settings_.switches),
       replicator_(catalog_, random,
                   [this](const wire::catalog_entry& entry, const catalog::apply_result& result) {
-                    record(event_of(result.verdict), {}, entry.key(),
+                    record(event_kind_of(result.verdict), {}, entry.key(),
                            "revision " + std::to_string(entry.revision()) +
                                (result.reason.empty() ? "" : ": " + result.reason));
                   }),
@@ -65,7 +68,7 @@
       membership_(
           settings_.self, settings_.membership_timing, random,
           [this](const membership::member& subject) {
-            record(event_of(subject.state), {}, subject.node.text(), "");
+            record(event_kind_of(subject.state), {}, subject.node.text(), "");
           },
           settings_.serving ? settings_.serving->regions : model::zone_regions()),
       backends_(settings_.self.zone, settings_.routing),
@@ -82,9 +85,9 @@
           [this](base::event_kind kind, const base::request_id& request, const std::string& subject,
                  const std::string& detail) { record(kind, request, subject, detail); },
           now),
-      random_(&random), next_periodic_(now) {
+      random_(&random), next_periodic_at_(now) {
   if (settings_.serving) {
-    wait_for_peers_part_ = random.unit();
+    peer_wait_fraction_ = random.unit();
     const serving::fleet_peer self{settings_.self.node, settings_.self.zone, settings_.self.address,
                                    settings_.self.processor_share};
     serving_.emplace(self, *settings_.serving, random, settings_.self.process_start,
@@ -100,73 +103,73 @@
 
 std::uint64_t control_counters::bytes_sent_of(wire::envelope::BodyCase kind) const {
   std::uint64_t sum = 0;
-  for (const auto& [flow, bytes] : bytes_sent_by_flow) {
+  for (const auto& [flow, bytes] : bytes_sent_by_class) {
     sum += flow.kind == kind ? bytes : 0;
   }
   return sum;
 }
 
-command_list node::handle(const event& what, base::time_point now) {
-  detect_pause(now);
-  last_event_ = now;
-  // What has expired is given up before anything else is decided.
+command_list node::handle(const event& input_event, base::time_point now) {
+  detect_suspension(now);
+  last_event_at_ = now;
+  // Expired requests are aborted before the event is processed.
   executor_.expire(now);
   guard_.tick(now);
-  std::visit([&](const auto& happened) { on(happened, now); }, what);
+  std::visit([&](const auto& concrete_event) { on(concrete_event, now); }, input_event);
   flush(now);
   return std::exchange(commands_, {});
 }
 
 base::time_point node::next_wakeup() const {
-  auto earliest = next_periodic_;
-  const auto consider = [&](const std::optional<base::time_point>& when) {
-    earliest = when ? std::min(earliest, *when) : earliest;
+  auto earliest = next_periodic_at_;
+  const auto consider = [&](const std::optional<base::time_point>& wakeup_at) {
+    earliest = wakeup_at ? std::min(earliest, *wakeup_at) : earliest;
   };
   consider(executor_.next_deadline());
   consider(guard_.next_deadline());
-  consider(scheduler_.next_wakeup(last_event_));
+  consider(scheduler_.next_wakeup(last_event_at_));
   if (serving_) {
-    consider(serving_->next_wakeup(last_event_));
+    consider(serving_->next_wakeup(last_event_at_));
   }
   return earliest;
 }
 
 void node::record(base::event_kind kind, const base::request_id& request,
                   const std::string& subject, const std::string& detail) {
-  base::event entry{clock_.next(last_event_), kind, request, subject, detail};
+  base::event entry{clock_.next(last_event_at_), kind, request, subject, detail};
   if (settings_.serving) {
     commands_.emplace_back(log_decision{entry});
   }
   events_.add(std::move(entry));
 }
 
-// --- pauses and readiness ------------------------------------------------------------------------
+// --- suspension and readiness --------------------------------------------------------------------
 
-void node::detect_pause(base::time_point now) {
-  // Requests may have waited in sockets through any gap, also one too short to count as a pause:
-  // only time awake is quiet time of a stop.
-  if (now - last_event_ > longest_usual_gap) {
-    disturbed_at_ = now;
+void node::detect_suspension(base::time_point now) {
+  // Requests may have waited in sockets during any gap, even if it is too short to count as a
+  // suspension, so the time before a gap does not count as time without requests.
+  if (now - last_event_at_ > max_regular_event_interval) {
+    quiet_since_ = now;
   }
-  if (now - last_event_ <= settings_.pause_threshold) {
+  if (now - last_event_at_ <= settings_.suspension_threshold) {
     return;
   }
-  const auto gap = now - last_event_;
-  last_event_ = now;
+  const auto gap = now - last_event_at_;
+  last_event_at_ = now;
   record(base::event_kind::node_resumed_after_pause, {}, settings_.self.node.text(),
          std::to_string(base::to_milliseconds(gap)) + " ms");
   membership_.resume_after_suspension(now);
   executor_.set_dispatch_paused(true);
-  hold_until_ = now + settings_.resync_wait;
+  hold_ends_at_ = now + settings_.resync_timeout;
   if (serving_) {
     serving_->resume_after_suspension(gap, now);
   }
-  begin_resync(now);
+  request_resync(now);
 }
 
-void node::begin_resync(base::time_point /*now*/) {
+void node::request_resync(base::time_point /*now*/) {
   auto peers = replication_peers();
-  for (std::size_t asked = 0; asked < most_resync_peers && !peers.empty(); ++asked) {
+  for (std::size_t sent = 0; sent < max_resync_peers && !peers.empty(); ++sent) {
     wire::outgoing message{base::take_random(peers, *random_), {}};
     message.message.mutable_ping()->set_resync(true);
     outbox_.push_back(std::move(message));
@@ -174,37 +177,37 @@
 }
 
 void node::check_resync(const wire::envelope& message, base::time_point now) {
-  const bool equal = message.catalog_hash() == catalog_.content_hash() && catalog_.size() > 0;
-  if (!equal) {
+  const bool is_equal = message.catalog_hash() == catalog_.content_hash() && catalog_.size() > 0;
+  if (!is_equal) {
     return;
   }
-  peer_synced_ = true;
-  if (hold_until_ && message.has_acknowledgement() && message.acknowledgement().resync()) {
-    hold_until_.reset();
+  is_synced_with_peer_ = true;
+  if (hold_ends_at_ && message.has_acknowledgement() && message.acknowledgement().resync()) {
+    hold_ends_at_.reset();
     executor_.set_dispatch_paused(false);
   }
-  check_ready(now);
+  update_readiness(now);
 }
 
-void node::check_ready(base::time_point now) {
-  if (ready_) {
+void node::update_readiness(base::time_point now) {
+  if (is_ready_) {
     return;
   }
-  const bool service_read = watches_[0].has_answered() && watches_[1].has_answered();
-  const bool waited = now - started_ >= settings_.resync_wait;
-  const bool knows_enough = peer_synced_ || (service_read && waited);
+  const bool have_services_answered = watches_[0].has_answered() && watches_[1].has_answered();
+  const bool has_waited = now - started_at_ >= settings_.resync_timeout;
+  const bool is_up_to_date = is_synced_with_peer_ || (have_services_answered && has_waited);
   const bool has_content = serving_ ? catalog_.serving() != nullptr : catalog_.size() > 0;
-  if (has_content && knows_enough) {
-    ready_ = true;
+  if (has_content && is_up_to_date) {
+    is_ready_ = true;
     record(base::event_kind::node_ready, {}, settings_.self.node.text(), "");
   }
 }
 
 // --- periodic work -------------------------------------------------------------------------------
 
-void node::on(const time_passed& /*what*/, base::time_point now) {
-  if (now >= next_periodic_) {
-    next_periodic_ = now + periodic_interval;
+void node::on(const time_passed& /*input_event*/, base::time_point now) {
+  if (now >= next_periodic_at_) {
+    next_periodic_at_ = now + periodic_interval;
     run_periodic(now);
   }
 }
@@ -215,22 +218,22 @@
   update_serving_peers(now);
   executor_.retry_stalled_calls(now);
   read_services(now);
-  if (!ready_) {
-    begin_resync(now);
+  if (!is_ready_) {
+    request_resync(now);
   }
-  if (hold_until_ && now >= *hold_until_) {
-    hold_until_.reset();
+  if (hold_ends_at_ && now >= *hold_ends_at_) {
+    hold_ends_at_.reset();
     executor_.set_dispatch_paused(false);
   }
-  check_ready(now);
+  update_readiness(now);
 }
 
 bool node::is_near(const base::zone_id& zone) const {
   const auto& own = settings_.self.zone;
-  return !serving_ || !settings_.serving->regions.are_regions_apart(own, zone);
+  return !serving_ || !settings_.serving->regions.are_in_different_regions(own, zone);
 }
 
-model::locality node::reach_of(const base::network_address& peer) const {
+model::locality node::peer_locality(const base::network_address& peer) const {
   const auto* zone = membership_.zone_at(peer);
   if (zone == nullptr) {
     return model::locality::elsewhere;
@@ -243,9 +246,9 @@
 
 void node::update_sharing() {
   const auto nodes = membership_.live_zone_nodes();
-  const auto place = std::find(nodes.begin(), nodes.end(), settings_.self.node);
+  const auto own_entry = std::find(nodes.begin(), nodes.end(), settings_.self.node);
   backends_.set_sharing_nodes(static_cast<std::uint32_t>(nodes.size()),
-                              static_cast<std::uint32_t>(place - nodes.begin()));
+                              static_cast<std::uint32_t>(own_entry - nodes.begin()));
 }
 
 // --- catalog -------------------------------------------------------------------------------------
@@ -262,10 +265,10 @@
     return;
   }
   serving_->set_unreachable_zones(membership_.zones().silent(now));
-  if (membership_.version() == seen_members_) {
+  if (membership_.version() == seen_membership_version_) {
     return;
   }
-  seen_members_ = membership_.version();
+  seen_membership_version_ = membership_.version();
   std::vector<serving::fleet_peer> alive;
   for (const auto& [name, other] : membership_.members()) {
     if (other.state != wire::DEAD) {
@@ -289,41 +292,41 @@
 
 // --- back ends -----------------------------------------------------------------------------------
 
-void node::on(const execution::call_result& what, base::time_point now) {
-  executor_.on_result(what, now);
+void node::on(const execution::call_result& input_event, base::time_point now) {
+  executor_.on_result(input_event, now);
 }
 
-void node::on(const execution::call_token& what, base::time_point now) {
-  executor_.on_token(what, now);
+void node::on(const execution::call_token& input_event, base::time_point now) {
+  executor_.on_token(input_event, now);
 }
 
-void node::on(const seeds_changed& what, base::time_point /*now*/) {
-  membership_.set_seeds(what.seeds);
+void node::on(const seeds_changed& input_event, base::time_point /*now*/) {
+  membership_.set_seeds(input_event.seeds);
 }
 
-void node::on(const release_wanted& what, base::time_point now) {
+void node::on(const release_requested& input_event, base::time_point now) {
   if (serving_) {
-    serving_->release_request(what.digest, now);
+    serving_->release_request(input_event.digest, now);
   }
 }
 
-void node::on(const serving::event& what, base::time_point now) {
+void node::on(const serving::event& input_event, base::time_point now) {
   if (!serving_) {
     return;
   }
-  if (std::holds_alternative<serving::request_arrived>(what)) {
-    disturbed_at_ = now;
+  if (std::holds_alternative<serving::request_arrived>(input_event)) {
+    quiet_since_ = now;
   }
-  serving_->handle(what, now);
+  serving_->handle(input_event, now);
 }
 
 // --- stop ----------------------------------------------------------------------------------------
 
-void node::on(const stop_requested& /*what*/, base::time_point now) {
-  if (!stopping_) {
-    stopping_ = true;
-    stop_began_ = now;
-    disturbed_at_ = now;
+void node::on(const stop_requested& /*input_event*/, base::time_point now) {
+  if (!is_stopping_) {
+    is_stopping_ = true;
+    stop_started_at_ = now;
+    quiet_since_ = now;
     if (serving_) {
       serving_->begin_stop(now, now + settings_.serving->max_stop_duration);
     }
@@ -334,19 +337,19 @@
 // --- output --------------------------------------------------------------------------------------
 
 void node::flush(base::time_point now) {
-  for (std::size_t round = 0; round < most_loopback_rounds; ++round) {
-    carry_out_guard_decisions(now);
+  for (std::size_t round = 0; round < max_loopback_rounds; ++round) {
+    execute_guard_decisions(now);
     executor_.dispatch_waiting(now);
     if (serving_) {
       serving_->advance(now);
-      for (auto& wanted : serving_->take_commands()) {
-        commands_.emplace_back(std::move(wanted));
+      for (auto& queued : serving_->take_commands()) {
+        commands_.emplace_back(std::move(queued));
       }
-      auto told = serving_->take_messages();
-      std::move(told.begin(), told.end(), std::back_inserter(outbox_));
+      auto serving_messages = serving_->take_messages();
+      std::move(serving_messages.begin(), serving_messages.end(), std::back_inserter(outbox_));
     }
-    for (auto& wanted : executor_.take_commands()) {
-      std::visit([&](auto& chosen) { emit(std::move(chosen)); }, wanted);
+    for (auto& queued : executor_.take_commands()) {
+      std::visit([&](auto& concrete_command) { emit(std::move(concrete_command)); }, queued);
     }
     announce_new_leave_notices();
     auto messages = guard_.take_messages();
@@ -360,49 +363,49 @@
 }
 
 void node::check_stop(base::time_point now) {
-  if (!stopping_) {
+  if (!is_stopping_) {
     return;
   }
-  // Also once the end was reported: requests may still come on connections that are read.
-  check_serving_stop(now);
-  if (stop_reported_) {
+  // Also after the end of the stop was reported: requests may still arrive on open connections.
+  abort_overdue_requests(now);
+  if (is_stop_reported_) {
     return;
   }
-  const bool idle =
+  const bool is_idle =
       executor_.active() == 0 && guard_.pending() == 0 && (!serving_ || !serving_->is_busy());
-  const bool quiet = now - disturbed_at_ >= settings_.stop_linger ||
-                     now - stop_began_ >= settings_.stop_linger_longest;
-  if ((idle && quiet) || must_end_serving(now) || !settings_.switches.drain_before_stop) {
-    stop_reported_ = true;
+  const bool is_quiet = now - quiet_since_ >= settings_.stop_linger_time ||
+                        now - stop_started_at_ >= settings_.max_stop_linger_time;
+  if ((is_idle && is_quiet) || must_abort_requests(now) || !settings_.switches.drain_before_stop) {
+    is_stop_reported_ = true;
     commands_.emplace_back(stop_completed{});
   }
 }
 
-bool node::must_end_serving(base::time_point now) const {
-  return serving_ && now - stop_began_ >= settings_.serving->max_stop_duration;
+bool node::must_abort_requests(base::time_point now) const {
+  return serving_ && now - stop_started_at_ >= settings_.serving->max_stop_duration;
 }
 
-void node::check_serving_stop(base::time_point now) {
-  if (must_end_serving(now) && serving_->active() > 0) {
+void node::abort_overdue_requests(base::time_point now) {
+  if (must_abort_requests(now) && serving_->active() > 0) {
     serving_->abort_all_requests(now);
-    for (auto& wanted : serving_->take_commands()) {
-      commands_.emplace_back(std::move(wanted));
+    for (auto& queued : serving_->take_commands()) {
+      commands_.emplace_back(std::move(queued));
     }
   }
 }
 
-void node::emit(execution::send_answer&& wanted) {
-  if (const auto* peer = std::get_if<execution::remote_caller>(&wanted.caller)) {
-    answer_peer(*peer, wanted.content, true);
+void node::emit(execution::send_answer&& answer) {
+  if (const auto* peer = std::get_if<execution::remote_caller>(&answer.caller)) {
+    answer_peer(*peer, answer.content, true);
   } else {
-    commands_.emplace_back(std::move(wanted));
+    commands_.emplace_back(std::move(answer));
   }
 }
 
 void node::add_leave_notices(wire::envelope& message) const {
-  const bool wanted = message.has_zone_digest() ||
-                      (message.has_acknowledgement() && message.acknowledgement().resync());
-  if (!wanted) {
+  const bool carries_notices = message.has_zone_digest() || (message.has_acknowledgement() &&
+                                                             message.acknowledgement().resync());
+  if (!carries_notices) {
     return;
   }
   for (const auto& [backend, generation] : backends_.drain_notices()) {
@@ -423,7 +426,7 @@
     envelope.set_sender_zone(settings_.self.zone.text());
     envelope.set_sender_address(settings_.self.address.text());
     envelope.set_catalog_hash(hash);
-    envelope.set_sender_is_ready(ready_);
+    envelope.set_sender_is_ready(is_ready_);
     add_leave_notices(envelope);
     const auto at = clock_.next(now);
     envelope.mutable_sent_at()->set_wall_microseconds(at.wall_microseconds);
@@ -437,7 +440,7 @@
     ++control_.messages_sent;
     const auto size = envelope.ByteSizeLong();
     control_.bytes_sent += size;
-    control_.bytes_sent_by_flow[{envelope.body_case(), reach_of(message.to)}] += size;
+    control_.bytes_sent_by_class[{envelope.body_case(), peer_locality(message.to)}] += size;
     commands_.emplace_back(std::move(message));
   }
 }
@@ -462,12 +465,12 @@
       (is_near(other.zone) ? near : far).push_back(other.address);
     }
   }
-  const auto wanted_near =
-      far.empty() ? near_replication_peers + far_replication_peers : near_replication_peers;
-  for (std::size_t taken = 0; taken < wanted_near && !near.empty(); ++taken) {
+  const auto near_count = far.empty() ? max_near_replication_peers + max_far_replication_peers
+                                      : max_near_replication_peers;
+  for (std::size_t added = 0; added < near_count && !near.empty(); ++added) {
     addresses.push_back(base::take_random(near, *random_));
   }
-  for (std::size_t taken = 0; taken < far_replication_peers && !far.empty(); ++taken) {
+  for (std::size_t added = 0; added < max_far_replication_peers && !far.empty(); ++added) {
     addresses.push_back(base::take_random(far, *random_));
   }
   return addresses;
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -1,4 +1,4 @@
-/// What a node does with its callers' requests, up to the executor and back.
+/// Processing of callers' requests by a node: checks on arrival, execution, answers.
 #include "node/node.h"
 
 #include "execution/plan_resolver.h"
@@ -9,14 +9,15 @@
 namespace spurrack::node {
 namespace {
 
-constexpr base::duration not_ready_retry = std::chrono::milliseconds(500);
+/// Retry-After of requests to a node that is starting or stopping.
+constexpr base::duration not_ready_retry_after = std::chrono::milliseconds(500);
 
 } // namespace
 
 base::request_id node::next_request_id() {
   std::ostringstream text;
   text << settings_.self.node.text() << '-' << std::hex << settings_.self.process_start << '-'
-       << std::dec << next_request_++;
+       << std::dec << next_request_number_++;
   return base::request_id(text.str());
 }
 
@@ -28,56 +29,58 @@
   content.request = id;
   content.retry_after = retry_after;
   execution::answer_decision decision{caller, std::move(content), {}};
-  carry_out(decision, last_event_);
+  execute(decision, last_event_at_);
 }
 
-void node::on(const caller_arrived& what, base::time_point now) {
-  const execution::local_caller caller{what.caller};
+void node::on(const caller_arrived& arrival, base::time_point now) {
+  const execution::local_caller caller{arrival.caller};
   const auto id = next_request_id();
-  disturbed_at_ = now;
-  record(base::event_kind::request_received, id, what.request.pipeline.text(), "");
-  const bool may_be_resent = !what.request.ticket.empty() || !what.request.idempotency_key.empty();
-  if (stopping_ || !ready_) {
+  quiet_since_ = now;
+  record(base::event_kind::request_received, id, arrival.request.pipeline.text(), "");
+  const bool may_be_resent =
+      !arrival.request.ticket.empty() || !arrival.request.idempotency_key.empty();
+  if (is_stopping_ || !is_ready_) {
     refuse(caller, id,
-           stopping_ ? execution::reason::node_stopping : execution::reason::node_not_ready,
-           not_ready_retry, may_be_resent);
+           is_stopping_ ? execution::reason::node_stopping : execution::reason::node_not_ready,
+           not_ready_retry_after, may_be_resent);
     return;
   }
-  auto judged = execution::resolve_request(catalog_, what.request, what.arrived_at);
-  if (const auto* why = std::get_if<execution::reason>(&judged)) {
+  auto resolution = execution::resolve_request(catalog_, arrival.request, arrival.arrived_at);
+  if (const auto* why = std::get_if<execution::reason>(&resolution)) {
     refuse(caller, id, *why, {}, may_be_resent && *why != execution::reason::unknown_token);
     return;
   }
-  auto& resolved = std::get<execution::resolved_request>(judged);
+  auto& resolved = std::get<execution::resolved_request>(resolution);
   if (resolved.deadline <= now) {
     refuse(caller, id, execution::reason::deadline_passed, {}, may_be_resent);
     return;
   }
   execution::admitted_request request{
-      id, resolved.plan, what.request.input, resolved.deadline, caller, what.request.stream};
+      id, resolved.plan, arrival.request.input, resolved.deadline, caller, arrival.request.stream};
   if (resolved.plan->has_non_repeatable_stage() && may_be_resent) {
-    guard_.submit({std::move(request), what.request.idempotency_key, what.request.ticket}, now);
-    carry_out_guard_decisions(now);
+    guard_.submit({std::move(request), arrival.request.idempotency_key, arrival.request.ticket},
+                  now);
+    execute_guard_decisions(now);
     return;
   }
   execution::run_decision decision{std::move(request)};
-  carry_out(decision, now);
+  execute(decision, now);
 }
 
-void node::on(const caller_left& what, base::time_point now) {
-  executor_.on_caller_gone(what.caller, now);
+void node::on(const caller_disconnected& input_event, base::time_point now) {
+  executor_.on_caller_gone(input_event.caller, now);
 }
 
-void node::on(const ticket_wanted& what, base::time_point now) {
+void node::on(const ticket_requested& request, base::time_point now) {
   const auto id = next_request_id();
-  const execution::local_caller caller{what.caller};
-  if (stopping_ || !ready_) {
-    refuse(caller, id, execution::reason::node_not_ready, not_ready_retry, false);
-  } else if (!catalog_.find_tenant_by_token(what.token_sha256)) {
+  const execution::local_caller caller{request.caller};
+  if (is_stopping_ || !is_ready_) {
+    refuse(caller, id, execution::reason::node_not_ready, not_ready_retry_after, false);
+  } else if (!catalog_.find_tenant_by_token(request.token_sha256)) {
     refuse(caller, id, execution::reason::unknown_token, {}, false);
   } else {
     commands_.emplace_back(
-        send_ticket{what.caller, guard_.issue_ticket(now), settings_.guard.ticket_lifetime});
+        send_ticket{request.caller, guard_.issue_ticket(now), settings_.guard.ticket_lifetime});
   }
 }
 
@@ -111,17 +114,17 @@
   outbox_.push_back(std::move(message));
 }
 
-void node::carry_out_guard_decisions(base::time_point now) {
-  // Carrying one out may answer a request and so bring about further ones.
+void node::execute_guard_decisions(base::time_point now) {
+  // Executing a decision may answer a request, which may lead to further decisions.
   for (auto decisions = guard_.take_decisions(); !decisions.empty();
        decisions = guard_.take_decisions()) {
     for (auto& decision : decisions) {
-      std::visit([&](auto& chosen) { carry_out(chosen, now); }, decision);
+      std::visit([&](auto& chosen) { execute(chosen, now); }, decision);
     }
   }
 }
 
-void node::carry_out(execution::run_decision& decision, base::time_point now) {
+void node::execute(execution::run_decision& decision, base::time_point now) {
   auto& request = decision.request;
   const auto refusal = scheduler_.check_admission(*request.plan, request.deadline, now);
   if (!refusal) {
@@ -136,21 +139,21 @@
   guard_.on_answer(content);
   execution::answer_decision answered{
       request.caller, std::move(content), {request.plan->tenant, request.plan->template_name}};
-  carry_out(answered, now);
+  execute(answered, now);
 }
 
-void node::carry_out(execution::attach_decision& decision, base::time_point /*now*/) {
+void node::execute(execution::attach_decision& decision, base::time_point /*now*/) {
   if (!executor_.attach(decision.running, decision.caller)) {
     execution::answer content;
     content.outcome = model::outcome::unknown;
     content.failure_reason = execution::reason::key_in_use;
     content.request = decision.running;
     execution::answer_decision answered{decision.caller, std::move(content), {}};
-    carry_out(answered, last_event_);
+    execute(answered, last_event_at_);
   }
 }
 
-void node::carry_out(execution::answer_decision& decision, base::time_point /*now*/) {
+void node::execute(execution::answer_decision& decision, base::time_point /*now*/) {
   executor_.count_refusal(decision.key, decision.content);
   record(base::event_kind::request_answered, decision.content.request,
          std::string(model::name_of(decision.content.outcome)),
