--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -128,14 +128,14 @@
   [[nodiscard]] base::revision highest_revision() const { return highest_.revision; }
   [[nodiscard]] base::store_era era() const { return highest_.era; }
   /// @return where the newest entry of a replica was written, and the newest of any other kind.
-  [[nodiscard]] store_position newest_replica_position() const { return newest_replica_; }
-  [[nodiscard]] store_position newest_operator_position() const { return newest_operator_; }
+  [[nodiscard]] store_position latest_replica_position() const { return newest_replica_; }
+  [[nodiscard]] store_position latest_operator_position() const { return newest_operator_; }
   /// Raised whenever a machine entry changes; lets readers rebuild what they derive from the list.
   [[nodiscard]] std::uint64_t machine_changes() const { return machine_changes_; }
   [[nodiscard]] std::vector<rejection> rejections() const;
   /// @return how often an entry of a replica was refused; one that is written again unchanged
   ///         counts once.
-  [[nodiscard]] std::uint64_t refused_replicas() const { return refused_replicas_; }
+  [[nodiscard]] std::uint64_t rejected_replica_entries() const { return refused_replicas_; }
   /// @return number of keys ever seen, deleted ones included.
   [[nodiscard]] std::size_t size() const { return slots_.size(); }
 
--- a/src/catalog/change_log.h
+++ b/src/catalog/change_log.h
@@ -18,7 +18,7 @@
  public:
   /// More changes than a reader that looks ten times a second misses in a listing of a large fleet
   /// are not kept: it reads everything then.
-  static constexpr std::size_t most_kept = 4'096;
+  static constexpr std::size_t max_kept_changes = 4'096;
 
   /// @param replica empty where something else changed.
   void add(base::replica_id replica) {
@@ -48,7 +48,7 @@
 
  private:
   std::uint64_t count_ = 0;
-  boost::circular_buffer_space_optimized<base::replica_id> kept_{most_kept};
+  boost::circular_buffer_space_optimized<base::replica_id> kept_{max_kept_changes};
 };
 
 } // namespace spurrack::catalog
--- a/src/catalog/service_watch.cc
+++ b/src/catalog/service_watch.cc
@@ -19,17 +19,18 @@
   const bool lists_again = settles_at_ && now >= *settles_at_;
   const auto after = lists_again ? 0 : cursor_;
   ++(after == 0 ? calls_.listings : calls_.watches);
-  calls_.begun_anew += begun_anew_ ? 1 : 0;
+  calls_.restarted_watches += begun_anew_ ? 1 : 0;
   return after;
 }
 
-void service_watch::note_known(base::store_era era, base::revision newest, base::time_point now) {
+void service_watch::note_latest_revision(base::store_era era, base::revision newest,
+                                         base::time_point now) {
   const bool is_behind =
       outstanding_ && !begun_anew_ && cursor_ > 0 && era == era_ && newest > cursor_;
   behind_since_ = is_behind ? behind_since_.value_or(now) : std::optional<base::time_point>();
 }
 
-bool service_watch::takes_probe(base::time_point now) {
+bool service_watch::start_probe_if_due(base::time_point now) {
   const bool is_due = outstanding_ && cursor_ > 0 && now - probed_at_ >= probe_period;
   if (is_due) {
     probed_at_ = now;
@@ -47,10 +48,10 @@
   outstanding_ = false;
   begun_anew_ = false;
   last_answer_ = now;
-  backoff_ = std::min(retry_first, timing_.retry_longest);
+  backoff_ = std::min(retry_first, timing_.max_retry_interval);
   const bool keep_coming = has_changes && now - outstanding_since_ < rest_;
-  rest_ = keep_coming ? std::min(rest_ * 2, std::max(timing_.rest_longest, rest_after_changes))
-                      : rest_after_changes;
+  rest_ = keep_coming ? std::min(rest_ * 2, std::max(timing_.max_read_interval, min_read_interval))
+                      : min_read_interval;
   next_try_ = has_changes ? now + rest_ : now;
   answer_meaning meaning;
   meaning.is_outdated = answered.era && *answered.era < era_;
@@ -60,18 +61,18 @@
     meaning.era = era_;
     return meaning;
   }
-  meaning.begins_era = era_ > 0 && answered.era && *answered.era > era_;
-  meaning.went_back = !meaning.begins_era && answered.revision < cursor_;
+  meaning.is_new_era = era_ > 0 && answered.era && *answered.era > era_;
+  meaning.has_earlier_revision = !meaning.is_new_era && answered.revision < cursor_;
   era_ = answered.era.value_or(era_);
   meaning.era = era_;
   cursor_ = answered.revision;
-  if (meaning.begins_era) {
+  if (meaning.is_new_era) {
     settles_at_ = now + era_settle_time;
     cursor_ = answered.is_listing ? answered.revision : 0;
     next_try_ = now;
   }
   const bool settles = settles_at_ && now >= *settles_at_;
-  meaning.shows_deletions = answered.is_listing && (!settles_at_ || settles);
+  meaning.should_delete_unlisted = answered.is_listing && (!settles_at_ || settles);
   if (answered.is_listing && settles) {
     settles_at_.reset();
   }
@@ -82,7 +83,7 @@
   outstanding_ = false;
   begun_anew_ = false;
   next_try_ = now + backoff_;
-  backoff_ = std::min(backoff_ * 2, timing_.retry_longest);
+  backoff_ = std::min(backoff_ * 2, timing_.max_retry_interval);
 }
 
 } // namespace spurrack::catalog
--- a/src/catalog/service_watch.h
+++ b/src/catalog/service_watch.h
@@ -33,21 +33,21 @@
   /// It comes from an era before one that was heard of: nothing of it counts.
   bool is_outdated = false;
   /// The service came back from an older copy since the last answer.
-  bool begins_era = false;
+  bool is_new_era = false;
   /// Within one era, the service is behind what it said before.
-  bool went_back = false;
+  bool has_earlier_revision = false;
   /// What a listing lacks is gone; not so in the first one of an era.
-  bool shows_deletions = false;
+  bool should_delete_unlisted = false;
 };
 
 /// What depends on how soon changes must be known.
 struct watch_timing {
   /// Longest time between two tries where the service does not answer.
-  base::duration retry_longest = std::chrono::seconds(8);
+  base::duration max_retry_interval = std::chrono::seconds(8);
   /// How long the service may hold a watch.
   base::duration hold = std::chrono::seconds(2);
   /// Longest rest between two reads while changes keep coming.
-  base::duration rest_longest = std::chrono::milliseconds(200);
+  base::duration max_read_interval = std::chrono::milliseconds(200);
 };
 
 /// Calls to the service, by why they were made.
@@ -56,7 +56,7 @@
   std::uint64_t listings = 0;
   std::uint64_t watches = 0;
   /// Watches begun anew since what others knew was not told.
-  std::uint64_t begun_anew = 0;
+  std::uint64_t restarted_watches = 0;
   std::uint64_t probes = 0;
 };
 
@@ -66,7 +66,7 @@
   /// Nodes of a zone that watch at the same time.
   static constexpr std::size_t watchers_per_zone = 2;
   /// Zones of a region whose nodes watch for all of them.
-  static constexpr std::size_t watching_zones = 2;
+  static constexpr std::size_t watching_zones_per_region = 2;
   /// While a watch is held, the service is asked this often whether it still answers this node.
   static constexpr base::duration probe_period = std::chrono::seconds(2);
   /// What others know and a watch has not told for this time was told in an answer that is lost.
@@ -76,7 +76,7 @@
   static constexpr base::duration watch_timeout = std::chrono::seconds(20);
   /// Rest after an answer that brought changes, so that a burst of them takes few calls; doubled up
   /// to the longest while changes keep coming. One that comes after a quiet time is heard at once.
-  static constexpr base::duration rest_after_changes = std::chrono::milliseconds(200);
+  static constexpr base::duration min_read_interval = std::chrono::milliseconds(200);
   /// After the first listing of a new era the service is listed once more: what was lost with the
   /// old one is written again within about two seconds, and only what is missing then is gone.
   static constexpr base::duration era_settle_time = std::chrono::milliseconds(3000);
@@ -85,16 +85,16 @@
   static constexpr base::store_era most_eras_missed = 1'000;
 
   explicit service_watch(const watch_timing& timing = {})
-      : timing_(timing), backoff_(std::min(retry_first, timing.retry_longest)) {}
+      : timing_(timing), backoff_(std::min(retry_first, timing.max_retry_interval)) {}
   [[nodiscard]] base::duration hold() const { return timing_.hold; }
 
   /// @return the revision after which to read, where a read is due now.
   std::optional<base::revision> next_read(bool holds_job, base::time_point now);
 
   /// @return whether the service is to be probed now.
-  bool takes_probe(base::time_point now);
+  bool start_probe_if_due(base::time_point now);
   /// Takes note of what is known of the service from anybody, before `next_read`.
-  void note_known(base::store_era era, base::revision newest, base::time_point now);
+  void note_latest_revision(base::store_era era, base::revision newest, base::time_point now);
 
   /// Takes note of an answer. In a new era the service is listed anew, whatever was asked: a watch
   /// goes on at a revision that now belongs to something else.
@@ -103,7 +103,7 @@
   void on_failure(base::time_point now);
 
   [[nodiscard]] bool has_answered() const { return last_answer_.has_value(); }
-  [[nodiscard]] std::optional<base::time_point> last_answer() const { return last_answer_; }
+  [[nodiscard]] std::optional<base::time_point> last_answer_at() const { return last_answer_; }
   [[nodiscard]] const service_calls& calls() const { return calls_; }
 
  private:
@@ -121,7 +121,7 @@
   base::time_point outstanding_since_;
   base::time_point next_try_;
   watch_timing timing_;
-  base::duration rest_ = rest_after_changes;
+  base::duration rest_ = min_read_interval;
   /// When the read under way was begun, or the service was probed for it last.
   base::time_point probed_at_;
   base::duration backoff_;
--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -193,7 +193,7 @@
     };
     add_cause("listing", made.listings);
     add_cause("watch", made.watches);
-    add_cause("begun_anew", made.begun_anew);
+    add_cause("begun_anew", made.restarted_watches);
     add_cause("probe", made.probes);
   };
   add("configuration", node::source_kind::configuration);
@@ -450,8 +450,8 @@
             static_cast<double>(subject.content().rejections().size()));
   add_count(registry, "spurrack_replica_entries_refused_total",
             "Published entries of replicas refused as malformed.",
-            subject.content().refused_replicas());
-  const auto answered = subject.watch(node::source_kind::configuration).last_answer();
+            subject.content().rejected_replica_entries());
+  const auto answered = subject.watch(node::source_kind::configuration).last_answer_at();
   if (answered) {
     add_gauge(registry, "spurrack_configuration_age_seconds",
               "Time since this node's last answer of the configuration service.",
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -26,7 +26,7 @@
 json::object calls_document(const catalog::service_calls& calls) {
   return {{"listings", calls.listings},
           {"watches", calls.watches},
-          {"begun_anew", calls.begun_anew},
+          {"begun_anew", calls.restarted_watches},
           {"probes", calls.probes}};
 }
 
@@ -49,9 +49,9 @@
   body["highest_revision"] = content.highest_revision();
   body["store_era"] = content.era();
   body["configuration_age_ms"] =
-      age_of(subject.watch(node::source_kind::configuration).last_answer(), now);
+      age_of(subject.watch(node::source_kind::configuration).last_answer_at(), now);
   body["machine_list_age_ms"] =
-      age_of(subject.watch(node::source_kind::machine_list).last_answer(), now);
+      age_of(subject.watch(node::source_kind::machine_list).last_answer_at(), now);
   body["service_calls"] = json::object{
       {"configuration", calls_document(subject.watch(node::source_kind::configuration).calls())},
       {"machine_list", calls_document(subject.watch(node::source_kind::machine_list).calls())}};
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -407,8 +407,8 @@
   return std::find(holders.begin(), holders.end(), self_.node) != holders.end();
 }
 
-bool membership::holds_job_of_region(std::string_view job, std::size_t zones, std::size_t count,
-                                     base::time_point now) const {
+bool membership::has_region_job(std::string_view job, std::size_t zones, std::size_t count,
+                                base::time_point now) const {
   std::vector<base::zone_id> heard{self_.zone};
   for (const auto& [zone, nodes] : live().remote) {
     if (!regions_.are_regions_apart(self_.zone, zone) && zones_.hears(zone, now)) {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -109,11 +109,13 @@
   /// hears, so that a zone that is cut off does it for itself.
   /// @param zones how many do it. @param count how many nodes of each.
   /// @return whether this node is one of them.
-  [[nodiscard]] bool holds_job_of_region(std::string_view job, std::size_t zones, std::size_t count,
-                                         base::time_point now) const;
+  [[nodiscard]] bool has_region_job(std::string_view job, std::size_t zones, std::size_t count,
+                                    base::time_point now) const;
   [[nodiscard]] base::incarnation incarnation() const { return incarnation_; }
   /// @return when this node met the first other one; nothing where a published list names them.
-  [[nodiscard]] std::optional<base::time_point> introduced_at() const { return introduced_at_; }
+  [[nodiscard]] std::optional<base::time_point> first_member_added_at() const {
+    return introduced_at_;
+  }
   /// Grows whenever a member comes, goes or changes.
   [[nodiscard]] std::uint64_t version() const { return version_; }
   [[nodiscard]] const zone_contact& zones() const { return zones_; }
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -42,8 +42,8 @@
 bool node::has_watch_job(source_kind source, base::time_point now) const {
   using catalog::service_watch;
   const auto* job = watch_jobs[static_cast<std::size_t>(source)];
-  return serving_ ? membership_.holds_job_of_region(job, service_watch::watching_zones,
-                                                    service_watch::watchers_per_zone, now)
+  return serving_ ? membership_.has_region_job(job, service_watch::watching_zones_per_region,
+                                               service_watch::watchers_per_zone, now)
                   : membership_.holds_job(job, service_watch::watchers_per_zone);
 }
 
@@ -58,15 +58,15 @@
 void node::read_services(base::time_point now) {
   for (const auto source : {source_kind::configuration, source_kind::machine_list}) {
     auto& watch = watches_[static_cast<std::size_t>(source)];
-    const auto newest = source == source_kind::machine_list ? catalog_.newest_replica_position()
-                                                            : catalog_.newest_operator_position();
-    watch.note_known(newest.era, newest.revision, now);
+    const auto newest = source == source_kind::machine_list ? catalog_.latest_replica_position()
+                                                            : catalog_.latest_operator_position();
+    watch.note_latest_revision(newest.era, newest.revision, now);
     if (const auto after = watch.next_read(reads_service(source, now), now)) {
       // What a first listing lacks the watch that goes on from it tells at once.
       const bool may_be_old = *after == 0 && !watch.has_answered();
       commands_.emplace_back(read_service{source, *after, may_be_old, watch.hold()});
     }
-    if (serving_ && watch.takes_probe(now)) {
+    if (serving_ && watch.start_probe_if_due(now)) {
       commands_.emplace_back(probe_service{source});
     }
   }
@@ -82,7 +82,7 @@
   }
   const auto longest = std::min(wait_for_peers_per_member * known, longest_wait_for_peers);
   const double part = is_strong() ? wait_for_peers_part_ / 2 : 1 + wait_for_peers_part_;
-  const auto introduced = membership_.introduced_at().value_or(started_) - started_;
+  const auto introduced = membership_.first_member_added_at().value_or(started_) - started_;
   return introduced + time_to_meet + base::from_seconds(base::to_seconds(longest) * part);
 }
 
@@ -108,7 +108,7 @@
   for (auto& entry : entries) {
     entry.set_era(meaning.era);
   }
-  if (meaning.shows_deletions) {
+  if (meaning.should_delete_unlisted) {
     std::set<std::string> listed;
     for (const auto& entry : entries) {
       listed.insert(entry.key());
@@ -141,13 +141,13 @@
     record(base::event_kind::service_era, {}, std::to_string(*what.era),
            "an answer of an era before " + era + ", passed over");
   }
-  if (meaning.begins_era) {
+  if (meaning.is_new_era) {
     ++store_.eras_begun;
     record(base::event_kind::service_era, {}, era,
            "the service came back from an older copy, now at revision " +
                std::to_string(what.service_revision) + "; it is listed anew");
   }
-  if (meaning.went_back) {
+  if (meaning.has_earlier_revision) {
     record(base::event_kind::service_behind, {}, "",
            "service went back to revision " + std::to_string(what.service_revision));
   }
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -159,9 +159,9 @@
   const auto bound = std::min(changed, drained);
   catalog::watch_timing timing;
   timing.hold = std::max<base::duration>(settled + bound - spread_time - give_up_time, timing.hold);
-  timing.rest_longest = base::scaled(bound, rest_part);
-  timing.retry_longest = section.milliseconds("store_retry_longest_ms", 100, 60'000,
-                                              milliseconds_of(std::chrono::milliseconds(500)));
+  timing.max_read_interval = base::scaled(bound, rest_part);
+  timing.max_retry_interval = section.milliseconds("store_retry_longest_ms", 100, 60'000,
+                                                   milliseconds_of(std::chrono::milliseconds(500)));
   return timing;
 }
 
--- a/tests/catalog/replica_entries_test.cc
+++ b/tests/catalog/replica_entries_test.cc
@@ -91,7 +91,7 @@
   // What was refused before is no repetition after a good one.
   BOOST_CHECK(content.apply(entry(4, "r1", malformed("r1"))).verdict == apply_verdict::rejected);
   BOOST_TEST(!names(content, "r1"));
-  BOOST_TEST(content.refused_replicas() == 2U);
+  BOOST_TEST(content.rejected_replica_entries() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(what_was_good_before_is_not_taken_up_again_from_a_peer_that_lags) {
@@ -120,10 +120,10 @@
   subject.offer({entry(2, "r1", malformed("r1"))}, peers, out);
   BOOST_TEST(reports == 1U);
   BOOST_TEST(out.size() == 2U);
-  BOOST_TEST(content.refused_replicas() == 1U);
+  BOOST_TEST(content.rejected_replica_entries() == 1U);
   subject.offer({entry(3, "r1", malformed("r1", "slots is missing"))}, peers, out);
   BOOST_TEST(reports == 2U);
-  BOOST_TEST(content.refused_replicas() == 2U);
+  BOOST_TEST(content.rejected_replica_entries() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(a_malformed_entry_that_is_removed_is_forgotten) {
--- a/tests/catalog/service_watch_test.cc
+++ b/tests/catalog/service_watch_test.cc
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_CASE(changes_that_keep_coming_are_read_ever_more_rarely) {
   watch_timing timing;
-  timing.rest_longest = std::chrono::milliseconds(800);
+  timing.max_read_interval = std::chrono::milliseconds(800);
   service_watch subject(timing);
   auto now = start;
   std::size_t calls = 0;
@@ -48,7 +48,7 @@
   BOOST_TEST(subject.next_read(true, now).has_value());
   now += std::chrono::seconds(1);
   subject.on_answer({std::nullopt, ++revision, false}, true, now);
-  BOOST_TEST(subject.next_read(true, now + service_watch::rest_after_changes).has_value());
+  BOOST_TEST(subject.next_read(true, now + service_watch::min_read_interval).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(after_an_answer_without_changes_the_watch_goes_on_at_once) {
@@ -81,12 +81,12 @@
   now += std::chrono::seconds(1);
   BOOST_TEST((subject.next_read(true, now) == 100U));
   // Peers bring the same news a moment before the answer, which is nothing unusual.
-  subject.note_known(1, 101, now);
+  subject.note_latest_revision(1, 101, now);
   now += service_watch::lost_answer_time / 2;
-  subject.note_known(1, 101, now);
+  subject.note_latest_revision(1, 101, now);
   BOOST_TEST(!subject.next_read(true, now).has_value());
   now += service_watch::lost_answer_time / 2;
-  subject.note_known(1, 101, now);
+  subject.note_latest_revision(1, 101, now);
   BOOST_TEST((subject.next_read(true, now) == 100U));
 }
 
@@ -98,7 +98,7 @@
   now += std::chrono::seconds(1);
   std::size_t reads = 0;
   for (int step = 0; step < 50; ++step) {
-    subject.note_known(1, 105, now);
+    subject.note_latest_revision(1, 105, now);
     reads += subject.next_read(true, now).has_value() ? 1 : 0;
     now += std::chrono::milliseconds(100);
   }
@@ -113,7 +113,7 @@
   now += std::chrono::seconds(1);
   BOOST_TEST(subject.next_read(true, now).has_value());
   for (int step = 0; step < 50; ++step) {
-    subject.note_known(1, 900, now);
+    subject.note_latest_revision(1, 900, now);
     BOOST_TEST(!subject.next_read(true, now).has_value());
     now += std::chrono::milliseconds(100);
   }
@@ -127,16 +127,16 @@
   now += std::chrono::seconds(10);
   BOOST_TEST((subject.next_read(true, now) == 100U));
   const auto meaning = subject.on_answer({2, 90, false}, true, now);
-  BOOST_TEST(meaning.begins_era);
-  BOOST_TEST(!meaning.went_back);
+  BOOST_TEST(meaning.is_new_era);
+  BOOST_TEST(!meaning.has_earlier_revision);
   BOOST_TEST((subject.next_read(true, now) == 0U));
-  BOOST_TEST(!subject.on_answer({2, 91, true}, true, now).shows_deletions);
+  BOOST_TEST(!subject.on_answer({2, 91, true}, true, now).should_delete_unlisted);
   now += std::chrono::seconds(1);
   BOOST_TEST((subject.next_read(true, now) == 91U));
   subject.on_answer({2, 92, false}, false, now);
   now += std::chrono::seconds(3);
   BOOST_TEST((subject.next_read(true, now) == 0U));
-  BOOST_TEST(subject.on_answer({2, 93, true}, true, now).shows_deletions);
+  BOOST_TEST(subject.on_answer({2, 93, true}, true, now).should_delete_unlisted);
   now += std::chrono::seconds(1);
   BOOST_TEST((subject.next_read(true, now) == 93U));
 }
@@ -149,7 +149,7 @@
   for (base::store_era era = 2; era <= 3; ++era) {
     now += std::chrono::seconds(1);
     subject.next_read(true, now);
-    BOOST_TEST(subject.on_answer({era, 80, false}, false, now).begins_era);
+    BOOST_TEST(subject.on_answer({era, 80, false}, false, now).is_new_era);
     BOOST_TEST((subject.next_read(true, now) == 0U));
     subject.on_answer({era, 80, true}, true, now);
   }
@@ -173,15 +173,15 @@
   subject.on_answer({5, 100, true}, true, start);
   BOOST_TEST(subject.on_answer({900'000'000, 100, true}, true, start).is_implausible);
   const auto next = subject.on_answer({6, 90, false}, true, start);
-  BOOST_TEST(next.begins_era);
+  BOOST_TEST(next.is_new_era);
 }
 
 BOOST_AUTO_TEST_CASE(the_first_era_that_is_heard_of_begins_nothing) {
   service_watch subject;
   subject.next_read(true, start);
   const auto meaning = subject.on_answer({7, 100, true}, true, start);
-  BOOST_TEST(!meaning.begins_era);
-  BOOST_TEST(meaning.shows_deletions);
+  BOOST_TEST(!meaning.is_new_era);
+  BOOST_TEST(meaning.should_delete_unlisted);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/dispatch/replica_changes_test.cc
+++ b/tests/dispatch/replica_changes_test.cc
@@ -75,7 +75,7 @@
 
 BOOST_AUTO_TEST_CASE(changes_beyond_change_log_are_applied) {
   large_fleet_driver node(10);
-  for (std::size_t change = 0; change <= catalog::change_log::most_kept; ++change) {
+  for (std::size_t change = 0; change <= catalog::change_log::max_kept_changes; ++change) {
     node.world.add_replica("r3", "llm", change % 2 == 0 ? "a" : "b");
   }
   node.world.remove_replica("r4");
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -32,7 +32,7 @@
   }
   settings.lists_nodes = false;
   settings.node.service_timing.hold = seconds(8);
-  settings.node.service_timing.rest_longest = std::chrono::milliseconds(1'000);
+  settings.node.service_timing.max_read_interval = std::chrono::milliseconds(1'000);
   return settings;
 }
 
