--- a/src/catalog/service_watch.cc
+++ b/src/catalog/service_watch.cc
@@ -4,11 +4,11 @@
 
 namespace spurrack::catalog {
 
-std::optional<base::revision> service_watch::next_read(bool holds_job, base::time_point now) {
+std::optional<base::revision> service_watch::next_read(bool may_read, base::time_point now) {
   if (outstanding_ && now - outstanding_since_ < watch_timeout && !is_lost(now)) {
     return std::nullopt;
   }
-  if (!holds_job || now < next_try_) {
+  if (!may_read || now < next_try_) {
     return std::nullopt;
   }
   begun_anew_ = outstanding_;
--- a/src/catalog/service_watch.h
+++ b/src/catalog/service_watch.h
@@ -89,7 +89,7 @@
   [[nodiscard]] base::duration hold() const { return timing_.hold; }
 
   /// @return the revision after which to read, where a read is due now.
-  std::optional<base::revision> next_read(bool holds_job, base::time_point now);
+  std::optional<base::revision> next_read(bool may_read, base::time_point now);
 
   /// @return whether the service is to be probed now.
   bool start_probe_if_due(base::time_point now);
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -402,7 +402,7 @@
   return live().zone_nodes;
 }
 
-bool membership::holds_job(std::string_view job, std::size_t count) const {
+bool membership::has_zone_job(std::string_view job, std::size_t count) const {
   const auto holders = base::rendezvous_top(job, live_zone_nodes(), count);
   return std::find(holders.begin(), holders.end(), self_.node) != holders.end();
 }
@@ -416,7 +416,8 @@
     }
   }
   const auto doing = base::rendezvous_top(job, heard, zones);
-  return std::find(doing.begin(), doing.end(), self_.zone) != doing.end() && holds_job(job, count);
+  return std::find(doing.begin(), doing.end(), self_.zone) != doing.end() &&
+         has_zone_job(job, count);
 }
 
 base::duration membership::expected_detection_time() const {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -102,7 +102,7 @@
   [[nodiscard]] const std::map<base::node_id, member>& members() const { return members_; }
   [[nodiscard]] const std::vector<base::network_address>& seeds() const { return seeds_; }
   /// @return whether this node is among the `count` that hold a job of its zone.
-  [[nodiscard]] bool holds_job(std::string_view job, std::size_t count) const;
+  [[nodiscard]] bool has_zone_job(std::string_view job, std::size_t count) const;
   /// @return whether this node tells other zones of its own.
   [[nodiscard]] bool is_relay() const;
   /// A few zones of a region do a job for all: those that come first among the zones that a node
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -44,7 +44,7 @@
   const auto* job = watch_jobs[static_cast<std::size_t>(source)];
   return serving_ ? membership_.has_region_job(job, service_watch::watching_zones_per_region,
                                                service_watch::watchers_per_zone, now)
-                  : membership_.holds_job(job, service_watch::watchers_per_zone);
+                  : membership_.has_zone_job(job, service_watch::watchers_per_zone);
 }
 
 bool node::reads_service(source_kind source, base::time_point now) const {
