--- a/src/catalog/service_watch.h
+++ b/src/catalog/service_watch.h
@@ -45,7 +45,7 @@
   /// Longest time between two tries where the service does not answer.
   base::duration max_retry_interval = std::chrono::seconds(8);
   /// How long the service may hold a watch.
-  base::duration hold = std::chrono::seconds(2);
+  base::duration max_hold_time = std::chrono::seconds(2);
   /// Longest rest between two reads while changes keep coming.
   base::duration max_read_interval = std::chrono::milliseconds(200);
 };
@@ -86,7 +86,7 @@
 
   explicit service_watch(const watch_timing& timing = {})
       : timing_(timing), backoff_(std::min(retry_first, timing.max_retry_interval)) {}
-  [[nodiscard]] base::duration hold() const { return timing_.hold; }
+  [[nodiscard]] base::duration max_hold_time() const { return timing_.max_hold_time; }
 
   /// @return the revision after which to read, where a read is due now.
   std::optional<base::revision> next_read(bool may_read, base::time_point now);
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -167,13 +167,13 @@
 
 std::vector<base::node_id> membership::region_relays(const base::region_id& region,
                                                      base::time_point now) const {
-  const auto silent = zones_.silent(now);
+  const auto unreachable = zones_.unreachable_zones(now);
   std::vector<base::zone_id> heard;
   std::vector<base::zone_id> all;
   for (const auto& [zone, relays] : live().relays) {
     if (regions_.region_of(zone) == region && !relays.empty()) {
       all.push_back(zone);
-      if (!silent.contains(zone)) {
+      if (!unreachable.contains(zone)) {
         heard.push_back(zone);
       }
     }
--- a/src/membership/zone_contact.cc
+++ b/src/membership/zone_contact.cc
@@ -114,7 +114,7 @@
   return found != contacts_.end() && now - found->second.heard < silence_limit(found->second);
 }
 
-std::set<base::zone_id> zone_contact::silent(base::time_point now) const {
+std::set<base::zone_id> zone_contact::unreachable_zones(base::time_point now) const {
   std::set<base::zone_id> zones;
   for (const auto& [zone, known] : contacts_) {
     if (now - known.heard >= silence_limit(known)) {
--- a/src/membership/zone_contact.h
+++ b/src/membership/zone_contact.h
@@ -40,7 +40,7 @@
   /// @return whether a zone was heard of lately.
   [[nodiscard]] bool hears(const base::zone_id& zone, base::time_point now) const;
   /// @return zones that were heard of once, and not lately.
-  [[nodiscard]] std::set<base::zone_id> silent(base::time_point now) const;
+  [[nodiscard]] std::set<base::zone_id> unreachable_zones(base::time_point now) const;
 
  private:
   /// What is known of one zone.
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -261,7 +261,7 @@
   if (!serving_) {
     return;
   }
-  serving_->set_unreachable_zones(membership_.zones().silent(now));
+  serving_->set_unreachable_zones(membership_.zones().unreachable_zones(now));
   if (membership_.version() == seen_members_) {
     return;
   }
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -64,7 +64,7 @@
     if (const auto after = watch.next_read(reads_service(source, now), now)) {
       // What a first listing lacks the watch that goes on from it tells at once.
       const bool may_be_old = *after == 0 && !watch.has_answered();
-      commands_.emplace_back(read_service{source, *after, may_be_old, watch.hold()});
+      commands_.emplace_back(read_service{source, *after, may_be_old, watch.max_hold_time()});
     }
     if (serving_ && watch.start_probe_if_due(now)) {
       commands_.emplace_back(probe_service{source});
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -158,7 +158,8 @@
   const auto drained = section.milliseconds("drain_bound_ms", 100, longest, usual);
   const auto bound = std::min(changed, drained);
   catalog::watch_timing timing;
-  timing.hold = std::max<base::duration>(settled + bound - spread_time - give_up_time, timing.hold);
+  timing.max_hold_time =
+      std::max<base::duration>(settled + bound - spread_time - give_up_time, timing.max_hold_time);
   timing.max_read_interval = base::scaled(bound, rest_part);
   timing.max_retry_interval = section.milliseconds("store_retry_longest_ms", 100, 60'000,
                                                    milliseconds_of(std::chrono::milliseconds(500)));
--- a/tests/membership/hollow_fleet.h
+++ b/tests/membership/hollow_fleet.h
@@ -143,7 +143,7 @@
   [[nodiscard]] std::size_t silent_views() const {
     std::size_t views = 0;
     for (std::size_t index = 0; index < nodes.size(); ++index) {
-      views += is_lost(index) ? 0 : nodes[index]->members.zones().silent(now).size();
+      views += is_lost(index) ? 0 : nodes[index]->members.zones().unreachable_zones(now).size();
     }
     return views;
   }
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -31,7 +31,7 @@
         {"node-" + std::to_string(index), "z" + std::to_string(index % zones)});
   }
   settings.lists_nodes = false;
-  settings.node.service_timing.hold = seconds(8);
+  settings.node.service_timing.max_hold_time = seconds(8);
   settings.node.service_timing.max_read_interval = std::chrono::milliseconds(1'000);
   return settings;
 }
