--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -23,7 +23,7 @@
   return key.starts_with(model::replica_prefix);
 }
 
-std::string name_part(const std::string& key) {
+std::string name_in_key(const std::string& key) {
   return key.substr(key.find('/') + 1);
 }
 
@@ -49,95 +49,97 @@
   return base::stable_hash(key) % bucket_count;
 }
 
-bool catalog::is_known(const slot& place, const version& offered) {
-  return (place.accepted && place.accepted->at == offered) ||
-         (place.rejected && place.rejected->at == offered);
+bool catalog::is_duplicate(const slot& current, const version& offered) {
+  return (current.accepted && current.accepted->at == offered) ||
+         (current.rejected && current.rejected->at == offered);
 }
 
-bool catalog::is_older(const std::string& key, const slot& place, const version& offered) const {
+bool catalog::is_older(const std::string& key, const slot& current, const version& offered) const {
   if (!switches_.revision_order) {
     return false;
   }
   // An invalid entry of a replica takes the place of the accepted one.
-  const bool before_refused = is_replica_key(key) && place.rejected && offered < place.rejected->at;
-  return before_refused || (place.accepted && offered < place.accepted->at);
+  const bool is_before_rejected =
+      is_replica_key(key) && current.rejected && offered < current.rejected->at;
+  return is_before_rejected || (current.accepted && offered < current.accepted->at);
 }
 
 apply_result catalog::apply(const wire::catalog_entry& entry) {
-  auto& place = slots_[entry.key()];
+  auto& current = slots_[entry.key()];
   stored_entry offered{version_of(entry), entry};
   if (offered.at.era == 0) {
     // Of an older build, which may be all that reads the store in this zone: what it tells is news.
     offered.at.era = highest_.era;
     offered.entry.set_era(highest_.era);
   }
-  if (is_known(place, offered.at)) {
+  if (is_duplicate(current, offered.at)) {
     return {apply_verdict::duplicate, {}};
   }
   // What a configuration says of its own version goes before where it was written.
   const bool is_configuration = entry.key() == model::configuration_key && !entry.deleted();
-  if (!is_configuration && is_older(entry.key(), place, offered.at)) {
+  if (!is_configuration && is_older(entry.key(), current, offered.at)) {
     return {apply_verdict::older, {}};
   }
   highest_ = std::max(highest_, offered.at);
-  auto& newest = is_replica_key(entry.key()) ? newest_replica_ : newest_operator_;
+  auto& newest = is_replica_key(entry.key()) ? latest_replica_position_ : latest_operator_position_;
   newest = std::max(newest, store_position{offered.at.era, offered.at.revision});
   if (entry.deleted()) {
-    accept(place, std::move(offered), std::nullopt);
+    accept(current, std::move(offered), std::nullopt);
     return {apply_verdict::accepted, {}};
   }
-  auto read = read_value(entry.key(), entry.value());
+  auto read = parse_value(entry.key(), entry.value());
   if (auto* value = std::get_if<any_record>(&read)) {
-    if (is_configuration && is_older_configuration(place, offered.at, *value)) {
+    if (is_configuration && is_older_configuration(current, offered.at, *value)) {
       return {apply_verdict::older, {}};
     }
-    auto taken = after_rollback(place, offered.at, std::move(*value));
-    accept(place, std::move(offered), std::move(taken));
+    auto taken = merge_known_state(current, offered.at, std::move(*value));
+    accept(current, std::move(offered), std::move(taken));
     return {apply_verdict::accepted, {}};
   }
-  if (is_older(entry.key(), place, offered.at)) {
+  if (is_older(entry.key(), current, offered.at)) {
     return {apply_verdict::older, {}};
   }
-  if (place.rejected && offered.at < place.rejected->at) {
+  if (current.rejected && offered.at < current.rejected->at) {
     return {apply_verdict::older, {}};
   }
-  return reject(place, std::move(offered), std::get<std::string>(std::move(read)));
+  return reject(current, std::move(offered), std::get<std::string>(std::move(read)));
 }
 
-bool catalog::is_older_configuration(const slot& place, const version& offered,
+bool catalog::is_older_configuration(const slot& current, const version& offered,
                                      const any_record& value) const {
-  if (!switches_.revision_order || !serving_ || !place.accepted) {
+  if (!switches_.revision_order || !serving_ || !current.accepted) {
     return false;
   }
   const auto& read = std::get<std::shared_ptr<const model::serving_configuration>>(value);
   if (read->version != serving_->version) {
     return read->version < serving_->version;
   }
-  return offered < place.accepted->at;
+  return offered < current.accepted->at;
 }
 
-catalog::any_record catalog::after_rollback(const slot& place, const version& offered,
-                                            any_record value) {
+catalog::any_record catalog::merge_known_state(const slot& current, const version& offered,
+                                               any_record value) {
   auto* replica = std::get_if<std::shared_ptr<const model::replica>>(&value);
   const bool rolls_back =
-      place.accepted && place.accepted->at.era > 0 && offered.era > place.accepted->at.era;
+      current.accepted && current.accepted->at.era > 0 && offered.era > current.accepted->at.era;
   if (replica == nullptr || !rolls_back) {
     return value;
   }
-  const auto& known = place.accepted->entry;
+  const auto& known = current.accepted->entry;
   auto changed = std::make_shared<model::replica>(**replica);
   if (known.deleted()) {
     changed->may_be_gone = true;
   } else {
     const auto before = model::parse_replica(known.value());
     const auto* record = std::get_if<std::shared_ptr<const model::replica>>(&before);
-    const bool same_life = record != nullptr && (*record)->incarnation == changed->incarnation;
-    changed->draining = changed->draining || (same_life && (*record)->draining);
+    const bool is_same_incarnation =
+        record != nullptr && (*record)->incarnation == changed->incarnation;
+    changed->draining = changed->draining || (is_same_incarnation && (*record)->draining);
   }
   return std::shared_ptr<const model::replica>(std::move(changed));
 }
 
-catalog::reading catalog::read_value(const std::string& key, const std::string& value) {
+catalog::parse_result catalog::parse_value(const std::string& key, const std::string& value) {
   if (key == model::configuration_key) {
     auto read = model::parse_configuration(value);
     if (auto* refused = std::get_if<model::refusal_reason>(&read)) {
@@ -151,7 +153,7 @@
       return std::move(refused->text);
     }
     auto& replica = std::get<std::shared_ptr<const model::replica>>(read);
-    if (replica->id.text() != name_part(key)) {
+    if (replica->id.text() != name_in_key(key)) {
       return "its id is not that of its key";
     }
     return any_record(std::move(replica));
@@ -170,48 +172,49 @@
   return any_record(std::move(*parsed.value));
 }
 
-void catalog::accept(slot& place, stored_entry offered, const std::optional<any_record>& value) {
+void catalog::accept(slot& current, stored_entry offered, const std::optional<any_record>& value) {
   const auto key = offered.entry.key();
   remove_from_index(key);
   if (value) {
     index(key, *value);
   }
-  place.accepted = std::move(offered);
-  if (place.rejected && place.rejected->at < place.accepted->at) {
-    place.rejected.reset();
-    place.rejection_reason.clear();
-    refused_replica_keys_.erase(key);
+  current.accepted = std::move(offered);
+  if (current.rejected && current.rejected->at < current.accepted->at) {
+    current.rejected.reset();
+    current.rejection_reason.clear();
+    rejected_replica_keys_.erase(key);
   }
-  rehash(key, place);
+  rehash(key, current);
 }
 
-apply_result catalog::reject(slot& place, stored_entry offered, std::string reason) {
+apply_result catalog::reject(slot& current, stored_entry offered, std::string reason) {
   const auto key = offered.entry.key();
-  const bool is_repeated = place.rejected && place.rejected->entry.value() == offered.entry.value();
+  const bool is_repeated =
+      current.rejected && current.rejected->entry.value() == offered.entry.value();
   if (is_replica_key(key)) {
     remove_from_index(key);
-    place.accepted.reset();
-    refused_replica_keys_.insert(key);
-    refused_replicas_ += is_repeated ? 0 : 1;
+    current.accepted.reset();
+    rejected_replica_keys_.insert(key);
+    rejected_replica_entries_ += is_repeated ? 0 : 1;
   }
-  place.rejected = std::move(offered);
-  place.rejection_reason = std::move(reason);
-  rehash(key, place);
+  current.rejected = std::move(offered);
+  current.rejection_reason = std::move(reason);
+  rehash(key, current);
   return {is_repeated ? apply_verdict::rejected_again : apply_verdict::rejected,
-          place.rejection_reason};
+          current.rejection_reason};
 }
 
-void catalog::rehash(const std::string& key, slot& place) {
+void catalog::rehash(const std::string& key, slot& current) {
   auto& bucket = buckets_[bucket_of(key)];
-  bucket ^= place.hash;
+  bucket ^= current.hash;
   std::uint64_t hash = base::stable_hash(key);
-  for (const auto* stored : {&place.accepted, &place.rejected}) {
+  for (const auto* stored : {&current.accepted, &current.rejected}) {
     const auto at = *stored ? (*stored)->at : version{};
     // Without the era: nodes of an older build, which do not know it, have the same content.
     const hashed_version hashed{at.revision, at.value_hash};
     hash = base::stable_hash(raw_bytes(hashed), hash);
   }
-  place.hash = hash;
+  current.hash = hash;
   bucket ^= hash;
 }
 
@@ -239,12 +242,12 @@
     tenants_[(*owner)->name] = *owner;
     tenants_by_token_[(*owner)->token_sha256].insert((*owner)->name);
   } else {
-    machines_[name_part(key)] = std::get<std::shared_ptr<const model::machine>>(value);
+    machines_[name_in_key(key)] = std::get<std::shared_ptr<const model::machine>>(value);
   }
 }
 
 void catalog::remove_from_index(const std::string& key) {
-  const auto name = name_part(key);
+  const auto name = name_in_key(key);
   if (key.starts_with(model::template_prefix)) {
     templates_.erase(base::template_id(name));
   } else if (key.starts_with(model::tenant_prefix)) {
@@ -270,7 +273,7 @@
   for (const auto& [id, known] : replicas_) {
     add_deletion_if_unlisted(std::string(model::replica_prefix) + id.text(), listed, at, deletions);
   }
-  for (const auto& key : refused_replica_keys_) {
+  for (const auto& key : rejected_replica_keys_) {
     add_deletion_if_unlisted(key, listed, at, deletions);
   }
   return deletions;
@@ -290,7 +293,7 @@
 void catalog::add_deletion_if_unlisted(const std::string& key, const std::set<std::string>& listed,
                                        store_position at,
                                        std::vector<wire::catalog_entry>& deletions) const {
-  if (listed.contains(key) || newest_position_of(key) >= at) {
+  if (listed.contains(key) || latest_position_of(key) >= at) {
     return;
   }
   wire::catalog_entry gone;
@@ -325,15 +328,15 @@
   if (buckets.none()) {
     return entries;
   }
-  for (const auto& [key, place] : slots_) {
+  for (const auto& [key, current] : slots_) {
     if (!buckets.test(bucket_of(key))) {
       continue;
     }
-    if (place.accepted) {
-      entries.push_back(place.accepted->entry);
+    if (current.accepted) {
+      entries.push_back(current.accepted->entry);
     }
-    if (place.rejected) {
-      entries.push_back(place.rejected->entry);
+    if (current.rejected) {
+      entries.push_back(current.rejected->entry);
     }
   }
   return entries;
@@ -341,9 +344,9 @@
 
 std::size_t catalog::count_in(const bucket_set& buckets) const {
   std::size_t count = 0;
-  for (const auto& [key, place] : slots_) {
+  for (const auto& [key, current] : slots_) {
     if (buckets.test(bucket_of(key))) {
-      count += (place.accepted ? 1U : 0U) + (place.rejected ? 1U : 0U);
+      count += (current.accepted ? 1U : 0U) + (current.rejected ? 1U : 0U);
     }
   }
   return count;
@@ -374,7 +377,7 @@
   return found->second.accepted->at.revision;
 }
 
-store_position catalog::newest_position_of(const std::string& key) const {
+store_position catalog::latest_position_of(const std::string& key) const {
   const auto found = slots_.find(key);
   store_position newest;
   if (found == slots_.end()) {
@@ -390,9 +393,9 @@
 
 std::vector<rejection> catalog::rejections() const {
   std::vector<rejection> found;
-  for (const auto& [key, place] : slots_) {
-    if (place.rejected) {
-      found.push_back({key, place.rejected->at.revision, place.rejection_reason});
+  for (const auto& [key, current] : slots_) {
+    if (current.rejected) {
+      found.push_back({key, current.rejected->at.revision, current.rejection_reason});
     }
   }
   std::sort(found.begin(), found.end(),
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -128,14 +128,16 @@
   [[nodiscard]] base::revision highest_revision() const { return highest_.revision; }
   [[nodiscard]] base::store_era era() const { return highest_.era; }
   /// @return where the newest entry of a replica was written, and the newest of any other kind.
-  [[nodiscard]] store_position latest_replica_position() const { return newest_replica_; }
-  [[nodiscard]] store_position latest_operator_position() const { return newest_operator_; }
+  [[nodiscard]] store_position latest_replica_position() const { return latest_replica_position_; }
+  [[nodiscard]] store_position latest_operator_position() const {
+    return latest_operator_position_;
+  }
   /// Raised whenever a machine entry changes; lets readers rebuild what they derive from the list.
   [[nodiscard]] std::uint64_t machine_changes() const { return machine_changes_; }
   [[nodiscard]] std::vector<rejection> rejections() const;
   /// @return how often an entry of a replica was refused; one that is written again unchanged
   ///         counts once.
-  [[nodiscard]] std::uint64_t rejected_replica_entries() const { return refused_replicas_; }
+  [[nodiscard]] std::uint64_t rejected_replica_entries() const { return rejected_replica_entries_; }
   /// @return number of keys ever seen, deleted ones included.
   [[nodiscard]] std::size_t size() const { return slots_.size(); }
 
@@ -161,30 +163,31 @@
 
   static version version_of(const wire::catalog_entry& entry);
   static std::size_t bucket_of(const std::string& key);
-  static bool is_known(const slot& place, const version& offered);
-  [[nodiscard]] bool is_older(const std::string& key, const slot& place,
+  static bool is_duplicate(const slot& current, const version& offered);
+  [[nodiscard]] bool is_older(const std::string& key, const slot& current,
                               const version& offered) const;
   /// A valid record of any kind.
   using any_record =
       std::variant<model::record, std::shared_ptr<const model::serving_configuration>,
                    std::shared_ptr<const model::replica>, model::evacuation>;
   /// What came of reading a value: a record, or why it is refused.
-  using reading = std::variant<any_record, std::string>;
+  using parse_result = std::variant<any_record, std::string>;
 
-  static reading read_value(const std::string& key, const std::string& value);
-  void accept(slot& place, stored_entry offered, const std::optional<any_record>& value);
-  apply_result reject(slot& place, stored_entry offered, std::string reason);
+  static parse_result parse_value(const std::string& key, const std::string& value);
+  void accept(slot& current, stored_entry offered, const std::optional<any_record>& value);
+  apply_result reject(slot& current, stored_entry offered, std::string reason);
   /// @return where the newest entry of `key` was written, accepted or not; zeros where there is
   /// none.
-  [[nodiscard]] store_position newest_position_of(const std::string& key) const;
+  [[nodiscard]] store_position latest_position_of(const std::string& key) const;
   /// @return whether a valid configuration is older than the one in force: by its own version, and
   ///         of the same one by where it was written.
-  [[nodiscard]] bool is_older_configuration(const slot& place, const version& offered,
+  [[nodiscard]] bool is_older_configuration(const slot& current, const version& offered,
                                             const any_record& value) const;
   /// @return the record as it is taken after a lost write: what was known to drain drains on, what
   ///         was gone may be gone still.
-  static any_record after_rollback(const slot& place, const version& offered, any_record value);
-  void rehash(const std::string& key, slot& place);
+  static any_record merge_known_state(const slot& current, const version& offered,
+                                      any_record value);
+  void rehash(const std::string& key, slot& current);
   void index(const std::string& key, const any_record& value);
   void index(const std::string& key, const model::record& value);
   void remove_from_index(const std::string& key);
@@ -205,13 +208,13 @@
   std::shared_ptr<const model::serving_configuration> serving_;
   replica_map replicas_;
   /// Keys of replicas whose newest entry is invalid.
-  std::set<std::string> refused_replica_keys_;
-  std::uint64_t refused_replicas_ = 0;
+  std::set<std::string> rejected_replica_keys_;
+  std::uint64_t rejected_replica_entries_ = 0;
   std::set<base::zone_id> evacuated_zones_;
   change_log changes_;
   version highest_;
-  store_position newest_replica_;
-  store_position newest_operator_;
+  store_position latest_replica_position_;
+  store_position latest_operator_position_;
 };
 
 } // namespace spurrack::catalog
--- a/src/catalog/change_log.h
+++ b/src/catalog/change_log.h
@@ -23,7 +23,7 @@
   /// @param replica empty where something else changed.
   void add(base::replica_id replica) {
     ++count_;
-    kept_.push_back(std::move(replica));
+    changes_.push_back(std::move(replica));
   }
   /// @return changes ever added.
   [[nodiscard]] std::uint64_t count() const { return count_; }
@@ -31,16 +31,16 @@
   /// @return the replicas of all changes since, those that changed at several times as often;
   ///         nothing where not all of them are kept.
   [[nodiscard]] std::optional<std::vector<base::replica_id>> since(std::uint64_t seen) const {
-    if (seen > count_ || count_ - seen > kept_.size()) {
+    if (seen > count_ || count_ - seen > changes_.size()) {
       return std::nullopt;
     }
     std::vector<base::replica_id> changed;
-    for (auto at = kept_.size() - static_cast<std::size_t>(count_ - seen); at < kept_.size();
+    for (auto at = changes_.size() - static_cast<std::size_t>(count_ - seen); at < changes_.size();
          ++at) {
       // What is replaced goes and comes.
-      const bool is_same = !changed.empty() && changed.back() == kept_[at];
-      if (!kept_[at].empty() && !is_same) {
-        changed.push_back(kept_[at]);
+      const bool is_same = !changed.empty() && changed.back() == changes_[at];
+      if (!changes_[at].empty() && !is_same) {
+        changed.push_back(changes_[at]);
       }
     }
     return changed;
@@ -48,7 +48,7 @@
 
  private:
   std::uint64_t count_ = 0;
-  boost::circular_buffer_space_optimized<base::replica_id> kept_{max_kept_changes};
+  boost::circular_buffer_space_optimized<base::replica_id> changes_{max_kept_changes};
 };
 
 } // namespace spurrack::catalog
--- a/src/catalog/entry_packing.cc
+++ b/src/catalog/entry_packing.cc
@@ -13,11 +13,11 @@
 namespace io = google::protobuf::io;
 
 /// Fewer bytes are sent as they are: compression would save less than a packet.
-constexpr std::size_t least_packed_bytes = 1'000;
+constexpr std::size_t min_packed_bytes = 1'000;
 /// The fastest level: the next ones save a tenth more for twice the time.
 constexpr int compression_level = 1;
 /// Larger contents are refused; six times the catalog of the largest fleet planned for.
-constexpr int most_unpacked_bytes = 64'000'000;
+constexpr int max_unpacked_bytes = 64'000'000;
 
 std::string compress(const wire::catalog_entries& content) {
   std::string packed;
@@ -38,7 +38,7 @@
   for (const auto& entry : entries) {
     bytes += entry.ByteSizeLong();
   }
-  if (bytes < least_packed_bytes) {
+  if (bytes < min_packed_bytes) {
     message.mutable_entries()->Assign(entries.begin(), entries.end());
     return;
   }
@@ -56,7 +56,7 @@
                               static_cast<int>(message.packed_entries().size()));
   io::GzipInputStream decompressor(&source, io::GzipInputStream::ZLIB);
   io::CodedInputStream bounded(&decompressor);
-  bounded.SetTotalBytesLimit(most_unpacked_bytes);
+  bounded.SetTotalBytesLimit(max_unpacked_bytes);
   wire::catalog_entries content;
   // Content that cannot be decompressed looks like none at all; none is never packed.
   if (!content.ParseFromCodedStream(&bounded) || content.entries().empty()) {
--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -18,7 +18,7 @@
 replicator::replicator(catalog& content, base::random_source& random, apply_observer observer)
     : content_(&content), random_(&random), observer_(std::move(observer)) {}
 
-bool replicator::take(const wire::catalog_entry& entry) {
+bool replicator::apply_entry(const wire::catalog_entry& entry) {
   const auto result = content_->apply(entry);
   if (result.verdict == apply_verdict::duplicate) {
     return false;
@@ -31,28 +31,28 @@
 
 void replicator::offer(const std::vector<wire::catalog_entry>& entries,
                        const std::vector<base::network_address>& peers, wire::outbox& out) {
-  std::vector<wire::catalog_entry> fresh;
+  std::vector<wire::catalog_entry> new_entries;
   for (const auto& entry : entries) {
-    if (take(entry)) {
-      fresh.push_back(entry);
+    if (apply_entry(entry)) {
+      new_entries.push_back(entry);
     }
   }
   const bool first_listing =
-      fresh.size() >= least_first_listing && fresh.size() * 2 >= content_->size();
+      new_entries.size() >= min_first_listing_entries && new_entries.size() * 2 >= content_->size();
   if (!first_listing) {
-    pass_on(fresh, rumour_hops, first_fanout, peers, out);
+    forward(new_entries, gossip_hops, reader_fanout, peers, out);
   }
 }
 
-void replicator::pass_on(const std::vector<wire::catalog_entry>& fresh, std::uint32_t hops,
+void replicator::forward(const std::vector<wire::catalog_entry>& new_entries, std::uint32_t hops,
                          std::size_t fanout, const std::vector<base::network_address>& peers,
                          wire::outbox& out) {
-  if (fresh.empty() || hops == 0) {
+  if (new_entries.empty() || hops == 0) {
     return;
   }
   wire::catalog_push body;
   body.set_hops_left(hops - 1);
-  pack_entries(fresh, body);
+  pack_entries(new_entries, body);
   auto candidates = peers;
   for (std::size_t sent = 0; sent < fanout && !candidates.empty(); ++sent) {
     wire::outgoing push{base::take_random(candidates, *random_), {}};
@@ -65,16 +65,16 @@
                          base::time_point now, wire::outbox& out) {
   if (peer_hash == content_->content_hash()) {
     differs_since_.reset();
-    period_ = exchange_period;
+    exchange_interval_ = min_exchange_interval;
     return;
   }
   const bool settled = has_settled(peer_hash, now);
-  const auto period = eager ? exchange_period : period_;
-  if ((!settled && !eager) || now - last_exchange_ < period || awaits_answer(now)) {
+  const auto period = eager ? min_exchange_interval : exchange_interval_;
+  if ((!settled && !eager) || now - last_exchange_at_ < period || is_answer_pending(now)) {
     return;
   }
-  last_exchange_ = now;
-  asked_ = peer;
+  last_exchange_at_ = now;
+  pending_peer_ = peer;
   wire::outgoing message{peer, {}};
   auto& body = *message.message.mutable_catalog_buckets();
   for (const auto hash : content_->bucket_hashes()) {
@@ -93,22 +93,23 @@
   return now - seen->second.first_seen >= settle_time || now - *differs_since_ >= settle_time;
 }
 
-bool replicator::awaits_answer(base::time_point now) const {
-  return asked_ && now - last_exchange_ < exchange_timeout;
+bool replicator::is_answer_pending(base::time_point now) const {
+  return pending_peer_ && now - last_exchange_at_ < exchange_timeout;
 }
 
-void replicator::note_answer(const base::network_address& peer, bool brought_news) {
-  if (asked_ != peer) {
+void replicator::note_answer(const base::network_address& peer, bool had_new_entries) {
+  if (pending_peer_ != peer) {
     return;
   }
-  asked_.reset();
-  period_ = brought_news ? exchange_period : std::min(period_ * 2, longest_exchange_period);
+  pending_peer_.reset();
+  exchange_interval_ = had_new_entries ? min_exchange_interval
+                                       : std::min(exchange_interval_ * 2, max_exchange_interval);
 }
 
 void replicator::handle(const wire::envelope& message, const peer_lister& peers,
                         base::time_point now, wire::outbox& out) {
   if (message.has_catalog_push()) {
-    take_push(message, peers, out);
+    apply_push(message, peers, out);
   } else if (message.has_catalog_buckets()) {
     answer_buckets(message, now, out);
   } else if (message.has_catalog_pull()) {
@@ -116,36 +117,36 @@
   }
 }
 
-void replicator::take_push(const wire::envelope& message, const peer_lister& peers,
-                           wire::outbox& out) {
+void replicator::apply_push(const wire::envelope& message, const peer_lister& peers,
+                            wire::outbox& out) {
   const auto& push = message.catalog_push();
   const auto entries = unpack_entries(push);
   if (!entries) {
     observer_({}, {apply_verdict::rejected, "entries of " + message.sender() + " are unreadable"});
   }
-  std::vector<wire::catalog_entry> fresh;
+  std::vector<wire::catalog_entry> new_entries;
   for (const auto& entry : entries.value_or(std::vector<wire::catalog_entry>{})) {
-    if (take(entry)) {
-      fresh.push_back(entry);
+    if (apply_entry(entry)) {
+      new_entries.push_back(entry);
     }
   }
   if (push.answers_comparison()) {
-    note_answer(base::network_address(message.sender_address()), !fresh.empty());
+    note_answer(base::network_address(message.sender_address()), !new_entries.empty());
   }
-  if (!fresh.empty() && push.hops_left() > 0) {
-    pass_on(fresh, push.hops_left(), rumour_fanout, peers(), out);
+  if (!new_entries.empty() && push.hops_left() > 0) {
+    forward(new_entries, push.hops_left(), gossip_fanout, peers(), out);
   }
 }
 
 bool replicator::may_answer(std::size_t entries, base::time_point now) {
-  if (entries < large_answer) {
+  if (entries < large_answer_entries) {
     return true;
   }
-  if (now - large_answers_since_ >= large_answer_period) {
-    large_answers_since_ = now;
+  if (now - large_answer_period_started_at_ >= large_answer_period) {
+    large_answer_period_started_at_ = now;
     large_answers_ = 0;
   }
-  return large_answers_++ < most_large_answers;
+  return large_answers_++ < max_large_answers;
 }
 
 void replicator::answer_buckets(const wire::envelope& message, base::time_point now,
--- a/src/catalog/service_watch.cc
+++ b/src/catalog/service_watch.cc
@@ -5,59 +5,61 @@
 namespace spurrack::catalog {
 
 std::optional<base::revision> service_watch::next_read(bool may_read, base::time_point now) {
-  if (outstanding_ && now - outstanding_since_ < watch_timeout && !is_lost(now)) {
+  if (is_pending_ && now - pending_since_ < watch_timeout && !has_lost_answer(now)) {
     return std::nullopt;
   }
-  if (!may_read || now < next_try_) {
+  if (!may_read || now < next_read_at_) {
     return std::nullopt;
   }
-  begun_anew_ = outstanding_;
+  is_restarted_ = is_pending_;
   behind_since_.reset();
-  outstanding_ = true;
-  outstanding_since_ = now;
-  probed_at_ = now;
-  const bool lists_again = settles_at_ && now >= *settles_at_;
-  const auto after = lists_again ? 0 : cursor_;
+  is_pending_ = true;
+  pending_since_ = now;
+  last_probe_at_ = now;
+  const bool should_relist = relist_at_ && now >= *relist_at_;
+  const auto after = should_relist ? 0 : cursor_;
   ++(after == 0 ? calls_.listings : calls_.watches);
-  calls_.restarted_watches += begun_anew_ ? 1 : 0;
+  calls_.restarted_watches += is_restarted_ ? 1 : 0;
   return after;
 }
 
 void service_watch::note_latest_revision(base::store_era era, base::revision newest,
                                          base::time_point now) {
   const bool is_behind =
-      outstanding_ && !begun_anew_ && cursor_ > 0 && era == era_ && newest > cursor_;
+      is_pending_ && !is_restarted_ && cursor_ > 0 && era == era_ && newest > cursor_;
   behind_since_ = is_behind ? behind_since_.value_or(now) : std::optional<base::time_point>();
 }
 
 bool service_watch::start_probe_if_due(base::time_point now) {
-  const bool is_due = outstanding_ && cursor_ > 0 && now - probed_at_ >= probe_period;
+  const bool is_due = is_pending_ && cursor_ > 0 && now - last_probe_at_ >= probe_period;
   if (is_due) {
-    probed_at_ = now;
+    last_probe_at_ = now;
     ++calls_.probes;
   }
   return is_due;
 }
 
-bool service_watch::is_lost(base::time_point now) const {
-  return behind_since_ && now - *behind_since_ >= lost_answer_time;
+bool service_watch::has_lost_answer(base::time_point now) const {
+  return behind_since_ && now - *behind_since_ >= lost_answer_timeout;
 }
 
 answer_meaning service_watch::on_answer(const service_position& answered, bool has_changes,
                                         base::time_point now) {
-  outstanding_ = false;
-  begun_anew_ = false;
-  last_answer_ = now;
-  backoff_ = std::min(retry_first, timing_.max_retry_interval);
-  const bool keep_coming = has_changes && now - outstanding_since_ < rest_;
-  rest_ = keep_coming ? std::min(rest_ * 2, std::max(timing_.max_read_interval, min_read_interval))
-                      : min_read_interval;
-  next_try_ = has_changes ? now + rest_ : now;
+  is_pending_ = false;
+  is_restarted_ = false;
+  last_answer_at_ = now;
+  retry_interval_ = std::min(initial_retry_interval, timing_.max_retry_interval);
+  const bool has_frequent_changes = has_changes && now - pending_since_ < read_interval_;
+  read_interval_ =
+      has_frequent_changes
+          ? std::min(read_interval_ * 2, std::max(timing_.max_read_interval, min_read_interval))
+          : min_read_interval;
+  next_read_at_ = has_changes ? now + read_interval_ : now;
   answer_meaning meaning;
   meaning.is_outdated = answered.era && *answered.era < era_;
-  meaning.is_implausible = answered.era && era_ > 0 && *answered.era > era_ + most_eras_missed;
+  meaning.is_implausible = answered.era && era_ > 0 && *answered.era > era_ + max_missed_eras;
   if (meaning.is_outdated || meaning.is_implausible) {
-    next_try_ = now + retry_first;
+    next_read_at_ = now + initial_retry_interval;
     meaning.era = era_;
     return meaning;
   }
@@ -67,23 +69,23 @@
   meaning.era = era_;
   cursor_ = answered.revision;
   if (meaning.is_new_era) {
-    settles_at_ = now + era_settle_time;
+    relist_at_ = now + era_settle_time;
     cursor_ = answered.is_listing ? answered.revision : 0;
-    next_try_ = now;
+    next_read_at_ = now;
   }
-  const bool settles = settles_at_ && now >= *settles_at_;
-  meaning.should_delete_unlisted = answered.is_listing && (!settles_at_ || settles);
-  if (answered.is_listing && settles) {
-    settles_at_.reset();
+  const bool is_relist_due = relist_at_ && now >= *relist_at_;
+  meaning.should_delete_unlisted = answered.is_listing && (!relist_at_ || is_relist_due);
+  if (answered.is_listing && is_relist_due) {
+    relist_at_.reset();
   }
   return meaning;
 }
 
 void service_watch::on_failure(base::time_point now) {
-  outstanding_ = false;
-  begun_anew_ = false;
-  next_try_ = now + backoff_;
-  backoff_ = std::min(backoff_ * 2, timing_.max_retry_interval);
+  is_pending_ = false;
+  is_restarted_ = false;
+  next_read_at_ = now + retry_interval_;
+  retry_interval_ = std::min(retry_interval_ * 2, timing_.max_retry_interval);
 }
 
 } // namespace spurrack::catalog
--- a/src/catalog/service_watch.h
+++ b/src/catalog/service_watch.h
@@ -70,8 +70,8 @@
   /// While a watch is held, the service is asked this often whether it still answers this node.
   static constexpr base::duration probe_period = std::chrono::seconds(2);
   /// What others know and a watch has not told for this time was told in an answer that is lost.
-  static constexpr base::duration lost_answer_time = std::chrono::seconds(1);
-  static constexpr base::duration retry_first = std::chrono::milliseconds(250);
+  static constexpr base::duration lost_answer_timeout = std::chrono::seconds(1);
+  static constexpr base::duration initial_retry_interval = std::chrono::milliseconds(250);
   /// A watch without answer is given up after this time, longer than the service holds one.
   static constexpr base::duration watch_timeout = std::chrono::seconds(20);
   /// Rest after an answer that brought changes, so that a burst of them takes few calls; doubled up
@@ -82,10 +82,11 @@
   static constexpr base::duration era_settle_time = std::chrono::milliseconds(3000);
   /// Eras rise by one; a node that was cut off for long may have missed some. An answer that is
   /// farther ahead is malformed, and believing it would make every later one look outdated.
-  static constexpr base::store_era most_eras_missed = 1'000;
+  static constexpr base::store_era max_missed_eras = 1'000;
 
   explicit service_watch(const watch_timing& timing = {})
-      : timing_(timing), backoff_(std::min(retry_first, timing.max_retry_interval)) {}
+      : timing_(timing),
+        retry_interval_(std::min(initial_retry_interval, timing.max_retry_interval)) {}
   [[nodiscard]] base::duration max_hold_time() const { return timing_.max_hold_time; }
 
   /// @return the revision after which to read, where a read is due now.
@@ -102,30 +103,30 @@
                            base::time_point now);
   void on_failure(base::time_point now);
 
-  [[nodiscard]] bool has_answered() const { return last_answer_.has_value(); }
-  [[nodiscard]] std::optional<base::time_point> last_answer_at() const { return last_answer_; }
+  [[nodiscard]] bool has_answered() const { return last_answer_at_.has_value(); }
+  [[nodiscard]] std::optional<base::time_point> last_answer_at() const { return last_answer_at_; }
   [[nodiscard]] const service_calls& calls() const { return calls_; }
 
  private:
-  [[nodiscard]] bool is_lost(base::time_point now) const;
+  [[nodiscard]] bool has_lost_answer(base::time_point now) const;
 
-  bool outstanding_ = false;
+  bool is_pending_ = false;
   /// Since when others know what the watch under way has not told; nothing where they do not, and
   /// after the watch was begun anew for it: a listing may name a revision that changed nothing.
   std::optional<base::time_point> behind_since_;
-  bool begun_anew_ = false;
+  bool is_restarted_ = false;
   base::revision cursor_ = 0;
   base::store_era era_ = 0;
   /// When the service is listed once more after the first listing of an era.
-  std::optional<base::time_point> settles_at_;
-  base::time_point outstanding_since_;
-  base::time_point next_try_;
+  std::optional<base::time_point> relist_at_;
+  base::time_point pending_since_;
+  base::time_point next_read_at_;
   watch_timing timing_;
-  base::duration rest_ = min_read_interval;
+  base::duration read_interval_ = min_read_interval;
   /// When the read under way was begun, or the service was probed for it last.
-  base::time_point probed_at_;
-  base::duration backoff_;
-  std::optional<base::time_point> last_answer_;
+  base::time_point last_probe_at_;
+  base::duration retry_interval_;
+  std::optional<base::time_point> last_answer_at_;
   service_calls calls_;
 };
 
--- a/tests/catalog/replicator_test.cc
+++ b/tests/catalog/replicator_test.cc
@@ -52,9 +52,9 @@
   constexpr int rounds = 8;
   for (int round = 0; round < rounds && !compared; ++round) {
     now += std::chrono::milliseconds(200);
-    const auto fresh = entry(static_cast<std::uint64_t>(round) + 2, "changing");
-    ahead.subject.offer({fresh}, {}, none);
-    behind.subject.offer({fresh}, {}, none);
+    const auto new_entries = entry(static_cast<std::uint64_t>(round) + 2, "changing");
+    ahead.subject.offer({new_entries}, {}, none);
+    behind.subject.offer({new_entries}, {}, none);
     wire::outbox out;
     behind.subject.compare(base::network_address("a:1"), ahead.content.content_hash(), false, now,
                            out);
@@ -153,7 +153,7 @@
     BOOST_TEST(answer.message.catalog_push().answers_comparison());
     full_answers += answer.message.catalog_push().packed_entries().empty() ? 0 : 1;
   }
-  BOOST_TEST(full_answers == catalog::replicator::most_large_answers);
+  BOOST_TEST(full_answers == catalog::replicator::max_large_answers);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/catalog/service_watch_test.cc
+++ b/tests/catalog/service_watch_test.cc
@@ -82,10 +82,10 @@
   BOOST_TEST((subject.next_read(true, now) == 100U));
   // Peers bring the same news a moment before the answer, which is nothing unusual.
   subject.note_latest_revision(1, 101, now);
-  now += service_watch::lost_answer_time / 2;
+  now += service_watch::lost_answer_timeout / 2;
   subject.note_latest_revision(1, 101, now);
   BOOST_TEST(!subject.next_read(true, now).has_value());
-  now += service_watch::lost_answer_time / 2;
+  now += service_watch::lost_answer_timeout / 2;
   subject.note_latest_revision(1, 101, now);
   BOOST_TEST((subject.next_read(true, now) == 100U));
 }
