--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -27,7 +27,7 @@
   return key.substr(key.find('/') + 1);
 }
 
-/// What the hash of an entry covers.
+/// The part of an entry's version that its hash covers.
 struct hashed_version {
   base::revision revision = 0;
   std::uint64_t value_hash = 0;
@@ -58,7 +58,7 @@
   if (!switches_.revision_order) {
     return false;
   }
-  // An invalid entry of a replica takes the place of the accepted one.
+  // An invalid entry of a replica replaces the accepted entry.
   const bool is_before_rejected =
       is_replica_key(key) && current.rejected && offered < current.rejected->at;
   return is_before_rejected || (current.accepted && offered < current.accepted->at);
@@ -68,32 +68,33 @@
   auto& current = slots_[entry.key()];
   stored_entry offered{version_of(entry), entry};
   if (offered.at.era == 0) {
-    // Of an older build, which may be all that reads the store in this zone: what it tells is news.
+    // The entry comes from a node of an older build. Such nodes may be the only readers of the
+    // store in this zone, so the entry counts as one of the latest era.
     offered.at.era = highest_.era;
     offered.entry.set_era(highest_.era);
   }
   if (is_duplicate(current, offered.at)) {
     return {apply_verdict::duplicate, {}};
   }
-  // What a configuration says of its own version goes before where it was written.
+  // A configuration is ordered by its own version first, which is known only after parsing.
   const bool is_configuration = entry.key() == model::configuration_key && !entry.deleted();
   if (!is_configuration && is_older(entry.key(), current, offered.at)) {
     return {apply_verdict::older, {}};
   }
   highest_ = std::max(highest_, offered.at);
-  auto& newest = is_replica_key(entry.key()) ? latest_replica_position_ : latest_operator_position_;
-  newest = std::max(newest, store_position{offered.at.era, offered.at.revision});
+  auto& latest = is_replica_key(entry.key()) ? latest_replica_position_ : latest_operator_position_;
+  latest = std::max(latest, store_position{offered.at.era, offered.at.revision});
   if (entry.deleted()) {
     accept(current, std::move(offered), std::nullopt);
     return {apply_verdict::accepted, {}};
   }
-  auto read = parse_value(entry.key(), entry.value());
-  if (auto* value = std::get_if<any_record>(&read)) {
+  auto parsed = parse_value(entry.key(), entry.value());
+  if (auto* value = std::get_if<any_record>(&parsed)) {
     if (is_configuration && is_older_configuration(current, offered.at, *value)) {
       return {apply_verdict::older, {}};
     }
-    auto taken = merge_known_state(current, offered.at, std::move(*value));
-    accept(current, std::move(offered), std::move(taken));
+    auto merged = merge_known_state(current, offered.at, std::move(*value));
+    accept(current, std::move(offered), std::move(merged));
     return {apply_verdict::accepted, {}};
   }
   if (is_older(entry.key(), current, offered.at)) {
@@ -102,7 +103,7 @@
   if (current.rejected && offered.at < current.rejected->at) {
     return {apply_verdict::older, {}};
   }
-  return reject(current, std::move(offered), std::get<std::string>(std::move(read)));
+  return reject(current, std::move(offered), std::get<std::string>(std::move(parsed)));
 }
 
 bool catalog::is_older_configuration(const slot& current, const version& offered,
@@ -110,9 +111,9 @@
   if (!switches_.revision_order || !serving_ || !current.accepted) {
     return false;
   }
-  const auto& read = std::get<std::shared_ptr<const model::serving_configuration>>(value);
-  if (read->version != serving_->version) {
-    return read->version < serving_->version;
+  const auto& configuration = std::get<std::shared_ptr<const model::serving_configuration>>(value);
+  if (configuration->version != serving_->version) {
+    return configuration->version < serving_->version;
   }
   return offered < current.accepted->at;
 }
@@ -120,50 +121,50 @@
 catalog::any_record catalog::merge_known_state(const slot& current, const version& offered,
                                                any_record value) {
   auto* replica = std::get_if<std::shared_ptr<const model::replica>>(&value);
-  const bool rolls_back =
+  const bool is_rolled_back =
       current.accepted && current.accepted->at.era > 0 && offered.era > current.accepted->at.era;
-  if (replica == nullptr || !rolls_back) {
+  if (replica == nullptr || !is_rolled_back) {
     return value;
   }
   const auto& known = current.accepted->entry;
-  auto changed = std::make_shared<model::replica>(**replica);
+  auto merged = std::make_shared<model::replica>(**replica);
   if (known.deleted()) {
-    changed->may_be_gone = true;
+    merged->may_be_gone = true;
   } else {
-    const auto before = model::parse_replica(known.value());
-    const auto* record = std::get_if<std::shared_ptr<const model::replica>>(&before);
+    const auto parsed = model::parse_replica(known.value());
+    const auto* record = std::get_if<std::shared_ptr<const model::replica>>(&parsed);
     const bool is_same_incarnation =
-        record != nullptr && (*record)->incarnation == changed->incarnation;
-    changed->draining = changed->draining || (is_same_incarnation && (*record)->draining);
+        record != nullptr && (*record)->incarnation == merged->incarnation;
+    merged->draining = merged->draining || (is_same_incarnation && (*record)->draining);
   }
-  return std::shared_ptr<const model::replica>(std::move(changed));
+  return std::shared_ptr<const model::replica>(std::move(merged));
 }
 
 catalog::parse_result catalog::parse_value(const std::string& key, const std::string& value) {
   if (key == model::configuration_key) {
-    auto read = model::parse_configuration(value);
-    if (auto* refused = std::get_if<model::refusal_reason>(&read)) {
-      return std::move(refused->text);
+    auto parsed = model::parse_configuration(value);
+    if (auto* reason = std::get_if<model::refusal_reason>(&parsed)) {
+      return std::move(reason->text);
     }
-    return any_record(std::get<0>(std::move(read)));
+    return any_record(std::get<0>(std::move(parsed)));
   }
   if (key.starts_with(model::replica_prefix)) {
-    auto read = model::parse_replica(value);
-    if (auto* refused = std::get_if<model::refusal_reason>(&read)) {
-      return std::move(refused->text);
+    auto parsed = model::parse_replica(value);
+    if (auto* reason = std::get_if<model::refusal_reason>(&parsed)) {
+      return std::move(reason->text);
     }
-    auto& replica = std::get<std::shared_ptr<const model::replica>>(read);
+    auto& replica = std::get<std::shared_ptr<const model::replica>>(parsed);
     if (replica->id.text() != name_in_key(key)) {
-      return "its id is not that of its key";
+      return "its id differs from the id in its key";
     }
     return any_record(std::move(replica));
   }
   if (key.starts_with(model::evacuation_prefix)) {
-    auto read = model::parse_evacuation(value);
-    if (auto* refused = std::get_if<model::refusal_reason>(&read)) {
-      return std::move(refused->text);
+    auto parsed = model::parse_evacuation(value);
+    if (auto* reason = std::get_if<model::refusal_reason>(&parsed)) {
+      return std::move(reason->text);
     }
-    return any_record(std::get<model::evacuation>(std::move(read)));
+    return any_record(std::get<model::evacuation>(std::move(parsed)));
   }
   auto parsed = model::parse_record(key, value);
   if (!parsed.value) {
@@ -210,7 +211,8 @@
   std::uint64_t hash = base::stable_hash(key);
   for (const auto* stored : {&current.accepted, &current.rejected}) {
     const auto at = *stored ? (*stored)->at : version{};
-    // Without the era: nodes of an older build, which do not know it, have the same content.
+    // The era is left out: nodes of an older build do not know it, and their hash of the same
+    // content must be equal.
     const hashed_version hashed{at.revision, at.value_hash};
     hash = base::stable_hash(raw_bytes(hashed), hash);
   }
@@ -221,12 +223,12 @@
 void catalog::index(const std::string& key, const any_record& value) {
   if (const auto* record = std::get_if<model::record>(&value)) {
     index(key, *record);
-  } else if (const auto* fleet =
+  } else if (const auto* configuration =
                  std::get_if<std::shared_ptr<const model::serving_configuration>>(&value)) {
-    serving_ = *fleet;
+    serving_ = *configuration;
     changes_.add({});
-  } else if (const auto* emptied = std::get_if<model::evacuation>(&value)) {
-    evacuated_zones_.insert(emptied->zone);
+  } else if (const auto* evacuation = std::get_if<model::evacuation>(&value)) {
+    evacuated_zones_.insert(evacuation->zone);
     changes_.add({});
   } else {
     const auto& replica = std::get<std::shared_ptr<const model::replica>>(value);
@@ -238,9 +240,9 @@
 void catalog::index(const std::string& key, const model::record& value) {
   if (const auto* pipeline = std::get_if<std::shared_ptr<const model::pipeline_template>>(&value)) {
     templates_[(*pipeline)->name] = *pipeline;
-  } else if (const auto* owner = std::get_if<std::shared_ptr<const model::tenant>>(&value)) {
-    tenants_[(*owner)->name] = *owner;
-    tenants_by_token_[(*owner)->token_sha256].insert((*owner)->name);
+  } else if (const auto* tenant = std::get_if<std::shared_ptr<const model::tenant>>(&value)) {
+    tenants_[(*tenant)->name] = *owner;
+    tenants_by_token_[(*tenant)->token_sha256].insert((*tenant)->name);
   } else {
     machines_[name_in_key(key)] = std::get<std::shared_ptr<const model::machine>>(value);
   }
@@ -296,12 +298,12 @@
   if (listed.contains(key) || latest_position_of(key) >= at) {
     return;
   }
-  wire::catalog_entry gone;
-  gone.set_key(key);
-  gone.set_era(at.era);
-  gone.set_revision(at.revision);
-  gone.set_deleted(true);
-  deletions.push_back(std::move(gone));
+  wire::catalog_entry deletion;
+  deletion.set_key(key);
+  deletion.set_era(at.era);
+  deletion.set_revision(at.revision);
+  deletion.set_deleted(true);
+  deletions.push_back(std::move(deletion));
 }
 
 void catalog::remove_tenant(const base::tenant_id& name) {
@@ -379,16 +381,16 @@
 
 store_position catalog::latest_position_of(const std::string& key) const {
   const auto found = slots_.find(key);
-  store_position newest;
+  store_position latest;
   if (found == slots_.end()) {
-    return newest;
+    return latest;
   }
   for (const auto* stored : {&found->second.accepted, &found->second.rejected}) {
     if (*stored) {
-      newest = std::max(newest, {(*stored)->at.era, (*stored)->at.revision});
+      latest = std::max(latest, {(*stored)->at.era, (*stored)->at.revision});
     }
   }
-  return newest;
+  return latest;
 }
 
 std::vector<rejection> catalog::rejections() const {
--- a/src/catalog/change_log.h
+++ b/src/catalog/change_log.h
@@ -1,4 +1,4 @@
-/// Which replicas changed of late, so that readers look at those and not at all.
+/// Log of the replicas that changed recently, so that readers need not check all replicas.
 #pragma once
 
 #include "base/ids.h"
@@ -13,34 +13,35 @@
 
 namespace spurrack::catalog {
 
-/// Changes of the serving path in their order, the latest few thousand. Not thread-safe.
+/// The latest few thousand changes of the serving path, in their order. Not thread-safe.
 class change_log {
  public:
-  /// More changes than a reader that looks ten times a second misses in a listing of a large fleet
-  /// are not kept: it reads everything then.
+  /// Number of changes that are kept: more than a listing of a large fleet brings between two
+  /// checks of a reader that checks ten times per second. A reader that missed more changes has to
+  /// check all replicas.
   static constexpr std::size_t max_kept_changes = 4'096;
 
-  /// @param replica empty where something else changed.
+  /// @param replica empty if something other than a replica changed.
   void add(base::replica_id replica) {
     ++count_;
     changes_.push_back(std::move(replica));
   }
-  /// @return changes ever added.
+  /// @return number of changes ever added.
   [[nodiscard]] std::uint64_t count() const { return count_; }
-  /// @param seen how many changes a reader has seen.
-  /// @return the replicas of all changes since, those that changed at several times as often;
-  ///         nothing where not all of them are kept.
+  /// @param seen value of `count()` when the reader last checked.
+  /// @return the replicas of all changes since then; a replica that changed several times may
+  ///         appear several times. std::nullopt if not all of these changes are kept.
   [[nodiscard]] std::optional<std::vector<base::replica_id>> since(std::uint64_t seen) const {
     if (seen > count_ || count_ - seen > changes_.size()) {
       return std::nullopt;
     }
     std::vector<base::replica_id> changed;
-    for (auto at = changes_.size() - static_cast<std::size_t>(count_ - seen); at < changes_.size();
-         ++at) {
-      // What is replaced goes and comes.
-      const bool is_same = !changed.empty() && changed.back() == changes_[at];
-      if (!changes_[at].empty() && !is_same) {
-        changed.push_back(changes_[at]);
+    for (auto index = changes_.size() - static_cast<std::size_t>(count_ - seen);
+         index < changes_.size(); ++index) {
+      // Replacing a replica adds two changes in a row: its removal and its insertion.
+      const bool is_same = !changed.empty() && changed.back() == changes_[index];
+      if (!changes_[index].empty() && !is_same) {
+        changed.push_back(changes_[index]);
       }
     }
     return changed;
--- a/src/catalog/entry_packing.cc
+++ b/src/catalog/entry_packing.cc
@@ -12,11 +12,11 @@
 
 namespace io = google::protobuf::io;
 
-/// Fewer bytes are sent as they are: compression would save less than a packet.
+/// Fewer bytes are sent uncompressed: compression would save less than a packet.
 constexpr std::size_t min_packed_bytes = 1'000;
-/// The fastest level: the next ones save a tenth more for twice the time.
+/// The fastest level: the next levels save a tenth more bytes for twice the time.
 constexpr int compression_level = 1;
-/// Larger contents are refused; six times the catalog of the largest fleet planned for.
+/// Larger contents are rejected; six times the catalog of the largest planned fleet.
 constexpr int max_unpacked_bytes = 64'000'000;
 
 std::string compress(const wire::catalog_entries& content) {
@@ -58,7 +58,7 @@
   io::CodedInputStream bounded(&decompressor);
   bounded.SetTotalBytesLimit(max_unpacked_bytes);
   wire::catalog_entries content;
-  // Content that cannot be decompressed looks like none at all; none is never packed.
+  // Content that cannot be decompressed parses as empty; empty content is never compressed.
   if (!content.ParseFromCodedStream(&bounded) || content.entries().empty()) {
     return std::nullopt;
   }
--- a/src/catalog/entry_packing.h
+++ b/src/catalog/entry_packing.h
@@ -1,6 +1,7 @@
-/// Entries of the catalog inside a message. Many are compressed: the records of replicas are much
-/// alike, 3,000 of them take 245 kB as they are and 50 kB packed, and it is the links of the
-/// smallest nodes that bound how fast a large fleet starts (tests/catalog/entry_packing_test.cc).
+/// Packing of catalog entries into messages. Large numbers of entries are compressed: the records
+/// of replicas resemble each other, 3,000 of them take 245 kB uncompressed and 50 kB compressed,
+/// and the links of the smallest nodes limit how fast a large fleet starts
+/// (tests/catalog/entry_packing_test.cc).
 #pragma once
 
 #include "wire/peer.pb.h"
@@ -10,10 +11,10 @@
 
 namespace spurrack::catalog {
 
-/// Adds entries to a message.
+/// Adds entries to a message, compressed if they are large.
 void pack_entries(const std::vector<wire::catalog_entry>& entries, wire::catalog_push& message);
 
-/// @return all entries of a message; nothing where the compressed ones cannot be read.
+/// @return all entries of a message; std::nullopt if its compressed entries cannot be read.
 [[nodiscard]] std::optional<std::vector<wire::catalog_entry>>
 unpack_entries(const wire::catalog_push& message);
 
--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -8,9 +8,9 @@
 namespace spurrack::catalog {
 namespace {
 
-/// A peer's content that was not heard of for this time is forgotten.
+/// Time after which a content hash that no peer has sent is dropped.
 constexpr base::duration foreign_hash_lifetime = std::chrono::seconds(3);
-/// Hash of a bucket that holds nothing.
+/// Hash of an empty bucket.
 constexpr std::uint64_t empty_bucket_hash = 0;
 
 } // namespace
@@ -37,9 +37,9 @@
       new_entries.push_back(entry);
     }
   }
-  const bool first_listing =
+  const bool is_first_listing =
       new_entries.size() >= min_first_listing_entries && new_entries.size() * 2 >= content_->size();
-  if (!first_listing) {
+  if (!is_first_listing) {
     forward(new_entries, gossip_hops, reader_fanout, peers, out);
   }
 }
@@ -68,9 +68,9 @@
     exchange_interval_ = min_exchange_interval;
     return;
   }
-  const bool settled = has_settled(peer_hash, now);
-  const auto period = eager ? min_exchange_interval : exchange_interval_;
-  if ((!settled && !eager) || now - last_exchange_at_ < period || is_answer_pending(now)) {
+  const bool is_settled = has_settled(peer_hash, now);
+  const auto interval = eager ? min_exchange_interval : exchange_interval_;
+  if ((!is_settled && !eager) || now - last_exchange_at_ < interval || is_answer_pending(now)) {
     return;
   }
   last_exchange_at_ = now;
@@ -158,13 +158,13 @@
   const base::network_address sender(message.sender_address());
   wire::outgoing pull{sender, {}};
   auto& body = *pull.message.mutable_catalog_pull();
-  bucket_set different;
+  bucket_set differing;
   for (std::size_t bucket = 0; bucket < catalog::bucket_count; ++bucket) {
     const auto their_hash = theirs.hashes(static_cast<int>(bucket));
     if (their_hash == content_->bucket_hashes()[bucket]) {
       continue;
     }
-    different.set(bucket);
+    differing.set(bucket);
     if (their_hash != empty_bucket_hash) {
       body.add_buckets(static_cast<std::uint32_t>(bucket));
     }
@@ -172,13 +172,14 @@
   wire::outgoing push{sender, {}};
   auto& answer = *push.message.mutable_catalog_push();
   answer.set_answers_comparison(true);
-  // Counted before they are copied: of those who ask while a fleet starts, most are sent on.
-  const bool answered = may_answer(content_->count_in(different), now);
-  if (answered) {
-    pack_entries(content_->entries_in(different), answer);
-  }
-  // The pull goes first: after the push the peer would send everything back.
-  if (answered && body.buckets_size() > 0) {
+  // The entries are counted before they are copied, because while a fleet starts most requesters
+  // are referred to another node.
+  const bool has_answer = may_answer(content_->count_in(differing), now);
+  if (has_answer) {
+    pack_entries(content_->entries_in(differing), answer);
+  }
+  // The pull is sent first: after the push, the peer would send all pushed entries back.
+  if (has_answer && body.buckets_size() > 0) {
     out.push_back(std::move(pull));
   }
   out.push_back(std::move(push));
--- a/src/catalog/service_watch.cc
+++ b/src/catalog/service_watch.cc
@@ -23,10 +23,10 @@
   return after;
 }
 
-void service_watch::note_latest_revision(base::store_era era, base::revision newest,
+void service_watch::note_latest_revision(base::store_era era, base::revision latest,
                                          base::time_point now) {
   const bool is_behind =
-      is_pending_ && !is_restarted_ && cursor_ > 0 && era == era_ && newest > cursor_;
+      is_pending_ && !is_restarted_ && cursor_ > 0 && era == era_ && latest > cursor_;
   behind_since_ = is_behind ? behind_since_.value_or(now) : std::optional<base::time_point>();
 }
 
--- a/tests/catalog/replicator_test.cc
+++ b/tests/catalog/replicator_test.cc
@@ -52,9 +52,9 @@
   constexpr int rounds = 8;
   for (int round = 0; round < rounds && !compared; ++round) {
     now += std::chrono::milliseconds(200);
-    const auto new_entries = entry(static_cast<std::uint64_t>(round) + 2, "changing");
-    ahead.subject.offer({new_entries}, {}, none);
-    behind.subject.offer({new_entries}, {}, none);
+    const auto fresh = entry(static_cast<std::uint64_t>(round) + 2, "changing");
+    ahead.subject.offer({fresh}, {}, none);
+    behind.subject.offer({fresh}, {}, none);
     wire::outbox out;
     behind.subject.compare(base::network_address("a:1"), ahead.content.content_hash(), false, now,
                            out);
