--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr std::size_t indirect_probe_count = 2;
-constexpr std::size_t max_rumours_per_message = 6;
-constexpr unsigned rumour_multiplier = 3;
+constexpr std::size_t max_gossip_per_message = 6;
+constexpr unsigned gossip_multiplier = 3;
 /// How strongly a state overrides another at the same incarnation.
-int rank(wire::member_state state) {
+int state_precedence(wire::member_state state) {
   switch (state) {
   case wire::DEAD:
     return 2;
@@ -63,17 +63,17 @@
     }
     const base::node_id node(id);
     listed.insert(node);
-    auto [place, added] = members_.try_emplace(node);
+    auto [entry, added] = members_.try_emplace(node);
     if (added) {
-      place->second.node = node;
-      place->second.since = now;
+      entry->second.node = node;
+      entry->second.since = now;
     }
-    place->second.zone = machine->zone;
-    place->second.address = machine->address;
+    entry->second.zone = machine->zone;
+    entry->second.address = machine->address;
     zones_by_address_[machine->address] = machine->zone;
   }
-  list_known_ = list_known_ || !machines.empty();
-  if (list_known_) {
+  is_list_known_ = is_list_known_ || !machines.empty();
+  if (is_list_known_) {
     std::erase_if(members_, [&](const auto& entry) { return !listed.contains(entry.first); });
   }
 }
@@ -92,19 +92,19 @@
 }
 
 bool membership::may_be_member(const base::node_id& node) const {
-  return !list_known_ || members_.contains(node);
+  return !is_list_known_ || members_.contains(node);
 }
 
 void membership::observe(const wire::envelope& message, base::time_point now) {
   zones_.observe(message, now);
-  wire::member_update direct;
-  direct.set_node(message.sender());
-  direct.set_incarnation(message.sender_incarnation());
-  direct.set_state(wire::ALIVE);
-  direct.set_address(message.sender_address());
-  direct.set_zone(message.sender_zone());
-  direct.set_processor_share(message.sender_processor_share());
-  apply_update(direct, now);
+  wire::member_update sender_update;
+  sender_update.set_node(message.sender());
+  sender_update.set_incarnation(message.sender_incarnation());
+  sender_update.set_state(wire::ALIVE);
+  sender_update.set_address(message.sender_address());
+  sender_update.set_zone(message.sender_zone());
+  sender_update.set_processor_share(message.sender_processor_share());
+  apply_update(sender_update, now);
   for (const auto& update : message.updates()) {
     apply_update(update, now);
   }
@@ -123,33 +123,33 @@
   }
   auto found = members_.find(node);
   if (found == members_.end()) {
-    if (list_known_ || update.state() != wire::ALIVE) {
+    if (is_list_known_ || update.state() != wire::ALIVE) {
       return;
     }
-    member fresh;
-    fresh.node = node;
-    fresh.zone = base::zone_id(update.zone());
-    fresh.address = base::network_address(update.address());
-    found = members_.emplace(node, fresh).first;
-    zones_by_address_[fresh.address] = fresh.zone;
-    grew_at_ = now;
-    introduced_at_ = introduced_at_.value_or(now);
+    member new_member;
+    new_member.node = node;
+    new_member.zone = base::zone_id(update.zone());
+    new_member.address = base::network_address(update.address());
+    found = members_.emplace(node, new_member).first;
+    zones_by_address_[new_member.address] = new_member.zone;
+    last_member_added_at_ = now;
+    first_member_added_at_ = first_member_added_at_.value_or(now);
   }
   auto& subject = found->second;
   if (update.processor_share() > 0 && update.processor_share() != subject.processor_share) {
     subject.processor_share = update.processor_share();
     note_change();
   }
-  const bool newer = update.incarnation() > subject.incarnation;
-  const bool stronger =
-      update.incarnation() == subject.incarnation && rank(update.state()) > rank(subject.state);
-  if (newer || stronger) {
+  const bool is_newer = update.incarnation() > subject.incarnation;
+  const bool is_stronger = update.incarnation() == subject.incarnation &&
+                           state_precedence(update.state()) > state_precedence(subject.state);
+  if (is_newer || is_stronger) {
     set_state(subject, update.state(), update.incarnation(), now);
   }
 }
 
-void membership::refute(base::incarnation rumoured) {
-  incarnation_ = rumoured + 1;
+void membership::refute(base::incarnation reported_incarnation) {
+  incarnation_ = reported_incarnation + 1;
   wire::member_update update;
   update.set_node(self_.node.text());
   update.set_incarnation(incarnation_);
@@ -157,7 +157,7 @@
   update.set_address(self_.address.text());
   update.set_zone(self_.zone.text());
   update.set_processor_share(self_.processor_share);
-  enqueue(update);
+  enqueue_gossip(update);
 }
 
 void membership::set_state(member& subject, wire::member_state state, base::incarnation incarnation,
@@ -171,31 +171,33 @@
     observer_(subject);
   }
   if (in_zone(subject)) {
-    spread(subject);
+    gossip(subject);
   }
 }
 
-void membership::spread(const member& subject) {
-  enqueue(update_of(subject));
+void membership::gossip(const member& subject) {
+  enqueue_gossip(update_of(subject));
 }
 
-void membership::enqueue(const wire::member_update& update) {
-  std::erase_if(rumours_, [&](const rumour& old) { return old.update.node() == update.node(); });
-  rumours_.push_front({update, rumour_sends()});
+void membership::enqueue_gossip(const wire::member_update& update) {
+  std::erase_if(gossip_queue_,
+                [&](const gossip_update& old) { return old.update.node() == update.node(); });
+  gossip_queue_.push_front({update, gossip_sends()});
 }
 
-unsigned membership::rumour_sends() const {
-  return rumour_multiplier * static_cast<unsigned>(std::bit_width(members_.size() + 1));
+unsigned membership::gossip_sends() const {
+  return gossip_multiplier * static_cast<unsigned>(std::bit_width(members_.size() + 1));
 }
 
 void membership::piggyback(wire::envelope& message) {
-  std::size_t room = max_rumours_per_message -
-                     std::min<std::size_t>(max_rumours_per_message,
-                                           static_cast<std::size_t>(message.updates_size()));
-  for (auto place = rumours_.begin(); place != rumours_.end() && room > 0; --room) {
-    *message.add_updates() = place->update;
-    --place->sends_left;
-    place = place->sends_left == 0 ? rumours_.erase(place) : std::next(place);
+  std::size_t capacity = max_gossip_per_message -
+                         std::min<std::size_t>(max_gossip_per_message,
+                                               static_cast<std::size_t>(message.updates_size()));
+  for (auto queued = gossip_queue_.begin(); queued != gossip_queue_.end() && capacity > 0;
+       --capacity) {
+    *message.add_updates() = queued->update;
+    --queued->sends_left;
+    queued = queued->sends_left == 0 ? gossip_queue_.erase(queued) : std::next(queued);
   }
 }
 
@@ -221,7 +223,7 @@
       *reply.message.add_updates() = update_of(found->second);
     }
     if (message.ping().introduce()) {
-      introduce_members(message, reply.message);
+      add_missing_members(message, reply.message);
     }
     out.push_back(std::move(reply));
   } else if (message.has_ping_request()) {
@@ -231,12 +233,12 @@
                    ping_message(sequence, nullptr)});
   } else if (message.has_acknowledgement()) {
     const auto& body = message.acknowledgement();
-    note_introductions(body.sequence(), now);
+    note_member_reply(body.sequence(), now);
     const auto relayed = indirect_probes_.find(body.sequence());
     if (relayed != indirect_probes_.end()) {
-      wire::outgoing reply{relayed->second.asker, {}};
+      wire::outgoing reply{relayed->second.requester, {}};
       *reply.message.mutable_acknowledgement() = body;
-      reply.message.mutable_acknowledgement()->set_sequence(relayed->second.askers_sequence);
+      reply.message.mutable_acknowledgement()->set_sequence(relayed->second.requester_sequence);
       out.push_back(std::move(reply));
       indirect_probes_.erase(relayed);
     } else if (probe_ && probe_->sequence == body.sequence()) {
@@ -252,16 +254,16 @@
     next_probe_at_ = now + settings_.probe_period;
     start_probe(now, out);
   }
-  if (!list_known_ || members_.empty()) {
-    ask_for_members(now, out);
+  if (!is_list_known_ || members_.empty()) {
+    request_members(now, out);
   }
   if (now >= next_dead_probe_at_) {
     next_dead_probe_at_ = now + settings_.dead_probe_period;
-    probe_dead(out);
+    probe_dead_member(out);
   }
   if (now >= next_relay_at_) {
     next_relay_at_ = now + settings_.relay_period;
-    relay_digests(now, out);
+    send_digests(now, out);
   }
 }
 
@@ -309,32 +311,32 @@
     probe_.reset();
     return;
   }
-  const auto waited = now - probe_->started;
-  if (waited >= settings_.probe_period) {
+  const auto elapsed = now - probe_->started;
+  if (elapsed >= settings_.probe_period) {
     if (found->second.state == wire::ALIVE) {
       set_state(found->second, wire::SUSPECT, found->second.incarnation, now);
     }
     // The connection may be silent for good while the peer lives.
     out.push_back({found->second.address, ping_message(next_sequence_++, &found->second), true});
     probe_.reset();
-  } else if (!probe_->indirect_sent && waited >= settings_.acknowledgement_timeout) {
+  } else if (!probe_->indirect_sent && elapsed >= settings_.acknowledgement_timeout) {
     probe_->indirect_sent = true;
-    ask_others_to_probe(found->second, out);
+    request_indirect_probes(found->second, out);
   }
 }
 
-void membership::ask_others_to_probe(const member& target, wire::outbox& out) {
-  auto helpers = live_peers();
-  std::erase_if(helpers, [&](const member& other) { return other.node == target.node; });
-  for (std::size_t asked = 0; asked < indirect_probe_count && !helpers.empty(); ++asked) {
-    const auto chosen = random_->below(helpers.size());
-    wire::outgoing request{helpers[chosen].address, {}};
+void membership::request_indirect_probes(const member& target, wire::outbox& out) {
+  auto candidates = live_peers();
+  std::erase_if(candidates, [&](const member& other) { return other.node == target.node; });
+  for (std::size_t sent = 0; sent < indirect_probe_count && !candidates.empty(); ++sent) {
+    const auto chosen = random_->below(candidates.size());
+    wire::outgoing request{candidates[chosen].address, {}};
     auto& body = *request.message.mutable_ping_request();
     body.set_sequence(probe_->sequence);
     body.set_target(target.node.text());
     body.set_target_address(target.address.text());
     out.push_back(std::move(request));
-    helpers.erase(helpers.begin() + static_cast<std::ptrdiff_t>(chosen));
+    candidates.erase(candidates.begin() + static_cast<std::ptrdiff_t>(chosen));
   }
 }
 
@@ -349,7 +351,7 @@
   });
 }
 
-void membership::probe_dead(wire::outbox& out) {
+void membership::probe_dead_member(wire::outbox& out) {
   std::vector<const member*> dead;
   for (const auto& [node, other] : members_) {
     if (in_zone(other) && other.state == wire::DEAD) {
@@ -409,14 +411,14 @@
 
 bool membership::has_region_job(std::string_view job, std::size_t zones, std::size_t count,
                                 base::time_point now) const {
-  std::vector<base::zone_id> heard{self_.zone};
+  std::vector<base::zone_id> reachable{self_.zone};
   for (const auto& [zone, nodes] : live().remote) {
-    if (!regions_.are_regions_apart(self_.zone, zone) && zones_.hears(zone, now)) {
-      heard.push_back(zone);
+    if (!regions_.are_regions_apart(self_.zone, zone) && zones_.is_reachable(zone, now)) {
+      reachable.push_back(zone);
     }
   }
-  const auto doing = base::rendezvous_top(job, heard, zones);
-  return std::find(doing.begin(), doing.end(), self_.zone) != doing.end() &&
+  const auto chosen = base::rendezvous_top(job, reachable, zones);
+  return std::find(chosen.begin(), chosen.end(), self_.zone) != chosen.end() &&
          has_zone_job(job, count);
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -114,7 +114,7 @@
   [[nodiscard]] base::incarnation incarnation() const { return incarnation_; }
   /// @return when this node met the first other one; nothing where a published list names them.
   [[nodiscard]] std::optional<base::time_point> first_member_added_at() const {
-    return introduced_at_;
+    return first_member_added_at_;
   }
   /// Grows whenever a member comes, goes or changes.
   [[nodiscard]] std::uint64_t version() const { return version_; }
@@ -141,51 +141,51 @@
     base::time_point started;
     bool indirect_sent = false;
   };
-  struct rumour {
+  struct gossip_update {
     wire::member_update update;
     unsigned sends_left = 0;
   };
   struct indirect_probe {
-    base::network_address asker;
-    std::uint64_t askers_sequence = 0;
+    base::network_address requester;
+    std::uint64_t requester_sequence = 0;
     base::time_point started;
   };
 
   void apply_update(const wire::member_update& update, base::time_point now);
-  void refute(base::incarnation rumoured);
+  void refute(base::incarnation reported_incarnation);
   void set_state(member& subject, wire::member_state state, base::incarnation incarnation,
                  base::time_point now);
-  void spread(const member& subject);
-  void enqueue(const wire::member_update& update);
+  void gossip(const member& subject);
+  void enqueue_gossip(const wire::member_update& update);
   void start_probe(base::time_point now, wire::outbox& out);
   void check_probe(base::time_point now, wire::outbox& out);
-  void ask_others_to_probe(const member& target, wire::outbox& out);
+  void request_indirect_probes(const member& target, wire::outbox& out);
   void expire_suspects(base::time_point now);
-  void probe_dead(wire::outbox& out);
+  void probe_dead_member(wire::outbox& out);
   /// Asks for members this node does not know: seeds while it knows nobody, then others that were
   /// introduced like itself, so that a start of all nodes is no rush to the seeds.
-  void ask_for_members(base::time_point now, wire::outbox& out);
-  void ask_for_members_at(const base::network_address& address, wire::outbox& out);
-  [[nodiscard]] base::network_address choose_introducer() const;
+  void request_members(base::time_point now, wire::outbox& out);
+  void send_member_request(const base::network_address& address, wire::outbox& out);
+  [[nodiscard]] base::network_address choose_member_source() const;
   /// The last question for members was answered.
-  void note_introductions(std::uint64_t sequence, base::time_point now);
+  void note_member_reply(std::uint64_t sequence, base::time_point now);
   /// Forgets what is derived from `members_`.
   void note_change();
-  void introduce_members(const wire::envelope& asker, wire::envelope& reply) const;
-  void relay_digests(base::time_point now, wire::outbox& out);
+  void add_missing_members(const wire::envelope& requester, wire::envelope& reply) const;
+  void send_digests(base::time_point now, wire::outbox& out);
   /// Sends digests to the nodes of other zones that are to hear of this one.
-  void tell_other_zones(base::time_point now, wire::outbox& out);
+  void send_to_other_zones(base::time_point now, wire::outbox& out);
   /// Tells one other zone of this region that this one lives, and what came from other regions.
-  void tell_zone_of_region(const base::zone_id& zone, const wire::zone_digest& members,
-                           base::time_point now, wire::outbox& out);
+  void send_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
+                    base::time_point now, wire::outbox& out);
   /// Tells the relays of other regions which zones of the own region this node has heard of.
-  void tell_other_regions(base::time_point now, wire::outbox& out);
+  void send_to_other_regions(base::time_point now, wire::outbox& out);
   /// Tells the own zone which other zones this node has heard of.
-  void tell_own_zone(base::time_point now, wire::outbox& out) const;
+  void send_to_own_zone(base::time_point now, wire::outbox& out) const;
   /// @return relays that speak for a region: of two zones that are heard, where it has so many.
   [[nodiscard]] std::vector<base::node_id> region_relays(const base::region_id& region,
                                                          base::time_point now) const;
-  [[nodiscard]] bool speaks_for_region(base::time_point now) const;
+  [[nodiscard]] bool is_region_relay(base::time_point now) const;
   /// @return live members of the zones of one region.
   [[nodiscard]] std::vector<base::node_id> nodes_of_region(const base::region_id& region) const;
   /// @return other regions that have members.
@@ -199,7 +199,7 @@
   std::optional<base::node_id> next_probe_target();
   wire::envelope ping_message(std::uint64_t sequence, const member* target);
   [[nodiscard]] bool in_zone(const member& other) const { return other.zone == self_.zone; }
-  [[nodiscard]] unsigned rumour_sends() const;
+  [[nodiscard]] unsigned gossip_sends() const;
   [[nodiscard]] const live_view& live() const;
 
   identity self_;
@@ -208,14 +208,14 @@
   base::random_source* random_;
   state_observer observer_;
   base::incarnation incarnation_;
-  bool list_known_ = false;
+  bool is_list_known_ = false;
   std::map<base::node_id, member> members_;
   std::unordered_map<base::network_address, base::zone_id> zones_by_address_;
   std::uint64_t version_ = 0;
   zone_contact zones_;
   mutable std::optional<live_view> live_;
   std::vector<base::network_address> seeds_;
-  std::deque<rumour> rumours_;
+  std::deque<gossip_update> gossip_queue_;
   std::vector<base::node_id> probe_order_;
   std::optional<probe> probe_;
   std::map<std::uint64_t, indirect_probe> indirect_probes_;
@@ -225,12 +225,12 @@
   base::time_point next_relay_at_;
   std::uint64_t relay_rounds_ = 0;
   std::uint64_t region_rounds_ = 0;
-  base::time_point next_seed_contact_at_;
+  base::time_point next_member_request_at_;
   /// Sequence of the last question for members.
-  std::uint64_t asked_for_members_ = 0;
-  std::optional<base::time_point> introduced_at_;
+  std::uint64_t last_member_request_ = 0;
+  std::optional<base::time_point> first_member_added_at_;
   /// When a member was last added.
-  base::time_point grew_at_;
+  base::time_point last_member_added_at_;
 };
 
 /// @return the rumour that describes `subject`.
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -13,64 +13,64 @@
 
 /// Members named to one that asks, of those it lacks: 300 nodes that start together all know one
 /// another after 1.7 s (control_traffic test).
-constexpr std::size_t max_introductions = 64;
+constexpr std::size_t max_members_per_reply = 64;
 /// Members named to one that knows nobody; they fill the room that rumours would take. A seed of
 /// 300 nodes that start together sends 106 kB until all know all (introductions test). With 96
 /// members for each question its link of 10 Mbit/s was full for ten seconds (control_traffic test).
-constexpr std::size_t first_introductions = 6;
+constexpr std::size_t max_members_per_first_reply = 6;
 /// Relays that send digests to one other zone; one of them may be lost without a silence.
 constexpr std::size_t relays_per_zone = 2;
 /// Relays that send digests to one other region.
 constexpr std::size_t relays_per_region = 2;
 /// Relays have at least this part of the processor of the strongest node of their zone.
-constexpr float least_share_of_relay = 0.5F;
+constexpr float min_relay_processor_share = 0.5F;
 /// Members that a digest of every round may name; larger zones name theirs every few rounds, so
 /// that bytes between zones stay flat.
 constexpr std::size_t members_per_round = 8;
 /// While members were added within this time, more are asked for; then only seldom, so that parts
 /// of the fleet that know nothing of each other meet in the end. An answer that brought news is
 /// followed by the next question at once.
-constexpr base::duration introduction_time = std::chrono::seconds(3);
-constexpr base::duration seed_period = std::chrono::milliseconds(500);
+constexpr base::duration member_growth_timeout = std::chrono::seconds(3);
+constexpr base::duration member_request_interval = std::chrono::milliseconds(500);
 /// A node that knows nobody asks more often: whether a seed can be reached yet is not told.
-constexpr base::duration first_contact_period = std::chrono::milliseconds(100);
-constexpr base::duration seldom_seed_period = std::chrono::seconds(10);
+constexpr base::duration first_member_request_interval = std::chrono::milliseconds(100);
+constexpr base::duration idle_member_request_interval = std::chrono::seconds(10);
 /// Fleets of more members ask as much more seldom: questions hold two bytes a member, and a seed
 /// would hear 0.5 MB a second of them at 2,700 nodes.
-constexpr std::size_t members_per_seldom_question = 300;
+constexpr std::size_t members_per_idle_interval = 300;
 /// Of so many questions for members one goes to any node that is known, the others stay in the own
 /// region.
-constexpr std::uint64_t questions_per_far_question = 8;
+constexpr std::uint64_t requests_per_remote_request = 8;
 
 } // namespace
 
 // --- seeds ---------------------------------------------------------------------------------------
 
-void membership::ask_for_members(base::time_point now, wire::outbox& out) {
-  if (seeds_.empty() || now < next_seed_contact_at_) {
+void membership::request_members(base::time_point now, wire::outbox& out) {
+  if (seeds_.empty() || now < next_member_request_at_) {
     return;
   }
-  const bool grows = now - grew_at_ < introduction_time;
+  const bool is_growing = now - last_member_added_at_ < member_growth_timeout;
   if (members_.empty()) {
-    next_seed_contact_at_ = now + first_contact_period;
+    next_member_request_at_ = now + first_member_request_interval;
     for (const auto& seed : seeds_) {
-      ask_for_members_at(seed, out);
+      send_member_request(seed, out);
     }
-  } else if (grows) {
-    next_seed_contact_at_ = now + seed_period;
-    ask_for_members_at(choose_introducer(), out);
+  } else if (is_growing) {
+    next_member_request_at_ = now + member_request_interval;
+    send_member_request(choose_member_source(), out);
   } else {
-    const auto times = 1 + members_.size() / members_per_seldom_question;
-    next_seed_contact_at_ = now + seldom_seed_period * times;
-    ask_for_members_at(seeds_[random_->below(seeds_.size())], out);
+    const auto factor = 1 + members_.size() / members_per_idle_interval;
+    next_member_request_at_ = now + idle_member_request_interval * factor;
+    send_member_request(seeds_[random_->below(seeds_.size())], out);
   }
 }
 
-void membership::ask_for_members_at(const base::network_address& address, wire::outbox& out) {
-  asked_for_members_ = next_sequence_++;
-  auto message = ping_message(asked_for_members_, nullptr);
+void membership::send_member_request(const base::network_address& address, wire::outbox& out) {
+  last_member_request_ = next_sequence_++;
+  auto message = ping_message(last_member_request_, nullptr);
   message.mutable_ping()->set_introduce(true);
-  name_filter_writer known(asked_for_members_);
+  name_filter_writer known(last_member_request_);
   for (const auto& [node, other] : members_) {
     known.add(node);
   }
@@ -78,44 +78,44 @@
   out.push_back({address, std::move(message)});
 }
 
-base::network_address membership::choose_introducer() const {
-  const bool anywhere = random_->below(questions_per_far_question) == 0;
-  std::vector<const member*> near;
+base::network_address membership::choose_member_source() const {
+  const bool may_be_remote = random_->below(requests_per_remote_request) == 0;
+  std::vector<const member*> candidates;
   for (const auto& [node, other] : members_) {
-    const bool in_reach = anywhere || regions_.same_region(other.zone, self_.zone);
-    if (in_reach && other.state == wire::ALIVE) {
-      near.push_back(&other);
+    const bool is_candidate = may_be_remote || regions_.same_region(other.zone, self_.zone);
+    if (is_candidate && other.state == wire::ALIVE) {
+      candidates.push_back(&other);
     }
   }
-  return near.empty() ? seeds_[random_->below(seeds_.size())]
-                      : near[random_->below(near.size())]->address;
+  return candidates.empty() ? seeds_[random_->below(seeds_.size())]
+                            : candidates[random_->below(candidates.size())]->address;
 }
 
-void membership::note_introductions(std::uint64_t sequence, base::time_point now) {
-  const bool brought_news = grew_at_ == now;
-  if (sequence == asked_for_members_ && brought_news) {
-    next_seed_contact_at_ = now;
+void membership::note_member_reply(std::uint64_t sequence, base::time_point now) {
+  const bool had_new_members = last_member_added_at_ == now;
+  if (sequence == last_member_request_ && had_new_members) {
+    next_member_request_at_ = now;
   }
 }
 
-void membership::introduce_members(const wire::envelope& asker, wire::envelope& reply) const {
-  const name_filter known(asker.ping().known_members(), asker.ping().sequence());
-  const auto most = known.is_empty() ? first_introductions : max_introductions;
-  std::vector<const member*> in_zone;
-  std::vector<const member*> others;
+void membership::add_missing_members(const wire::envelope& requester, wire::envelope& reply) const {
+  const name_filter known(requester.ping().known_members(), requester.ping().sequence());
+  const auto limit = known.is_empty() ? max_members_per_first_reply : max_members_per_reply;
+  std::vector<const member*> same_zone;
+  std::vector<const member*> other_zones;
   for (const auto& [node, other] : members_) {
-    const bool is_missing = node.text() != asker.sender() && !known.may_contain(node);
+    const bool is_missing = node.text() != requester.sender() && !known.may_contain(node);
     if (other.state == wire::ALIVE && is_missing) {
-      (other.zone.text() == asker.sender_zone() ? in_zone : others).push_back(&other);
+      (other.zone.text() == requester.sender_zone() ? same_zone : other_zones).push_back(&other);
     }
   }
   // Those of its zone first: it probes them, and they know the rest. By chance, so that not
   // everybody turns to the same nodes.
-  std::size_t named = 0;
-  for (auto* group : {&in_zone, &others}) {
-    while (!group->empty() && named < most) {
+  std::size_t added = 0;
+  for (auto* group : {&same_zone, &other_zones}) {
+    while (!group->empty() && added < limit) {
       *reply.add_updates() = update_of(*base::take_random(*group, *random_));
-      ++named;
+      ++added;
     }
   }
 }
@@ -127,17 +127,17 @@
   return std::find(relays.begin(), relays.end(), self_.node) != relays.end();
 }
 
-void membership::relay_digests(base::time_point now, wire::outbox& out) {
+void membership::send_digests(base::time_point now, wire::outbox& out) {
   if (is_relay()) {
-    tell_other_zones(now, out);
-    tell_own_zone(now, out);
+    send_to_other_zones(now, out);
+    send_to_own_zone(now, out);
   }
-  if (speaks_for_region(now)) {
-    tell_other_regions(now, out);
+  if (is_region_relay(now)) {
+    send_to_other_regions(now, out);
   }
 }
 
-void membership::tell_other_zones(base::time_point now, wire::outbox& out) {
+void membership::send_to_other_zones(base::time_point now, wire::outbox& out) {
   const auto& view = live();
   const auto rounds = std::max<std::uint64_t>(1, view.zone_nodes.size() / members_per_round);
   wire::zone_digest members;
@@ -148,17 +148,17 @@
   }
   for (const auto& [zone, nodes] : view.remote) {
     if (!regions_.are_regions_apart(self_.zone, zone)) {
-      tell_zone_of_region(zone, members, now, out);
+      send_to_zone(zone, members, now, out);
     }
   }
 }
 
-void membership::tell_zone_of_region(const base::zone_id& zone, const wire::zone_digest& members,
-                                     base::time_point now, wire::outbox& out) {
-  wire::zone_digest heard;
-  zones_.tell_region(heard, now);
+void membership::send_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
+                              base::time_point now, wire::outbox& out) {
+  wire::zone_digest ages;
+  zones_.add_ages_for_region(ages, now);
   for (const auto& relay : live().relays.at(zone)) {
-    send_digest(relay, heard, out);
+    send_digest(relay, ages, out);
   }
   // Also to one that may be no relay: views of other zones are often old.
   const auto& nodes = live().remote.at(zone);
@@ -168,19 +168,19 @@
 std::vector<base::node_id> membership::region_relays(const base::region_id& region,
                                                      base::time_point now) const {
   const auto unreachable = zones_.unreachable_zones(now);
-  std::vector<base::zone_id> heard;
+  std::vector<base::zone_id> reachable;
   std::vector<base::zone_id> all;
   for (const auto& [zone, relays] : live().relays) {
     if (regions_.region_of(zone) == region && !relays.empty()) {
       all.push_back(zone);
       if (!unreachable.contains(zone)) {
-        heard.push_back(zone);
+        reachable.push_back(zone);
       }
     }
   }
   // A region that is cut off is tried on, so that the end of the cut is noticed.
   const auto zones =
-      base::rendezvous_top("region relay", heard.empty() ? all : heard, relays_per_region);
+      base::rendezvous_top("region relay", reachable.empty() ? all : reachable, relays_per_region);
   std::vector<base::node_id> chosen;
   chosen.reserve(relays_per_region);
   for (const auto& zone : zones) {
@@ -193,7 +193,7 @@
   return chosen;
 }
 
-bool membership::speaks_for_region(base::time_point now) const {
+bool membership::is_region_relay(base::time_point now) const {
   const auto region = regions_.region_of(self_.zone);
   if (!region) {
     return false;
@@ -222,7 +222,7 @@
   return nodes;
 }
 
-void membership::tell_other_regions(base::time_point now, wire::outbox& out) {
+void membership::send_to_other_regions(base::time_point now, wire::outbox& out) {
   const auto own_region = *regions_.region_of(self_.zone);
   const auto own_nodes = nodes_of_region(own_region);
   const auto rounds = std::max<std::uint64_t>(1, own_nodes.size() / members_per_round);
@@ -232,12 +232,12 @@
       *members.add_members() = update_of(members_.at(node));
     }
   }
-  wire::zone_digest heard;
-  zones_.tell_other_region(heard, now);
-  *members.mutable_heard() = heard.heard();
+  wire::zone_digest ages;
+  zones_.add_ages_for_other_regions(ages, now);
+  *members.mutable_heard() = ages.heard();
   for (const auto& region : other_regions()) {
     for (const auto& relay : region_relays(region, now)) {
-      send_digest(relay, heard, out);
+      send_digest(relay, ages, out);
     }
     // Also to one that may be no relay: views of other regions are often old.
     if (const auto nodes = nodes_of_region(region); !nodes.empty()) {
@@ -246,11 +246,11 @@
   }
 }
 
-void membership::tell_own_zone(base::time_point now, wire::outbox& out) const {
-  wire::zone_digest heard;
-  zones_.tell(heard, now);
+void membership::send_to_own_zone(base::time_point now, wire::outbox& out) const {
+  wire::zone_digest ages;
+  zones_.add_ages_for_own_zone(ages, now);
   for (const auto& peer : live_peers()) {
-    send_digest(peer.node, heard, out);
+    send_digest(peer.node, ages, out);
   }
 }
 
@@ -275,7 +275,7 @@
   std::copy_if(nodes.begin(), nodes.end(), std::back_inserter(strong), [&](const auto& node) {
     const auto share = processor_share_of(node);
     const bool is_known = share > 0;
-    return !is_known || share >= strongest * least_share_of_relay;
+    return !is_known || share >= strongest * min_relay_processor_share;
   });
   return base::rendezvous_top("relay", strong, relays_per_zone);
 }
--- a/src/membership/name_filter.cc
+++ b/src/membership/name_filter.cc
@@ -23,12 +23,12 @@
   for (std::size_t index = 0; index + 1 < bytes.size(); index += 2) {
     const auto low = static_cast<unsigned char>(bytes[index]);
     const auto high = static_cast<unsigned char>(bytes[index + 1]);
-    known_.set(low | (static_cast<unsigned>(high) << bits_per_byte));
+    slots_.set(low | (static_cast<unsigned>(high) << bits_per_byte));
   }
 }
 
 bool name_filter::may_contain(const base::node_id& node) const {
-  return known_.test(slot_of(node, salt_));
+  return slots_.test(slot_of(node, salt_));
 }
 
 } // namespace spurrack::membership
--- a/src/membership/name_filter.h
+++ b/src/membership/name_filter.h
@@ -32,13 +32,13 @@
   name_filter(const std::string& bytes, std::uint64_t salt);
 
   [[nodiscard]] bool may_contain(const base::node_id& node) const;
-  [[nodiscard]] bool is_empty() const { return known_.none(); }
+  [[nodiscard]] bool is_empty() const { return slots_.none(); }
 
  private:
   static constexpr std::size_t slot_count = 65'536;
 
   std::uint64_t salt_;
-  std::bitset<slot_count> known_;
+  std::bitset<slot_count> slots_;
 };
 
 } // namespace spurrack::membership
--- a/src/membership/zone_contact.cc
+++ b/src/membership/zone_contact.cc
@@ -6,118 +6,128 @@
 namespace {
 
 /// Silence that is never taken for a lost zone: a few lost messages, or a node that is busy.
-constexpr base::duration shortest_silence_limit = std::chrono::milliseconds(900);
+constexpr base::duration min_contact_timeout = std::chrono::milliseconds(900);
 /// Usual gaps and deviations that a silence must exceed; the deviations are those of TCP's
 /// retransmission time (RFC 6298), the gaps stand for one relay of two that is lost.
-constexpr int usual_gaps = 2;
-constexpr int gap_deviations = 4;
+constexpr int mean_gap_factor = 2;
+constexpr int gap_deviation_factor = 4;
 /// Assumed before anything was measured: a limit of 1.2 s.
-constexpr base::duration first_usual_gap = std::chrono::milliseconds(200);
-constexpr base::duration first_gap_deviation = std::chrono::milliseconds(200);
-/// Share of the newest measurement is one over this (RFC 6298).
-constexpr int smoothing = 8;
+constexpr base::duration initial_mean_gap = std::chrono::milliseconds(200);
+constexpr base::duration initial_gap_deviation = std::chrono::milliseconds(200);
+/// Share of the latest measurement is one over this (RFC 6298).
+constexpr int smoothing_divisor = 8;
 
 } // namespace
 
-zone_contact::contact& zone_contact::note(const base::zone_id& zone, base::time_point heard,
-                                          base::time_point now) {
-  const contact first{heard,        std::nullopt,    std::nullopt,
-                      std::nullopt, first_usual_gap, first_gap_deviation};
-  const auto [place, added] = contacts_.try_emplace(zone, first);
-  auto& known = place->second;
-  if (added || heard <= known.heard) {
-    return known;
+zone_contact::zone_state& zone_contact::note_contact(const base::zone_id& zone,
+                                                     base::time_point contact_at,
+                                                     base::time_point now) {
+  const zone_state initial_state{contact_at,   std::nullopt,     std::nullopt,
+                                 std::nullopt, initial_mean_gap, initial_gap_deviation};
+  const auto [entry, added] = zone_states_.try_emplace(zone, initial_state);
+  auto& state = entry->second;
+  if (added || contact_at <= state.last_contact_at) {
+    return state;
   }
-  const base::duration gap = now - known.heard;
-  if (gap < longest_silence) {
-    const base::duration error = gap - known.usual_gap;
-    known.usual_gap += error / smoothing;
-    known.gap_deviation += (std::chrono::abs(error) - known.gap_deviation) / smoothing;
+  const base::duration gap = now - state.last_contact_at;
+  if (gap < max_contact_timeout) {
+    const base::duration error = gap - state.mean_gap;
+    state.mean_gap += error / smoothing_divisor;
+    state.gap_deviation += (std::chrono::abs(error) - state.gap_deviation) / smoothing_divisor;
   }
-  known.heard = heard;
-  return known;
+  state.last_contact_at = contact_at;
+  return state;
 }
 
 void zone_contact::observe(const wire::envelope& message, base::time_point now) {
   const base::zone_id sender_zone(message.sender_zone());
   if (sender_zone != own_zone_) {
-    note(sender_zone, now, now).heard_directly = now;
+    note_contact(sender_zone, now, now).direct_contact_at = now;
   }
-  take_told(message.zone_digest(), sender_zone, now);
+  record_reported_contacts(message.zone_digest(), sender_zone, now);
 }
 
-void zone_contact::take_told(const wire::zone_digest& digest, const base::zone_id& sender_zone,
-                             base::time_point now) {
-  const bool from_other_region = regions_.are_regions_apart(own_zone_, sender_zone);
-  for (const auto& told : digest.heard()) {
-    const base::zone_id zone(told.zone());
+void zone_contact::record_reported_contacts(const wire::zone_digest& digest,
+                                            const base::zone_id& sender_zone,
+                                            base::time_point now) {
+  const bool is_from_other_region = regions_.are_regions_apart(own_zone_, sender_zone);
+  for (const auto& reported : digest.heard()) {
+    const base::zone_id zone(reported.zone());
     if (zone == own_zone_) {
       continue;
     }
-    const auto heard = now - std::chrono::milliseconds(told.milliseconds());
-    auto& known = note(zone, heard, now);
-    if (from_other_region) {
-      known.told_by_region = std::max(known.told_by_region.value_or(heard), heard);
+    const auto contact_at = now - std::chrono::milliseconds(reported.milliseconds());
+    auto& state = note_contact(zone, contact_at, now);
+    if (is_from_other_region) {
+      state.region_reported_contact_at =
+          std::max(state.region_reported_contact_at.value_or(contact_at), contact_at);
     } else if (sender_zone != own_zone_) {
-      known.told_by_relay = std::max(known.told_by_relay.value_or(heard), heard);
+      state.relay_reported_contact_at =
+          std::max(state.relay_reported_contact_at.value_or(contact_at), contact_at);
     }
   }
 }
 
 void zone_contact::add_age(wire::zone_digest& digest, const base::zone_id& zone,
-                           const std::optional<base::time_point>& heard, base::time_point now) {
+                           const std::optional<base::time_point>& contact_at,
+                           base::time_point now) {
   // What is older changes nothing at the receiver.
-  if (heard && now - *heard < longest_silence) {
-    auto& told = *digest.add_heard();
-    told.set_zone(zone.text());
-    told.set_milliseconds(static_cast<std::uint32_t>(base::to_milliseconds(now - *heard)));
+  if (contact_at && now - *contact_at < max_contact_timeout) {
+    auto& reported = *digest.add_heard();
+    reported.set_zone(zone.text());
+    reported.set_milliseconds(static_cast<std::uint32_t>(base::to_milliseconds(now - *contact_at)));
   }
 }
 
-void zone_contact::tell(wire::zone_digest& digest, base::time_point now) const {
-  for (const auto& [zone, known] : contacts_) {
+void zone_contact::add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const {
+  for (const auto& [zone, state] : zone_states_) {
     // An empty optional is less than any time.
-    const auto newest = std::max({known.heard_directly, known.told_by_region, known.told_by_relay});
-    add_age(digest, zone, newest, now);
+    const auto latest = std::max({state.direct_contact_at, state.region_reported_contact_at,
+                                  state.relay_reported_contact_at});
+    add_age(digest, zone, latest, now);
   }
 }
 
-void zone_contact::tell_region(wire::zone_digest& digest, base::time_point now) const {
-  for (const auto& [zone, known] : contacts_) {
+void zone_contact::add_ages_for_region(wire::zone_digest& digest, base::time_point now) const {
+  for (const auto& [zone, state] : zone_states_) {
     if (regions_.are_regions_apart(own_zone_, zone)) {
-      add_age(digest, zone, std::max(known.heard_directly, known.told_by_region), now);
+      add_age(digest, zone, std::max(state.direct_contact_at, state.region_reported_contact_at),
+              now);
     }
   }
 }
 
-void zone_contact::tell_other_region(wire::zone_digest& digest, base::time_point now) const {
-  for (const auto& [zone, known] : contacts_) {
+void zone_contact::add_ages_for_other_regions(wire::zone_digest& digest,
+                                              base::time_point now) const {
+  for (const auto& [zone, state] : zone_states_) {
     if (!regions_.are_regions_apart(own_zone_, zone)) {
-      add_age(digest, zone, known.heard_directly, now);
+      add_age(digest, zone, state.direct_contact_at, now);
     }
   }
 }
 
 void zone_contact::resume_after_suspension(base::time_point now) {
-  for (auto& [zone, known] : contacts_) {
-    known.heard = std::max<base::time_point>(known.heard, now - known.usual_gap);
+  for (auto& [zone, state] : zone_states_) {
+    state.last_contact_at = std::max<base::time_point>(state.last_contact_at, now - state.mean_gap);
   }
 }
 
-base::duration zone_contact::silence_limit(const contact& known) {
-  const auto learned = known.usual_gap * usual_gaps + known.gap_deviation * gap_deviations;
-  return std::clamp<base::duration>(learned, shortest_silence_limit, longest_silence);
+base::duration zone_contact::contact_timeout(const zone_state& state) {
+  const auto adaptive_timeout =
+      state.mean_gap * mean_gap_factor + state.gap_deviation * gap_deviation_factor;
+  return std::clamp<base::duration>(adaptive_timeout, min_contact_timeout, max_contact_timeout);
 }
 
-bool zone_contact::hears(const base::zone_id& zone, base::time_point now) const {
-  const auto found = contacts_.find(zone);
-  return found != contacts_.end() && now - found->second.heard < silence_limit(found->second);
+bool zone_contact::is_reachable(const base::zone_id& zone, base::time_point now) const {
+  const auto found = zone_states_.find(zone);
+  return found != zone_states_.end() &&
+         now - found->second.last_contact_at < contact_timeout(found->second);
 }
 
 std::set<base::zone_id> zone_contact::unreachable_zones(base::time_point now) const {
   std::set<base::zone_id> zones;
-  for (const auto& [zone, known] : contacts_) {
-    if (now - known.heard >= silence_limit(known)) {
+  for (const auto& [zone, state] : zone_states_) {
+    if (now - state.last_contact_at >= contact_timeout(state)) {
       zones.insert(zone);
     }
   }
--- a/src/membership/zone_contact.h
+++ b/src/membership/zone_contact.h
@@ -21,7 +21,7 @@
 class zone_contact {
  public:
   /// Silence after which any zone counts as silent.
-  static constexpr base::duration longest_silence = std::chrono::milliseconds(1400);
+  static constexpr base::duration max_contact_timeout = std::chrono::milliseconds(1400);
 
   explicit zone_contact(base::zone_id own_zone, model::zone_regions regions = {})
       : own_zone_(std::move(own_zone)), regions_(std::move(regions)) {}
@@ -29,47 +29,48 @@
   /// Takes note of a message: its sender's zone, and what a relay says of others.
   void observe(const wire::envelope& message, base::time_point now);
   /// Says to the own zone what this node heard from zones, other regions and other relays.
-  void tell(wire::zone_digest& digest, base::time_point now) const;
+  void add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const;
   /// Says to other zones of the region what this node heard from other regions.
-  void tell_region(wire::zone_digest& digest, base::time_point now) const;
+  void add_ages_for_region(wire::zone_digest& digest, base::time_point now) const;
   /// Says to other regions what this node heard from the zones of its own.
-  void tell_other_region(wire::zone_digest& digest, base::time_point now) const;
+  void add_ages_for_other_regions(wire::zone_digest& digest, base::time_point now) const;
   /// This process was paused: every zone gets time to be heard again.
   void resume_after_suspension(base::time_point now);
 
   /// @return whether a zone was heard of lately.
-  [[nodiscard]] bool hears(const base::zone_id& zone, base::time_point now) const;
+  [[nodiscard]] bool is_reachable(const base::zone_id& zone, base::time_point now) const;
   /// @return zones that were heard of once, and not lately.
   [[nodiscard]] std::set<base::zone_id> unreachable_zones(base::time_point now) const;
 
  private:
   /// What is known of one zone.
-  struct contact {
-    base::time_point heard;
-    std::optional<base::time_point> heard_directly;
+  struct zone_state {
+    base::time_point last_contact_at;
+    std::optional<base::time_point> direct_contact_at;
     /// What a node of another region said of a zone there.
-    std::optional<base::time_point> told_by_region;
+    std::optional<base::time_point> region_reported_contact_at;
     /// What a relay of another zone of the own region said.
-    std::optional<base::time_point> told_by_relay;
+    std::optional<base::time_point> relay_reported_contact_at;
     /// Usual time without news, and its mean deviation.
-    base::duration usual_gap;
+    base::duration mean_gap;
     base::duration gap_deviation;
   };
 
   /// @return what is known of the zone now.
-  contact& note(const base::zone_id& zone, base::time_point heard, base::time_point now);
+  zone_state& note_contact(const base::zone_id& zone, base::time_point contact_at,
+                           base::time_point now);
   /// @return silence after which a zone with such news counts as silent.
-  [[nodiscard]] static base::duration silence_limit(const contact& known);
+  [[nodiscard]] static base::duration contact_timeout(const zone_state& state);
 
   /// Adds an entry, where the zone was heard of lately.
   static void add_age(wire::zone_digest& digest, const base::zone_id& zone,
-                      const std::optional<base::time_point>& heard, base::time_point now);
-  void take_told(const wire::zone_digest& digest, const base::zone_id& sender_zone,
-                 base::time_point now);
+                      const std::optional<base::time_point>& contact_at, base::time_point now);
+  void record_reported_contacts(const wire::zone_digest& digest, const base::zone_id& sender_zone,
+                                base::time_point now);
 
   base::zone_id own_zone_;
   model::zone_regions regions_;
-  std::map<base::zone_id, contact> contacts_;
+  std::map<base::zone_id, zone_state> zone_states_;
 };
 
 } // namespace spurrack::membership
