--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -12,8 +12,10 @@
 
 constexpr std::size_t indirect_probe_count = 2;
 constexpr std::size_t max_gossip_per_message = 6;
+/// Factor of log2(members) in the number of times that a member update is sent (SWIM).
 constexpr unsigned gossip_multiplier = 3;
-/// How strongly a state overrides another at the same incarnation.
+/// Returns the precedence of a state: at equal incarnations, the state with the higher precedence
+/// replaces the other.
 int state_precedence(wire::member_state state) {
   switch (state) {
   case wire::DEAD:
@@ -316,7 +318,7 @@
     if (found->second.state == wire::ALIVE) {
       set_state(found->second, wire::SUSPECT, found->second.incarnation, now);
     }
-    // The connection may be silent for good while the peer lives.
+    // The connection may be dead although the peer is alive.
     out.push_back({found->second.address, ping_message(next_sequence_++, &found->second), true});
     probe_.reset();
   } else if (!probe_->indirect_sent && elapsed >= settings_.acknowledgement_timeout) {
@@ -423,8 +425,8 @@
 }
 
 base::duration membership::expected_detection_time() const {
-  // A member escapes all probes of one period with probability about 1/e, so the first probe that
-  // meets a dead member comes after e/(e-1) periods on average.
+  // With a probability of about 1/e, no node probes a given member in one period. So the first
+  // probe of a dead member is sent after e/(e-1) periods on average.
   constexpr double mean_periods = 1.582;
   return std::chrono::duration_cast<base::duration>(settings_.probe_period * mean_periods) +
          settings_.probe_period + settings_.suspicion_timeout;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,9 +1,9 @@
-/// Membership of the nodes of one zone: the published list says who may be a member, SWIM-style
-/// probing (Das et al., 2002) with suspicion and incarnations says who is. Two relays a zone,
-/// chosen by rendezvous hashing among its strong nodes, send digests to the relays of the other
-/// zones of their region and tell their own zone what they heard from there. Two of the relays of a
-/// region do the same for the relays of the other regions, so that bytes between regions grow with
-/// pairs of regions and not of zones.
+/// Membership of the nodes of one zone. The published list of nodes determines which nodes may be
+/// members; SWIM-style probing (Das et al., 2002) with suspicion and incarnations determines which
+/// members are alive. Two relays per zone, chosen by rendezvous hashing among its strong nodes,
+/// send digests to the relays of the other zones of their region, and report the contacts with
+/// these zones to their own zone. Two of the relays of a region do the same for the relays of the
+/// other regions, so that the bytes between regions grow with the pairs of regions, not of zones.
 #pragma once
 
 #include "base/event_log.h"
@@ -26,112 +26,120 @@
 
 namespace spurrack::membership {
 
-/// Timing of the failure detector. All are durations of the boot clock.
+/// Timing of the failure detector. All durations are measured by the boot clock.
 struct timing {
+  /// Interval between probes that this node starts.
   base::duration probe_period = std::chrono::milliseconds(500);
-  /// Time for a direct acknowledgement before others are asked to probe.
+  /// Time to wait for a direct acknowledgement before other members are requested to probe.
   base::duration acknowledgement_timeout = std::chrono::milliseconds(200);
-  /// Time a suspect has to refute.
+  /// Time in which a suspect can refute the suspicion before it is declared dead.
   base::duration suspicion_timeout = std::chrono::milliseconds(2000);
-  /// How often one dead but still published member is probed, to notice the end of a cut.
+  /// Interval at which a random dead member is probed, to detect the end of a partition.
   base::duration dead_probe_period = std::chrono::milliseconds(1000);
-  /// How often a relay sends a digest to each other zone.
+  /// Interval at which a relay sends a digest to each other zone.
   base::duration relay_period = std::chrono::milliseconds(1000);
 };
 
-/// Who this node is.
+/// Identity of this node.
 struct identity {
   base::node_id node;
   base::zone_id zone;
   base::network_address address;
-  /// Start of this process; never changes during its life.
+  /// Start of this process, the first incarnation of the node; constant while the process runs.
   base::incarnation process_start = 0;
-  /// Cores this node may use.
+  /// Number of cores that this node may use.
   float processor_share = 1;
 };
 
-/// One member as this node sees it.
+/// A member of the fleet, with its state in the view of this node.
 struct member {
   base::node_id node;
   base::zone_id zone;
   base::network_address address;
   base::incarnation incarnation = 0;
   wire::member_state state = wire::DEAD;
-  /// Cores it may use; 0 where that is not known.
+  /// Number of cores that the member may use; 0 if that is not known.
   float processor_share = 0;
-  /// When the state was entered.
+  /// Time at which the member entered its state.
   base::time_point since;
 };
 
-/// Called at each change of a member's state.
+/// Called whenever the state of a member changes.
 using state_observer = std::function<void(const member&)>;
 
 /// Failure detector of one node. Not thread-safe; driven by `tick` and `handle`.
 class membership {
  public:
   /// @param random must outlive this object.
-  /// @param regions what is not named there is a region of its own.
+  /// @param regions regions of the zones; a zone that is not named there is a region of its own.
   membership(identity self, timing settings, base::random_source& random, state_observer observer,
              model::zone_regions regions = {});
 
-  /// Takes over the published list of nodes; members that are no longer listed are dropped.
+  /// Replaces the published list of nodes. Members that are not listed are dropped, unless no list
+  /// with machines has been published yet.
   void set_published(const catalog::machine_map& machines, base::time_point now);
-  /// Adds an address to contact before any list is known.
+  /// Adds a seed: an address at which this node requests members. The own address is ignored.
   void add_seed(const base::network_address& address);
 
-  /// Replaces the addresses to contact.
+  /// Replaces all seeds.
   void set_seeds(const std::vector<base::network_address>& addresses);
 
-  /// Takes note of the sender and of the rumours in any message of a peer.
+  /// Records the sender and the member updates in a message of a peer, whatever its body.
   void observe(const wire::envelope& message, base::time_point now);
-  /// Answers or accounts for a probe message; other bodies are ignored.
+  /// Handles the messages ping, ping request and acknowledgement; ignores other bodies.
   void handle(const wire::envelope& message, base::time_point now, wire::outbox& out);
-  /// Drives probes, suspicion and relays. Call about every 100 ms.
+  /// Runs the periodic work: probes, suspicion timeouts, requests for members and digests. Call
+  /// about every 100 ms.
   void tick(base::time_point now, wire::outbox& out);
-  /// Forgets probes under way after a pause of this process, so that nobody is blamed for it.
+  /// Drops pending probes and restarts suspicion timeouts after a suspension of this process, so
+  /// that no member is declared dead because of it.
   void resume_after_suspension(base::time_point now);
-  /// Adds rumours to an outgoing message.
+  /// Adds member updates from the gossip queue to an outgoing message.
   void piggyback(wire::envelope& message);
 
-  /// @return whether this node may be contacted as a member: published, or no list is known yet.
+  /// @return whether a node may be contacted as a member: it is published, or no list is known yet.
   [[nodiscard]] bool may_be_member(const base::node_id& node) const;
-  /// @return live members of the own zone without this node.
+  /// @return live members of the own zone, without this node.
   [[nodiscard]] const std::vector<member>& live_peers() const;
-  /// @return live members of the own zone with this node, sorted.
+  /// @return live members of the own zone, including this node, sorted.
   [[nodiscard]] const std::vector<base::node_id>& live_zone_nodes() const;
   [[nodiscard]] const std::map<base::node_id, member>& members() const { return members_; }
   [[nodiscard]] const std::vector<base::network_address>& seeds() const { return seeds_; }
-  /// @return whether this node is among the `count` that hold a job of its zone.
+  /// @return whether this node is one of the `count` nodes that have a job in its zone.
   [[nodiscard]] bool has_zone_job(std::string_view job, std::size_t count) const;
-  /// @return whether this node tells other zones of its own.
+  /// @return whether this node sends digests about its zone to other zones.
   [[nodiscard]] bool is_relay() const;
-  /// A few zones of a region do a job for all: those that come first among the zones that a node
-  /// hears, so that a zone that is cut off does it for itself.
-  /// @param zones how many do it. @param count how many nodes of each.
+  /// A few zones of a region do a job for the whole region. They are chosen by hashing among the
+  /// zones that this node can reach, so that a partitioned zone does the job for itself.
+  /// @param zones number of zones that do the job.
+  /// @param count number of nodes that do it in each of these zones.
   /// @return whether this node is one of them.
   [[nodiscard]] bool has_region_job(std::string_view job, std::size_t zones, std::size_t count,
                                     base::time_point now) const;
   [[nodiscard]] base::incarnation incarnation() const { return incarnation_; }
-  /// @return when this node met the first other one; nothing where a published list names them.
+  /// @return time at which this node learned of the first other member from a message; std::nullopt
+  ///         if it knows members only from the published list.
   [[nodiscard]] std::optional<base::time_point> first_member_added_at() const {
     return first_member_added_at_;
   }
-  /// Grows whenever a member comes, goes or changes.
+  /// Increases whenever a member is added, dropped or changed.
   [[nodiscard]] std::uint64_t version() const { return version_; }
   [[nodiscard]] const zone_contact& zones() const { return zones_; }
   [[nodiscard]] const identity& self() const { return self_; }
-  /// @return zone of the member at an address; null where none is known.
+  /// @return zone of the member at an address; null if no member with this address is known.
   [[nodiscard]] const base::zone_id* zone_at(const base::network_address& address) const;
 
-  /// Longest time to notice a dead member: probing by somebody, then suspicion. Mean over members.
+  /// @return the time in which a dead member is detected on average: until some member probes it,
+  ///         then the probe's timeout and the suspicion timeout.
   [[nodiscard]] base::duration expected_detection_time() const;
 
  private:
-  /// What is derived from `members_` and read with every message; made anew after a change.
+  /// Data that is derived from `members_` and read for each message; recomputed after a change.
   struct live_view {
     std::vector<member> peers;
     std::vector<base::node_id> zone_nodes;
-    /// Members of each other zone, dead ones included, since a cut zone looks dead.
+    /// Members of each other zone, including dead members, because the members of a partitioned
+    /// zone appear dead.
     std::map<base::zone_id, std::vector<base::node_id>> remote;
     std::map<base::zone_id, std::vector<base::node_id>> relays;
   };
@@ -141,10 +149,12 @@
     base::time_point started;
     bool indirect_sent = false;
   };
+  /// A member update that is sent with outgoing messages.
   struct gossip_update {
     wire::member_update update;
     unsigned sends_left = 0;
   };
+  /// A probe that this node sent on request of another member.
   struct indirect_probe {
     base::network_address requester;
     std::uint64_t requester_sequence = 0;
@@ -152,6 +162,7 @@
   };
 
   void apply_update(const wire::member_update& update, base::time_point now);
+  /// Refutes a report that this node is suspect or dead, by a higher incarnation.
   void refute(base::incarnation reported_incarnation);
   void set_state(member& subject, wire::member_state state, base::incarnation incarnation,
                  base::time_point now);
@@ -162,43 +173,50 @@
   void request_indirect_probes(const member& target, wire::outbox& out);
   void expire_suspects(base::time_point now);
   void probe_dead_member(wire::outbox& out);
-  /// Asks for members this node does not know: seeds while it knows nobody, then others that were
-  /// introduced like itself, so that a start of all nodes is no rush to the seeds.
+  /// Requests members that this node does not know: from all seeds while it knows no member, then
+  /// from known members, so that a start of all nodes does not overload the seeds.
   void request_members(base::time_point now, wire::outbox& out);
   void send_member_request(const base::network_address& address, wire::outbox& out);
   [[nodiscard]] base::network_address choose_member_source() const;
-  /// The last question for members was answered.
+  /// Records a reply. If it answers the last request for members and added members, schedules the
+  /// next request at once.
   void note_member_reply(std::uint64_t sequence, base::time_point now);
-  /// Forgets what is derived from `members_`.
+  /// Invalidates the data derived from `members_` and increases the version.
   void note_change();
-  void add_missing_members(const wire::envelope& requester, wire::envelope& reply) const;
+  /// Adds to a reply live members that the requester does not know.
+  void add_missing_members(const wire::envelope& request, wire::envelope& reply) const;
+  /// Sends the digests that this node sends as a relay of its zone or its region.
   void send_digests(base::time_point now, wire::outbox& out);
-  /// Sends digests to the nodes of other zones that are to hear of this one.
+  /// Sends digests about the own zone to the other zones of the region.
   void send_to_other_zones(base::time_point now, wire::outbox& out);
-  /// Tells one other zone of this region that this one lives, and what came from other regions.
+  /// Sends a digest to another zone of the region, with the contacts to other regions. The digest
+  /// is itself a contact with the own zone.
   void send_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
                     base::time_point now, wire::outbox& out);
-  /// Tells the relays of other regions which zones of the own region this node has heard of.
+  /// Sends the contacts with zones of the own region to the relays of other regions.
   void send_to_other_regions(base::time_point now, wire::outbox& out);
-  /// Tells the own zone which other zones this node has heard of.
+  /// Sends the contacts with other zones to all nodes of the own zone.
   void send_to_own_zone(base::time_point now, wire::outbox& out) const;
-  /// @return relays that speak for a region: of two zones that are heard, where it has so many.
+  /// @return the relays of a region: one relay of each of two reachable zones, or both relays of a
+  ///         single zone.
   [[nodiscard]] std::vector<base::node_id> region_relays(const base::region_id& region,
                                                          base::time_point now) const;
+  /// @return whether this node is a relay of its region.
   [[nodiscard]] bool is_region_relay(base::time_point now) const;
   /// @return live members of the zones of one region.
   [[nodiscard]] std::vector<base::node_id> nodes_of_region(const base::region_id& region) const;
-  /// @return other regions that have members.
+  /// @return other regions in which members are known.
   [[nodiscard]] std::set<base::region_id> other_regions() const;
   void send_digest(const base::node_id& to, const wire::zone_digest& digest,
                    wire::outbox& out) const;
-  /// @return relays of a zone among some of its nodes.
+  /// @return the relays of a zone, chosen among the given nodes of the zone.
   [[nodiscard]] std::vector<base::node_id>
   choose_relays(const std::vector<base::node_id>& nodes) const;
   [[nodiscard]] float processor_share_of(const base::node_id& node) const;
   std::optional<base::node_id> next_probe_target();
   wire::envelope ping_message(std::uint64_t sequence, const member* target);
   [[nodiscard]] bool in_zone(const member& other) const { return other.zone == self_.zone; }
+  /// @return number of messages with which a member update is sent.
   [[nodiscard]] unsigned gossip_sends() const;
   [[nodiscard]] const live_view& live() const;
 
@@ -226,14 +244,14 @@
   std::uint64_t relay_rounds_ = 0;
   std::uint64_t region_rounds_ = 0;
   base::time_point next_member_request_at_;
-  /// Sequence of the last question for members.
+  /// Sequence of the last request for members.
   std::uint64_t last_member_request_ = 0;
   std::optional<base::time_point> first_member_added_at_;
-  /// When a member was last added.
+  /// Time at which a message last added a member.
   base::time_point last_member_added_at_;
 };
 
-/// @return the rumour that describes `subject`.
+/// @return the member update that describes `subject`.
 wire::member_update update_of(const member& subject);
 
 } // namespace spurrack::membership
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -1,5 +1,5 @@
-/// How the members of different zones come to know and hear of each other: introductions at seed
-/// addresses, and relays.
+/// How nodes learn of members and of other zones: requests for members, first at seed addresses,
+/// and digests sent by relays.
 #include "membership/membership.h"
 
 #include "base/hashing.h"
@@ -11,40 +11,45 @@
 namespace spurrack::membership {
 namespace {
 
-/// Members named to one that asks, of those it lacks: 300 nodes that start together all know one
-/// another after 1.7 s (control_traffic test).
+/// Maximum number of members in the reply to a request, of the members that the requester lacks:
+/// 300 nodes that start together all know each other after 1.7 s (control_traffic test).
 constexpr std::size_t max_members_per_reply = 64;
-/// Members named to one that knows nobody; they fill the room that rumours would take. A seed of
-/// 300 nodes that start together sends 106 kB until all know all (introductions test). With 96
-/// members for each question its link of 10 Mbit/s was full for ten seconds (control_traffic test).
+/// Maximum number of members in the reply to a node that knows no member; they use the capacity
+/// that gossip would take. A seed of 300 nodes that start together sends 106 kB until all nodes
+/// know each other (member_discovery test). With 96 members per reply its link of 10 Mbit/s was
+/// saturated for ten seconds (control_traffic test).
 constexpr std::size_t max_members_per_first_reply = 6;
-/// Relays that send digests to one other zone; one of them may be lost without a silence.
+/// Number of relays that send digests to each other zone; if one of them fails, the zone stays
+/// reachable.
 constexpr std::size_t relays_per_zone = 2;
-/// Relays that send digests to one other region.
+/// Number of relays that send digests to each other region.
 constexpr std::size_t relays_per_region = 2;
-/// Relays have at least this part of the processor of the strongest node of their zone.
+/// Minimum processor share of a relay, as a fraction of that of the strongest node of its zone.
 constexpr float min_relay_processor_share = 0.5F;
-/// Members that a digest of every round may name; larger zones name theirs every few rounds, so
-/// that bytes between zones stay flat.
+/// A zone of n members lists them once every n / `members_per_round` rounds of digests, a small
+/// zone in each round, so that the bytes between zones do not grow.
 constexpr std::size_t members_per_round = 8;
-/// While members were added within this time, more are asked for; then only seldom, so that parts
-/// of the fleet that know nothing of each other meet in the end. An answer that brought news is
-/// followed by the next question at once.
+/// While a member was added within this time, more members are requested at
+/// `member_request_interval`, and at once after a reply that added members. Later they are
+/// requested at `idle_member_request_interval`, so that parts of the fleet that do not know each
+/// other meet in the end.
 constexpr base::duration member_growth_timeout = std::chrono::seconds(3);
 constexpr base::duration member_request_interval = std::chrono::milliseconds(500);
-/// A node that knows nobody asks more often: whether a seed can be reached yet is not told.
+/// Interval of the requests of a node that knows no member. It is shorter, because the node is not
+/// notified when a seed becomes reachable.
 constexpr base::duration first_member_request_interval = std::chrono::milliseconds(100);
 constexpr base::duration idle_member_request_interval = std::chrono::seconds(10);
-/// Fleets of more members ask as much more seldom: questions hold two bytes a member, and a seed
-/// would hear 0.5 MB a second of them at 2,700 nodes.
+/// Number of members for which `idle_member_request_interval` is added once more: a request holds
+/// two bytes per member, and a seed of 2,700 nodes would receive 0.5 MB of requests per second.
 constexpr std::size_t members_per_idle_interval = 300;
-/// Of so many questions for members one goes to any node that is known, the others stay in the own
-/// region.
+/// One of this number of requests for members goes to a member of any region, the others to members
+/// of the own region.
 constexpr std::uint64_t requests_per_remote_request = 8;
 
 } // namespace
 
-// --- seeds ---------------------------------------------------------------------------------------
+// --- requests for members
+// -------------------------------------------------------------------------
 
 void membership::request_members(base::time_point now, wire::outbox& out) {
   if (seeds_.empty() || now < next_member_request_at_) {
@@ -98,19 +103,19 @@
   }
 }
 
-void membership::add_missing_members(const wire::envelope& requester, wire::envelope& reply) const {
-  const name_filter known(requester.ping().known_members(), requester.ping().sequence());
+void membership::add_missing_members(const wire::envelope& request, wire::envelope& reply) const {
+  const name_filter known(request.ping().known_members(), request.ping().sequence());
   const auto limit = known.is_empty() ? max_members_per_first_reply : max_members_per_reply;
   std::vector<const member*> same_zone;
   std::vector<const member*> other_zones;
   for (const auto& [node, other] : members_) {
-    const bool is_missing = node.text() != requester.sender() && !known.may_contain(node);
+    const bool is_missing = node.text() != request.sender() && !known.may_contain(node);
     if (other.state == wire::ALIVE && is_missing) {
-      (other.zone.text() == requester.sender_zone() ? same_zone : other_zones).push_back(&other);
+      (other.zone.text() == request.sender_zone() ? same_zone : other_zones).push_back(&other);
     }
   }
-  // Those of its zone first: it probes them, and they know the rest. By chance, so that not
-  // everybody turns to the same nodes.
+  // Members of the requester's zone first: the requester probes them, and they know the other
+  // members. In random order, so that requesters do not all turn to the same nodes.
   std::size_t added = 0;
   for (auto* group : {&same_zone, &other_zones}) {
     while (!group->empty() && added < limit) {
@@ -160,7 +165,7 @@
   for (const auto& relay : live().relays.at(zone)) {
     send_digest(relay, ages, out);
   }
-  // Also to one that may be no relay: views of other zones are often old.
+  // Also to a random node that may not be a relay, because views of other zones are often outdated.
   const auto& nodes = live().remote.at(zone);
   send_digest(nodes[random_->below(nodes.size())], members, out);
 }
@@ -178,7 +183,7 @@
       }
     }
   }
-  // A region that is cut off is tried on, so that the end of the cut is noticed.
+  // Relays of a partitioned region are chosen too, so that the end of the partition is noticed.
   const auto zones =
       base::rendezvous_top("region relay", reachable.empty() ? all : reachable, relays_per_region);
   std::vector<base::node_id> chosen;
@@ -186,7 +191,7 @@
   for (const auto& zone : zones) {
     chosen.push_back(live().relays.at(zone).front());
   }
-  // One zone alone gives both of its relays.
+  // If only one zone is chosen, both of its relays are.
   if (zones.size() == 1 && live().relays.at(zones.front()).size() > 1) {
     chosen.push_back(live().relays.at(zones.front()).back());
   }
@@ -239,7 +244,8 @@
     for (const auto& relay : region_relays(region, now)) {
       send_digest(relay, ages, out);
     }
-    // Also to one that may be no relay: views of other regions are often old.
+    // Also to a random node that may not be a relay, because views of other regions are often
+    // outdated.
     if (const auto nodes = nodes_of_region(region); !nodes.empty()) {
       send_digest(nodes[random_->below(nodes.size())], members, out);
     }
--- a/src/membership/name_filter.h
+++ b/src/membership/name_filter.h
@@ -1,6 +1,7 @@
-/// The names a node knows, so short that they fit into a question: two bytes a name. Who answers
-/// tells what is missing and nothing else. A missing name is taken for known once in 65,536 for
-/// each name known; another salt with each question mends that with the next.
+/// Filter of the node names that a node knows, as a set of hashes of two bytes per name, short
+/// enough for a request for members. The receiver of the request answers only with names that are
+/// missing. For each known name, a missing name is taken for known with a probability of one in
+/// 65,536; each request has a different salt, so a later request finds the name.
 #pragma once
 
 #include "base/ids.h"
@@ -11,13 +12,13 @@
 
 namespace spurrack::membership {
 
-/// Written by who asks.
+/// Builds the filter at the requesting node.
 class name_filter_writer {
  public:
   explicit name_filter_writer(std::uint64_t salt) : salt_(salt) {}
 
   void add(const base::node_id& node);
-  /// @return the filter as it is sent.
+  /// @return the filter in the form in which it is sent. Empties the writer.
   [[nodiscard]] std::string take() { return std::move(bytes_); }
 
  private:
@@ -25,10 +26,10 @@
   std::string bytes_;
 };
 
-/// Read by who answers.
+/// Filter as read by the node that answers.
 class name_filter {
  public:
-  /// @param bytes as sent; what is left over of a pair is ignored.
+  /// @param bytes the filter as sent; an incomplete pair of bytes at the end is ignored.
   name_filter(const std::string& bytes, std::uint64_t salt);
 
   [[nodiscard]] bool may_contain(const base::node_id& node) const;
--- a/src/membership/zone_contact.cc
+++ b/src/membership/zone_contact.cc
@@ -5,16 +5,18 @@
 namespace spurrack::membership {
 namespace {
 
-/// Silence that is never taken for a lost zone: a few lost messages, or a node that is busy.
+/// A shorter time without contact never makes a zone unreachable: a few messages may have been
+/// lost, or a node may be busy.
 constexpr base::duration min_contact_timeout = std::chrono::milliseconds(900);
-/// Usual gaps and deviations that a silence must exceed; the deviations are those of TCP's
-/// retransmission time (RFC 6298), the gaps stand for one relay of two that is lost.
+/// Number of mean gaps and of mean deviations in the contact timeout. The deviations are counted as
+/// in TCP's retransmission timeout (RFC 6298); two mean gaps allow for the failure of one of two
+/// relays.
 constexpr int mean_gap_factor = 2;
 constexpr int gap_deviation_factor = 4;
-/// Assumed before anything was measured: a limit of 1.2 s.
+/// Gap and deviation before the first measurement: a contact timeout of 1.2 s.
 constexpr base::duration initial_mean_gap = std::chrono::milliseconds(200);
 constexpr base::duration initial_gap_deviation = std::chrono::milliseconds(200);
-/// Share of the latest measurement is one over this (RFC 6298).
+/// The weight of the latest measurement is one over this value (RFC 6298).
 constexpr int smoothing_divisor = 8;
 
 } // namespace
@@ -71,7 +73,7 @@
 void zone_contact::add_age(wire::zone_digest& digest, const base::zone_id& zone,
                            const std::optional<base::time_point>& contact_at,
                            base::time_point now) {
-  // What is older changes nothing at the receiver.
+  // An older contact would change nothing at the receiver.
   if (contact_at && now - *contact_at < max_contact_timeout) {
     auto& reported = *digest.add_heard();
     reported.set_zone(zone.text());
@@ -81,7 +83,7 @@
 
 void zone_contact::add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const {
   for (const auto& [zone, state] : zone_states_) {
-    // An empty optional is less than any time.
+    // std::nullopt is less than any time.
     const auto latest = std::max({state.direct_contact_at, state.region_reported_contact_at,
                                   state.relay_reported_contact_at});
     add_age(digest, zone, latest, now);
--- a/src/membership/zone_contact.h
+++ b/src/membership/zone_contact.h
@@ -1,9 +1,10 @@
-/// When this node or a relay of its zone last heard of each other zone. Messages from other zones
-/// reach few nodes; the relays tell their zone what they heard, so that each node notices a silent
-/// zone within a time that does not grow with the fleet. News go down a ladder and never back up,
-/// as passed on from node to node they would arrive long after a zone went silent: heard from the
-/// zone itself, told to another region, told within it to the relays of its zones, told to their
-/// zones.
+/// Tracks the last contact with each other zone: the time at which this node or a relay last
+/// received a message from the zone. Messages from other zones reach few nodes; the relays report
+/// their contacts to their zone, so that each node detects an unreachable zone within a time that
+/// does not grow with the fleet. Reports of contacts are forwarded only downwards through these
+/// levels: received from the zone itself, reported to another region, reported there to the relays
+/// of its zones, reported to the nodes of these zones. If reports were forwarded back up, they
+/// would circulate and still arrive long after a zone became unreachable.
 #pragma once
 
 #include "base/ids.h"
@@ -20,51 +21,60 @@
 /// Not thread-safe.
 class zone_contact {
  public:
-  /// Silence after which any zone counts as silent.
+  /// Upper limit of the contact timeout, which is the time without contact after which a zone
+  /// counts as unreachable.
   static constexpr base::duration max_contact_timeout = std::chrono::milliseconds(1400);
 
   explicit zone_contact(base::zone_id own_zone, model::zone_regions regions = {})
       : own_zone_(std::move(own_zone)), regions_(std::move(regions)) {}
 
-  /// Takes note of a message: its sender's zone, and what a relay says of others.
+  /// Records the contact with the zone of a message's sender, and the contacts that a relay reports
+  /// in the message.
   void observe(const wire::envelope& message, base::time_point now);
-  /// Says to the own zone what this node heard from zones, other regions and other relays.
+  /// Adds to a digest for the own zone the contacts of this node with zones, and those that other
+  /// regions and other relays reported to it.
   void add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const;
-  /// Says to other zones of the region what this node heard from other regions.
+  /// Adds to a digest for other zones of the region the contacts with zones of other regions.
   void add_ages_for_region(wire::zone_digest& digest, base::time_point now) const;
-  /// Says to other regions what this node heard from the zones of its own.
+  /// Adds to a digest for other regions the contacts of this node with zones of its own region.
   void add_ages_for_other_regions(wire::zone_digest& digest, base::time_point now) const;
-  /// This process was paused: every zone gets time to be heard again.
+  /// Moves the last contacts forward after a suspension of this process, so that each zone has time
+  /// for a new contact before it counts as unreachable.
   void resume_after_suspension(base::time_point now);
 
-  /// @return whether a zone was heard of lately.
+  /// @return whether the last contact with a zone is within its contact timeout.
   [[nodiscard]] bool is_reachable(const base::zone_id& zone, base::time_point now) const;
-  /// @return zones that were heard of once, and not lately.
+  /// @return zones whose last contact is older than their contact timeout. Zones that never had a
+  ///         contact are not included.
   [[nodiscard]] std::set<base::zone_id> unreachable_zones(base::time_point now) const;
 
  private:
-  /// What is known of one zone.
+  /// Contacts with one zone.
   struct zone_state {
+    /// Time of the latest contact from any source.
     base::time_point last_contact_at;
+    /// Time at which this node last received a message from the zone.
     std::optional<base::time_point> direct_contact_at;
-    /// What a node of another region said of a zone there.
+    /// Time of the latest contact that a node of another region reported.
     std::optional<base::time_point> region_reported_contact_at;
-    /// What a relay of another zone of the own region said.
+    /// Time of the latest contact that a relay of another zone of the own region reported.
     std::optional<base::time_point> relay_reported_contact_at;
-    /// Usual time without news, and its mean deviation.
+    /// Mean time between contacts, and its mean deviation.
     base::duration mean_gap;
     base::duration gap_deviation;
   };
 
-  /// @return what is known of the zone now.
+  /// Records a contact with a zone, and updates the mean gap if the contact is the latest.
+  /// @return the state of the zone.
   zone_state& note_contact(const base::zone_id& zone, base::time_point contact_at,
                            base::time_point now);
-  /// @return silence after which a zone with such news counts as silent.
+  /// @return the time without contact after which the zone counts as unreachable.
   [[nodiscard]] static base::duration contact_timeout(const zone_state& state);
 
-  /// Adds an entry, where the zone was heard of lately.
+  /// Adds the age of a contact to a digest if the contact is recent.
   static void add_age(wire::zone_digest& digest, const base::zone_id& zone,
                       const std::optional<base::time_point>& contact_at, base::time_point now);
+  /// Records the contacts that the sender of a digest reports.
   void record_reported_contacts(const wire::zone_digest& digest, const base::zone_id& sender_zone,
                                 base::time_point now);
 
