--- a/tests/catalog/entry_packing_test.cc
+++ b/tests/catalog/entry_packing_test.cc
@@ -37,7 +37,7 @@
 
 BOOST_AUTO_TEST_SUITE(entry_packing)
 
-BOOST_AUTO_TEST_CASE(entries_are_whole_again_after_the_way) {
+BOOST_AUTO_TEST_CASE(unpacked_entries_equal_packed_entries) {
   for (const int count : {0, 1, 5, 3'000}) {
     const auto entries = replica_entries(count);
     wire::catalog_push message;
@@ -51,7 +51,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(many_take_a_fourth_of_their_size) {
+BOOST_AUTO_TEST_CASE(many_entries_take_less_than_a_fourth_of_their_size) {
   const auto entries = replica_entries(3'000);
   wire::catalog_push plain;
   plain.mutable_entries()->Assign(entries.begin(), entries.end());
@@ -62,12 +62,12 @@
   BOOST_TEST(packed.ByteSizeLong() * 4 < plain.ByteSizeLong());
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_read_is_refused) {
+BOOST_AUTO_TEST_CASE(unreadable_entries_are_rejected) {
   wire::catalog_push message;
   catalog::pack_entries(replica_entries(100), message);
-  auto cut = message;
-  cut.mutable_packed_entries()->resize(cut.packed_entries().size() / 2);
-  BOOST_TEST(!catalog::unpack_entries(cut).has_value());
+  auto truncated = message;
+  truncated.mutable_packed_entries()->resize(truncated.packed_entries().size() / 2);
+  BOOST_TEST(!catalog::unpack_entries(truncated).has_value());
   message.set_packed_entries("no compressed content");
   BOOST_TEST(!catalog::unpack_entries(message).has_value());
 }
--- a/tests/catalog/evacuation_entries_test.cc
+++ b/tests/catalog/evacuation_entries_test.cc
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_SUITE(evacuation_entries)
 
-BOOST_AUTO_TEST_CASE(news_that_arrive_out_of_order_leave_the_newest_in_force) {
+BOOST_AUTO_TEST_CASE(latest_entry_is_in_effect_after_any_order_of_entries) {
   catalog::catalog content;
   content.apply(evacuation_entry("a", 3));
   BOOST_TEST(content.evacuated_zones().contains(base::zone_id("a")));
@@ -44,26 +44,26 @@
   BOOST_TEST(content.evacuated_zones().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_listing_shows_what_has_ended) {
+BOOST_AUTO_TEST_CASE(listing_without_an_evacuation_yields_its_deletion) {
   catalog::catalog content;
   content.apply(evacuation_entry("a", 3));
   content.apply(evacuation_entry("b", 4));
   content.apply(evacuation_entry("c", 9));
-  const auto gone = content.deletions_of_unlisted_evacuations({"evacuations/b"}, {0, 8});
-  BOOST_REQUIRE(gone.size() == 1U);
-  BOOST_TEST(gone.front().key() == "evacuations/a");
-  BOOST_TEST(gone.front().deleted());
+  const auto deletions = content.deletions_of_unlisted_evacuations({"evacuations/b"}, {0, 8});
+  BOOST_REQUIRE(deletions.size() == 1U);
+  BOOST_TEST(deletions.front().key() == "evacuations/a");
+  BOOST_TEST(deletions.front().deleted());
   // `c` began after the listing was read.
-  content.apply(gone.front());
+  content.apply(deletions.front());
   BOOST_TEST(content.evacuated_zones().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_malformed_record_leaves_what_is_in_force) {
+BOOST_AUTO_TEST_CASE(malformed_record_leaves_evacuation_in_effect) {
   catalog::catalog content;
   content.apply(evacuation_entry("a", 3));
-  auto bad = evacuation_entry("a", 4);
-  bad.set_value("\xff\xff");
-  BOOST_TEST((content.apply(bad).verdict == catalog::apply_verdict::rejected));
+  auto malformed = evacuation_entry("a", 4);
+  malformed.set_value("\xff\xff");
+  BOOST_TEST((content.apply(malformed).verdict == catalog::apply_verdict::rejected));
   BOOST_TEST(content.evacuated_zones().size() == 1U);
 }
 
--- a/tests/catalog/replicator_test.cc
+++ b/tests/catalog/replicator_test.cc
@@ -8,16 +8,16 @@
 namespace {
 
 wire::catalog_entry entry(std::uint64_t revision, const std::string& name) {
-  wire::catalog_entry made;
-  made.set_key("templates/" + name);
-  made.set_revision(revision);
-  made.set_value("{name: " + name +
-                 ", deadline_ms: 10, stages: [{name: a, kind: encode, pool: p}]}");
-  return made;
+  wire::catalog_entry result;
+  result.set_key("templates/" + name);
+  result.set_revision(revision);
+  result.set_value("{name: " + name +
+                   ", deadline_ms: 10, stages: [{name: a, kind: encode, pool: p}]}");
+  return result;
 }
 
-struct replica {
-  explicit replica(std::uint64_t seed)
+struct catalog_node {
+  explicit catalog_node(std::uint64_t seed)
       : random(seed), subject(content, random, [](const auto&, const auto&) {}) {}
 
   catalog::catalog content;
@@ -29,8 +29,8 @@
 
 BOOST_AUTO_TEST_SUITE(replicator_exchange)
 
-BOOST_AUTO_TEST_CASE(what_the_service_tells_goes_to_every_peer_of_a_zone) {
-  replica reader(1);
+BOOST_AUTO_TEST_CASE(entry_read_from_the_service_is_sent_to_all_peers_of_a_zone) {
+  catalog_node reader(1);
   constexpr int peer_count = 10;
   std::vector<base::network_address> peers;
   peers.reserve(peer_count);
@@ -42,19 +42,19 @@
   BOOST_TEST(out.size() == peers.size());
 }
 
-BOOST_AUTO_TEST_CASE(a_missed_entry_is_fetched_while_others_keep_changing) {
-  replica behind(1);
-  replica ahead(2);
-  wire::outbox none;
-  ahead.subject.offer({entry(1, "missed")}, {}, none);
+BOOST_AUTO_TEST_CASE(comparison_for_a_missed_entry_starts_while_other_entries_change) {
+  catalog_node behind(1);
+  catalog_node ahead(2);
+  wire::outbox unused;
+  ahead.subject.offer({entry(1, "missed")}, {}, unused);
   base::time_point now{std::chrono::hours(1)};
   bool compared = false;
   constexpr int rounds = 8;
   for (int round = 0; round < rounds && !compared; ++round) {
     now += std::chrono::milliseconds(200);
-    const auto fresh = entry(static_cast<std::uint64_t>(round) + 2, "changing");
-    ahead.subject.offer({fresh}, {}, none);
-    behind.subject.offer({fresh}, {}, none);
+    const auto new_entry = entry(static_cast<std::uint64_t>(round) + 2, "changing");
+    ahead.subject.offer({new_entry}, {}, unused);
+    behind.subject.offer({new_entry}, {}, unused);
     wire::outbox out;
     behind.subject.compare(base::network_address("a:1"), ahead.content.content_hash(), false, now,
                            out);
@@ -63,26 +63,26 @@
   BOOST_TEST(compared);
 }
 
-BOOST_AUTO_TEST_CASE(a_difference_that_settles_by_itself_costs_no_exchange) {
-  replica one(1);
-  replica other(2);
+BOOST_AUTO_TEST_CASE(short_difference_starts_no_comparison) {
+  catalog_node node(1);
+  catalog_node peer(2);
   wire::outbox out;
   base::time_point now{std::chrono::hours(1)};
   for (std::uint64_t revision = 1; revision < 10; ++revision) {
-    other.subject.offer({entry(revision, "a")}, {}, out);
+    peer.subject.offer({entry(revision, "a")}, {}, out);
     now += std::chrono::milliseconds(400);
-    one.subject.compare(base::network_address("a:1"), other.content.content_hash(), false, now,
-                        out);
-    one.subject.offer({entry(revision, "a")}, {}, out);
+    node.subject.compare(base::network_address("a:1"), peer.content.content_hash(), false, now,
+                         out);
+    node.subject.offer({entry(revision, "a")}, {}, out);
     now += std::chrono::milliseconds(10);
-    one.subject.compare(base::network_address("a:1"), other.content.content_hash(), false, now,
-                        out);
+    node.subject.compare(base::network_address("a:1"), peer.content.content_hash(), false, now,
+                         out);
   }
   BOOST_TEST(out.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_first_listing_is_not_passed_on) {
-  replica reader(1);
+BOOST_AUTO_TEST_CASE(first_listing_is_not_forwarded) {
+  catalog_node reader(1);
   std::vector<wire::catalog_entry> listing;
   for (std::uint64_t number = 1; number <= 200; ++number) {
     listing.push_back(entry(number, "t" + std::to_string(number)));
@@ -95,8 +95,8 @@
   BOOST_TEST(out.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(one_comparison_is_under_way_at_a_time) {
-  replica behind(1);
+BOOST_AUTO_TEST_CASE(next_comparison_waits_for_answer_or_timeout) {
+  catalog_node behind(1);
   wire::outbox out;
   base::time_point now{std::chrono::hours(1)};
   for (int round = 0; round < 9; ++round) {
@@ -110,21 +110,21 @@
   BOOST_TEST(out.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(comparisons_that_bring_nothing_become_rarer) {
-  replica one(1);
+BOOST_AUTO_TEST_CASE(comparisons_without_new_entries_become_less_frequent) {
+  catalog_node node(1);
   wire::outbox out;
   base::time_point now{std::chrono::hours(1)};
-  wire::envelope nothing;
-  nothing.set_sender_address("a:1");
-  nothing.mutable_catalog_push()->set_answers_comparison(true);
+  wire::envelope empty_answer;
+  empty_answer.set_sender_address("a:1");
+  empty_answer.mutable_catalog_push()->set_answers_comparison(true);
   std::size_t compared = 0;
   for (int round = 0; round < 200; ++round) {
     // The peer's content is another one each time, as while changes keep coming.
-    one.subject.compare(base::network_address("a:1"), static_cast<std::uint64_t>(round) + 1, false,
-                        now, out);
+    node.subject.compare(base::network_address("a:1"), static_cast<std::uint64_t>(round) + 1, false,
+                         now, out);
     if (out.size() > compared) {
       compared = out.size();
-      one.subject.handle(nothing, {}, now, out);
+      node.subject.handle(empty_answer, {}, now, out);
     }
     now += std::chrono::milliseconds(100);
   }
@@ -133,20 +133,20 @@
   BOOST_TEST(compared <= 24U);
 }
 
-BOOST_AUTO_TEST_CASE(few_large_answers_are_given_at_once_and_others_are_sent_on) {
-  replica ahead(1);
-  wire::outbox none;
+BOOST_AUTO_TEST_CASE(large_answers_above_the_limit_are_replaced_by_empty_answers) {
+  catalog_node ahead(1);
+  wire::outbox unused;
   for (std::uint64_t number = 1; number <= 400; ++number) {
-    ahead.subject.offer({entry(number, "t" + std::to_string(number))}, {}, none);
+    ahead.subject.offer({entry(number, "t" + std::to_string(number))}, {}, unused);
   }
-  wire::envelope question;
-  question.mutable_catalog_buckets()->mutable_hashes()->Resize(catalog::catalog::bucket_count, 0);
+  wire::envelope comparison;
+  comparison.mutable_catalog_buckets()->mutable_hashes()->Resize(catalog::catalog::bucket_count, 0);
   const base::time_point now{std::chrono::hours(1)};
   std::size_t full_answers = 0;
   wire::outbox out;
-  for (int asker = 0; asker < 10; ++asker) {
-    question.set_sender_address("a" + std::to_string(asker) + ":1");
-    ahead.subject.handle(question, {}, now, out);
+  for (int requester = 0; requester < 10; ++requester) {
+    comparison.set_sender_address("a" + std::to_string(requester) + ":1");
+    ahead.subject.handle(comparison, {}, now, out);
   }
   BOOST_TEST(out.size() == 10U);
   for (const auto& answer : out) {
--- a/tests/catalog/service_watch_test.cc
+++ b/tests/catalog/service_watch_test.cc
@@ -13,7 +13,7 @@
 
 BOOST_AUTO_TEST_SUITE(service_watch_test)
 
-BOOST_AUTO_TEST_CASE(a_burst_of_changes_takes_few_calls) {
+BOOST_AUTO_TEST_CASE(burst_of_changes_takes_few_reads) {
   service_watch subject;
   auto now = start;
   std::size_t calls = 0;
@@ -28,7 +28,7 @@
   BOOST_TEST(calls <= 6U);
 }
 
-BOOST_AUTO_TEST_CASE(changes_that_keep_coming_are_read_ever_more_rarely) {
+BOOST_AUTO_TEST_CASE(read_interval_grows_while_changes_continue) {
   watch_timing timing;
   timing.max_read_interval = std::chrono::milliseconds(800);
   service_watch subject(timing);
@@ -51,7 +51,7 @@
   BOOST_TEST(subject.next_read(true, now + service_watch::min_read_interval).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(after_an_answer_without_changes_the_watch_goes_on_at_once) {
+BOOST_AUTO_TEST_CASE(next_watch_starts_at_once_after_an_answer_without_changes) {
   service_watch subject;
   BOOST_TEST(subject.next_read(true, start).has_value());
   subject.on_answer({std::nullopt, 7, false}, false, start);
@@ -60,7 +60,7 @@
   BOOST_TEST(*after == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(a_service_that_does_not_answer_is_asked_ever_more_rarely) {
+BOOST_AUTO_TEST_CASE(retry_interval_grows_while_the_service_does_not_answer) {
   service_watch subject;
   auto now = start;
   std::size_t calls = 0;
@@ -73,7 +73,7 @@
   BOOST_TEST(calls == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(a_watch_that_does_not_tell_what_others_know_is_begun_anew) {
+BOOST_AUTO_TEST_CASE(watch_is_restarted_if_it_does_not_report_what_other_nodes_know) {
   service_watch subject;
   auto now = start;
   subject.next_read(true, now);
@@ -90,7 +90,7 @@
   BOOST_TEST((subject.next_read(true, now) == 100U));
 }
 
-BOOST_AUTO_TEST_CASE(a_revision_that_changed_nothing_has_a_watch_begun_anew_once) {
+BOOST_AUTO_TEST_CASE(watch_is_restarted_once_for_a_revision_without_changes) {
   service_watch subject;
   auto now = start;
   subject.next_read(true, now);
@@ -105,7 +105,7 @@
   BOOST_TEST(reads == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_known_of_another_era_says_nothing_of_a_watch) {
+BOOST_AUTO_TEST_CASE(watch_is_not_restarted_for_a_revision_of_another_era) {
   service_watch subject;
   auto now = start;
   subject.next_read(true, now);
@@ -160,14 +160,14 @@
   service_watch subject;
   subject.next_read(true, start);
   subject.on_answer({5, 100, true}, true, start);
-  const auto late = subject.on_answer({4, 200, false}, true, start);
-  BOOST_TEST(late.is_outdated);
-  const auto silent = subject.on_answer({std::nullopt, 101, false}, true, start);
-  BOOST_TEST(!silent.is_outdated);
-  BOOST_TEST(silent.era == 5U);
+  const auto outdated = subject.on_answer({4, 200, false}, true, start);
+  BOOST_TEST(outdated.is_outdated);
+  const auto without_era = subject.on_answer({std::nullopt, 101, false}, true, start);
+  BOOST_TEST(!without_era.is_outdated);
+  BOOST_TEST(without_era.era == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(an_era_that_is_far_ahead_is_not_believed) {
+BOOST_AUTO_TEST_CASE(answer_of_an_era_far_ahead_is_implausible) {
   service_watch subject;
   subject.next_read(true, start);
   subject.on_answer({5, 100, true}, true, start);
@@ -176,7 +176,7 @@
   BOOST_TEST(next.is_new_era);
 }
 
-BOOST_AUTO_TEST_CASE(the_first_era_that_is_heard_of_begins_nothing) {
+BOOST_AUTO_TEST_CASE(first_known_era_is_not_a_new_era) {
   service_watch subject;
   subject.next_read(true, start);
   const auto meaning = subject.on_answer({7, 100, true}, true, start);
--- a/tests/catalog/store_era_test.cc
+++ b/tests/catalog/store_era_test.cc
@@ -15,34 +15,34 @@
 
 wire::catalog_entry entry(base::store_era era, base::revision revision, const std::string& key,
                           const std::string& value) {
-  wire::catalog_entry made;
-  made.set_era(era);
-  made.set_revision(revision);
-  made.set_key(key);
-  made.set_value(value);
-  made.set_deleted(value.empty());
-  return made;
+  wire::catalog_entry result;
+  result.set_era(era);
+  result.set_revision(revision);
+  result.set_key(key);
+  result.set_value(value);
+  result.set_deleted(value.empty());
+  return result;
 }
 
 const std::string replica_key = std::string(model::replica_prefix) + "r";
 
 std::string replica(bool draining, const std::string& address = "10.0.0.1:80") {
-  wire::published_replica made;
-  made.set_id("r");
-  made.set_service("s");
-  made.set_address(address);
-  made.set_zone("a");
-  made.set_slots(4);
-  made.set_draining(draining);
-  made.set_started_at_milliseconds(77);
-  return made.SerializeAsString();
+  wire::published_replica record;
+  record.set_id("r");
+  record.set_service("s");
+  record.set_address(address);
+  record.set_zone("a");
+  record.set_slots(4);
+  record.set_draining(draining);
+  record.set_started_at_milliseconds(77);
+  return record.SerializeAsString();
 }
 
 std::string configuration(std::uint64_t version) {
-  wire::published_configuration made;
-  made.set_version(version);
-  made.add_services()->set_name("s");
-  return made.SerializeAsString();
+  wire::published_configuration record;
+  record.set_version(version);
+  record.add_services()->set_name("s");
+  return record.SerializeAsString();
 }
 
 const model::replica& known_replica(const catalog::catalog& content) {
@@ -53,7 +53,7 @@
 
 BOOST_AUTO_TEST_SUITE(store_era)
 
-BOOST_AUTO_TEST_CASE(an_entry_written_again_at_a_lower_revision_is_newer_in_a_new_era) {
+BOOST_AUTO_TEST_CASE(entry_of_a_later_era_with_a_lower_revision_is_accepted) {
   catalog::catalog content;
   content.apply(entry(1, 100, replica_key, replica(false)));
   const auto result = content.apply(entry(2, 90, replica_key, replica(false, "10.0.0.2:80")));
@@ -61,7 +61,7 @@
   BOOST_TEST(known_replica(content).address.text() == "10.0.0.2:80");
 }
 
-BOOST_AUTO_TEST_CASE(a_revision_given_out_again_with_other_bytes_is_settled_by_the_era) {
+BOOST_AUTO_TEST_CASE(later_era_wins_at_equal_revisions) {
   const auto before = entry(1, 100, replica_key, replica(false, "10.0.0.1:80"));
   const auto after = entry(2, 100, replica_key, replica(false, "10.0.0.2:80"));
   for (const bool reversed : {false, true}) {
@@ -72,8 +72,8 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(nodes_that_heard_the_eras_in_any_order_hold_the_same) {
-  std::vector<wire::catalog_entry> heard{
+BOOST_AUTO_TEST_CASE(content_is_equal_after_any_order_of_entries_of_two_eras) {
+  std::vector<wire::catalog_entry> entries{
       entry(1, 100, replica_key, replica(false)),
       entry(1, 101, replica_key, ""),
       entry(2, 95, replica_key, replica(false, "10.0.0.3:80")),
@@ -82,21 +82,21 @@
       entry(2, 90, std::string(model::configuration_key), configuration(30)),
       entry(2, 97, std::string(model::configuration_key), configuration(31))};
   std::mt19937 order(3);
-  std::optional<std::uint64_t> hash;
+  std::optional<std::uint64_t> expected_hash;
   for (int round = 0; round < 30; ++round) {
-    std::shuffle(heard.begin(), heard.end(), order);
+    std::shuffle(entries.begin(), entries.end(), order);
     catalog::catalog content;
-    for (const auto& one : heard) {
-      content.apply(one);
+    for (const auto& offered : entries) {
+      content.apply(offered);
     }
     BOOST_TEST(content.serving()->version == 31U);
     BOOST_TEST(known_replica(content).draining);
-    BOOST_TEST(content.content_hash() == hash.value_or(content.content_hash()));
-    hash = content.content_hash();
+    BOOST_TEST(content.content_hash() == expected_hash.value_or(content.content_hash()));
+    expected_hash = content.content_hash();
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_that_was_acted_on_stays_until_the_operator_writes_it_again) {
+BOOST_AUTO_TEST_CASE(configuration_is_ordered_by_its_version_across_eras) {
   catalog::catalog content;
   const std::string key(model::configuration_key);
   content.apply(entry(1, 100, key, configuration(30)));
@@ -110,7 +110,7 @@
   BOOST_TEST(content.serving()->version == 33U);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_starts_on_the_older_copy_takes_the_newer_version_of_its_peers) {
+BOOST_AUTO_TEST_CASE(configuration_with_a_higher_version_is_accepted_from_an_earlier_era) {
   catalog::catalog content;
   const std::string key(model::configuration_key);
   content.apply(entry(2, 100, key, configuration(30)));
@@ -119,7 +119,7 @@
   BOOST_TEST(content.serving()->version == 31U);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_was_known_to_drain_drains_on_until_it_writes_again) {
+BOOST_AUTO_TEST_CASE(draining_replica_keeps_draining_in_a_new_era_until_its_next_entry) {
   catalog::catalog content;
   content.apply(entry(1, 100, replica_key, replica(false)));
   content.apply(entry(1, 110, replica_key, replica(true)));
@@ -129,7 +129,7 @@
   BOOST_TEST(!known_replica(content).draining);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_was_gone_may_be_gone_still) {
+BOOST_AUTO_TEST_CASE(deleted_replica_may_be_gone_in_a_new_era) {
   catalog::catalog content;
   content.apply(entry(1, 100, replica_key, replica(false)));
   content.apply(entry(1, 110, replica_key, ""));
@@ -137,17 +137,17 @@
   BOOST_TEST(known_replica(content).may_be_gone);
 }
 
-BOOST_AUTO_TEST_CASE(a_listing_of_a_new_era_shows_what_is_gone_whatever_its_revision_was) {
+BOOST_AUTO_TEST_CASE(listing_of_a_new_era_yields_deletions_at_any_revision) {
   catalog::catalog content;
   content.apply(entry(1, 500, replica_key, replica(false)));
   BOOST_TEST(content.deletions_of_unlisted_replicas({}, {1, 400}).empty());
-  const auto gone = content.deletions_of_unlisted_replicas({}, {2, 400});
-  BOOST_REQUIRE(gone.size() == 1U);
-  BOOST_CHECK(content.apply(gone.front()).verdict == apply_verdict::accepted);
+  const auto deletions = content.deletions_of_unlisted_replicas({}, {2, 400});
+  BOOST_REQUIRE(deletions.size() == 1U);
+  BOOST_CHECK(content.apply(deletions.front()).verdict == apply_verdict::accepted);
   BOOST_TEST(content.replicas().empty());
 }
 
-BOOST_AUTO_TEST_CASE(what_an_older_build_tells_is_news_in_the_era_of_its_receiver) {
+BOOST_AUTO_TEST_CASE(entry_without_an_era_counts_as_one_of_the_latest_era) {
   catalog::catalog content;
   content.apply(entry(2, 100, replica_key, replica(false)));
   BOOST_CHECK(content.apply(entry(0, 101, replica_key, replica(true))).verdict ==
@@ -159,7 +159,7 @@
               apply_verdict::accepted);
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_that_told_no_era_before_was_not_rolled_back) {
+BOOST_AUTO_TEST_CASE(replica_deleted_without_an_era_is_not_marked_as_gone) {
   catalog::catalog content;
   content.apply(entry(0, 100, replica_key, replica(false)));
   content.apply(entry(0, 110, replica_key, ""));
@@ -167,12 +167,12 @@
   BOOST_TEST(!known_replica(content).may_be_gone);
 }
 
-BOOST_AUTO_TEST_CASE(the_hash_is_that_of_a_build_that_knows_no_era) {
+BOOST_AUTO_TEST_CASE(content_hash_does_not_depend_on_the_era) {
   catalog::catalog with_era;
-  catalog::catalog without;
+  catalog::catalog without_era;
   with_era.apply(entry(3, 100, replica_key, replica(false)));
-  without.apply(entry(0, 100, replica_key, replica(false)));
-  BOOST_TEST(with_era.content_hash() == without.content_hash());
+  without_era.apply(entry(0, 100, replica_key, replica(false)));
+  BOOST_TEST(with_era.content_hash() == without_era.content_hash());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/membership/hollow_fleet.h
+++ b/tests/membership/hollow_fleet.h
@@ -35,7 +35,7 @@
   /// @param region_count regions over which the zones are spread; 0: none is named.
   /// @param introduced whether every node knows every other, as after a long calm.
   hollow_fleet(std::size_t nodes_per_zone, std::size_t zones, std::size_t region_count = 0,
-               bool introduced = true) {
+               bool all_known = true) {
     for (std::size_t zone = 0; zone < zones && region_count > 0; ++zone) {
       region_by_zone[base::zone_id("z" + std::to_string(zone))] =
           base::region_id("r" + std::to_string(zone % region_count));
@@ -50,13 +50,13 @@
       by_address[self.address] = nodes.size();
       nodes.push_back(std::make_unique<hollow_node>(self, index + 1, regions));
     }
-    if (introduced) {
-      introduce_all();
+    if (all_known) {
+      make_all_known();
     }
   }
 
-  void introduce_all() {
-    wire::envelope everybody;
+  void make_all_known() {
+    wire::envelope message;
     for (const auto& node : nodes) {
       member known;
       known.node = node->members.self().node;
@@ -64,13 +64,13 @@
       known.address = node->members.self().address;
       known.incarnation = 1;
       known.state = wire::ALIVE;
-      *everybody.add_updates() = update_of(known);
+      *message.add_updates() = update_of(known);
     }
     for (auto& node : nodes) {
       // Said by the node itself, so that nobody is heard of another zone by it.
-      everybody.set_sender(node->members.self().node.text());
-      everybody.set_sender_zone(node->members.self().zone.text());
-      node->members.observe(everybody, now);
+      message.set_sender(node->members.self().node.text());
+      message.set_sender_zone(node->members.self().zone.text());
+      node->members.observe(message, now);
     }
   }
 
@@ -79,13 +79,13 @@
     constexpr int steps_per_tick = 5;
     for (const auto end = now + span; now < end;) {
       now += step;
-      auto delivered = std::exchange(under_way, {});
+      auto delivered = std::exchange(in_flight, {});
       for (auto& [to, message] : delivered) {
         deliver(to, message);
       }
       ++steps;
       for (std::size_t index = 0; index < nodes.size(); ++index) {
-        if (!is_lost(index) && (steps + index) % steps_per_tick == 0) {
+        if (!is_down(index) && (steps + index) % steps_per_tick == 0) {
           wire::outbox out;
           nodes[index]->members.tick(now, out);
           send(index, out);
@@ -110,13 +110,13 @@
         ++messages_between_regions;
         bytes_between_regions += message.message.ByteSizeLong();
       }
-      under_way.emplace_back(by_address.at(message.to), std::move(message.message));
+      in_flight.emplace_back(by_address.at(message.to), std::move(message.message));
     }
   }
 
   void deliver(std::size_t to, const wire::envelope& message) {
     const auto from = by_address.at(base::network_address(message.sender_address()));
-    if (is_lost(to) || is_lost(from) || is_cut(to) != is_cut(from)) {
+    if (is_down(to) || is_down(from) || is_partitioned(to) != is_partitioned(from)) {
       return;
     }
     wire::outbox out;
@@ -125,12 +125,13 @@
     send(to, out);
   }
 
-  [[nodiscard]] bool is_lost(std::size_t index) const {
-    return nodes[index]->members.self().zone == lost_zone;
+  [[nodiscard]] bool is_down(std::size_t index) const {
+    return nodes[index]->members.self().zone == down_zone;
   }
 
-  [[nodiscard]] bool is_cut(std::size_t index) const {
-    return !cut_region.empty() && region_of(nodes[index]->members.self().zone) == cut_region;
+  [[nodiscard]] bool is_partitioned(std::size_t index) const {
+    return !partitioned_region.empty() &&
+           region_of(nodes[index]->members.self().zone) == partitioned_region;
   }
 
   /// @return an empty name where the zone has no region.
@@ -140,20 +141,20 @@
   }
 
   /// @return pairs of a node and a zone that it takes for silent.
-  [[nodiscard]] std::size_t silent_views() const {
+  [[nodiscard]] std::size_t unreachable_views() const {
     std::size_t views = 0;
     for (std::size_t index = 0; index < nodes.size(); ++index) {
-      views += is_lost(index) ? 0 : nodes[index]->members.zones().unreachable_zones(now).size();
+      views += is_down(index) ? 0 : nodes[index]->members.zones().unreachable_zones(now).size();
     }
     return views;
   }
 
   std::vector<std::unique_ptr<hollow_node>> nodes;
   std::unordered_map<base::network_address, std::size_t> by_address;
-  std::vector<std::pair<std::size_t, wire::envelope>> under_way;
-  base::zone_id lost_zone;
+  std::vector<std::pair<std::size_t, wire::envelope>> in_flight;
+  base::zone_id down_zone;
   /// Nothing passes between it and the others.
-  base::region_id cut_region;
+  base::region_id partitioned_region;
   base::time_point now{std::chrono::hours(1)};
   std::size_t steps = 0;
   std::size_t messages = 0;
--- a/tests/membership/member_discovery_test.cc
+++ b/tests/membership/member_discovery_test.cc
@@ -31,69 +31,69 @@
   }
 
   /// @return members that some node does not know, over all nodes.
-  [[nodiscard]] std::size_t unknown() const {
-    std::size_t missing = 0;
+  [[nodiscard]] std::size_t unknown_members() const {
+    std::size_t unknown_count = 0;
     for (const auto& node : nodes) {
-      missing += nodes.size() - 1 - node->members.members().size();
+      unknown_count += nodes.size() - 1 - node->members.members().size();
     }
-    return missing;
+    return unknown_count;
   }
 
   /// @return bytes the busiest of some nodes sent.
-  [[nodiscard]] std::size_t most_sent(std::size_t first, std::size_t end) const {
-    std::size_t most = 0;
+  [[nodiscard]] std::size_t max_bytes_sent(std::size_t first, std::size_t end) const {
+    std::size_t max_bytes = 0;
     for (auto index = first; index < end; ++index) {
       const auto found = bytes_sent.find(index);
-      most = std::max(most, found == bytes_sent.end() ? 0 : found->second);
+      max_bytes = std::max(max_bytes, found == bytes_sent.end() ? 0 : found->second);
     }
-    return most;
+    return max_bytes;
   }
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(introductions)
+BOOST_AUTO_TEST_SUITE(member_discovery)
 
-BOOST_AUTO_TEST_CASE(all_know_all_soon_and_seeds_are_not_flooded_at_any_size) {
+BOOST_AUTO_TEST_CASE(all_nodes_know_each_other_soon_and_seeds_send_little_at_any_size) {
   for (const std::size_t size : {30U, 96U, 300U, 996U}) {
     starting_fleet fleet(size);
-    const auto began = fleet.now;
-    while (fleet.unknown() > 0 && fleet.now - began < seconds(10)) {
+    const auto started_at = fleet.now;
+    while (fleet.unknown_members() > 0 && fleet.now - started_at < seconds(10)) {
       fleet.run(milliseconds(100));
     }
     BOOST_TEST_MESSAGE(size << " nodes: all known after "
-                            << base::to_milliseconds(fleet.now - began) << " ms; a seed sent "
-                            << fleet.most_sent(0, seed_count) << " bytes, another node "
-                            << fleet.most_sent(seed_count, size) << "; between regions "
+                            << base::to_milliseconds(fleet.now - started_at) << " ms; a seed sent "
+                            << fleet.max_bytes_sent(0, seed_count) << " bytes, another node "
+                            << fleet.max_bytes_sent(seed_count, size) << "; between regions "
                             << fleet.bytes_between_regions << " in all");
-    BOOST_TEST(fleet.unknown() == 0U);
-    BOOST_TEST(base::to_milliseconds(fleet.now - began) <= 3'000);
+    BOOST_TEST(fleet.unknown_members() == 0U);
+    BOOST_TEST(base::to_milliseconds(fleet.now - started_at) <= 3'000);
     // Each other node is answered once or twice with 1 kB, and news and questions of a member.
-    constexpr std::size_t bytes_a_node = 2'500;
+    constexpr std::size_t bytes_per_node = 2'500;
     constexpr std::size_t own_bytes = 150'000;
-    BOOST_TEST(fleet.most_sent(0, seed_count) <= own_bytes + size * bytes_a_node);
+    BOOST_TEST(fleet.max_bytes_sent(0, seed_count) <= own_bytes + size * bytes_per_node);
   }
 }
 
-BOOST_AUTO_TEST_CASE(who_knows_all_is_told_nothing) {
+BOOST_AUTO_TEST_CASE(request_of_a_node_that_knows_all_members_is_answered_without_members) {
   starting_fleet fleet(300);
   fleet.run(seconds(6));
-  BOOST_TEST_REQUIRE(fleet.unknown() == 0U);
-  wire::envelope question;
-  const auto& asker = fleet.nodes[10]->members;
-  question.set_sender(asker.self().node.text());
-  question.set_sender_zone(asker.self().zone.text());
-  question.set_sender_address(asker.self().address.text());
-  question.set_sender_incarnation(1);
-  question.mutable_ping()->set_introduce(true);
-  question.mutable_ping()->set_sequence(7);
+  BOOST_TEST_REQUIRE(fleet.unknown_members() == 0U);
+  wire::envelope request;
+  const auto& requester = fleet.nodes[10]->members;
+  request.set_sender(requester.self().node.text());
+  request.set_sender_zone(requester.self().zone.text());
+  request.set_sender_address(requester.self().address.text());
+  request.set_sender_incarnation(1);
+  request.mutable_ping()->set_introduce(true);
+  request.mutable_ping()->set_sequence(7);
   membership::name_filter_writer known(7);
-  for (const auto& [node, other] : asker.members()) {
+  for (const auto& [node, other] : requester.members()) {
     known.add(node);
   }
-  question.mutable_ping()->set_known_members(known.take());
+  request.mutable_ping()->set_known_members(known.take());
   wire::outbox out;
-  fleet.nodes[0]->members.handle(question, fleet.now, out);
+  fleet.nodes[0]->members.handle(request, fleet.now, out);
   BOOST_TEST_REQUIRE(out.size() == 1U);
   BOOST_TEST(out.front().message.updates_size() == 0);
 }
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-simulation::simulation_settings zone_of(int nodes) {
+simulation::simulation_settings settings_with_nodes(int nodes) {
   simulation::simulation_settings settings;
   for (int index = 0; index < nodes; ++index) {
     settings.nodes.push_back({"n" + std::to_string(index), "a"});
@@ -18,8 +18,8 @@
   return settings;
 }
 
-bool everyone_sees(const fleet_simulation& fleet, const std::string& subject,
-                   wire::member_state state) {
+bool is_seen_by_all_as(const fleet_simulation& fleet, const std::string& subject,
+                       wire::member_state state) {
   for (const auto& name : fleet.node_names()) {
     if (name == subject || !fleet.is_alive(name)) {
       continue;
@@ -37,39 +37,41 @@
 
 BOOST_AUTO_TEST_SUITE(membership_detection)
 
-BOOST_AUTO_TEST_CASE(a_death_is_known_everywhere_in_time_and_a_return_too) {
+BOOST_AUTO_TEST_CASE(death_and_return_of_a_node_are_detected_by_all_nodes) {
   for (const int nodes : {2, 8, 24}) {
-    fleet_simulation fleet(zone_of(nodes));
+    fleet_simulation fleet(settings_with_nodes(nodes));
     fleet.start_all_nodes();
     BOOST_TEST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(10)));
     fleet.run_for(seconds(5));
     fleet.kill_node("n1");
-    BOOST_TEST(fleet.run_until([&] { return everyone_sees(fleet, "n1", wire::DEAD); }, seconds(8)),
-               nodes);
+    BOOST_TEST(
+        fleet.run_until([&] { return is_seen_by_all_as(fleet, "n1", wire::DEAD); }, seconds(8)),
+        nodes);
     fleet.start_node("n1");
-    BOOST_TEST(fleet.run_until([&] { return everyone_sees(fleet, "n1", wire::ALIVE); }, seconds(5)),
-               nodes);
+    BOOST_TEST(
+        fleet.run_until([&] { return is_seen_by_all_as(fleet, "n1", wire::ALIVE); }, seconds(5)),
+        nodes);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_short_pause_is_refuted_and_a_long_one_ends_well) {
-  fleet_simulation fleet(zone_of(6));
+BOOST_AUTO_TEST_CASE(node_is_alive_again_after_short_and_long_suspensions) {
+  fleet_simulation fleet(settings_with_nodes(6));
   fleet.start_all_nodes();
   fleet.run_for(seconds(5));
   const auto before = fleet.node("n2").members().incarnation();
   fleet.freeze_node("n2", milliseconds(1500));
   fleet.run_for(seconds(8));
-  BOOST_TEST(everyone_sees(fleet, "n2", wire::ALIVE));
+  BOOST_TEST(is_seen_by_all_as(fleet, "n2", wire::ALIVE));
   fleet.freeze_node("n2", seconds(30));
   fleet.run_for(seconds(10));
-  BOOST_TEST(everyone_sees(fleet, "n2", wire::DEAD));
+  BOOST_TEST(is_seen_by_all_as(fleet, "n2", wire::DEAD));
   fleet.run_for(seconds(25));
-  BOOST_TEST(everyone_sees(fleet, "n2", wire::ALIVE));
+  BOOST_TEST(is_seen_by_all_as(fleet, "n2", wire::ALIVE));
   BOOST_TEST(fleet.node("n2").members().incarnation() > before);
 }
 
-BOOST_AUTO_TEST_CASE(nobody_is_suspected_for_lost_messages_alone) {
-  fleet_simulation fleet(zone_of(8));
+BOOST_AUTO_TEST_CASE(no_node_is_declared_dead_because_of_message_loss) {
+  fleet_simulation fleet(settings_with_nodes(8));
   fleet.start_all_nodes();
   fleet.run_for(seconds(5));
   fleet.set_loss(0.05);
@@ -77,7 +79,7 @@
   for (int second = 0; second < 120; ++second) {
     fleet.run_for(seconds(1));
     for (const auto& name : fleet.node_names()) {
-      deaths += everyone_sees(fleet, name, wire::DEAD) ? 1 : 0;
+      deaths += is_seen_by_all_as(fleet, name, wire::DEAD) ? 1 : 0;
     }
   }
   BOOST_TEST(deaths == 0);
@@ -87,7 +89,7 @@
 
 BOOST_AUTO_TEST_SUITE(membership_connections)
 
-BOOST_AUTO_TEST_CASE(a_member_that_does_not_answer_is_asked_on_a_new_connection) {
+BOOST_AUTO_TEST_CASE(unanswered_probe_is_repeated_on_a_new_connection) {
   base::seeded_random random(1);
   membership::identity self;
   self.node = base::node_id("n0");
@@ -95,25 +97,25 @@
   self.address = base::network_address("n0:1");
   membership::membership subject(self, {}, random, [](const auto&) {});
   base::time_point now{std::chrono::hours(1)};
-  wire::envelope greeting;
-  greeting.set_sender("n1");
-  greeting.set_sender_incarnation(1);
-  greeting.set_sender_zone("a");
-  greeting.set_sender_address("n1:1");
-  subject.observe(greeting, now);
-  bool asked_before = false;
-  bool asked_on_new_connection = false;
+  wire::envelope first_message;
+  first_message.set_sender("n1");
+  first_message.set_sender_incarnation(1);
+  first_message.set_sender_zone("a");
+  first_message.set_sender_address("n1:1");
+  subject.observe(first_message, now);
+  bool has_probed = false;
+  bool has_probed_on_new_connection = false;
   for (int tick = 0; tick < 8; ++tick) {
     wire::outbox out;
     subject.tick(now, out);
     for (const auto& message : out) {
-      asked_before = asked_before || (!message.on_new_connection && message.message.has_ping());
-      asked_on_new_connection = asked_on_new_connection || message.on_new_connection;
-      BOOST_TEST((!message.on_new_connection || asked_before));
+      has_probed = has_probed || (!message.on_new_connection && message.message.has_ping());
+      has_probed_on_new_connection = has_probed_on_new_connection || message.on_new_connection;
+      BOOST_TEST((!message.on_new_connection || has_probed));
     }
     now += milliseconds(100);
   }
-  BOOST_TEST(asked_on_new_connection);
+  BOOST_TEST(has_probed_on_new_connection);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/membership/zone_contact_test.cc
+++ b/tests/membership/zone_contact_test.cc
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(zone_contact_test)
 
-BOOST_AUTO_TEST_CASE(a_lost_zone_is_noticed_by_all_within_two_seconds_at_every_size) {
+BOOST_AUTO_TEST_CASE(zone_failure_is_detected_by_all_nodes_within_two_seconds_at_any_size) {
   for (const auto& shape : {fleet_shape{3, 2}, fleet_shape{15, 4}, fleet_shape{50, 6},
                             fleet_shape{5, 6, 3}, fleet_shape{50, 6, 3}, fleet_shape{25, 12, 3}}) {
     hollow_fleet fleet(shape.nodes_per_zone, shape.zones, shape.regions);
@@ -32,52 +32,52 @@
     fleet.messages = 0;
     fleet.messages_between_regions = 0;
     std::size_t false_views = 0;
-    constexpr std::size_t seconds_watched = 20;
-    constexpr std::size_t looks_per_second = 10;
-    for (std::size_t look = 0; look < seconds_watched * looks_per_second; ++look) {
+    constexpr std::size_t observed_seconds = 20;
+    constexpr std::size_t checks_per_second = 10;
+    for (std::size_t check = 0; check < observed_seconds * checks_per_second; ++check) {
       fleet.run(milliseconds(100));
-      false_views += fleet.silent_views();
+      false_views += fleet.unreachable_views();
     }
     // Fewer than one in 10,000 node-seconds.
     constexpr std::size_t node_seconds_per_false_view = 10'000;
-    const auto node_seconds = seconds_watched * fleet.nodes.size();
-    BOOST_TEST(false_views / looks_per_second * node_seconds_per_false_view <= node_seconds);
+    const auto node_seconds = observed_seconds * fleet.nodes.size();
+    BOOST_TEST(false_views / checks_per_second * node_seconds_per_false_view <= node_seconds);
     // Probes and their answers 14, news from two relays 7, digests between zones the rest.
-    constexpr std::size_t most_messages_a_node = 25;
-    BOOST_TEST(fleet.messages / seconds_watched / fleet.nodes.size() <= most_messages_a_node);
+    constexpr std::size_t max_messages_per_node = 25;
+    BOOST_TEST(fleet.messages / observed_seconds / fleet.nodes.size() <= max_messages_per_node);
     if (shape.regions > 0) {
       // For each ordered pair of regions two relays send three messages every 0.3 s; a tenth more
       // for rounds that begin within the time.
       const auto pairs = shape.regions * (shape.regions - 1);
-      const auto most = pairs * 2 * 3 * seconds_watched * 11 / 3;
-      BOOST_TEST(fleet.messages_between_regions <= most);
+      const auto max_messages = pairs * 2 * 3 * observed_seconds * 11 / 3;
+      BOOST_TEST(fleet.messages_between_regions <= max_messages);
     }
-    fleet.lost_zone = base::zone_id("z1");
+    fleet.down_zone = base::zone_id("z1");
     fleet.run(seconds(2));
-    BOOST_TEST(fleet.silent_views() == fleet.nodes.size() - shape.nodes_per_zone);
-    fleet.lost_zone = {};
+    BOOST_TEST(fleet.unreachable_views() == fleet.nodes.size() - shape.nodes_per_zone);
+    fleet.down_zone = {};
     fleet.run(milliseconds(1'500));
-    BOOST_TEST(fleet.silent_views() == 0U);
+    BOOST_TEST(fleet.unreachable_views() == 0U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_region_that_is_cut_off_is_noticed_on_both_sides_and_so_is_its_return) {
+BOOST_AUTO_TEST_CASE(region_partition_and_its_end_are_detected_on_both_sides) {
   constexpr std::size_t regions = 3;
   for (const auto& shape : {fleet_shape{5, 6, regions}, fleet_shape{50, 6, regions}}) {
     hollow_fleet fleet(shape.nodes_per_zone, shape.zones, shape.regions);
     fleet.run(seconds(6));
     const auto zones_inside = shape.zones / regions;
     const auto zones_outside = shape.zones - zones_inside;
-    const auto views = shape.nodes_per_zone * zones_inside * zones_outside * 2;
-    fleet.cut_region = base::region_id("r1");
+    const auto expected_views = shape.nodes_per_zone * zones_inside * zones_outside * 2;
+    fleet.partitioned_region = base::region_id("r1");
     fleet.run(seconds(2));
-    BOOST_TEST(fleet.silent_views() == views);
+    BOOST_TEST(fleet.unreachable_views() == expected_views);
     // Long enough for everything that is learned to be of the time of the cut.
     fleet.run(seconds(20));
-    BOOST_TEST(fleet.silent_views() == views);
-    fleet.cut_region = {};
+    BOOST_TEST(fleet.unreachable_views() == expected_views);
+    fleet.partitioned_region = {};
     fleet.run(milliseconds(2'000));
-    BOOST_TEST(fleet.silent_views() == 0U);
+    BOOST_TEST(fleet.unreachable_views() == 0U);
   }
 }
 
