--- a/tests/catalog/catalog_test.cc
+++ b/tests/catalog/catalog_test.cc
@@ -1,4 +1,4 @@
-/// Entries move forward only; replicas converge whatever the order.
+/// An entry is replaced only by a newer entry; catalogs converge for any order of entries.
 #include "catalog/catalog.h"
 
 #include "base/random.h"
@@ -59,7 +59,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(content_is_equal_after_any_order_of_entries) {
-  // Two different values at revision 4: a restored service that gave the revision out again.
+  // Two different values at revision 4: the service was restored and assigned the revision again.
   std::vector<catalog_entry> entries{entry(1, valid_template(1)), entry(2, "{name: t}"),
                                      entry(4, valid_template(4)), entry(4, valid_template(44)),
                                      entry(5, "{name: u}"),       entry(3, "")};
--- a/tests/catalog/entry_packing_test.cc
+++ b/tests/catalog/entry_packing_test.cc
@@ -1,5 +1,5 @@
-/// Entries inside messages: whole again after the way, small where there are many, refused where
-/// they are unreadable.
+/// Packing of entries into messages: unpacked entries equal the packed entries, many entries are
+/// compressed, unreadable entries are rejected.
 #include "catalog/entry_packing.h"
 
 #include "model/serving_record_parser.h"
--- a/tests/catalog/replica_entries_test.cc
+++ b/tests/catalog/replica_entries_test.cc
@@ -1,4 +1,5 @@
-/// Entries of replicas that another writer has written: they name no replica, the others hold.
+/// Malformed entries of replicas, written by another writer: they are rejected, and other replicas
+/// stay in effect.
 #include "base/random.h"
 #include "catalog/catalog.h"
 #include "catalog/replicator.h"
@@ -89,7 +90,7 @@
   BOOST_CHECK(content.apply(entry(3, "r1", valid_value("r1"))).verdict == apply_verdict::accepted);
   BOOST_TEST(has_replica(content, "r1"));
   BOOST_TEST(content.rejections().empty());
-  // What was refused before is no repetition after a good one.
+  // After a valid entry, the same malformed value is not a repeated rejection.
   BOOST_CHECK(content.apply(entry(4, "r1", malformed_value("r1"))).verdict ==
               apply_verdict::rejected);
   BOOST_TEST(!has_replica(content, "r1"));
@@ -118,7 +119,7 @@
   subject.offer({entry(1, "r1", malformed_value("r1"))}, peers, out);
   BOOST_TEST(reports == 1U);
   BOOST_TEST(out.size() == 1U);
-  // Its writer writes it again: peers must learn of the revision, people have read the reason.
+  // The entry is written again: peers must get the revision, but operators know the reason already.
   subject.offer({entry(2, "r1", malformed_value("r1"))}, peers, out);
   BOOST_TEST(reports == 1U);
   BOOST_TEST(out.size() == 2U);
--- a/tests/catalog/replicator_test.cc
+++ b/tests/catalog/replicator_test.cc
@@ -1,4 +1,5 @@
-/// What one replica misses it gets soon, also while other entries keep changing.
+/// Exchange of catalog entries between nodes: a missed entry is fetched soon, also while other
+/// entries change.
 #include "catalog/replicator.h"
 
 #include <boost/test/unit_test.hpp>
@@ -90,7 +91,7 @@
   wire::outbox out;
   reader.subject.offer(listing, {base::network_address("a:1")}, out);
   BOOST_TEST(out.empty());
-  // Changes that follow are.
+  // Later changes are forwarded.
   reader.subject.offer({entry(300, "t1")}, {base::network_address("a:1")}, out);
   BOOST_TEST(out.size() == 1U);
 }
@@ -104,7 +105,7 @@
     now += std::chrono::milliseconds(100);
   }
   BOOST_TEST(out.size() == 1U);
-  // Unanswered, it is given up.
+  // The unanswered comparison is dropped after its timeout.
   now += std::chrono::milliseconds(200);
   behind.subject.compare(base::network_address("b:1"), 1, true, now, out);
   BOOST_TEST(out.size() == 2U);
@@ -119,7 +120,7 @@
   empty_answer.mutable_catalog_push()->set_answers_comparison(true);
   std::size_t compared = 0;
   for (int round = 0; round < 200; ++round) {
-    // The peer's content is another one each time, as while changes keep coming.
+    // The content of the peer differs each time, as it does while changes continue.
     node.subject.compare(base::network_address("a:1"), static_cast<std::uint64_t>(round) + 1, false,
                          now, out);
     if (out.size() > compared) {
@@ -128,7 +129,8 @@
     }
     now += std::chrono::milliseconds(100);
   }
-  // One a second after the first few; four a second where they did not become rarer.
+  // One comparison per second after the first few; it would be four per second at a constant
+  // interval.
   BOOST_TEST(compared >= 18U);
   BOOST_TEST(compared <= 24U);
 }
--- a/tests/catalog/service_watch_test.cc
+++ b/tests/catalog/service_watch_test.cc
@@ -18,7 +18,7 @@
   auto now = start;
   std::size_t calls = 0;
   base::revision revision = 1;
-  // The service has a change every 10 ms and answers at once.
+  // The service has a change every 10 ms and answers each read at once.
   for (; now < start + std::chrono::seconds(1); now += std::chrono::milliseconds(10)) {
     if (subject.next_read(true, now)) {
       ++calls;
@@ -41,9 +41,9 @@
       subject.on_answer({std::nullopt, ++revision, false}, true, now);
     }
   }
-  // After 0.2 and 0.4 s, then every 0.8 s.
+  // Intervals of 0.2 s and 0.4 s, then of 0.8 s.
   BOOST_TEST(calls <= 10U);
-  // After a quiet time a change is read on within the first rest again.
+  // After a quiet time the next read follows a change after `min_read_interval` again.
   now += std::chrono::seconds(5);
   BOOST_TEST(subject.next_read(true, now).has_value());
   now += std::chrono::seconds(1);
@@ -80,7 +80,7 @@
   subject.on_answer({1, 100, true}, true, now);
   now += std::chrono::seconds(1);
   BOOST_TEST((subject.next_read(true, now) == 100U));
-  // Peers bring the same news a moment before the answer, which is nothing unusual.
+  // Peers often report a change shortly before the answer of the service arrives.
   subject.note_latest_revision(1, 101, now);
   now += service_watch::lost_answer_timeout / 2;
   subject.note_latest_revision(1, 101, now);
--- a/tests/catalog/store_era_test.cc
+++ b/tests/catalog/store_era_test.cc
@@ -1,4 +1,5 @@
-/// A store that comes back from an older copy: revisions go back and are given out again.
+/// A store that is restored from an older copy: its revision goes back, and revisions are assigned
+/// again.
 #include "catalog/catalog.h"
 #include "model/serving_record_parser.h"
 #include "wire/published.pb.h"
--- a/tests/membership/hollow_fleet.h
+++ b/tests/membership/hollow_fleet.h
@@ -1,4 +1,5 @@
-/// A fleet of memberships alone: messages are delivered by hand after the time of a link.
+/// A fleet of hollow nodes, which run membership only. The fleet delivers their messages after the
+/// latency of a link.
 #pragma once
 
 #include "membership/membership.h"
@@ -13,7 +14,7 @@
 
 namespace spurrack::membership {
 
-/// As the platform's settings have them.
+/// Timing in the settings of the platform.
 inline timing platform_timing() {
   timing timing;
   timing.probe_period = std::chrono::milliseconds(300);
@@ -32,8 +33,10 @@
 };
 
 struct hollow_fleet {
-  /// @param region_count regions over which the zones are spread; 0: none is named.
-  /// @param introduced whether every node knows every other, as after a long calm.
+  /// @param region_count number of regions over which the zones are spread; 0 if no region is
+  /// named.
+  /// @param all_known whether every node knows every other node, as in a fleet that has run for
+  /// long.
   hollow_fleet(std::size_t nodes_per_zone, std::size_t zones, std::size_t region_count = 0,
                bool all_known = true) {
     for (std::size_t zone = 0; zone < zones && region_count > 0; ++zone) {
@@ -67,7 +70,7 @@
       *message.add_updates() = update_of(known);
     }
     for (auto& node : nodes) {
-      // Said by the node itself, so that nobody is heard of another zone by it.
+      // The node itself is the sender, so that the message is no contact with another zone.
       message.set_sender(node->members.self().node.text());
       message.set_sender_zone(node->members.self().zone.text());
       node->members.observe(message, now);
@@ -134,13 +137,13 @@
            region_of(nodes[index]->members.self().zone) == partitioned_region;
   }
 
-  /// @return an empty name where the zone has no region.
+  /// @return the region of a zone; an empty name if the zone has no region.
   [[nodiscard]] base::region_id region_of(const base::zone_id& zone) const {
     const auto found = region_by_zone.find(zone);
     return found == region_by_zone.end() ? base::region_id() : found->second;
   }
 
-  /// @return pairs of a node and a zone that it takes for silent.
+  /// @return number of pairs of a running node and a zone that it regards as unreachable.
   [[nodiscard]] std::size_t unreachable_views() const {
     std::size_t views = 0;
     for (std::size_t index = 0; index < nodes.size(); ++index) {
@@ -152,8 +155,9 @@
   std::vector<std::unique_ptr<hollow_node>> nodes;
   std::unordered_map<base::network_address, std::size_t> by_address;
   std::vector<std::pair<std::size_t, wire::envelope>> in_flight;
+  /// Zone whose nodes neither run nor receive messages.
   base::zone_id down_zone;
-  /// Nothing passes between it and the others.
+  /// Region that is partitioned: no messages pass between it and the other regions.
   base::region_id partitioned_region;
   base::time_point now{std::chrono::hours(1)};
   std::size_t steps = 0;
--- a/tests/membership/member_discovery_test.cc
+++ b/tests/membership/member_discovery_test.cc
@@ -1,5 +1,5 @@
-/// A fleet whose nodes all start at once and know nothing but three seeds: how soon everybody knows
-/// everybody, and what it costs the seeds, whose links may be slow.
+/// All nodes of a fleet start at once and know only three seeds: the time until all nodes know each
+/// other, and the bytes that the seeds send, whose links may be slow.
 #include "hollow_fleet.h"
 
 #include "membership/name_filter.h"
@@ -30,7 +30,7 @@
     }
   }
 
-  /// @return members that some node does not know, over all nodes.
+  /// @return number of members that a node does not know, summed over all nodes.
   [[nodiscard]] std::size_t unknown_members() const {
     std::size_t unknown_count = 0;
     for (const auto& node : nodes) {
@@ -39,7 +39,7 @@
     return unknown_count;
   }
 
-  /// @return bytes the busiest of some nodes sent.
+  /// @return maximum number of bytes that one of the nodes in [first, end) sent.
   [[nodiscard]] std::size_t max_bytes_sent(std::size_t first, std::size_t end) const {
     std::size_t max_bytes = 0;
     for (auto index = first; index < end; ++index) {
@@ -68,7 +68,8 @@
                             << fleet.bytes_between_regions << " in all");
     BOOST_TEST(fleet.unknown_members() == 0U);
     BOOST_TEST(base::to_milliseconds(fleet.now - started_at) <= 3'000);
-    // Each other node is answered once or twice with 1 kB, and news and questions of a member.
+    // A seed answers each other node once or twice with 1 kB, and sends gossip and requests as a
+    // member.
     constexpr std::size_t bytes_per_node = 2'500;
     constexpr std::size_t own_bytes = 150'000;
     BOOST_TEST(fleet.max_bytes_sent(0, seed_count) <= own_bytes + size * bytes_per_node);
--- a/tests/membership/seed_contact_test.cc
+++ b/tests/membership/seed_contact_test.cc
@@ -1,4 +1,5 @@
-/// How often seeds are asked: a node that knows nobody asks all of them until one answers.
+/// Rate of requests for members: a node that knows no member sends them to all seeds until a seed
+/// answers.
 #include "membership/membership.h"
 
 #include "base/random.h"
@@ -23,7 +24,7 @@
     }
   }
 
-  /// @return introductions that are asked for while a time passes.
+  /// @return number of requests for members that the node sends within a time span.
   std::size_t requests_within(base::duration span) {
     std::size_t requests = 0;
     for (const auto end = now + span; now < end; now += milliseconds(50)) {
--- a/tests/membership/zone_contact_test.cc
+++ b/tests/membership/zone_contact_test.cc
@@ -1,6 +1,6 @@
-/// A lost zone is noticed by every node of the others in a time that does not grow with the fleet,
-/// at a cost a node that does not grow either. Hollow nodes: membership alone, messages delivered
-/// by hand after the time of a link.
+/// Every node detects the failure of another zone in a time that does not grow with the fleet, and
+/// with a number of messages per node that does not grow either. Uses hollow nodes, which run
+/// membership only.
 #include "hollow_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -38,16 +38,17 @@
       fleet.run(milliseconds(100));
       false_views += fleet.unreachable_views();
     }
-    // Fewer than one in 10,000 node-seconds.
+    // At most one false detection in 10,000 node-seconds.
     constexpr std::size_t node_seconds_per_false_view = 10'000;
     const auto node_seconds = observed_seconds * fleet.nodes.size();
     BOOST_TEST(false_views / checks_per_second * node_seconds_per_false_view <= node_seconds);
-    // Probes and their answers 14, news from two relays 7, digests between zones the rest.
+    // Per second: 14 probes and their answers, 7 digests of two relays; the others are digests
+    // between zones.
     constexpr std::size_t max_messages_per_node = 25;
     BOOST_TEST(fleet.messages / observed_seconds / fleet.nodes.size() <= max_messages_per_node);
     if (shape.regions > 0) {
-      // For each ordered pair of regions two relays send three messages every 0.3 s; a tenth more
-      // for rounds that begin within the time.
+      // For each ordered pair of regions two relays send three messages every 0.3 s; a tenth is
+      // added for rounds that begin within the observed time.
       const auto pairs = shape.regions * (shape.regions - 1);
       const auto max_messages = pairs * 2 * 3 * observed_seconds * 11 / 3;
       BOOST_TEST(fleet.messages_between_regions <= max_messages);
@@ -72,7 +73,7 @@
     fleet.partitioned_region = base::region_id("r1");
     fleet.run(seconds(2));
     BOOST_TEST(fleet.unreachable_views() == expected_views);
-    // Long enough for everything that is learned to be of the time of the cut.
+    // Long enough for all learned gaps to come from the time of the partition.
     fleet.run(seconds(20));
     BOOST_TEST(fleet.unreachable_views() == expected_views);
     fleet.partitioned_region = {};
