--- a/src/catalog/replicator.h
+++ b/src/catalog/replicator.h
@@ -75,7 +75,7 @@
   void compare(const base::network_address& peer, std::uint64_t peer_hash, bool eager,
                base::time_point now, wire::outbox& out);
 
-  /// Handles the messages push, buckets and pull; ignores other bodies.
+  /// Handles the bodies `catalog_push`, `catalog_buckets` and `catalog_pull`; ignores other bodies.
   void handle(const wire::envelope& message, const peer_lister& peers, base::time_point now,
               wire::outbox& out);
 
--- a/src/catalog/service_watch.h
+++ b/src/catalog/service_watch.h
@@ -38,8 +38,8 @@
   bool is_new_era = false;
   /// Whether the service is at an earlier revision than at the last answer, within one era.
   bool has_earlier_revision = false;
-  /// Whether entries that the answer lacks have been deleted: the answer is a listing, but not the
-  /// first listing of a new era.
+  /// Whether entries that the answer lacks have been deleted: the answer is a listing, and if its
+  /// era is new, `era_settle_time` has passed.
   bool should_delete_unlisted = false;
 };
 
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -48,8 +48,7 @@
 
 } // namespace
 
-// --- requests for members
-// -------------------------------------------------------------------------
+// --- requests for members -----------------------------------------------------------------------
 
 void membership::request_members(base::time_point now, wire::outbox& out) {
   if (seeds_.empty() || now < next_member_request_at_) {
