--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -23,11 +23,11 @@
   return key.starts_with(model::replica_prefix);
 }
 
-std::string name_part(const std::string& key) {
+std::string name_in_key(const std::string& key) {
   return key.substr(key.find('/') + 1);
 }
 
-/// What the hash of an entry covers.
+/// The part of an entry's version that its hash covers.
 struct hashed_version {
   base::revision revision = 0;
   std::uint64_t value_hash = 0;
@@ -49,119 +49,122 @@
   return base::stable_hash(key) % bucket_count;
 }
 
-bool catalog::is_known(const slot& place, const version& offered) {
-  return (place.accepted && place.accepted->at == offered) ||
-         (place.rejected && place.rejected->at == offered);
+bool catalog::is_duplicate(const slot& current, const version& offered) {
+  return (current.accepted && current.accepted->at == offered) ||
+         (current.rejected && current.rejected->at == offered);
 }
 
-bool catalog::is_older(const std::string& key, const slot& place, const version& offered) const {
+bool catalog::is_older(const std::string& key, const slot& current, const version& offered) const {
   if (!switches_.revision_order) {
     return false;
   }
-  // An invalid entry of a replica takes the place of the accepted one.
-  const bool before_refused = is_replica_key(key) && place.rejected && offered < place.rejected->at;
-  return before_refused || (place.accepted && offered < place.accepted->at);
+  // An invalid entry of a replica replaces the accepted entry.
+  const bool is_before_rejected =
+      is_replica_key(key) && current.rejected && offered < current.rejected->at;
+  return is_before_rejected || (current.accepted && offered < current.accepted->at);
 }
 
 apply_result catalog::apply(const wire::catalog_entry& entry) {
-  auto& place = slots_[entry.key()];
+  auto& current = slots_[entry.key()];
   stored_entry offered{version_of(entry), entry};
   if (offered.at.era == 0) {
-    // Of an older build, which may be all that reads the store in this zone: what it tells is news.
+    // The entry comes from a node of an older build. Such nodes may be the only readers of the
+    // store in this zone, so the entry counts as one of the latest era.
     offered.at.era = highest_.era;
     offered.entry.set_era(highest_.era);
   }
-  if (is_known(place, offered.at)) {
+  if (is_duplicate(current, offered.at)) {
     return {apply_verdict::duplicate, {}};
   }
-  // What a configuration says of its own version goes before where it was written.
+  // A configuration is ordered by its own version first, which is known only after parsing.
   const bool is_configuration = entry.key() == model::configuration_key && !entry.deleted();
-  if (!is_configuration && is_older(entry.key(), place, offered.at)) {
+  if (!is_configuration && is_older(entry.key(), current, offered.at)) {
     return {apply_verdict::older, {}};
   }
   highest_ = std::max(highest_, offered.at);
-  auto& newest = is_replica_key(entry.key()) ? newest_replica_ : newest_operator_;
-  newest = std::max(newest, store_position{offered.at.era, offered.at.revision});
+  auto& latest = is_replica_key(entry.key()) ? latest_replica_position_ : latest_operator_position_;
+  latest = std::max(latest, store_position{offered.at.era, offered.at.revision});
   if (entry.deleted()) {
-    accept(place, std::move(offered), std::nullopt);
+    accept(current, std::move(offered), std::nullopt);
     return {apply_verdict::accepted, {}};
   }
-  auto read = read_value(entry.key(), entry.value());
-  if (auto* value = std::get_if<any_record>(&read)) {
-    if (is_configuration && is_older_configuration(place, offered.at, *value)) {
+  auto parsed = parse_value(entry.key(), entry.value());
+  if (auto* value = std::get_if<any_record>(&parsed)) {
+    if (is_configuration && is_older_configuration(current, offered.at, *value)) {
       return {apply_verdict::older, {}};
     }
-    auto taken = after_rollback(place, offered.at, std::move(*value));
-    accept(place, std::move(offered), std::move(taken));
+    auto merged = merge_known_state(current, offered.at, std::move(*value));
+    accept(current, std::move(offered), std::move(merged));
     return {apply_verdict::accepted, {}};
   }
-  if (is_older(entry.key(), place, offered.at)) {
+  if (is_older(entry.key(), current, offered.at)) {
     return {apply_verdict::older, {}};
   }
-  if (place.rejected && offered.at < place.rejected->at) {
+  if (current.rejected && offered.at < current.rejected->at) {
     return {apply_verdict::older, {}};
   }
-  return reject(place, std::move(offered), std::get<std::string>(std::move(read)));
+  return reject(current, std::move(offered), std::get<std::string>(std::move(parsed)));
 }
 
-bool catalog::is_older_configuration(const slot& place, const version& offered,
+bool catalog::is_older_configuration(const slot& current, const version& offered,
                                      const any_record& value) const {
-  if (!switches_.revision_order || !serving_ || !place.accepted) {
+  if (!switches_.revision_order || !serving_ || !current.accepted) {
     return false;
   }
-  const auto& read = std::get<std::shared_ptr<const model::serving_configuration>>(value);
-  if (read->version != serving_->version) {
-    return read->version < serving_->version;
+  const auto& configuration = std::get<std::shared_ptr<const model::serving_configuration>>(value);
+  if (configuration->version != serving_->version) {
+    return configuration->version < serving_->version;
   }
-  return offered < place.accepted->at;
+  return offered < current.accepted->at;
 }
 
-catalog::any_record catalog::after_rollback(const slot& place, const version& offered,
-                                            any_record value) {
+catalog::any_record catalog::merge_known_state(const slot& current, const version& offered,
+                                               any_record value) {
   auto* replica = std::get_if<std::shared_ptr<const model::replica>>(&value);
-  const bool rolls_back =
-      place.accepted && place.accepted->at.era > 0 && offered.era > place.accepted->at.era;
-  if (replica == nullptr || !rolls_back) {
+  const bool is_rolled_back =
+      current.accepted && current.accepted->at.era > 0 && offered.era > current.accepted->at.era;
+  if (replica == nullptr || !is_rolled_back) {
     return value;
   }
-  const auto& known = place.accepted->entry;
-  auto changed = std::make_shared<model::replica>(**replica);
+  const auto& known = current.accepted->entry;
+  auto merged = std::make_shared<model::replica>(**replica);
   if (known.deleted()) {
-    changed->may_be_deleted = true;
+    merged->may_be_deleted = true;
   } else {
-    const auto before = model::parse_replica(known.value());
-    const auto* record = std::get_if<std::shared_ptr<const model::replica>>(&before);
-    const bool same_life = record != nullptr && (*record)->incarnation == changed->incarnation;
-    changed->draining = changed->draining || (same_life && (*record)->draining);
+    const auto parsed = model::parse_replica(known.value());
+    const auto* record = std::get_if<std::shared_ptr<const model::replica>>(&parsed);
+    const bool is_same_incarnation =
+        record != nullptr && (*record)->incarnation == merged->incarnation;
+    merged->draining = merged->draining || (is_same_incarnation && (*record)->draining);
   }
-  return std::shared_ptr<const model::replica>(std::move(changed));
+  return std::shared_ptr<const model::replica>(std::move(merged));
 }
 
-catalog::reading catalog::read_value(const std::string& key, const std::string& value) {
+catalog::parse_result catalog::parse_value(const std::string& key, const std::string& value) {
   if (key == model::configuration_key) {
-    auto read = model::parse_configuration(value);
-    if (auto* refused = std::get_if<model::refusal_reason>(&read)) {
-      return std::move(refused->text);
+    auto parsed = model::parse_configuration(value);
+    if (auto* reason = std::get_if<model::refusal_reason>(&parsed)) {
+      return std::move(reason->text);
     }
-    return any_record(std::get<0>(std::move(read)));
+    return any_record(std::get<0>(std::move(parsed)));
   }
   if (key.starts_with(model::replica_prefix)) {
-    auto read = model::parse_replica(value);
-    if (auto* refused = std::get_if<model::refusal_reason>(&read)) {
-      return std::move(refused->text);
+    auto parsed = model::parse_replica(value);
+    if (auto* reason = std::get_if<model::refusal_reason>(&parsed)) {
+      return std::move(reason->text);
     }
-    auto& replica = std::get<std::shared_ptr<const model::replica>>(read);
-    if (replica->id.text() != name_part(key)) {
-      return "its id is not that of its key";
+    auto& replica = std::get<std::shared_ptr<const model::replica>>(parsed);
+    if (replica->id.text() != name_in_key(key)) {
+      return "its id differs from the id in its key";
     }
     return any_record(std::move(replica));
   }
   if (key.starts_with(model::evacuation_prefix)) {
-    auto read = model::parse_evacuation(value);
-    if (auto* refused = std::get_if<model::refusal_reason>(&read)) {
-      return std::move(refused->text);
+    auto parsed = model::parse_evacuation(value);
+    if (auto* reason = std::get_if<model::refusal_reason>(&parsed)) {
+      return std::move(reason->text);
     }
-    return any_record(std::get<model::evacuation>(std::move(read)));
+    return any_record(std::get<model::evacuation>(std::move(parsed)));
   }
   auto parsed = model::parse_record(key, value);
   if (!parsed.value) {
@@ -170,60 +173,62 @@
   return any_record(std::move(*parsed.value));
 }
 
-void catalog::accept(slot& place, stored_entry offered, const std::optional<any_record>& value) {
+void catalog::accept(slot& current, stored_entry offered, const std::optional<any_record>& value) {
   const auto key = offered.entry.key();
   remove_from_index(key);
   if (value) {
     index(key, *value);
   }
-  place.accepted = std::move(offered);
-  if (place.rejected && place.rejected->at < place.accepted->at) {
-    place.rejected.reset();
-    place.rejection_reason.clear();
-    refused_replica_keys_.erase(key);
+  current.accepted = std::move(offered);
+  if (current.rejected && current.rejected->at < current.accepted->at) {
+    current.rejected.reset();
+    current.rejection_reason.clear();
+    rejected_replica_keys_.erase(key);
   }
-  rehash(key, place);
+  rehash(key, current);
 }
 
-apply_result catalog::reject(slot& place, stored_entry offered, std::string reason) {
+apply_result catalog::reject(slot& current, stored_entry offered, std::string reason) {
   const auto key = offered.entry.key();
-  const bool is_repeated = place.rejected && place.rejected->entry.value() == offered.entry.value();
+  const bool is_repeated =
+      current.rejected && current.rejected->entry.value() == offered.entry.value();
   if (is_replica_key(key)) {
     remove_from_index(key);
-    place.accepted.reset();
-    refused_replica_keys_.insert(key);
-    refused_replicas_ += is_repeated ? 0 : 1;
+    current.accepted.reset();
+    rejected_replica_keys_.insert(key);
+    rejected_replica_entries_ += is_repeated ? 0 : 1;
   }
-  place.rejected = std::move(offered);
-  place.rejection_reason = std::move(reason);
-  rehash(key, place);
+  current.rejected = std::move(offered);
+  current.rejection_reason = std::move(reason);
+  rehash(key, current);
   return {is_repeated ? apply_verdict::rejected_again : apply_verdict::rejected,
-          place.rejection_reason};
+          current.rejection_reason};
 }
 
-void catalog::rehash(const std::string& key, slot& place) {
+void catalog::rehash(const std::string& key, slot& current) {
   auto& bucket = buckets_[bucket_of(key)];
-  bucket ^= place.hash;
+  bucket ^= current.hash;
   std::uint64_t hash = base::stable_hash(key);
-  for (const auto* stored : {&place.accepted, &place.rejected}) {
+  for (const auto* stored : {&current.accepted, &current.rejected}) {
     const auto at = *stored ? (*stored)->at : version{};
-    // Without the era: nodes of an older build, which do not know it, have the same content.
+    // The era is left out: nodes of an older build do not know it, and their hash of the same
+    // content must be equal.
     const hashed_version hashed{at.revision, at.value_hash};
     hash = base::stable_hash(raw_bytes(hashed), hash);
   }
-  place.hash = hash;
+  current.hash = hash;
   bucket ^= hash;
 }
 
 void catalog::index(const std::string& key, const any_record& value) {
   if (const auto* record = std::get_if<model::record>(&value)) {
     index(key, *record);
-  } else if (const auto* fleet =
+  } else if (const auto* configuration =
                  std::get_if<std::shared_ptr<const model::serving_configuration>>(&value)) {
-    serving_ = *fleet;
+    serving_ = *configuration;
     changes_.add({});
-  } else if (const auto* emptied = std::get_if<model::evacuation>(&value)) {
-    evacuated_zones_.insert(emptied->zone);
+  } else if (const auto* evacuation = std::get_if<model::evacuation>(&value)) {
+    evacuated_zones_.insert(evacuation->zone);
     changes_.add({});
   } else {
     const auto& replica = std::get<std::shared_ptr<const model::replica>>(value);
@@ -235,16 +240,16 @@
 void catalog::index(const std::string& key, const model::record& value) {
   if (const auto* pipeline = std::get_if<std::shared_ptr<const model::pipeline_template>>(&value)) {
     templates_[(*pipeline)->name] = *pipeline;
-  } else if (const auto* owner = std::get_if<std::shared_ptr<const model::tenant>>(&value)) {
-    tenants_[(*owner)->name] = *owner;
-    tenants_by_token_[(*owner)->token_sha256].insert((*owner)->name);
+  } else if (const auto* tenant = std::get_if<std::shared_ptr<const model::tenant>>(&value)) {
+    tenants_[(*tenant)->name] = *owner;
+    tenants_by_token_[(*tenant)->token_sha256].insert((*tenant)->name);
   } else {
-    machines_[name_part(key)] = std::get<std::shared_ptr<const model::machine>>(value);
+    machines_[name_in_key(key)] = std::get<std::shared_ptr<const model::machine>>(value);
   }
 }
 
 void catalog::remove_from_index(const std::string& key) {
-  const auto name = name_part(key);
+  const auto name = name_in_key(key);
   if (key.starts_with(model::template_prefix)) {
     templates_.erase(base::template_id(name));
   } else if (key.starts_with(model::tenant_prefix)) {
@@ -270,7 +275,7 @@
   for (const auto& [id, known] : replicas_) {
     add_deletion_if_unlisted(std::string(model::replica_prefix) + id.text(), listed, at, deletions);
   }
-  for (const auto& key : refused_replica_keys_) {
+  for (const auto& key : rejected_replica_keys_) {
     add_deletion_if_unlisted(key, listed, at, deletions);
   }
   return deletions;
@@ -290,15 +295,15 @@
 void catalog::add_deletion_if_unlisted(const std::string& key, const std::set<std::string>& listed,
                                        store_position at,
                                        std::vector<wire::catalog_entry>& deletions) const {
-  if (listed.contains(key) || newest_position_of(key) >= at) {
+  if (listed.contains(key) || latest_position_of(key) >= at) {
     return;
   }
-  wire::catalog_entry gone;
-  gone.set_key(key);
-  gone.set_era(at.era);
-  gone.set_revision(at.revision);
-  gone.set_deleted(true);
-  deletions.push_back(std::move(gone));
+  wire::catalog_entry deletion;
+  deletion.set_key(key);
+  deletion.set_era(at.era);
+  deletion.set_revision(at.revision);
+  deletion.set_deleted(true);
+  deletions.push_back(std::move(deletion));
 }
 
 void catalog::remove_tenant(const base::tenant_id& name) {
@@ -325,15 +330,15 @@
   if (buckets.none()) {
     return entries;
   }
-  for (const auto& [key, place] : slots_) {
+  for (const auto& [key, current] : slots_) {
     if (!buckets.test(bucket_of(key))) {
       continue;
     }
-    if (place.accepted) {
-      entries.push_back(place.accepted->entry);
+    if (current.accepted) {
+      entries.push_back(current.accepted->entry);
     }
-    if (place.rejected) {
-      entries.push_back(place.rejected->entry);
+    if (current.rejected) {
+      entries.push_back(current.rejected->entry);
     }
   }
   return entries;
@@ -341,9 +346,9 @@
 
 std::size_t catalog::count_in(const bucket_set& buckets) const {
   std::size_t count = 0;
-  for (const auto& [key, place] : slots_) {
+  for (const auto& [key, current] : slots_) {
     if (buckets.test(bucket_of(key))) {
-      count += (place.accepted ? 1U : 0U) + (place.rejected ? 1U : 0U);
+      count += (current.accepted ? 1U : 0U) + (current.rejected ? 1U : 0U);
     }
   }
   return count;
@@ -374,25 +379,25 @@
   return found->second.accepted->at.revision;
 }
 
-store_position catalog::newest_position_of(const std::string& key) const {
+store_position catalog::latest_position_of(const std::string& key) const {
   const auto found = slots_.find(key);
-  store_position newest;
+  store_position latest;
   if (found == slots_.end()) {
-    return newest;
+    return latest;
   }
   for (const auto* stored : {&found->second.accepted, &found->second.rejected}) {
     if (*stored) {
-      newest = std::max(newest, {(*stored)->at.era, (*stored)->at.revision});
+      latest = std::max(latest, {(*stored)->at.era, (*stored)->at.revision});
     }
   }
-  return newest;
+  return latest;
 }
 
 std::vector<rejection> catalog::rejections() const {
   std::vector<rejection> found;
-  for (const auto& [key, place] : slots_) {
-    if (place.rejected) {
-      found.push_back({key, place.rejected->at.revision, place.rejection_reason});
+  for (const auto& [key, current] : slots_) {
+    if (current.rejected) {
+      found.push_back({key, current.rejected->at.revision, current.rejection_reason});
     }
   }
   std::sort(found.begin(), found.end(),
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -46,9 +46,9 @@
 bool node::has_watch_job(source_kind source, base::time_point now) const {
   using catalog::service_watch;
   const auto* job = watch_jobs[static_cast<std::size_t>(source)];
-  return serving_ ? membership_.holds_job_of_region(job, service_watch::watching_zones,
-                                                    service_watch::watchers_per_zone, now)
-                  : membership_.holds_job(job, service_watch::watchers_per_zone);
+  return serving_ ? membership_.has_region_job(job, service_watch::watching_zones_per_region,
+                                               service_watch::watchers_per_zone, now)
+                  : membership_.has_zone_job(job, service_watch::watchers_per_zone);
 }
 
 bool node::should_read_service(source_kind source, base::time_point now) const {
@@ -62,16 +62,16 @@
 void node::read_services(base::time_point now) {
   for (const auto source : {source_kind::configuration, source_kind::machine_list}) {
     auto& watch = watches_[static_cast<std::size_t>(source)];
-    const auto latest = source == source_kind::machine_list ? catalog_.newest_replica_position()
-                                                            : catalog_.newest_operator_position();
-    watch.note_known(latest.era, latest.revision, now);
+    const auto latest = source == source_kind::machine_list ? catalog_.latest_replica_position()
+                                                            : catalog_.latest_operator_position();
+    watch.note_latest_revision(latest.era, latest.revision, now);
     if (const auto after = watch.next_read(should_read_service(source, now), now)) {
       // The first listing may be stale: the watch that continues from its revision returns the
       // changes that it lacks at once.
       const bool allow_stale = *after == 0 && !watch.has_answered();
-      commands_.emplace_back(read_service{source, *after, allow_stale, watch.hold()});
+      commands_.emplace_back(read_service{source, *after, allow_stale, watch.max_hold_time()});
     }
-    if (serving_ && watch.takes_probe(now)) {
+    if (serving_ && watch.start_probe_if_due(now)) {
       commands_.emplace_back(probe_service{source});
     }
   }
@@ -87,7 +87,8 @@
   }
   const auto max_wait = std::min(peer_wait_time_per_member * known, max_peer_wait_time);
   const double fraction = is_strong() ? peer_wait_fraction_ / 2 : 1 + peer_wait_fraction_;
-  const auto time_to_first_member = membership_.introduced_at().value_or(started_at_) - started_at_;
+  const auto time_to_first_member =
+      membership_.first_member_added_at().value_or(started_at_) - started_at_;
   return time_to_first_member + discovery_time +
          base::from_seconds(base::to_seconds(max_wait) * fraction);
 }
@@ -114,7 +115,7 @@
   for (auto& entry : entries) {
     entry.set_era(meaning.era);
   }
-  if (meaning.shows_deletions) {
+  if (meaning.should_delete_unlisted) {
     std::set<std::string> listed;
     for (const auto& entry : entries) {
       listed.insert(entry.key());
@@ -147,13 +148,13 @@
     record(base::event_kind::service_era, {}, std::to_string(*answer.era),
            "answer of an era before " + era + ", ignored");
   }
-  if (meaning.begins_era) {
+  if (meaning.is_new_era) {
     ++store_.era_changes;
     record(base::event_kind::service_era, {}, era,
            "the service was restored from an older copy, now at revision " +
                std::to_string(answer.service_revision) + "; listing it again");
   }
-  if (meaning.went_back) {
+  if (meaning.has_earlier_revision) {
     record(base::event_kind::service_behind, {}, "",
            "service went back to revision " + std::to_string(answer.service_revision));
   }
--- a/tests/catalog/service_watch_test.cc
+++ b/tests/catalog/service_watch_test.cc
@@ -13,12 +13,12 @@
 
 BOOST_AUTO_TEST_SUITE(service_watch_test)
 
-BOOST_AUTO_TEST_CASE(a_burst_of_changes_takes_few_calls) {
+BOOST_AUTO_TEST_CASE(burst_of_changes_takes_few_reads) {
   service_watch subject;
   auto now = start;
   std::size_t calls = 0;
   base::revision revision = 1;
-  // The service has a change every 10 ms and answers at once.
+  // The service has a change every 10 ms and answers each read at once.
   for (; now < start + std::chrono::seconds(1); now += std::chrono::milliseconds(10)) {
     if (subject.next_read(true, now)) {
       ++calls;
@@ -28,9 +28,9 @@
   BOOST_TEST(calls <= 6U);
 }
 
-BOOST_AUTO_TEST_CASE(changes_that_keep_coming_are_read_ever_more_rarely) {
+BOOST_AUTO_TEST_CASE(read_interval_grows_while_changes_continue) {
   watch_timing timing;
-  timing.rest_longest = std::chrono::milliseconds(800);
+  timing.max_read_interval = std::chrono::milliseconds(800);
   service_watch subject(timing);
   auto now = start;
   std::size_t calls = 0;
@@ -41,17 +41,17 @@
       subject.on_answer({std::nullopt, ++revision, false}, true, now);
     }
   }
-  // After 0.2 and 0.4 s, then every 0.8 s.
+  // Intervals of 0.2 s and 0.4 s, then of 0.8 s.
   BOOST_TEST(calls <= 10U);
-  // After a quiet time a change is read on within the first rest again.
+  // After a quiet time the next read follows a change after `min_read_interval` again.
   now += std::chrono::seconds(5);
   BOOST_TEST(subject.next_read(true, now).has_value());
   now += std::chrono::seconds(1);
   subject.on_answer({std::nullopt, ++revision, false}, true, now);
-  BOOST_TEST(subject.next_read(true, now + service_watch::rest_after_changes).has_value());
+  BOOST_TEST(subject.next_read(true, now + service_watch::min_read_interval).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(after_an_answer_without_changes_the_watch_goes_on_at_once) {
+BOOST_AUTO_TEST_CASE(next_watch_starts_at_once_after_an_answer_without_changes) {
   service_watch subject;
   BOOST_TEST(subject.next_read(true, start).has_value());
   subject.on_answer({std::nullopt, 7, false}, false, start);
@@ -60,7 +60,7 @@
   BOOST_TEST(*after == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(a_service_that_does_not_answer_is_asked_ever_more_rarely) {
+BOOST_AUTO_TEST_CASE(retry_interval_grows_while_the_service_does_not_answer) {
   service_watch subject;
   auto now = start;
   std::size_t calls = 0;
@@ -73,24 +73,24 @@
   BOOST_TEST(calls == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(a_watch_that_does_not_tell_what_others_know_is_begun_anew) {
+BOOST_AUTO_TEST_CASE(watch_is_restarted_if_it_does_not_report_what_other_nodes_know) {
   service_watch subject;
   auto now = start;
   subject.next_read(true, now);
   subject.on_answer({1, 100, true}, true, now);
   now += std::chrono::seconds(1);
   BOOST_TEST((subject.next_read(true, now) == 100U));
-  // Peers bring the same news a moment before the answer, which is nothing unusual.
-  subject.note_known(1, 101, now);
-  now += service_watch::lost_answer_time / 2;
-  subject.note_known(1, 101, now);
+  // Peers often report a change shortly before the answer of the service arrives.
+  subject.note_latest_revision(1, 101, now);
+  now += service_watch::lost_answer_timeout / 2;
+  subject.note_latest_revision(1, 101, now);
   BOOST_TEST(!subject.next_read(true, now).has_value());
-  now += service_watch::lost_answer_time / 2;
-  subject.note_known(1, 101, now);
+  now += service_watch::lost_answer_timeout / 2;
+  subject.note_latest_revision(1, 101, now);
   BOOST_TEST((subject.next_read(true, now) == 100U));
 }
 
-BOOST_AUTO_TEST_CASE(a_revision_that_changed_nothing_has_a_watch_begun_anew_once) {
+BOOST_AUTO_TEST_CASE(watch_is_restarted_once_for_a_revision_without_changes) {
   service_watch subject;
   auto now = start;
   subject.next_read(true, now);
@@ -98,14 +98,14 @@
   now += std::chrono::seconds(1);
   std::size_t reads = 0;
   for (int step = 0; step < 50; ++step) {
-    subject.note_known(1, 105, now);
+    subject.note_latest_revision(1, 105, now);
     reads += subject.next_read(true, now).has_value() ? 1 : 0;
     now += std::chrono::milliseconds(100);
   }
   BOOST_TEST(reads == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_known_of_another_era_says_nothing_of_a_watch) {
+BOOST_AUTO_TEST_CASE(watch_is_not_restarted_for_a_revision_of_another_era) {
   service_watch subject;
   auto now = start;
   subject.next_read(true, now);
@@ -113,7 +113,7 @@
   now += std::chrono::seconds(1);
   BOOST_TEST(subject.next_read(true, now).has_value());
   for (int step = 0; step < 50; ++step) {
-    subject.note_known(1, 900, now);
+    subject.note_latest_revision(1, 900, now);
     BOOST_TEST(!subject.next_read(true, now).has_value());
     now += std::chrono::milliseconds(100);
   }
@@ -127,16 +127,16 @@
   now += std::chrono::seconds(10);
   BOOST_TEST((subject.next_read(true, now) == 100U));
   const auto meaning = subject.on_answer({2, 90, false}, true, now);
-  BOOST_TEST(meaning.begins_era);
-  BOOST_TEST(!meaning.went_back);
+  BOOST_TEST(meaning.is_new_era);
+  BOOST_TEST(!meaning.has_earlier_revision);
   BOOST_TEST((subject.next_read(true, now) == 0U));
-  BOOST_TEST(!subject.on_answer({2, 91, true}, true, now).shows_deletions);
+  BOOST_TEST(!subject.on_answer({2, 91, true}, true, now).should_delete_unlisted);
   now += std::chrono::seconds(1);
   BOOST_TEST((subject.next_read(true, now) == 91U));
   subject.on_answer({2, 92, false}, false, now);
   now += std::chrono::seconds(3);
   BOOST_TEST((subject.next_read(true, now) == 0U));
-  BOOST_TEST(subject.on_answer({2, 93, true}, true, now).shows_deletions);
+  BOOST_TEST(subject.on_answer({2, 93, true}, true, now).should_delete_unlisted);
   now += std::chrono::seconds(1);
   BOOST_TEST((subject.next_read(true, now) == 93U));
 }
@@ -149,7 +149,7 @@
   for (base::store_era era = 2; era <= 3; ++era) {
     now += std::chrono::seconds(1);
     subject.next_read(true, now);
-    BOOST_TEST(subject.on_answer({era, 80, false}, false, now).begins_era);
+    BOOST_TEST(subject.on_answer({era, 80, false}, false, now).is_new_era);
     BOOST_TEST((subject.next_read(true, now) == 0U));
     subject.on_answer({era, 80, true}, true, now);
   }
@@ -160,28 +160,28 @@
   service_watch subject;
   subject.next_read(true, start);
   subject.on_answer({5, 100, true}, true, start);
-  const auto late = subject.on_answer({4, 200, false}, true, start);
-  BOOST_TEST(late.is_outdated);
-  const auto silent = subject.on_answer({std::nullopt, 101, false}, true, start);
-  BOOST_TEST(!silent.is_outdated);
-  BOOST_TEST(silent.era == 5U);
+  const auto outdated = subject.on_answer({4, 200, false}, true, start);
+  BOOST_TEST(outdated.is_outdated);
+  const auto without_era = subject.on_answer({std::nullopt, 101, false}, true, start);
+  BOOST_TEST(!without_era.is_outdated);
+  BOOST_TEST(without_era.era == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(an_era_that_is_far_ahead_is_not_believed) {
+BOOST_AUTO_TEST_CASE(answer_of_an_era_far_ahead_is_implausible) {
   service_watch subject;
   subject.next_read(true, start);
   subject.on_answer({5, 100, true}, true, start);
   BOOST_TEST(subject.on_answer({900'000'000, 100, true}, true, start).is_implausible);
   const auto next = subject.on_answer({6, 90, false}, true, start);
-  BOOST_TEST(next.begins_era);
+  BOOST_TEST(next.is_new_era);
 }
 
-BOOST_AUTO_TEST_CASE(the_first_era_that_is_heard_of_begins_nothing) {
+BOOST_AUTO_TEST_CASE(first_known_era_is_not_a_new_era) {
   service_watch subject;
   subject.next_read(true, start);
   const auto meaning = subject.on_answer({7, 100, true}, true, start);
-  BOOST_TEST(!meaning.begins_era);
-  BOOST_TEST(meaning.shows_deletions);
+  BOOST_TEST(!meaning.is_new_era);
+  BOOST_TEST(meaning.should_delete_unlisted);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
