--- a/src/base/due_times.h
+++ b/src/base/due_times.h
@@ -18,17 +18,17 @@
 class due_times {
  public:
   /// Sets or moves the time of a key.
-  void set(const key& what, time_point when) {
-    clear(what);
-    times_.emplace(what, when);
-    ordered_.emplace(when, what);
+  void set(const key& item, time_point due_at) {
+    clear(item);
+    times_.emplace(item, due_at);
+    ordered_.emplace(due_at, item);
   }
 
   /// Forgets a key; one that is not held is no error.
-  void clear(const key& what) {
-    const auto found = times_.find(what);
+  void clear(const key& item) {
+    const auto found = times_.find(item);
     if (found != times_.end()) {
-      ordered_.erase({found->second, what});
+      ordered_.erase({found->second, item});
       times_.erase(found);
     }
   }
@@ -36,9 +36,9 @@
   /// Moves all times by a span.
   void postpone_all(duration span) {
     std::set<std::pair<time_point, key>> moved;
-    for (auto& [what, when] : times_) {
-      when += span;
-      moved.emplace(when, what);
+    for (auto& [item, due_at] : times_) {
+      due_at += span;
+      moved.emplace(due_at, item);
     }
     ordered_ = std::move(moved);
   }
--- a/src/base/hashing.h
+++ b/src/base/hashing.h
@@ -29,8 +29,8 @@
   for (const auto& candidate : candidates) {
     ranked.emplace_back(stable_hash(candidate.text(), seed), &candidate);
   }
-  const auto kept = std::min(count, ranked.size());
-  std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(kept),
+  const auto chosen_count = std::min(count, ranked.size());
+  std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(chosen_count),
                     ranked.end(), [](const auto& left, const auto& right) {
                       if (left.first != right.first) {
                         return left.first > right.first;
@@ -38,8 +38,8 @@
                       return *left.second < *right.second;
                     });
   std::vector<identifier> chosen;
-  chosen.reserve(kept);
-  for (std::size_t index = 0; index < kept; ++index) {
+  chosen.reserve(chosen_count);
+  for (std::size_t index = 0; index < chosen_count; ++index) {
     chosen.push_back(*ranked[index].second);
   }
   return chosen;
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -21,8 +21,8 @@
   virtual std::uint64_t next() = 0;
 
   /// @return a number in [0, bound); 0 where bound is 0.
-  std::size_t below(std::size_t bound) {
-    return bound == 0 ? 0 : static_cast<std::size_t>(next() % bound);
+  std::size_t below(std::size_t limit) {
+    return limit == 0 ? 0 : static_cast<std::size_t>(next() % limit);
   }
 
   /// @return a number in [0, 1).
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -22,10 +22,10 @@
     return false;
   }
   unsigned port = 0;
-  constexpr unsigned highest_port = 65'535;
+  constexpr unsigned max_port = 65'535;
   const auto* end = text.data() + text.size();
   const auto result = std::from_chars(text.data() + colon + 1, end, port);
-  return result.ec == std::errc() && result.ptr == end && port > 0 && port <= highest_port;
+  return result.ec == std::errc() && result.ptr == end && port > 0 && port <= max_port;
 }
 
 std::string read_address(mapping_reader& reader, const std::string& name) {
@@ -122,9 +122,9 @@
   if (!section) {
     return;
   }
-  constexpr std::int64_t largest_body = 100'000'000;
+  constexpr std::int64_t max_body_limit = 100'000'000;
   limits.max_body_bytes = static_cast<std::size_t>(section->integer(
-      "max_body_bytes", 1'000, largest_body, static_cast<std::int64_t>(limits.max_body_bytes)));
+      "max_body_bytes", 1'000, max_body_limit, static_cast<std::int64_t>(limits.max_body_bytes)));
   limits.max_header_bytes = static_cast<std::size_t>(section->integer(
       "max_header_bytes", 1'000, 1'000'000, static_cast<std::int64_t>(limits.max_header_bytes)));
   limits.receive_timeout = section->milliseconds("receive_timeout_ms", 100, 600'000,
@@ -138,28 +138,32 @@
 
 /// A stopping node gives up what is left this long before it is killed: half a second for the last
 /// answers to be written and 0.2 s for a process that is late.
-constexpr double end_margin_seconds = 0.7;
+constexpr double stop_margin_seconds = 0.7;
 
 /// A change is on all nodes this long after a watcher has read it, and a read that is not answered
 /// is given up this long after its hold.
-constexpr base::duration spread_time = std::chrono::milliseconds(1'000);
-constexpr base::duration give_up_time = std::chrono::milliseconds(1'000);
+constexpr base::duration propagation_time = std::chrono::milliseconds(1'000);
+constexpr base::duration read_timeout_after_hold = std::chrono::milliseconds(1'000);
 
 /// Of the time in which a change must be in force, a watcher may rest this part.
-constexpr double rest_part = 0.2;
+constexpr double read_interval_fraction = 0.2;
 
 /// A watch that is lost as a disturbance begins is noticed when its hold is over, and a change
 /// after the disturbance must be in force in its time nevertheless.
 catalog::watch_timing read_watch_timing(mapping_reader& section) {
-  constexpr std::int64_t longest = 60'000;
-  constexpr std::int64_t usual = 2'000;
-  const auto settled = section.milliseconds("settle_ms", 0, longest, usual);
-  const auto changed = section.milliseconds("change_bound_ms", 100, longest, usual);
-  const auto drained = section.milliseconds("drain_bound_ms", 100, longest, usual);
-  const auto bound = std::min(changed, drained);
+  constexpr std::int64_t max_milliseconds = 60'000;
+  constexpr std::int64_t default_milliseconds = 2'000;
+  const auto settle_time =
+      section.milliseconds("settle_ms", 0, max_milliseconds, default_milliseconds);
+  const auto change_bound =
+      section.milliseconds("change_bound_ms", 100, max_milliseconds, default_milliseconds);
+  const auto drain_bound =
+      section.milliseconds("drain_bound_ms", 100, max_milliseconds, default_milliseconds);
+  const auto shortest_bound = std::min(change_bound, drain_bound);
   catalog::watch_timing timing;
-  timing.hold = std::max<base::duration>(settled + bound - spread_time - give_up_time, timing.hold);
-  timing.rest_longest = base::scaled(bound, rest_part);
+  timing.hold = std::max<base::duration>(
+      settle_time + shortest_bound - propagation_time - read_timeout_after_hold, timing.hold);
+  timing.rest_longest = base::scaled(shortest_bound, read_interval_fraction);
   timing.retry_longest = section.milliseconds("store_retry_longest_ms", 100, 60'000,
                                               milliseconds_of(std::chrono::milliseconds(500)));
   return timing;
@@ -184,14 +188,15 @@
   auto& cold = serving.cold;
   cold.factor = section->number("cold_factor", 0, 100, cold.factor);
   cold.allowance = section->number("cold_allowance", 0, 1e6, cold.allowance);
-  constexpr double usual_grace_seconds = 8;
-  const double grace = section->number("stop_grace_s", 1, 600, usual_grace_seconds);
-  serving.max_stop_duration = base::from_seconds(std::max(grace - end_margin_seconds, grace / 2));
-  constexpr double bytes_of_megabyte = 1e6;
+  constexpr double default_grace_seconds = 8;
+  const double grace_seconds = section->number("stop_grace_s", 1, 600, default_grace_seconds);
+  serving.max_stop_duration =
+      base::from_seconds(std::max(grace_seconds - stop_margin_seconds, grace_seconds / 2));
+  constexpr double bytes_per_megabyte = 1e6;
   auto& resources = serving.resources;
-  const double usual_megabytes = static_cast<double>(resources.memory_bytes) / bytes_of_megabyte;
+  const double default_megabytes = static_cast<double>(resources.memory_bytes) / bytes_per_megabyte;
   resources.memory_bytes = static_cast<std::size_t>(
-      section->number("memory_mb", 32, 1e6, usual_megabytes) * bytes_of_megabyte);
+      section->number("memory_mb", 32, 1e6, default_megabytes) * bytes_per_megabyte);
   resources.descriptors = static_cast<std::size_t>(
       section->number("max_descriptors", 256, 1e7, static_cast<double>(resources.descriptors)));
   auto& self = result.node.self;
