--- a/src/base/due_times.h
+++ b/src/base/due_times.h
@@ -1,4 +1,5 @@
-/// Things that fall due at known times: what is due now is found without looking at the rest.
+/// Schedule of items with due times, which finds the items that are due without checking all
+/// others.
 #pragma once
 
 #include "base/time.h"
@@ -12,19 +13,19 @@
 
 namespace spurrack::base {
 
-/// Each key has at most one time. Every change costs O(log n) of the keys held; asking for the next
-/// time costs nothing. Not thread-safe.
+/// Holds at most one due time for each key. A change takes O(log n) in the number of keys, a query
+/// of the next due time O(1). Not thread-safe.
 template <typename key>
 class due_times {
  public:
-  /// Sets or moves the time of a key.
+  /// Sets or replaces the due time of a key.
   void set(const key& item, time_point due_at) {
     clear(item);
     times_.emplace(item, due_at);
     ordered_.emplace(due_at, item);
   }
 
-  /// Forgets a key; one that is not held is no error.
+  /// Removes a key; has no effect if the key is not held.
   void clear(const key& item) {
     const auto found = times_.find(item);
     if (found != times_.end()) {
@@ -33,7 +34,7 @@
     }
   }
 
-  /// Moves all times by a span.
+  /// Postpones all due times by `span`.
   void postpone_all(duration span) {
     std::set<std::pair<time_point, key>> moved;
     for (auto& [item, due_at] : times_) {
@@ -43,12 +44,12 @@
     ordered_ = std::move(moved);
   }
 
-  /// @return the earliest time; nothing where no key is held.
+  /// @return the earliest due time; std::nullopt if no key is held.
   [[nodiscard]] std::optional<time_point> next() const {
     return ordered_.empty() ? std::nullopt : std::optional(ordered_.begin()->first);
   }
 
-  /// Takes out the keys that are due, the earliest first.
+  /// Removes and returns the keys that are due, the earliest first.
   std::vector<key> take_due(time_point now) {
     std::vector<key> due;
     while (!ordered_.empty() && ordered_.begin()->first <= now) {
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -1,4 +1,4 @@
-/// Events of one node for the fleet's time line: a bounded ring of typed entries.
+/// Events of one node for the timeline of the fleet, in a ring buffer of typed entries.
 #pragma once
 
 #include "base/hybrid_clock.h"
@@ -12,7 +12,7 @@
 
 namespace spurrack::base {
 
-/// What happened. The names given by `name_of` are stable: tools read them.
+/// Kind of an event. The names that `name_of` returns are stable because tools parse them.
 enum class event_kind : std::uint8_t {
   node_started,
   node_ready,
@@ -56,28 +56,28 @@
 /// @return the stable lower-case name of `kind`.
 std::string_view name_of(event_kind kind);
 
-/// One entry of the time line.
+/// One entry of the timeline.
 struct event {
   hybrid_timestamp at;
   event_kind kind = event_kind::node_started;
-  /// Request concerned; empty where the event is not about one.
+  /// Request that the event concerns; empty if it concerns none.
   request_id request;
-  /// Machine, stage or key concerned.
+  /// Machine, stage or key that the event concerns.
   std::string subject;
-  /// Short free text for people.
+  /// Short free text for operators.
   std::string detail;
 };
 
-/// The newest `capacity` events. Not thread-safe.
+/// Ring buffer of the latest `capacity` events. Not thread-safe.
 class event_log {
  public:
   explicit event_log(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Adds an event; the oldest leaves when the ring is full.
+  /// Adds an event; removes the oldest event if the buffer is full.
   void add(event entry);
 
   [[nodiscard]] const std::deque<event>& entries() const { return entries_; }
-  /// @return how many events have left the ring.
+  /// @return the number of events that were removed because the buffer was full.
   [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
 
  private:
--- a/src/base/hashing.h
+++ b/src/base/hashing.h
@@ -1,4 +1,5 @@
-/// Stable hashing (xxHash) and rendezvous ranking; equal on all nodes and in all releases.
+/// Hashing (xxHash) and rendezvous hashing with results that are equal on all nodes and in all
+/// releases.
 #pragma once
 
 #include <algorithm>
@@ -13,12 +14,12 @@
 /// @return the 64-bit xxHash3 of `bytes`.
 std::uint64_t stable_hash(std::string_view bytes, std::uint64_t seed = 0);
 
-/// Highest-random-weight choice.
-/// @param subject what is to be placed.
-/// @param candidates identifiers with a `text()`; their order does not matter.
-/// @param count how many to choose at the most.
-/// @return the chosen candidates, the best first. A candidate that comes or goes changes the
-///         choice only where it is itself among the chosen.
+/// Chooses candidates by rendezvous hashing (highest random weight).
+/// @param subject key that is assigned to the candidates.
+/// @param candidates identifiers with a `text()`, in any order.
+/// @param count maximum number of candidates to choose.
+/// @return the chosen candidates, the one with the highest weight first. Adding or removing a
+///         candidate changes the choice only if this candidate is among the chosen ones.
 template <typename identifier>
 std::vector<identifier> rendezvous_top(std::string_view subject,
                                        const std::vector<identifier>& candidates,
--- a/src/base/hybrid_clock.h
+++ b/src/base/hybrid_clock.h
@@ -1,5 +1,5 @@
-/// Hybrid logical clock (Kulkarni et al., 2014): timestamps near the wall clock that also respect
-/// cause and effect between nodes.
+/// Hybrid logical clock (Kulkarni et al., 2014): its timestamps are close to the wall clock and
+/// preserve causality between nodes.
 #pragma once
 
 #include "base/time.h"
@@ -19,15 +19,16 @@
 /// Clock of one node. Not thread-safe.
 class hybrid_clock {
  public:
-  /// @param wall_offset_microseconds what to add to boot-clock microseconds to get wall time.
+  /// @param wall_offset_microseconds wall clock minus boot clock, in microseconds.
   explicit hybrid_clock(std::int64_t wall_offset_microseconds)
       : wall_offset_microseconds_(wall_offset_microseconds) {}
 
-  /// @return a timestamp later than every one given or received before.
+  /// @return a timestamp later than all timestamps that this clock has returned or accepted before.
   hybrid_timestamp next(time_point now);
 
-  /// Takes note of a timestamp received from a peer. One further ahead than `max_drift` of this
-  /// machine's wall clock is ignored, so that one broken clock cannot drag the fleet along.
+  /// Records a timestamp received from a peer. Ignores a timestamp that is more than
+  /// `max_drift_microseconds` ahead of this machine's wall clock, so that a single broken clock
+  /// cannot advance the clocks of the whole fleet.
   void observe(const hybrid_timestamp& received, time_point now);
 
   static constexpr std::uint64_t max_drift_microseconds = 60'000'000;
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,4 +1,5 @@
-/// Strong identifiers: text that names one kind of thing and cannot be mixed up with another kind.
+/// Strongly typed identifiers: the compiler rejects the use of an identifier of one kind in place
+/// of another kind.
 #pragma once
 
 #include <compare>
@@ -10,7 +11,7 @@
 
 namespace spurrack::base {
 
-/// Identifier of one kind. `tag` only tells the kinds apart.
+/// Identifier in text form. `tag` only distinguishes the kinds.
 template <typename tag>
 class identifier {
  public:
@@ -34,7 +35,7 @@
 using zone_id = identifier<struct zone_tag>;
 using region_id = identifier<struct region_tag>;
 using backend_id = identifier<struct backend_tag>;
-/// A replica; it may start again under its identifier (`model::replica_incarnation`).
+/// A replica keeps its identifier when it restarts; see `model::replica_incarnation`.
 using replica_id = identifier<struct replica_tag>;
 using pool_id = identifier<struct pool_tag>;
 using tenant_id = identifier<struct tenant_tag>;
@@ -42,17 +43,19 @@
 using request_id = identifier<struct request_tag>;
 using network_address = identifier<struct address_tag>;
 
-/// Number of one stage call, unique within one node's life.
+/// Number of a call, unique within one incarnation of a node.
 using call_id = std::uint64_t;
-/// Number of one caller connection's request, unique within one node's life.
+/// Number of a request on a caller's connection, unique within one incarnation of a node.
 using caller_id = std::uint64_t;
-/// Life of a process: higher is later. Taken from the wall clock at start, raised to refute a
-/// rumour.
+/// Incarnation of a node's process; a higher number is a later incarnation. Taken from the wall
+/// clock at the start of the process, and increased to refute gossip that reports the node as
+/// suspected or dead.
 using incarnation = std::uint64_t;
-/// Revision of a published record, counted by the service that published it.
+/// Revision of a published record, assigned by the service that publishes it.
 using revision = std::uint64_t;
-/// Counts from 1 how often the service that publishes came back from an older copy, after which it
-/// gives revisions out again; 0 where nobody tells.
+/// Era of the service that publishes records, counted from 1. It increases each time the service is
+/// restored from an older copy, after which the service assigns the same revisions again. 0 if the
+/// era is unknown.
 using store_era = std::uint64_t;
 
 } // namespace spurrack::base
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,4 +1,5 @@
-/// Randomness given from outside, so that a run can be repeated from its seed.
+/// Interface to a source of random numbers that is passed in, so that a run can be reproduced from
+/// its seed.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +10,7 @@
 
 namespace spurrack::base {
 
-/// Source of random numbers. Not thread-safe; owned by whoever drives the decision logic.
+/// Source of random numbers. Not thread-safe; owned by the caller of the decision logic.
 class random_source {
  public:
   random_source() = default;
@@ -20,7 +21,7 @@
   /// @return 64 uniformly distributed bits.
   virtual std::uint64_t next() = 0;
 
-  /// @return a number in [0, bound); 0 where bound is 0.
+  /// @return a number in [0, limit); 0 if `limit` is 0.
   std::size_t below(std::size_t limit) {
     return limit == 0 ? 0 : static_cast<std::size_t>(next() % limit);
   }
@@ -29,7 +30,7 @@
   double unit();
 };
 
-/// Takes one of the items out by chance. The order of the others is not kept.
+/// Removes and returns a random item. Does not preserve the order of the remaining items.
 /// @param items must not be empty.
 template <typename item>
 item take_random(std::vector<item>& items, random_source& random) {
@@ -39,7 +40,7 @@
   return taken;
 }
 
-/// Deterministic generator: the same seed gives the same sequence on every machine.
+/// Deterministic generator: the same seed produces the same sequence on every machine.
 class seeded_random final : public random_source {
  public:
   explicit seeded_random(std::uint64_t seed) : engine_(seed) {}
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,4 +1,4 @@
-/// Time as the decision logic sees it: one clock that also counts while the machine is suspended.
+/// Clock of the decision logic, which also advances while the machine is suspended.
 #pragma once
 
 #include <chrono>
@@ -8,8 +8,8 @@
 
 using duration = std::chrono::nanoseconds;
 
-/// Clock of the machine since boot, suspension included (CLOCK_BOOTTIME). A lease checked on this
-/// clock is seen as expired by a process that was paused through the end of the lease.
+/// Time since the boot of the machine, including suspension (CLOCK_BOOTTIME). If a process is
+/// suspended beyond the end of a lease, it sees on this clock that the lease has expired.
 struct boot_clock {
   using duration = base::duration;
   using rep = duration::rep;
@@ -17,14 +17,14 @@
   using time_point = std::chrono::time_point<boot_clock, duration>;
   static constexpr bool is_steady = true;
 
-  /// @return the current time of the machine; never goes back.
+  /// @return the current time; never decreases.
   static time_point now() noexcept;
 };
 
 using time_point = boot_clock::time_point;
 
-/// @return microseconds since the Unix epoch; may jump, used for the time line and incarnations
-/// only.
+/// @return microseconds since the Unix epoch. May jump; used only for the timeline and for
+///         incarnations.
 std::uint64_t wall_clock_microseconds() noexcept;
 
 /// @return whole milliseconds in `span`, rounded towards zero.
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -136,20 +136,22 @@
   section->finish();
 }
 
-/// A stopping node gives up what is left this long before it is killed: half a second for the last
-/// answers to be written and 0.2 s for a process that is late.
+/// Time before it is killed at which a stopping node aborts the requests that are left: half a
+/// second to write the last answers and 0.2 s for a delayed process.
 constexpr double stop_margin_seconds = 0.7;
 
-/// A change is on all nodes this long after a watcher has read it, and a read that is not answered
-/// is given up this long after its hold.
+/// Time after which a change that one node has read is known to all nodes.
 constexpr base::duration propagation_time = std::chrono::milliseconds(1'000);
+/// Time after the end of its hold at which a read without an answer is cancelled.
 constexpr base::duration read_timeout_after_hold = std::chrono::milliseconds(1'000);
 
-/// Of the time in which a change must be in force, a watcher may rest this part.
+/// Maximum interval between two reads of a watching node, as a fraction of the time in which a
+/// change must be in effect.
 constexpr double read_interval_fraction = 0.2;
 
-/// A watch that is lost as a disturbance begins is noticed when its hold is over, and a change
-/// after the disturbance must be in force in its time nevertheless.
+/// Reads the time limits for changes and derives the timing of watches from them. A watch that is
+/// lost when a disturbance begins is detected only after its hold, and a change published after the
+/// disturbance must still be in effect within its limit.
 catalog::watch_timing read_watch_timing(mapping_reader& section) {
   constexpr std::int64_t max_milliseconds = 60'000;
   constexpr std::int64_t default_milliseconds = 2'000;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,4 +1,5 @@
-/// Settings of one spurrackd, read from a YAML file and checked before anything starts.
+/// Settings of one spurrackd, parsed from a YAML file and validated before the process starts any
+/// work.
 /// docs/operators/settings.md describes every field.
 #pragma once
 
@@ -11,28 +12,28 @@
 
 namespace spurrack::settings {
 
-/// CURVE key pair shared by the nodes of a fleet, in Z85 text.
+/// CURVE key pair that all nodes of a fleet share, encoded as Z85.
 struct curve_keys {
   std::string public_key;
   std::string secret_key;
 };
 
-/// Bounds of the callers' HTTP listener.
+/// Limits of the HTTP listener for callers.
 struct caller_limits {
   std::size_t max_body_bytes = 1'000'000;
   std::size_t max_header_bytes = 8'192;
-  /// Longest time a caller may take to send one request.
+  /// Maximum time that a caller may take to send one request.
   base::duration receive_timeout = std::chrono::seconds(10);
-  /// Longest time a connection may be idle between requests.
+  /// Maximum time that a connection may be idle between requests.
   base::duration idle_timeout = std::chrono::seconds(60);
   std::size_t max_connections = 4'096;
 };
 
 /// Addresses of the serving path, as `IP:port`.
 struct serving_endpoints {
-  /// Where clients send requests.
+  /// Listener for the requests of clients.
   std::string listen;
-  /// Where the balancer asks whether this node takes new requests.
+  /// Listener for the load balancer's query whether this node accepts new requests.
   std::string readiness_listen;
   /// The platform's metadata store.
   std::string store;
@@ -40,26 +41,29 @@
 
 struct daemon_settings {
   node::node_settings node;
-  /// Where this node listens for peers; what peers are told is `node.self.address`.
+  /// Address on which this node listens for peers. Peers are sent `node.self.address`, which may
+  /// differ.
   std::string peer_listen;
-  /// Empty where the node serves published routes alone.
+  /// Empty if the node serves only published routes.
   std::string caller_listen;
   std::string operator_listen;
   std::string configuration_service;
   std::string machine_list_service;
-  /// Set where the node serves published routes; then `node.serving` is set too.
+  /// Set if the node serves published routes; `node.serving` is then set as well.
   std::optional<serving_endpoints> serving;
   std::optional<curve_keys> curve;
   caller_limits callers;
 };
 
-/// What came of reading a settings file.
+/// Result of parsing a settings file.
 struct settings_result {
+  /// std::nullopt if there are any faults.
   std::optional<daemon_settings> value;
   std::vector<model::document_fault> faults;
 };
 
-/// @param text content of the file. The process start is left at 0.
+/// Parses and validates settings. Leaves the start time of the process at 0.
+/// @param text content of the settings file.
 settings_result parse_settings(const std::string& text);
 
 } // namespace spurrack::settings
