--- a/src/wire/outgoing.h
+++ b/src/wire/outgoing.h
@@ -1,4 +1,4 @@
-/// A message that decision logic wants sent to a peer.
+/// A message from the decision logic to a peer.
 #pragma once
 
 #include "base/ids.h"
@@ -8,12 +8,12 @@
 
 namespace spurrack::wire {
 
-/// Message with its destination. The sender fields of the envelope are filled in by `node::node`.
+/// Message with its destination. `node::node` sets the sender fields of the envelope.
 struct outgoing {
   base::network_address to;
   envelope message;
-  /// The peer did not answer on the connection that stands, which may be silent for good: it is
-  /// replaced. The message itself may be lost with that.
+  /// The peer did not answer on the existing connection, which may be unresponsive permanently: the
+  /// connection is replaced. The message may be lost by the replacement.
   bool on_new_connection = false;
 };
 
