--- a/tests/base/due_times_test.cc
+++ b/tests/base/due_times_test.cc
@@ -32,26 +32,26 @@
 
 BOOST_AUTO_TEST_SUITE(due_times_test)
 
-BOOST_AUTO_TEST_CASE(an_event_costs_no_more_than_the_logarithm_of_what_is_held) {
+BOOST_AUTO_TEST_CASE(operations_cost_logarithmic_comparisons) {
   const base::time_point start{std::chrono::hours(1)};
-  constexpr int held = 100'000;
-  constexpr int events = 1'000;
+  constexpr int key_count = 100'000;
+  constexpr int operation_count = 1'000;
   base::due_times<counted_key> times;
-  for (int number = 0; number < held; ++number) {
+  for (int number = 0; number < key_count; ++number) {
     // All at one time, so that every look-up compares keys.
     times.set({number}, start + milliseconds(1));
   }
   counted_key::comparisons = 0;
-  for (int event = 0; event < events; ++event) {
-    times.set({event}, start);
+  for (int operation = 0; operation < operation_count; ++operation) {
+    times.set({operation}, start);
     BOOST_TEST(times.next().has_value());
     BOOST_TEST(times.take_due(start).size() == 1U);
   }
   // Three look-ups in a tree of 17 levels, each level with up to two comparisons, and the hashes.
-  BOOST_TEST(counted_key::comparisons / events < 3 * 17 * 2 + 20U);
+  BOOST_TEST(counted_key::comparisons / operation_count < 3 * 17 * 2 + 20U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_due_is_taken_out_in_order) {
+BOOST_AUTO_TEST_CASE(due_keys_are_taken_in_order) {
   const base::time_point start{std::chrono::hours(1)};
   base::due_times<std::string> times;
   BOOST_TEST(!times.next().has_value());
--- a/tests/platform/http_codec_test.cc
+++ b/tests/platform/http_codec_test.cc
@@ -40,7 +40,7 @@
 
 BOOST_AUTO_TEST_SUITE(http_codec_test)
 
-BOOST_AUTO_TEST_CASE(reads_what_decides_how_a_request_is_served) {
+BOOST_AUTO_TEST_CASE(request_fields_are_decoded) {
   const auto content = read({{"X-Deadline-Ms", "900"},
                              {"Authorization", "Token k1"},
                              {"X-Model", "m"},
@@ -88,7 +88,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(bad_input_is_refused_with_its_reason) {
+BOOST_AUTO_TEST_CASE(malformed_fields_are_refused_with_a_reason) {
   for (const auto& field : header_list{{"X-Deadline-Ms", "soon"},
                                        {"X-Deadline-Ms", "-1"},
                                        {"X-Token-Count", "5"},
@@ -107,7 +107,7 @@
   BOOST_TEST(platform::make_http_codec()->read_request(without_id).index() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_call_tells_what_is_left_and_who_is_meant) {
+BOOST_AUTO_TEST_CASE(call_carries_time_left_and_expected_replica) {
   serving::start_call call;
   call.target = {base::replica_id("i-1"), base::network_address("10.0.0.1:80")};
   call.content = std::make_shared<serving::request_content>(
@@ -128,7 +128,7 @@
   BOOST_TEST(value_of(encoded.headers, "X-Inputs") == "a/1,b/2");
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_is_read_with_what_it_says_of_its_replica) {
+BOOST_AUTO_TEST_CASE(answer_head_and_self_report_are_decoded) {
   const auto codec = platform::make_http_codec();
   const serving::raw_answer raw{200,
                                 {{"X-Request-Id", "abc"},
@@ -138,13 +138,13 @@
                                  {"Content-Length", "2"},
                                  {"Content-Type", "text/plain"}}};
   const auto head = codec->read_answer(raw);
-  const auto said = codec->read_self_report(raw).value();
+  const auto report = codec->read_self_report(raw).value();
   BOOST_TEST(head.sealed);
   BOOST_TEST(!head.not_executed);
-  BOOST_TEST(said.closes_connection);
-  BOOST_REQUIRE(said.load.has_value());
-  BOOST_TEST(said.load->running == 3);
-  BOOST_TEST(said.load->slots == 8);
+  BOOST_TEST(report.closes_connection);
+  BOOST_REQUIRE(report.load.has_value());
+  BOOST_TEST(report.load->running == 3);
+  BOOST_TEST(report.load->slots == 8);
   BOOST_TEST(value_of(head.headers, "x-response-seal") == "s");
   BOOST_TEST(value_of(head.headers, "Content-Type") == "text/plain");
   BOOST_TEST(value_of(head.headers, "Connection").empty());
@@ -154,7 +154,7 @@
   BOOST_TEST(codec->read_answer({200, {{"Content-Encoding", "gzip"}}}).encoded);
 }
 
-BOOST_AUTO_TEST_CASE(figures_of_a_load_after_the_third_are_passed_over) {
+BOOST_AUTO_TEST_CASE(load_values_after_the_third_are_ignored) {
   const auto codec = platform::make_http_codec();
   for (const std::string text : {"3,1,8", "3, 1, 8", "3,1,8,", "3,1,8,100", "3,1,8,soon",
                                  "3,1,8,-5", "3,1,8,1e99,7,x", "3,1,8,99999999999999999999"}) {
@@ -169,7 +169,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_load_that_cannot_be_read_tells_nothing_and_is_marked) {
+BOOST_AUTO_TEST_CASE(unparsable_load_is_marked_unreadable) {
   const auto codec = platform::make_http_codec();
   for (const std::string text :
        {"", " ", ",", ",,", "3", "3,1", "many,1,8", "3,-1,8", "3,1,8.5", "3;1;8", "+3,1,8",
@@ -180,40 +180,40 @@
       BOOST_TEST(head.is_load_unreadable);
     }
   }
-  const auto silent = codec->read_self_report({200, {}}).value();
-  BOOST_TEST(!silent.load.has_value());
-  BOOST_TEST(!silent.is_load_unreadable);
+  const auto no_report = codec->read_self_report({200, {}}).value();
+  BOOST_TEST(!no_report.load.has_value());
+  BOOST_TEST(!no_report.is_load_unreadable);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_names_what_its_replica_takes) {
+BOOST_AUTO_TEST_CASE(announced_limit_is_parsed_or_marked_unreadable) {
   const auto codec = platform::make_http_codec();
-  const auto named = [&](const std::string& text) {
+  const auto limit_of = [&](const std::string& text) {
     return codec->read_self_report({200, {{"Server-Limit", text}}}).value().limit;
   };
   for (const auto& [text, value] : std::vector<std::pair<std::string, double>>{
            {"0", 0}, {"0.2", 0.2}, {"1", 1}, {" 3.5 ", 3.5}, {"1000", 1000}}) {
-    BOOST_TEST(named(text).per_second.value_or(-1) == value, text);
-    BOOST_TEST(!named(text).is_unreadable, text);
+    BOOST_TEST(limit_of(text).per_second.value_or(-1) == value, text);
+    BOOST_TEST(!limit_of(text).is_unreadable, text);
   }
   for (const std::string text :
        {"", " ", "few", "-1", "nan", "inf", "-inf", "1e300", "1,2", "1 2", "0x10"}) {
-    BOOST_TEST(!named(text).per_second, text);
-    BOOST_TEST(named(text).is_unreadable, text);
+    BOOST_TEST(!limit_of(text).per_second, text);
+    BOOST_TEST(limit_of(text).is_unreadable, text);
   }
-  const auto twice =
+  const auto repeated_field =
       codec->read_self_report({200, {{"Server-Limit", "1"}, {"Server-Limit", "2"}}}).value();
-  BOOST_TEST(twice.limit.is_unreadable);
+  BOOST_TEST(repeated_field.limit.is_unreadable);
   // Another process has the address: it says nothing of the replica that was meant.
   BOOST_TEST(!codec->read_self_report({421, {{"Server-Limit", "3"}}}).has_value());
-  const auto silent = codec->read_self_report({200, {}}).value();
-  BOOST_TEST(!silent.limit.is_unreadable);
-  BOOST_TEST(!silent.limit.per_second);
+  const auto no_report = codec->read_self_report({200, {}}).value();
+  BOOST_TEST(!no_report.limit.is_unreadable);
+  BOOST_TEST(!no_report.limit.per_second);
   const auto head = codec->read_answer({200, {{"Server-Limit", "1"}, {"A", "b"}}});
   BOOST_TEST(value_of(head.headers, "Server-Limit").empty());
   BOOST_TEST(value_of(head.headers, "A") == "b");
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_says_how_long_its_replica_stays_cold) {
+BOOST_AUTO_TEST_CASE(cold_time_is_parsed_and_defaults_to_zero) {
   const auto codec = platform::make_http_codec();
   const auto cold_for = [&](const std::string& text) {
     return base::to_milliseconds(
@@ -225,7 +225,7 @@
   BOOST_TEST(base::to_milliseconds(codec->read_self_report({200, {}}).value().cold_for) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_of_any_status_says_that_its_replica_leaves) {
+BOOST_AUTO_TEST_CASE(drain_announcement_is_read_from_any_status) {
   const auto codec = platform::make_http_codec();
   const auto read = [&](unsigned status, const header_list& headers) {
     return codec->read_self_report({status, headers}).value();
@@ -236,9 +236,9 @@
   BOOST_TEST(read(200, {{"server-leaving", " 1 "}}).is_draining);
   BOOST_TEST(read(200, {{"Server-Leaving", "1"}, {"Server-Leaving", "1"}}).is_draining);
   for (const std::string text : {"", " ", "0", "yes", "-1", "1.0", "1e300", "true"}) {
-    const auto said = read(200, {{"Server-Leaving", text}});
-    BOOST_TEST(!said.is_draining, text);
-    BOOST_TEST(said.is_drain_unreadable, text);
+    const auto report = read(200, {{"Server-Leaving", text}});
+    BOOST_TEST(!report.is_draining, text);
+    BOOST_TEST(report.is_drain_unreadable, text);
   }
   BOOST_TEST(!read(200, {}).is_draining);
   BOOST_TEST(!read(200, {}).is_drain_unreadable);
@@ -249,11 +249,11 @@
 
 BOOST_AUTO_TEST_CASE(a_503_names_the_time_in_which_its_replica_wants_nothing) {
   const auto codec = platform::make_http_codec();
-  const auto asked = [&](unsigned status, const header_list& headers) {
+  const auto backoff_of = [&](unsigned status, const header_list& headers) {
     return codec->read_self_report({status, headers}).value().backoff;
   };
   const auto seconds_of = [&](const std::string& text) {
-    const auto span = asked(503, {{"Retry-After", text}}).span;
+    const auto span = backoff_of(503, {{"Retry-After", text}}).span;
     return span ? base::to_seconds(*span) : -1;
   };
   for (const auto& [text, value] : std::vector<std::pair<std::string, double>>{
@@ -264,25 +264,25 @@
   BOOST_TEST(seconds_of("1e300") >= 86'400.0);
   for (const std::string text : {"", " ", "soon", "-1", "nan", "inf", "-inf", "3 s", "1,2",
                                  "Thu, 03 Dec 2026 09:00:00 GMT"}) {
-    const auto backoff = asked(503, {{"Retry-After", text}});
+    const auto backoff = backoff_of(503, {{"Retry-After", text}});
     BOOST_TEST(!backoff.span, text);
     BOOST_TEST(backoff.is_unreadable, text);
   }
-  BOOST_TEST(asked(503, {{"Retry-After", "1"}, {"Retry-After", "2"}}).is_unreadable);
-  BOOST_TEST(!asked(503, {}).span);
-  BOOST_TEST(!asked(503, {}).is_unreadable);
+  BOOST_TEST(backoff_of(503, {{"Retry-After", "1"}, {"Retry-After", "2"}}).is_unreadable);
+  BOOST_TEST(!backoff_of(503, {}).span);
+  BOOST_TEST(!backoff_of(503, {}).is_unreadable);
   for (const unsigned status : {200U, 429U, 500U}) {
-    BOOST_TEST(!asked(status, {{"Retry-After", "3"}}).span, status);
-    BOOST_TEST(!asked(status, {{"Retry-After", "soon"}}).is_unreadable, status);
+    BOOST_TEST(!backoff_of(status, {{"Retry-After", "3"}}).span, status);
+    BOOST_TEST(!backoff_of(status, {{"Retry-After", "soon"}}).is_unreadable, status);
   }
   // With or without the word that the request has not run.
-  BOOST_TEST(asked(503, {{"Retry-After", "3"}, {"X-Not-Executed", "1"}}).span.has_value());
+  BOOST_TEST(backoff_of(503, {{"Retry-After", "3"}, {"X-Not-Executed", "1"}}).span.has_value());
   // Also a client is told.
   const auto head = codec->read_answer({503, {{"Retry-After", "3"}}});
   BOOST_TEST(value_of(head.headers, "Retry-After") == "3");
 }
 
-BOOST_AUTO_TEST_CASE(results_are_freed_at_their_maker_only) {
+BOOST_AUTO_TEST_CASE(free_results_call_names_the_producing_replica) {
   const auto codec = platform::make_http_codec();
   const auto encoded = codec->encode(serving::free_results{
       {base::replica_id("i-1"), base::network_address("10.0.0.1:80")}, {"10.0.0.1:80/h"}});
@@ -290,7 +290,7 @@
   BOOST_TEST(value_of(encoded.headers, "X-Expect-Replica") == "i-1");
 }
 
-BOOST_AUTO_TEST_CASE(pieces_are_asked_and_read_in_order) {
+BOOST_AUTO_TEST_CASE(pieces_are_encoded_and_decoded_in_order) {
   const auto codec = platform::make_http_codec();
   serving::start_stage_call call;
   call.target = {base::replica_id("i-1"), base::network_address("10.0.0.1:80")};
--- a/tests/platform/record_translator_test.cc
+++ b/tests/platform/record_translator_test.cc
@@ -22,7 +22,7 @@
             "idle_timeout_ms":400}})";
 }
 
-const std::string good_route =
+const std::string valid_route =
     R"({"name":"r","host":"H.example","path_prefix":"/a/","kind":"streaming","timeout_ms":8000,
         "target_latency_ms":3600,"priority":1,"service":"llm","max_attempts":2,
         "stages":[{"service":"one","start_after":[],"size_bytes":8000}],"stream_resume":true,
@@ -32,14 +32,14 @@
   return model::parse_configuration(platform::translate_configuration(text).SerializeAsString());
 }
 
-std::string refusal_of(const std::string& text) {
+std::string configuration_refusal_of(const std::string& text) {
   const auto result = parsed(text);
   const auto* refused = std::get_if<model::refusal_reason>(&result);
   return refused == nullptr ? "" : refused->text;
 }
 
 /// Fields of a good entry, each as JSON.
-std::map<std::string, std::string> good_fields() {
+std::map<std::string, std::string> valid_fields() {
   return {{"service", "\"llm\""},   {"address", "\"10.0.0.1:80\""},
           {"zone", "\"z\""},        {"version", "\"v1\""},
           {"slots", "4"},           {"state", "\"ready\""},
@@ -56,13 +56,13 @@
 }
 
 std::string with_field(const std::string& name, const std::string& value) {
-  auto fields = good_fields();
+  auto fields = valid_fields();
   fields[name] = value;
   return entry_of(fields);
 }
 
 std::string without_field(const std::string& name) {
-  auto fields = good_fields();
+  auto fields = valid_fields();
   fields.erase(name);
   return entry_of(fields);
 }
@@ -72,7 +72,7 @@
 }
 
 /// @return why an entry names no replica; empty where it names one.
-std::string reason_of(const std::string& text) {
+std::string replica_refusal_of(const std::string& text) {
   const auto read = parsed_replica(text);
   const auto* refused = std::get_if<model::refusal_reason>(&read);
   return refused == nullptr ? "" : refused->text;
@@ -82,8 +82,8 @@
 
 BOOST_AUTO_TEST_SUITE(record_translator_test)
 
-BOOST_AUTO_TEST_CASE(a_whole_configuration_is_translated) {
-  const auto result = parsed(with_route(good_route));
+BOOST_AUTO_TEST_CASE(complete_configuration_is_translated) {
+  const auto result = parsed(with_route(valid_route));
   const auto* found = std::get_if<std::shared_ptr<const model::serving_configuration>>(&result);
   BOOST_REQUIRE(found != nullptr);
   const auto& configuration = **found;
@@ -124,18 +124,20 @@
   BOOST_TEST((holder.permitted_regions == model::residency::within({base::region_id("south")})));
 }
 
-BOOST_AUTO_TEST_CASE(a_list_of_regions_that_is_not_one_refuses_the_configuration) {
+BOOST_AUTO_TEST_CASE(invalid_region_list_rejects_the_configuration) {
   const std::string route = R"({"name":"r","host":"h","path_prefix":"/a/","kind":"safe",)"
                             R"("service":"llm","allowed_regions":)";
-  BOOST_TEST(refusal_of(with_route(route + "[]}")) == "allowed_regions names no region");
-  BOOST_TEST(refusal_of(with_route(route + "[\"\"]}")) ==
+  BOOST_TEST(configuration_refusal_of(with_route(route + "[]}")) ==
+             "allowed_regions names no region");
+  BOOST_TEST(configuration_refusal_of(with_route(route + "[\"\"]}")) ==
              "allowed_regions holds something else than names");
-  BOOST_TEST(refusal_of(with_route(route + "[7]}")) ==
+  BOOST_TEST(configuration_refusal_of(with_route(route + "[7]}")) ==
              "allowed_regions holds something else than names");
-  BOOST_TEST(refusal_of(with_route(route + "\"north\"}")) == "allowed_regions is not a list");
+  BOOST_TEST(configuration_refusal_of(with_route(route + "\"north\"}")) ==
+             "allowed_regions is not a list");
 }
 
-BOOST_AUTO_TEST_CASE(what_an_engine_holds_and_carries_is_translated) {
+BOOST_AUTO_TEST_CASE(engine_memory_and_link_speed_are_translated) {
   const auto text = std::string(R"({"version":7,"services":[{"name":"llm","engine":{"slots":64,
       "kv_capacity_tokens":580797,"kv_token_bytes":163840,"link_mbps":260000.0}}]})");
   const auto result = parsed(text);
@@ -143,12 +145,13 @@
   BOOST_TEST(engine.memory_tokens == 580797U);
   BOOST_TEST(engine.token_bytes == 163840);
   BOOST_TEST(engine.link_bits_per_second == 260e9);
-  BOOST_TEST(refusal_of(R"({"version":7,"services":[{"name":"llm","engine":{"slots":64,
+  BOOST_TEST(
+      configuration_refusal_of(R"({"version":7,"services":[{"name":"llm","engine":{"slots":64,
       "kv_capacity_tokens":5,"kv_token_bytes":-1}}]})") ==
-             "service llm: an engine's figure is negative");
+      "service llm: an engine's figure is negative");
 }
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_wins) {
+BOOST_AUTO_TEST_CASE(route_with_the_longest_prefix_is_found) {
   const auto text = with_route(
       R"({"name":"short","host":"h","path_prefix":"/a/","kind":"safe","service":"llm"},
          {"name":"long","host":"h","path_prefix":"/a/b/","kind":"safe","service":"llm"})");
@@ -159,42 +162,42 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_bad_configuration_is_refused_as_a_whole_with_its_reason) {
-  BOOST_TEST(refusal_of("{") == "not a JSON document");
-  BOOST_TEST(refusal_of("[]") == "the configuration is not an object");
+  BOOST_TEST(configuration_refusal_of("{") == "not a JSON document");
+  BOOST_TEST(configuration_refusal_of("[]") == "the configuration is not an object");
   BOOST_TEST(
-      refusal_of(
+      configuration_refusal_of(
           with_route(R"({"name":"r","host":"h","path_prefix":"/","kind":"odd","service":"llm"})"))
           .find("unknown kind") != std::string::npos);
+  BOOST_TEST(configuration_refusal_of(
+                 with_route(R"({"name":"r","path_prefix":"/","kind":"safe","service":"llm"})"))
+                 .find("host is missing") != std::string::npos);
   BOOST_TEST(
-      refusal_of(with_route(R"({"name":"r","path_prefix":"/","kind":"safe","service":"llm"})"))
-          .find("host is missing") != std::string::npos);
-  BOOST_TEST(
-      refusal_of(
+      configuration_refusal_of(
           with_route(R"({"name":"r","host":"h","path_prefix":"/","kind":"safe","service":"none"})"))
           .find("service does not exist") != std::string::npos);
   BOOST_TEST(
-      refusal_of(
+      configuration_refusal_of(
           with_route(R"({"name":"r","host":"h","path_prefix":"a","kind":"safe","service":"llm"})"))
           .find("slash") != std::string::npos);
-  BOOST_TEST(
-      refusal_of(with_route(
+  BOOST_TEST(configuration_refusal_of(
+                 with_route(
                      R"({"name":"r","host":"h","path_prefix":"/","kind":"safe","service":"llm",
                          "stages":[{"service":"one","start_after":[1]},
                                    {"service":"one","start_after":[0]}]})"))
-          .find("cycle") != std::string::npos);
-  BOOST_TEST(
-      refusal_of(with_route(
+                 .find("cycle") != std::string::npos);
+  BOOST_TEST(configuration_refusal_of(
+                 with_route(
                      R"({"name":"r","host":"h","path_prefix":"/","kind":"safe","service":"llm",
                      "stages":[{"service":"one","start_after":[3]}]})"))
-          .find("out of range") != std::string::npos);
-  BOOST_TEST(
-      refusal_of(with_route(
+                 .find("out of range") != std::string::npos);
+  BOOST_TEST(configuration_refusal_of(
+                 with_route(
                      R"({"name":"r","host":"h","path_prefix":"/","kind":"safe","service":"llm",
                      "timeout_ms":"soon"})"))
-          .find("not a number") != std::string::npos);
+                 .find("not a number") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(replicas_are_translated_or_refused) {
+BOOST_AUTO_TEST_CASE(replicas_are_translated_or_rejected) {
   const auto good = platform::translate_replica(
       "i-1",
       R"({"service":"llm","address":"10.0.0.1:80","zone":"z","slots":4,"state":"draining"})");
@@ -221,7 +224,7 @@
   BOOST_TEST(parsed_with("\"soon\"").index() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_says_when_it_started) {
+BOOST_AUTO_TEST_CASE(replica_start_time_is_translated_or_rejected) {
   BOOST_TEST((std::get<0>(parsed_replica(with_field("born", "1790000000123")))->incarnation ==
               model::replica_incarnation{1'790'000'000'123}));
   BOOST_TEST((std::get<0>(parsed_replica(with_field("born", "1.5e3")))->incarnation ==
@@ -230,82 +233,82 @@
   for (const std::string born : {"\"1790000000123\"", "-1", "0", "17.5", "1e99", "null", "true",
                                  "[]", "{}", "99999999999999999999"}) {
     BOOST_TEST_CONTEXT(born) {
-      BOOST_TEST((reason_of(with_field("born", born)) == "born is not a whole number" ||
-                  reason_of(with_field("born", born)) == "born is out of range"));
+      BOOST_TEST((replica_refusal_of(with_field("born", born)) == "born is not a whole number" ||
+                  replica_refusal_of(with_field("born", born)) == "born is out of range"));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_without_a_field_names_no_replica) {
-  BOOST_TEST(reason_of(without_field("none")) == "");
+BOOST_AUTO_TEST_CASE(entry_without_a_required_field_is_rejected) {
+  BOOST_TEST(replica_refusal_of(without_field("none")) == "");
   for (const std::string name : {"service", "address", "zone", "slots", "state"}) {
-    BOOST_TEST(reason_of(without_field(name)) == name + " is missing");
+    BOOST_TEST(replica_refusal_of(without_field(name)) == name + " is missing");
   }
   for (const std::string name : {"version", "cold_left_ms", "sequence", "born"}) {
     BOOST_TEST_CONTEXT(name) {
-      BOOST_TEST(reason_of(without_field(name)) == "");
+      BOOST_TEST(replica_refusal_of(without_field(name)) == "");
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_with_a_field_of_another_type_names_no_replica) {
+BOOST_AUTO_TEST_CASE(entry_with_a_field_of_wrong_type_is_rejected) {
   for (const std::string name : {"service", "address", "zone", "slots", "state", "version",
                                  "cold_left_ms", "sequence", "born"}) {
     for (const std::string value : {"null", "true", "[]", "[1]", "{}", "{\"a\":1}"}) {
       BOOST_TEST_CONTEXT(name << " " << value) {
-        BOOST_TEST(reason_of(with_field(name, value)) != "");
+        BOOST_TEST(replica_refusal_of(with_field(name, value)) != "");
       }
     }
   }
   for (const std::string name : {"service", "address", "zone", "state"}) {
-    BOOST_TEST(reason_of(with_field(name, "7")) == name + " is not text");
-    BOOST_TEST(reason_of(with_field(name, "\"\"")) == name + " is empty");
+    BOOST_TEST(replica_refusal_of(with_field(name, "7")) == name + " is not text");
+    BOOST_TEST(replica_refusal_of(with_field(name, "\"\"")) == name + " is empty");
   }
   for (const std::string name : {"slots", "cold_left_ms", "sequence"}) {
     for (const std::string value : {"\"7\"", "-1", "2.5", "1e300"}) {
       BOOST_TEST_CONTEXT(name << " " << value) {
-        BOOST_TEST(reason_of(with_field(name, value)) == name + " is not a whole number");
+        BOOST_TEST(replica_refusal_of(with_field(name, value)) == name + " is not a whole number");
       }
     }
   }
-  BOOST_TEST(reason_of(with_field("slots", "0")) == "slots is out of range");
-  BOOST_TEST(reason_of(with_field("slots", "4294967297")) == "slots is out of range");
+  BOOST_TEST(replica_refusal_of(with_field("slots", "0")) == "slots is out of range");
+  BOOST_TEST(replica_refusal_of(with_field("slots", "4294967297")) == "slots is out of range");
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_with_an_unknown_state_or_a_bad_address_names_no_replica) {
-  BOOST_TEST(reason_of(with_field("state", "\"draining\"")) == "");
+BOOST_AUTO_TEST_CASE(entry_with_unknown_state_or_invalid_address_is_rejected) {
+  BOOST_TEST(replica_refusal_of(with_field("state", "\"draining\"")) == "");
   for (const std::string state : {"\"gone\"", "\"READY\"", "\"ready \""}) {
-    BOOST_TEST(reason_of(with_field("state", state)) == "state is not known");
+    BOOST_TEST(replica_refusal_of(with_field("state", state)) == "state is not known");
   }
   for (const std::string address :
        {"\"10.0.0.1\"", "\"10.0.0.1:\"", "\"10.0.0.1:0\"", "\"10.0.0.1:65536\"", "\"host:80\"",
         "\":80\"", "\"10.0.0.1:80 \"", "\"10.0.0.1:80/x\""}) {
-    BOOST_TEST(reason_of(with_field("address", address)) == "address is not IP:PORT");
+    BOOST_TEST(replica_refusal_of(with_field("address", address)) == "address is not IP:PORT");
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_that_cannot_be_read_names_no_replica) {
+BOOST_AUTO_TEST_CASE(unparsable_entry_is_rejected) {
   for (const std::string text : {"", " ", "{", "7", "null", "\"ready\"", "[]", "{}",
                                  "{\"service\":\"\xff\"}", "\x00\x01\x02"}) {
     BOOST_TEST_CONTEXT(text) {
-      BOOST_TEST(reason_of(text) != "");
+      BOOST_TEST(replica_refusal_of(text) != "");
     }
   }
-  BOOST_TEST(reason_of(std::string(100'000, '[')) == "not a JSON document");
+  BOOST_TEST(replica_refusal_of(std::string(100'000, '[')) == "not a JSON document");
   const auto& good = without_field("none");
-  BOOST_TEST(reason_of(good + good) == "not a JSON document");
+  BOOST_TEST(replica_refusal_of(good + good) == "not a JSON document");
   const auto refused = platform::translate_replica("i-1", R"({"service":"s","zone":7})");
   BOOST_TEST(refused.service() == "");
   BOOST_TEST(refused.id() == "i-1");
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_without_an_id_names_no_replica) {
+BOOST_AUTO_TEST_CASE(entry_without_an_id_is_rejected) {
   const auto bytes = platform::translate_value("servers/", without_field("none"));
   const auto read = model::parse_replica(bytes);
   BOOST_TEST(std::get<model::refusal_reason>(read).text == "id is missing");
 }
 
-BOOST_AUTO_TEST_CASE(a_service_says_what_its_cold_replicas_bear) {
+BOOST_AUTO_TEST_CASE(cold_request_rate_of_a_service_is_translated) {
   const auto text = R"({"version":1,"services":[{"name":"llm","cold_per_s":6.7}]})";
   const auto configuration = std::get<0>(parsed(text));
   BOOST_TEST(configuration->find_service("llm")->cold_requests_per_second == 6.7);
@@ -320,8 +323,8 @@
         model::parse_evacuation(platform::translate_value("op/evacuate/north", value));
     BOOST_TEST(std::get<model::evacuation>(read).zone.text() == "north");
   }
-  const auto nameless = platform::translate_value("op/evacuate/", "{}");
-  BOOST_TEST(model::parse_evacuation(nameless).index() == 1);
+  const auto record_without_zone = platform::translate_value("op/evacuate/", "{}");
+  BOOST_TEST(model::parse_evacuation(record_without_zone).index() == 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/stated_words_test.cc
+++ b/tests/platform/stated_words_test.cc
@@ -21,9 +21,9 @@
 }
 
 std::set<std::string> matches_in(const std::string& text, const std::string& pattern) {
-  const std::regex wanted(pattern);
+  const std::regex expression(pattern);
   std::set<std::string> found;
-  for (auto match = std::sregex_iterator(text.begin(), text.end(), wanted);
+  for (auto match = std::sregex_iterator(text.begin(), text.end(), expression);
        match != std::sregex_iterator(); ++match) {
     found.insert((*match)[1]);
   }
@@ -34,7 +34,7 @@
 
 BOOST_AUTO_TEST_SUITE(stated_words_test)
 
-BOOST_AUTO_TEST_CASE(each_header_field_stands_in_the_table) {
+BOOST_AUTO_TEST_CASE(every_header_field_is_in_the_table) {
   const auto table = read_source("docs/design/replica-statements.md");
   // Names of header fields in the form of the platform: words that begin with a capital, joined by
   // hyphens.
@@ -47,7 +47,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(each_field_of_a_replicas_entry_stands_in_the_table) {
+BOOST_AUTO_TEST_CASE(every_field_of_a_replica_entry_is_in_the_table) {
   const auto table = read_source("docs/design/replica-statements.md");
   for (const std::string name : {"service", "address", "zone", "version", "slots", "state",
                                  "cold_left_ms", "sequence", "born"}) {
@@ -55,7 +55,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(each_test_that_the_table_names_exists) {
+BOOST_AUTO_TEST_CASE(every_test_in_the_table_exists) {
   const auto table = read_source("docs/design/replica-statements.md");
   const std::string folders[] = {"replica_statements", "rate_limits", "replicas",
                                  "platform",           "dispatch",    "stage_work",
--- a/tests/wire/older_builds_test.cc
+++ b/tests/wire/older_builds_test.cc
@@ -24,7 +24,7 @@
 
 const std::vector<std::string> older_builds{"c31a56b", "926104e", "8a417d3"};
 
-std::string folder() {
+std::string recorded_folder() {
   return std::string(SPURRACK_SOURCE) + "/tests/wire/recorded/";
 }
 
@@ -48,8 +48,8 @@
 
 std::string from_hexadecimal(const std::string& text) {
   std::string bytes;
-  for (std::size_t place = 0; place + 1 < text.size(); place += 2) {
-    bytes += static_cast<char>(std::stoi(text.substr(place, 2), nullptr, 16));
+  for (std::size_t position = 0; position + 1 < text.size(); position += 2) {
+    bytes += static_cast<char>(std::stoi(text.substr(position, 2), nullptr, 16));
   }
   return bytes;
 }
@@ -70,33 +70,36 @@
 
 void set_value(protobuf::Message& message, const protobuf::FieldDescriptor& field) {
   const auto* reflection = message.GetReflection();
-  const bool many = field.is_repeated();
+  const bool is_repeated = field.is_repeated();
   switch (field.cpp_type()) {
   case protobuf::FieldDescriptor::CPPTYPE_MESSAGE:
-    fill(many ? *reflection->AddMessage(&message, &field)
-              : *reflection->MutableMessage(&message, &field),
+    fill(is_repeated ? *reflection->AddMessage(&message, &field)
+                     : *reflection->MutableMessage(&message, &field),
          "");
     return;
   case protobuf::FieldDescriptor::CPPTYPE_STRING:
-    many ? reflection->AddString(&message, &field, "text")
-         : reflection->SetString(&message, &field, "text");
+    is_repeated ? reflection->AddString(&message, &field, "text")
+                : reflection->SetString(&message, &field, "text");
     return;
   case protobuf::FieldDescriptor::CPPTYPE_ENUM:
-    many ? reflection->AddEnumValue(&message, &field, 1)
-         : reflection->SetEnumValue(&message, &field, 1);
+    is_repeated ? reflection->AddEnumValue(&message, &field, 1)
+                : reflection->SetEnumValue(&message, &field, 1);
     return;
   case protobuf::FieldDescriptor::CPPTYPE_BOOL:
-    many ? reflection->AddBool(&message, &field, true)
-         : reflection->SetBool(&message, &field, true);
+    is_repeated ? reflection->AddBool(&message, &field, true)
+                : reflection->SetBool(&message, &field, true);
     return;
   case protobuf::FieldDescriptor::CPPTYPE_INT64:
-    many ? reflection->AddInt64(&message, &field, -7) : reflection->SetInt64(&message, &field, -7);
+    is_repeated ? reflection->AddInt64(&message, &field, -7)
+                : reflection->SetInt64(&message, &field, -7);
     return;
   case protobuf::FieldDescriptor::CPPTYPE_UINT64:
-    many ? reflection->AddUInt64(&message, &field, 7) : reflection->SetUInt64(&message, &field, 7);
+    is_repeated ? reflection->AddUInt64(&message, &field, 7)
+                : reflection->SetUInt64(&message, &field, 7);
     return;
   case protobuf::FieldDescriptor::CPPTYPE_UINT32:
-    many ? reflection->AddUInt32(&message, &field, 7) : reflection->SetUInt32(&message, &field, 7);
+    is_repeated ? reflection->AddUInt32(&message, &field, 7)
+                : reflection->SetUInt32(&message, &field, 7);
     return;
   case protobuf::FieldDescriptor::CPPTYPE_FLOAT:
     reflection->SetFloat(&message, &field, 0.5F);
@@ -110,11 +113,12 @@
 }
 
 /// The messages of an older build.
-class older_build {
+class older_schema {
  public:
-  explicit older_build(const std::string& name) {
+  explicit older_schema(const std::string& name) {
     protobuf::FileDescriptorSet files;
-    BOOST_REQUIRE(files.ParseFromString(read_file(folder() + "peer-" + name + ".descriptor")));
+    BOOST_REQUIRE(
+        files.ParseFromString(read_file(recorded_folder() + "peer-" + name + ".descriptor")));
     for (const auto& file : files.file()) {
       BOOST_REQUIRE(pool_.BuildFile(file) != nullptr);
     }
@@ -148,10 +152,10 @@
 }
 
 void record_messages(const std::string& name) {
-  older_build build(name);
-  std::ofstream file(folder() + "messages-" + name + ".txt");
-  for (const auto& body : bodies_of(*build.envelope())) {
-    const auto envelope = build.envelope();
+  older_schema schema(name);
+  std::ofstream file(recorded_folder() + "messages-" + name + ".txt");
+  for (const auto& body : bodies_of(*schema.envelope())) {
+    const auto envelope = schema.envelope();
     fill(*envelope, body);
     file << body << " " << hexadecimal(envelope->SerializeAsString()) << "\n";
   }
@@ -161,10 +165,10 @@
   if (std::getenv("SPURRACK_RECORD_MESSAGES") != nullptr) {
     record_messages(name);
   }
-  std::istringstream lines(read_file(folder() + "messages-" + name + ".txt"));
+  std::istringstream lines(read_file(recorded_folder() + "messages-" + name + ".txt"));
   std::map<std::string, std::string> messages;
-  for (std::string body, hex; lines >> body >> hex;) {
-    messages[body] = from_hexadecimal(hex);
+  for (std::string body, encoded; lines >> body >> encoded;) {
+    messages[body] = from_hexadecimal(encoded);
   }
   return messages;
 }
@@ -173,7 +177,7 @@
 
 BOOST_AUTO_TEST_SUITE(older_builds_test)
 
-BOOST_AUTO_TEST_CASE(what_older_builds_send_is_read_whole) {
+BOOST_AUTO_TEST_CASE(messages_of_older_builds_are_parsed_completely) {
   for (const auto& build : older_builds) {
     const auto messages = recorded_messages(build);
     BOOST_TEST(messages.size() >= 17U);
@@ -188,27 +192,28 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(what_this_build_sends_is_read_by_older_ones_and_passed_on_whole) {
+BOOST_AUTO_TEST_CASE(messages_of_this_build_are_forwarded_completely_by_older_builds) {
   for (const auto& name : older_builds) {
-    older_build build(name);
+    older_schema schema(name);
     for (const auto& body : bodies_of(wire::envelope())) {
       wire::envelope sent;
       fill(sent, body);
-      const auto received = build.envelope();
+      const auto received = schema.envelope();
       BOOST_TEST_CONTEXT(body << " at " << name) {
         BOOST_REQUIRE(received->ParseFromString(sent.SerializeAsString()));
-        const auto known = bodies_of(*received);
-        const bool is_known = std::find(known.begin(), known.end(), body) != known.end();
+        const auto known_bodies = bodies_of(*received);
+        const bool is_known =
+            std::find(known_bodies.begin(), known_bodies.end(), body) != known_bodies.end();
         BOOST_TEST(body_of(*received) == (is_known ? body : ""));
-        wire::envelope passed_on;
-        BOOST_REQUIRE(passed_on.ParseFromString(received->SerializeAsString()));
-        BOOST_TEST(protobuf::util::MessageDifferencer::Equals(passed_on, sent));
+        wire::envelope forwarded;
+        BOOST_REQUIRE(forwarded.ParseFromString(received->SerializeAsString()));
+        BOOST_TEST(protobuf::util::MessageDifferencer::Equals(forwarded, sent));
       }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(fields_that_older_builds_leave_out_mean_what_they_meant_before) {
+BOOST_AUTO_TEST_CASE(fields_missing_in_older_builds_have_the_earlier_meaning) {
   const wire::catalog_entry entry;
   BOOST_TEST(entry.era() == 0U);
   const wire::piece_request piece;
