--- a/tests/base/due_times_test.cc
+++ b/tests/base/due_times_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Counts how often keys are compared.
+/// Key that counts its comparisons.
 struct counted_key {
   int number = 0;
   static inline std::size_t comparisons = 0;
@@ -38,7 +38,7 @@
   constexpr int operation_count = 1'000;
   base::due_times<counted_key> times;
   for (int number = 0; number < key_count; ++number) {
-    // All at one time, so that every look-up compares keys.
+    // The same time for all keys, so that every lookup compares keys.
     times.set({number}, start + milliseconds(1));
   }
   counted_key::comparisons = 0;
@@ -47,7 +47,7 @@
     BOOST_TEST(times.next().has_value());
     BOOST_TEST(times.take_due(start).size() == 1U);
   }
-  // Three look-ups in a tree of 17 levels, each level with up to two comparisons, and the hashes.
+  // Three lookups in a tree of 17 levels with up to two comparisons each, and the hash lookups.
   BOOST_TEST(counted_key::comparisons / operation_count < 3 * 17 * 2 + 20U);
 }
 
--- a/tests/platform/http_codec_test.cc
+++ b/tests/platform/http_codec_test.cc
@@ -203,7 +203,7 @@
   const auto repeated_field =
       codec->read_self_report({200, {{"Server-Limit", "1"}, {"Server-Limit", "2"}}}).value();
   BOOST_TEST(repeated_field.limit.is_unreadable);
-  // Another process has the address: it says nothing of the replica that was meant.
+  // Status 421: another process has the address, so the answer reports nothing of the replica.
   BOOST_TEST(!codec->read_self_report({421, {{"Server-Limit", "3"}}}).has_value());
   const auto no_report = codec->read_self_report({200, {}}).value();
   BOOST_TEST(!no_report.limit.is_unreadable);
@@ -260,7 +260,7 @@
            {"0", 0}, {"0.05", 0.05}, {"3", 3}, {" 3 ", 3}, {"120", 120}, {"2.75", 2.75}}) {
     BOOST_TEST(seconds_of(text) == value, boost::test_tools::tolerance(1e-9));
   }
-  // Longer than anybody waits, and still a time that a clock can add.
+  // Reduced to a time that is longer than any client waits and can be added to a time point.
   BOOST_TEST(seconds_of("1e300") >= 86'400.0);
   for (const std::string text : {"", " ", "soon", "-1", "nan", "inf", "-inf", "3 s", "1,2",
                                  "Thu, 03 Dec 2026 09:00:00 GMT"}) {
@@ -275,9 +275,9 @@
     BOOST_TEST(!backoff_of(status, {{"Retry-After", "3"}}).span, status);
     BOOST_TEST(!backoff_of(status, {{"Retry-After", "soon"}}).is_unreadable, status);
   }
-  // With or without the word that the request has not run.
+  // Also in an answer that reports the request as not executed.
   BOOST_TEST(backoff_of(503, {{"Retry-After", "3"}, {"X-Not-Executed", "1"}}).span.has_value());
-  // Also a client is told.
+  // The field is forwarded to the client.
   const auto head = codec->read_answer({503, {{"Retry-After", "3"}}});
   BOOST_TEST(value_of(head.headers, "Retry-After") == "3");
 }
--- a/tests/platform/record_translator_test.cc
+++ b/tests/platform/record_translator_test.cc
@@ -38,7 +38,7 @@
   return refused == nullptr ? "" : refused->text;
 }
 
-/// Fields of a good entry, each as JSON.
+/// Fields of a valid entry of a replica; the values are JSON.
 std::map<std::string, std::string> valid_fields() {
   return {{"service", "\"llm\""},   {"address", "\"10.0.0.1:80\""},
           {"zone", "\"z\""},        {"version", "\"v1\""},
@@ -71,7 +71,7 @@
   return model::parse_replica(platform::translate_replica("i-1", text).SerializeAsString());
 }
 
-/// @return why an entry names no replica; empty where it names one.
+/// @return the reason why the entry of a replica is rejected; empty if it is accepted.
 std::string replica_refusal_of(const std::string& text) {
   const auto read = parsed_replica(text);
   const auto* refused = std::get_if<model::refusal_reason>(&read);
--- a/tests/platform/stated_words_test.cc
+++ b/tests/platform/stated_words_test.cc
@@ -1,6 +1,6 @@
-/// Each header field that the adapter of the platform names stands in the table of words by which
-/// other parties tell something of themselves, with the decision that reads it or the reason why
-/// none does: a new word cannot stay unread unseen.
+/// Every header field that the adapter of the platform names, and every field of a replica's entry,
+/// must be in the table of docs/design/replica-statements.md, with the decision that uses it or the
+/// reason why none does. The tests guard against a new field that is silently ignored.
 #include <boost/test/unit_test.hpp>
 
 #include <filesystem>
@@ -36,8 +36,7 @@
 
 BOOST_AUTO_TEST_CASE(every_header_field_is_in_the_table) {
   const auto table = read_source("docs/design/replica-statements.md");
-  // Names of header fields in the form of the platform: words that begin with a capital, joined by
-  // hyphens.
+  // Matches the header field names of the platform: capitalized words joined by hyphens.
   const auto names =
       matches_in(read_source("platform/names.h"), "\"([A-Z][A-Za-z]*(?:-[A-Z][A-Za-z]*)+)\"");
   BOOST_TEST(names.size() >= 20U);
--- a/tests/settings/settings_test.cc
+++ b/tests/settings/settings_test.cc
@@ -1,4 +1,5 @@
-/// Settings of the daemon: a full file is read, wrong ones are refused before anything starts.
+/// Settings of the daemon: valid files are parsed, invalid files are refused before the process
+/// starts any work.
 #include "settings/settings.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +14,8 @@
     "operator_listen: 127.0.0.1:3\nplatform: {configuration: 127.0.0.1:4, "
     "machine_list: 127.0.0.1:5}\n";
 
-/// A node that serves published routes has neither callers nor sources of its own.
+/// Removes the caller listener and the platform section, which a node that serves published routes
+/// does not have.
 std::string without_caller_interface(std::string text) {
   text.erase(text.find("caller_listen"), text.find("operator_listen") - text.find("caller_listen"));
   text.erase(text.find("platform"), text.find("serving") - text.find("platform"));
--- a/tests/wire/older_builds_test.cc
+++ b/tests/wire/older_builds_test.cc
@@ -1,7 +1,7 @@
-/// Messages between nodes of this build and of older ones, which run side by side while machines
-/// are replaced. `recorded/` holds the description of the messages of earlier builds, and one
-/// message of each kind with all fields set, as they send it. SPURRACK_RECORD_MESSAGES=1 writes the
-/// messages of a description that was added.
+/// Messages between nodes of this build and of older builds, which run side by side while machines
+/// are replaced. `recorded/` holds the message descriptors of earlier builds and, for each kind of
+/// message, one message with all fields set, as the earlier build sends it. With
+/// SPURRACK_RECORD_MESSAGES=1 the test writes the messages of an added descriptor.
 #include "wire/peer.pb.h"
 
 #include <google/protobuf/descriptor.pb.h>
@@ -54,10 +54,10 @@
   return bytes;
 }
 
-/// Sets one value of a field to something that is not its default.
+/// Sets a field, or adds one element to a repeated field, with a value other than the default.
 void set_value(protobuf::Message& message, const protobuf::FieldDescriptor& field);
 
-/// Sets all fields of a message, those of one kind of body only.
+/// Sets all fields of a message; of the fields in a oneof, sets only the field named `body`.
 void fill(protobuf::Message& message, const std::string& body) {
   const auto* description = message.GetDescriptor();
   for (int number = 0; number < description->field_count(); ++number) {
@@ -112,7 +112,7 @@
   }
 }
 
-/// The messages of an older build.
+/// Message descriptors of an older build.
 class older_schema {
  public:
   explicit older_schema(const std::string& name) {
@@ -134,7 +134,7 @@
   protobuf::DynamicMessageFactory factory_{&pool_};
 };
 
-/// @return the kinds of body that an envelope may hold.
+/// @return the names of the bodies that an envelope can hold.
 std::vector<std::string> bodies_of(const protobuf::Message& envelope) {
   std::vector<std::string> names;
   const auto* body = envelope.GetDescriptor()->FindOneofByName("body");
