--- a/src/base/hashing.h
+++ b/src/base/hashing.h
@@ -1,4 +1,5 @@
-/// Stable hashing (xxHash) and rendezvous ranking; equal on all nodes and in all releases.
+/// Hashing (xxHash) and rendezvous hashing with results that are equal on all nodes and in all
+/// releases.
 #pragma once
 
 #include <algorithm>
@@ -13,12 +14,12 @@
 /// @return the 64-bit xxHash3 of `bytes`.
 std::uint64_t stable_hash(std::string_view bytes, std::uint64_t seed = 0);
 
-/// Highest-random-weight choice.
-/// @param subject what is to be placed.
-/// @param candidates identifiers with a `text()`; their order does not matter.
-/// @param count how many to choose at the most.
-/// @return the chosen candidates, the best first. A candidate that comes or goes changes the
-///         choice only where it is itself among the chosen.
+/// Chooses candidates by rendezvous hashing (highest random weight).
+/// @param subject key that is assigned to the candidates.
+/// @param candidates identifiers with a `text()`, in any order.
+/// @param count maximum number of candidates to choose.
+/// @return the chosen candidates, the one with the highest weight first. Adding or removing a
+///         candidate changes the choice only if this candidate is among the chosen ones.
 template <typename identifier>
 std::vector<identifier> rendezvous_top(std::string_view subject,
                                        const std::vector<identifier>& candidates,
@@ -29,8 +30,8 @@
   for (const auto& candidate : candidates) {
     ranked.emplace_back(stable_hash(candidate.text(), seed), &candidate);
   }
-  const auto kept = std::min(count, ranked.size());
-  std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(kept),
+  const auto chosen_count = std::min(count, ranked.size());
+  std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(chosen_count),
                     ranked.end(), [](const auto& left, const auto& right) {
                       if (left.first != right.first) {
                         return left.first > right.first;
@@ -38,8 +39,8 @@
                       return *left.second < *right.second;
                     });
   std::vector<identifier> chosen;
-  chosen.reserve(kept);
-  for (std::size_t index = 0; index < kept; ++index) {
+  chosen.reserve(chosen_count);
+  for (std::size_t index = 0; index < chosen_count; ++index) {
     chosen.push_back(*ranked[index].second);
   }
   return chosen;
--- a/tests/platform/stated_words_test.cc
+++ b/tests/platform/stated_words_test.cc
@@ -1,6 +1,6 @@
-/// Each header field that the adapter of the platform names stands in the table of words by which
-/// other parties tell something of themselves, with the decision that reads it or the reason why
-/// none does: a new word cannot stay unread unseen.
+/// Every header field that the adapter of the platform names, and every field of a replica's entry,
+/// must be in the table of docs/design/replica-statements.md, with the decision that uses it or the
+/// reason why none does. The tests guard against a new field that is silently ignored.
 #include <boost/test/unit_test.hpp>
 
 #include <filesystem>
@@ -21,9 +21,9 @@
 }
 
 std::set<std::string> matches_in(const std::string& text, const std::string& pattern) {
-  const std::regex wanted(pattern);
+  const std::regex expression(pattern);
   std::set<std::string> found;
-  for (auto match = std::sregex_iterator(text.begin(), text.end(), wanted);
+  for (auto match = std::sregex_iterator(text.begin(), text.end(), expression);
        match != std::sregex_iterator(); ++match) {
     found.insert((*match)[1]);
   }
@@ -34,10 +34,9 @@
 
 BOOST_AUTO_TEST_SUITE(stated_words_test)
 
-BOOST_AUTO_TEST_CASE(each_header_field_stands_in_the_table) {
+BOOST_AUTO_TEST_CASE(every_header_field_is_in_the_table) {
   const auto table = read_source("docs/design/replica-statements.md");
-  // Names of header fields in the form of the platform: words that begin with a capital, joined by
-  // hyphens.
+  // Matches the header field names of the platform: capitalized words joined by hyphens.
   const auto names =
       matches_in(read_source("platform/names.h"), "\"([A-Z][A-Za-z]*(?:-[A-Z][A-Za-z]*)+)\"");
   BOOST_TEST(names.size() >= 20U);
@@ -47,7 +46,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(each_field_of_a_replicas_entry_stands_in_the_table) {
+BOOST_AUTO_TEST_CASE(every_field_of_a_replica_entry_is_in_the_table) {
   const auto table = read_source("docs/design/replica-statements.md");
   for (const std::string name : {"service", "address", "zone", "version", "slots", "state",
                                  "cold_left_ms", "sequence", "born"}) {
@@ -55,7 +54,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(each_test_that_the_table_names_exists) {
+BOOST_AUTO_TEST_CASE(every_test_in_the_table_exists) {
   const auto table = read_source("docs/design/replica-statements.md");
   const std::string folders[] = {"replica_statements", "rate_limits", "replicas",
                                  "platform",           "dispatch",    "stage_work",
