--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -129,7 +129,7 @@
   options.parse_positional({"command", "arguments"});
   options.positional_help("COMMAND [ARGUMENT...]");
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(options, given)) {
+  if (spurrack::logging::handle_usual_options(options, given)) {
     std::cout << (given.count("help") > 0 ? commands_help : "");
     return 0;
   }
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -86,7 +86,7 @@
       "check-settings", "check the settings and exit");
   spurrack::logging::add_usual_options(options);
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(
+  if (spurrack::logging::handle_usual_options(
           options, given,
           "0 stopped or settings valid, 2 bad usage or settings, 3 cannot start.")) {
     return exit_ok;
--- a/src/logging/usual_options.h
+++ b/src/logging/usual_options.h
@@ -17,7 +17,7 @@
 /// @param exit_codes what the exit codes mean, for the help; empty where 0 is success and any other
 ///        a failure.
 /// @return whether one of them was given: the program has nothing else to do and succeeded.
-inline bool answer_usual_options(const cxxopts::Options& options, const cxxopts::ParseResult& given,
+inline bool handle_usual_options(const cxxopts::Options& options, const cxxopts::ParseResult& given,
                                  const std::string& exit_codes = {}) {
   std::string text;
   if (given.count("help") > 0) {
--- a/standins/backend_stand_in.cc
+++ b/standins/backend_stand_in.cc
@@ -235,7 +235,7 @@
       cxxopts::value<std::int64_t>()->default_value("64"));
   spurrack::logging::add_usual_options(options);
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(options, given)) {
+  if (spurrack::logging::handle_usual_options(options, given)) {
     return 0;
   }
   backend_settings settings;
--- a/standins/platform_stand_in.cc
+++ b/standins/platform_stand_in.cc
@@ -173,7 +173,7 @@
   options.add_options()("listen", "IP:port", cxxopts::value<std::string>());
   spurrack::logging::add_usual_options(options);
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(options, given)) {
+  if (spurrack::logging::handle_usual_options(options, given)) {
     return 0;
   }
   asio::io_context io(1);
--- a/tests/platform_fleet/fault_soak.cc
+++ b/tests/platform_fleet/fault_soak.cc
@@ -61,7 +61,7 @@
       "fault-seconds", "length of a phase of faults", cxxopts::value<double>()->default_value("6"));
   logging::add_usual_options(options);
   const auto given = options.parse(argc, argv);
-  if (logging::answer_usual_options(options, given)) {
+  if (logging::handle_usual_options(options, given)) {
     return 0;
   }
   auto wanted = wanted_options(given);
--- a/tools/capacity.cc
+++ b/tools/capacity.cc
@@ -152,7 +152,7 @@
       "tenants", "tenants", cxxopts::value<int>(size.tenants))("header", "print the table's head");
   spurrack::logging::add_usual_options(options);
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(options, given)) {
+  if (spurrack::logging::handle_usual_options(options, given)) {
     return 0;
   }
   if (given.count("header") > 0) {
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -75,7 +75,7 @@
   cxxopts::Options options("spurrack_demo", "A fleet of real processes that serves some requests.");
   spurrack::logging::add_usual_options(options);
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(options, given)) {
+  if (spurrack::logging::handle_usual_options(options, given)) {
     return 0;
   }
   const auto binaries = std::filesystem::absolute(argv[0]).parent_path();
--- a/tools/experiment.cc
+++ b/tools/experiment.cc
@@ -104,7 +104,7 @@
       "threads", "at the same time", cxxopts::value<unsigned>()->default_value("6"));
   spurrack::logging::add_usual_options(options);
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(options, given)) {
+  if (spurrack::logging::handle_usual_options(options, given)) {
     return 0;
   }
   const auto seeds = given["seeds"].as<unsigned>();
--- a/tools/fleet_soak.cc
+++ b/tools/fleet_soak.cc
@@ -38,7 +38,7 @@
       "threads", "runs at the same time", cxxopts::value<unsigned>()->default_value("4"));
   spurrack::logging::add_usual_options(options);
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(options, given)) {
+  if (spurrack::logging::handle_usual_options(options, given)) {
     return 0;
   }
   const auto first = given["first"].as<std::uint64_t>();
--- a/tools/speed.cc
+++ b/tools/speed.cc
@@ -162,7 +162,7 @@
   cxxopts::Options options("speed", "Latency and throughput of real processes on this machine.");
   spurrack::logging::add_usual_options(options);
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(options, given)) {
+  if (spurrack::logging::handle_usual_options(options, given)) {
     return 0;
   }
   const auto binaries = std::filesystem::absolute(argv[0]).parent_path();
