--- a/src/ctl/check.cc
+++ b/src/ctl/check.cc
@@ -39,7 +39,7 @@
     out << "check takes at least one file\n";
     return exit_code::bad_usage;
   }
-  bool refused = false;
+  bool has_faults = false;
   boost::json::array faults;
   for (const auto& file : files) {
     std::ifstream stream(file);
@@ -49,22 +49,22 @@
     }
     std::ostringstream text;
     text << stream.rdbuf();
-    const auto found = check_text(file, text.str());
-    refused = refused || !found.empty();
-    for (const auto& fault : found) {
+    const auto file_faults = check_text(file, text.str());
+    has_faults = has_faults || !file_faults.empty();
+    for (const auto& fault : file_faults) {
       faults.push_back(to_json(file, fault));
       if (format == output_format::text) {
         out << file << ": " << model::describe(fault) << "\n";
       }
     }
-    if (found.empty() && format == output_format::text) {
+    if (file_faults.empty() && format == output_format::text) {
       out << file << ": ok\n";
     }
   }
   if (format == output_format::json) {
     out << boost::json::serialize(boost::json::object{{"faults", std::move(faults)}}) << "\n";
   }
-  return refused ? exit_code::refused : exit_code::well;
+  return has_faults ? exit_code::problem_found : exit_code::success;
 }
 
 } // namespace spurrack::ctl
--- a/src/ctl/check.h
+++ b/src/ctl/check.h
@@ -8,7 +8,7 @@
 namespace spurrack::ctl {
 
 /// What the tool exits with.
-enum class exit_code { well = 0, refused = 1, bad_usage = 2, unreachable = 3 };
+enum class exit_code { success = 0, problem_found = 1, bad_usage = 2, unreachable = 3 };
 
 enum class output_format { text, json };
 
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -58,8 +58,8 @@
     }
     spurrack::ctl::read_log(file, log);
   }
-  if (log.unreadable + log.dropped > 0) {
-    std::cerr << log.unreadable << " lines are no log lines, " << log.dropped
+  if (log.unreadable_lines + log.dropped_lines > 0) {
+    std::cerr << log.unreadable_lines << " lines are no log lines, " << log.dropped_lines
               << " were dropped by their nodes\n";
   }
   return log;
@@ -72,16 +72,16 @@
   }
   const auto events = spurrack::ctl::events_of(*log, request);
   spurrack::ctl::print(events, std::cout);
-  return events.empty() ? exit_code::refused : exit_code::well;
+  return events.empty() ? exit_code::problem_found : exit_code::success;
 }
 
-exit_code account_for_logs(const std::vector<std::string>& files) {
+exit_code summarize_logs(const std::vector<std::string>& files) {
   const auto log = read_logs(files);
   if (!log) {
     return exit_code::bad_usage;
   }
-  spurrack::ctl::print(spurrack::ctl::account_for(*log), std::cout);
-  return exit_code::well;
+  spurrack::ctl::print(spurrack::ctl::summarize(*log), std::cout);
+  return exit_code::success;
 }
 
 exit_code run(const std::string& command, const std::vector<std::string>& arguments,
@@ -94,7 +94,7 @@
     return exit_code::bad_usage;
   }
   if (command == "account") {
-    return account_for_logs(arguments);
+    return summarize_logs(arguments);
   }
   if (command == "explain" && arguments.size() > 1) {
     return explain_from_logs(arguments.front(), {arguments.begin() + 1, arguments.end()});
--- a/src/ctl/reports.cc
+++ b/src/ctl/reports.cc
@@ -82,19 +82,19 @@
   for (const auto& document : documents) {
     for (const auto& row : document.content.at("costs").as_array()) {
       const auto& cost = row.as_object();
-      auto [place, added] = totals.try_emplace(
+      auto [entry, is_new] = totals.try_emplace(
           {text_of(cost.at("tenant")), text_of(cost.at("template")), text_of(cost.at("stage"))},
           cost);
-      if (added) {
+      if (is_new) {
         continue;
       }
       for (const auto* name : {"backend_ms", "wasted_ms"}) {
-        place->second[name] =
-            place->second[name].to_number<double>() + cost.at(name).to_number<double>();
+        entry->second[name] =
+            entry->second[name].to_number<double>() + cost.at(name).to_number<double>();
       }
       for (const auto* name : {"tokens", "attempts"}) {
-        place->second[name] =
-            place->second[name].to_number<std::int64_t>() + cost.at(name).to_number<std::int64_t>();
+        entry->second[name] =
+            entry->second[name].to_number<std::int64_t>() + cost.at(name).to_number<std::int64_t>();
       }
     }
   }
@@ -180,7 +180,7 @@
   out << json::serialize(body) << "\n";
 }
 
-bool all_well(const std::string& command, const std::vector<node_document>& documents) {
+bool all_healthy(const std::string& command, const std::vector<node_document>& documents) {
   if (command != "status") {
     return true;
   }
@@ -227,7 +227,7 @@
   if (!all_answered) {
     return exit_code::unreachable;
   }
-  return all_well(command, documents) ? exit_code::well : exit_code::refused;
+  return all_healthy(command, documents) ? exit_code::success : exit_code::problem_found;
 }
 
 exit_code release(const std::string& digest, const std::vector<std::string>& nodes,
@@ -246,7 +246,7 @@
              << "\n";
     }
   }
-  return any_accepted ? exit_code::well : exit_code::unreachable;
+  return any_accepted ? exit_code::success : exit_code::unreachable;
 }
 
 } // namespace spurrack::ctl
--- a/src/ctl/request_log.cc
+++ b/src/ctl/request_log.cc
@@ -19,7 +19,7 @@
 
 constexpr std::uint64_t microseconds_per_millisecond = 1000;
 /// A share of nothing lost has no figure in nines; this stands for it.
-constexpr double most_nines = 9;
+constexpr double max_nines = 9;
 
 std::string text_of(const json::object& line, std::string_view name) {
   const auto* value = line.if_contains(name);
@@ -47,12 +47,12 @@
 }
 
 /// @return `text` with each run of digits replaced by `#`, so that alike reasons count together.
-std::string without_figures(const std::string& text) {
+std::string mask_digits(const std::string& text) {
   std::string plain;
-  for (const char sign : text) {
-    const bool is_digit = std::isdigit(static_cast<unsigned char>(sign)) != 0;
+  for (const char character : text) {
+    const bool is_digit = std::isdigit(static_cast<unsigned char>(character)) != 0;
     if (!is_digit) {
-      plain += sign;
+      plain += character;
     } else if (plain.empty() || plain.back() != '#') {
       plain += '#';
     }
@@ -61,71 +61,71 @@
 }
 
 /// One request as its lines tell it.
-struct request_story {
+struct request_outcome {
   std::string route;
   std::uint64_t received_us = 0;
   std::uint64_t answered_us = 0;
   /// Status of the answer, or that it was broken off; empty where none stands in the log.
   std::string answer;
   std::string reason;
-  std::size_t repeats = 0;
+  std::size_t retries = 0;
 };
 
-using story_map = std::unordered_map<std::string, request_story>;
+using outcome_map = std::unordered_map<std::string, request_outcome>;
 
-void tell(request_story& story, const request_event& event) {
-  if (event.what == "request_received") {
-    story.route = event.subject;
-    story.received_us = event.at_us;
-  } else if (event.what == "request_answered") {
-    story.answer = event.subject;
-    story.reason = event.detail;
-    story.answered_us = event.at_us;
-  } else if (event.what == "stage_retried") {
-    ++story.repeats;
+void apply(request_outcome& outcome, const request_event& event) {
+  if (event.kind == "request_received") {
+    outcome.route = event.subject;
+    outcome.received_us = event.at_us;
+  } else if (event.kind == "request_answered") {
+    outcome.answer = event.subject;
+    outcome.reason = event.detail;
+    outcome.answered_us = event.at_us;
+  } else if (event.kind == "stage_retried") {
+    ++outcome.retries;
   }
 }
 
-story_map stories_of(const request_log& log) {
-  story_map stories;
+outcome_map summarize_requests(const request_log& log) {
+  outcome_map outcomes;
   for (const auto& event : log.events) {
-    tell(stories[event.request], event);
+    apply(outcomes[event.request], event);
   }
-  return stories;
+  return outcomes;
 }
 
-bool is_served(const request_story& story) {
-  return story.answer.size() == 3 && story.answer.front() == '2';
+bool is_served(const request_outcome& outcome) {
+  return outcome.answer.size() == 3 && outcome.answer.front() == '2';
 }
 
-void count(const request_story& story, route_account& account) {
-  ++account.requests;
-  account.repeats += story.repeats;
-  if (story.answer.empty()) {
-    ++account.unanswered;
-  } else if (is_served(story)) {
-    ++account.served;
-  } else if (story.answer == "0") {
-    ++account.client_disconnected;
-  } else if (story.answer == "503" || story.answer == "429") {
-    ++account.refused;
+void count_outcome(const request_outcome& outcome, route_summary& summary) {
+  ++summary.requests;
+  summary.retries += outcome.retries;
+  if (outcome.answer.empty()) {
+    ++summary.unanswered;
+  } else if (is_served(outcome)) {
+    ++summary.served;
+  } else if (outcome.answer == "0") {
+    ++summary.client_disconnected;
+  } else if (outcome.answer == "503" || outcome.answer == "429") {
+    ++summary.refused;
   } else {
-    ++account.failed;
+    ++summary.failed;
   }
 }
 
-bool is_lost(const request_story& story) {
-  return !story.answer.empty() && !is_served(story) && story.answer != "0";
+bool is_refused_or_failed(const request_outcome& outcome) {
+  return !outcome.answer.empty() && !is_served(outcome) && outcome.answer != "0";
 }
 
 /// Fills in how long the lost requests of a route were held.
-void note_times(std::vector<std::uint64_t> lost_ms, route_account& account) {
-  if (lost_ms.empty()) {
+void set_unserved_times(std::vector<std::uint64_t> unserved_ms, route_summary& summary) {
+  if (unserved_ms.empty()) {
     return;
   }
-  std::sort(lost_ms.begin(), lost_ms.end());
-  account.median_lost_ms = lost_ms[lost_ms.size() / 2];
-  account.longest_lost_ms = lost_ms.back();
+  std::sort(unserved_ms.begin(), unserved_ms.end());
+  summary.median_unserved_ms = unserved_ms[unserved_ms.size() / 2];
+  summary.max_unserved_ms = unserved_ms.back();
 }
 
 } // namespace
@@ -134,10 +134,10 @@
   for (std::string line; std::getline(lines, line);) {
     const auto parsed = parse_line(line);
     if (!parsed) {
-      log.unreadable += line.empty() ? 0 : 1;
+      log.unreadable_lines += line.empty() ? 0 : 1;
       continue;
     }
-    log.dropped += number_of(*parsed, "lines_dropped_before");
+    log.dropped_lines += number_of(*parsed, "lines_dropped_before");
     request_event event{number_of(*parsed, "at_us"), text_of(*parsed, "node"),
                         text_of(*parsed, "message"), text_of(*parsed, "request_id"),
                         text_of(*parsed, "subject"), text_of(*parsed, "detail")};
@@ -156,34 +156,35 @@
   return found;
 }
 
-double route_account::nines() const {
-  const auto owed = requests - client_disconnected;
-  const auto lost = owed - served;
-  if (lost == 0) {
-    return most_nines;
+double route_summary::nines() const {
+  const auto not_abandoned = requests - client_disconnected;
+  const auto unserved = not_abandoned - served;
+  if (unserved == 0) {
+    return max_nines;
   }
-  return std::min(most_nines, -std::log10(static_cast<double>(lost) / static_cast<double>(owed)));
+  return std::min(max_nines,
+                  -std::log10(static_cast<double>(unserved) / static_cast<double>(not_abandoned)));
 }
 
-request_account account_for(const request_log& log) {
-  std::map<std::string, route_account> routes;
-  std::map<std::string, std::vector<std::uint64_t>> lost_ms;
+log_summary summarize(const request_log& log) {
+  std::map<std::string, route_summary> routes;
+  std::map<std::string, std::vector<std::uint64_t>> unserved_ms;
   std::map<std::pair<std::string, std::string>, std::size_t> causes;
-  for (const auto& [request, story] : stories_of(log)) {
-    auto& account = routes[story.route];
-    account.route = story.route;
-    count(story, account);
-    if (is_lost(story)) {
-      const bool is_timed = story.received_us > 0 && story.answered_us >= story.received_us;
-      const auto held_us = is_timed ? story.answered_us - story.received_us : 0;
-      lost_ms[story.route].push_back(held_us / microseconds_per_millisecond);
-      ++causes[{story.route, story.answer + " " + without_figures(story.reason)}];
+  for (const auto& [request, outcome] : summarize_requests(log)) {
+    auto& summary = routes[outcome.route];
+    summary.route = outcome.route;
+    count_outcome(outcome, summary);
+    if (is_refused_or_failed(outcome)) {
+      const bool is_timed = outcome.received_us > 0 && outcome.answered_us >= outcome.received_us;
+      const auto elapsed_us = is_timed ? outcome.answered_us - outcome.received_us : 0;
+      unserved_ms[outcome.route].push_back(elapsed_us / microseconds_per_millisecond);
+      ++causes[{outcome.route, outcome.answer + " " + mask_digits(outcome.reason)}];
     }
   }
-  request_account result;
-  for (auto& [name, account] : routes) {
-    note_times(std::move(lost_ms[name]), account);
-    result.routes.push_back(std::move(account));
+  log_summary result;
+  for (auto& [name, summary] : routes) {
+    set_unserved_times(std::move(unserved_ms[name]), summary);
+    result.routes.push_back(std::move(summary));
   }
   for (const auto& [key, requests] : causes) {
     result.causes.push_back({key.first, key.second, requests});
@@ -197,12 +198,12 @@
 void print(const std::vector<request_event>& events, std::ostream& out) {
   for (const auto& event : events) {
     const auto since_first = (event.at_us - events.front().at_us) / microseconds_per_millisecond;
-    out << std::setw(8) << since_first << " ms  " << event.node << "  " << event.what << "  "
+    out << std::setw(8) << since_first << " ms  " << event.node << "  " << event.kind << "  "
         << event.subject << "  " << event.detail << "\n";
   }
 }
 
-void print(const request_account& account, std::ostream& out) {
+void print(const log_summary& summary, std::ostream& out) {
   constexpr int name_width = 24;
   constexpr int figure_width = 11;
   out << std::left << std::setw(name_width) << "route" << std::right;
@@ -211,17 +212,17 @@
     out << std::setw(figure_width) << column;
   }
   out << "\n" << std::fixed << std::setprecision(2);
-  for (const auto& route : account.routes) {
+  for (const auto& route : summary.routes) {
     out << std::left << std::setw(name_width) << route.route << std::right
         << std::setw(figure_width) << route.requests << std::setw(figure_width) << route.served
         << std::setw(figure_width) << route.nines() << std::setw(figure_width) << route.refused
         << std::setw(figure_width) << route.failed << std::setw(figure_width)
         << route.client_disconnected << std::setw(figure_width) << route.unanswered
-        << std::setw(figure_width) << route.repeats << std::setw(figure_width)
-        << route.median_lost_ms << std::setw(figure_width) << route.longest_lost_ms << "\n";
+        << std::setw(figure_width) << route.retries << std::setw(figure_width)
+        << route.median_unserved_ms << std::setw(figure_width) << route.max_unserved_ms << "\n";
   }
-  for (const auto& lost : account.causes) {
-    out << std::setw(figure_width) << lost.requests << "  " << lost.route << "  " << lost.cause
+  for (const auto& cause : summary.causes) {
+    out << std::setw(figure_width) << cause.requests << "  " << cause.route << "  " << cause.cause
         << "\n";
   }
 }
--- a/src/ctl/request_log.h
+++ b/src/ctl/request_log.h
@@ -17,7 +17,7 @@
   std::uint64_t at_us = 0;
   std::string node;
   /// Name of a `base::event_kind`.
-  std::string what;
+  std::string kind;
   std::string request;
   /// Route, replica or status concerned.
   std::string subject;
@@ -28,9 +28,9 @@
 struct request_log {
   std::vector<request_event> events;
   /// Lines that are no log lines: what follows from `events` may miss them.
-  std::size_t unreadable = 0;
+  std::size_t unreadable_lines = 0;
   /// Lines that nodes could not write, as they say themselves.
-  std::size_t dropped = 0;
+  std::size_t dropped_lines = 0;
 };
 
 /// Adds what a stream of log lines says of requests. Whatever stands before the object of a line,
@@ -41,7 +41,7 @@
 std::vector<request_event> events_of(const request_log& log, const std::string& request);
 
 /// What became of the requests of one route.
-struct route_account {
+struct route_summary {
   std::string route;
   std::size_t requests = 0;
   std::size_t served = 0;
@@ -52,33 +52,33 @@
   std::size_t client_disconnected = 0;
   /// No answer stands in the log.
   std::size_t unanswered = 0;
-  std::size_t repeats = 0;
+  std::size_t retries = 0;
   /// Time that those held that were neither served nor left by their client, in milliseconds.
-  std::uint64_t median_lost_ms = 0;
-  std::uint64_t longest_lost_ms = 0;
+  std::uint64_t median_unserved_ms = 0;
+  std::uint64_t max_unserved_ms = 0;
 
   /// @return the share served of those whose client stayed, in nines: 2 for 99 in 100, at most 9.
   [[nodiscard]] double nines() const;
 };
 
 /// How often requests were lost for one reason.
-struct loss_cause {
+struct failure_cause {
   std::string route;
   /// Status and reason of the answer, with figures replaced by `#`.
   std::string cause;
   std::size_t requests = 0;
 };
 
-struct request_account {
+struct log_summary {
   /// By name of the route.
-  std::vector<route_account> routes;
+  std::vector<route_summary> routes;
   /// Most frequent first.
-  std::vector<loss_cause> causes;
+  std::vector<failure_cause> causes;
 };
 
-request_account account_for(const request_log& log);
+log_summary summarize(const request_log& log);
 
 void print(const std::vector<request_event>& events, std::ostream& out);
-void print(const request_account& account, std::ostream& out);
+void print(const log_summary& summary, std::ostream& out);
 
 } // namespace spurrack::ctl
--- a/tests/ctl/request_log_test.cc
+++ b/tests/ctl/request_log_test.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-std::string line(std::uint64_t at_us, const std::string& node, const std::string& what,
+std::string line(std::uint64_t at_us, const std::string& node, const std::string& kind,
                  const std::string& request, const std::string& subject,
                  const std::string& detail) {
   return R"({"at_us":)" + std::to_string(at_us) + R"(,"severity":"info","node":")" + node +
-         R"(","zone":"z","message":")" + what + R"(","request_id":")" + request +
+         R"(","zone":"z","message":")" + kind + R"(","request_id":")" + request +
          R"(","subject":")" + subject + R"(","detail":")" + detail + "\"}\n";
 }
 
@@ -27,29 +27,29 @@
 
 BOOST_AUTO_TEST_SUITE(request_log_test)
 
-BOOST_AUTO_TEST_CASE(the_path_of_a_request_is_put_together_from_the_logs_of_several_nodes) {
+BOOST_AUTO_TEST_CASE(events_of_a_request_are_merged_from_the_logs_of_several_nodes) {
   const auto log = read(line(3'000, "b", "stage_completed", "r1", "pool", "4 pieces") +
                         line(9'000, "a", "request_answered", "r2", "200", "") +
                         line(1'000, "a", "request_received", "r1", "route", ""));
   const auto events = events_of(log, "r1");
   BOOST_REQUIRE(events.size() == 2);
   BOOST_TEST(events[0].node == "a");
-  BOOST_TEST(events[1].what == "stage_completed");
+  BOOST_TEST(events[1].kind == "stage_completed");
   std::ostringstream out;
   print(events, out);
   BOOST_TEST(out.str().find("2 ms  b  stage_completed  pool  4 pieces") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(lines_that_are_missing_or_unreadable_are_counted) {
+BOOST_AUTO_TEST_CASE(dropped_and_unreadable_lines_are_counted) {
   const auto log = read("12.004 node-a " + line(1, "a", "request_received", "r", "x", "") +
                         "half a line {\"at_us\":\n\n" +
                         R"({"at_us":5,"message":"ready","lines_dropped_before":7})" + "\n");
   BOOST_TEST(log.events.size() == 1);
-  BOOST_TEST(log.unreadable == 1);
-  BOOST_TEST(log.dropped == 7);
+  BOOST_TEST(log.unreadable_lines == 1);
+  BOOST_TEST(log.dropped_lines == 7);
 }
 
-BOOST_AUTO_TEST_CASE(requests_are_accounted_for_by_route_and_by_cause) {
+BOOST_AUTO_TEST_CASE(requests_are_summarized_by_route_and_by_cause) {
   std::string text;
   for (int request = 0; request < 98; ++request) {
     const auto id = "ok" + std::to_string(request);
@@ -64,27 +64,27 @@
   text += line(1'000, "a", "request_received", "gone", "read", "");
   text += line(3'000, "a", "request_answered", "gone", "0", "the client left");
   text += line(1'000, "a", "request_received", "open", "write", "");
-  const auto account = account_for(read(text));
-  BOOST_REQUIRE(account.routes.size() == 2);
-  const auto& read_route = account.routes.front();
+  const auto summary = summarize(read(text));
+  BOOST_REQUIRE(summary.routes.size() == 2);
+  const auto& read_route = summary.routes.front();
   BOOST_TEST(read_route.requests == 101);
   BOOST_TEST(read_route.served == 98);
   BOOST_TEST(read_route.refused == 1);
   BOOST_TEST(read_route.failed == 1);
   BOOST_TEST(read_route.client_disconnected == 1);
-  BOOST_TEST(read_route.repeats == 1);
+  BOOST_TEST(read_route.retries == 1);
   BOOST_TEST(read_route.nines() == 1.699, boost::test_tools::tolerance(0.001));
-  BOOST_TEST(read_route.longest_lost_ms == 5'000);
-  BOOST_TEST(account.routes.back().unanswered == 1);
-  BOOST_REQUIRE(account.causes.size() == 2);
-  BOOST_TEST(account.causes.front().requests == 1);
-  BOOST_TEST(account.causes.front().cause == "503 expected to take # ms");
+  BOOST_TEST(read_route.max_unserved_ms == 5'000);
+  BOOST_TEST(summary.routes.back().unanswered == 1);
+  BOOST_REQUIRE(summary.causes.size() == 2);
+  BOOST_TEST(summary.causes.front().requests == 1);
+  BOOST_TEST(summary.causes.front().cause == "503 expected to take # ms");
 }
 
-BOOST_AUTO_TEST_CASE(where_nothing_is_lost_the_share_served_has_a_bound) {
-  const auto account = account_for(read(line(0, "a", "request_received", "r", "x", "") +
-                                        line(1, "a", "request_answered", "r", "200", "")));
-  BOOST_TEST(account.routes.front().nines() == 9);
+BOOST_AUTO_TEST_CASE(nines_are_limited_if_all_requests_are_served) {
+  const auto summary = summarize(read(line(0, "a", "request_received", "r", "x", "") +
+                                      line(1, "a", "request_answered", "r", "200", "")));
+  BOOST_TEST(summary.routes.front().nines() == 9);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
