--- a/src/ctl/check.h
+++ b/src/ctl/check.h
@@ -1,4 +1,4 @@
-/// Offline check of published records and settings.
+/// Offline validation of published records and of settings.
 #pragma once
 
 #include <ostream>
@@ -7,14 +7,17 @@
 
 namespace spurrack::ctl {
 
-/// What the tool exits with.
+/// Exit codes of the tool. `problem_found` means that a file or an entry is invalid, that a node is
+/// not ready, or that the logs hold no event of a request.
 enum class exit_code { success = 0, problem_found = 1, bad_usage = 2, unreachable = 3 };
 
 enum class output_format { text, json };
 
-/// Checks files. What a file holds is told from the folder it lies in (`templates/`, `tenants/`,
-/// `machines/`); a file elsewhere is taken for settings of spurrackd. The name of a record must be
-/// the file's name without its ending.
+/// Validates files. The folder of a file (`templates/`, `tenants/` or `machines/`) determines the
+/// kind of record; a file in any other folder is validated as settings of spurrackd. The name of a
+/// record must be the file name without its extension.
+/// @return `problem_found` if a file is invalid, `bad_usage` if there are no files or a file cannot
+///         be read.
 exit_code check_files(const std::vector<std::string>& files, output_format format,
                       std::ostream& out);
 
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -1,4 +1,4 @@
-/// spurrackctl: the operators' tool. All but `release` only read.
+/// spurrackctl: command-line tool for operators. All commands except `release` are read-only.
 #include "ctl/check.h"
 #include "ctl/reports.h"
 #include "ctl/request_log.h"
@@ -29,25 +29,25 @@
 constexpr const char* commands_help =
     "Commands:\n"
     "  check FILE...     check templates, tenants, machine records and settings, offline\n"
-    "  status            readiness, configuration in force, refused entries, of each node\n"
-    "  nodes             who each node sees as alive\n"
+    "  status            readiness, configuration in effect and rejected entries of each node\n"
+    "  nodes             members of the fleet and their state, as each node sees them\n"
     "  backends          back ends as each node sees them\n"
-    "  templates         templates and tenants in force\n"
-    "  costs             cost by tenant, template and stage, over all nodes\n"
+    "  templates         templates and tenants in effect\n"
+    "  costs             cost by tenant, template and stage, summed over all nodes\n"
     "  timeline          events of all nodes in causal order\n"
-    "  quarantine        requests under which replicas ended, as each node knows them\n"
-    "  limits            replicas that name how many requests a second they take\n"
-    "  unavailable       replicas that said that they leave, or asked for a pause\n"
-    "  release DIGEST    let a request go that is held back; the nodes tell one another\n"
+    "  quarantine        requests under which replicas exited, as each node knows them\n"
+    "  limits            replicas that announce a limit on requests per second\n"
+    "  unavailable       replicas that announced their drain or requested a backoff\n"
+    "  release DIGEST    release a quarantined request; the nodes forward the release\n"
     "  explain REQUEST [LOGFILE...]\n"
-    "                    the time line of one request, from live nodes or from their logs\n"
+    "                    the timeline of one request, from live nodes or from their logs\n"
     "  account LOGFILE...\n"
-    "                    what became of all requests, by route, and why those not served were not\n"
-    "Exit codes: 0 well, 1 something is refused or not ready, 2 bad usage, 3 a node did not "
+    "                    outcomes of all requests by route, and reasons for unserved requests\n"
+    "Exit codes: 0 success, 1 something is refused or not ready, 2 bad usage, 3 a node did not "
     "answer.\n";
 
-/// Reads log files; says on standard error what is missing in them.
-/// @return nothing where a file cannot be read.
+/// Reads log files. Prints the numbers of unreadable and dropped lines to standard error.
+/// @return std::nullopt if a file cannot be read.
 std::optional<spurrack::ctl::request_log> read_logs(const std::vector<std::string>& files) {
   spurrack::ctl::request_log log;
   for (const auto& name : files) {
@@ -59,7 +59,7 @@
     spurrack::ctl::read_log(file, log);
   }
   if (log.unreadable_lines + log.dropped_lines > 0) {
-    std::cerr << log.unreadable_lines << " lines are no log lines, " << log.dropped_lines
+    std::cerr << log.unreadable_lines << " lines are not valid log lines, " << log.dropped_lines
               << " were dropped by their nodes\n";
   }
   return log;
@@ -119,8 +119,8 @@
 
 int run_program(int argc, char** argv) {
   cxxopts::Options options("spurrackctl",
-                           "Shows what a spurrack fleet does. Changes nothing, but for release.");
-  options.add_options()("nodes", "operator listeners, IP:port, comma between",
+                           "Shows the state of a spurrack fleet. Only release changes anything.");
+  options.add_options()("nodes", "operator listeners, IP:port, separated by commas",
                         cxxopts::value<std::string>()->default_value(""))(
       "output", "text or json", cxxopts::value<std::string>()->default_value("text"))(
       "command", "command", cxxopts::value<std::string>()->default_value(""))(
--- a/src/ctl/reports.cc
+++ b/src/ctl/reports.cc
@@ -16,7 +16,7 @@
 
 namespace json = boost::json;
 
-/// Document of one node.
+/// Document fetched from one node.
 struct node_document {
   std::string address;
   json::object content;
@@ -26,7 +26,7 @@
   return value.is_string() ? std::string(value.as_string()) : json::serialize(value);
 }
 
-/// Prints rows under the names of their fields, columns aligned.
+/// Prints rows in aligned columns, with the names of the fields as headings.
 void print_table(const json::array& rows, const std::vector<std::string>& columns,
                  std::ostream& out) {
   std::map<std::string, std::size_t> widths;
@@ -62,8 +62,8 @@
       const auto& entry = rejected.as_object();
       out << text_of(document.content.at("node")) << ": refused " << text_of(entry.at("key"))
           << " revision " << text_of(entry.at("revision"))
-          << " (in force: " << text_of(entry.at("in_force")) << "): " << text_of(entry.at("reason"))
-          << "\n";
+          << " (in effect: " << text_of(entry.at("in_force"))
+          << "): " << text_of(entry.at("reason")) << "\n";
     }
   }
 }
@@ -76,7 +76,7 @@
   }
 }
 
-/// Adds up the same row of several nodes.
+/// Sums the cost rows of all nodes by tenant, template and stage.
 json::array sum_costs(const std::vector<node_document>& documents) {
   std::map<std::tuple<std::string, std::string, std::string>, json::object> totals;
   for (const auto& document : documents) {
@@ -105,7 +105,8 @@
   return rows;
 }
 
-/// @return the events of all nodes in the order of their hybrid timestamps.
+/// @return events of all nodes, ordered by hybrid timestamp.
+/// @param request if set, only the events of this request are returned.
 json::array merge_events(const std::vector<node_document>& documents,
                          const std::optional<std::string>& request) {
   std::vector<json::object> events;
@@ -241,7 +242,7 @@
       out << address << ": accepted\n";
     } else {
       errors << address << ": "
-             << (answer.error.empty() ? "refused, no digest of 32 hexadecimal digits"
+             << (answer.error.empty() ? "refused, not a digest of 32 hexadecimal digits"
                                       : answer.error)
              << "\n";
     }
--- a/src/ctl/reports.h
+++ b/src/ctl/reports.h
@@ -1,4 +1,4 @@
-/// Reports over the operator listeners of a fleet.
+/// Reports on a fleet, fetched from the operator listeners of its nodes.
 #pragma once
 
 #include "ctl/check.h"
@@ -9,16 +9,19 @@
 
 namespace spurrack::ctl {
 
-/// Fetches the documents of a command from all nodes and prints them.
+/// Fetches the documents of a command from all nodes and prints them. If a node does not answer,
+/// the documents of the other nodes are printed nevertheless.
+/// @param arguments for `explain`, the request id.
 /// @param nodes operator listeners, `IP:port`.
-/// @return `unreachable` where some node did not answer; what the others say is printed all the
-/// same.
+/// @return `unreachable` if any node did not answer; `problem_found` if `status` shows a node that
+///         is not ready or has rejected entries; `bad_usage` if the command is unknown.
 exit_code report(const std::string& command, const std::vector<std::string>& arguments,
                  const std::vector<std::string>& nodes, output_format format, std::ostream& out,
                  std::ostream& errors);
 
-/// Asks nodes to let a request go that is held back; one that accepts tells all others.
-/// @param digest 32 hexadecimal digits, as `quarantine` and the logs show them.
+/// Asks nodes to release a quarantined request; a node that accepts informs all other nodes.
+/// @param digest 32 hexadecimal digits, as shown by `quarantine` and the logs.
+/// @return `unreachable` if no node accepted.
 exit_code release(const std::string& digest, const std::vector<std::string>& nodes,
                   std::ostream& out, std::ostream& errors);
 
--- a/src/ctl/request_log.cc
+++ b/src/ctl/request_log.cc
@@ -18,7 +18,7 @@
 namespace json = boost::json;
 
 constexpr std::uint64_t microseconds_per_millisecond = 1000;
-/// A share of nothing lost has no figure in nines; this stands for it.
+/// Reported if all requests were served: the number of nines would be infinite.
 constexpr double max_nines = 9;
 
 std::string text_of(const json::object& line, std::string_view name) {
@@ -46,7 +46,8 @@
   return std::move(value.get_object());
 }
 
-/// @return `text` with each run of digits replaced by `#`, so that alike reasons count together.
+/// @return `text` with each run of digits replaced by `#`, so that reasons that differ only in
+///         numbers are counted together.
 std::string mask_digits(const std::string& text) {
   std::string plain;
   for (const char character : text) {
@@ -60,12 +61,13 @@
   return plain;
 }
 
-/// One request as its lines tell it.
+/// Outcome of one request according to its log lines.
 struct request_outcome {
   std::string route;
   std::uint64_t received_us = 0;
   std::uint64_t answered_us = 0;
-  /// Status of the answer, or that it was broken off; empty where none stands in the log.
+  /// Status of the answer, or `broken off` if its stream was aborted; empty if the log has no
+  /// answer.
   std::string answer;
   std::string reason;
   std::size_t retries = 0;
@@ -118,7 +120,7 @@
   return !outcome.answer.empty() && !is_served(outcome) && outcome.answer != "0";
 }
 
-/// Fills in how long the lost requests of a route were held.
+/// Sets the median and the maximum time of the refused and failed requests of a route.
 void set_unserved_times(std::vector<std::uint64_t> unserved_ms, route_summary& summary) {
   if (unserved_ms.empty()) {
     return;
--- a/src/ctl/request_log.h
+++ b/src/ctl/request_log.h
@@ -1,5 +1,5 @@
-/// Log files of nodes, read for what they say of requests: the same lines that a node writes on its
-/// standard output, one JSON object each.
+/// Extracts the events of requests from log files of nodes. A log file holds the lines that a node
+/// writes to its standard output, one JSON object per line.
 #pragma once
 
 #include <cstddef>
@@ -11,68 +11,69 @@
 
 namespace spurrack::ctl {
 
-/// One line that concerns a request.
+/// One log line about a request.
 struct request_event {
-  /// Wall clock of the node, in microseconds; clocks of nodes differ.
+  /// Wall clock time of the node in microseconds; the clocks of nodes differ.
   std::uint64_t at_us = 0;
   std::string node;
   /// Name of a `base::event_kind`.
   std::string kind;
   std::string request;
-  /// Route, replica or status concerned.
+  /// Route, replica or status that the event is about.
   std::string subject;
   std::string detail;
 };
 
-/// What log files hold.
+/// Contents of one or more log files.
 struct request_log {
   std::vector<request_event> events;
-  /// Lines that are no log lines: what follows from `events` may miss them.
+  /// Lines that are not valid log lines; events in them are missing from `events`.
   std::size_t unreadable_lines = 0;
-  /// Lines that nodes could not write, as they say themselves.
+  /// Lines that nodes could not write, as reported in their later lines.
   std::size_t dropped_lines = 0;
 };
 
-/// Adds what a stream of log lines says of requests. Whatever stands before the object of a line,
-/// as some collectors put there, is passed over.
+/// Adds the events of requests in a stream of log lines to a log. Text before the JSON object of a
+/// line is ignored, since some log collectors add a prefix.
 void read_log(std::istream& lines, request_log& log);
 
-/// @return the events of one request in the order of their clocks.
+/// @return the events of one request, ordered by the clocks of their nodes.
 std::vector<request_event> events_of(const request_log& log, const std::string& request);
 
-/// What became of the requests of one route.
+/// Outcomes of the requests of one route.
 struct route_summary {
   std::string route;
   std::size_t requests = 0;
   std::size_t served = 0;
-  /// Answered that they were not run.
+  /// Answered with status 429 or 503, which means that they were not run.
   std::size_t refused = 0;
-  /// Other failures, streams broken off among them.
+  /// Other failures, including aborted streams.
   std::size_t failed = 0;
   std::size_t client_disconnected = 0;
-  /// No answer stands in the log.
+  /// Requests without an answer in the log.
   std::size_t unanswered = 0;
   std::size_t retries = 0;
-  /// Time that those held that were neither served nor left by their client, in milliseconds.
+  /// Time from arrival to answer of the requests that were refused or failed, in milliseconds.
   std::uint64_t median_unserved_ms = 0;
   std::uint64_t max_unserved_ms = 0;
 
-  /// @return the share served of those whose client stayed, in nines: 2 for 99 in 100, at most 9.
+  /// @return availability in nines, at most 9: 2 if 99 of 100 requests were served. Requests whose
+  ///         client disconnected are not counted.
   [[nodiscard]] double nines() const;
 };
 
-/// How often requests were lost for one reason.
+/// Number of requests of a route that were refused or failed for one reason.
 struct failure_cause {
   std::string route;
-  /// Status and reason of the answer, with figures replaced by `#`.
+  /// Status and reason of the answer, with each run of digits replaced by `#`.
   std::string cause;
   std::size_t requests = 0;
 };
 
 struct log_summary {
-  /// By name of the route.
+  /// Ordered by name of the route.
   std::vector<route_summary> routes;
-  /// Most frequent first.
+  /// Ordered by number of requests, most frequent cause first.
   std::vector<failure_cause> causes;
 };
 
