--- a/src/logging/json_log.cc
+++ b/src/logging/json_log.cc
@@ -24,7 +24,7 @@
             const char* message, std::size_t length) override {
     std::string text(message, length);
     text += '\n';
-    if (!has_room()) {
+    if (!is_writable()) {
       ++dropped_;
       return;
     }
@@ -39,7 +39,7 @@
 
  private:
   /// A pipe that is writable takes a whole line without blocking.
-  static bool has_room() {
+  static bool is_writable() {
     pollfd out{STDOUT_FILENO, POLLOUT, 0};
     return ::poll(&out, 1, 0) == 1 && (out.revents & POLLOUT) != 0;
   }
