--- a/src/ctl/reports.cc
+++ b/src/ctl/reports.cc
@@ -105,8 +105,8 @@
   return rows;
 }
 
-/// @return events of all nodes, ordered by hybrid timestamp.
 /// @param request if set, only the events of this request are returned.
+/// @return events of all nodes, ordered by hybrid timestamp.
 json::array merge_events(const std::vector<node_document>& documents,
                          const std::optional<std::string>& request) {
   std::vector<json::object> events;
@@ -181,6 +181,8 @@
   out << json::serialize(body) << "\n";
 }
 
+/// @return whether the nodes of a `status` report are ready and have no rejected entries; true for
+///         all other commands.
 bool all_healthy(const std::string& command, const std::vector<node_document>& documents) {
   if (command != "status") {
     return true;
--- a/src/logging/guarded_main.h
+++ b/src/logging/guarded_main.h
@@ -1,4 +1,4 @@
-/// The outermost frame of a program: no exception leaves it.
+/// Wrapper of the main function of a program that catches all standard exceptions.
 #pragma once
 
 #include <cstdio>
@@ -6,9 +6,10 @@
 
 namespace spurrack::logging {
 
-/// Runs a program. An exception is written to standard error.
-/// @param run the program; @param exit_on_exception its exit code where an exception ends it.
-/// @return the exit code.
+/// Runs a program. The message of an exception is written to standard error.
+/// @param run the program.
+/// @param exit_on_exception exit code if an exception ends the program.
+/// @return the exit code of the process.
 inline int guarded_main(int (*run)(int, char**), int argc, char** argv,
                         int exit_on_exception) noexcept {
   try {
--- a/src/logging/json_log.cc
+++ b/src/logging/json_log.cc
@@ -15,8 +15,9 @@
 namespace spurrack::logging {
 namespace {
 
-/// Writes each message, already a JSON object, as one line on standard output, never
-/// blocking: lines that find no room are dropped and counted. glog calls it under its own lock.
+/// Writes each message, which is a JSON object already, as one line to standard output. Never
+/// blocks: if standard output is not writable, the line is dropped, and the number of dropped lines
+/// is added to the next line that is written. glog calls `send` under its own lock.
 class json_line_sink final : public google::LogSink {
  public:
   void send(google::LogSeverity /*severity*/, const char* /*full_filename*/,
@@ -38,7 +39,8 @@
   }
 
  private:
-  /// A pipe that is writable takes a whole line without blocking.
+  /// @return whether standard output is writable; a writable pipe accepts a whole line without
+  ///         blocking.
   static bool is_writable() {
     pollfd out{STDOUT_FILENO, POLLOUT, 0};
     return ::poll(&out, 1, 0) == 1 && (out.revents & POLLOUT) != 0;
--- a/src/logging/json_log.h
+++ b/src/logging/json_log.h
@@ -1,4 +1,4 @@
-/// Structured logs: one JSON object a line on standard output, written through glog.
+/// Structured logs: one JSON object per line on standard output, written through glog.
 #pragma once
 
 #include <string>
@@ -15,11 +15,13 @@
 
 enum class severity { info, warning, error };
 
-/// Starts glog with a sink that writes JSON lines.
-/// @param program name of the program; node and zone are put on every line (may be empty).
+/// Initializes glog and sets the node and the zone of all log lines.
+/// @param program name of the program.
+/// @param node added to every line together with `zone`, unless empty.
 void start(const char* program, const std::string& node, const std::string& zone);
 
-/// Writes one line: time, severity, node, zone, message and the given fields.
+/// Writes one line with the time, severity, node, zone, message and the given fields. Drops the
+/// line if standard output is not writable.
 void write(severity level, std::string_view message, const std::vector<field>& fields = {});
 
 } // namespace spurrack::logging
--- a/src/logging/usual_options.h
+++ b/src/logging/usual_options.h
@@ -1,4 +1,4 @@
-/// What every program of the project understands beside its own options: `--help` and `--version`.
+/// Options that all programs of the project have: `--help` and `--version`.
 #pragma once
 
 #include <cxxopts.hpp>
@@ -13,10 +13,10 @@
   options.add_options()("help", "print this help")("version", "print the version");
 }
 
-/// Prints what `--help` or `--version` ask for.
-/// @param exit_codes what the exit codes mean, for the help; empty where 0 is success and any other
-///        a failure.
-/// @return whether one of them was given: the program has nothing else to do and succeeded.
+/// Prints the help or the version if `--help` or `--version` was given.
+/// @param exit_codes meaning of the exit codes, for the help; empty if 0 is success and all other
+///        codes are failures.
+/// @return whether either option was given: the program should then exit with success.
 inline bool handle_usual_options(const cxxopts::Options& options, const cxxopts::ParseResult& given,
                                  const std::string& exit_codes = {}) {
   std::string text;
