--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -41,22 +41,22 @@
   return spurrack::settings::parse_settings(text.str());
 }
 
-void print_faults(const std::string& path, const spurrack::settings::settings_result& read) {
-  if (read.faults.empty()) {
+void print_faults(const std::string& path, const spurrack::settings::settings_result& result) {
+  if (result.faults.empty()) {
     std::cerr << path << ": cannot be read\n";
   }
-  for (const auto& fault : read.faults) {
+  for (const auto& fault : result.faults) {
     std::cerr << path << ": " << spurrack::model::describe(fault) << "\n";
   }
 }
 
 int run(const std::string& path, bool check_only) {
-  auto read = read_settings(path);
-  if (!read.value) {
-    print_faults(path, read);
+  auto result = read_settings(path);
+  if (!result.value) {
+    print_faults(path, result);
     return exit_bad_settings;
   }
-  auto& settings = read.value;
+  auto& settings = result.value;
   if (check_only) {
     std::cout << path << ": ok\n";
     return exit_ok;
--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -74,8 +74,8 @@
                        .Name("spurrack_refusals_total")
                        .Help("Requests not completed, by reason.")
                        .Register(registry);
-  for (const auto& [why, count] : counts.refusals) {
-    refusals.Add({{"reason", std::string(execution::name_of(why))}})
+  for (const auto& [reason, count] : counts.refusals) {
+    refusals.Add({{"reason", std::string(execution::name_of(reason))}})
         .Increment(static_cast<double>(count));
   }
 }
@@ -106,12 +106,12 @@
 }
 
 void add_regions(Registry& registry, const serving::serving_counters& counts) {
-  auto& by_ring = BuildCounter()
-                      .Name("spurrack_replica_calls_by_ring_total")
-                      .Help("Requests sent to replicas, by how far these are from the node.")
-                      .Register(registry);
+  auto& by_locality = BuildCounter()
+                          .Name("spurrack_replica_calls_by_ring_total")
+                          .Help("Requests sent to replicas, by how far these are from the node.")
+                          .Register(registry);
   for (std::size_t locality = 0; locality < model::locality_count; ++locality) {
-    by_ring.Add({{"ring", std::string(model::name_of(static_cast<model::locality>(locality)))}})
+    by_locality.Add({{"ring", std::string(model::name_of(static_cast<model::locality>(locality)))}})
         .Increment(static_cast<double>(counts.calls_by_locality[locality]));
   }
   add_count(registry, "spurrack_residency_refused_total",
@@ -122,7 +122,7 @@
             counts.confined_by_residency);
 }
 
-void add_planned_stop(Registry& registry, const serving::serving_counters& counts) {
+void add_graceful_stop(Registry& registry, const serving::serving_counters& counts) {
   auto& outcomes = BuildCounter()
                        .Name("spurrack_stop_requests_total")
                        .Help("Requests during a planned stop, by what became of them.")
@@ -136,7 +136,7 @@
   add("given_up", counts.aborted_at_stop);
 }
 
-void add_second_chances(Registry& registry, const serving::dispatcher& dispatcher) {
+void add_retries(Registry& registry, const serving::dispatcher& dispatcher) {
   const auto& counts = dispatcher.counts();
   const auto add = count_adder(registry);
   add("spurrack_repeats_total", "Requests sent to a second replica.", counts.retries);
@@ -187,14 +187,14 @@
                     .Help("Calls of this node to the platform's store, by source and cause.")
                     .Register(registry);
   const auto add = [&](const char* source, node::source_kind kind) {
-    const auto& made = subject.watch(kind).calls();
+    const auto& call_counts = subject.watch(kind).calls();
     const auto add_cause = [&](const char* cause, std::uint64_t count) {
       calls.Add({{"source", source}, {"cause", cause}}).Increment(static_cast<double>(count));
     };
-    add_cause("listing", made.listings);
-    add_cause("watch", made.watches);
-    add_cause("begun_anew", made.begun_anew);
-    add_cause("probe", made.probes);
+    add_cause("listing", call_counts.listings);
+    add_cause("watch", call_counts.watches);
+    add_cause("begun_anew", call_counts.begun_anew);
+    add_cause("probe", call_counts.probes);
   };
   add("configuration", node::source_kind::configuration);
   add("replicas", node::source_kind::machine_list);
@@ -241,7 +241,7 @@
 }
 
 /// What replicas say of themselves with their answers.
-void add_statements(Registry& registry, const serving::dispatcher& dispatcher) {
+void add_self_reports(Registry& registry, const serving::dispatcher& dispatcher) {
   const auto& counts = dispatcher.replica_self_reports().counts();
   const auto add = count_adder(registry);
   add("spurrack_statement_messages_total",
@@ -320,10 +320,10 @@
   const auto add = count_adder(registry);
   add("spurrack_replica_calls_total", "Requests sent to replicas.", counts.calls);
   add_regions(registry, counts);
-  add_planned_stop(registry, counts);
-  add_second_chances(registry, dispatcher);
+  add_graceful_stop(registry, counts);
+  add_retries(registry, dispatcher);
   add_quarantine(registry, dispatcher);
-  add_statements(registry, dispatcher);
+  add_self_reports(registry, dispatcher);
   add_limits(registry, dispatcher);
   add("spurrack_stage_pieces_total", "Pieces of stages asked for.", counts.stage_pieces);
   add("spurrack_results_freed_total", "Results of stages given up.", counts.results_freed);
@@ -404,7 +404,7 @@
   }
 }
 
-std::string make_metrics(const node::node& subject, const process_facts& facts,
+std::string make_metrics(const node::node& subject, const process_stats& stats,
                          base::time_point now) {
   Registry registry;
   const auto& counts = subject.executor().counts();
@@ -413,12 +413,12 @@
   if (subject.serving() != nullptr) {
     add_serving(registry, *subject.serving());
   }
-  if (facts.budget != nullptr) {
-    add_budget(registry, *facts.budget);
-    add_readers(registry, *facts.readers);
+  if (stats.budget != nullptr) {
+    add_budget(registry, *stats.budget);
+    add_readers(registry, *stats.readers);
     add_count(registry, "spurrack_unreadable_loads_total",
               "Answers of replicas that told a load which cannot be read.",
-              facts.replica_connections->unreadable_loads);
+              stats.replica_connections->unreadable_loads);
   }
   add_counter(registry, "spurrack_retries_total", "Stage calls made again.",
               static_cast<double>(counts.retries));
@@ -437,7 +437,7 @@
               static_cast<double>(subject.control().bytes_received));
   add_counter(registry, "spurrack_peer_messages_dropped_total",
               "Messages to peers that could not be queued.",
-              static_cast<double>(facts.peer_messages_dropped));
+              static_cast<double>(stats.dropped_peer_messages));
   add_gauge(registry, "spurrack_active_requests", "Requests under way.",
             static_cast<double>(subject.executor().active()));
   add_gauge(registry, "spurrack_waiting_calls", "Stage calls that wait for a back end.",
@@ -451,11 +451,11 @@
   add_count(registry, "spurrack_replica_entries_refused_total",
             "Published entries of replicas refused as malformed.",
             subject.content().refused_replicas());
-  const auto answered = subject.watch(node::source_kind::configuration).last_answer();
-  if (answered) {
+  const auto answered_at = subject.watch(node::source_kind::configuration).last_answer();
+  if (answered_at) {
     add_gauge(registry, "spurrack_configuration_age_seconds",
               "Time since this node's last answer of the configuration service.",
-              base::to_seconds(now - *answered));
+              base::to_seconds(now - *answered_at));
   }
   return prometheus::TextSerializer().Serialize(registry.Collect());
 }
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -16,11 +16,11 @@
   return base::to_seconds(span) * thousand;
 }
 
-json::value age_of(const std::optional<base::time_point>& moment, base::time_point now) {
-  if (!moment) {
+json::value age_of(const std::optional<base::time_point>& at, base::time_point now) {
+  if (!at) {
     return nullptr;
   }
-  return base::to_milliseconds(now - *moment);
+  return base::to_milliseconds(now - *at);
 }
 
 json::object calls_document(const catalog::service_calls& calls) {
@@ -85,30 +85,30 @@
 
 json::object nodes_document(const node::node& subject, base::time_point now) {
   json::array nodes;
-  for (const auto& [name, other] : subject.members().members()) {
+  for (const auto& [name, member] : subject.members().members()) {
     nodes.push_back(json::object{{"node", name.text()},
-                                 {"zone", other.zone.text()},
-                                 {"address", other.address.text()},
-                                 {"state", name_of(other.state)},
-                                 {"since_ms", base::to_milliseconds(now - other.since)},
-                                 {"incarnation", other.incarnation}});
+                                 {"zone", member.zone.text()},
+                                 {"address", member.address.text()},
+                                 {"state", name_of(member.state)},
+                                 {"since_ms", base::to_milliseconds(now - member.since)},
+                                 {"incarnation", member.incarnation}});
   }
   return {{"nodes", std::move(nodes)}};
 }
 
 json::object backends_document(const node::node& subject, base::time_point now) {
   json::array backends;
-  for (const auto& [name, target] : subject.backends().all()) {
+  for (const auto& [name, backend] : subject.backends().all()) {
     backends.push_back(json::object{{"backend", name.text()},
-                                    {"zone", target.zone.text()},
-                                    {"pool", target.pool.text()},
-                                    {"address", target.address.text()},
-                                    {"generation", target.generation},
-                                    {"concurrency", target.concurrency},
-                                    {"in_flight", target.in_flight},
-                                    {"average_ms", milliseconds(target.average_latency)},
-                                    {"leaving", subject.backends().is_leaving(target)},
-                                    {"avoided", now < target.avoid_until}});
+                                    {"zone", backend.zone.text()},
+                                    {"pool", backend.pool.text()},
+                                    {"address", backend.address.text()},
+                                    {"generation", backend.generation},
+                                    {"concurrency", backend.concurrency},
+                                    {"in_flight", backend.in_flight},
+                                    {"average_ms", milliseconds(backend.average_latency)},
+                                    {"leaving", subject.backends().is_leaving(backend)},
+                                    {"avoided", now < backend.avoid_until}});
   }
   return {{"backends", std::move(backends)}};
 }
@@ -118,11 +118,11 @@
   json::array templates;
   for (const auto& [name, pipeline] : content.templates()) {
     json::array stages;
-    for (const auto& step : pipeline->stages) {
-      stages.push_back(json::object{{"name", step.name},
-                                    {"kind", model::name_of(step.kind)},
-                                    {"pool", step.pool.text()},
-                                    {"repeatable", step.repeatable}});
+    for (const auto& stage : pipeline->stages) {
+      stages.push_back(json::object{{"name", stage.name},
+                                    {"kind", model::name_of(stage.kind)},
+                                    {"pool", stage.pool.text()},
+                                    {"repeatable", stage.repeatable}});
     }
     templates.push_back(json::object{{"template", name.text()},
                                      {"revision", content.revision_of("templates/" + name.text())},
@@ -130,10 +130,10 @@
                                      {"stages", std::move(stages)}});
   }
   json::array tenants;
-  for (const auto& [name, owner] : content.tenants()) {
+  for (const auto& [name, tenant] : content.tenants()) {
     tenants.push_back(json::object{{"tenant", name.text()},
                                    {"revision", content.revision_of("tenants/" + name.text())},
-                                   {"weight", owner->weight}});
+                                   {"weight", tenant->weight}});
   }
   return {{"templates", std::move(templates)}, {"tenants", std::move(tenants)}};
 }
@@ -192,13 +192,13 @@
   if (const auto* serving = subject.serving()) {
     const auto& limits = serving->limits();
     for (const auto& [replica, record] : limits.announced_limits().all()) {
-      const auto* stock = limits.stock_of(replica);
+      const auto* permits = limits.stock_of(replica);
       json::object row{{"replica", replica.text()},
                        {"heard_ms", base::to_milliseconds(now - record.last_reported_at)},
                        {"version", record.version},
                        {"issuer", limits.issuer_of(replica).text()},
-                       {"permits_held", stock == nullptr ? 0 : stock->held(now)},
-                       {"sent_in_4_s", stock == nullptr ? 0 : stock->recent_sends(now)}};
+                       {"permits_held", permits == nullptr ? 0 : permits->held(now)},
+                       {"sent_in_4_s", permits == nullptr ? 0 : permits->recent_sends(now)}};
       row["per_second"] = record.per_second ? json::value(*record.per_second) : nullptr;
       replicas.push_back(std::move(row));
     }
@@ -210,13 +210,14 @@
 json::object unavailable_document(const node::node& subject, base::time_point now) {
   json::array replicas;
   if (const auto* serving = subject.serving()) {
-    for (const auto& [process, known] :
+    for (const auto& [process, announcement] :
          serving->replica_self_reports().drain_announcements().all()) {
-      replicas.push_back(json::object{{"replica", process.replica.text()},
-                                      {"why", "leaves"},
-                                      {"since_ms", base::to_milliseconds(now - known.announced_at)},
-                                      {"left_ms", nullptr},
-                                      {"said_by", known.source}});
+      replicas.push_back(
+          json::object{{"replica", process.replica.text()},
+                       {"why", "leaves"},
+                       {"since_ms", base::to_milliseconds(now - announcement.announced_at)},
+                       {"left_ms", nullptr},
+                       {"said_by", announcement.source}});
     }
     for (const auto& [id, state] : serving->replicas().all()) {
       if (state.backoff.is_active(now)) {
@@ -250,10 +251,10 @@
 
 std::optional<http::operator_document> make_document(const std::string& path,
                                                      const node::node& subject,
-                                                     const process_facts& facts,
+                                                     const process_stats& stats,
                                                      base::time_point now) {
   if (path == "/metrics") {
-    return http::operator_document{"text/plain; version=0.0.4", make_metrics(subject, facts, now)};
+    return http::operator_document{"text/plain; version=0.0.4", make_metrics(subject, stats, now)};
   }
   json::object body;
   if (path == "/v1/status") {
@@ -280,12 +281,12 @@
   return http::operator_document{"application/json", json::serialize(body) + "\n"};
 }
 
-std::optional<node::event> read_action(const std::string& path) {
-  constexpr std::string_view release = "/v1/quarantine/release/";
-  if (!path.starts_with(release)) {
+std::optional<node::event> parse_action(const std::string& path) {
+  constexpr std::string_view release_prefix = "/v1/quarantine/release/";
+  if (!path.starts_with(release_prefix)) {
     return std::nullopt;
   }
-  const auto digest = quarantine::request_digest::from_text(path.substr(release.size()));
+  const auto digest = quarantine::request_digest::from_text(path.substr(release_prefix.size()));
   return digest ? std::optional<node::event>(node::release_wanted{*digest}) : std::nullopt;
 }
 
--- a/src/daemon/operator_documents.h
+++ b/src/daemon/operator_documents.h
@@ -12,9 +12,9 @@
 namespace spurrack::daemon {
 
 /// Facts that the node itself does not know.
-struct process_facts {
-  std::uint64_t peer_messages_dropped = 0;
-  std::size_t callers_busy = 0;
+struct process_stats {
+  std::uint64_t dropped_peer_messages = 0;
+  std::size_t busy_connections = 0;
   /// Null where the node serves no published routes.
   const http::reader_counters* readers = nullptr;
   const flow::byte_budget* budget = nullptr;
@@ -24,15 +24,15 @@
 /// @return the document at `path`; nothing where there is none.
 std::optional<http::operator_document> make_document(const std::string& path,
                                                      const node::node& subject,
-                                                     const process_facts& facts,
+                                                     const process_stats& stats,
                                                      base::time_point now);
 
 /// Reads what an operator asks for.
 /// @return the event that brings it about; nothing where the path asks for nothing.
-std::optional<node::event> read_action(const std::string& path);
+std::optional<node::event> parse_action(const std::string& path);
 
 /// @return the metrics in the Prometheus text format.
-std::string make_metrics(const node::node& subject, const process_facts& facts,
+std::string make_metrics(const node::node& subject, const process_stats& stats,
                          base::time_point now);
 
 } // namespace spurrack::daemon
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -15,18 +15,18 @@
 namespace spurrack::daemon {
 namespace {
 
-constexpr std::chrono::milliseconds exit_poll{20};
+constexpr std::chrono::milliseconds exit_poll_interval{20};
 /// Time for requests on connections that were accepted last.
-constexpr std::chrono::milliseconds exit_grace{200};
+constexpr std::chrono::milliseconds min_exit_delay{200};
 /// Time after a node has given up what was left for its last answers to be written. Clients that
 /// take none of theirs, and connections without a request, are not waited for beyond it: the kill
 /// that follows 0.7 s after the giving up would cut the others too.
-constexpr std::chrono::milliseconds last_answers_time{500};
+constexpr std::chrono::milliseconds last_answers_timeout{500};
 
 std::uint64_t random_seed() {
   std::random_device device;
-  constexpr unsigned half = 32;
-  return (static_cast<std::uint64_t>(device()) << half) | device();
+  constexpr unsigned half_bits = 32;
+  return (static_cast<std::uint64_t>(device()) << half_bits) | device();
 }
 
 std::int64_t wall_offset() {
@@ -44,25 +44,25 @@
 } // namespace
 
 runtime::runtime(boost::asio::io_context& io, settings::daemon_settings settings,
-                 platform_parts parts, settings_source reread)
+                 platform_adapters adapters, settings_loader load_settings)
     : io_(&io), settings_(with_process_start(std::move(settings))), random_(random_seed()),
-      node_(settings_.node, random_, base::boot_clock::now()), parts_(std::move(parts)),
-      reread_(std::move(reread)), wakeup_(io), exit_timer_(io),
+      node_(settings_.node, random_, base::boot_clock::now()), adapters_(std::move(adapters)),
+      load_settings_(std::move(load_settings)), wakeup_(io), exit_timer_(io),
       signals_(io, SIGTERM, SIGINT, SIGHUP) {
   peers_ = peers::make_zmq_transport(
       io, settings_.peer_listen, settings_.curve,
       [this](wire::envelope message) { post(node::peer_message{std::move(message)}); });
   if (settings_.serving) {
-    start_serving();
+    start_serving_path();
   } else {
-    start_own_interface();
+    start_pipeline_interface();
   }
   operators_ = http::make_operator_server(
       io, settings_.operator_listen,
       [this](const std::string& path) {
-        return make_document(path, node_, facts(), base::boot_clock::now());
+        return make_document(path, node_, stats(), base::boot_clock::now());
       },
-      [this](const std::string& path) { return act(path); });
+      [this](const std::string& path) { return handle_action(path); });
   watch_signals();
   logging::write(
       logging::severity::info, "started",
@@ -71,65 +71,67 @@
   post(node::time_passed{});
 }
 
-std::optional<http::operator_document> runtime::act(const std::string& path) {
-  auto wanted = read_action(path);
-  if (!wanted) {
+std::optional<http::operator_document> runtime::handle_action(const std::string& path) {
+  auto action = parse_action(path);
+  if (!action) {
     return std::nullopt;
   }
-  post(std::move(*wanted));
+  post(std::move(*action));
   return http::operator_document{"application/json", "{\"accepted\":true}\n"};
 }
 
-void runtime::start_serving() {
+void runtime::start_serving_path() {
   serving_ = std::make_unique<serving_adapters>(
-      *io_, *settings_.serving, *settings_.node.serving, *parts_.codec,
-      [this](serving::event what) { post(std::move(what)); }, [this] { return node_.is_ready(); });
+      *io_, *settings_.serving, *settings_.node.serving, *adapters_.codec,
+      [this](serving::event event) { post(std::move(event)); },
+      [this] { return node_.is_ready(); });
   node_.set_budget(serving_->budget());
-  platform_ =
-      parts_.make_store_client(*io_, settings_.serving->store,
-                               {[this](node::service_answered answer) { post(std::move(answer)); },
-                                [this](node::service_failed failure) { post(failure); }});
+  publication_ = adapters_.make_store_client(
+      *io_, settings_.serving->store,
+      {[this](node::service_answered answer) { post(std::move(answer)); },
+       [this](node::service_failed failure) { post(failure); }});
 }
 
-void runtime::start_own_interface() {
+void runtime::start_pipeline_interface() {
   auto& io = *io_;
   backends_ = backends::make_http_backend_client(
       io, {[this](execution::call_result result) { post(std::move(result)); },
            [this](execution::call_token token) { post(std::move(token)); }});
-  platform_ = publication::make_http_publication_client(
+  publication_ = publication::make_http_publication_client(
       io, settings_.configuration_service, settings_.machine_list_service,
       {[this](node::service_answered answer) { post(std::move(answer)); },
        [this](node::service_failed failure) { post(failure); }});
-  callers_ = http::make_caller_server(
-      io, settings_.caller_listen, settings_.callers,
-      {[this](node::caller_arrived arrived) { post(std::move(arrived)); },
-       [this](node::ticket_wanted wanted) { post(std::move(wanted)); },
-       [this](node::caller_left left) { post(left); }, [this] { return node_.is_ready(); }});
+  callers_ =
+      http::make_caller_server(io, settings_.caller_listen, settings_.callers,
+                               {[this](node::caller_arrived arrived) { post(std::move(arrived)); },
+                                [this](node::ticket_wanted request) { post(std::move(request)); },
+                                [this](node::caller_left disconnection) { post(disconnection); },
+                                [this] { return node_.is_ready(); }});
 }
 
-void runtime::post(node::event what) {
-  posted_.push_back(std::move(what));
-  if (posted_.size() == 1) {
-    boost::asio::post(*io_, [this] { handle_posted(); });
+void runtime::post(node::event input_event) {
+  queued_events_.push_back(std::move(input_event));
+  if (queued_events_.size() == 1) {
+    boost::asio::post(*io_, [this] { handle_queued_events(); });
   }
 }
 
-void runtime::handle_posted() {
-  for (const auto& what : std::exchange(posted_, {})) {
-    handle(what);
+void runtime::handle_queued_events() {
+  for (const auto& input_event : std::exchange(queued_events_, {})) {
+    handle(input_event);
   }
   schedule_wakeup();
 }
 
-void runtime::handle(const node::event& what) {
+void runtime::handle(const node::event& input_event) {
   const bool was_ready = node_.is_ready();
-  auto commands = node_.handle(what, base::boot_clock::now());
-  for (auto& wanted : commands) {
-    carry_out(wanted);
+  auto commands = node_.handle(input_event, base::boot_clock::now());
+  for (auto& command : commands) {
+    carry_out(command);
   }
-  if (serving_ && node_.content().serving() != limits_from_) {
-    limits_from_ = node_.content().serving();
-    serving_->set_limits(limits_from_->limits);
+  if (serving_ && node_.content().serving() != applied_configuration_) {
+    applied_configuration_ = node_.content().serving();
+    serving_->set_limits(applied_configuration_->limits);
   }
   if (node_.is_ready() != was_ready) {
     logging::write(logging::severity::info, node_.is_ready() ? "ready" : "not ready");
@@ -138,13 +140,13 @@
 
 void runtime::schedule_wakeup() {
   const auto now = base::boot_clock::now();
-  const auto wanted = node_.next_wakeup();
-  if (wakeup_at_ && *wakeup_at_ > now && *wakeup_at_ <= wanted) {
+  const auto next_wakeup = node_.next_wakeup();
+  if (wakeup_at_ && *wakeup_at_ > now && *wakeup_at_ <= next_wakeup) {
     // Each event of a stream puts its next check off; the timer is set anew when it has fired.
     return;
   }
-  wakeup_at_ = wanted;
-  wakeup_.expires_after(std::max<base::duration>(wanted - now, base::duration::zero()));
+  wakeup_at_ = next_wakeup;
+  wakeup_.expires_after(std::max<base::duration>(next_wakeup - now, base::duration::zero()));
   wakeup_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
       wakeup_at_.reset();
@@ -154,37 +156,37 @@
   });
 }
 
-void runtime::carry_out(node::command& wanted) {
-  if (auto* message = std::get_if<wire::outgoing>(&wanted)) {
+void runtime::carry_out(node::command& command) {
+  if (auto* message = std::get_if<wire::outgoing>(&command)) {
     peers_->send(*message);
-  } else if (auto* start = std::get_if<execution::start_call>(&wanted)) {
+  } else if (auto* start = std::get_if<execution::start_call>(&command)) {
     backends_->start(start->call);
-  } else if (auto* cancel = std::get_if<execution::cancel_call>(&wanted)) {
+  } else if (auto* cancel = std::get_if<execution::cancel_call>(&command)) {
     backends_->cancel(cancel->call);
-  } else if (auto* token = std::get_if<execution::send_token>(&wanted)) {
+  } else if (auto* token = std::get_if<execution::send_token>(&command)) {
     callers_->send_token(token->caller, token->offset, std::move(token->text));
-  } else if (auto* answer = std::get_if<execution::send_answer>(&wanted)) {
+  } else if (auto* answer = std::get_if<execution::send_answer>(&command)) {
     log_answer(answer->content);
     const auto caller = std::get<execution::local_caller>(answer->caller);
     callers_->send_answer(caller.id, std::move(answer->content));
-  } else if (auto* ticket = std::get_if<node::send_ticket>(&wanted)) {
+  } else if (auto* ticket = std::get_if<node::send_ticket>(&command)) {
     callers_->send_ticket(ticket->caller, std::move(ticket->ticket), ticket->lifetime);
-  } else if (auto* read = std::get_if<node::read_service>(&wanted)) {
-    platform_->read(*read);
-  } else if (auto* probe = std::get_if<node::probe_service>(&wanted)) {
-    platform_->probe(*probe);
-  } else if (auto* serving = std::get_if<serving::command>(&wanted)) {
+  } else if (auto* read = std::get_if<node::read_service>(&command)) {
+    publication_->read(*read);
+  } else if (auto* probe = std::get_if<node::probe_service>(&command)) {
+    publication_->probe(*probe);
+  } else if (auto* serving = std::get_if<serving::command>(&command)) {
     serving_->carry_out(std::move(*serving));
-  } else if (auto* decision = std::get_if<node::log_decision>(&wanted)) {
+  } else if (auto* decision = std::get_if<node::log_decision>(&command)) {
     log_decision(decision->what);
-  } else if (std::holds_alternative<node::stop_completed>(wanted)) {
+  } else if (std::holds_alternative<node::stop_completed>(command)) {
     if (serving_) {
       serving_->stop_accepting();
     } else {
       callers_->stop_accepting();
     }
-    exit_not_before_ = base::boot_clock::now() + exit_grace;
-    exit_when_written();
+    earliest_exit_at_ = base::boot_clock::now() + min_exit_delay;
+    exit_when_idle();
   }
 }
 
@@ -197,24 +199,25 @@
                   {"reason", std::string(execution::name_of(content.why))}});
 }
 
-void runtime::log_decision(const base::event& what) {
-  logging::write(
-      logging::severity::info, base::name_of(what.kind),
-      {{"request_id", what.request.text()}, {"subject", what.subject}, {"detail", what.detail}});
+void runtime::log_decision(const base::event& decision) {
+  logging::write(logging::severity::info, base::name_of(decision.kind),
+                 {{"request_id", decision.request.text()},
+                  {"subject", decision.subject},
+                  {"detail", decision.detail}});
 }
 
-process_facts runtime::facts() const {
-  process_facts known{peers_->dropped(), busy(), nullptr, nullptr, nullptr};
+process_stats runtime::stats() const {
+  process_stats current{peers_->dropped(), busy_connections(), nullptr, nullptr, nullptr};
   if (serving_) {
-    known.readers = &serving_->readers();
-    known.budget = serving_->budget().get();
-    known.replica_connections = &serving_->replica_connections();
+    current.readers = &serving_->readers();
+    current.budget = serving_->budget().get();
+    current.replica_connections = &serving_->replica_connections();
   }
-  return known;
+  return current;
 }
 
-std::size_t runtime::busy() const {
-  return serving_ ? serving_->busy() : callers_->busy();
+std::size_t runtime::busy_connections() const {
+  return serving_ ? serving_->busy_connections() : callers_->busy();
 }
 
 void runtime::log_stopped() const {
@@ -245,17 +248,17 @@
 }
 
 void runtime::reload() {
-  const auto read = reread_();
-  if (!read.value) {
+  const auto loaded = load_settings_();
+  if (!loaded.value) {
     const auto fault =
-        read.faults.empty() ? "cannot be read" : model::describe(read.faults.front());
+        loaded.faults.empty() ? "cannot be read" : model::describe(loaded.faults.front());
     logging::write(logging::severity::warning, "settings not reloaded", {{"reason", fault}});
     return;
   }
   // Addresses and limits of connections stay as they were at the start.
-  post(node::seeds_changed{read.value->node.seeds});
+  post(node::seeds_changed{loaded.value->node.seeds});
   logging::write(logging::severity::info, "settings reloaded",
-                 {{"seeds", std::to_string(read.value->node.seeds.size())}});
+                 {{"seeds", std::to_string(loaded.value->node.seeds.size())}});
 }
 
 void runtime::begin_stop() {
@@ -264,24 +267,24 @@
     serving_->begin_stop();
   }
   if (settings_.node.serving) {
-    exit_latest_ =
-        base::boot_clock::now() + settings_.node.serving->max_stop_duration + last_answers_time;
+    exit_deadline_ =
+        base::boot_clock::now() + settings_.node.serving->max_stop_duration + last_answers_timeout;
   }
   post(node::stop_requested{});
 }
 
-void runtime::exit_when_written() {
+void runtime::exit_when_idle() {
   const auto now = base::boot_clock::now();
-  const bool is_done = busy() == 0 && now >= exit_not_before_;
-  if (is_done || now >= exit_latest_) {
+  const bool is_done = busy_connections() == 0 && now >= earliest_exit_at_;
+  if (is_done || now >= exit_deadline_) {
     log_stopped();
     io_->stop();
     return;
   }
-  exit_timer_.expires_after(exit_poll);
+  exit_timer_.expires_after(exit_poll_interval);
   exit_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
-      exit_when_written();
+      exit_when_idle();
     }
   });
 }
--- a/src/daemon/serving_adapters.cc
+++ b/src/daemon/serving_adapters.cc
@@ -12,21 +12,21 @@
   http::ingress_server* clients;
   upstream::replica_client* replicas;
 
-  void operator()(serving::start_call& wanted) const { replicas->start(std::move(wanted)); }
-  void operator()(serving::start_stage_call& wanted) const { replicas->start(std::move(wanted)); }
-  void operator()(serving::free_results& wanted) const { replicas->start(std::move(wanted)); }
-  void operator()(serving::close_connections& wanted) const {
-    replicas->close_resting(wanted.address);
+  void operator()(serving::start_call& command) const { replicas->start(std::move(command)); }
+  void operator()(serving::start_stage_call& command) const { replicas->start(std::move(command)); }
+  void operator()(serving::free_results& command) const { replicas->start(std::move(command)); }
+  void operator()(serving::close_connections& command) const {
+    replicas->close_resting(command.address);
   }
-  void operator()(serving::probe_replica& wanted) const {
-    replicas->probe(std::move(wanted.target));
+  void operator()(serving::probe_replica& command) const {
+    replicas->probe(std::move(command.target));
   }
-  void operator()(serving::cancel_call& wanted) const { replicas->cancel(wanted.call); }
-  void operator()(serving::pause_call& wanted) const { replicas->pause(wanted.call); }
-  void operator()(serving::resume_call& wanted) const { replicas->resume(wanted.call); }
+  void operator()(serving::cancel_call& command) const { replicas->cancel(command.call); }
+  void operator()(serving::pause_call& command) const { replicas->pause(command.call); }
+  void operator()(serving::resume_call& command) const { replicas->resume(command.call); }
   template <typename client_command>
-  void operator()(client_command& wanted) const {
-    clients->carry_out(std::move(wanted));
+  void operator()(client_command& command) const {
+    clients->carry_out(std::move(command));
   }
 };
 
@@ -44,7 +44,7 @@
           io, endpoints.listen, codec,
           {budget_, flow::client_connections(limits.resources.descriptors)},
           {[post](serving::request_arrived arrived) { post(std::move(arrived)); },
-           [post](serving::client_disconnected left) { post(left); },
+           [post](serving::client_disconnected disconnection) { post(disconnection); },
            [post](serving::client_window window) { post(window); }})),
       replicas_(upstream::make_replica_client(io, codec, limits, budget_, post)),
       readiness_(http::make_operator_server(
@@ -57,8 +57,8 @@
             return http::operator_document{"application/json", "{\"ready\":true}\n"};
           })) {}
 
-void serving_adapters::carry_out(serving::command wanted) {
-  std::visit(command_router{clients_.get(), replicas_.get()}, wanted);
+void serving_adapters::carry_out(serving::command command) {
+  std::visit(command_router{clients_.get(), replicas_.get()}, command);
 }
 
 } // namespace spurrack::daemon
--- a/src/daemon/serving_adapters.h
+++ b/src/daemon/serving_adapters.h
@@ -24,11 +24,11 @@
                    const serving::serving_settings& limits, const serving::request_codec& codec,
                    const std::function<void(serving::event)>& post, std::function<bool()> is_ready);
 
-  void carry_out(serving::command wanted);
+  void carry_out(serving::command command);
   void set_limits(const model::client_limits& limits) { clients_->set_limits(limits); }
   void begin_stop() { clients_->begin_stop(); }
   void stop_accepting() { clients_->stop_accepting(); }
-  [[nodiscard]] std::size_t busy() const { return clients_->busy(); }
+  [[nodiscard]] std::size_t busy_connections() const { return clients_->busy(); }
   [[nodiscard]] std::size_t client_connections() const { return clients_->connections(); }
   [[nodiscard]] const http::reader_counters& readers() const { return clients_->readers(); }
   [[nodiscard]] const std::shared_ptr<flow::byte_budget>& budget() const { return budget_; }
