--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -1,4 +1,4 @@
-/// spurrackd: the daemon. Reads its settings, starts one node, runs until SIGTERM.
+/// spurrackd: the daemon. Reads its settings, starts one node and runs until SIGTERM or SIGINT.
 #include "daemon/runtime.h"
 #include "http_codec.h"
 #include "logging/guarded_main.h"
@@ -21,7 +21,8 @@
 constexpr int exit_bad_settings = 2;
 constexpr int exit_cannot_start = 3;
 
-/// Holds SIGHUP back or lets it come. Before the runtime handles it, it would end the process.
+/// Blocks or unblocks SIGHUP. The signal would end the process if it arrived before the runtime
+/// handles it.
 /// @param how SIG_BLOCK or SIG_UNBLOCK.
 void mask_reload_signal(int how) {
   sigset_t reload;
@@ -30,7 +31,7 @@
   pthread_sigmask(how, &reload, nullptr);
 }
 
-/// @return the settings, or why there are none; no fault is given where the file cannot be read.
+/// @return the settings, or the faults in them; neither if the file cannot be read.
 spurrack::settings::settings_result read_settings(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
@@ -69,11 +70,12 @@
         io, std::move(*settings),
         {spurrack::platform::make_http_codec(), spurrack::platform::make_store_client},
         [path] { return read_settings(path); });
-    // One that came meanwhile is handled now: the settings may have changed after they were read.
+    // A SIGHUP that arrived in the meantime is handled now: the settings may have changed after
+    // they were read.
     mask_reload_signal(SIG_UNBLOCK);
     io.run();
   } catch (const std::exception& error) {
-    spurrack::logging::write(spurrack::logging::severity::error, "cannot go on",
+    spurrack::logging::write(spurrack::logging::severity::error, "fatal error",
                              {{"reason", error.what()}});
     return exit_cannot_start;
   }
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -206,7 +206,8 @@
   return {{"replicas", std::move(replicas)}};
 }
 
-/// Replicas that are sent nothing since they said so: they leave, or asked this node for a pause.
+/// Returns the replicas that are sent no requests because they announced their drain or requested a
+/// backoff from this node.
 json::object unavailable_document(const node::node& subject, base::time_point now) {
   json::array replicas;
   if (const auto* serving = subject.serving()) {
--- a/src/daemon/operator_documents.h
+++ b/src/daemon/operator_documents.h
@@ -1,4 +1,4 @@
-/// The documents that operators read: JSON about one node, and its metrics.
+/// Documents of the operator listener: JSON documents about one node, and its metrics.
 #pragma once
 
 #include "flow/byte_budget.h"
@@ -11,24 +11,24 @@
 
 namespace spurrack::daemon {
 
-/// Facts that the node itself does not know.
+/// State of the adapters of the process, which the node does not know.
 struct process_stats {
   std::uint64_t dropped_peer_messages = 0;
   std::size_t busy_connections = 0;
-  /// Null where the node serves no published routes.
+  /// This and the following pointers are null if the node does not serve published routes.
   const http::reader_counters* readers = nullptr;
   const flow::byte_budget* budget = nullptr;
   const upstream::connection_counters* replica_connections = nullptr;
 };
 
-/// @return the document at `path`; nothing where there is none.
+/// @return the document at `path`; std::nullopt if there is none.
 std::optional<http::operator_document> make_document(const std::string& path,
                                                      const node::node& subject,
                                                      const process_stats& stats,
                                                      base::time_point now);
 
-/// Reads what an operator asks for.
-/// @return the event that brings it about; nothing where the path asks for nothing.
+/// Parses the path of an action that an operator requests.
+/// @return the event that triggers the action; std::nullopt if the path names no valid action.
 std::optional<node::event> parse_action(const std::string& path);
 
 /// @return the metrics in the Prometheus text format.
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -16,11 +16,13 @@
 namespace {
 
 constexpr std::chrono::milliseconds exit_poll_interval{20};
-/// Time for requests on connections that were accepted last.
+/// Minimum time from the end of the stop to the exit, in which requests can arrive on the
+/// connections that were accepted last.
 constexpr std::chrono::milliseconds min_exit_delay{200};
-/// Time after a node has given up what was left for its last answers to be written. Clients that
-/// take none of theirs, and connections without a request, are not waited for beyond it: the kill
-/// that follows 0.7 s after the giving up would cut the others too.
+/// Time in which the last answers can be written after a stopping node has aborted its remaining
+/// requests. The process then exits, and does not wait longer for clients that do not read their
+/// answers and for connections without a request: it is killed 0.7 s after the requests are
+/// aborted, and the kill would cut off the other clients as well.
 constexpr std::chrono::milliseconds last_answers_timeout{500};
 
 std::uint64_t random_seed() {
@@ -142,7 +144,8 @@
   const auto now = base::boot_clock::now();
   const auto next_wakeup = node_.next_wakeup();
   if (wakeup_at_ && *wakeup_at_ > now && *wakeup_at_ <= next_wakeup) {
-    // Each event of a stream puts its next check off; the timer is set anew when it has fired.
+    // Each event of a stream postpones the next wakeup time. The pending timer is kept and set
+    // again when it has fired, instead of being set again for each event.
     return;
   }
   wakeup_at_ = next_wakeup;
@@ -255,7 +258,7 @@
     logging::write(logging::severity::warning, "settings not reloaded", {{"reason", fault}});
     return;
   }
-  // Addresses and limits of connections stay as they were at the start.
+  // Addresses and limits of connections keep their values until the process is restarted.
   post(node::seeds_changed{loaded.value->node.seeds});
   logging::write(logging::severity::info, "settings reloaded",
                  {{"seeds", std::to_string(loaded.value->node.seeds.size())}});
--- a/src/daemon/runtime.h
+++ b/src/daemon/runtime.h
@@ -1,4 +1,5 @@
-/// Drives one node from Asio: turns what the adapters report into events and carries out commands.
+/// Runs one node on an Asio io_context: passes the events that the adapters report to the node, and
+/// carries out its commands through the adapters.
 #pragma once
 
 #include "backends/backend_client.h"
@@ -23,7 +24,7 @@
 
 namespace spurrack::daemon {
 
-/// What the serving path needs to speak with the users' platform.
+/// Adapters for the protocols of the users' platform, used by the serving path.
 struct platform_adapters {
   std::unique_ptr<serving::request_codec> codec;
   std::function<std::unique_ptr<publication::publication_client>(
@@ -31,22 +32,24 @@
       make_store_client;
 };
 
-/// Reads the settings anew, as the start did.
+/// Reads the settings in the same way as at the start of the process.
 using settings_loader = std::function<settings::settings_result()>;
 
 /// Owns the node and all adapters; everything runs on the thread of the io_context.
 class runtime {
  public:
-  /// Binds all listeners and starts.
-  /// @throws std::system_error or boost::system::system_error where an address cannot be bound.
-  /// @param reread reads the settings file anew; nothing where it does not check.
+  /// Binds all listeners and starts the node.
+  /// @throws std::system_error or boost::system::system_error if an address cannot be bound.
+  /// @param load_settings called on SIGHUP; its result has no value if the settings file cannot be
+  ///        read or is invalid.
   runtime(boost::asio::io_context& io, settings::daemon_settings settings,
           platform_adapters adapters, settings_loader load_settings);
 
  private:
-  /// Queues an event; it is handled on the next turn of the io_context, never within another.
+  /// Queues an event. It is handled by a later handler of the io_context, so never while another
+  /// event is handled.
   void post(node::event input_event);
-  /// Handles what was queued up to now, in order.
+  /// Handles the events that are queued at the time of the call, in order.
   void handle_queued_events();
   void handle(const node::event& input_event);
   void carry_out(node::command& command);
@@ -55,17 +58,21 @@
   void log_decision(const base::event& decision);
   [[nodiscard]] std::size_t busy_connections() const;
   [[nodiscard]] process_stats stats() const;
-  /// Has what an operator asks for done on the next turn of the io_context.
+  /// Queues the action that an operator requested.
+  /// @return the answer to the operator; std::nullopt if the path names no action.
   std::optional<http::operator_document> handle_action(const std::string& path);
-  /// Sees to it that the node is woken no later than it wants; it may be woken before.
+  /// Ensures that the node receives `time_passed` no later than at its next wakeup time. An earlier
+  /// timer that is already pending is kept.
   void schedule_wakeup();
   void begin_stop();
   void watch_signals();
-  /// Reads the settings again and takes over what can change in a running process.
+  /// Reads the settings again and applies those that can change in a running process: the seeds.
   void reload();
+  /// Stops the io_context once no connection is busy, but not before `earliest_exit_at_`, and at
+  /// the latest at `exit_deadline_`.
   void exit_when_idle();
   void log_answer(const execution::answer& content);
-  /// The last line of a planned stop, with what became of the requests during it.
+  /// Writes the last log line of a graceful stop, with the outcomes of requests during the stop.
   void log_stopped() const;
 
   boost::asio::io_context* io_;
@@ -75,22 +82,24 @@
   std::unique_ptr<peers::peer_transport> peers_;
   std::unique_ptr<backends::backend_client> backends_;
   std::unique_ptr<publication::publication_client> publication_;
-  /// Set where the node serves its own interface.
+  /// Set if the node serves its own interface: requests on pipeline templates.
   std::unique_ptr<http::caller_server> callers_;
   platform_adapters adapters_;
   settings_loader load_settings_;
-  /// Set where the node serves published routes.
+  /// Set if the node serves published routes.
   std::unique_ptr<serving_adapters> serving_;
+  /// Configuration whose client limits are in effect.
   std::shared_ptr<const model::serving_configuration> applied_configuration_;
   std::unique_ptr<http::operator_server> operators_;
-  /// Events that wait for their turn.
+  /// Events that have not been handled yet.
   std::vector<node::event> queued_events_;
   boost::asio::steady_timer wakeup_;
-  /// When `wakeup_` fires; unset where it is not waited for.
+  /// Time at which `wakeup_` fires; std::nullopt if it is not armed.
   std::optional<base::time_point> wakeup_at_;
   boost::asio::steady_timer exit_timer_;
   base::time_point earliest_exit_at_;
-  /// The process ends by then; without a bound where no grace is set.
+  /// Time from which a stopping process exits even if connections are busy; unlimited if the node
+  /// does not serve published routes.
   base::time_point exit_deadline_ = base::time_point::max();
   boost::asio::signal_set signals_;
 };
--- a/src/daemon/serving_adapters.cc
+++ b/src/daemon/serving_adapters.cc
@@ -7,7 +7,7 @@
 namespace spurrack::daemon {
 namespace {
 
-/// Chooses the adapter of each command.
+/// Passes each command to the adapter that carries it out.
 struct command_router {
   http::ingress_server* clients;
   upstream::replica_client* replicas;
--- a/src/daemon/serving_adapters.h
+++ b/src/daemon/serving_adapters.h
@@ -1,4 +1,5 @@
-/// The serving path's connections: clients, replicas and the balancer's readiness check.
+/// Network adapters of the serving path: the listener for clients, the connections to replicas and
+/// the listener for the load balancer's readiness check.
 #pragma once
 
 #include "http/ingress_server.h"
@@ -19,7 +20,9 @@
  public:
   /// Binds the listeners.
   /// @param codec must outlive the adapters.
-  /// @param post takes in what happens; @param is_ready whether the node takes new requests.
+  /// @param post receives the events of clients and replicas.
+  /// @param is_ready returns whether the node accepts new requests.
+  /// @throws boost::system::system_error if an address cannot be bound.
   serving_adapters(boost::asio::io_context& io, const settings::serving_endpoints& endpoints,
                    const serving::serving_settings& limits, const serving::request_codec& codec,
                    const std::function<void(serving::event)>& post, std::function<bool()> is_ready);
