--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -1,4 +1,4 @@
-/// spurrackctl: the operators' tool. All but `release` only read.
+/// spurrackctl: command-line tool for operators. All commands except `release` are read-only.
 #include "ctl/check.h"
 #include "ctl/reports.h"
 #include "ctl/request_log.h"
@@ -29,25 +29,25 @@
 constexpr const char* commands_help =
     "Commands:\n"
     "  check FILE...     check templates, tenants, machine records and settings, offline\n"
-    "  status            readiness, configuration in force, refused entries, of each node\n"
-    "  nodes             who each node sees as alive\n"
+    "  status            readiness, configuration in effect and rejected entries of each node\n"
+    "  nodes             members of the fleet and their state, as each node sees them\n"
     "  backends          back ends as each node sees them\n"
-    "  templates         templates and tenants in force\n"
-    "  costs             cost by tenant, template and stage, over all nodes\n"
+    "  templates         templates and tenants in effect\n"
+    "  costs             cost by tenant, template and stage, summed over all nodes\n"
     "  timeline          events of all nodes in causal order\n"
-    "  quarantine        requests under which replicas ended, as each node knows them\n"
-    "  limits            replicas that name how many requests a second they take\n"
-    "  unavailable       replicas that said that they leave, or asked for a pause\n"
-    "  release DIGEST    let a request go that is held back; the nodes tell one another\n"
+    "  quarantine        requests under which replicas exited, as each node knows them\n"
+    "  limits            replicas that announce a limit on requests per second\n"
+    "  unavailable       replicas that announced their drain or requested a backoff\n"
+    "  release DIGEST    release a quarantined request; the nodes forward the release\n"
     "  explain REQUEST [LOGFILE...]\n"
-    "                    the time line of one request, from live nodes or from their logs\n"
+    "                    the timeline of one request, from live nodes or from their logs\n"
     "  account LOGFILE...\n"
-    "                    what became of all requests, by route, and why those not served were not\n"
-    "Exit codes: 0 well, 1 something is refused or not ready, 2 bad usage, 3 a node did not "
+    "                    outcomes of all requests by route, and reasons for unserved requests\n"
+    "Exit codes: 0 success, 1 something is refused or not ready, 2 bad usage, 3 a node did not "
     "answer.\n";
 
-/// Reads log files; says on standard error what is missing in them.
-/// @return nothing where a file cannot be read.
+/// Reads log files. Prints the numbers of unreadable and dropped lines to standard error.
+/// @return std::nullopt if a file cannot be read.
 std::optional<spurrack::ctl::request_log> read_logs(const std::vector<std::string>& files) {
   spurrack::ctl::request_log log;
   for (const auto& name : files) {
@@ -58,8 +58,8 @@
     }
     spurrack::ctl::read_log(file, log);
   }
-  if (log.unreadable + log.dropped > 0) {
-    std::cerr << log.unreadable << " lines are no log lines, " << log.dropped
+  if (log.unreadable_lines + log.dropped_lines > 0) {
+    std::cerr << log.unreadable_lines << " lines are not valid log lines, " << log.dropped_lines
               << " were dropped by their nodes\n";
   }
   return log;
@@ -72,16 +72,16 @@
   }
   const auto events = spurrack::ctl::events_of(*log, request);
   spurrack::ctl::print(events, std::cout);
-  return events.empty() ? exit_code::refused : exit_code::well;
+  return events.empty() ? exit_code::problem_found : exit_code::success;
 }
 
-exit_code account_for_logs(const std::vector<std::string>& files) {
+exit_code summarize_logs(const std::vector<std::string>& files) {
   const auto log = read_logs(files);
   if (!log) {
     return exit_code::bad_usage;
   }
-  spurrack::ctl::print(spurrack::ctl::account_for(*log), std::cout);
-  return exit_code::well;
+  spurrack::ctl::print(spurrack::ctl::summarize(*log), std::cout);
+  return exit_code::success;
 }
 
 exit_code run(const std::string& command, const std::vector<std::string>& arguments,
@@ -94,7 +94,7 @@
     return exit_code::bad_usage;
   }
   if (command == "account") {
-    return account_for_logs(arguments);
+    return summarize_logs(arguments);
   }
   if (command == "explain" && arguments.size() > 1) {
     return explain_from_logs(arguments.front(), {arguments.begin() + 1, arguments.end()});
@@ -119,8 +119,8 @@
 
 int run_program(int argc, char** argv) {
   cxxopts::Options options("spurrackctl",
-                           "Shows what a spurrack fleet does. Changes nothing, but for release.");
-  options.add_options()("nodes", "operator listeners, IP:port, comma between",
+                           "Shows the state of a spurrack fleet. Only release changes anything.");
+  options.add_options()("nodes", "operator listeners, IP:port, separated by commas",
                         cxxopts::value<std::string>()->default_value(""))(
       "output", "text or json", cxxopts::value<std::string>()->default_value("text"))(
       "command", "command", cxxopts::value<std::string>()->default_value(""))(
@@ -129,7 +129,7 @@
   options.parse_positional({"command", "arguments"});
   options.positional_help("COMMAND [ARGUMENT...]");
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(options, given)) {
+  if (spurrack::logging::handle_usual_options(options, given)) {
     std::cout << (given.count("help") > 0 ? commands_help : "");
     return 0;
   }
--- a/src/ctl/reports.cc
+++ b/src/ctl/reports.cc
@@ -16,7 +16,7 @@
 
 namespace json = boost::json;
 
-/// Document of one node.
+/// Document fetched from one node.
 struct node_document {
   std::string address;
   json::object content;
@@ -26,7 +26,7 @@
   return value.is_string() ? std::string(value.as_string()) : json::serialize(value);
 }
 
-/// Prints rows under the names of their fields, columns aligned.
+/// Prints rows in aligned columns, with the names of the fields as headings.
 void print_table(const json::array& rows, const std::vector<std::string>& columns,
                  std::ostream& out) {
   std::map<std::string, std::size_t> widths;
@@ -62,8 +62,8 @@
       const auto& entry = rejected.as_object();
       out << text_of(document.content.at("node")) << ": refused " << text_of(entry.at("key"))
           << " revision " << text_of(entry.at("revision"))
-          << " (in force: " << text_of(entry.at("in_force")) << "): " << text_of(entry.at("reason"))
-          << "\n";
+          << " (in effect: " << text_of(entry.at("in_force"))
+          << "): " << text_of(entry.at("reason")) << "\n";
     }
   }
 }
@@ -76,25 +76,25 @@
   }
 }
 
-/// Adds up the same row of several nodes.
+/// Sums the cost rows of all nodes by tenant, template and stage.
 json::array sum_costs(const std::vector<node_document>& documents) {
   std::map<std::tuple<std::string, std::string, std::string>, json::object> totals;
   for (const auto& document : documents) {
     for (const auto& row : document.content.at("costs").as_array()) {
       const auto& cost = row.as_object();
-      auto [place, added] = totals.try_emplace(
+      auto [entry, is_new] = totals.try_emplace(
           {text_of(cost.at("tenant")), text_of(cost.at("template")), text_of(cost.at("stage"))},
           cost);
-      if (added) {
+      if (is_new) {
         continue;
       }
       for (const auto* name : {"backend_ms", "wasted_ms"}) {
-        place->second[name] =
-            place->second[name].to_number<double>() + cost.at(name).to_number<double>();
+        entry->second[name] =
+            entry->second[name].to_number<double>() + cost.at(name).to_number<double>();
       }
       for (const auto* name : {"tokens", "attempts"}) {
-        place->second[name] =
-            place->second[name].to_number<std::int64_t>() + cost.at(name).to_number<std::int64_t>();
+        entry->second[name] =
+            entry->second[name].to_number<std::int64_t>() + cost.at(name).to_number<std::int64_t>();
       }
     }
   }
@@ -105,7 +105,8 @@
   return rows;
 }
 
-/// @return the events of all nodes in the order of their hybrid timestamps.
+/// @param request if set, only the events of this request are returned.
+/// @return events of all nodes, ordered by hybrid timestamp.
 json::array merge_events(const std::vector<node_document>& documents,
                          const std::optional<std::string>& request) {
   std::vector<json::object> events;
@@ -180,7 +181,9 @@
   out << json::serialize(body) << "\n";
 }
 
-bool all_well(const std::string& command, const std::vector<node_document>& documents) {
+/// @return whether the nodes of a `status` report are ready and have no rejected entries; true for
+///         all other commands.
+bool all_healthy(const std::string& command, const std::vector<node_document>& documents) {
   if (command != "status") {
     return true;
   }
@@ -227,7 +230,7 @@
   if (!all_answered) {
     return exit_code::unreachable;
   }
-  return all_well(command, documents) ? exit_code::well : exit_code::refused;
+  return all_healthy(command, documents) ? exit_code::success : exit_code::problem_found;
 }
 
 exit_code release(const std::string& digest, const std::vector<std::string>& nodes,
@@ -241,12 +244,12 @@
       out << address << ": accepted\n";
     } else {
       errors << address << ": "
-             << (answer.error.empty() ? "refused, no digest of 32 hexadecimal digits"
+             << (answer.error.empty() ? "refused, not a digest of 32 hexadecimal digits"
                                       : answer.error)
              << "\n";
     }
   }
-  return any_accepted ? exit_code::well : exit_code::unreachable;
+  return any_accepted ? exit_code::success : exit_code::unreachable;
 }
 
 } // namespace spurrack::ctl
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -1,4 +1,4 @@
-/// spurrackd: the daemon. Reads its settings, starts one node, runs until SIGTERM.
+/// spurrackd: the daemon. Reads its settings, starts one node and runs until SIGTERM or SIGINT.
 #include "daemon/runtime.h"
 #include "http_codec.h"
 #include "logging/guarded_main.h"
@@ -21,7 +21,8 @@
 constexpr int exit_bad_settings = 2;
 constexpr int exit_cannot_start = 3;
 
-/// Holds SIGHUP back or lets it come. Before the runtime handles it, it would end the process.
+/// Blocks or unblocks SIGHUP. The signal would end the process if it arrived before the runtime
+/// handles it.
 /// @param how SIG_BLOCK or SIG_UNBLOCK.
 void mask_reload_signal(int how) {
   sigset_t reload;
@@ -30,7 +31,7 @@
   pthread_sigmask(how, &reload, nullptr);
 }
 
-/// @return the settings, or why there are none; no fault is given where the file cannot be read.
+/// @return the settings, or the faults in them; neither if the file cannot be read.
 spurrack::settings::settings_result read_settings(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
@@ -41,22 +42,22 @@
   return spurrack::settings::parse_settings(text.str());
 }
 
-void print_faults(const std::string& path, const spurrack::settings::settings_result& read) {
-  if (read.faults.empty()) {
+void print_faults(const std::string& path, const spurrack::settings::settings_result& result) {
+  if (result.faults.empty()) {
     std::cerr << path << ": cannot be read\n";
   }
-  for (const auto& fault : read.faults) {
+  for (const auto& fault : result.faults) {
     std::cerr << path << ": " << spurrack::model::describe(fault) << "\n";
   }
 }
 
 int run(const std::string& path, bool check_only) {
-  auto read = read_settings(path);
-  if (!read.value) {
-    print_faults(path, read);
+  auto result = read_settings(path);
+  if (!result.value) {
+    print_faults(path, result);
     return exit_bad_settings;
   }
-  auto& settings = read.value;
+  auto& settings = result.value;
   if (check_only) {
     std::cout << path << ": ok\n";
     return exit_ok;
@@ -69,11 +70,12 @@
         io, std::move(*settings),
         {spurrack::platform::make_http_codec(), spurrack::platform::make_store_client},
         [path] { return read_settings(path); });
-    // One that came meanwhile is handled now: the settings may have changed after they were read.
+    // A SIGHUP that arrived in the meantime is handled now: the settings may have changed after
+    // they were read.
     mask_reload_signal(SIG_UNBLOCK);
     io.run();
   } catch (const std::exception& error) {
-    spurrack::logging::write(spurrack::logging::severity::error, "cannot go on",
+    spurrack::logging::write(spurrack::logging::severity::error, "fatal error",
                              {{"reason", error.what()}});
     return exit_cannot_start;
   }
@@ -86,7 +88,7 @@
       "check-settings", "check the settings and exit");
   spurrack::logging::add_usual_options(options);
   const auto given = options.parse(argc, argv);
-  if (spurrack::logging::answer_usual_options(
+  if (spurrack::logging::handle_usual_options(
           options, given,
           "0 stopped or settings valid, 2 bad usage or settings, 3 cannot start.")) {
     return exit_ok;
