--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -363,7 +363,7 @@
   }
 }
 
-void add_readers(Registry& registry, const http::reader_counters& readers) {
+void add_readers(Registry& registry, const http::ingress_counters& readers) {
   const auto add = count_adder(registry);
   add("spurrack_windows_closed_total", "Times a replica's side had to rest for its client.",
       readers.windows_closed);
@@ -374,8 +374,8 @@
                     .Name("spurrack_readers_ended_total")
                     .Help("Clients whose answer was ended as not whole, by reason.")
                     .Register(registry);
-  ended.Add({{"reason", "unread"}}).Increment(static_cast<double>(readers.ended_unread));
-  ended.Add({{"reason", "no_memory"}}).Increment(static_cast<double>(readers.ended_for_memory));
+  ended.Add({{"reason", "unread"}}).Increment(static_cast<double>(readers.aborted_unread));
+  ended.Add({{"reason", "no_memory"}}).Increment(static_cast<double>(readers.aborted_for_memory));
   auto& refused = BuildCounter()
                       .Name("spurrack_arrivals_refused_total")
                       .Help("Requests refused before they were read, by what was missing.")
--- a/src/daemon/operator_documents.h
+++ b/src/daemon/operator_documents.h
@@ -16,7 +16,7 @@
   std::uint64_t peer_messages_dropped = 0;
   std::size_t callers_busy = 0;
   /// Null where the node serves no published routes.
-  const http::reader_counters* readers = nullptr;
+  const http::ingress_counters* readers = nullptr;
   const flow::byte_budget* budget = nullptr;
   const upstream::connection_counters* replica_connections = nullptr;
 };
--- a/src/daemon/serving_adapters.cc
+++ b/src/daemon/serving_adapters.cc
@@ -16,7 +16,7 @@
   void operator()(serving::start_stage_call& wanted) const { replicas->start(std::move(wanted)); }
   void operator()(serving::free_results& wanted) const { replicas->start(std::move(wanted)); }
   void operator()(serving::close_connections& wanted) const {
-    replicas->close_resting(wanted.address);
+    replicas->close_idle(wanted.address);
   }
   void operator()(serving::probe_replica& wanted) const {
     replicas->probe(std::move(wanted.target));
--- a/src/http/answer_writer.cc
+++ b/src/http/answer_writer.cc
@@ -31,8 +31,8 @@
   return status != no_content && status != not_modified;
 }
 
-std::string whole_head(unsigned status, const serving::header_list& headers, std::size_t body_bytes,
-                       after_answer connection) {
+std::string fixed_length_head(unsigned status, const serving::header_list& headers,
+                              std::size_t body_bytes, after_answer connection) {
   auto text = head(status, headers, connection);
   if (has_body(status)) {
     text += "Content-Length: " + std::to_string(body_bytes) + "\r\n";
@@ -42,7 +42,7 @@
 
 std::string whole_answer(unsigned status, const serving::header_list& headers,
                          std::string_view body, bool head_only, after_answer connection) {
-  auto text = whole_head(status, headers, body.size(), connection);
+  auto text = fixed_length_head(status, headers, body.size(), connection);
   if (has_body(status) && !head_only) {
     text.append(body);
   }
--- a/src/http/answer_writer.h
+++ b/src/http/answer_writer.h
@@ -12,8 +12,8 @@
 enum class after_answer : std::uint8_t { keep_open, close };
 
 /// @return the head of a whole answer whose body of `body_bytes` follows, where it may have one.
-std::string whole_head(unsigned status, const serving::header_list& headers, std::size_t body_bytes,
-                       after_answer connection);
+std::string fixed_length_head(unsigned status, const serving::header_list& headers,
+                              std::size_t body_bytes, after_answer connection);
 
 /// @return whether answers of this status have a body at all.
 bool has_body(unsigned status);
--- a/src/http/caller_server.cc
+++ b/src/http/caller_server.cc
@@ -5,7 +5,7 @@
 #include "http/connection_acceptor.h"
 #include "http/count_guard.h"
 #include "http/endpoint.h"
-#include "http/read_limit.h"
+#include "http/read_deadline.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -147,7 +147,7 @@
       co_await refuse(stream, request_fault::too_many_connections, "try another node");
     } else {
       beast::flat_buffer buffer;
-      std::optional<fresh_connections::guard> fresh(std::in_place, fresh_);
+      std::optional<new_connections::guard> fresh(std::in_place, fresh_);
       bool go_on = true;
       while (go_on) {
         go_on = co_await serve_one(stream, buffer, fresh);
@@ -159,7 +159,7 @@
 
   /// Serves one request. @return whether the connection may carry another.
   asio::awaitable<bool> serve_one(beast::tcp_stream& stream, beast::flat_buffer& buffer,
-                                  std::optional<fresh_connections::guard>& fresh) {
+                                  std::optional<new_connections::guard>& fresh) {
     boost::system::error_code error;
     if (buffer.size() == 0) {
       stream.expires_after(limits_.idle_timeout);
@@ -177,7 +177,7 @@
     parser.body_limit(limits_.max_body_bytes);
     stream.expires_never();
     {
-      const read_limit limit(stream, limits_.receive_timeout);
+      const read_deadline limit(stream, limits_.receive_timeout);
       co_await beast_http::async_read(stream, buffer, parser, await_into(error));
       if (limit.passed()) {
         error = beast::error::timeout;
@@ -326,7 +326,7 @@
 
   asio::io_context* io_;
   connection_acceptor acceptor_;
-  fresh_connections fresh_;
+  new_connections fresh_;
   settings::caller_limits limits_;
   caller_observer observer_;
   bool stopping_ = false;
--- a/src/http/connection_acceptor.cc
+++ b/src/http/connection_acceptor.cc
@@ -91,7 +91,7 @@
   });
 }
 
-std::size_t fresh_connections::awaited(base::time_point now) const {
+std::size_t new_connections::awaited(base::time_point now) const {
   const bool waits = stopping_since_ <= now && now - stopping_since_ < first_request_wait;
   return waits ? count_ : 0;
 }
--- a/src/http/connection_acceptor.h
+++ b/src/http/connection_acceptor.h
@@ -44,12 +44,12 @@
 
 /// Connections that have not carried a request yet. They hold a planned stop for a while: their
 /// client may have been kept from sending, or this process from reading.
-class fresh_connections {
+class new_connections {
  public:
   /// Counts a connection until its first request arrives, or as long as it lasts.
   class guard : public count_guard {
    public:
-    explicit guard(fresh_connections& counted) : count_guard(counted.count_) {}
+    explicit guard(new_connections& counted) : count_guard(counted.count_) {}
   };
 
   void begin_stop(base::time_point now) { stopping_since_ = now; }
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -7,7 +7,7 @@
 #include "http/connection_acceptor.h"
 #include "http/count_guard.h"
 #include "http/endpoint.h"
-#include "http/read_limit.h"
+#include "http/read_deadline.h"
 #include "http/socket_options.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -182,8 +182,9 @@
       client.wake.cancel();
       return;
     }
-    push(client, {whole_head(wanted.status, wanted.headers, wanted.body.size(), client.connection),
-                  nullptr});
+    push(client,
+         {fixed_length_head(wanted.status, wanted.headers, wanted.body.size(), client.connection),
+          nullptr});
     if (has_body(wanted.status) && !client.head_only && !wanted.body.empty()) {
       push(client, {std::move(wanted.body), std::move(wanted.held)});
     }
@@ -238,7 +239,7 @@
     return busy_ + fresh_.awaited(base::boot_clock::now());
   }
   [[nodiscard]] std::size_t connections() const override { return connections_; }
-  [[nodiscard]] const reader_counters& readers() const override { return readers_; }
+  [[nodiscard]] const ingress_counters& readers() const override { return readers_; }
 
  private:
   void push(exchange& client, unwritten_bytes added) {
@@ -348,7 +349,7 @@
 
   asio::awaitable<void> serve(asio::ip::tcp::socket socket) {
     ++connections_;
-    prepare_socket(socket, unacknowledged_limit);
+    set_tcp_options(socket, unacknowledged_limit);
     beast::tcp_stream stream(std::move(socket));
     boost::system::error_code not_bounded;
     stream.socket().set_option(asio::socket_base::send_buffer_size(kernel_send_bytes), not_bounded);
@@ -358,7 +359,7 @@
       co_await refuse(stream, crowded_refusal);
     } else {
       beast::flat_buffer buffer;
-      std::optional<fresh_connections::guard> fresh(std::in_place, fresh_);
+      std::optional<new_connections::guard> fresh(std::in_place, fresh_);
       bool go_on = true;
       while (go_on) {
         go_on = co_await serve_one(stream, buffer, fresh);
@@ -372,7 +373,7 @@
 
   /// Serves one request. @return whether the connection may carry another.
   asio::awaitable<bool> serve_one(beast::tcp_stream& stream, beast::flat_buffer& buffer,
-                                  std::optional<fresh_connections::guard>& fresh) {
+                                  std::optional<new_connections::guard>& fresh) {
     boost::system::error_code error;
     if (buffer.size() == 0) {
       stream.expires_after(limits_.idle_timeout);
@@ -395,7 +396,7 @@
     parser.body_limit(limits_.max_body_bytes);
     stream.expires_never();
     {
-      const read_limit limit(stream, limits_.header_timeout);
+      const read_deadline limit(stream, limits_.header_timeout);
       co_await beast_http::async_read_header(stream, buffer, parser, await_into(error));
       if (limit.passed()) {
         error = beast::error::timeout;
@@ -409,7 +410,7 @@
       co_await asio::async_write(stream, asio::buffer(go_ahead), await_into(error));
     }
     if (!error && has_memory) {
-      const read_limit limit(stream, limits_.idle_timeout);
+      const read_deadline limit(stream, limits_.idle_timeout);
       error = co_await read_body(stream, buffer, parser, body, has_memory);
       if (limit.passed()) {
         error = beast::error::timeout;
@@ -503,8 +504,8 @@
 
   void note_end(const exchange& ended) {
     readers_.paused += ended.window.closed_duration(base::boot_clock::now());
-    readers_.ended_unread += ended.given_up == serving::disconnect_reason::unread ? 1 : 0;
-    readers_.ended_for_memory += ended.given_up == serving::disconnect_reason::no_memory ? 1 : 0;
+    readers_.aborted_unread += ended.given_up == serving::disconnect_reason::unread ? 1 : 0;
+    readers_.aborted_for_memory += ended.given_up == serving::disconnect_reason::no_memory ? 1 : 0;
   }
 
   static serving::raw_request raw_of(beast_http::request<beast_http::string_body>& message,
@@ -606,11 +607,11 @@
 
   asio::io_context* io_;
   connection_acceptor acceptor_;
-  fresh_connections fresh_;
+  new_connections fresh_;
   const serving::request_codec* codec_;
   ingress_resources resources_;
   ingress_observer observer_;
-  reader_counters readers_;
+  ingress_counters readers_;
   /// The slowest readers are not looked for before.
   base::time_point next_relief_;
   model::client_limits limits_;
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -30,14 +30,14 @@
 };
 
 /// What slow readers led to, for metrics.
-struct reader_counters {
+struct ingress_counters {
   std::uint64_t windows_closed = 0;
   /// Time that the replicas' sides of ended streams had to rest.
   base::duration paused{};
   /// Clients whose answer was ended as not whole because they took nothing for too long.
-  std::uint64_t ended_unread = 0;
+  std::uint64_t aborted_unread = 0;
   /// The same because they were the slowest when an answer found no memory.
-  std::uint64_t ended_for_memory = 0;
+  std::uint64_t aborted_for_memory = 0;
   /// Requests refused because there was no memory for their body, or no connection.
   std::uint64_t refused_for_memory = 0;
   std::uint64_t refused_connections = 0;
@@ -67,7 +67,7 @@
   ///         stop also those whose first request may still come.
   [[nodiscard]] virtual std::size_t busy() const = 0;
   [[nodiscard]] virtual std::size_t connections() const = 0;
-  [[nodiscard]] virtual const reader_counters& readers() const = 0;
+  [[nodiscard]] virtual const ingress_counters& readers() const = 0;
 };
 
 /// Binds and starts accepting.
--- a/src/http/read_limit.h
+++ b/src/http/read_deadline.h
@@ -12,9 +12,9 @@
 
 /// Bounds the reads of a connection within a scope. Unlike the stream's own timer it leaves the
 /// connection open, so that the caller can be told.
-class read_limit {
+class read_deadline {
  public:
-  read_limit(boost::beast::tcp_stream& stream, base::duration longest)
+  read_deadline(boost::beast::tcp_stream& stream, base::duration longest)
       : state_(std::make_shared<state>()), timer_(stream.get_executor(), longest) {
     timer_.async_wait([&stream, shared = state_](const boost::system::error_code& cancelled) {
       if (!cancelled && shared->in_scope) {
@@ -24,9 +24,9 @@
       }
     });
   }
-  ~read_limit() { state_->in_scope = false; }
-  read_limit(const read_limit&) = delete;
-  read_limit& operator=(const read_limit&) = delete;
+  ~read_deadline() { state_->in_scope = false; }
+  read_deadline(const read_deadline&) = delete;
+  read_deadline& operator=(const read_deadline&) = delete;
 
   [[nodiscard]] bool passed() const { return state_->passed; }
 
--- a/src/http/socket_options.cc
+++ b/src/http/socket_options.cc
@@ -8,8 +8,8 @@
 
 namespace spurrack::http {
 
-void prepare_socket(boost::asio::ip::tcp::socket& socket,
-                    std::chrono::milliseconds unacknowledged_limit) {
+void set_tcp_options(boost::asio::ip::tcp::socket& socket,
+                     std::chrono::milliseconds unacknowledged_limit) {
   boost::system::error_code ignored;
   socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   const auto limit = static_cast<unsigned>(unacknowledged_limit.count());
--- a/src/upstream/body_reader.cc
+++ b/src/upstream/body_reader.cc
@@ -23,8 +23,8 @@
 
 } // namespace
 
-error_code take_body(boost::beast::flat_buffer& received, response_parser& parser,
-                     std::string& body) {
+error_code parse_received_body(boost::beast::flat_buffer& received, response_parser& parser,
+                               std::string& body) {
   error_code error;
   parser.eager(true);
   while (!error && received.size() > 0 && !parser.is_done()) {
@@ -46,7 +46,7 @@
 asio::awaitable<error_code> read_some_body(connection& link, response_parser& parser,
                                            std::size_t most_bytes, std::string& body) {
   const auto before = body.size();
-  error_code error = take_body(link.buffer, parser, body);
+  error_code error = parse_received_body(link.buffer, parser, body);
   if (error || parser.is_done() || body.size() > before) {
     co_return error;
   }
@@ -60,8 +60,9 @@
   if (error == asio::error::would_block) {
     co_return error_code();
   }
-  error = error == asio::error::eof ? take_end(parser)
-                                    : (error ? error : take_body(link.buffer, parser, body));
+  error = error == asio::error::eof
+              ? take_end(parser)
+              : (error ? error : parse_received_body(link.buffer, parser, body));
   if (link.buffer.size() == 0) {
     // What has been taken needs no room while the next bytes are awaited.
     link.buffer.shrink_to_fit();
--- a/src/upstream/body_reader.h
+++ b/src/upstream/body_reader.h
@@ -21,8 +21,8 @@
 /// @param parser whose head is done.
 /// @param body to which the body's bytes are added.
 /// @return the error of bytes that are no body; none where more are needed.
-boost::system::error_code take_body(boost::beast::flat_buffer& received, response_parser& parser,
-                                    std::string& body);
+boost::system::error_code parse_received_body(boost::beast::flat_buffer& received,
+                                              response_parser& parser, std::string& body);
 
 /// Waits until some of a body has arrived and takes it, one read of the connection at the most.
 /// The socket does not block.
--- a/src/upstream/connection_pool.cc
+++ b/src/upstream/connection_pool.cc
@@ -17,7 +17,7 @@
 }
 
 std::shared_ptr<connection> connection_pool::take(const base::network_address& address,
-                                                  rest_bounds bounds, base::time_point now) {
+                                                  idle_time_bounds bounds, base::time_point now) {
   const auto found = resting_.find(address);
   if (found == resting_.end()) {
     return nullptr;
@@ -45,7 +45,7 @@
                                 base::time_point now) {
   auto& resting = resting_[address];
   drop_old(resting, now);
-  if (resting.size() >= most_resting_per_address) {
+  if (resting.size() >= max_idle_per_address) {
     given->stream.close();
     return;
   }
@@ -58,7 +58,7 @@
   resting.push_back(std::move(given));
 }
 
-void connection_pool::close_resting(const base::network_address& address) {
+void connection_pool::close_idle(const base::network_address& address) {
   const auto found = resting_.find(address);
   if (found == resting_.end()) {
     return;
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -30,7 +30,7 @@
 };
 
 /// How long a connection that is taken may have rested.
-struct rest_bounds {
+struct idle_time_bounds {
   base::duration least{};
   base::duration most{};
 };
@@ -38,17 +38,17 @@
 /// Not thread-safe.
 class connection_pool {
  public:
-  static constexpr std::size_t most_resting_per_address = 16;
+  static constexpr std::size_t max_idle_per_address = 16;
 
   /// @return a resting connection, the one used last; null where none is fit.
-  std::shared_ptr<connection> take(const base::network_address& address, rest_bounds bounds,
+  std::shared_ptr<connection> take(const base::network_address& address, idle_time_bounds bounds,
                                    base::time_point now);
   /// Keeps a connection for later calls.
   /// @param lifetime how long it may rest.
   void give_back(const base::network_address& address, std::shared_ptr<connection> given,
                  base::duration lifetime, base::time_point now);
   /// Closes all that rest at an address.
-  void close_resting(const base::network_address& address);
+  void close_idle(const base::network_address& address);
 
  private:
   using resting_connections = std::deque<std::shared_ptr<connection>>;
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -78,7 +78,7 @@
   /// Set for requests: the answer must name it.
   std::optional<std::string> request;
   bool streaming = false;
-  rest_bounds rest;
+  idle_time_bounds rest;
   base::time_point began = base::boot_clock::now();
 };
 
@@ -201,9 +201,7 @@
     calls_.erase(found);
   }
 
-  void close_resting(const base::network_address& address) override {
-    pool_.close_resting(address);
-  }
+  void close_idle(const base::network_address& address) override { pool_.close_idle(address); }
 
   [[nodiscard]] const connection_counters& counts() const override { return counters_; }
 
@@ -295,7 +293,7 @@
       co_return error;
     }
     link.stream.expires_never();
-    http::prepare_socket(link.stream.socket(), unacknowledged_limit);
+    http::set_tcp_options(link.stream.socket(), unacknowledged_limit);
     // Bodies are read when the kernel says that some has arrived.
     link.stream.socket().non_blocking(true, error);
     co_return error;
--- a/src/upstream/replica_client.h
+++ b/src/upstream/replica_client.h
@@ -49,7 +49,7 @@
   /// Gives a call up: its connection is closed and nothing more is reported.
   virtual void cancel(base::call_id call) = 0;
   /// Closes the connections that rest at an address; calls under way go on.
-  virtual void close_resting(const base::network_address& address) = 0;
+  virtual void close_idle(const base::network_address& address) = 0;
   [[nodiscard]] virtual const connection_counters& counts() const = 0;
 };
 
--- a/tests/upstream/body_reader_test.cc
+++ b/tests/upstream/body_reader_test.cc
@@ -43,7 +43,7 @@
   received.consume(parser.put(received.data(), taken.error));
   for (auto place = body_begins; place < text.size() && !taken.error; place += step) {
     receive(received, std::string_view(text).substr(place, step));
-    taken.error = upstream::take_body(received, parser, taken.body);
+    taken.error = upstream::parse_received_body(received, parser, taken.body);
   }
   taken.is_whole = parser.is_done();
   taken.left = received.size();
--- a/tests/upstream/connection_pool_test.cc
+++ b/tests/upstream/connection_pool_test.cc
@@ -39,8 +39,8 @@
   const auto first = rest(restarted);
   const auto second = rest(restarted);
   const auto elsewhere = rest(other);
-  pool.close_resting(restarted);
-  pool.close_resting(base::network_address("10.0.0.3:80"));
+  pool.close_idle(restarted);
+  pool.close_idle(base::network_address("10.0.0.3:80"));
   BOOST_TEST(!first->resting);
   BOOST_TEST(!second->resting);
   BOOST_TEST((take(restarted) == nullptr));
