--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -369,7 +369,7 @@
       readers.windows_closed);
   add_counter(registry, "spurrack_streams_paused_seconds_total",
               "Time that replicas' sides of ended streams had to rest.",
-              base::to_seconds(readers.paused));
+              base::to_seconds(readers.closed_window_time));
   auto& ended = BuildCounter()
                     .Name("spurrack_readers_ended_total")
                     .Help("Clients whose answer was ended as not whole, by reason.")
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -204,7 +204,7 @@
 }
 
 process_facts runtime::facts() const {
-  process_facts known{peers_->dropped(), busy(), nullptr, nullptr, nullptr};
+  process_facts known{peers_->dropped_messages(), busy(), nullptr, nullptr, nullptr};
   if (serving_) {
     known.readers = &serving_->readers();
     known.budget = serving_->budget().get();
@@ -214,7 +214,7 @@
 }
 
 std::size_t runtime::busy() const {
-  return serving_ ? serving_->busy() : callers_->busy();
+  return serving_ ? serving_->busy() : callers_->busy_connections();
 }
 
 void runtime::log_stopped() const {
--- a/src/http/caller_server.cc
+++ b/src/http/caller_server.cc
@@ -124,7 +124,7 @@
     fresh_.begin_stop(base::boot_clock::now());
     acceptor_.stop();
   }
-  [[nodiscard]] std::size_t busy() const override {
+  [[nodiscard]] std::size_t busy_connections() const override {
     return serving_ + fresh_.awaited(base::boot_clock::now());
   }
 
--- a/src/http/caller_server.h
+++ b/src/http/caller_server.h
@@ -40,7 +40,7 @@
   virtual void stop_accepting() = 0;
   /// @return connections on which a request has begun to arrive and is not answered yet; during a
   ///         stop also those whose first request may still come.
-  [[nodiscard]] virtual std::size_t busy() const = 0;
+  [[nodiscard]] virtual std::size_t busy_connections() const = 0;
 };
 
 /// Binds and starts accepting.
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -235,11 +235,11 @@
     acceptor_.stop();
   }
 
-  [[nodiscard]] std::size_t busy() const override {
+  [[nodiscard]] std::size_t busy_connections() const override {
     return busy_ + fresh_.awaited(base::boot_clock::now());
   }
   [[nodiscard]] std::size_t connections() const override { return connections_; }
-  [[nodiscard]] const ingress_counters& readers() const override { return readers_; }
+  [[nodiscard]] const ingress_counters& counters() const override { return counters_; }
 
  private:
   void push(exchange& client, unwritten_bytes added) {
@@ -293,7 +293,7 @@
       return;
     }
     const bool open = change == flow::window_change::opened;
-    readers_.windows_closed += open ? 0 : 1;
+    counters_.windows_closed += open ? 0 : 1;
     observer_.on_window({client.id, open});
   }
 
@@ -355,7 +355,7 @@
     stream.socket().set_option(asio::socket_base::send_buffer_size(kernel_send_bytes), not_bounded);
     stream.socket().non_blocking(true, not_bounded);
     if (connections_ > resources_.most_connections) {
-      ++readers_.refused_connections;
+      ++counters_.refused_connections;
       co_await refuse(stream, crowded_refusal);
     } else {
       beast::flat_buffer buffer;
@@ -420,7 +420,7 @@
       co_return false;
     }
     if (!has_memory) {
-      ++readers_.refused_for_memory;
+      ++counters_.refused_for_memory;
       co_await refuse(stream, memory_refusal);
       co_return false;
     }
@@ -503,9 +503,9 @@
   }
 
   void note_end(const exchange& ended) {
-    readers_.paused += ended.window.closed_duration(base::boot_clock::now());
-    readers_.aborted_unread += ended.given_up == serving::disconnect_reason::unread ? 1 : 0;
-    readers_.aborted_for_memory += ended.given_up == serving::disconnect_reason::no_memory ? 1 : 0;
+    counters_.closed_window_time += ended.window.closed_duration(base::boot_clock::now());
+    counters_.aborted_unread += ended.given_up == serving::disconnect_reason::unread ? 1 : 0;
+    counters_.aborted_for_memory += ended.given_up == serving::disconnect_reason::no_memory ? 1 : 0;
   }
 
   static serving::raw_request raw_of(beast_http::request<beast_http::string_body>& message,
@@ -611,7 +611,7 @@
   const serving::request_codec* codec_;
   ingress_resources resources_;
   ingress_observer observer_;
-  ingress_counters readers_;
+  ingress_counters counters_;
   /// The slowest readers are not looked for before.
   base::time_point next_relief_;
   model::client_limits limits_;
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -33,7 +33,7 @@
 struct ingress_counters {
   std::uint64_t windows_closed = 0;
   /// Time that the replicas' sides of ended streams had to rest.
-  base::duration paused{};
+  base::duration closed_window_time{};
   /// Clients whose answer was ended as not whole because they took nothing for too long.
   std::uint64_t aborted_unread = 0;
   /// The same because they were the slowest when an answer found no memory.
@@ -65,9 +65,9 @@
   virtual void stop_accepting() = 0;
   /// @return connections on which a request has begun to arrive and is not answered yet; during a
   ///         stop also those whose first request may still come.
-  [[nodiscard]] virtual std::size_t busy() const = 0;
+  [[nodiscard]] virtual std::size_t busy_connections() const = 0;
   [[nodiscard]] virtual std::size_t connections() const = 0;
-  [[nodiscard]] virtual const ingress_counters& readers() const = 0;
+  [[nodiscard]] virtual const ingress_counters& counters() const = 0;
 };
 
 /// Binds and starts accepting.
--- a/src/peers/peer_transport.h
+++ b/src/peers/peer_transport.h
@@ -23,7 +23,7 @@
   /// Sends without waiting. A message that cannot be queued at once is dropped and counted.
   virtual void send(const wire::outgoing& message) = 0;
   /// @return messages dropped because they could not be queued.
-  [[nodiscard]] virtual std::uint64_t dropped() const = 0;
+  [[nodiscard]] virtual std::uint64_t dropped_messages() const = 0;
 };
 
 } // namespace spurrack::peers
--- a/src/peers/zmq_transport.cc
+++ b/src/peers/zmq_transport.cc
@@ -114,11 +114,11 @@
     zmq::message_t payload(message.message.ByteSizeLong());
     message.message.SerializeToArray(payload.data(), static_cast<int>(payload.size()));
     if (!socket.send(payload, zmq::send_flags::dontwait)) {
-      ++dropped_;
+      ++dropped_messages_;
     }
   }
 
-  [[nodiscard]] std::uint64_t dropped() const override { return dropped_; }
+  [[nodiscard]] std::uint64_t dropped_messages() const override { return dropped_messages_; }
 
  private:
   zmq::socket_t& dealer(const base::network_address& to) {
@@ -209,7 +209,7 @@
   std::optional<watched_socket> authenticator_;
   std::optional<watched_socket> router_;
   std::unordered_map<base::network_address, zmq::socket_t> dealers_;
-  std::uint64_t dropped_ = 0;
+  std::uint64_t dropped_messages_ = 0;
 };
 
 } // namespace
--- a/tests/http/planned_stop_test.cc
+++ b/tests/http/planned_stop_test.cc
@@ -55,7 +55,7 @@
     });
   }
   [[nodiscard]] std::size_t busy() {
-    return on_server_thread([this] { return server_->busy(); });
+    return on_server_thread([this] { return server_->busy_connections(); });
   }
 
  private:
