--- a/src/http/caller_request_parser.cc
+++ b/src/http/caller_request_parser.cc
@@ -16,65 +16,66 @@
 constexpr std::string_view pipelines_path = "/v1/pipelines/";
 constexpr std::string_view tickets_path = "/v1/tickets";
 constexpr std::string_view bearer_prefix = "Bearer ";
-constexpr std::size_t longest_name = 256;
-constexpr std::size_t deepest_json = 8;
+constexpr std::size_t max_value_bytes = 256;
+constexpr std::size_t max_json_depth = 8;
 
-refused_request refused(request_fault fault, std::string detail) {
+refused_request make_refusal(request_fault fault, std::string detail) {
   return {fault, std::move(detail)};
 }
 
-std::string header(const http_request& message, std::string_view name) {
+std::string header_value(const http_request& message, std::string_view name) {
   const auto value = message[boost::beast::string_view(name.data(), name.size())];
   return {value.data(), value.size()};
 }
 
-std::string token_of(const http_request& message) {
-  const auto value = header(message, "Authorization");
+std::string bearer_token_of(const http_request& message) {
+  const auto value = header_value(message, "Authorization");
   return value.starts_with(bearer_prefix) ? value.substr(bearer_prefix.size()) : "";
 }
 
 std::variant<json::object, refused_request> parse_body(const std::string& body) {
   json::parse_options options;
-  options.max_depth = deepest_json;
+  options.max_depth = max_json_depth;
   boost::system::error_code error;
   auto value = json::parse(body, error, {}, options);
   if (error) {
-    return refused(request_fault::malformed_json, error.message());
+    return make_refusal(request_fault::malformed_json, error.message());
   }
   if (!value.is_object()) {
-    return refused(request_fault::malformed_json, "the body must be an object");
+    return make_refusal(request_fault::malformed_json, "the body must be an object");
   }
   return std::move(value.get_object());
 }
 
 std::optional<refused_request> read_fields(const json::object& body,
                                            execution::caller_request& request) {
-  static const std::set<std::string_view> known{"input", "deadline_ms", "stream"};
+  static const std::set<std::string_view> known_fields{"input", "deadline_ms", "stream"};
   for (const auto& field : body) {
-    if (!known.contains({field.key().data(), field.key().size()})) {
-      return refused(request_fault::invalid_field, "unknown field '" + std::string(field.key()) +
-                                                       "'; known: input, deadline_ms, stream");
+    if (!known_fields.contains({field.key().data(), field.key().size()})) {
+      return make_refusal(request_fault::invalid_field, "unknown field '" +
+                                                            std::string(field.key()) +
+                                                            "'; known: input, deadline_ms, stream");
     }
   }
   const auto* input = body.if_contains("input");
   if (input == nullptr) {
-    return refused(request_fault::missing_field, "input: text is required");
+    return make_refusal(request_fault::missing_field, "input: text is required");
   }
   if (!input->is_string()) {
-    return refused(request_fault::invalid_field, "input: must be text");
+    return make_refusal(request_fault::invalid_field, "input: must be text");
   }
   request.input = std::string(input->get_string());
   if (const auto* deadline = body.if_contains("deadline_ms")) {
     if (!deadline->is_int64()) {
-      return refused(request_fault::invalid_field, "deadline_ms: must be a whole number");
+      return make_refusal(request_fault::invalid_field, "deadline_ms: must be a whole number");
     }
-    constexpr std::int64_t longest_deadline = 86'400'000;
+    constexpr std::int64_t max_deadline_milliseconds = 86'400'000;
     request.deadline = std::chrono::milliseconds(
-        std::clamp<std::int64_t>(deadline->get_int64(), 0, longest_deadline));
+        std::clamp<std::int64_t>(deadline->get_int64(), 0, max_deadline_milliseconds));
   }
   if (const auto* stream = body.if_contains("stream")) {
     if (!stream->is_bool()) {
-      return refused(request_fault::invalid_field, "stream: must be true or false");
+      return make_refusal(request_fault::invalid_field, "stream: must be true or false");
     }
     request.stream = stream->get_bool();
   }
@@ -84,15 +85,15 @@
 parsed_request parse_pipeline_request(const http_request& message, std::string pipeline) {
   execution::caller_request request;
   request.pipeline = base::template_id(std::move(pipeline));
-  const auto token = token_of(message);
+  const auto token = bearer_token_of(message);
   if (token.empty()) {
-    return refused(request_fault::missing_token, "Authorization: Bearer TOKEN is required");
+    return make_refusal(request_fault::missing_token, "Authorization: Bearer TOKEN is required");
   }
   request.token_sha256 = sha256_hex(token);
-  request.idempotency_key = header(message, "Idempotency-Key");
-  request.ticket = header(message, "Spurrack-Ticket");
-  if (request.idempotency_key.size() > longest_name || request.ticket.size() > longest_name) {
-    return refused(request_fault::invalid_field, "key or ticket is longer than 256 bytes");
+  request.idempotency_key = header_value(message, "Idempotency-Key");
+  request.ticket = header_value(message, "Spurrack-Ticket");
+  if (request.idempotency_key.size() > max_value_bytes || request.ticket.size() > max_value_bytes) {
+    return make_refusal(request_fault::invalid_field, "key or ticket is longer than 256 bytes");
   }
   auto body = parse_body(message.body());
   if (auto* fault = std::get_if<refused_request>(&body)) {
@@ -111,17 +112,17 @@
   if (target == "/healthz" || target == "/readyz") {
     return health_request{target == "/readyz"};
   }
-  const bool is_ticket = target == tickets_path;
-  if (!is_ticket && !target.starts_with(pipelines_path)) {
-    return refused(request_fault::unknown_path, target.substr(0, longest_name));
+  const bool is_ticket_request = target == tickets_path;
+  if (!is_ticket_request && !target.starts_with(pipelines_path)) {
+    return make_refusal(request_fault::unknown_path, target.substr(0, max_value_bytes));
   }
   if (message.method() != beast_http::verb::post) {
-    return refused(request_fault::method_not_allowed, "POST is expected");
+    return make_refusal(request_fault::method_not_allowed, "POST is expected");
   }
-  if (is_ticket) {
-    const auto token = token_of(message);
+  if (is_ticket_request) {
+    const auto token = bearer_token_of(message);
     if (token.empty()) {
-      return refused(request_fault::missing_token, "Authorization: Bearer TOKEN is required");
+      return make_refusal(request_fault::missing_token, "Authorization: Bearer TOKEN is required");
     }
     return ticket_request{sha256_hex(token)};
   }
--- a/src/http/caller_server.cc
+++ b/src/http/caller_server.cc
@@ -121,11 +121,11 @@
   }
   void stop_accepting() override {
     stopping_ = true;
-    fresh_.begin_stop(base::boot_clock::now());
+    new_connections_.begin_stop(base::boot_clock::now());
     acceptor_.stop();
   }
   [[nodiscard]] std::size_t busy_connections() const override {
-    return serving_ + fresh_.awaited(base::boot_clock::now());
+    return serving_ + new_connections_.awaiting_first_request(base::boot_clock::now());
   }
 
  private:
@@ -147,10 +147,10 @@
       co_await refuse(stream, request_fault::too_many_connections, "try another node");
     } else {
       beast::flat_buffer buffer;
-      std::optional<new_connections::guard> fresh(std::in_place, fresh_);
-      bool go_on = true;
-      while (go_on) {
-        go_on = co_await serve_one(stream, buffer, fresh);
+      std::optional<new_connections::guard> new_connection(std::in_place, new_connections_);
+      bool keep_serving = true;
+      while (keep_serving) {
+        keep_serving = co_await serve_one(stream, buffer, new_connection);
       }
     }
     stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
@@ -159,7 +159,7 @@
 
   /// Serves one request. @return whether the connection may carry another.
   asio::awaitable<bool> serve_one(beast::tcp_stream& stream, beast::flat_buffer& buffer,
-                                  std::optional<new_connections::guard>& fresh) {
+                                  std::optional<new_connections::guard>& new_connection) {
     boost::system::error_code error;
     if (buffer.size() == 0) {
       stream.expires_after(limits_.idle_timeout);
@@ -171,7 +171,7 @@
       buffer.commit(received);
     }
     const count_guard serving(serving_);
-    fresh.reset();
+    new_connection.reset();
     beast_http::request_parser<beast_http::string_body> parser;
     parser.header_limit(static_cast<std::uint32_t>(limits_.max_header_bytes));
     parser.body_limit(limits_.max_body_bytes);
@@ -179,7 +179,7 @@
     {
       const read_deadline limit(stream, limits_.receive_timeout);
       co_await beast_http::async_read(stream, buffer, parser, await_into(error));
-      if (limit.passed()) {
+      if (limit.has_passed()) {
         error = beast::error::timeout;
       }
     }
@@ -224,16 +224,16 @@
       observer_.on_request({caller, std::move(content), arrival_time(stream)});
     }
     asio::co_spawn(*io_, watch_for_end(stream, waiting), asio::detached);
-    const bool go_on = co_await write_items(stream, *waiting, streams, keep_alive);
+    const bool keep_serving = co_await write_items(stream, *waiting, streams, keep_alive);
     exchanges_.erase(caller);
-    if (waiting->gone || !go_on) {
-      observer_.on_gone({caller});
+    if (waiting->gone || !keep_serving) {
+      observer_.on_disconnected({caller});
     }
     // Ends the watch, which must not outlive the connection.
     boost::system::error_code ignored;
     stream.socket().cancel(ignored);
     co_await wait_for_watch(*waiting);
-    co_return go_on;
+    co_return keep_serving;
   }
 
   /// Notices that a caller closes its connection while it waits.
@@ -326,7 +326,7 @@
 
   asio::io_context* io_;
   connection_acceptor acceptor_;
-  new_connections fresh_;
+  new_connections new_connections_;
   settings::caller_limits limits_;
   caller_observer observer_;
   bool stopping_ = false;
--- a/src/http/caller_server.h
+++ b/src/http/caller_server.h
@@ -18,7 +18,7 @@
 struct caller_observer {
   std::function<void(node::caller_arrived)> on_request;
   std::function<void(node::ticket_wanted)> on_ticket_wanted;
-  std::function<void(node::caller_left)> on_gone;
+  std::function<void(node::caller_left)> on_disconnected;
   /// Whether the node takes new requests, for the balancer's health check.
   std::function<bool()> is_ready;
 };
--- a/src/http/connection_acceptor.cc
+++ b/src/http/connection_acceptor.cc
@@ -16,25 +16,25 @@
 
 /// Handshakes that had begun before new ones were turned away are complete by then: a hundred times
 /// the round trip within a site.
-constexpr std::chrono::milliseconds handshake_time{50};
+constexpr std::chrono::milliseconds handshake_timeout{50};
 /// A client that has connected and sent nothing is waited for this long: twice the time for which
 /// clients wait for a new connection to come up.
-constexpr base::duration first_request_wait = std::chrono::seconds(2);
+constexpr base::duration first_request_timeout = std::chrono::seconds(2);
 
 /// Drops the packets that would begin a new handshake at a listening socket.
 /// @return whether the system took the filter.
-bool turn_away_new_handshakes(tcp::acceptor& acceptor) {
+bool drop_new_handshakes(tcp::acceptor& acceptor) {
   constexpr std::uint32_t flags_offset = 13;
   constexpr std::uint32_t synchronize_flag = 0x02;
-  constexpr std::uint32_t drop = 0;
-  constexpr std::uint32_t keep = 0xffff;
-  sock_filter steps[] = {
+  constexpr std::uint32_t drop_packet = 0;
+  constexpr std::uint32_t accept_packet = 0xffff;
+  sock_filter instructions[] = {
       BPF_STMT(BPF_LD | BPF_B | BPF_ABS, flags_offset),
       BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, synchronize_flag, 0, 1),
-      BPF_STMT(BPF_RET | BPF_K, drop),
-      BPF_STMT(BPF_RET | BPF_K, keep),
+      BPF_STMT(BPF_RET | BPF_K, drop_packet),
+      BPF_STMT(BPF_RET | BPF_K, accept_packet),
   };
-  const sock_fprog program{static_cast<unsigned short>(std::size(steps)), steps};
+  const sock_fprog program{static_cast<unsigned short>(std::size(instructions)), instructions};
   return ::setsockopt(acceptor.native_handle(), SOL_SOCKET, SO_ATTACH_FILTER, &program,
                       sizeof(program)) == 0;
 }
@@ -43,7 +43,7 @@
 
 connection_acceptor::connection_acceptor(asio::io_context& io, const tcp::endpoint& listen,
                                          connection_handler on_connection)
-    : io_(&io), acceptor_(io, listen), last_handshakes_(io),
+    : io_(&io), acceptor_(io, listen), handshake_timer_(io),
       on_connection_(std::move(on_connection)) {
   accept_next();
 }
@@ -59,7 +59,7 @@
   });
 }
 
-void connection_acceptor::accept_waiting() {
+void connection_acceptor::accept_pending() {
   boost::system::error_code error;
   acceptor_.non_blocking(true, error);
   while (!error) {
@@ -72,28 +72,28 @@
 }
 
 void connection_acceptor::close() {
-  accept_waiting();
+  accept_pending();
   boost::system::error_code ignored;
   acceptor_.close(ignored);
 }
 
 void connection_acceptor::stop() {
-  if (!turn_away_new_handshakes(acceptor_)) {
+  if (!drop_new_handshakes(acceptor_)) {
     // Without the filter a wait would only let more connections in.
     close();
     return;
   }
-  last_handshakes_.expires_after(handshake_time);
-  last_handshakes_.async_wait([this](const boost::system::error_code& error) {
+  handshake_timer_.expires_after(handshake_timeout);
+  handshake_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
       close();
     }
   });
 }
 
-std::size_t new_connections::awaited(base::time_point now) const {
-  const bool waits = stopping_since_ <= now && now - stopping_since_ < first_request_wait;
-  return waits ? count_ : 0;
+std::size_t new_connections::awaiting_first_request(base::time_point now) const {
+  const bool is_waiting = stop_began_at_ <= now && now - stop_began_at_ < first_request_timeout;
+  return is_waiting ? count_ : 0;
 }
 
 } // namespace spurrack::http
--- a/src/http/connection_acceptor.h
+++ b/src/http/connection_acceptor.h
@@ -33,12 +33,12 @@
 
  private:
   void accept_next();
-  void accept_waiting();
+  void accept_pending();
   void close();
 
   boost::asio::io_context* io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer last_handshakes_;
+  boost::asio::steady_timer handshake_timer_;
   connection_handler on_connection_;
 };
 
@@ -52,13 +52,13 @@
     explicit guard(new_connections& counted) : count_guard(counted.count_) {}
   };
 
-  void begin_stop(base::time_point now) { stopping_since_ = now; }
+  void begin_stop(base::time_point now) { stop_began_at_ = now; }
   /// @return connections for whose first request a stop waits.
-  [[nodiscard]] std::size_t awaited(base::time_point now) const;
+  [[nodiscard]] std::size_t awaiting_first_request(base::time_point now) const;
 
  private:
   std::size_t count_ = 0;
-  base::time_point stopping_since_{base::time_point::max()};
+  base::time_point stop_began_at_{base::time_point::max()};
 };
 
 } // namespace spurrack::http
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -231,12 +231,12 @@
   void begin_stop() override { stopping_ = true; }
 
   void stop_accepting() override {
-    fresh_.begin_stop(base::boot_clock::now());
+    new_connections_.begin_stop(base::boot_clock::now());
     acceptor_.stop();
   }
 
   [[nodiscard]] std::size_t busy_connections() const override {
-    return busy_ + fresh_.awaited(base::boot_clock::now());
+    return busy_ + new_connections_.awaiting_first_request(base::boot_clock::now());
   }
   [[nodiscard]] std::size_t connections() const override { return connections_; }
   [[nodiscard]] const ingress_counters& counters() const override { return counters_; }
@@ -359,10 +359,10 @@
       co_await refuse(stream, crowded_refusal);
     } else {
       beast::flat_buffer buffer;
-      std::optional<new_connections::guard> fresh(std::in_place, fresh_);
-      bool go_on = true;
-      while (go_on) {
-        go_on = co_await serve_one(stream, buffer, fresh);
+      std::optional<new_connections::guard> new_connection(std::in_place, new_connections_);
+      bool keep_serving = true;
+      while (keep_serving) {
+        keep_serving = co_await serve_one(stream, buffer, new_connection);
       }
     }
     boost::system::error_code ignored;
@@ -373,7 +373,7 @@
 
   /// Serves one request. @return whether the connection may carry another.
   asio::awaitable<bool> serve_one(beast::tcp_stream& stream, beast::flat_buffer& buffer,
-                                  std::optional<new_connections::guard>& fresh) {
+                                  std::optional<new_connections::guard>& new_connection) {
     boost::system::error_code error;
     if (buffer.size() == 0) {
       stream.expires_after(limits_.idle_timeout);
@@ -385,7 +385,7 @@
       buffer.commit(received);
     }
     const count_guard busy(busy_);
-    fresh.reset();
+    new_connection.reset();
     co_return co_await read_and_answer(stream, buffer);
   }
 
@@ -398,7 +398,7 @@
     {
       const read_deadline limit(stream, limits_.header_timeout);
       co_await beast_http::async_read_header(stream, buffer, parser, await_into(error));
-      if (limit.passed()) {
+      if (limit.has_passed()) {
         error = beast::error::timeout;
       }
     }
@@ -412,7 +412,7 @@
     if (!error && has_memory) {
       const read_deadline limit(stream, limits_.idle_timeout);
       error = co_await read_body(stream, buffer, parser, body, has_memory);
-      if (limit.passed()) {
+      if (limit.has_passed()) {
         error = beast::error::timeout;
       }
     }
@@ -607,7 +607,7 @@
 
   asio::io_context* io_;
   connection_acceptor acceptor_;
-  new_connections fresh_;
+  new_connections new_connections_;
   const serving::request_codec* codec_;
   ingress_resources resources_;
   ingress_observer observer_;
--- a/src/http/operator_server.cc
+++ b/src/http/operator_server.cc
@@ -23,8 +23,9 @@
 class operator_server_impl final : public operator_server {
  public:
   operator_server_impl(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
-                       document_source source, action_handler act)
-      : io_(&io), acceptor_(io, listen), source_(std::move(source)), act_(std::move(act)) {
+                       document_source source, action_handler handler)
+      : io_(&io), acceptor_(io, listen), document_source_(std::move(source)),
+        action_handler_(std::move(handler)) {
     asio::co_spawn(io, accept_all(), asio::detached);
   }
 
@@ -60,10 +61,11 @@
   make_response(const beast_http::request<beast_http::empty_body>& request) {
     beast_http::response<beast_http::string_body> response(beast_http::status::not_found, 11);
     response.keep_alive(false);
-    const bool is_action = act_ && request.method() == beast_http::verb::post;
+    const bool is_action = action_handler_ && request.method() == beast_http::verb::post;
     if (!is_action && request.method() != beast_http::verb::get) {
       response.result(beast_http::status::method_not_allowed);
-    } else if (auto document = (is_action ? act_ : source_)(std::string(request.target()))) {
+    } else if (auto document = (is_action ? action_handler_
+                                          : document_source_)(std::string(request.target()))) {
       response.result(beast_http::status::ok);
       response.set(beast_http::field::content_type, document->content_type);
       response.body() = std::move(document->body);
@@ -74,20 +76,22 @@
 
   asio::io_context* io_;
   asio::ip::tcp::acceptor acceptor_;
-  document_source source_;
-  action_handler act_;
+  document_source document_source_;
+  action_handler action_handler_;
 };
 
 } // namespace
 
 std::unique_ptr<operator_server> make_operator_server(asio::io_context& io,
                                                       const std::string& listen,
-                                                      document_source source, action_handler act) {
+                                                      document_source source,
+                                                      action_handler handler) {
   const auto endpoint = parse_endpoint(listen);
   if (!endpoint) {
     throw boost::system::system_error(asio::error::invalid_argument, listen);
   }
-  return std::make_unique<operator_server_impl>(io, *endpoint, std::move(source), std::move(act));
+  return std::make_unique<operator_server_impl>(io, *endpoint, std::move(source),
+                                                std::move(handler));
 }
 
 } // namespace spurrack::http
--- a/src/http/operator_server.h
+++ b/src/http/operator_server.h
@@ -37,6 +37,6 @@
 std::unique_ptr<operator_server> make_operator_server(boost::asio::io_context& io,
                                                       const std::string& listen,
                                                       document_source source,
-                                                      action_handler act = nullptr);
+                                                      action_handler handler = nullptr);
 
 } // namespace spurrack::http
--- a/src/http/read_deadline.h
+++ b/src/http/read_deadline.h
@@ -14,27 +14,27 @@
 /// connection open, so that the caller can be told.
 class read_deadline {
  public:
-  read_deadline(boost::beast::tcp_stream& stream, base::duration longest)
-      : state_(std::make_shared<state>()), timer_(stream.get_executor(), longest) {
+  read_deadline(boost::beast::tcp_stream& stream, base::duration timeout)
+      : state_(std::make_shared<state>()), timer_(stream.get_executor(), timeout) {
     timer_.async_wait([&stream, shared = state_](const boost::system::error_code& cancelled) {
-      if (!cancelled && shared->in_scope) {
-        shared->passed = true;
+      if (!cancelled && shared->is_in_scope) {
+        shared->has_passed = true;
         boost::system::error_code ignored;
         stream.socket().cancel(ignored);
       }
     });
   }
-  ~read_deadline() { state_->in_scope = false; }
+  ~read_deadline() { state_->is_in_scope = false; }
   read_deadline(const read_deadline&) = delete;
   read_deadline& operator=(const read_deadline&) = delete;
 
-  [[nodiscard]] bool passed() const { return state_->passed; }
+  [[nodiscard]] bool has_passed() const { return state_->has_passed; }
 
  private:
   /// Outlives the scope where the timer's handler is still queued.
   struct state {
-    bool passed = false;
-    bool in_scope = true;
+    bool has_passed = false;
+    bool is_in_scope = true;
   };
 
   std::shared_ptr<state> state_;
--- a/src/http/socket_options.cc
+++ b/src/http/socket_options.cc
@@ -9,11 +9,12 @@
 namespace spurrack::http {
 
 void set_tcp_options(boost::asio::ip::tcp::socket& socket,
-                     std::chrono::milliseconds unacknowledged_limit) {
+                     std::chrono::milliseconds tcp_user_timeout) {
   boost::system::error_code ignored;
   socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-  const auto limit = static_cast<unsigned>(unacknowledged_limit.count());
-  ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
+  const auto timeout_milliseconds = static_cast<unsigned>(tcp_user_timeout.count());
+  ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_milliseconds,
+               sizeof(timeout_milliseconds));
   // A peer without power acknowledges nothing, which shows only where something is sent.
   socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
   constexpr int probe_seconds = 1; // The shortest that the kernel takes.
--- a/src/http/socket_options.h
+++ b/src/http/socket_options.h
@@ -8,10 +8,10 @@
 namespace spurrack::http {
 
 /// Sends small writes at once and gives the connection up where the peer acknowledges nothing for
-/// `unacknowledged_limit`, so that a silent cut is noticed; where nothing is sent, keep-alive
+/// `tcp_user_timeout`, so that a silent cut is noticed; where nothing is sent, keep-alive
 /// probes of a second ask.
 void set_tcp_options(boost::asio::ip::tcp::socket& socket,
-                     std::chrono::milliseconds unacknowledged_limit);
+                     std::chrono::milliseconds tcp_user_timeout);
 
 /// @return whether a readable socket is at its end, not at further bytes.
 bool peer_has_closed(boost::asio::ip::tcp::socket& socket);
