--- a/src/http/answer_json.h
+++ b/src/http/answer_json.h
@@ -1,4 +1,4 @@
-/// JSON form of answers and errors of the callers' interface.
+/// JSON bodies and status codes of answers and errors that callers receive.
 #pragma once
 
 #include "execution/answer.h"
@@ -11,7 +11,8 @@
 
 namespace spurrack::http {
 
-/// Faults of a request that never reached the decision logic. Their names are stable.
+/// Errors of requests that are refused before the decision logic sees them. Clients match their
+/// names, which must not change.
 enum class request_fault {
   malformed_http,
   malformed_json,
@@ -28,12 +29,13 @@
 
 std::string_view name_of(request_fault fault);
 boost::beast::http::status status_of(request_fault fault);
-/// @return status that goes with an answer.
+/// @return the HTTP status of an answer.
 boost::beast::http::status status_of(const execution::answer& content);
 
-/// @return the body of an answer.
+/// @return the JSON body of an answer.
 boost::json::object to_json(const execution::answer& content);
-/// @return the body of an error: outcome `not_run`, a stable code, a message.
+/// @return the JSON body of an error: outcome `not_run`, the name of the fault, and `detail` as the
+/// message.
 boost::json::object to_json(request_fault fault, std::string_view detail);
 
 /// @return lower-case hexadecimal SHA-256 of `text`.
--- a/src/http/answer_writer.h
+++ b/src/http/answer_writer.h
@@ -1,4 +1,4 @@
-/// Text of HTTP/1.1 answers, as the serving path writes them to clients.
+/// Serializes HTTP/1.1 answers of the serving path to clients.
 #pragma once
 
 #include "serving/request.h"
@@ -8,29 +8,31 @@
 
 namespace spurrack::http {
 
-/// What an answer's connection does after it.
+/// What happens to a connection after an answer.
 enum class after_answer : std::uint8_t { keep_open, close };
 
-/// @return the head of a whole answer whose body of `body_bytes` follows, where it may have one.
+/// @return the head of an answer with a body of known length; without Content-Length if answers of
+/// this status have no body.
 std::string fixed_length_head(unsigned status, const serving::header_list& headers,
                               std::size_t body_bytes, after_answer connection);
 
-/// @return whether answers of this status have a body at all.
+/// @return whether answers of this status may have a body.
 bool has_body(unsigned status);
 
-/// @param head_only the answer to a HEAD request: no body is written.
-/// @return a whole answer with its length.
+/// @param head_only whether the request was a HEAD request: the body is left out.
+/// @return a complete answer with Content-Length.
 std::string whole_answer(unsigned status, const serving::header_list& headers,
                          std::string_view body, bool head_only, after_answer connection);
 
-/// @return the head of an answer whose body follows in chunks.
+/// @return the head of an answer with a body in chunked transfer encoding.
 std::string chunked_head(unsigned status, const serving::header_list& headers,
                          after_answer connection);
 
-/// @return one chunk; never the last one.
+/// @return one chunk with its framing.
+/// @param bytes must not be empty: an empty chunk ends the body.
 std::string chunk(std::string_view bytes);
 
-/// Ends a body in chunks.
+/// Final chunk of a body in chunked transfer encoding.
 inline constexpr std::string_view last_chunk = "0\r\n\r\n";
 
 } // namespace spurrack::http
--- a/src/http/awaitable.h
+++ b/src/http/awaitable.h
@@ -1,4 +1,4 @@
-/// Shorthand for coroutines that look at error codes instead of catching exceptions.
+/// Completion token for coroutines that check error codes instead of catching exceptions.
 #pragma once
 
 #include <boost/asio/redirect_error.hpp>
@@ -6,7 +6,8 @@
 
 namespace spurrack::http {
 
-/// @return a completion token whose operation reports its error in `error`.
+/// @return a completion token that stores the error of the operation in `error`, which must outlive
+/// the operation.
 inline auto await_into(boost::system::error_code& error) {
   return boost::asio::redirect_error(boost::asio::use_awaitable, error);
 }
--- a/src/http/caller_request_parser.h
+++ b/src/http/caller_request_parser.h
@@ -1,4 +1,4 @@
-/// From an HTTP message to a typed request of a caller.
+/// Parses HTTP requests of callers.
 #pragma once
 
 #include "execution/answer.h"
@@ -14,15 +14,16 @@
 
 using http_request = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// Asks for a ticket.
+/// Request for a ticket.
 struct ticket_request {
   std::string token_sha256;
 };
-/// Asks whether the process lives, or whether it takes requests.
+/// Health check of the process.
 struct health_request {
+  /// Whether readiness for new requests is checked, instead of liveness.
   bool readiness = false;
 };
-/// The request is refused before anything is decided.
+/// Invalid request, refused before the decision logic sees it.
 struct refused_request {
   request_fault fault = request_fault::malformed_http;
   std::string detail;
@@ -31,7 +32,7 @@
 using parsed_request =
     std::variant<execution::caller_request, ticket_request, health_request, refused_request>;
 
-/// @return what is asked, or why it is refused.
+/// @return the parsed request, or the reason for its refusal.
 parsed_request parse_caller_request(const http_request& message);
 
 } // namespace spurrack::http
--- a/src/http/caller_server.h
+++ b/src/http/caller_server.h
@@ -1,5 +1,5 @@
-/// The callers' HTTP listener: bounds and parses requests, passes them on, writes answers and token
-/// streams. docs/API.md describes the interface.
+/// HTTP listener for callers: limits and parses requests, passes them to the node, and writes
+/// answers and token streams. docs/API.md describes the interface.
 #pragma once
 
 #include "execution/answer.h"
@@ -14,16 +14,16 @@
 
 namespace spurrack::http {
 
-/// What the listener hands on. Called on the thread of the io_context.
+/// Callbacks of the listener, called on the thread of the io_context.
 struct caller_observer {
   std::function<void(node::caller_arrived)> on_request;
   std::function<void(node::ticket_wanted)> on_ticket_wanted;
   std::function<void(node::caller_left)> on_disconnected;
-  /// Whether the node takes new requests, for the balancer's health check.
+  /// Returns whether the node accepts new requests, for the health check of the load balancer.
   std::function<bool()> is_ready;
 };
 
-/// Not thread-safe.
+/// Not thread-safe. Answers, tokens and tickets for callers that have disconnected are dropped.
 class caller_server {
  public:
   caller_server() = default;
@@ -31,21 +31,20 @@
   caller_server& operator=(const caller_server&) = delete;
   virtual ~caller_server() = default;
 
-  /// Answers to callers that have gone are dropped.
   virtual void send_answer(base::caller_id caller, execution::answer content) = 0;
   virtual void send_token(base::caller_id caller, std::uint32_t offset, std::string text) = 0;
   virtual void send_ticket(base::caller_id caller, std::string ticket, base::duration lifetime) = 0;
-  /// Stops accepting connections, after taking those that wait; those open go on, each until its
-  /// next answer.
+  /// Accepts the connections that are already established, then stops accepting. Open connections
+  /// are closed after their next answer.
   virtual void stop_accepting() = 0;
-  /// @return connections on which a request has begun to arrive and is not answered yet; during a
-  ///         stop also those whose first request may still come.
+  /// @return number of connections on which a request has begun to arrive and is not answered yet;
+  ///         during a stop also connections whose first request may still arrive.
   [[nodiscard]] virtual std::size_t busy_connections() const = 0;
 };
 
-/// Binds and starts accepting.
+/// Binds and starts accepting connections.
 /// @param listen `IP:port`.
-/// @throws boost::system::system_error where the address cannot be bound.
+/// @throws boost::system::system_error if the address cannot be bound.
 std::unique_ptr<caller_server> make_caller_server(boost::asio::io_context& io,
                                                   const std::string& listen,
                                                   settings::caller_limits limits,
--- a/src/http/connection_acceptor.cc
+++ b/src/http/connection_acceptor.cc
@@ -14,15 +14,15 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-/// Handshakes that had begun before new ones were turned away are complete by then: a hundred times
+/// Time in which handshakes complete that began before new handshakes were dropped: a hundred times
 /// the round trip within a site.
 constexpr std::chrono::milliseconds handshake_timeout{50};
-/// A client that has connected and sent nothing is waited for this long: twice the time for which
-/// clients wait for a new connection to come up.
+/// Time for which a stop waits for the first request of a connection: twice the time for which
+/// clients wait for a new connection to be established.
 constexpr base::duration first_request_timeout = std::chrono::seconds(2);
 
-/// Drops the packets that would begin a new handshake at a listening socket.
-/// @return whether the system took the filter.
+/// Attaches a packet filter to a listening socket that drops the packets that begin a handshake.
+/// @return whether the kernel accepted the filter.
 bool drop_new_handshakes(tcp::acceptor& acceptor) {
   constexpr std::uint32_t flags_offset = 13;
   constexpr std::uint32_t synchronize_flag = 0x02;
@@ -79,7 +79,7 @@
 
 void connection_acceptor::stop() {
   if (!drop_new_handshakes(acceptor_)) {
-    // Without the filter a wait would only let more connections in.
+    // Without the filter, a wait would only let further connections complete their handshakes.
     close();
     return;
   }
--- a/src/http/connection_acceptor.h
+++ b/src/http/connection_acceptor.h
@@ -1,9 +1,10 @@
-/// Accepts connections, and stops without cutting any that a peer takes for established.
+/// Accepts connections, and stops without resetting connections that clients consider established.
 ///
-/// Closing a listening socket resets every connection whose handshake is complete and that was not
-/// accepted yet: also those that arrive between the last accept and the close. While the last are
-/// accepted, a packet filter turns new handshakes away; their peers try again and find the port
-/// closed.
+/// Closing a listening socket resets every connection whose handshake is complete but which was not
+/// accepted yet, including connections that arrive between the last accept and the close. Therefore
+/// a stop first attaches a packet filter that drops new handshakes, then accepts the connections
+/// that remain, then closes the socket. Clients whose handshake was dropped retry it and find the
+/// port closed.
 #pragma once
 
 #include "base/time.h"
@@ -24,11 +25,12 @@
   using connection_handler = std::function<void(boost::asio::ip::tcp::socket)>;
 
   /// Binds and starts accepting.
-  /// @throws boost::system::system_error where the address cannot be bound.
+  /// @throws boost::system::system_error if the address cannot be bound.
   connection_acceptor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
                       connection_handler on_connection);
 
-  /// Hands on what has connected so far and closes shortly after.
+  /// Stops accepting new connections. Passes the connections that are already established to the
+  /// handler and closes the socket after the handshakes in progress have completed.
   void stop();
 
  private:
@@ -42,18 +44,19 @@
   connection_handler on_connection_;
 };
 
-/// Connections that have not carried a request yet. They hold a planned stop for a while: their
-/// client may have been kept from sending, or this process from reading.
+/// Counts connections that have not carried a request yet. They delay a planned stop for a limited
+/// time, since the client may have been delayed in sending its request, or this process in reading
+/// it.
 class new_connections {
  public:
-  /// Counts a connection until its first request arrives, or as long as it lasts.
+  /// Counts a connection until its first request arrives or the connection ends.
   class guard : public count_guard {
    public:
     explicit guard(new_connections& counted) : count_guard(counted.count_) {}
   };
 
   void begin_stop(base::time_point now) { stop_began_at_ = now; }
-  /// @return connections for whose first request a stop waits.
+  /// @return number of connections whose first request a stop waits for; 0 outside a stop.
   [[nodiscard]] std::size_t awaiting_first_request(base::time_point now) const;
 
  private:
--- a/src/http/count_guard.h
+++ b/src/http/count_guard.h
@@ -1,11 +1,12 @@
-/// Counts what lasts as long as a scope.
+/// RAII guard for counters of current items.
 #pragma once
 
 #include <cstddef>
 
 namespace spurrack::http {
 
-/// Counts something for as long as it lasts.
+/// Increments a counter on construction and decrements it on destruction. The counter must outlive
+/// the guard.
 class count_guard {
  public:
   explicit count_guard(std::size_t& count) : count_(&count) { ++*count_; }
--- a/src/http/endpoint.h
+++ b/src/http/endpoint.h
@@ -1,4 +1,4 @@
-/// Network addresses as text.
+/// Parses network addresses.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -8,8 +8,8 @@
 
 namespace spurrack::http {
 
-/// @param text `IP:port`; names are not resolved.
-/// @return nothing where the text is not an address.
+/// @param text `IP:port`; host names are not resolved.
+/// @return std::nullopt if the text is not an address.
 std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(const std::string& text);
 
 } // namespace spurrack::http
--- a/src/http/operator_server.cc
+++ b/src/http/operator_server.cc
@@ -40,7 +40,7 @@
     }
   }
 
-  /// One document a connection: operators ask rarely.
+  /// Serves one request per connection, since operators send few requests.
   asio::awaitable<void> serve(asio::ip::tcp::socket socket) {
     beast::tcp_stream stream(std::move(socket));
     stream.expires_after(exchange_timeout);
--- a/src/http/operator_server.h
+++ b/src/http/operator_server.h
@@ -1,5 +1,5 @@
-/// The operators' HTTP listener: documents about this node (GET) and the few things that operators
-/// ask of it (POST, without a body). docs/operators/ describes them.
+/// HTTP listener for operators: serves documents about this node (GET) and performs actions (POST
+/// without a body). docs/operators/ describes both.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,9 +18,10 @@
   std::string body;
 };
 
-/// @return the document at a path, such as `/v1/status`; nothing where there is none.
+/// @return the document at a path, such as `/v1/status`; std::nullopt if there is none.
 using document_source = std::function<std::optional<operator_document>(const std::string& path)>;
-/// Does what is asked for by a path. @return what came of it; nothing where there is no such path.
+/// Performs the action of a path.
+/// @return the result; std::nullopt if the path has no action.
 using action_handler = std::function<std::optional<operator_document>(const std::string& path)>;
 
 /// Not thread-safe.
@@ -32,8 +33,10 @@
   virtual ~operator_server() = default;
 };
 
-/// Binds and starts accepting.
-/// @throws boost::system::system_error where the address cannot be bound.
+/// Binds and starts accepting connections.
+/// @param listen `IP:port`.
+/// @param handler may be null: then POST is not allowed.
+/// @throws boost::system::system_error if the address cannot be bound.
 std::unique_ptr<operator_server> make_operator_server(boost::asio::io_context& io,
                                                       const std::string& listen,
                                                       document_source source,
--- a/src/http/read_deadline.h
+++ b/src/http/read_deadline.h
@@ -1,4 +1,4 @@
-/// A bound on reads that leaves the connection usable.
+/// Deadline for reads that keeps the connection open.
 #pragma once
 
 #include "base/time.h"
@@ -10,8 +10,9 @@
 
 namespace spurrack::http {
 
-/// Bounds the reads of a connection within a scope. Unlike the stream's own timer it leaves the
-/// connection open, so that the caller can be told.
+/// Cancels the pending operations on a connection if a deadline passes within a scope. Unlike the
+/// timer of the stream itself, it keeps the connection open, so that an error can be sent to the
+/// client. The stream must outlive the scope.
 class read_deadline {
  public:
   read_deadline(boost::beast::tcp_stream& stream, base::duration timeout)
@@ -31,7 +32,7 @@
   [[nodiscard]] bool has_passed() const { return state_->has_passed; }
 
  private:
-  /// Outlives the scope where the timer's handler is still queued.
+  /// Shared with the handler of the timer, which may run after the end of the scope.
   struct state {
     bool has_passed = false;
     bool is_in_scope = true;
--- a/src/http/socket_options.cc
+++ b/src/http/socket_options.cc
@@ -15,9 +15,9 @@
   const auto timeout_milliseconds = static_cast<unsigned>(tcp_user_timeout.count());
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_milliseconds,
                sizeof(timeout_milliseconds));
-  // A peer without power acknowledges nothing, which shows only where something is sent.
+  // A peer that lost power sends no reset: only unacknowledged data or probes reveal it.
   socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
-  constexpr int probe_seconds = 1; // The shortest that the kernel takes.
+  constexpr int probe_seconds = 1; // The minimum that the kernel accepts.
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_KEEPIDLE, &probe_seconds,
                sizeof(probe_seconds));
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_KEEPINTVL, &probe_seconds,
--- a/src/http/socket_options.h
+++ b/src/http/socket_options.h
@@ -1,4 +1,4 @@
-/// Options and state of TCP sockets that the library has no names for.
+/// Options and state of TCP sockets that Asio does not support directly.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,13 +7,14 @@
 
 namespace spurrack::http {
 
-/// Sends small writes at once and gives the connection up where the peer acknowledges nothing for
-/// `tcp_user_timeout`, so that a silent cut is noticed; where nothing is sent, keep-alive
-/// probes of a second ask.
+/// Disables Nagle's algorithm and lets the kernel close the connection if the peer acknowledges no
+/// data or keep-alive probe for `tcp_user_timeout`, so that a partition without a reset is
+/// detected. Keep-alive probes start after 1 s without traffic and repeat every second.
 void set_tcp_options(boost::asio::ip::tcp::socket& socket,
                      std::chrono::milliseconds tcp_user_timeout);
 
-/// @return whether a readable socket is at its end, not at further bytes.
+/// @return whether the peer has closed the connection or it has failed: no bytes are left to read.
+/// Does not block.
 bool peer_has_closed(boost::asio::ip::tcp::socket& socket);
 
 } // namespace spurrack::http
