--- a/src/http/caller_server.cc
+++ b/src/http/caller_server.cc
@@ -56,12 +56,13 @@
 }
 
 /// A caller whose request is being decided: what is to be written to it, in order.
-struct exchange {
-  explicit exchange(asio::io_context& io) : wake(io, asio::steady_timer::time_point::max()) {}
+struct caller_exchange {
+  explicit caller_exchange(asio::io_context& io)
+      : wake(io, asio::steady_timer::time_point::max()) {}
   std::deque<outgoing_item> items;
   asio::steady_timer wake;
-  bool gone = false;
-  bool watch_ended = false;
+  bool is_disconnected = false;
+  bool has_watch_ended = false;
 };
 
 http_response make_response(beast_http::status status, const json::object& body, bool keep_alive) {
@@ -125,7 +126,7 @@
     acceptor_.stop();
   }
   [[nodiscard]] std::size_t busy_connections() const override {
-    return serving_ + new_connections_.awaiting_first_request(base::boot_clock::now());
+    return busy_connections_ + new_connections_.awaiting_first_request(base::boot_clock::now());
   }
 
  private:
@@ -150,7 +151,7 @@
       std::optional<new_connections::guard> new_connection(std::in_place, new_connections_);
       bool keep_serving = true;
       while (keep_serving) {
-        keep_serving = co_await serve_one(stream, buffer, new_connection);
+        keep_serving = co_await serve_request(stream, buffer, new_connection);
       }
     }
     stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
@@ -158,8 +159,8 @@
   }
 
   /// Serves one request. @return whether the connection may carry another.
-  asio::awaitable<bool> serve_one(beast::tcp_stream& stream, beast::flat_buffer& buffer,
-                                  std::optional<new_connections::guard>& new_connection) {
+  asio::awaitable<bool> serve_request(beast::tcp_stream& stream, beast::flat_buffer& buffer,
+                                      std::optional<new_connections::guard>& new_connection) {
     boost::system::error_code error;
     if (buffer.size() == 0) {
       stream.expires_after(limits_.idle_timeout);
@@ -170,16 +171,16 @@
       }
       buffer.commit(received);
     }
-    const count_guard serving(serving_);
+    const count_guard busy(busy_connections_);
     new_connection.reset();
     beast_http::request_parser<beast_http::string_body> parser;
     parser.header_limit(static_cast<std::uint32_t>(limits_.max_header_bytes));
     parser.body_limit(limits_.max_body_bytes);
     stream.expires_never();
     {
-      const read_deadline limit(stream, limits_.receive_timeout);
+      const read_deadline deadline(stream, limits_.receive_timeout);
       co_await beast_http::async_read(stream, buffer, parser, await_into(error));
-      if (limit.has_passed()) {
+      if (deadline.has_passed()) {
         error = beast::error::timeout;
       }
     }
@@ -202,73 +203,76 @@
           make_response(status_of(fault->fault), to_json(fault->fault, fault->detail), keep_alive));
     }
     if (const auto* health = std::get_if<health_request>(&request)) {
-      const bool well = !health->readiness || observer_.is_ready();
+      const bool is_healthy = !health->readiness || observer_.is_ready();
       const json::object body{{"ready", observer_.is_ready()}};
-      co_return co_await write(stream, make_response(well ? beast_http::status::ok
-                                                          : beast_http::status::service_unavailable,
-                                                     body, keep_alive));
+      co_return co_await write(stream,
+                               make_response(is_healthy ? beast_http::status::ok
+                                                        : beast_http::status::service_unavailable,
+                                             body, keep_alive));
     }
-    co_return co_await decide(stream, std::move(request), keep_alive);
+    co_return co_await submit_and_answer(stream, std::move(request), keep_alive);
   }
 
-  asio::awaitable<bool> decide(beast::tcp_stream& stream, parsed_request request, bool keep_alive) {
+  asio::awaitable<bool> submit_and_answer(beast::tcp_stream& stream, parsed_request request,
+                                          bool keep_alive) {
     const auto caller = next_caller_++;
-    auto waiting = std::make_shared<exchange>(*io_);
-    exchanges_[caller] = waiting;
-    bool streams = false;
-    if (auto* wanted = std::get_if<ticket_request>(&request)) {
-      observer_.on_ticket_wanted({caller, std::move(wanted->token_sha256)});
+    auto exchange = std::make_shared<caller_exchange>(*io_);
+    exchanges_[caller] = exchange;
+    bool is_streaming = false;
+    if (auto* ticket = std::get_if<ticket_request>(&request)) {
+      observer_.on_ticket_wanted({caller, std::move(ticket->token_sha256)});
     } else {
       auto& content = std::get<execution::caller_request>(request);
-      streams = content.stream;
+      is_streaming = content.stream;
       observer_.on_request({caller, std::move(content), arrival_time(stream)});
     }
-    asio::co_spawn(*io_, watch_for_end(stream, waiting), asio::detached);
-    const bool keep_serving = co_await write_items(stream, *waiting, streams, keep_alive);
+    asio::co_spawn(*io_, watch_for_disconnect(stream, exchange), asio::detached);
+    const bool keep_serving = co_await write_items(stream, *exchange, is_streaming, keep_alive);
     exchanges_.erase(caller);
-    if (waiting->gone || !keep_serving) {
+    if (exchange->is_disconnected || !keep_serving) {
       observer_.on_disconnected({caller});
     }
     // Ends the watch, which must not outlive the connection.
     boost::system::error_code ignored;
     stream.socket().cancel(ignored);
-    co_await wait_for_watch(*waiting);
+    co_await wait_for_watch(*exchange);
     co_return keep_serving;
   }
 
   /// Notices that a caller closes its connection while it waits.
-  static asio::awaitable<void> watch_for_end(beast::tcp_stream& stream,
-                                             std::shared_ptr<exchange> waiting) {
+  static asio::awaitable<void> watch_for_disconnect(beast::tcp_stream& stream,
+                                                    std::shared_ptr<caller_exchange> exchange) {
     boost::system::error_code error;
     co_await stream.socket().async_wait(asio::ip::tcp::socket::wait_read, await_into(error));
     char byte = 0;
-    const auto got =
+    const auto received =
         error ? 1 : ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    waiting->gone = got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
-    waiting->watch_ended = true;
-    waiting->wake.cancel();
+    exchange->is_disconnected =
+        received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+    exchange->has_watch_ended = true;
+    exchange->wake.cancel();
   }
 
-  static asio::awaitable<void> wait_for_watch(exchange& waiting) {
-    while (!waiting.watch_ended) {
+  static asio::awaitable<void> wait_for_watch(caller_exchange& exchange) {
+    while (!exchange.has_watch_ended) {
       boost::system::error_code error;
-      co_await waiting.wake.async_wait(await_into(error));
+      co_await exchange.wake.async_wait(await_into(error));
     }
   }
 
-  asio::awaitable<bool> write_items(beast::tcp_stream& stream, exchange& waiting, bool streams,
-                                    bool keep_alive) {
+  asio::awaitable<bool> write_items(beast::tcp_stream& stream, caller_exchange& exchange,
+                                    bool is_streaming, bool keep_alive) {
     bool head_written = false;
-    while (!waiting.gone) {
-      if (waiting.items.empty()) {
+    while (!exchange.is_disconnected) {
+      if (exchange.items.empty()) {
         boost::system::error_code error;
-        co_await waiting.wake.async_wait(await_into(error));
+        co_await exchange.wake.async_wait(await_into(error));
         continue;
       }
-      auto item = std::move(waiting.items.front());
-      waiting.items.pop_front();
+      auto item = std::move(exchange.items.front());
+      exchange.items.pop_front();
       if (const auto* token = std::get_if<token_item>(&item)) {
-        if (streams && !co_await write_token(stream, *token, head_written)) {
+        if (is_streaming && !co_await write_token(stream, *token, head_written)) {
           co_return false;
         }
         head_written = true;
@@ -332,9 +336,9 @@
   bool stopping_ = false;
   std::size_t connections_ = 0;
   /// Connections between the first byte of a request and the last of its answer.
-  std::size_t serving_ = 0;
+  std::size_t busy_connections_ = 0;
   base::caller_id next_caller_ = 1;
-  std::unordered_map<base::caller_id, std::shared_ptr<exchange>> exchanges_;
+  std::unordered_map<base::caller_id, std::shared_ptr<caller_exchange>> exchanges_;
 };
 
 } // namespace
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -39,33 +39,33 @@
 constexpr std::size_t body_read_bytes = 16'384;
 /// A client that takes nothing of its answer for this time is given up: half as long again as the
 /// ten seconds for which clients are known to stop.
-constexpr std::chrono::seconds unread_limit{15};
+constexpr std::chrono::seconds unread_timeout{15};
 /// The kernel gives a client up that acknowledges nothing or opens no room for this time; longer
-/// than `unread_limit`, so that the latter decides about clients that are there.
-constexpr std::chrono::milliseconds unacknowledged_limit{16'000};
+/// than `unread_timeout`, so that the latter decides about clients that are there.
+constexpr std::chrono::milliseconds tcp_user_timeout{16'000};
 /// Bytes that the kernel holds of an answer that a client has not taken (it doubles the figure, for
 /// its own bookkeeping): 50 ms of a link of 10 Mbit/s, so that neither memory nor the link is
 /// filled with what one client does not take.
-constexpr int kernel_send_bytes = 65'536;
+constexpr int send_buffer_bytes = 65'536;
 /// An answer is written in turns of this many bytes, between which other clients get theirs.
-constexpr std::size_t write_turn_bytes = 16'384;
+constexpr std::size_t max_write_bytes = 16'384;
 /// After a refusal the rest of the body is read for this time at the most: what 4 MB need on a link
 /// of 10 Mbit/s, and a shorter time once a stop began.
 constexpr std::chrono::seconds discard_timeout{4};
 constexpr std::chrono::seconds discard_timeout_at_stop{1};
 /// Bytes of headers and framing beside a body that are read past after a refusal.
-constexpr std::size_t discarded_beside_body = 65'536;
+constexpr std::size_t max_discarded_framing_bytes = 65'536;
 /// A body beyond this is refused first when memory is short.
 constexpr std::size_t large_body_bytes = 65'536;
 /// A body is held once for a second attempt and once for the write to a replica.
-constexpr std::size_t copies_of_body = 2;
+constexpr std::size_t body_copies = 2;
 /// A client that has taken nothing for this time may be ended to make room for answers: longer than
 /// the pauses of links that lose packets.
-constexpr base::duration slow_reader_age = std::chrono::seconds(2);
+constexpr base::duration min_stall_duration = std::chrono::seconds(2);
 /// All clients are looked at for the slowest this often at the most.
-constexpr base::duration relief_period = std::chrono::milliseconds(100);
+constexpr base::duration min_relief_interval = std::chrono::milliseconds(100);
 /// A look for the slowest frees this share of the budget, 1 / share, where there is as much.
-constexpr std::size_t relief_share = 20;
+constexpr std::size_t relief_divisor = 20;
 /// How long a request that found no memory or no connection is told to stay away.
 constexpr const char* retry_after_seconds = "0.500";
 
@@ -74,44 +74,47 @@
   std::string bytes;
   std::shared_ptr<const serving::held_memory> held;
   /// What the exchange's own reservation holds of them.
-  std::size_t counted = 0;
+  std::size_t reserved_bytes = 0;
   /// How many of them the client has taken.
-  std::size_t written = 0;
-  [[nodiscard]] std::string_view rest() const { return std::string_view(bytes).substr(written); }
+  std::size_t written_bytes = 0;
+  [[nodiscard]] std::string_view remaining() const {
+    return std::string_view(bytes).substr(written_bytes);
+  }
 };
 
 /// A client whose request is being served: what is to be written to it, in order.
-struct exchange {
-  exchange(asio::io_context& io, base::caller_id client, asio::ip::tcp::socket& connection_socket,
-           std::shared_ptr<flow::byte_budget> budget)
+struct client_exchange {
+  client_exchange(asio::io_context& io, base::caller_id client,
+                  asio::ip::tcp::socket& connection_socket,
+                  std::shared_ptr<flow::byte_budget> budget)
       : id(client), socket(&connection_socket),
-        counted(std::move(budget), flow::byte_holder::unwritten_streams),
+        reservation(std::move(budget), flow::byte_holder::unwritten_streams),
         window(base::boot_clock::now()), wake(io, asio::steady_timer::time_point::max()) {}
   base::caller_id id;
   /// Outlives the exchange.
   asio::ip::tcp::socket* socket;
   std::deque<unwritten_bytes> unwritten;
-  flow::byte_reservation counted;
+  flow::byte_reservation reservation;
   flow::stream_window window;
   asio::steady_timer wake;
   /// The answer ends with what is in `unwritten`.
-  bool ended = false;
+  bool is_final = false;
   /// The connection is to be broken off.
-  bool broken = false;
-  bool gone = false;
+  bool is_incomplete = false;
+  bool is_disconnected = false;
   /// Set where the client was given up: nothing more is written.
-  std::optional<serving::disconnect_reason> given_up;
-  bool watch_ended = false;
+  std::optional<serving::disconnect_reason> abort_reason;
+  bool has_watch_ended = false;
   /// Bytes are being written, which others must not overtake.
-  bool writing = false;
+  bool is_writing = false;
   bool head_only = false;
   /// The head of a streamed answer was written.
-  bool streaming = false;
+  bool is_streaming = false;
   after_answer connection = after_answer::keep_open;
 };
 
 /// A request's content with the memory its body takes.
-struct kept_content {
+struct content_with_memory {
   serving::request_content content;
   flow::byte_reservation body;
 };
@@ -120,20 +123,20 @@
 struct refusal {
   unsigned status = 400;
   std::string reason;
-  bool may_come_back = false;
+  bool is_retryable = false;
 };
 
 constexpr unsigned bad_request_status = 400;
-const refusal crowded_refusal{503, "too many connections", true};
+const refusal connection_limit_refusal{503, "too many connections", true};
 const refusal memory_refusal{503, "no memory for the body", true};
 
-std::string text_of(const refusal& wanted) {
+std::string text_of(const refusal& response) {
   serving::header_list headers{{"Content-Type", "application/json"}};
-  if (wanted.may_come_back) {
+  if (response.is_retryable) {
     headers.push_back({"Retry-After", retry_after_seconds});
   }
-  const auto body = "{\"error\":\"" + wanted.reason + "\"}\n";
-  return whole_answer(wanted.status, headers, body, false, after_answer::close);
+  const auto body = "{\"error\":\"" + response.reason + "\"}\n";
+  return whole_answer(response.status, headers, body, false, after_answer::close);
 }
 
 refusal refusal_of(const boost::system::error_code& error) {
@@ -160,71 +163,71 @@
                             }),
         codec_(&codec), resources_(std::move(resources)), observer_(std::move(observer)) {
     resources_.budget->set_relief(
-        [this](flow::byte_use use, std::size_t bytes) { end_slowest(use, bytes); });
+        [this](flow::byte_use use, std::size_t bytes) { abort_slowest_readers(use, bytes); });
   }
   ~ingress_server_impl() override { resources_.budget->set_relief(nullptr); }
 
-  void carry_out(serving::respond wanted) override {
-    const auto found = exchanges_.find(wanted.client);
+  void carry_out(serving::respond command) override {
+    const auto found = exchanges_.find(command.client);
     if (found == exchanges_.end()) {
       return;
     }
     auto& client = *found->second;
-    if (wanted.own_answer_to) {
-      auto own = codec_->own_answer_headers(*wanted.own_answer_to);
-      std::move(own.begin(), own.end(), std::back_inserter(wanted.headers));
+    if (command.own_answer_to) {
+      auto own = codec_->own_answer_headers(*command.own_answer_to);
+      std::move(own.begin(), own.end(), std::back_inserter(command.headers));
     }
     client.connection = stopping_ ? after_answer::close : client.connection;
-    client.ended = true;
-    if (client.streaming) {
+    client.is_final = true;
+    if (client.is_streaming) {
       // A second head inside a stream would be no answer; breaking off says that it is not whole.
-      client.broken = true;
+      client.is_incomplete = true;
       client.wake.cancel();
       return;
     }
-    push(client,
-         {fixed_length_head(wanted.status, wanted.headers, wanted.body.size(), client.connection),
-          nullptr});
-    if (has_body(wanted.status) && !client.head_only && !wanted.body.empty()) {
-      push(client, {std::move(wanted.body), std::move(wanted.held)});
+    push(client, {fixed_length_head(command.status, command.headers, command.body.size(),
+                                    client.connection),
+                  nullptr});
+    if (has_body(command.status) && !client.head_only && !command.body.empty()) {
+      push(client, {std::move(command.body), std::move(command.held)});
     }
   }
 
-  void carry_out(serving::open_stream wanted) override {
-    const auto found = exchanges_.find(wanted.client);
+  void carry_out(serving::open_stream command) override {
+    const auto found = exchanges_.find(command.client);
     if (found != exchanges_.end()) {
       auto& client = *found->second;
       client.connection = stopping_ ? after_answer::close : client.connection;
-      client.streaming = true;
-      push(client, {chunked_head(wanted.status, wanted.headers, client.connection), nullptr});
+      client.is_streaming = true;
+      push(client, {chunked_head(command.status, command.headers, client.connection), nullptr});
     }
   }
 
-  void carry_out(serving::stream_data wanted) override {
-    const auto found = exchanges_.find(wanted.client);
+  void carry_out(serving::stream_data command) override {
+    const auto found = exchanges_.find(command.client);
     if (found != exchanges_.end()) {
-      push_events(*found->second, chunk(wanted.bytes));
+      push_events(*found->second, chunk(command.bytes));
     }
   }
 
-  void carry_out(serving::read_ahead wanted) override {
-    const auto found = exchanges_.find(wanted.client);
+  void carry_out(serving::read_ahead command) override {
+    const auto found = exchanges_.find(command.client);
     if (found != exchanges_.end() &&
         resources_.budget->ensure_capacity(flow::byte_use::buffered_stream,
                                            flow::stream_window::max_window_bytes)) {
       auto& client = *found->second;
-      tell(client, client.window.start_read_ahead(base::boot_clock::now()));
+      report_window_change(client, client.window.start_read_ahead(base::boot_clock::now()));
     }
   }
 
-  void carry_out(serving::end_stream wanted) override {
-    const auto found = exchanges_.find(wanted.client);
+  void carry_out(serving::end_stream command) override {
+    const auto found = exchanges_.find(command.client);
     if (found == exchanges_.end()) {
       return;
     }
-    found->second->ended = true;
-    found->second->broken = !wanted.complete;
-    push(*found->second, {wanted.complete ? std::string(last_chunk) : std::string(), nullptr});
+    found->second->is_final = true;
+    found->second->is_incomplete = !command.complete;
+    push(*found->second, {command.complete ? std::string(last_chunk) : std::string(), nullptr});
   }
 
   void set_limits(const model::client_limits& limits) override { limits_ = limits; }
@@ -236,76 +239,77 @@
   }
 
   [[nodiscard]] std::size_t busy_connections() const override {
-    return busy_ + new_connections_.awaiting_first_request(base::boot_clock::now());
+    return busy_connections_ + new_connections_.awaiting_first_request(base::boot_clock::now());
   }
   [[nodiscard]] std::size_t connections() const override { return connections_; }
   [[nodiscard]] const ingress_counters& counters() const override { return counters_; }
 
  private:
-  void push(exchange& client, unwritten_bytes added) {
-    if (client.given_up) {
+  void push(client_exchange& client, unwritten_bytes added) {
+    if (client.abort_reason) {
       return;
     }
     write_at_once(client, added);
-    const auto size = added.rest().size();
+    const auto size = added.remaining().size();
     if (size > 0) {
       client.unwritten.push_back(std::move(added));
-      tell(client,
-           client.window.add(size, resources_.budget->utilization(), base::boot_clock::now()));
+      report_window_change(client, client.window.add(size, resources_.budget->utilization(),
+                                                     base::boot_clock::now()));
     } else {
-      client.counted.shrink(added.counted);
+      client.reservation.shrink(added.reserved_bytes);
     }
-    if (size > 0 || client.ended) {
+    if (size > 0 || client.is_final) {
       client.wake.cancel();
     }
   }
 
   /// Writes what a connection takes without waiting, so that events for a client that reads need
   /// neither a timer nor a turn of their own. Errors are left to the write that waits.
-  static void write_at_once(exchange& client, unwritten_bytes& added) {
-    const bool is_idle = !client.writing && client.unwritten.empty();
-    if (!is_idle || client.gone || added.bytes.empty() || !client.socket->non_blocking()) {
+  static void write_at_once(client_exchange& client, unwritten_bytes& added) {
+    const bool is_idle = !client.is_writing && client.unwritten.empty();
+    if (!is_idle || client.is_disconnected || added.bytes.empty() ||
+        !client.socket->non_blocking()) {
       return;
     }
-    const auto turn = std::min(write_turn_bytes, added.bytes.size());
-    boost::system::error_code left_to_the_next_write;
-    added.written =
-        client.socket->write_some(asio::buffer(added.bytes.data(), turn), left_to_the_next_write);
+    const auto part_bytes = std::min(max_write_bytes, added.bytes.size());
+    boost::system::error_code reported_by_next_write;
+    added.written_bytes = client.socket->write_some(asio::buffer(added.bytes.data(), part_bytes),
+                                                    reported_by_next_write);
   }
 
   /// Events are counted here; whole answers are since they were gathered.
-  void push_events(exchange& client, std::string bytes) {
+  void push_events(client_exchange& client, std::string bytes) {
     const auto size = bytes.size();
     if (client.window.is_reading_ahead() &&
         !resources_.budget->ensure_capacity(flow::byte_use::buffered_stream, size)) {
-      tell(client, client.window.close(base::boot_clock::now()));
+      report_window_change(client, client.window.close(base::boot_clock::now()));
     }
-    if (client.given_up || !client.counted.grow(flow::byte_use::stream_event, size)) {
-      give_up(client, serving::disconnect_reason::no_memory);
+    if (client.abort_reason || !client.reservation.grow(flow::byte_use::stream_event, size)) {
+      abort_answer(client, serving::disconnect_reason::no_memory);
       return;
     }
     push(client, {std::move(bytes), nullptr, size});
   }
 
   /// Tells of a window that closed or opened, where a replica's side depends on it.
-  void tell(const exchange& client, flow::window_change change) {
-    if (!client.streaming || client.ended || change == flow::window_change::none) {
+  void report_window_change(const client_exchange& client, flow::window_change change) {
+    if (!client.is_streaming || client.is_final || change == flow::window_change::none) {
       return;
     }
-    const bool open = change == flow::window_change::opened;
-    counters_.windows_closed += open ? 0 : 1;
-    observer_.on_window({client.id, open});
+    const bool is_open = change == flow::window_change::opened;
+    counters_.windows_closed += is_open ? 0 : 1;
+    observer_.on_window_change({client.id, is_open});
   }
 
   /// Ends an answer as not whole and returns what it holds, except for the bytes being written,
   /// which follow when the write has ended.
-  void give_up(exchange& client, serving::disconnect_reason why) {
-    if (client.given_up) {
+  void abort_answer(client_exchange& client, serving::disconnect_reason why) {
+    if (client.abort_reason) {
       return;
     }
-    client.given_up = why;
-    for (const auto& waiting : client.unwritten) {
-      client.counted.shrink(waiting.counted);
+    client.abort_reason = why;
+    for (const auto& unwritten : client.unwritten) {
+      client.reservation.shrink(unwritten.reserved_bytes);
     }
     client.unwritten.clear();
     boost::system::error_code ignored;
@@ -316,53 +320,56 @@
   /// Gives up clients that have taken nothing for a while, those first that waste the most memory
   /// for the longest time. A client that holds no more than its window gives way to events that
   /// were read already, not to another whole answer.
-  void end_slowest(flow::byte_use use, std::size_t bytes) {
+  void abort_slowest_readers(flow::byte_use use, std::size_t bytes) {
     const auto now = base::boot_clock::now();
-    if (now < next_relief_) {
+    if (now < next_relief_at_) {
       return;
     }
-    next_relief_ = now + relief_period;
+    next_relief_at_ = now + min_relief_interval;
     struct slow_reader {
-      double waste;
-      exchange* client;
+      double byte_seconds;
+      client_exchange* client;
     };
-    const auto spared =
+    const auto min_unread =
         use == flow::byte_use::stream_event ? 0 : flow::stream_window::max_window_bytes * 2;
-    std::vector<slow_reader> slow;
+    std::vector<slow_reader> slow_readers;
     for (const auto& [id, client] : exchanges_) {
       const auto stalled = client->window.stall_duration(now);
       const auto unread = client->window.unread();
-      if (stalled >= slow_reader_age && unread > spared && !client->given_up) {
-        slow.push_back({static_cast<double>(unread) * base::to_seconds(stalled), client.get()});
+      if (stalled >= min_stall_duration && unread > min_unread && !client->abort_reason) {
+        slow_readers.push_back(
+            {static_cast<double>(unread) * base::to_seconds(stalled), client.get()});
       }
     }
-    std::sort(slow.begin(), slow.end(),
-              [](const slow_reader& a, const slow_reader& b) { return a.waste > b.waste; });
+    std::sort(
+        slow_readers.begin(), slow_readers.end(),
+        [](const slow_reader& a, const slow_reader& b) { return a.byte_seconds > b.byte_seconds; });
     // Ends some more at once than are needed now, since all are looked at for it.
-    bytes = std::max(bytes, resources_.budget->capacity() / relief_share);
+    bytes = std::max(bytes, resources_.budget->capacity() / relief_divisor);
     std::size_t freed = 0;
-    for (auto next = slow.begin(); next != slow.end() && freed < bytes; ++next) {
+    for (auto next = slow_readers.begin(); next != slow_readers.end() && freed < bytes; ++next) {
       freed += next->client->window.unread();
-      give_up(*next->client, serving::disconnect_reason::no_memory);
+      abort_answer(*next->client, serving::disconnect_reason::no_memory);
     }
   }
 
   asio::awaitable<void> serve(asio::ip::tcp::socket socket) {
     ++connections_;
-    set_tcp_options(socket, unacknowledged_limit);
+    set_tcp_options(socket, tcp_user_timeout);
     beast::tcp_stream stream(std::move(socket));
-    boost::system::error_code not_bounded;
-    stream.socket().set_option(asio::socket_base::send_buffer_size(kernel_send_bytes), not_bounded);
-    stream.socket().non_blocking(true, not_bounded);
-    if (connections_ > resources_.most_connections) {
+    boost::system::error_code option_error;
+    stream.socket().set_option(asio::socket_base::send_buffer_size(send_buffer_bytes),
+                               option_error);
+    stream.socket().non_blocking(true, option_error);
+    if (connections_ > resources_.max_connections) {
       ++counters_.refused_connections;
-      co_await refuse(stream, crowded_refusal);
+      co_await refuse(stream, connection_limit_refusal);
     } else {
       beast::flat_buffer buffer;
       std::optional<new_connections::guard> new_connection(std::in_place, new_connections_);
       bool keep_serving = true;
       while (keep_serving) {
-        keep_serving = co_await serve_one(stream, buffer, new_connection);
+        keep_serving = co_await serve_request(stream, buffer, new_connection);
       }
     }
     boost::system::error_code ignored;
@@ -372,8 +379,8 @@
   }
 
   /// Serves one request. @return whether the connection may carry another.
-  asio::awaitable<bool> serve_one(beast::tcp_stream& stream, beast::flat_buffer& buffer,
-                                  std::optional<new_connections::guard>& new_connection) {
+  asio::awaitable<bool> serve_request(beast::tcp_stream& stream, beast::flat_buffer& buffer,
+                                      std::optional<new_connections::guard>& new_connection) {
     boost::system::error_code error;
     if (buffer.size() == 0) {
       stream.expires_after(limits_.idle_timeout);
@@ -384,7 +391,7 @@
       }
       buffer.commit(received);
     }
-    const count_guard busy(busy_);
+    const count_guard busy(busy_connections_);
     new_connection.reset();
     co_return co_await read_and_answer(stream, buffer);
   }
@@ -396,23 +403,23 @@
     parser.body_limit(limits_.max_body_bytes);
     stream.expires_never();
     {
-      const read_deadline limit(stream, limits_.header_timeout);
+      const read_deadline deadline(stream, limits_.header_timeout);
       co_await beast_http::async_read_header(stream, buffer, parser, await_into(error));
-      if (limit.has_passed()) {
+      if (deadline.has_passed()) {
         error = beast::error::timeout;
       }
     }
     const auto arrived_at = base::boot_clock::now();
     flow::byte_reservation body(resources_.budget, flow::byte_holder::request_bodies);
-    bool has_memory = error || count_body(body, parser.content_length().value_or(0));
+    bool has_memory = error || reserve_body(body, parser.content_length().value_or(0));
     if (!error && has_memory && parser.get()[beast_http::field::expect] == "100-continue") {
-      const std::string go_ahead = "HTTP/1.1 100 Continue\r\n\r\n";
-      co_await asio::async_write(stream, asio::buffer(go_ahead), await_into(error));
+      const std::string continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
+      co_await asio::async_write(stream, asio::buffer(continue_response), await_into(error));
     }
     if (!error && has_memory) {
-      const read_deadline limit(stream, limits_.idle_timeout);
+      const read_deadline deadline(stream, limits_.idle_timeout);
       error = co_await read_body(stream, buffer, parser, body, has_memory);
-      if (limit.has_passed()) {
+      if (deadline.has_passed()) {
         error = beast::error::timeout;
       }
     }
@@ -426,8 +433,8 @@
     }
     if (error) {
       // A named object: GCC 12 destroys an aggregate temporary of a co_await twice.
-      const auto wanted = refusal_of(error);
-      co_await refuse(stream, wanted);
+      const auto response = refusal_of(error);
+      co_await refuse(stream, response);
       co_return false;
     }
     stream.expires_never();
@@ -438,18 +445,18 @@
 
   /// Counts a body and its copies. @param size bytes of the body so far, or as announced.
   /// @return whether there is memory.
-  static bool count_body(flow::byte_reservation& counted, std::size_t size) {
-    const auto wanted = size * copies_of_body;
+  static bool reserve_body(flow::byte_reservation& reservation, std::size_t size) {
+    const auto required = size * body_copies;
     const auto use =
         size > large_body_bytes ? flow::byte_use::large_body : flow::byte_use::small_body;
-    return wanted <= counted.bytes() || counted.grow(use, wanted - counted.bytes());
+    return required <= reservation.bytes() || reservation.grow(use, required - reservation.bytes());
   }
 
   /// Reads a body, as far as there is memory. @param has_memory false where it ran out.
   static asio::awaitable<boost::system::error_code>
   read_body(beast::tcp_stream& stream, beast::flat_buffer& buffer,
             beast_http::request_parser<beast_http::string_body>& parser,
-            flow::byte_reservation& counted, bool& has_memory) {
+            flow::byte_reservation& reservation, bool& has_memory) {
     boost::system::error_code error;
     if (parser.content_length().value_or(0) > body_read_bytes || parser.chunked()) {
       // A read takes no more than the buffer has room for.
@@ -457,7 +464,7 @@
     }
     while (!error && has_memory && !parser.is_done()) {
       co_await beast_http::async_read_some(stream, buffer, parser, await_into(error));
-      has_memory = count_body(counted, parser.get().body().size());
+      has_memory = reserve_body(reservation, parser.get().body().size());
     }
     co_return error;
   }
@@ -466,50 +473,54 @@
                                beast_http::request_parser<beast_http::string_body>& parser,
                                base::time_point arrived_at, flow::byte_reservation body) {
     const auto client = next_client_++;
-    auto waiting = std::make_shared<exchange>(*io_, client, stream.socket(), resources_.budget);
+    auto exchange =
+        std::make_shared<client_exchange>(*io_, client, stream.socket(), resources_.budget);
     auto& message = parser.get();
-    waiting->head_only = message.method() == beast_http::verb::head;
-    waiting->connection = message.keep_alive() ? after_answer::keep_open : after_answer::close;
-    auto read = codec_->read_request(
-        raw_of(message, parser.content_length().has_value() || parser.chunked()));
-    if (auto* bad = std::get_if<serving::bad_request>(&read)) {
-      const refusal wanted{bad_request_status, bad->reason};
-      co_await refuse(stream, wanted);
+    exchange->head_only = message.method() == beast_http::verb::head;
+    exchange->connection = message.keep_alive() ? after_answer::keep_open : after_answer::close;
+    auto parsed = codec_->read_request(
+        raw_request_of(message, parser.content_length().has_value() || parser.chunked()));
+    if (auto* invalid = std::get_if<serving::bad_request>(&parsed)) {
+      const refusal response{bad_request_status, invalid->reason};
+      co_await refuse(stream, response);
       co_return false;
     }
-    exchanges_[client] = waiting;
+    exchanges_[client] = exchange;
     body.move_to(flow::byte_holder::kept_bodies);
-    auto kept = std::make_shared<kept_content>(
-        kept_content{std::get<serving::request_content>(std::move(read)), std::move(body)});
+    auto shared_content = std::make_shared<content_with_memory>(content_with_memory{
+        std::get<serving::request_content>(std::move(parsed)), std::move(body)});
     // Whoever holds the content holds the memory of its body.
-    observer_.on_request({client,
-                          std::shared_ptr<const serving::request_content>(kept, &kept->content),
-                          arrived_at});
-    kept.reset();
-    asio::co_spawn(*io_, watch_for_end(stream, waiting), asio::detached);
-    const bool whole = co_await write_answer(stream, *waiting);
+    observer_.on_request(
+        {client,
+         std::shared_ptr<const serving::request_content>(shared_content, &shared_content->content),
+         arrived_at});
+    shared_content.reset();
+    asio::co_spawn(*io_, watch_for_disconnect(stream, exchange), asio::detached);
+    const bool is_complete = co_await write_answer(stream, *exchange);
     exchanges_.erase(client);
-    note_end(*waiting);
-    if (!whole) {
-      observer_.on_left({client, waiting->given_up.value_or(serving::disconnect_reason::closed)});
+    record_end(*exchange);
+    if (!is_complete) {
+      observer_.on_disconnected(
+          {client, exchange->abort_reason.value_or(serving::disconnect_reason::closed)});
     }
     // Ends the watch, which must not outlive the connection.
     boost::system::error_code ignored;
     stream.socket().cancel(ignored);
-    while (!waiting->watch_ended) {
-      co_await waiting->wake.async_wait(await_into(ignored));
+    while (!exchange->has_watch_ended) {
+      co_await exchange->wake.async_wait(await_into(ignored));
     }
-    co_return whole && waiting->connection == after_answer::keep_open;
+    co_return is_complete && exchange->connection == after_answer::keep_open;
   }
 
-  void note_end(const exchange& ended) {
-    counters_.closed_window_time += ended.window.closed_duration(base::boot_clock::now());
-    counters_.aborted_unread += ended.given_up == serving::disconnect_reason::unread ? 1 : 0;
-    counters_.aborted_for_memory += ended.given_up == serving::disconnect_reason::no_memory ? 1 : 0;
+  void record_end(const client_exchange& exchange) {
+    counters_.closed_window_time += exchange.window.closed_duration(base::boot_clock::now());
+    counters_.aborted_unread += exchange.abort_reason == serving::disconnect_reason::unread ? 1 : 0;
+    counters_.aborted_for_memory +=
+        exchange.abort_reason == serving::disconnect_reason::no_memory ? 1 : 0;
   }
 
-  static serving::raw_request raw_of(beast_http::request<beast_http::string_body>& message,
-                                     bool has_body) {
+  static serving::raw_request raw_request_of(beast_http::request<beast_http::string_body>& message,
+                                             bool has_body) {
     serving::raw_request raw;
     raw.method = std::string(message.method_string());
     raw.target = std::string(message.target());
@@ -522,72 +533,73 @@
   }
 
   /// Notices that a client closes its connection while it waits.
-  static asio::awaitable<void> watch_for_end(beast::tcp_stream& stream,
-                                             std::shared_ptr<exchange> waiting) {
+  static asio::awaitable<void> watch_for_disconnect(beast::tcp_stream& stream,
+                                                    std::shared_ptr<client_exchange> exchange) {
     boost::system::error_code error;
     co_await stream.socket().async_wait(asio::ip::tcp::socket::wait_read, await_into(error));
-    waiting->gone = waiting->gone || (!error && peer_has_closed(stream.socket()));
-    waiting->watch_ended = true;
-    waiting->wake.cancel();
-    if (waiting->gone) {
+    exchange->is_disconnected =
+        exchange->is_disconnected || (!error && peer_has_closed(stream.socket()));
+    exchange->has_watch_ended = true;
+    exchange->wake.cancel();
+    if (exchange->is_disconnected) {
       // A write that waits for room would hold the end up.
       stream.socket().cancel(error);
     }
   }
 
   /// @return whether the answer was written whole.
-  asio::awaitable<bool> write_answer(beast::tcp_stream& stream, exchange& waiting) {
+  asio::awaitable<bool> write_answer(beast::tcp_stream& stream, client_exchange& exchange) {
     boost::system::error_code error;
-    while (!waiting.gone && !waiting.given_up) {
-      if (!waiting.unwritten.empty()) {
-        const auto next = std::move(waiting.unwritten.front());
-        waiting.unwritten.pop_front();
-        waiting.writing = true;
-        const bool written = co_await write_in_turns(stream, waiting, next.rest());
-        waiting.writing = false;
-        waiting.counted.shrink(next.counted);
+    while (!exchange.is_disconnected && !exchange.abort_reason) {
+      if (!exchange.unwritten.empty()) {
+        const auto next = std::move(exchange.unwritten.front());
+        exchange.unwritten.pop_front();
+        exchange.is_writing = true;
+        const bool written = co_await write_in_parts(stream, exchange, next.remaining());
+        exchange.is_writing = false;
+        exchange.reservation.shrink(next.reserved_bytes);
         if (!written) {
           co_return false;
         }
         continue;
       }
-      if (waiting.broken) {
+      if (exchange.is_incomplete) {
         co_return false;
       }
-      if (waiting.ended) {
+      if (exchange.is_final) {
         co_return true;
       }
-      co_await waiting.wake.async_wait(await_into(error));
+      co_await exchange.wake.async_wait(await_into(error));
     }
     co_return false;
   }
 
   /// @return whether the client has taken everything.
-  asio::awaitable<bool> write_in_turns(beast::tcp_stream& stream, exchange& waiting,
+  asio::awaitable<bool> write_in_parts(beast::tcp_stream& stream, client_exchange& exchange,
                                        std::string_view bytes) {
     boost::system::error_code error;
     for (std::size_t written = 0; written < bytes.size();) {
-      const auto turn = std::min(write_turn_bytes, bytes.size() - written);
-      stream.expires_after(unread_limit);
-      const auto taken = co_await stream.async_write_some(
-          asio::buffer(bytes.data() + written, turn), await_into(error));
+      const auto part_bytes = std::min(max_write_bytes, bytes.size() - written);
+      stream.expires_after(unread_timeout);
+      const auto accepted = co_await stream.async_write_some(
+          asio::buffer(bytes.data() + written, part_bytes), await_into(error));
       stream.expires_never();
       if (error == beast::error::timeout) {
-        waiting.given_up = serving::disconnect_reason::unread;
+        exchange.abort_reason = serving::disconnect_reason::unread;
       }
-      if (error || waiting.gone || waiting.given_up) {
+      if (error || exchange.is_disconnected || exchange.abort_reason) {
         co_return false;
       }
-      written += taken;
-      tell(waiting, waiting.window.consume(taken, base::boot_clock::now()));
+      written += accepted;
+      report_window_change(exchange, exchange.window.consume(accepted, base::boot_clock::now()));
     }
     co_return true;
   }
 
-  asio::awaitable<void> refuse(beast::tcp_stream& stream, const refusal& wanted) {
+  asio::awaitable<void> refuse(beast::tcp_stream& stream, const refusal& response) {
     boost::system::error_code error;
-    const auto text = text_of(wanted);
-    stream.expires_after(unread_limit);
+    const auto text = text_of(response);
+    stream.expires_after(unread_timeout);
     co_await asio::async_write(stream, asio::buffer(text), await_into(error));
     co_await discard_rest(stream);
   }
@@ -599,8 +611,8 @@
     stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, error);
     std::array<char, first_read_bytes> ignored{};
     stream.expires_after(stopping_ ? discard_timeout_at_stop : discard_timeout);
-    const auto longest = limits_.max_body_bytes + discarded_beside_body;
-    for (std::size_t discarded = 0; !error && discarded < longest;) {
+    const auto max_bytes = limits_.max_body_bytes + max_discarded_framing_bytes;
+    for (std::size_t discarded = 0; !error && discarded < max_bytes;) {
       discarded += co_await stream.async_read_some(asio::buffer(ignored), await_into(error));
     }
   }
@@ -613,13 +625,13 @@
   ingress_observer observer_;
   ingress_counters counters_;
   /// The slowest readers are not looked for before.
-  base::time_point next_relief_;
+  base::time_point next_relief_at_;
   model::client_limits limits_;
   bool stopping_ = false;
   std::size_t connections_ = 0;
-  std::size_t busy_ = 0;
+  std::size_t busy_connections_ = 0;
   base::caller_id next_client_ = 1;
-  std::unordered_map<base::caller_id, std::shared_ptr<exchange>> exchanges_;
+  std::unordered_map<base::caller_id, std::shared_ptr<client_exchange>> exchanges_;
 };
 
 } // namespace
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -18,15 +18,15 @@
 /// What the listener hands on. Called on the thread of the io_context.
 struct ingress_observer {
   std::function<void(serving::request_arrived)> on_request;
-  std::function<void(serving::client_disconnected)> on_left;
-  std::function<void(serving::client_window)> on_window;
+  std::function<void(serving::client_disconnected)> on_disconnected;
+  std::function<void(serving::client_window)> on_window_change;
 };
 
 /// What the listener may use.
 struct ingress_resources {
   std::shared_ptr<flow::byte_budget> budget;
   /// Connections beyond these are refused.
-  std::size_t most_connections = 0;
+  std::size_t max_connections = 0;
 };
 
 /// What slow readers led to, for metrics.
