--- a/src/http/caller_server.cc
+++ b/src/http/caller_server.cc
@@ -43,9 +43,9 @@
 };
 using outgoing_item = std::variant<execution::answer, token_item, ticket_item>;
 
-/// @return when the last bytes of the request reached this machine. The kernel keeps that time, so
-/// a
-///         request that waited in the socket while this process was paused is seen to be old.
+/// @return time at which the last bytes of the request reached this machine. The kernel records it,
+///         so that the age of a request that waited in the socket while this process was suspended
+///         is known. The current time if the kernel does not report it.
 base::time_point arrival_time(beast::tcp_stream& stream) {
   const auto now = base::boot_clock::now();
   tcp_info info{};
@@ -55,11 +55,13 @@
   return failed != 0 ? now : now - std::chrono::milliseconds(info.tcpi_last_data_recv);
 }
 
-/// A caller whose request is being decided: what is to be written to it, in order.
+/// State of a request that the node is processing.
 struct caller_exchange {
   explicit caller_exchange(asio::io_context& io)
       : wake(io, asio::steady_timer::time_point::max()) {}
+  /// Items to write to the caller, in order.
   std::deque<outgoing_item> items;
+  /// Cancelled to wake the coroutine that waits for a change of this exchange.
   asio::steady_timer wake;
   bool is_disconnected = false;
   bool has_watch_ended = false;
@@ -158,7 +160,7 @@
     --connections_;
   }
 
-  /// Serves one request. @return whether the connection may carry another.
+  /// Serves one request. @return whether the connection can be used for another request.
   asio::awaitable<bool> serve_request(beast::tcp_stream& stream, beast::flat_buffer& buffer,
                                       std::optional<new_connections::guard>& new_connection) {
     boost::system::error_code error;
@@ -232,14 +234,14 @@
     if (exchange->is_disconnected || !keep_serving) {
       observer_.on_disconnected({caller});
     }
-    // Ends the watch, which must not outlive the connection.
+    // Ends `watch_for_disconnect`, which must not outlive the stream.
     boost::system::error_code ignored;
     stream.socket().cancel(ignored);
     co_await wait_for_watch(*exchange);
     co_return keep_serving;
   }
 
-  /// Notices that a caller closes its connection while it waits.
+  /// Detects that a caller closes its connection while it waits for the answer.
   static asio::awaitable<void> watch_for_disconnect(beast::tcp_stream& stream,
                                                     std::shared_ptr<caller_exchange> exchange) {
     boost::system::error_code error;
@@ -293,7 +295,8 @@
     co_return false;
   }
 
-  /// Events are delimited by the end of the connection.
+  /// Writes a token event, preceded by the head if it was not written yet. The end of the
+  /// connection marks the end of the stream.
   static asio::awaitable<bool> write_token(beast::tcp_stream& stream, const token_item& token,
                                            bool head_written) {
     std::string text;
@@ -335,7 +338,7 @@
   caller_observer observer_;
   bool stopping_ = false;
   std::size_t connections_ = 0;
-  /// Connections between the first byte of a request and the last of its answer.
+  /// Number of connections between the first byte of a request and the last byte of its answer.
   std::size_t busy_connections_ = 0;
   base::caller_id next_caller_ = 1;
   std::unordered_map<base::caller_id, std::shared_ptr<caller_exchange>> exchanges_;
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -35,54 +35,58 @@
 namespace beast_http = boost::beast::http;
 
 constexpr std::size_t first_read_bytes = 4'096;
-/// Bytes of one read of a large body.
+/// Maximum number of bytes of one read of a large body.
 constexpr std::size_t body_read_bytes = 16'384;
-/// A client that takes nothing of its answer for this time is given up: half as long again as the
-/// ten seconds for which clients are known to stop.
+/// Time after which an answer is aborted if its client reads nothing: 1.5 times the ten seconds for
+/// which clients are known to stop reading.
 constexpr std::chrono::seconds unread_timeout{15};
-/// The kernel gives a client up that acknowledges nothing or opens no room for this time; longer
-/// than `unread_timeout`, so that the latter decides about clients that are there.
+/// Time after which the kernel closes the connection to a client that acknowledges no data or keeps
+/// its receive window closed; longer than `unread_timeout`, so that the latter applies to clients
+/// that are reachable.
 constexpr std::chrono::milliseconds tcp_user_timeout{16'000};
-/// Bytes that the kernel holds of an answer that a client has not taken (it doubles the figure, for
-/// its own bookkeeping): 50 ms of a link of 10 Mbit/s, so that neither memory nor the link is
-/// filled with what one client does not take.
+/// Size of the kernel's send buffer of a connection (the kernel doubles it, for its bookkeeping):
+/// 50 ms of a link of 10 Mbit/s, so that one client that does not read fills neither the memory nor
+/// the link.
 constexpr int send_buffer_bytes = 65'536;
-/// An answer is written in turns of this many bytes, between which other clients get theirs.
+/// Maximum number of bytes of one write; other connections are served between two writes.
 constexpr std::size_t max_write_bytes = 16'384;
-/// After a refusal the rest of the body is read for this time at the most: what 4 MB need on a link
-/// of 10 Mbit/s, and a shorter time once a stop began.
+/// Maximum time for which the rest of a body is read and discarded after a refusal: the time that
+/// 4 MB take on a link of 10 Mbit/s, and less during a stop.
 constexpr std::chrono::seconds discard_timeout{4};
 constexpr std::chrono::seconds discard_timeout_at_stop{1};
-/// Bytes of headers and framing beside a body that are read past after a refusal.
+/// Maximum number of bytes of headers and framing that are discarded after a refusal, in addition
+/// to the body.
 constexpr std::size_t max_discarded_framing_bytes = 65'536;
-/// A body beyond this is refused first when memory is short.
+/// Larger bodies are refused first when memory is short.
 constexpr std::size_t large_body_bytes = 65'536;
-/// A body is held once for a second attempt and once for the write to a replica.
+/// Copies of a body that are held at the same time: one for a retry and one that is written to a
+/// replica.
 constexpr std::size_t body_copies = 2;
-/// A client that has taken nothing for this time may be ended to make room for answers: longer than
-/// the pauses of links that lose packets.
+/// Time for which a client must have read nothing before its answer may be aborted to free memory:
+/// longer than the pauses of links that lose packets.
 constexpr base::duration min_stall_duration = std::chrono::seconds(2);
-/// All clients are looked at for the slowest this often at the most.
+/// Minimum interval between two searches for the slowest clients, each of which checks all clients.
 constexpr base::duration min_relief_interval = std::chrono::milliseconds(100);
-/// A look for the slowest frees this share of the budget, 1 / share, where there is as much.
+/// A search for the slowest clients frees up to the fraction 1 / `relief_divisor` of the budget.
 constexpr std::size_t relief_divisor = 20;
-/// How long a request that found no memory or no connection is told to stay away.
+/// Retry-After of requests that are refused for lack of memory or connections.
 constexpr const char* retry_after_seconds = "0.500";
 
-/// Bytes of an answer with the memory they are counted against.
+/// Bytes of an answer that have not been written completely, and their memory reservation.
 struct unwritten_bytes {
   std::string bytes;
+  /// Reservation of the bytes of a complete answer; null otherwise.
   std::shared_ptr<const serving::held_memory> held;
-  /// What the exchange's own reservation holds of them.
+  /// Number of the bytes that are counted in the reservation of the exchange.
   std::size_t reserved_bytes = 0;
-  /// How many of them the client has taken.
+  /// Number of the bytes that were written to the client before they were queued.
   std::size_t written_bytes = 0;
   [[nodiscard]] std::string_view remaining() const {
     return std::string_view(bytes).substr(written_bytes);
   }
 };
 
-/// A client whose request is being served: what is to be written to it, in order.
+/// State of a request that the serving path is processing.
 struct client_exchange {
   client_exchange(asio::io_context& io, base::caller_id client,
                   asio::ip::tcp::socket& connection_socket,
@@ -93,27 +97,30 @@
   base::caller_id id;
   /// Outlives the exchange.
   asio::ip::tcp::socket* socket;
+  /// Bytes to write to the client, in order.
   std::deque<unwritten_bytes> unwritten;
+  /// Memory of the events of a stream that are not written yet.
   flow::byte_reservation reservation;
   flow::stream_window window;
+  /// Cancelled to wake the coroutine that waits for a change of this exchange.
   asio::steady_timer wake;
-  /// The answer ends with what is in `unwritten`.
+  /// The answer ends with the bytes in `unwritten`.
   bool is_final = false;
-  /// The connection is to be broken off.
+  /// The answer ends incomplete: the connection is closed after the bytes in `unwritten`.
   bool is_incomplete = false;
   bool is_disconnected = false;
-  /// Set where the client was given up: nothing more is written.
+  /// Set if the answer was aborted: no more bytes are written.
   std::optional<serving::disconnect_reason> abort_reason;
   bool has_watch_ended = false;
-  /// Bytes are being written, which others must not overtake.
+  /// A write is in progress; later bytes must wait for it.
   bool is_writing = false;
   bool head_only = false;
-  /// The head of a streamed answer was written.
+  /// The answer is a stream, and its head was queued.
   bool is_streaming = false;
   after_answer connection = after_answer::keep_open;
 };
 
-/// A request's content with the memory its body takes.
+/// Content of a request with the memory reservation of its body.
 struct content_with_memory {
   serving::request_content content;
   flow::byte_reservation body;
@@ -123,6 +130,7 @@
 struct refusal {
   unsigned status = 400;
   std::string reason;
+  /// Adds a Retry-After header.
   bool is_retryable = false;
 };
 
@@ -180,7 +188,8 @@
     client.connection = stopping_ ? after_answer::close : client.connection;
     client.is_final = true;
     if (client.is_streaming) {
-      // A second head inside a stream would be no answer; breaking off says that it is not whole.
+      // A second head inside a stream would not be a valid answer. The client recognizes the answer
+      // as incomplete because the connection closes before the last chunk.
       client.is_incomplete = true;
       client.wake.cancel();
       return;
@@ -263,8 +272,9 @@
     }
   }
 
-  /// Writes what a connection takes without waiting, so that events for a client that reads need
-  /// neither a timer nor a turn of their own. Errors are left to the write that waits.
+  /// Writes as many bytes as the socket accepts without blocking, so that events for a client that
+  /// reads need neither a timer nor a wake-up of their own. Errors are ignored: the next
+  /// asynchronous write reports them.
   static void write_at_once(client_exchange& client, unwritten_bytes& added) {
     const bool is_idle = !client.is_writing && client.unwritten.empty();
     if (!is_idle || client.is_disconnected || added.bytes.empty() ||
@@ -277,7 +287,8 @@
                                                     reported_by_next_write);
   }
 
-  /// Events are counted here; whole answers are since they were gathered.
+  /// Queues bytes of a stream and reserves memory for them. Complete answers have a reservation
+  /// since they were buffered.
   void push_events(client_exchange& client, std::string bytes) {
     const auto size = bytes.size();
     if (client.window.is_reading_ahead() &&
@@ -291,7 +302,7 @@
     push(client, {std::move(bytes), nullptr, size});
   }
 
-  /// Tells of a window that closed or opened, where a replica's side depends on it.
+  /// Reports that the window of a stream closed or opened, unless the stream has ended already.
   void report_window_change(const client_exchange& client, flow::window_change change) {
     if (!client.is_streaming || client.is_final || change == flow::window_change::none) {
       return;
@@ -301,8 +312,8 @@
     observer_.on_window_change({client.id, is_open});
   }
 
-  /// Ends an answer as not whole and returns what it holds, except for the bytes being written,
-  /// which follow when the write has ended.
+  /// Aborts an answer and returns its memory, except for the memory of bytes that are being
+  /// written, which is returned when the write ends.
   void abort_answer(client_exchange& client, serving::disconnect_reason why) {
     if (client.abort_reason) {
       return;
@@ -317,9 +328,10 @@
     client.wake.cancel();
   }
 
-  /// Gives up clients that have taken nothing for a while, those first that waste the most memory
-  /// for the longest time. A client that holds no more than its window gives way to events that
-  /// were read already, not to another whole answer.
+  /// Aborts the answers of clients that have read nothing for `min_stall_duration`, in descending
+  /// order of unread bytes times stall duration. A client with no more unread bytes than two window
+  /// sizes is aborted only for events that were already read from a replica, not for complete
+  /// answers.
   void abort_slowest_readers(flow::byte_use use, std::size_t bytes) {
     const auto now = base::boot_clock::now();
     if (now < next_relief_at_) {
@@ -344,7 +356,7 @@
     std::sort(
         slow_readers.begin(), slow_readers.end(),
         [](const slow_reader& a, const slow_reader& b) { return a.byte_seconds > b.byte_seconds; });
-    // Ends some more at once than are needed now, since all are looked at for it.
+    // Frees more than is needed now, since each search checks all clients.
     bytes = std::max(bytes, resources_.budget->capacity() / relief_divisor);
     std::size_t freed = 0;
     for (auto next = slow_readers.begin(); next != slow_readers.end() && freed < bytes; ++next) {
@@ -378,7 +390,7 @@
     --connections_;
   }
 
-  /// Serves one request. @return whether the connection may carry another.
+  /// Serves one request. @return whether the connection can be used for another request.
   asio::awaitable<bool> serve_request(beast::tcp_stream& stream, beast::flat_buffer& buffer,
                                       std::optional<new_connections::guard>& new_connection) {
     boost::system::error_code error;
@@ -438,13 +450,14 @@
       co_return false;
     }
     stream.expires_never();
-    // While the answer is awaited the connection needs no room.
+    // The connection needs no buffer while it waits for the answer.
     buffer.shrink_to_fit();
     co_return co_await answer(stream, parser, arrived_at, std::move(body));
   }
 
-  /// Counts a body and its copies. @param size bytes of the body so far, or as announced.
-  /// @return whether there is memory.
+  /// Reserves memory for a body and its copies.
+  /// @param size bytes of the body received so far, or announced.
+  /// @return whether there is enough memory.
   static bool reserve_body(flow::byte_reservation& reservation, std::size_t size) {
     const auto required = size * body_copies;
     const auto use =
@@ -452,14 +465,15 @@
     return required <= reservation.bytes() || reservation.grow(use, required - reservation.bytes());
   }
 
-  /// Reads a body, as far as there is memory. @param has_memory false where it ran out.
+  /// Reads a body as far as memory allows.
+  /// @param has_memory set to false if memory ran out.
   static asio::awaitable<boost::system::error_code>
   read_body(beast::tcp_stream& stream, beast::flat_buffer& buffer,
             beast_http::request_parser<beast_http::string_body>& parser,
             flow::byte_reservation& reservation, bool& has_memory) {
     boost::system::error_code error;
     if (parser.content_length().value_or(0) > body_read_bytes || parser.chunked()) {
-      // A read takes no more than the buffer has room for.
+      // A read is limited to the capacity of the buffer.
       buffer.reserve(body_read_bytes);
     }
     while (!error && has_memory && !parser.is_done()) {
@@ -489,7 +503,7 @@
     body.move_to(flow::byte_holder::kept_bodies);
     auto shared_content = std::make_shared<content_with_memory>(content_with_memory{
         std::get<serving::request_content>(std::move(parsed)), std::move(body)});
-    // Whoever holds the content holds the memory of its body.
+    // The reservation lives as long as any reference to the content.
     observer_.on_request(
         {client,
          std::shared_ptr<const serving::request_content>(shared_content, &shared_content->content),
@@ -503,7 +517,7 @@
       observer_.on_disconnected(
           {client, exchange->abort_reason.value_or(serving::disconnect_reason::closed)});
     }
-    // Ends the watch, which must not outlive the connection.
+    // Ends `watch_for_disconnect`, which must not outlive the stream.
     boost::system::error_code ignored;
     stream.socket().cancel(ignored);
     while (!exchange->has_watch_ended) {
@@ -532,7 +546,7 @@
     return raw;
   }
 
-  /// Notices that a client closes its connection while it waits.
+  /// Detects that a client closes its connection while it waits for the answer.
   static asio::awaitable<void> watch_for_disconnect(beast::tcp_stream& stream,
                                                     std::shared_ptr<client_exchange> exchange) {
     boost::system::error_code error;
@@ -542,12 +556,12 @@
     exchange->has_watch_ended = true;
     exchange->wake.cancel();
     if (exchange->is_disconnected) {
-      // A write that waits for room would hold the end up.
+      // A write that is blocked by a full send buffer would delay the end of the exchange.
       stream.socket().cancel(error);
     }
   }
 
-  /// @return whether the answer was written whole.
+  /// @return whether the complete answer was written.
   asio::awaitable<bool> write_answer(beast::tcp_stream& stream, client_exchange& exchange) {
     boost::system::error_code error;
     while (!exchange.is_disconnected && !exchange.abort_reason) {
@@ -574,7 +588,7 @@
     co_return false;
   }
 
-  /// @return whether the client has taken everything.
+  /// @return whether all bytes were written.
   asio::awaitable<bool> write_in_parts(beast::tcp_stream& stream, client_exchange& exchange,
                                        std::string_view bytes) {
     boost::system::error_code error;
@@ -604,8 +618,8 @@
     co_await discard_rest(stream);
   }
 
-  /// Reads what the client still sends: closing with unread bytes would reset the connection and
-  /// take the answer with it.
+  /// Reads and discards the bytes that the client still sends: closing a socket with unread bytes
+  /// resets the connection, and the client might not receive the answer.
   asio::awaitable<void> discard_rest(beast::tcp_stream& stream) {
     boost::system::error_code error;
     stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, error);
@@ -624,7 +638,7 @@
   ingress_resources resources_;
   ingress_observer observer_;
   ingress_counters counters_;
-  /// The slowest readers are not looked for before.
+  /// Earliest time of the next search for the slowest clients.
   base::time_point next_relief_at_;
   model::client_limits limits_;
   bool stopping_ = false;
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -1,5 +1,5 @@
-/// The clients' HTTP listener of the serving path: bounds and reads requests, passes them on,
-/// writes answers and streams as they come.
+/// HTTP listener of the serving path for clients: limits and reads requests, passes them to the
+/// serving path, and writes answers and streams as they arrive.
 #pragma once
 
 #include "flow/byte_budget.h"
@@ -15,35 +15,38 @@
 
 namespace spurrack::http {
 
-/// What the listener hands on. Called on the thread of the io_context.
+/// Callbacks of the listener, called on the thread of the io_context.
 struct ingress_observer {
   std::function<void(serving::request_arrived)> on_request;
   std::function<void(serving::client_disconnected)> on_disconnected;
   std::function<void(serving::client_window)> on_window_change;
 };
 
-/// What the listener may use.
+/// Resources that the listener may use.
 struct ingress_resources {
   std::shared_ptr<flow::byte_budget> budget;
-  /// Connections beyond these are refused.
+  /// Further connections are refused.
   std::size_t max_connections = 0;
 };
 
-/// What slow readers led to, for metrics.
+/// Effects of slow readers and refused requests, for metrics.
 struct ingress_counters {
+  /// Number of times that reading from a replica was paused for a slow client.
   std::uint64_t windows_closed = 0;
-  /// Time that the replicas' sides of ended streams had to rest.
+  /// Total time for which the windows of answers that have ended were closed.
   base::duration closed_window_time{};
-  /// Clients whose answer was ended as not whole because they took nothing for too long.
+  /// Answers aborted because the client read nothing for too long.
   std::uint64_t aborted_unread = 0;
-  /// The same because they were the slowest when an answer found no memory.
+  /// Answers aborted because the client was the slowest reader when memory for answers ran out, or
+  /// because there was no memory for an event.
   std::uint64_t aborted_for_memory = 0;
-  /// Requests refused because there was no memory for their body, or no connection.
+  /// Requests refused because there was no memory for their body.
   std::uint64_t refused_for_memory = 0;
+  /// Connections refused because `max_connections` were open.
   std::uint64_t refused_connections = 0;
 };
 
-/// Not thread-safe. Commands for clients that have gone are dropped.
+/// Not thread-safe. Commands for clients that have disconnected are dropped.
 class ingress_server {
  public:
   ingress_server() = default;
@@ -57,23 +60,24 @@
   virtual void carry_out(serving::read_ahead wanted) = 0;
   virtual void carry_out(serving::end_stream wanted) = 0;
 
-  /// Bounds for requests that begin from now on.
+  /// Sets the limits for requests that begin from now on.
   virtual void set_limits(const model::client_limits& limits) = 0;
-  /// A stop begins: answers announce that their connection closes.
+  /// Begins a planned stop: answers announce from now on that their connection closes.
   virtual void begin_stop() = 0;
-  /// Stops accepting connections, after taking those that wait.
+  /// Accepts the connections that are already established, then stops accepting.
   virtual void stop_accepting() = 0;
-  /// @return connections on which a request has begun to arrive and is not answered yet; during a
-  ///         stop also those whose first request may still come.
+  /// @return number of connections on which a request has begun to arrive and is not answered yet;
+  ///         during a stop also connections whose first request may still arrive.
   [[nodiscard]] virtual std::size_t busy_connections() const = 0;
+  /// @return number of open connections.
   [[nodiscard]] virtual std::size_t connections() const = 0;
   [[nodiscard]] virtual const ingress_counters& counters() const = 0;
 };
 
-/// Binds and starts accepting.
+/// Binds and starts accepting connections.
 /// @param listen `IP:port`.
-/// @param codec reads requests; must outlive the server.
-/// @throws boost::system::system_error where the address cannot be bound.
+/// @param codec decodes requests; must outlive the server.
+/// @throws boost::system::system_error if the address cannot be bound.
 std::unique_ptr<ingress_server> make_ingress_server(boost::asio::io_context& io,
                                                     const std::string& listen,
                                                     const serving::request_codec& codec,
