--- a/src/upstream/body_reader.cc
+++ b/src/upstream/body_reader.cc
@@ -12,7 +12,7 @@
 using boost::system::error_code;
 
 /// Notes that the connection ended, which is how some bodies end.
-error_code take_end(response_parser& parser) {
+error_code parse_end(response_parser& parser) {
   error_code error;
   parser.put_eof(error);
   if (!error && !parser.is_done()) {
@@ -28,14 +28,14 @@
   error_code error;
   parser.eager(true);
   while (!error && received.size() > 0 && !parser.is_done()) {
-    const auto before = body.size();
-    const auto room = received.size();
-    body.resize(before + room);
-    parser.get().body().data = body.data() + before;
-    parser.get().body().size = room;
+    const auto previous_size = body.size();
+    const auto capacity = received.size();
+    body.resize(previous_size + capacity);
+    parser.get().body().data = body.data() + previous_size;
+    parser.get().body().size = capacity;
     parser.get().body().more = true;
     received.consume(parser.put(received.data(), error));
-    body.resize(before + room - parser.get().body().size);
+    body.resize(previous_size + capacity - parser.get().body().size);
     if (error == beast_http::error::need_buffer) {
       error = {};
     }
@@ -43,29 +43,29 @@
   return error == beast_http::error::need_more ? error_code() : error;
 }
 
-asio::awaitable<error_code> read_some_body(connection& link, response_parser& parser,
-                                           std::size_t most_bytes, std::string& body) {
-  const auto before = body.size();
-  error_code error = parse_received_body(link.buffer, parser, body);
-  if (error || parser.is_done() || body.size() > before) {
+asio::awaitable<error_code> read_some_body(connection& source, response_parser& parser,
+                                           std::size_t max_bytes, std::string& body) {
+  const auto previous_size = body.size();
+  error_code error = parse_received_body(source.buffer, parser, body);
+  if (error || parser.is_done() || body.size() > previous_size) {
     co_return error;
   }
-  auto& socket = link.stream.socket();
+  auto& socket = source.stream.socket();
   co_await socket.async_wait(asio::ip::tcp::socket::wait_read, http::await_into(error));
   if (error) {
     co_return error;
   }
-  const auto received = socket.read_some(link.buffer.prepare(most_bytes), error);
-  link.buffer.commit(received);
+  const auto received = socket.read_some(source.buffer.prepare(max_bytes), error);
+  source.buffer.commit(received);
   if (error == asio::error::would_block) {
     co_return error_code();
   }
   error = error == asio::error::eof
-              ? take_end(parser)
-              : (error ? error : parse_received_body(link.buffer, parser, body));
-  if (link.buffer.size() == 0) {
+              ? parse_end(parser)
+              : (error ? error : parse_received_body(source.buffer, parser, body));
+  if (source.buffer.size() == 0) {
     // What has been taken needs no room while the next bytes are awaited.
-    link.buffer.shrink_to_fit();
+    source.buffer.shrink_to_fit();
   }
   co_return error;
 }
--- a/src/upstream/body_reader.h
+++ b/src/upstream/body_reader.h
@@ -26,12 +26,12 @@
 
 /// Waits until some of a body has arrived and takes it, one read of the connection at the most.
 /// The socket does not block.
-/// @param most_bytes of one read.
+/// @param max_bytes of one read.
 /// @param body to which the body's bytes are added; it may be none where only framing came.
 /// @return the error, if any: a connection that ended too early is `end_of_stream`.
-boost::asio::awaitable<boost::system::error_code> read_some_body(connection& link,
+boost::asio::awaitable<boost::system::error_code> read_some_body(connection& source,
                                                                  response_parser& parser,
-                                                                 std::size_t most_bytes,
+                                                                 std::size_t max_bytes,
                                                                  std::string& body);
 
 } // namespace spurrack::upstream
--- a/src/upstream/connection_pool.cc
+++ b/src/upstream/connection_pool.cc
@@ -5,33 +5,33 @@
 
 namespace spurrack::upstream {
 
-void connection_pool::drop_old(resting_connections& resting, base::time_point now) {
-  std::erase_if(resting, [&](const std::shared_ptr<connection>& kept) {
-    const bool old = !kept->resting || kept->usable_until <= now;
-    if (old) {
-      kept->resting = false;
-      kept->stream.close();
+void connection_pool::close_expired(idle_connections& idle, base::time_point now) {
+  std::erase_if(idle, [&](const std::shared_ptr<connection>& idle_connection) {
+    const bool is_expired = !idle_connection->is_idle || idle_connection->idle_deadline <= now;
+    if (is_expired) {
+      idle_connection->is_idle = false;
+      idle_connection->stream.close();
     }
-    return old;
+    return is_expired;
   });
 }
 
 std::shared_ptr<connection> connection_pool::take(const base::network_address& address,
                                                   idle_time_bounds bounds, base::time_point now) {
-  const auto found = resting_.find(address);
-  if (found == resting_.end()) {
+  const auto found = idle_.find(address);
+  if (found == idle_.end()) {
     return nullptr;
   }
-  auto& resting = found->second;
-  drop_old(resting, now);
-  for (auto place = resting.rbegin(); place != resting.rend(); ++place) {
-    const auto rested = now - (*place)->rests_since;
-    if (rested < bounds.least || rested > bounds.most) {
+  auto& idle = found->second;
+  close_expired(idle, now);
+  for (auto position = idle.rbegin(); position != idle.rend(); ++position) {
+    const auto idle_time = now - (*position)->idle_since;
+    if (idle_time < bounds.min || idle_time > bounds.max) {
       continue;
     }
-    auto taken = *place;
-    resting.erase(std::next(place).base());
-    taken->resting = false;
+    auto taken = *position;
+    idle.erase(std::next(position).base());
+    taken->is_idle = false;
     // Ends the watch.
     boost::system::error_code ignored;
     taken->stream.socket().cancel(ignored);
@@ -41,46 +41,48 @@
 }
 
 void connection_pool::give_back(const base::network_address& address,
-                                std::shared_ptr<connection> given, base::duration lifetime,
+                                std::shared_ptr<connection> returned, base::duration lifetime,
                                 base::time_point now) {
-  auto& resting = resting_[address];
-  drop_old(resting, now);
-  if (resting.size() >= max_idle_per_address) {
-    given->stream.close();
+  auto& idle = idle_[address];
+  close_expired(idle, now);
+  if (idle.size() >= max_idle_per_address) {
+    returned->stream.close();
     return;
   }
-  given->stream.expires_never();
-  given->rests_since = now;
-  given->usable_until = now + lifetime;
-  given->resting = true;
-  ++given->rests;
-  watch(address, given);
-  resting.push_back(std::move(given));
+  returned->stream.expires_never();
+  returned->idle_since = now;
+  returned->idle_deadline = now + lifetime;
+  returned->is_idle = true;
+  ++returned->idle_periods;
+  watch_idle(address, returned);
+  idle.push_back(std::move(returned));
 }
 
 void connection_pool::close_idle(const base::network_address& address) {
-  const auto found = resting_.find(address);
-  if (found == resting_.end()) {
+  const auto found = idle_.find(address);
+  if (found == idle_.end()) {
     return;
   }
-  for (const auto& kept : found->second) {
-    kept->resting = false;
-    kept->stream.close();
+  for (const auto& idle_connection : found->second) {
+    idle_connection->is_idle = false;
+    idle_connection->stream.close();
   }
-  resting_.erase(found);
+  idle_.erase(found);
 }
 
-void connection_pool::watch(const base::network_address& /*address*/,
-                            const std::shared_ptr<connection>& given) {
-  given->stream.socket().async_wait(boost::asio::ip::tcp::socket::wait_read,
-                                    [watched = std::weak_ptr<connection>(given),
-                                     rest = given->rests](const boost::system::error_code& error) {
-                                      const auto kept = watched.lock();
-                                      if (!error && kept && kept->resting && kept->rests == rest) {
-                                        kept->resting = false;
-                                        kept->stream.close();
-                                      }
-                                    });
+void connection_pool::watch_idle(const base::network_address& /*address*/,
+                                 const std::shared_ptr<connection>& returned) {
+  returned->stream.socket().async_wait(
+      boost::asio::ip::tcp::socket::wait_read,
+      [watched = std::weak_ptr<connection>(returned),
+       idle_period = returned->idle_periods](const boost::system::error_code& error) {
+        const auto idle_connection = watched.lock();
+        if (!error && idle_connection && idle_connection->is_idle &&
+            idle_connection->idle_periods == idle_period) {
+          idle_connection->is_idle = false;
+          idle_connection->stream.close();
+        }
+      });
 }
 
 } // namespace spurrack::upstream
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -22,17 +22,17 @@
   explicit connection(boost::asio::io_context& io) : stream(io) {}
   boost::beast::tcp_stream stream;
   boost::beast::flat_buffer buffer;
-  base::time_point rests_since;
-  base::time_point usable_until;
+  base::time_point idle_since;
+  base::time_point idle_deadline;
   /// Counts the times it was taken and given back; lets the watch of an earlier rest end quietly.
-  std::uint64_t rests = 0;
-  bool resting = false;
+  std::uint64_t idle_periods = 0;
+  bool is_idle = false;
 };
 
 /// How long a connection that is taken may have rested.
 struct idle_time_bounds {
-  base::duration least{};
-  base::duration most{};
+  base::duration min{};
+  base::duration max{};
 };
 
 /// Not thread-safe.
@@ -45,17 +45,18 @@
                                    base::time_point now);
   /// Keeps a connection for later calls.
   /// @param lifetime how long it may rest.
-  void give_back(const base::network_address& address, std::shared_ptr<connection> given,
+  void give_back(const base::network_address& address, std::shared_ptr<connection> returned,
                  base::duration lifetime, base::time_point now);
   /// Closes all that rest at an address.
   void close_idle(const base::network_address& address);
 
  private:
-  using resting_connections = std::deque<std::shared_ptr<connection>>;
-  void watch(const base::network_address& address, const std::shared_ptr<connection>& given);
-  void drop_old(resting_connections& resting, base::time_point now);
+  using idle_connections = std::deque<std::shared_ptr<connection>>;
+  void watch_idle(const base::network_address& address,
+                  const std::shared_ptr<connection>& returned);
+  void close_expired(idle_connections& idle, base::time_point now);
 
-  std::unordered_map<base::network_address, resting_connections> resting_;
+  std::unordered_map<base::network_address, idle_connections> idle_;
 };
 
 } // namespace spurrack::upstream
--- a/tests/upstream/connection_pool_test.cc
+++ b/tests/upstream/connection_pool_test.cc
@@ -41,8 +41,8 @@
   const auto elsewhere = rest(other);
   pool.close_idle(restarted);
   pool.close_idle(base::network_address("10.0.0.3:80"));
-  BOOST_TEST(!first->resting);
-  BOOST_TEST(!second->resting);
+  BOOST_TEST(!first->is_idle);
+  BOOST_TEST(!second->is_idle);
   BOOST_TEST((take(restarted) == nullptr));
   BOOST_TEST((take(other) == elsewhere));
 }
