--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -35,7 +35,7 @@
 constexpr double plentiful_utilization = 0.5;
 /// An answer that finds no memory asks again after this time: a tenth of the least time after which
 /// a slow reader gives its memory up.
-constexpr std::chrono::milliseconds memory_retry_period{200};
+constexpr std::chrono::milliseconds memory_retry_interval{200};
 constexpr std::uint32_t max_answer_header_bytes = 65'536;
 /// Largest answer that is gathered whole.
 constexpr std::size_t max_whole_answer_bytes = 8'000'000;
@@ -252,7 +252,7 @@
       if (!std::exchange(has_reported_pause, true)) {
         handler_(serving::answer_paused{state->id});
       }
-      state->wake.expires_after(memory_retry_period);
+      state->wake.expires_after(memory_retry_interval);
       co_await state->wake.async_wait(http::await_into(ignored));
     }
     if (has_reported_pause && !state->is_cancelled) {
--- a/src/upstream/replica_client.h
+++ b/src/upstream/replica_client.h
@@ -37,10 +37,10 @@
   replica_client& operator=(const replica_client&) = delete;
   virtual ~replica_client() = default;
 
-  virtual void start(serving::start_call wanted) = 0;
-  virtual void start(serving::start_stage_call wanted) = 0;
+  virtual void start(serving::start_call command) = 0;
+  virtual void start(serving::start_stage_call command) = 0;
   /// Nothing is reported of this call.
-  virtual void start(serving::free_results wanted) = 0;
+  virtual void start(serving::free_results command) = 0;
   /// Asks for a connection and keeps it; reports `replica_probed`.
   virtual void probe(serving::call_target target) = 0;
   /// Reads no more of a streamed answer until `resume`.
