--- a/src/upstream/body_reader.cc
+++ b/src/upstream/body_reader.cc
@@ -11,7 +11,8 @@
 namespace beast_http = boost::beast::http;
 using boost::system::error_code;
 
-/// Notes that the connection ended, which is how some bodies end.
+/// Passes the end of the connection to the parser: it ends bodies without framing.
+/// @return `end_of_stream` if the body is incomplete.
 error_code parse_end(response_parser& parser) {
   error_code error;
   parser.put_eof(error);
@@ -64,7 +65,7 @@
               ? parse_end(parser)
               : (error ? error : parse_received_body(source.buffer, parser, body));
   if (source.buffer.size() == 0) {
-    // What has been taken needs no room while the next bytes are awaited.
+    // No buffer is needed while the connection waits for the next bytes.
     source.buffer.shrink_to_fit();
   }
   co_return error;
--- a/src/upstream/body_reader.h
+++ b/src/upstream/body_reader.h
@@ -1,5 +1,5 @@
-/// Reads the body of an answer as it arrives. A connection on which nothing has arrived holds no
-/// room for it, so that what waits for a slow client or replica costs neither memory nor time.
+/// Reads the body of an answer as it arrives. A connection holds no buffer while no bytes have
+/// arrived, so that connections that wait for a slow client or replica need no memory for one.
 #pragma once
 
 #include "upstream/connection_pool.h"
@@ -16,19 +16,19 @@
 
 using response_parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
-/// Takes as much of a body out of what was received as is there.
-/// @param received of which the parsed bytes are removed; bytes of framing that are not whole stay.
-/// @param parser whose head is done.
-/// @param body to which the body's bytes are added.
-/// @return the error of bytes that are no body; none where more are needed.
+/// Parses the received bytes of a body as far as possible.
+/// @param received the parsed bytes are removed from it; incomplete framing stays.
+/// @param parser must have parsed the head.
+/// @param body the bytes of the body are appended to it.
+/// @return the error if the bytes are not a valid body; no error if more bytes are needed.
 boost::system::error_code parse_received_body(boost::beast::flat_buffer& received,
                                               response_parser& parser, std::string& body);
 
-/// Waits until some of a body has arrived and takes it, one read of the connection at the most.
-/// The socket does not block.
-/// @param max_bytes of one read.
-/// @param body to which the body's bytes are added; it may be none where only framing came.
-/// @return the error, if any: a connection that ended too early is `end_of_stream`.
+/// Waits until bytes of a body arrive and parses them. Reads at most once from the connection.
+/// @param source its socket must be non-blocking.
+/// @param max_bytes maximum number of bytes to read.
+/// @param body the bytes of the body are appended to it; there may be none if only framing arrived.
+/// @return the error, if any: `end_of_stream` if the connection ended before the body was complete.
 boost::asio::awaitable<boost::system::error_code> read_some_body(connection& source,
                                                                  response_parser& parser,
                                                                  std::size_t max_bytes,
--- a/src/upstream/connection_pool.cc
+++ b/src/upstream/connection_pool.cc
@@ -32,7 +32,7 @@
     auto taken = *position;
     idle.erase(std::next(position).base());
     taken->is_idle = false;
-    // Ends the watch.
+    // Ends `watch_idle`.
     boost::system::error_code ignored;
     taken->stream.socket().cancel(ignored);
     return taken;
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -1,5 +1,5 @@
-/// Kept connections to replicas, by address. A connection that rests is watched: whatever arrives
-/// on it belongs to no call, so it is closed.
+/// Pool of idle connections to replicas, by address. An idle connection is closed if anything
+/// arrives on it, since the bytes belong to no call.
 #pragma once
 
 #include "base/ids.h"
@@ -22,14 +22,17 @@
   explicit connection(boost::asio::io_context& io) : stream(io) {}
   boost::beast::tcp_stream stream;
   boost::beast::flat_buffer buffer;
+  /// Time at which the connection was last returned to the pool.
   base::time_point idle_since;
+  /// Time from which an idle connection is not used again.
   base::time_point idle_deadline;
-  /// Counts the times it was taken and given back; lets the watch of an earlier rest end quietly.
+  /// Number of times that the connection was returned to the pool. Lets the watch of an earlier
+  /// idle period end without closing the connection.
   std::uint64_t idle_periods = 0;
   bool is_idle = false;
 };
 
-/// How long a connection that is taken may have rested.
+/// Range of the time for which a connection may have been idle when it is taken.
 struct idle_time_bounds {
   base::duration min{};
   base::duration max{};
@@ -40,20 +43,24 @@
  public:
   static constexpr std::size_t max_idle_per_address = 16;
 
-  /// @return a resting connection, the one used last; null where none is fit.
+  /// Takes an idle connection from the pool.
+  /// @return the most recently used connection within the bounds; null if there is none.
   std::shared_ptr<connection> take(const base::network_address& address, idle_time_bounds bounds,
                                    base::time_point now);
-  /// Keeps a connection for later calls.
-  /// @param lifetime how long it may rest.
+  /// Returns a connection to the pool for later calls, or closes it if the pool of the address is
+  /// full.
+  /// @param lifetime maximum idle time.
   void give_back(const base::network_address& address, std::shared_ptr<connection> returned,
                  base::duration lifetime, base::time_point now);
-  /// Closes all that rest at an address.
+  /// Closes all idle connections to an address.
   void close_idle(const base::network_address& address);
 
  private:
   using idle_connections = std::deque<std::shared_ptr<connection>>;
+  /// Closes the connection if it becomes readable while it is idle.
   void watch_idle(const base::network_address& address,
                   const std::shared_ptr<connection>& returned);
+  /// Closes and removes connections that are past their deadline or no longer usable.
   void close_expired(idle_connections& idle, base::time_point now);
 
   std::unordered_map<base::network_address, idle_connections> idle_;
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -27,35 +27,38 @@
 namespace beast = boost::beast;
 namespace beast_http = boost::beast::http;
 
-/// Bytes of one read of an answer while memory is plentiful, after which other connections get
-/// their turn: one write turn of the clients' side.
+/// Maximum number of bytes of one read while memory is plentiful; other connections are served
+/// between two reads. Equals the maximum write to a client (`max_write_bytes` in
+/// http/ingress_server.cc).
 constexpr std::size_t read_bytes = 16'384;
-/// The same once this part of the budget is held: no more than the narrowest window of a stream.
+/// Maximum number of bytes of one read of a stream from `plentiful_utilization` on: the smallest
+/// window of a stream.
 constexpr std::size_t low_memory_read_bytes = flow::stream_window::min_window_bytes;
+/// Fraction of the byte budget below which memory is plentiful.
 constexpr double plentiful_utilization = 0.5;
-/// An answer that finds no memory asks again after this time: a tenth of the least time after which
-/// a slow reader gives its memory up.
+/// Interval at which an answer that lacks memory retries the reservation: a tenth of the minimum
+/// stall duration after which the answer of a slow reader is aborted.
 constexpr std::chrono::milliseconds memory_retry_interval{200};
 constexpr std::uint32_t max_answer_header_bytes = 65'536;
-/// Largest answer that is gathered whole.
+/// Maximum size of the body of an answer that is buffered until complete.
 constexpr std::size_t max_whole_answer_bytes = 8'000'000;
-/// Surplus answers that are read past before a connection is given up.
+/// Number of surplus answers that are discarded before a connection is closed.
 constexpr unsigned max_surplus_answers = 4;
-/// How long a connection rests where the replica does not say.
+/// Idle timeout of a connection if the replica does not announce one.
 constexpr std::chrono::seconds default_idle_timeout{4};
-/// A connection is not used in the last moments before the replica closes it.
+/// A connection is not used during this time before the replica closes it.
 constexpr std::chrono::milliseconds idle_timeout_margin{700};
-/// A replica that acknowledges neither bytes nor keep-alive probes for this time is lost: three
-/// retransmissions of 0.2, 0.4 and 0.8 s have failed by then.
+/// Time after which the kernel closes the connection to a replica that acknowledges neither bytes
+/// nor keep-alive probes: three retransmissions, after 0.2, 0.4 and 0.8 s, have failed by then.
 constexpr std::chrono::milliseconds tcp_user_timeout{1'500};
-/// A call that may run once takes a connection that has rested this long: what a replica sends
-/// after a whole answer has arrived by then.
+/// Minimum idle time of a connection for a call that may run only once, or that cannot recognize a
+/// surplus answer: bytes that a replica sends after a complete answer have arrived by then.
 constexpr std::chrono::milliseconds surplus_settle_time{5};
 constexpr std::chrono::seconds free_results_timeout{2};
 
-/// A call under way.
+/// State of an active call.
 struct call_state {
-  /// 0 where nobody waits for the answer.
+  /// 0 if the call has no final event.
   base::call_id id = 0;
   explicit call_state(asio::io_context& io) : wake(io, asio::steady_timer::time_point::max()) {}
   std::shared_ptr<connection> replica_connection;
@@ -64,25 +67,26 @@
   bool is_paused = false;
   bool is_cancelled = false;
   bool has_sent_bytes = false;
-  /// The answer was given up for want of memory.
+  /// The answer was aborted for lack of memory.
   bool lacked_memory = false;
+  /// The whole call was written.
   bool is_written = false;
   bool write_failed = false;
 };
 
-/// What is to be sent, and how.
+/// A call to send, and the requirements for its connection and answer.
 struct outgoing_call {
   base::call_id id = 0;
   serving::call_target target;
   serving::encoded_call content;
-  /// Set for requests: the answer must name it.
+  /// Id that the answer must name; set for client requests only.
   std::optional<std::string> request_id;
   bool is_streaming = false;
   idle_time_bounds idle_time;
   base::time_point started_at = base::boot_clock::now();
 };
 
-/// Memory of an answer, returned when the last holder of its body goes.
+/// Memory reservation of an answer, shared with the holders of its body and released by the last.
 class answer_reservation final : public serving::held_memory {
  public:
   explicit answer_reservation(std::shared_ptr<flow::answer_queue> queue)
@@ -94,7 +98,7 @@
   flow::answer_memory memory_;
 };
 
-/// An answer that was read whole.
+/// An answer that is buffered until complete.
 struct buffered_answer {
   serving::answer_head head;
   std::string body;
@@ -121,7 +125,8 @@
   return raw;
 }
 
-/// @return how long the replica keeps an idle connection, as it says.
+/// @return the idle timeout that the replica announces in Keep-Alive, or the default if it
+/// announces none, minus `idle_timeout_margin`.
 base::duration idle_timeout_of(const response_parser& parser) {
   const auto text = parser.get()[beast_http::field::keep_alive];
   const auto position = text.find("timeout=");
@@ -233,9 +238,9 @@
     }
   }
 
-  /// Waits for memory. What is not read meanwhile stays with the replica, which is not to blame for
-  /// the silence.
-  /// @return false where the call was cancelled or the answer gives way to another.
+  /// Waits for memory. Unread bytes stay with the replica meanwhile; reports the pause so that it
+  /// does not count as evidence against the replica.
+  /// @return false if the call was cancelled or the answer must be aborted in favor of another.
   asio::awaitable<bool> wait_for_memory(const std::shared_ptr<call_state>& state,
                                         answer_reservation& reservation, std::size_t bytes) {
     boost::system::error_code ignored;
@@ -261,6 +266,7 @@
     co_return !state->is_cancelled;
   }
 
+  /// Removes a call and reports its final event, unless the call was cancelled.
   void report(const std::shared_ptr<call_state>& state, base::call_id id,
               serving::event final_event) {
     if (!state->is_cancelled) {
@@ -269,7 +275,7 @@
     }
   }
 
-  /// Takes a kept connection or opens one. @return whether there is one.
+  /// Takes an idle connection or opens a new one. @return whether the call has a connection.
   asio::awaitable<bool> connect(const std::shared_ptr<call_state>& state,
                                 const outgoing_call& call) {
     state->replica_connection =
@@ -283,7 +289,7 @@
     co_return !error && !state->is_cancelled;
   }
 
-  /// Opens a new connection. @return why there is none.
+  /// Opens a new connection. @return the error, if any.
   asio::awaitable<boost::system::error_code> open_connection(const base::network_address& address,
                                                              connection& replica_connection) {
     const auto endpoint = http::parse_endpoint(address.text());
@@ -299,7 +305,7 @@
     }
     replica_connection.stream.expires_never();
     http::set_tcp_options(replica_connection.stream.socket(), tcp_user_timeout);
-    // Bodies are read when the kernel says that some has arrived.
+    // Bodies are read after the kernel reports that bytes have arrived.
     replica_connection.stream.socket().non_blocking(true, error);
     co_return error;
   }
@@ -318,7 +324,8 @@
     handler_(serving::replica_probed{target.replica, result});
   }
 
-  /// Writes beside the reads: a replica may answer before it has read everything.
+  /// Writes a call concurrently with the reads: a replica may answer before it has read the
+  /// complete call.
   static asio::awaitable<void> write(std::shared_ptr<call_state> state, std::string head,
                                      std::string body) {
     boost::system::error_code error;
@@ -330,8 +337,9 @@
     state->write_failed = error.failed();
   }
 
-  /// Connects and begins to write. @return whether the call is under way.
-  /// The body of the call goes with the write, so that it is kept no longer than that.
+  /// Connects and begins to write. Moves the body of the call to the write, so that it is freed
+  /// when the write ends.
+  /// @return whether the write has begun.
   asio::awaitable<bool> send(const std::shared_ptr<call_state>& state, outgoing_call& call) {
     const bool connected = co_await connect(state, call);
     if (!connected || state->is_cancelled) {
@@ -343,8 +351,8 @@
     co_return true;
   }
 
-  /// Reads the head of the answer to the call, past surplus answers and interim ones.
-  /// @return whether there is one.
+  /// Reads the head of the answer to the call; skips interim answers and surplus answers.
+  /// @return whether the head was read.
   asio::awaitable<bool> read_head(const std::shared_ptr<call_state>& state,
                                   const outgoing_call& call,
                                   std::optional<response_parser>& parser) {
@@ -378,12 +386,12 @@
     co_return false;
   }
 
-  /// @return bytes that one read of a connection may take.
+  /// @return maximum number of bytes of one read of a stream.
   [[nodiscard]] std::size_t stream_read_bytes() const {
     return budget_->utilization() < plentiful_utilization ? read_bytes : low_memory_read_bytes;
   }
 
-  /// Reads the rest of the body, as far as there is memory. @return whether it is whole.
+  /// Reads the rest of the body, waiting for memory as needed. @return whether it is complete.
   asio::awaitable<bool> read_body(const std::shared_ptr<call_state>& state, response_parser& parser,
                                   buffered_answer& answer) {
     auto& body = answer.body;
@@ -414,13 +422,14 @@
     co_return true;
   }
 
+  /// Returns the connection to the pool if it can carry another call; closes it otherwise.
   void keep_or_close(const std::shared_ptr<call_state>& state, const outgoing_call& call,
                      const response_parser& parser) {
     auto& replica_connection = *state->replica_connection;
     const bool is_reusable = state->is_written && parser.is_done() && parser.keep_alive() &&
                              !parser.need_eof() && replica_connection.buffer.size() == 0;
     if (is_reusable) {
-      // A resting connection needs no room.
+      // An idle connection needs no buffer.
       replica_connection.buffer.shrink_to_fit();
       pool_.give_back(call.target.address, state->replica_connection, idle_timeout_of(parser),
                       base::boot_clock::now());
@@ -429,7 +438,7 @@
     }
   }
 
-  /// Reads the head of an answer, and passes on what it says of its replica.
+  /// Decodes the head of an answer and reports the self-report of its replica.
   serving::answer_head head_of(const response_parser& parser, const outgoing_call& call) {
     auto raw = raw_answer_of(parser);
     auto self_report = codec_->read_self_report(raw);
--- a/src/upstream/replica_client.h
+++ b/src/upstream/replica_client.h
@@ -1,5 +1,5 @@
-/// Calls to replicas over kept connections. One call at a time on a connection; a connection on
-/// which anything unexpected arrived carries no further call.
+/// Calls replicas over pooled connections. A connection carries one call at a time; a connection on
+/// which unexpected bytes arrived is not used again.
 #pragma once
 
 #include "flow/byte_budget.h"
@@ -16,16 +16,17 @@
 
 namespace spurrack::upstream {
 
-/// Called on the thread of the io_context; for each call that was not cancelled exactly one final
-/// event comes.
+/// Receives the events of calls, on the thread of the io_context. Each call that is not cancelled
+/// has exactly one final event.
 using event_handler = std::function<void(serving::event)>;
 
+/// Counters of connections and their answers, for metrics.
 struct connection_counters {
   std::uint64_t opened = 0;
   std::uint64_t reused = 0;
-  /// Answers that belonged to no call of their connection.
+  /// Answers that did not belong to the call on their connection.
   std::uint64_t surplus_answers = 0;
-  /// Answers that told a load which cannot be read.
+  /// Answers that reported a load in an invalid format.
   std::uint64_t unreadable_loads = 0;
 };
 
@@ -39,22 +40,22 @@
 
   virtual void start(serving::start_call command) = 0;
   virtual void start(serving::start_stage_call command) = 0;
-  /// Nothing is reported of this call.
+  /// Sends the call without a final event.
   virtual void start(serving::free_results command) = 0;
-  /// Asks for a connection and keeps it; reports `replica_probed`.
+  /// Opens a connection, keeps it for later calls, and reports `replica_probed`.
   virtual void probe(serving::call_target target) = 0;
-  /// Reads no more of a streamed answer until `resume`.
+  /// Stops reading a streamed answer until `resume`.
   virtual void pause(base::call_id call) = 0;
   virtual void resume(base::call_id call) = 0;
-  /// Gives a call up: its connection is closed and nothing more is reported.
+  /// Cancels a call: closes its connection and reports no further events of the call.
   virtual void cancel(base::call_id call) = 0;
-  /// Closes the connections that rest at an address; calls under way go on.
+  /// Closes the idle connections to an address; active calls continue.
   virtual void close_idle(const base::network_address& address) = 0;
   [[nodiscard]] virtual const connection_counters& counts() const = 0;
 };
 
 /// @param codec must outlive the client.
-/// @param budget counts whole answers while they are gathered.
+/// @param budget accounts for the memory of complete answers.
 std::unique_ptr<replica_client> make_replica_client(boost::asio::io_context& io,
                                                     const serving::request_codec& codec,
                                                     const serving::serving_settings& settings,
