--- a/src/backends/call_codec.cc
+++ b/src/backends/call_codec.cc
@@ -18,29 +18,29 @@
  public:
   explicit object_view(const json::object& object) : object_(&object) {}
 
-  std::string text(std::string_view name) {
+  std::string read_text(std::string_view name) {
     const auto* value = object_->if_contains(name);
     if (value == nullptr || !value->is_string()) {
-      well_formed_ = false;
+      is_well_formed_ = false;
       return {};
     }
     return std::string(value->get_string());
   }
 
-  std::int64_t number(std::string_view name) {
+  std::int64_t read_number(std::string_view name) {
     const auto* value = object_->if_contains(name);
     if (value == nullptr || !value->is_int64() || value->get_int64() < 0) {
-      well_formed_ = false;
+      is_well_formed_ = false;
       return 0;
     }
     return value->get_int64();
   }
 
-  [[nodiscard]] bool is_well_formed() const { return well_formed_; }
+  [[nodiscard]] bool is_well_formed() const { return is_well_formed_; }
 
  private:
   const json::object* object_;
-  bool well_formed_ = true;
+  bool is_well_formed_ = true;
 };
 
 std::optional<json::object> parse_object(std::string_view text) {
@@ -52,18 +52,18 @@
   return std::move(value.get_object());
 }
 
-std::optional<execution::call_result> result_of(base::call_id call, const json::object& object) {
+std::optional<execution::call_result> parse_result(base::call_id call, const json::object& object) {
   object_view view(object);
   execution::call_result result;
   result.call = call;
   result.status = execution::call_status::completed;
-  result.identity.request = base::request_id(view.text("request_id"));
-  result.identity.stage = view.text("stage");
-  result.identity.attempt = static_cast<std::uint32_t>(view.number("attempt"));
-  result.output = view.text("output");
-  result.tokens = static_cast<std::uint32_t>(view.number("tokens"));
-  result.backend_time = std::chrono::microseconds(view.number("backend_us"));
-  result.reported_in_flight = static_cast<std::uint32_t>(view.number("in_flight"));
+  result.identity.request = base::request_id(view.read_text("request_id"));
+  result.identity.stage = view.read_text("stage");
+  result.identity.attempt = static_cast<std::uint32_t>(view.read_number("attempt"));
+  result.output = view.read_text("output");
+  result.tokens = static_cast<std::uint32_t>(view.read_number("tokens"));
+  result.backend_time = std::chrono::microseconds(view.read_number("backend_us"));
+  result.reported_in_flight = static_cast<std::uint32_t>(view.read_number("in_flight"));
   if (!view.is_well_formed()) {
     return std::nullopt;
   }
@@ -91,7 +91,7 @@
 
 std::optional<execution::call_result> decode_result(base::call_id call, std::string_view body) {
   const auto object = parse_object(body);
-  return object ? result_of(call, *object) : std::nullopt;
+  return object ? parse_result(call, *object) : std::nullopt;
 }
 
 std::optional<std::vector<stream_item>> event_stream_decoder::feed(std::string_view bytes) {
@@ -99,25 +99,25 @@
   std::vector<stream_item> items;
   for (auto end = buffered_.find(event_end); end != std::string::npos;
        end = buffered_.find(event_end)) {
-    const auto line = buffered_.substr(0, end);
+    const auto event = buffered_.substr(0, end);
     buffered_.erase(0, end + event_end.size());
-    if (!line.starts_with(data_prefix)) {
+    if (!event.starts_with(data_prefix)) {
       return std::nullopt;
     }
-    const auto object = parse_object(std::string_view(line).substr(data_prefix.size()));
+    const auto object = parse_object(std::string_view(event).substr(data_prefix.size()));
     if (!object) {
       return std::nullopt;
     }
     stream_item item;
     if (object->contains("token")) {
       object_view view(*object);
-      item.token = execution::call_token{call_, static_cast<std::uint32_t>(view.number("offset")),
-                                         view.text("token")};
+      item.token = execution::call_token{
+          call_, static_cast<std::uint32_t>(view.read_number("offset")), view.read_text("token")};
       if (!view.is_well_formed()) {
         return std::nullopt;
       }
     } else {
-      item.result = result_of(call_, *object);
+      item.result = parse_result(call_, *object);
       if (!item.result) {
         return std::nullopt;
       }
--- a/src/backends/http_backend_client.cc
+++ b/src/backends/http_backend_client.cc
@@ -25,25 +25,25 @@
 using execution::call_status;
 
 constexpr base::duration connect_timeout = std::chrono::milliseconds(400);
-constexpr std::size_t idle_connections_per_backend = 16;
+constexpr std::size_t max_idle_connections_per_backend = 16;
 constexpr std::uint64_t max_answer_bytes = 16'000'000;
-constexpr std::size_t stream_chunk_bytes = 4'096;
+constexpr std::size_t max_read_bytes = 4'096;
 
 using connection = beast::tcp_stream;
 
 /// @return whether an idle connection is open and silent; early bytes or an end make it unusable.
 bool is_reusable(connection& stream) {
   char byte = 0;
-  const auto got = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  const auto received = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 /// One call under way.
 struct call_state {
   execution::stage_call call;
   std::shared_ptr<connection> stream;
-  bool cancelled = false;
-  bool bytes_written = false;
+  bool is_cancelled = false;
+  bool has_written_bytes = false;
 };
 
 class http_backend_client final : public backend_client {
@@ -63,7 +63,7 @@
     if (found == calls_.end()) {
       return;
     }
-    found->second->cancelled = true;
+    found->second->is_cancelled = true;
     if (found->second->stream) {
       found->second->stream->close();
     }
@@ -75,10 +75,10 @@
     execution::call_result result;
     result.call = state->call.call;
     result.status = call_status::never_sent;
-    if (co_await connect(*state) && !state->cancelled) {
+    if (co_await connect(*state) && !state->is_cancelled) {
       result = co_await exchange(*state);
     }
-    if (state->cancelled) {
+    if (state->is_cancelled) {
       co_return;
     }
     if (result.status != call_status::completed && state->stream) {
@@ -126,7 +126,7 @@
     if (now >= state.call.not_after) {
       co_return result;
     }
-    state.bytes_written = true;
+    state.has_written_bytes = true;
     result.status = call_status::broken;
     state.stream->expires_after(state.call.not_after - now);
     boost::system::error_code error;
@@ -140,15 +140,15 @@
   asio::awaitable<execution::call_result> read_answer(call_state& state,
                                                       execution::call_result result) {
     beast::flat_buffer buffer;
-    http::response_parser<http::buffer_body> head;
-    head.body_limit(max_answer_bytes);
+    http::response_parser<http::buffer_body> parser;
+    parser.body_limit(max_answer_bytes);
     boost::system::error_code error;
-    co_await http::async_read_header(*state.stream, buffer, head,
+    co_await http::async_read_header(*state.stream, buffer, parser,
                                      spurrack::http::await_into(error));
     if (error) {
       co_return result;
     }
-    switch (head.get().result()) {
+    switch (parser.get().result()) {
     case http::status::ok:
       break;
     case http::status::too_many_requests:
@@ -165,16 +165,16 @@
     default:
       co_return result;
     }
-    const bool streams = head.get()[http::field::content_type] == "text/event-stream";
-    std::optional<execution::call_result> read;
-    if (streams) {
-      read = co_await read_events(state, buffer, head);
+    const bool is_streaming = parser.get()[http::field::content_type] == "text/event-stream";
+    std::optional<execution::call_result> received_result;
+    if (is_streaming) {
+      received_result = co_await read_events(state, buffer, parser);
     } else {
-      read = co_await read_document(state, buffer, head);
+      received_result = co_await read_document(state, buffer, parser);
     }
-    if (read) {
-      result = *read;
-      if (head.is_done() && head.keep_alive() && buffer.size() == 0 && state.call.repeatable) {
+    if (received_result) {
+      result = *received_result;
+      if (parser.is_done() && parser.keep_alive() && buffer.size() == 0 && state.call.repeatable) {
         keep_idle(state.call.address, state.stream);
       }
     }
@@ -183,9 +183,9 @@
 
   /// @return the next piece of the body; empty at its end; nothing on an error.
   static asio::awaitable<std::optional<std::string>>
-  read_piece(call_state& state, beast::flat_buffer& buffer,
+  read_chunk(call_state& state, beast::flat_buffer& buffer,
              http::response_parser<http::buffer_body>& parser) {
-    std::array<char, stream_chunk_bytes> chunk{};
+    std::array<char, max_read_bytes> chunk{};
     parser.get().body().data = chunk.data();
     parser.get().body().size = chunk.size();
     boost::system::error_code error;
@@ -202,11 +202,11 @@
                 http::response_parser<http::buffer_body>& parser) {
     std::string body;
     while (!parser.is_done()) {
-      const auto piece = co_await read_piece(state, buffer, parser);
-      if (!piece) {
+      const auto received = co_await read_chunk(state, buffer, parser);
+      if (!received) {
         co_return std::nullopt;
       }
-      body += *piece;
+      body += *received;
     }
     co_return decode_result(state.call.call, body);
   }
@@ -215,13 +215,13 @@
   read_events(call_state& state, beast::flat_buffer& buffer,
               http::response_parser<http::buffer_body>& parser) {
     event_stream_decoder decoder(state.call.call);
-    std::optional<execution::call_result> last;
+    std::optional<execution::call_result> final_result;
     while (!parser.is_done()) {
-      const auto piece = co_await read_piece(state, buffer, parser);
-      if (!piece || state.cancelled) {
+      const auto received = co_await read_chunk(state, buffer, parser);
+      if (!received || state.is_cancelled) {
         co_return std::nullopt;
       }
-      auto items = decoder.feed(*piece);
+      auto items = decoder.feed(*received);
       if (!items) {
         co_return std::nullopt;
       }
@@ -229,14 +229,14 @@
         if (item.token) {
           observer_.on_token(std::move(*item.token));
         } else {
-          last = std::move(item.result);
+          final_result = std::move(item.result);
         }
-        if (state.cancelled) {
+        if (state.is_cancelled) {
           co_return std::nullopt;
         }
       }
     }
-    co_return last;
+    co_return final_result;
   }
 
   std::shared_ptr<connection> take_idle(const base::network_address& address) {
@@ -254,7 +254,7 @@
 
   void keep_idle(const base::network_address& address, const std::shared_ptr<connection>& stream) {
     auto& idle = idle_[address];
-    if (idle.size() < idle_connections_per_backend) {
+    if (idle.size() < max_idle_connections_per_backend) {
       stream->expires_never();
       idle.push_back(stream);
     }
--- a/src/peers/zmq_transport.cc
+++ b/src/peers/zmq_transport.cc
@@ -15,17 +15,17 @@
 namespace {
 
 /// Messages that wait for one peer; more are dropped.
-constexpr int send_queue_length = 1'000;
-constexpr int receive_queue_length = 10'000;
+constexpr int max_send_queue_messages = 1'000;
+constexpr int max_receive_queue_messages = 10'000;
 /// Largest message accepted: a published value may have a megabyte, a bucket holds several.
 constexpr std::int64_t max_message_bytes = 64'000'000;
-constexpr int connect_retry_milliseconds = 100;
+constexpr int connect_retry_interval_milliseconds = 100;
 /// A connection that does not come up within this time is tried anew: five times the longest round
 /// trip between regions. The kernel alone sends a lost opening packet again after a second, and the
 /// first packets of nodes that return together meet machines that are not up yet: after a loss of
 /// power of all, 86 nodes knew nobody for 1.5 s and each made stage calls for itself.
 constexpr int connect_timeout_milliseconds = 200;
-constexpr int connect_retry_longest_milliseconds = 1'000;
+constexpr int max_connect_retry_interval_milliseconds = 1'000;
 /// A TCP connection whose peer does not answer is dropped: an idle one after a second and two
 /// probes a second apart, one with unacknowledged bytes after two seconds. TCP does it and not
 /// ZeroMQ's heartbeats, which cost two messages a second a connection and, since libzmq looks
@@ -33,7 +33,7 @@
 constexpr int keepalive_idle_seconds = 1;
 constexpr int keepalive_interval_seconds = 1;
 constexpr int keepalive_probes = 2;
-constexpr int unacknowledged_limit_milliseconds = 2'000;
+constexpr int unacknowledged_timeout_milliseconds = 2'000;
 constexpr const char* authentication_endpoint = "inproc://zeromq.zap.01";
 constexpr std::size_t curve_key_bytes = 32;
 
@@ -48,16 +48,17 @@
   socket.set(zmq::sockopt::tcp_keepalive_idle, keepalive_idle_seconds);
   socket.set(zmq::sockopt::tcp_keepalive_intvl, keepalive_interval_seconds);
   socket.set(zmq::sockopt::tcp_keepalive_cnt, keepalive_probes);
-  socket.set(zmq::sockopt::tcp_maxrt, unacknowledged_limit_milliseconds);
+  socket.set(zmq::sockopt::tcp_maxrt, unacknowledged_timeout_milliseconds);
 }
 
 /// A ZeroMQ socket read through Asio. ZeroMQ's descriptor is edge-triggered: after each wake-up all
 /// messages are taken, and after each send the socket is looked at again.
 class watched_socket {
  public:
-  watched_socket(boost::asio::io_context& io, zmq::socket_t socket, std::function<void()> drain)
+  watched_socket(boost::asio::io_context& io, zmq::socket_t socket,
+                 std::function<void()> on_readable)
       : socket_(std::move(socket)), descriptor_(io, socket_.get(zmq::sockopt::fd)),
-        drain_(std::move(drain)) {}
+        on_readable_(std::move(on_readable)) {}
   watched_socket(const watched_socket&) = delete;
   watched_socket& operator=(const watched_socket&) = delete;
   ~watched_socket() { descriptor_.release(); }
@@ -68,7 +69,7 @@
     descriptor_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
                            [this](const boost::system::error_code& error) {
                              if (!error) {
-                               drain_();
+                               on_readable_();
                                watch();
                              }
                            });
@@ -77,7 +78,7 @@
  private:
   zmq::socket_t socket_;
   boost::asio::posix::stream_descriptor descriptor_;
-  std::function<void()> drain_;
+  std::function<void()> on_readable_;
 };
 
 class zmq_transport final : public peer_transport {
@@ -90,7 +91,7 @@
     }
     zmq::socket_t router(context_, zmq::socket_type::router);
     set_common_options(router);
-    router.set(zmq::sockopt::rcvhwm, receive_queue_length);
+    router.set(zmq::sockopt::rcvhwm, max_receive_queue_messages);
     if (keys_) {
       router.set(zmq::sockopt::curve_server, true);
       router.set(zmq::sockopt::curve_secretkey, keys_->secret_key);
@@ -110,7 +111,7 @@
     if (message.on_new_connection) {
       dealers_.erase(message.to);
     }
-    auto& socket = dealer(message.to);
+    auto& socket = dealer_for(message.to);
     zmq::message_t payload(message.message.ByteSizeLong());
     message.message.SerializeToArray(payload.data(), static_cast<int>(payload.size()));
     if (!socket.send(payload, zmq::send_flags::dontwait)) {
@@ -121,19 +122,19 @@
   [[nodiscard]] std::uint64_t dropped_messages() const override { return dropped_messages_; }
 
  private:
-  zmq::socket_t& dealer(const base::network_address& to) {
+  zmq::socket_t& dealer_for(const base::network_address& to) {
     const auto found = dealers_.find(to);
     if (found != dealers_.end()) {
       return found->second;
     }
     zmq::socket_t socket(context_, zmq::socket_type::dealer);
     set_common_options(socket);
-    socket.set(zmq::sockopt::sndhwm, send_queue_length);
+    socket.set(zmq::sockopt::sndhwm, max_send_queue_messages);
     // Nothing is queued for a peer that is not connected: after a cut it would arrive hours late.
     socket.set(zmq::sockopt::immediate, true);
     socket.set(zmq::sockopt::connect_timeout, connect_timeout_milliseconds);
-    socket.set(zmq::sockopt::reconnect_ivl, connect_retry_milliseconds);
-    socket.set(zmq::sockopt::reconnect_ivl_max, connect_retry_longest_milliseconds);
+    socket.set(zmq::sockopt::reconnect_ivl, connect_retry_interval_milliseconds);
+    socket.set(zmq::sockopt::reconnect_ivl_max, max_connect_retry_interval_milliseconds);
     if (keys_) {
       socket.set(zmq::sockopt::curve_serverkey, keys_->public_key);
       socket.set(zmq::sockopt::curve_publickey, keys_->public_key);
@@ -190,11 +191,12 @@
     std::array<std::uint8_t, curve_key_bytes> expected{};
     zmq_z85_decode(expected.data(), keys_->public_key.c_str());
     const std::string expected_key(expected.begin(), expected.end());
-    const bool allowed = frames.size() > key_frame && frames[mechanism_frame] == "CURVE" &&
-                         frames[key_frame] == expected_key;
+    const bool is_allowed = frames.size() > key_frame && frames[mechanism_frame] == "CURVE" &&
+                            frames[key_frame] == expected_key;
     const std::string request_id = frames.size() > request_id_frame ? frames[request_id_frame] : "";
     const std::array<std::string, 6> reply{
-        "1.0", request_id, allowed ? "200" : "400", allowed ? "OK" : "key not allowed", "peer", ""};
+        "1.0",  request_id, is_allowed ? "200" : "400", is_allowed ? "OK" : "key not allowed",
+        "peer", ""};
     for (std::size_t index = 0; index < reply.size(); ++index) {
       const auto flags =
           index + 1 < reply.size() ? zmq::send_flags::sndmore : zmq::send_flags::none;
--- a/src/publication/http_publication_client.cc
+++ b/src/publication/http_publication_client.cc
@@ -23,7 +23,7 @@
 
 constexpr std::chrono::milliseconds connect_timeout{1'000};
 /// How long the service may hold an answer back.
-constexpr std::chrono::milliseconds watch_wait{8'000};
+constexpr std::chrono::milliseconds long_poll_timeout{8'000};
 constexpr std::chrono::milliseconds read_timeout{12'000};
 /// A full read of the target size is about 15,000 entries.
 constexpr std::uint64_t max_answer_bytes = 256'000'000;
@@ -81,25 +81,25 @@
       : io_(&io), addresses_{std::move(configuration), std::move(machine_list)},
         observer_(std::move(observer)) {}
 
-  void read(const node::read_service& what) override {
-    asio::co_spawn(*io_, run(what), asio::detached);
+  void read(const node::read_service& command) override {
+    asio::co_spawn(*io_, run_read(command), asio::detached);
   }
   /// Watches are held too briefly for it.
-  void probe(const node::probe_service& /*what*/) override {}
+  void probe(const node::probe_service& /*command*/) override {}
 
  private:
-  asio::awaitable<void> run(node::read_service what) {
-    const auto body = co_await fetch(what);
-    auto answer = body ? parse_answer(what.source, *body) : std::nullopt;
+  asio::awaitable<void> run_read(node::read_service command) {
+    const auto body = co_await fetch(command);
+    auto answer = body ? parse_answer(command.source, *body) : std::nullopt;
     if (answer) {
       observer_.on_answer(std::move(*answer));
     } else {
-      observer_.on_failure({what.source});
+      observer_.on_failure({command.source});
     }
   }
 
-  asio::awaitable<std::optional<std::string>> fetch(node::read_service what) {
-    const auto& address = addresses_[static_cast<std::size_t>(what.source)];
+  asio::awaitable<std::optional<std::string>> fetch(node::read_service command) {
+    const auto& address = addresses_[static_cast<std::size_t>(command.source)];
     const auto endpoint = spurrack::http::parse_endpoint(address);
     if (!endpoint) {
       co_return std::nullopt;
@@ -111,8 +111,8 @@
     if (error) {
       co_return std::nullopt;
     }
-    const auto target = "/v1/entries?after=" + std::to_string(what.after) +
-                        "&wait_ms=" + std::to_string(watch_wait.count());
+    const auto target = "/v1/entries?after=" + std::to_string(command.after) +
+                        "&wait_ms=" + std::to_string(long_poll_timeout.count());
     http::request<http::empty_body> request(http::verb::get, target, 11);
     request.set(http::field::host, address);
     request.set(http::field::connection, "close");
--- a/src/publication/publication_client.h
+++ b/src/publication/publication_client.h
@@ -23,9 +23,9 @@
   virtual ~publication_client() = default;
 
   /// Begins a read; the service may hold the answer until something newer is published.
-  virtual void read(const node::read_service& what) = 0;
+  virtual void read(const node::read_service& command) = 0;
   /// Asks the service for little; a failure is told as that of a read.
-  virtual void probe(const node::probe_service& what) = 0;
+  virtual void probe(const node::probe_service& command) = 0;
 };
 
 } // namespace spurrack::publication
