--- a/src/backends/backend_client.h
+++ b/src/backends/backend_client.h
@@ -1,5 +1,5 @@
-/// Calls to back ends. One narrow interface, so that the real engines' protocol can replace the
-/// stand-ins' by touching this folder alone.
+/// Calls to back ends. The interface is narrow so that the protocol of the real engines can replace
+/// the protocol of the emulated ones with changes to this folder only.
 #pragma once
 
 #include "execution/stage_call.h"
@@ -8,8 +8,8 @@
 
 namespace spurrack::backends {
 
-/// Called on the thread of the io_context. For each call `on_result` comes exactly once, unless the
-/// call was cancelled; tokens of a generating call come before it, in order.
+/// Callbacks, called on the thread of the io_context. `on_result` is called exactly once for each
+/// call that is not cancelled. The tokens of a generating call precede it, in order.
 struct call_observer {
   std::function<void(execution::call_result)> on_result;
   std::function<void(execution::call_token)> on_token;
@@ -23,9 +23,9 @@
   backend_client& operator=(const backend_client&) = delete;
   virtual ~backend_client() = default;
 
-  /// Begins a call. `never_sent` is reported only where no byte was written.
+  /// Begins a call. Its result is `never_sent` only if no byte was written.
   virtual void start(const execution::stage_call& call) = 0;
-  /// Gives a call up: its connection is closed and nothing more is reported.
+  /// Cancels a call: closes its connection and reports neither its result nor further tokens.
   virtual void cancel(base::call_id call) = 0;
 };
 
--- a/src/backends/call_codec.cc
+++ b/src/backends/call_codec.cc
@@ -13,7 +13,8 @@
 constexpr std::string_view event_end = "\n\n";
 constexpr std::string_view data_prefix = "data: ";
 
-/// A typed view of a JSON object whose fields may be missing or wrong.
+/// Typed view of a JSON object. A field that is missing or has an invalid value reads as empty or 0
+/// and clears `is_well_formed`.
 class object_view {
  public:
   explicit object_view(const json::object& object) : object_(&object) {}
--- a/src/backends/call_codec.h
+++ b/src/backends/call_codec.h
@@ -1,4 +1,4 @@
-/// JSON form of stage calls and their answers.
+/// Encodes stage calls as JSON and decodes their answers.
 #pragma once
 
 #include "execution/stage_call.h"
@@ -10,26 +10,28 @@
 
 namespace spurrack::backends {
 
-/// @param now used to turn the call's expiry into a remaining time.
+/// @param now current time, from which the remaining time until the call expires is computed.
 /// @return the request body of a call.
 std::string encode_call(const execution::stage_call& call, base::time_point now);
 
-/// @param body whole answer of a call that does not stream, or the last event of one that does.
-/// @return nothing where the body is not a well-formed answer.
+/// @param body complete answer of a call that does not stream, or the final event of a call that
+/// streams.
+/// @return std::nullopt if the body is not a well-formed answer.
 std::optional<execution::call_result> decode_result(base::call_id call, std::string_view body);
 
-/// What one server-sent event of a generating call says.
+/// Content of one server-sent event of a generating call: either a token or the final result.
 struct stream_item {
   std::optional<execution::call_token> token;
   std::optional<execution::call_result> result;
 };
 
-/// Splits a stream of server-sent events as its bytes arrive.
+/// Incremental decoder for a stream of server-sent events.
 class event_stream_decoder {
  public:
   explicit event_stream_decoder(base::call_id call) : call_(call) {}
 
-  /// @return the items completed by these bytes; nothing where an event is malformed.
+  /// Decodes the next bytes of the stream; incomplete events are buffered.
+  /// @return the items that these bytes complete; std::nullopt if an event is malformed.
   std::optional<std::vector<stream_item>> feed(std::string_view bytes);
 
  private:
--- a/src/backends/http_backend_client.cc
+++ b/src/backends/http_backend_client.cc
@@ -31,14 +31,15 @@
 
 using connection = beast::tcp_stream;
 
-/// @return whether an idle connection is open and silent; early bytes or an end make it unusable.
+/// @return whether an idle connection is open and has no bytes to read; unexpected bytes or a close
+/// make it unusable.
 bool is_reusable(connection& stream) {
   char byte = 0;
   const auto received = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-/// One call under way.
+/// State of an active call.
 struct call_state {
   execution::stage_call call;
   std::shared_ptr<connection> stream;
@@ -89,8 +90,8 @@
   }
 
   asio::awaitable<bool> connect(call_state& state) {
-    // A connection that closes under the write leaves it open whether the call ran, so calls that
-    // may not be repeated get a connection of their own.
+    // If an idle connection closes during the write, it is unknown whether the call ran. Therefore
+    // calls that may not be repeated use a new connection.
     if (state.call.repeatable) {
       state.stream = take_idle(state.call.address);
       if (state.stream) {
@@ -122,7 +123,8 @@
     const auto now = base::boot_clock::now();
     request.body() = encode_call(state.call, now);
     request.prepare_payload();
-    // The last look at the clock before bytes leave: a process that was paused must not send.
+    // Last check of the clock before bytes are sent: a process that was suspended past the expiry
+    // of the call must not send it.
     if (now >= state.call.not_after) {
       co_return result;
     }
@@ -181,7 +183,9 @@
     co_return result;
   }
 
-  /// @return the next piece of the body; empty at its end; nothing on an error.
+  /// Reads the next bytes of the body.
+  /// @return std::nullopt on an error; may be empty at the end of the body or if only framing
+  /// arrived.
   static asio::awaitable<std::optional<std::string>>
   read_chunk(call_state& state, beast::flat_buffer& buffer,
              http::response_parser<http::buffer_body>& parser) {
--- a/src/backends/http_backend_client.h
+++ b/src/backends/http_backend_client.h
@@ -1,4 +1,4 @@
-/// Back ends over HTTP/1.1 with JSON bodies; generated tokens come as server-sent events.
+/// Calls back ends over HTTP/1.1 with JSON bodies; generated tokens arrive as server-sent events.
 /// docs/BACKENDS.md describes the exchange.
 #pragma once
 
--- a/src/peers/peer_transport.h
+++ b/src/peers/peer_transport.h
@@ -1,5 +1,5 @@
-/// Messages between nodes. Delivery is best effort: a message may be lost, and late ones may
-/// arrive.
+/// Transport of messages between nodes. Delivery is best effort: messages may be lost or arrive
+/// late.
 #pragma once
 
 #include "base/ids.h"
@@ -20,9 +20,9 @@
   peer_transport& operator=(const peer_transport&) = delete;
   virtual ~peer_transport() = default;
 
-  /// Sends without waiting. A message that cannot be queued at once is dropped and counted.
+  /// Sends without blocking. A message that cannot be queued immediately is dropped and counted.
   virtual void send(const wire::outgoing& message) = 0;
-  /// @return messages dropped because they could not be queued.
+  /// @return number of messages that were dropped because they could not be queued.
   [[nodiscard]] virtual std::uint64_t dropped_messages() const = 0;
 };
 
--- a/src/peers/zmq_transport.cc
+++ b/src/peers/zmq_transport.cc
@@ -14,22 +14,24 @@
 namespace spurrack::peers {
 namespace {
 
-/// Messages that wait for one peer; more are dropped.
+/// Maximum number of queued messages per peer; further messages are dropped.
 constexpr int max_send_queue_messages = 1'000;
 constexpr int max_receive_queue_messages = 10'000;
-/// Largest message accepted: a published value may have a megabyte, a bucket holds several.
+/// Maximum size of a received message: a published value may have 1 MB, and a bucket holds several
+/// values.
 constexpr std::int64_t max_message_bytes = 64'000'000;
 constexpr int connect_retry_interval_milliseconds = 100;
-/// A connection that does not come up within this time is tried anew: five times the longest round
-/// trip between regions. The kernel alone sends a lost opening packet again after a second, and the
-/// first packets of nodes that return together meet machines that are not up yet: after a loss of
-/// power of all, 86 nodes knew nobody for 1.5 s and each made stage calls for itself.
+/// Time after which connecting is retried: five times the longest round trip between regions. The
+/// kernel retransmits a lost SYN only after a second, and the first SYNs of nodes that restart
+/// together reach machines that are not up yet: after a power loss of all machines, 86 nodes knew
+/// no other node for 1.5 s, and each formed stage calls on its own.
 constexpr int connect_timeout_milliseconds = 200;
 constexpr int max_connect_retry_interval_milliseconds = 1'000;
-/// A TCP connection whose peer does not answer is dropped: an idle one after a second and two
-/// probes a second apart, one with unacknowledged bytes after two seconds. TCP does it and not
-/// ZeroMQ's heartbeats, which cost two messages a second a connection and, since libzmq looks
-/// through all its timers to cancel one, time in the square of the connections.
+/// TCP closes a connection whose peer does not respond: an idle connection after a second and two
+/// probes a second apart, a connection with unacknowledged bytes after two seconds. ZeroMQ
+/// heartbeats are not used: they cost two messages per second and connection, and their processor
+/// time grows with the square of the number of connections, since libzmq searches all its timers to
+/// cancel one.
 constexpr int keepalive_idle_seconds = 1;
 constexpr int keepalive_interval_seconds = 1;
 constexpr int keepalive_probes = 2;
@@ -51,8 +53,9 @@
   socket.set(zmq::sockopt::tcp_maxrt, unacknowledged_timeout_milliseconds);
 }
 
-/// A ZeroMQ socket read through Asio. ZeroMQ's descriptor is edge-triggered: after each wake-up all
-/// messages are taken, and after each send the socket is looked at again.
+/// A ZeroMQ socket that is read through Asio. The descriptor of ZeroMQ is edge-triggered: the
+/// callback must receive all available messages after each wake-up, and must check the socket again
+/// after each send on it.
 class watched_socket {
  public:
   watched_socket(boost::asio::io_context& io, zmq::socket_t socket,
@@ -130,7 +133,8 @@
     zmq::socket_t socket(context_, zmq::socket_type::dealer);
     set_common_options(socket);
     socket.set(zmq::sockopt::sndhwm, max_send_queue_messages);
-    // Nothing is queued for a peer that is not connected: after a cut it would arrive hours late.
+    // Messages are not queued for a peer that is not connected: after a partition they could arrive
+    // hours late.
     socket.set(zmq::sockopt::immediate, true);
     socket.set(zmq::sockopt::connect_timeout, connect_timeout_milliseconds);
     socket.set(zmq::sockopt::reconnect_ivl, connect_retry_interval_milliseconds);
@@ -159,7 +163,7 @@
     }
   }
 
-  /// Admits only clients with the fleet's key (ZAP, ZeroMQ RFC 27).
+  /// Accepts only peers that have the key of the fleet (ZAP, ZeroMQ RFC 27).
   void start_authentication() {
     zmq::socket_t replier(context_, zmq::socket_type::rep);
     replier.bind(authentication_endpoint);
--- a/src/peers/zmq_transport.h
+++ b/src/peers/zmq_transport.h
@@ -1,5 +1,6 @@
-/// Peer messages over ZeroMQ: one ROUTER to receive, one DEALER a peer to send, CURVE where keys
-/// are set. Only ZeroMQ's plain sockets are used; routing and membership are spurrack's own.
+/// Peer messages over ZeroMQ: one ROUTER socket to receive, one DEALER socket per peer to send,
+/// CURVE encryption if keys are set. Only plain ZeroMQ sockets are used; spurrack itself implements
+/// routing and membership.
 #pragma once
 
 #include "peers/peer_transport.h"
@@ -16,7 +17,7 @@
 /// Binds and starts receiving.
 /// @param io drives the transport; must outlive it.
 /// @param listen `IP:port`.
-/// @throws std::system_error where the address cannot be bound.
+/// @throws std::system_error if the address cannot be bound.
 std::unique_ptr<peer_transport> make_zmq_transport(boost::asio::io_context& io,
                                                    const std::string& listen,
                                                    const std::optional<settings::curve_keys>& keys,
--- a/src/publication/http_publication_client.cc
+++ b/src/publication/http_publication_client.cc
@@ -22,10 +22,10 @@
 namespace json = boost::json;
 
 constexpr std::chrono::milliseconds connect_timeout{1'000};
-/// How long the service may hold an answer back.
+/// Maximum time for which the service may delay an answer until it has newer entries.
 constexpr std::chrono::milliseconds long_poll_timeout{8'000};
 constexpr std::chrono::milliseconds read_timeout{12'000};
-/// A full read of the target size is about 15,000 entries.
+/// Maximum size of an answer. A complete listing at the target size has about 15,000 entries.
 constexpr std::uint64_t max_answer_bytes = 256'000'000;
 
 std::optional<wire::catalog_entry> parse_entry(const json::value& value) {
@@ -84,7 +84,7 @@
   void read(const node::read_service& command) override {
     asio::co_spawn(*io_, run_read(command), asio::detached);
   }
-  /// Watches are held too briefly for it.
+  /// Does nothing: the service delays its answers too briefly for a probe to be useful.
   void probe(const node::probe_service& /*command*/) override {}
 
  private:
--- a/src/publication/http_publication_client.h
+++ b/src/publication/http_publication_client.h
@@ -1,5 +1,5 @@
-/// The platform's services over HTTP: `GET /v1/entries?after=R&wait_ms=W`. docs/PLATFORM.md
-/// describes the exchange.
+/// Reads the platform's services over HTTP: `GET /v1/entries?after=R&wait_ms=W`. docs/PLATFORM.md
+/// describes the protocol.
 #pragma once
 
 #include "publication/publication_client.h"
--- a/src/publication/publication_client.h
+++ b/src/publication/publication_client.h
@@ -1,5 +1,5 @@
-/// Reads of the platform's two services. One narrow interface, so that their real protocol can
-/// replace the stand-in's by touching this folder alone.
+/// Reads from the two services of the platform. The interface is narrow so that the protocol of the
+/// real services can replace the protocol of the emulated service with changes to this folder only.
 #pragma once
 
 #include "node/events.h"
@@ -8,7 +8,7 @@
 
 namespace spurrack::publication {
 
-/// Called on the thread of the io_context; exactly one of the two for each read.
+/// Callbacks, called on the thread of the io_context; exactly one of the two for each read.
 struct read_observer {
   std::function<void(node::service_answered)> on_answer;
   std::function<void(node::service_failed)> on_failure;
@@ -22,9 +22,10 @@
   publication_client& operator=(const publication_client&) = delete;
   virtual ~publication_client() = default;
 
-  /// Begins a read; the service may hold the answer until something newer is published.
+  /// Begins a read. The service may delay its answer until it has a revision later than
+  /// `command.after`.
   virtual void read(const node::read_service& command) = 0;
-  /// Asks the service for little; a failure is told as that of a read.
+  /// Sends a small query to the service; reports only a failure, like the failure of a read.
   virtual void probe(const node::probe_service& command) = 0;
 };
 
