--- a/tests/http/callers_interface_test.cc
+++ b/tests/http/callers_interface_test.cc
@@ -8,17 +8,17 @@
 using namespace spurrack;
 namespace beast_http = boost::beast::http;
 
-http::http_request message(const std::string& target, const std::string& body,
-                           const std::string& token = "Bearer t") {
-  http::http_request made(beast_http::verb::post, target, 11);
+http::http_request make_message(const std::string& target, const std::string& body,
+                                const std::string& token = "Bearer t") {
+  http::http_request message(beast_http::verb::post, target, 11);
   if (!token.empty()) {
-    made.set("Authorization", token);
+    message.set("Authorization", token);
   }
-  made.body() = body;
-  return made;
+  message.body() = body;
+  return message;
 }
 
-struct refused_case {
+struct refusal_case {
   http::http_request request;
   std::string code;
 };
@@ -27,10 +27,10 @@
 
 BOOST_AUTO_TEST_SUITE(callers_interface)
 
-BOOST_AUTO_TEST_CASE(understands_a_request) {
-  auto sent = message("/v1/pipelines/p", R"({"input":"x","deadline_ms":20,"stream":true})");
-  sent.set("Idempotency-Key", "k");
-  const auto parsed = http::parse_caller_request(sent);
+BOOST_AUTO_TEST_CASE(parses_a_pipeline_request) {
+  auto message = make_message("/v1/pipelines/p", R"({"input":"x","deadline_ms":20,"stream":true})");
+  message.set("Idempotency-Key", "k");
+  const auto parsed = http::parse_caller_request(message);
   const auto& request = std::get<execution::caller_request>(parsed);
   BOOST_TEST(request.pipeline.text() == "p");
   BOOST_TEST(request.input == "x");
@@ -41,30 +41,30 @@
              "e3b98a4da31a127d4bde6e43033f66ba274cab0eb7eb1c70ec41402bf6273dd8");
 }
 
-BOOST_AUTO_TEST_CASE(refuses_what_is_wrong_with_a_stable_code) {
+BOOST_AUTO_TEST_CASE(an_invalid_request_is_refused_with_a_stable_code) {
   const std::string path = "/v1/pipelines/p";
-  std::vector<refused_case> cases;
-  cases.push_back({message(path, "{"), "malformed_json"});
-  cases.push_back({message(path, "[]"), "malformed_json"});
-  cases.push_back({message(path, "[[[[[[[[[[[[1]]]]]]]]]]]]"), "malformed_json"});
-  cases.push_back({message(path, "{}"), "missing_field"});
-  cases.push_back({message(path, R"({"input":1})"), "invalid_field"});
-  cases.push_back({message(path, R"({"input":"x","deadline_ms":"soon"})"), "invalid_field"});
-  cases.push_back({message(path, R"({"input":"x","streem":true})"), "invalid_field"});
-  cases.push_back({message(path, R"({"input":"x"})", ""), "missing_token"});
-  cases.push_back({message(path, R"({"input":"x"})", "Basic t"), "missing_token"});
-  cases.push_back({message("/v2/x", "{}"), "unknown_path"});
-  auto key = message(path, R"({"input":"x"})");
+  std::vector<refusal_case> cases;
+  cases.push_back({make_message(path, "{"), "malformed_json"});
+  cases.push_back({make_message(path, "[]"), "malformed_json"});
+  cases.push_back({make_message(path, "[[[[[[[[[[[[1]]]]]]]]]]]]"), "malformed_json"});
+  cases.push_back({make_message(path, "{}"), "missing_field"});
+  cases.push_back({make_message(path, R"({"input":1})"), "invalid_field"});
+  cases.push_back({make_message(path, R"({"input":"x","deadline_ms":"soon"})"), "invalid_field"});
+  cases.push_back({make_message(path, R"({"input":"x","streem":true})"), "invalid_field"});
+  cases.push_back({make_message(path, R"({"input":"x"})", ""), "missing_token"});
+  cases.push_back({make_message(path, R"({"input":"x"})", "Basic t"), "missing_token"});
+  cases.push_back({make_message("/v2/x", "{}"), "unknown_path"});
+  auto key = make_message(path, R"({"input":"x"})");
   key.set("Idempotency-Key", std::string(300, 'k'));
   cases.push_back({key, "invalid_field"});
-  auto get = message(path, "");
+  auto get = make_message(path, "");
   get.method(beast_http::verb::get);
   cases.push_back({get, "method_not_allowed"});
-  for (const auto& wrong : cases) {
-    const auto parsed = http::parse_caller_request(wrong.request);
+  for (const auto& refusal : cases) {
+    const auto parsed = http::parse_caller_request(refusal.request);
     const auto* refused = std::get_if<http::refused_request>(&parsed);
-    BOOST_TEST_REQUIRE((refused != nullptr), wrong.code);
-    BOOST_TEST(http::name_of(refused->fault) == wrong.code);
+    BOOST_TEST_REQUIRE((refused != nullptr), refusal.code);
+    BOOST_TEST(http::name_of(refused->fault) == refusal.code);
   }
 }
 
--- a/tests/http/planned_stop_test.cc
+++ b/tests/http/planned_stop_test.cc
@@ -28,24 +28,24 @@
 const std::string health_request = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 
 /// A listener on a free port, driven by a thread of its own.
-class running_server {
+class server_on_own_thread {
  public:
-  running_server() : work_(asio::make_work_guard(io_)) {
-    tcp::acceptor probe(io_, {asio::ip::address_v4::loopback(), 0});
-    address_ = probe.local_endpoint();
-    probe.close();
+  server_on_own_thread() : work_(asio::make_work_guard(io_)) {
+    tcp::acceptor acceptor(io_, {asio::ip::address_v4::loopback(), 0});
+    address_ = acceptor.local_endpoint();
+    acceptor.close();
     server_ =
         http::make_caller_server(io_, "127.0.0.1:" + std::to_string(address_.port()), {},
                                  {[](auto) {}, [](auto) {}, [](auto) {}, [] { return true; }});
     thread_ = std::thread([this] { io_.run(); });
   }
-  ~running_server() {
+  ~server_on_own_thread() {
     work_.reset();
     io_.stop();
     thread_.join();
   }
-  running_server(const running_server&) = delete;
-  running_server& operator=(const running_server&) = delete;
+  server_on_own_thread(const server_on_own_thread&) = delete;
+  server_on_own_thread& operator=(const server_on_own_thread&) = delete;
 
   [[nodiscard]] const tcp::endpoint& address() const { return address_; }
   void stop_accepting() {
@@ -60,9 +60,9 @@
 
  private:
   template <typename action>
-  std::invoke_result_t<action> on_server_thread(action what) {
-    std::promise<decltype(what())> result;
-    asio::post(io_, [&] { result.set_value(what()); });
+  std::invoke_result_t<action> on_server_thread(action function) {
+    std::promise<decltype(function())> result;
+    asio::post(io_, [&] { result.set_value(function()); });
     return result.get_future().get();
   }
 
@@ -73,46 +73,48 @@
   std::thread thread_;
 };
 
-enum class exchange_end { answered, refused, cut };
+enum class exchange_result { answered, refused, disconnected };
 
-/// Connects, waits for `before_request`, and asks.
-exchange_end ask(const tcp::endpoint& address, std::chrono::milliseconds before_request) {
+/// Connects, waits for `delay`, and asks.
+exchange_result send_request(const tcp::endpoint& address, std::chrono::milliseconds delay) {
   asio::io_context io;
   tcp::socket socket(io);
   boost::system::error_code error;
   socket.connect(address, error);
   if (error) {
-    return error == asio::error::connection_refused ? exchange_end::refused : exchange_end::cut;
+    return error == asio::error::connection_refused ? exchange_result::refused
+                                                    : exchange_result::disconnected;
   }
-  if (before_request.count() > 0) {
-    std::this_thread::sleep_for(before_request);
+  if (delay.count() > 0) {
+    std::this_thread::sleep_for(delay);
   }
   asio::write(socket, asio::buffer(health_request), error);
   std::string answer;
   if (!error) {
     asio::read(socket, asio::dynamic_buffer(answer), error);
   }
-  return answer.starts_with("HTTP/1.1 200") ? exchange_end::answered : exchange_end::cut;
+  return answer.starts_with("HTTP/1.1 200") ? exchange_result::answered
+                                            : exchange_result::disconnected;
 }
 
-struct stop_totals {
+struct exchange_counts {
   std::atomic<int> answered = 0;
-  std::atomic<int> cut = 0;
+  std::atomic<int> disconnected = 0;
 };
 
 /// Stops a server while clients connect to it as fast as they can, each until it is refused.
-void stop_under_load(stop_totals& totals) {
+void stop_under_load(exchange_counts& counts) {
   constexpr int clients = 6;
-  running_server server;
+  server_on_own_thread server;
   std::vector<std::thread> threads;
   threads.reserve(clients);
   for (int index = 0; index < clients; ++index) {
     threads.emplace_back([&] {
-      auto end = exchange_end::answered;
-      while (end != exchange_end::refused) {
-        end = ask(server.address(), {});
-        totals.answered += end == exchange_end::answered ? 1 : 0;
-        totals.cut += end == exchange_end::cut ? 1 : 0;
+      auto result = exchange_result::answered;
+      while (result != exchange_result::refused) {
+        result = send_request(server.address(), {});
+        counts.answered += result == exchange_result::answered ? 1 : 0;
+        counts.disconnected += result == exchange_result::disconnected ? 1 : 0;
       }
     });
   }
@@ -127,35 +129,36 @@
 
 BOOST_AUTO_TEST_SUITE(planned_stop)
 
-BOOST_AUTO_TEST_CASE(connections_that_arrive_while_the_listener_closes_are_answered) {
+BOOST_AUTO_TEST_CASE(connections_established_while_the_listener_closes_are_answered) {
   // Some rounds at once: they keep each other from the processor between two steps of a stop.
-  constexpr int rounds = 6;
+  constexpr int repetitions = 6;
   constexpr int servers_at_once = 10;
-  stop_totals totals;
-  for (int round = 0; round < rounds; ++round) {
+  exchange_counts counts;
+  for (int repetition = 0; repetition < repetitions; ++repetition) {
     std::vector<std::thread> servers;
     servers.reserve(servers_at_once);
     for (int index = 0; index < servers_at_once; ++index) {
-      servers.emplace_back([&] { stop_under_load(totals); });
+      servers.emplace_back([&] { stop_under_load(counts); });
     }
     for (auto& server : servers) {
       server.join();
     }
   }
-  BOOST_TEST(totals.answered.load() > 0);
-  BOOST_TEST(totals.cut.load() == 0);
+  BOOST_TEST(counts.answered.load() > 0);
+  BOOST_TEST(counts.disconnected.load() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_connection_whose_request_is_still_to_come_keeps_the_process) {
-  running_server server;
-  auto end = std::async(std::launch::async,
-                        [&] { return ask(server.address(), std::chrono::milliseconds(600)); });
+BOOST_AUTO_TEST_CASE(a_connection_without_a_request_delays_the_stop) {
+  server_on_own_thread server;
+  auto result = std::async(std::launch::async, [&] {
+    return send_request(server.address(), std::chrono::milliseconds(600));
+  });
   // The connection stands before the stop begins.
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   server.stop_accepting();
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   BOOST_TEST(server.busy() == 1U);
-  BOOST_TEST((end.get() == exchange_end::answered));
+  BOOST_TEST((result.get() == exchange_result::answered));
   for (int tries = 0; server.busy() > 0 && tries < 100; ++tries) {
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
--- a/tests/upstream/body_reader_test.cc
+++ b/tests/upstream/body_reader_test.cc
@@ -20,74 +20,74 @@
 constexpr std::string_view with_length = "Content-Length: 11\r\n\r\nfirstsecond";
 
 void receive(boost::beast::flat_buffer& received, std::string_view bytes) {
-  const auto room = received.prepare(bytes.size());
-  received.commit(boost::asio::buffer_copy(room, boost::asio::buffer(bytes)));
+  const auto space = received.prepare(bytes.size());
+  received.commit(boost::asio::buffer_copy(space, boost::asio::buffer(bytes)));
 }
 
 /// What an answer that arrived in pieces came to.
-struct taken_answer {
+struct parsed_answer {
   std::string body;
-  bool is_whole = false;
+  bool is_complete = false;
   error_code error;
-  std::size_t left = 0;
+  std::size_t unparsed_bytes = 0;
 };
 
 /// Takes an answer whose bytes arrive `step` at a time.
-taken_answer take_in_steps(const std::string& text, std::size_t step) {
+parsed_answer parse_in_steps(const std::string& text, std::size_t step) {
   boost::beast::flat_buffer received;
   upstream::response_parser parser;
-  taken_answer taken;
+  parsed_answer parsed;
   const auto body_begins = text.find("\r\n\r\n") + 4;
   receive(received, std::string_view(text).substr(0, body_begins));
   parser.eager(false);
-  received.consume(parser.put(received.data(), taken.error));
-  for (auto place = body_begins; place < text.size() && !taken.error; place += step) {
-    receive(received, std::string_view(text).substr(place, step));
-    taken.error = upstream::parse_received_body(received, parser, taken.body);
+  received.consume(parser.put(received.data(), parsed.error));
+  for (auto position = body_begins; position < text.size() && !parsed.error; position += step) {
+    receive(received, std::string_view(text).substr(position, step));
+    parsed.error = upstream::parse_received_body(received, parser, parsed.body);
   }
-  taken.is_whole = parser.is_done();
-  taken.left = received.size();
-  return taken;
+  parsed.is_complete = parser.is_done();
+  parsed.unparsed_bytes = received.size();
+  return parsed;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(body_reader_test)
 
-BOOST_AUTO_TEST_CASE(a_body_is_the_same_however_its_bytes_are_cut) {
+BOOST_AUTO_TEST_CASE(a_body_is_complete_for_any_split_of_its_bytes) {
   for (const auto framing : {chunked, with_length}) {
     const auto text = std::string(head) + std::string(framing);
     for (std::size_t step = 1; step <= text.size(); ++step) {
-      const auto taken = take_in_steps(text, step);
-      BOOST_TEST(!taken.error);
-      BOOST_TEST(taken.is_whole);
-      BOOST_TEST(taken.body == "firstsecond");
-      BOOST_TEST(taken.left == 0U);
+      const auto parsed = parse_in_steps(text, step);
+      BOOST_TEST(!parsed.error);
+      BOOST_TEST(parsed.is_complete);
+      BOOST_TEST(parsed.body == "firstsecond");
+      BOOST_TEST(parsed.unparsed_bytes == 0U);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_follow_a_body_stay) {
-  const auto taken =
-      take_in_steps(std::string(head) + std::string(with_length) + "HTTP/1.1 200", 100);
-  BOOST_TEST(taken.is_whole);
-  BOOST_TEST(taken.body == "firstsecond");
-  BOOST_TEST(taken.left == std::string_view("HTTP/1.1 200").size());
+BOOST_AUTO_TEST_CASE(bytes_after_a_body_stay_in_the_buffer) {
+  const auto parsed =
+      parse_in_steps(std::string(head) + std::string(with_length) + "HTTP/1.1 200", 100);
+  BOOST_TEST(parsed.is_complete);
+  BOOST_TEST(parsed.body == "firstsecond");
+  BOOST_TEST(parsed.unparsed_bytes == std::string_view("HTTP/1.1 200").size());
 }
 
-BOOST_AUTO_TEST_CASE(a_body_that_ends_with_its_connection_is_taken_as_it_comes) {
-  const auto taken = take_in_steps(std::string(head) + "Connection: close\r\n\r\nfirstsecond", 3);
-  BOOST_TEST(!taken.error);
-  BOOST_TEST(!taken.is_whole);
-  BOOST_TEST(taken.body == "firstsecond");
-  BOOST_TEST(taken.left == 0U);
+BOOST_AUTO_TEST_CASE(a_body_without_framing_is_parsed_as_it_arrives) {
+  const auto parsed = parse_in_steps(std::string(head) + "Connection: close\r\n\r\nfirstsecond", 3);
+  BOOST_TEST(!parsed.error);
+  BOOST_TEST(!parsed.is_complete);
+  BOOST_TEST(parsed.body == "firstsecond");
+  BOOST_TEST(parsed.unparsed_bytes == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_are_no_framing_are_an_error) {
-  const auto taken =
-      take_in_steps(std::string(head) + "Transfer-Encoding: chunked\r\n\r\nnot a length\r\n", 100);
-  BOOST_TEST(taken.error.failed());
-  BOOST_TEST(!taken.is_whole);
+BOOST_AUTO_TEST_CASE(invalid_framing_is_an_error) {
+  const auto parsed =
+      parse_in_steps(std::string(head) + "Transfer-Encoding: chunked\r\n\r\nnot a length\r\n", 100);
+  BOOST_TEST(parsed.error.failed());
+  BOOST_TEST(!parsed.is_complete);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/upstream/connection_pool_test.cc
+++ b/tests/upstream/connection_pool_test.cc
@@ -9,10 +9,10 @@
 namespace {
 
 struct pool_fixture {
-  std::shared_ptr<connection> rest(const base::network_address& address) {
-    auto given = std::make_shared<connection>(io);
-    pool.give_back(address, given, std::chrono::seconds(4), now);
-    return given;
+  std::shared_ptr<connection> add_idle(const base::network_address& address) {
+    auto added = std::make_shared<connection>(io);
+    pool.give_back(address, added, std::chrono::seconds(4), now);
+    return added;
   }
   std::shared_ptr<connection> take(const base::network_address& address) {
     return pool.take(address, {{}, std::chrono::seconds(3)}, now);
@@ -29,22 +29,22 @@
 
 BOOST_FIXTURE_TEST_SUITE(connection_pool_test, pool_fixture)
 
-BOOST_AUTO_TEST_CASE(what_rests_is_taken_again) {
-  const auto kept = rest(restarted);
-  BOOST_TEST((take(restarted) == kept));
+BOOST_AUTO_TEST_CASE(an_idle_connection_is_taken_once) {
+  const auto idle = add_idle(restarted);
+  BOOST_TEST((take(restarted) == idle));
   BOOST_TEST((take(restarted) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_started_again_is_called_on_new_connections) {
-  const auto first = rest(restarted);
-  const auto second = rest(restarted);
-  const auto elsewhere = rest(other);
+BOOST_AUTO_TEST_CASE(close_idle_removes_the_connections_to_one_address_only) {
+  const auto first = add_idle(restarted);
+  const auto second = add_idle(restarted);
+  const auto at_other_address = add_idle(other);
   pool.close_idle(restarted);
   pool.close_idle(base::network_address("10.0.0.3:80"));
   BOOST_TEST(!first->is_idle);
   BOOST_TEST(!second->is_idle);
   BOOST_TEST((take(restarted) == nullptr));
-  BOOST_TEST((take(other) == elsewhere));
+  BOOST_TEST((take(other) == at_other_address));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
