--- a/tests/backends/call_codec_test.cc
+++ b/tests/backends/call_codec_test.cc
@@ -1,4 +1,4 @@
-/// Answers of back ends: whole ones, streamed ones in pieces, and spoiled ones.
+/// Decoding of answers of back ends: complete, streamed and malformed answers.
 #include "backends/call_codec.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/http/callers_interface_test.cc
+++ b/tests/http/callers_interface_test.cc
@@ -1,4 +1,4 @@
-/// Requests as callers send them: what is understood and what is refused with which code.
+/// Parsing of caller requests: valid requests, and the error codes of invalid requests.
 #include "http/caller_request_parser.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/http/planned_stop_test.cc
+++ b/tests/http/planned_stop_test.cc
@@ -1,4 +1,5 @@
-/// A planned stop of the callers' listener under load: no established connection is cut.
+/// Planned stop of the listener for callers: closing the listening socket must not reset
+/// connections that clients consider established.
 #include "http/caller_server.h"
 
 #include <boost/asio/connect.hpp>
@@ -27,7 +28,7 @@
 
 const std::string health_request = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 
-/// A listener on a free port, driven by a thread of its own.
+/// A listener on a free port that runs on a thread of its own.
 class server_on_own_thread {
  public:
   server_on_own_thread() : work_(asio::make_work_guard(io_)) {
@@ -75,7 +76,7 @@
 
 enum class exchange_result { answered, refused, disconnected };
 
-/// Connects, waits for `delay`, and asks.
+/// Connects, waits for `delay`, and sends a health request.
 exchange_result send_request(const tcp::endpoint& address, std::chrono::milliseconds delay) {
   asio::io_context io;
   tcp::socket socket(io);
@@ -102,7 +103,7 @@
   std::atomic<int> disconnected = 0;
 };
 
-/// Stops a server while clients connect to it as fast as they can, each until it is refused.
+/// Stops a server while clients connect to it in a loop until their connections are refused.
 void stop_under_load(exchange_counts& counts) {
   constexpr int clients = 6;
   server_on_own_thread server;
@@ -130,7 +131,8 @@
 BOOST_AUTO_TEST_SUITE(planned_stop)
 
 BOOST_AUTO_TEST_CASE(connections_established_while_the_listener_closes_are_answered) {
-  // Some rounds at once: they keep each other from the processor between two steps of a stop.
+  // Several servers at once compete for the processor, so that connections arrive between two steps
+  // of a stop.
   constexpr int repetitions = 6;
   constexpr int servers_at_once = 10;
   exchange_counts counts;
@@ -153,7 +155,7 @@
   auto result = std::async(std::launch::async, [&] {
     return send_request(server.address(), std::chrono::milliseconds(600));
   });
-  // The connection stands before the stop begins.
+  // The connection is established before the stop begins.
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   server.stop_accepting();
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
--- a/tests/upstream/body_reader_test.cc
+++ b/tests/upstream/body_reader_test.cc
@@ -1,5 +1,5 @@
-/// Bodies of answers are taken whole, however their bytes were cut on the way, and what has been
-/// taken leaves nothing behind.
+/// Incremental parsing of bodies: any split of the bytes gives the same body, and parsed bytes are
+/// removed from the buffer.
 #include "upstream/body_reader.h"
 
 #include <boost/asio/buffer.hpp>
@@ -24,7 +24,7 @@
   received.commit(boost::asio::buffer_copy(space, boost::asio::buffer(bytes)));
 }
 
-/// What an answer that arrived in pieces came to.
+/// Result of parsing an answer that arrives in several reads.
 struct parsed_answer {
   std::string body;
   bool is_complete = false;
@@ -32,7 +32,7 @@
   std::size_t unparsed_bytes = 0;
 };
 
-/// Takes an answer whose bytes arrive `step` at a time.
+/// Parses an answer of which `step` bytes arrive at a time.
 parsed_answer parse_in_steps(const std::string& text, std::size_t step) {
   boost::beast::flat_buffer received;
   upstream::response_parser parser;
--- a/tests/upstream/connection_pool_test.cc
+++ b/tests/upstream/connection_pool_test.cc
@@ -1,4 +1,4 @@
-/// Connections that rest; none of these is ever connected.
+/// Idle connections in the pool; the test does not connect their sockets.
 #include "upstream/connection_pool.h"
 
 #include <boost/test/unit_test.hpp>
