--- a/src/http/caller_server.cc
+++ b/src/http/caller_server.cc
@@ -123,7 +123,7 @@
     push(caller, ticket_item{std::move(ticket), lifetime});
   }
   void stop_accepting() override {
-    stopping_ = true;
+    is_stopping_ = true;
     new_connections_.begin_stop(base::boot_clock::now());
     acceptor_.stop();
   }
@@ -194,7 +194,7 @@
       co_return false;
     }
     stream.expires_never();
-    const bool keep_alive = parser.get().keep_alive() && !stopping_;
+    const bool keep_alive = parser.get().keep_alive() && !is_stopping_;
     co_return co_await answer(stream, parse_caller_request(parser.get()), keep_alive);
   }
 
@@ -222,7 +222,7 @@
     exchanges_[caller] = exchange;
     bool is_streaming = false;
     if (auto* ticket = std::get_if<ticket_request>(&request)) {
-      observer_.on_ticket_wanted({caller, std::move(ticket->token_sha256)});
+      observer_.on_ticket_requested({caller, std::move(ticket->token_sha256)});
     } else {
       auto& content = std::get<execution::caller_request>(request);
       is_streaming = content.stream;
@@ -264,7 +264,7 @@
 
   asio::awaitable<bool> write_items(beast::tcp_stream& stream, caller_exchange& exchange,
                                     bool is_streaming, bool keep_alive) {
-    bool head_written = false;
+    bool is_head_written = false;
     while (!exchange.is_disconnected) {
       if (exchange.items.empty()) {
         boost::system::error_code error;
@@ -274,10 +274,10 @@
       auto item = std::move(exchange.items.front());
       exchange.items.pop_front();
       if (const auto* token = std::get_if<token_item>(&item)) {
-        if (is_streaming && !co_await write_token(stream, *token, head_written)) {
+        if (is_streaming && !co_await write_token(stream, *token, is_head_written)) {
           co_return false;
         }
-        head_written = true;
+        is_head_written = true;
         continue;
       }
       if (const auto* ticket = std::get_if<ticket_item>(&item)) {
@@ -286,7 +286,7 @@
         co_return co_await write(stream, make_response(beast_http::status::ok, body, keep_alive));
       }
       const auto& content = std::get<execution::answer>(item);
-      if (head_written) {
+      if (is_head_written) {
         co_await write_text(stream, make_event("answer", to_json(content)));
         co_return false;
       }
@@ -298,9 +298,9 @@
   /// Writes a token event, preceded by the head if it was not written yet. The end of the
   /// connection marks the end of the stream.
   static asio::awaitable<bool> write_token(beast::tcp_stream& stream, const token_item& token,
-                                           bool head_written) {
+                                           bool is_head_written) {
     std::string text;
-    if (!head_written) {
+    if (!is_head_written) {
       text = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n";
     }
     text += make_event("token", {{"offset", token.offset}, {"text", token.text}});
@@ -336,7 +336,7 @@
   new_connections new_connections_;
   settings::caller_limits limits_;
   caller_observer observer_;
-  bool stopping_ = false;
+  bool is_stopping_ = false;
   std::size_t connections_ = 0;
   /// Number of connections between the first byte of a request and the last byte of its answer.
   std::size_t busy_connections_ = 0;
--- a/src/http/caller_server.h
+++ b/src/http/caller_server.h
@@ -17,7 +17,7 @@
 /// Callbacks of the listener, called on the thread of the io_context.
 struct caller_observer {
   std::function<void(node::caller_arrived)> on_request;
-  std::function<void(node::ticket_wanted)> on_ticket_wanted;
+  std::function<void(node::ticket_wanted)> on_ticket_requested;
   std::function<void(node::caller_left)> on_disconnected;
   /// Returns whether the node accepts new requests, for the health check of the load balancer.
   std::function<bool()> is_ready;
--- a/src/http/connection_acceptor.cc
+++ b/src/http/connection_acceptor.cc
@@ -16,7 +16,7 @@
 
 /// Time in which handshakes complete that began before new handshakes were dropped: a hundred times
 /// the round trip within a site.
-constexpr std::chrono::milliseconds handshake_timeout{50};
+constexpr std::chrono::milliseconds handshake_time{50};
 /// Time for which a stop waits for the first request of a connection: twice the time for which
 /// clients wait for a new connection to be established.
 constexpr base::duration first_request_timeout = std::chrono::seconds(2);
@@ -83,7 +83,7 @@
     close();
     return;
   }
-  handshake_timer_.expires_after(handshake_timeout);
+  handshake_timer_.expires_after(handshake_time);
   handshake_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
       close();
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -185,7 +185,7 @@
       auto own = codec_->own_answer_headers(*command.own_answer_to);
       std::move(own.begin(), own.end(), std::back_inserter(command.headers));
     }
-    client.connection = stopping_ ? after_answer::close : client.connection;
+    client.connection = is_stopping_ ? after_answer::close : client.connection;
     client.is_final = true;
     if (client.is_streaming) {
       // A second head inside a stream would not be a valid answer. The client recognizes the answer
@@ -206,7 +206,7 @@
     const auto found = exchanges_.find(command.client);
     if (found != exchanges_.end()) {
       auto& client = *found->second;
-      client.connection = stopping_ ? after_answer::close : client.connection;
+      client.connection = is_stopping_ ? after_answer::close : client.connection;
       client.is_streaming = true;
       push(client, {chunked_head(command.status, command.headers, client.connection), nullptr});
     }
@@ -240,7 +240,7 @@
   }
 
   void set_limits(const model::client_limits& limits) override { limits_ = limits; }
-  void begin_stop() override { stopping_ = true; }
+  void begin_stop() override { is_stopping_ = true; }
 
   void stop_accepting() override {
     new_connections_.begin_stop(base::boot_clock::now());
@@ -624,7 +624,7 @@
     boost::system::error_code error;
     stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, error);
     std::array<char, first_read_bytes> ignored{};
-    stream.expires_after(stopping_ ? discard_timeout_at_stop : discard_timeout);
+    stream.expires_after(is_stopping_ ? discard_timeout_at_stop : discard_timeout);
     const auto max_bytes = limits_.max_body_bytes + max_discarded_framing_bytes;
     for (std::size_t discarded = 0; !error && discarded < max_bytes;) {
       discarded += co_await stream.async_read_some(asio::buffer(ignored), await_into(error));
@@ -641,7 +641,7 @@
   /// Earliest time of the next search for the slowest clients.
   base::time_point next_relief_at_;
   model::client_limits limits_;
-  bool stopping_ = false;
+  bool is_stopping_ = false;
   std::size_t connections_ = 0;
   std::size_t busy_connections_ = 0;
   base::caller_id next_client_ = 1;
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -54,11 +54,11 @@
   ingress_server& operator=(const ingress_server&) = delete;
   virtual ~ingress_server() = default;
 
-  virtual void carry_out(serving::respond wanted) = 0;
-  virtual void carry_out(serving::open_stream wanted) = 0;
-  virtual void carry_out(serving::stream_data wanted) = 0;
-  virtual void carry_out(serving::read_ahead wanted) = 0;
-  virtual void carry_out(serving::end_stream wanted) = 0;
+  virtual void carry_out(serving::respond command) = 0;
+  virtual void carry_out(serving::open_stream command) = 0;
+  virtual void carry_out(serving::stream_data command) = 0;
+  virtual void carry_out(serving::read_ahead command) = 0;
+  virtual void carry_out(serving::end_stream command) = 0;
 
   /// Sets the limits for requests that begin from now on.
   virtual void set_limits(const model::client_limits& limits) = 0;
