--- a/src/http/connection_acceptor.h
+++ b/src/http/connection_acceptor.h
@@ -24,7 +24,7 @@
  public:
   using connection_handler = std::function<void(boost::asio::ip::tcp::socket)>;
 
-  /// Binds and starts accepting.
+  /// Binds and starts accepting connections.
   /// @throws boost::system::system_error if the address cannot be bound.
   connection_acceptor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
                       connection_handler on_connection);
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -67,7 +67,8 @@
 constexpr base::duration min_stall_duration = std::chrono::seconds(2);
 /// Minimum interval between two searches for the slowest clients, each of which checks all clients.
 constexpr base::duration min_relief_interval = std::chrono::milliseconds(100);
-/// A search for the slowest clients frees up to the fraction 1 / `relief_divisor` of the budget.
+/// A search for the slowest clients frees at least the fraction 1 / `relief_divisor` of the budget,
+/// if their answers hold as much.
 constexpr std::size_t relief_divisor = 20;
 /// Retry-After of requests that are refused for lack of memory or connections.
 constexpr const char* retry_after_seconds = "0.500";
