--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -376,7 +376,7 @@
   }
 }
 
-void add_readers(Registry& registry, const http::reader_counters& readers) {
+void add_readers(Registry& registry, const http::ingress_counters& readers) {
   const auto add = count_adder(registry);
   add("spurrack_windows_closed_total",
       "Times reading a stream from a replica was paused until its client reads on.",
@@ -384,13 +384,13 @@
   add_counter(
       registry, "spurrack_streams_paused_seconds_total",
       "Time for which reading streams from replicas was paused; counted when a stream ends.",
-      base::to_seconds(readers.paused));
+      base::to_seconds(readers.closed_window_time));
   auto& ended = BuildCounter()
                     .Name("spurrack_readers_ended_total")
                     .Help("Clients whose answer was ended before it was complete, by reason.")
                     .Register(registry);
-  ended.Add({{"reason", "unread"}}).Increment(static_cast<double>(readers.ended_unread));
-  ended.Add({{"reason", "no_memory"}}).Increment(static_cast<double>(readers.ended_for_memory));
+  ended.Add({{"reason", "unread"}}).Increment(static_cast<double>(readers.aborted_unread));
+  ended.Add({{"reason", "no_memory"}}).Increment(static_cast<double>(readers.aborted_for_memory));
   auto& refused = BuildCounter()
                       .Name("spurrack_arrivals_refused_total")
                       .Help("Requests refused before they were read, by missing resource.")
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -210,7 +210,7 @@
 }
 
 process_stats runtime::stats() const {
-  process_stats current{peers_->dropped(), busy_connections(), nullptr, nullptr, nullptr};
+  process_stats current{peers_->dropped_messages(), busy_connections(), nullptr, nullptr, nullptr};
   if (serving_) {
     current.readers = &serving_->readers();
     current.budget = serving_->budget().get();
@@ -220,7 +220,7 @@
 }
 
 std::size_t runtime::busy_connections() const {
-  return serving_ ? serving_->busy_connections() : callers_->busy();
+  return serving_ ? serving_->busy_connections() : callers_->busy_connections();
 }
 
 void runtime::log_stopped() const {
--- a/src/daemon/serving_adapters.cc
+++ b/src/daemon/serving_adapters.cc
@@ -16,7 +16,7 @@
   void operator()(serving::start_stage_call& command) const { replicas->start(std::move(command)); }
   void operator()(serving::free_results& command) const { replicas->start(std::move(command)); }
   void operator()(serving::close_connections& command) const {
-    replicas->close_resting(command.address);
+    replicas->close_idle(command.address);
   }
   void operator()(serving::probe_replica& command) const {
     replicas->probe(std::move(command.target));
--- a/src/http/caller_server.cc
+++ b/src/http/caller_server.cc
@@ -5,7 +5,7 @@
 #include "http/connection_acceptor.h"
 #include "http/count_guard.h"
 #include "http/endpoint.h"
-#include "http/read_limit.h"
+#include "http/read_deadline.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -43,9 +43,9 @@
 };
 using outgoing_item = std::variant<execution::answer, token_item, ticket_item>;
 
-/// @return when the last bytes of the request reached this machine. The kernel keeps that time, so
-/// a
-///         request that waited in the socket while this process was paused is seen to be old.
+/// @return time at which the last bytes of the request reached this machine. The kernel records it,
+///         so that the age of a request that waited in the socket while this process was suspended
+///         is known. The current time if the kernel does not report it.
 base::time_point arrival_time(beast::tcp_stream& stream) {
   const auto now = base::boot_clock::now();
   tcp_info info{};
@@ -55,13 +55,16 @@
   return failed != 0 ? now : now - std::chrono::milliseconds(info.tcpi_last_data_recv);
 }
 
-/// A caller whose request is being decided: what is to be written to it, in order.
-struct exchange {
-  explicit exchange(asio::io_context& io) : wake(io, asio::steady_timer::time_point::max()) {}
+/// State of a request that the node is processing.
+struct caller_exchange {
+  explicit caller_exchange(asio::io_context& io)
+      : wake(io, asio::steady_timer::time_point::max()) {}
+  /// Items to write to the caller, in order.
   std::deque<outgoing_item> items;
+  /// Cancelled to wake the coroutine that waits for a change of this exchange.
   asio::steady_timer wake;
-  bool gone = false;
-  bool watch_ended = false;
+  bool is_disconnected = false;
+  bool has_watch_ended = false;
 };
 
 http_response make_response(beast_http::status status, const json::object& body, bool keep_alive) {
@@ -120,12 +123,12 @@
     push(caller, ticket_item{std::move(ticket), lifetime});
   }
   void stop_accepting() override {
-    stopping_ = true;
-    fresh_.begin_stop(base::boot_clock::now());
+    is_stopping_ = true;
+    new_connections_.begin_stop(base::boot_clock::now());
     acceptor_.stop();
   }
-  [[nodiscard]] std::size_t busy() const override {
-    return serving_ + fresh_.awaited(base::boot_clock::now());
+  [[nodiscard]] std::size_t busy_connections() const override {
+    return busy_connections_ + new_connections_.awaiting_first_request(base::boot_clock::now());
   }
 
  private:
@@ -147,19 +150,19 @@
       co_await refuse(stream, request_fault::too_many_connections, "try another node");
     } else {
       beast::flat_buffer buffer;
-      std::optional<fresh_connections::guard> fresh(std::in_place, fresh_);
-      bool go_on = true;
-      while (go_on) {
-        go_on = co_await serve_one(stream, buffer, fresh);
+      std::optional<new_connections::guard> new_connection(std::in_place, new_connections_);
+      bool keep_serving = true;
+      while (keep_serving) {
+        keep_serving = co_await serve_request(stream, buffer, new_connection);
       }
     }
     stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     --connections_;
   }
 
-  /// Serves one request. @return whether the connection may carry another.
-  asio::awaitable<bool> serve_one(beast::tcp_stream& stream, beast::flat_buffer& buffer,
-                                  std::optional<fresh_connections::guard>& fresh) {
+  /// Serves one request. @return whether the connection can be used for another request.
+  asio::awaitable<bool> serve_request(beast::tcp_stream& stream, beast::flat_buffer& buffer,
+                                      std::optional<new_connections::guard>& new_connection) {
     boost::system::error_code error;
     if (buffer.size() == 0) {
       stream.expires_after(limits_.idle_timeout);
@@ -170,16 +173,16 @@
       }
       buffer.commit(received);
     }
-    const count_guard serving(serving_);
-    fresh.reset();
+    const count_guard busy(busy_connections_);
+    new_connection.reset();
     beast_http::request_parser<beast_http::string_body> parser;
     parser.header_limit(static_cast<std::uint32_t>(limits_.max_header_bytes));
     parser.body_limit(limits_.max_body_bytes);
     stream.expires_never();
     {
-      const read_limit limit(stream, limits_.receive_timeout);
+      const read_deadline deadline(stream, limits_.receive_timeout);
       co_await beast_http::async_read(stream, buffer, parser, await_into(error));
-      if (limit.passed()) {
+      if (deadline.has_passed()) {
         error = beast::error::timeout;
       }
     }
@@ -191,7 +194,7 @@
       co_return false;
     }
     stream.expires_never();
-    const bool keep_alive = parser.get().keep_alive() && !stopping_;
+    const bool keep_alive = parser.get().keep_alive() && !is_stopping_;
     co_return co_await answer(stream, parse_caller_request(parser.get()), keep_alive);
   }
 
@@ -202,76 +205,79 @@
           make_response(status_of(fault->fault), to_json(fault->fault, fault->detail), keep_alive));
     }
     if (const auto* health = std::get_if<health_request>(&request)) {
-      const bool well = !health->readiness || observer_.is_ready();
+      const bool is_healthy = !health->readiness || observer_.is_ready();
       const json::object body{{"ready", observer_.is_ready()}};
-      co_return co_await write(stream, make_response(well ? beast_http::status::ok
-                                                          : beast_http::status::service_unavailable,
-                                                     body, keep_alive));
+      co_return co_await write(stream,
+                               make_response(is_healthy ? beast_http::status::ok
+                                                        : beast_http::status::service_unavailable,
+                                             body, keep_alive));
     }
-    co_return co_await decide(stream, std::move(request), keep_alive);
+    co_return co_await submit_and_answer(stream, std::move(request), keep_alive);
   }
 
-  asio::awaitable<bool> decide(beast::tcp_stream& stream, parsed_request request, bool keep_alive) {
+  asio::awaitable<bool> submit_and_answer(beast::tcp_stream& stream, parsed_request request,
+                                          bool keep_alive) {
     const auto caller = next_caller_++;
-    auto waiting = std::make_shared<exchange>(*io_);
-    exchanges_[caller] = waiting;
-    bool streams = false;
-    if (auto* wanted = std::get_if<ticket_request>(&request)) {
-      observer_.on_ticket_wanted({caller, std::move(wanted->token_sha256)});
+    auto exchange = std::make_shared<caller_exchange>(*io_);
+    exchanges_[caller] = exchange;
+    bool is_streaming = false;
+    if (auto* ticket = std::get_if<ticket_request>(&request)) {
+      observer_.on_ticket_requested({caller, std::move(ticket->token_sha256)});
     } else {
       auto& content = std::get<execution::caller_request>(request);
-      streams = content.stream;
+      is_streaming = content.stream;
       observer_.on_request({caller, std::move(content), arrival_time(stream)});
     }
-    asio::co_spawn(*io_, watch_for_end(stream, waiting), asio::detached);
-    const bool go_on = co_await write_items(stream, *waiting, streams, keep_alive);
+    asio::co_spawn(*io_, watch_for_disconnect(stream, exchange), asio::detached);
+    const bool keep_serving = co_await write_items(stream, *exchange, is_streaming, keep_alive);
     exchanges_.erase(caller);
-    if (waiting->gone || !go_on) {
-      observer_.on_gone({caller});
+    if (exchange->is_disconnected || !keep_serving) {
+      observer_.on_disconnected({caller});
     }
-    // Ends the watch, which must not outlive the connection.
+    // Ends `watch_for_disconnect`, which must not outlive the stream.
     boost::system::error_code ignored;
     stream.socket().cancel(ignored);
-    co_await wait_for_watch(*waiting);
-    co_return go_on;
+    co_await wait_for_watch(*exchange);
+    co_return keep_serving;
   }
 
-  /// Notices that a caller closes its connection while it waits.
-  static asio::awaitable<void> watch_for_end(beast::tcp_stream& stream,
-                                             std::shared_ptr<exchange> waiting) {
+  /// Detects that a caller closes its connection while it waits for the answer.
+  static asio::awaitable<void> watch_for_disconnect(beast::tcp_stream& stream,
+                                                    std::shared_ptr<caller_exchange> exchange) {
     boost::system::error_code error;
     co_await stream.socket().async_wait(asio::ip::tcp::socket::wait_read, await_into(error));
     char byte = 0;
-    const auto got =
+    const auto received =
         error ? 1 : ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    waiting->gone = got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
-    waiting->watch_ended = true;
-    waiting->wake.cancel();
+    exchange->is_disconnected =
+        received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+    exchange->has_watch_ended = true;
+    exchange->wake.cancel();
   }
 
-  static asio::awaitable<void> wait_for_watch(exchange& waiting) {
-    while (!waiting.watch_ended) {
+  static asio::awaitable<void> wait_for_watch(caller_exchange& exchange) {
+    while (!exchange.has_watch_ended) {
       boost::system::error_code error;
-      co_await waiting.wake.async_wait(await_into(error));
+      co_await exchange.wake.async_wait(await_into(error));
     }
   }
 
-  asio::awaitable<bool> write_items(beast::tcp_stream& stream, exchange& waiting, bool streams,
-                                    bool keep_alive) {
-    bool head_written = false;
-    while (!waiting.gone) {
-      if (waiting.items.empty()) {
+  asio::awaitable<bool> write_items(beast::tcp_stream& stream, caller_exchange& exchange,
+                                    bool is_streaming, bool keep_alive) {
+    bool is_head_written = false;
+    while (!exchange.is_disconnected) {
+      if (exchange.items.empty()) {
         boost::system::error_code error;
-        co_await waiting.wake.async_wait(await_into(error));
+        co_await exchange.wake.async_wait(await_into(error));
         continue;
       }
-      auto item = std::move(waiting.items.front());
-      waiting.items.pop_front();
+      auto item = std::move(exchange.items.front());
+      exchange.items.pop_front();
       if (const auto* token = std::get_if<token_item>(&item)) {
-        if (streams && !co_await write_token(stream, *token, head_written)) {
+        if (is_streaming && !co_await write_token(stream, *token, is_head_written)) {
           co_return false;
         }
-        head_written = true;
+        is_head_written = true;
         continue;
       }
       if (const auto* ticket = std::get_if<ticket_item>(&item)) {
@@ -280,7 +286,7 @@
         co_return co_await write(stream, make_response(beast_http::status::ok, body, keep_alive));
       }
       const auto& content = std::get<execution::answer>(item);
-      if (head_written) {
+      if (is_head_written) {
         co_await write_text(stream, make_event("answer", to_json(content)));
         co_return false;
       }
@@ -289,11 +295,12 @@
     co_return false;
   }
 
-  /// Events are delimited by the end of the connection.
+  /// Writes a token event, preceded by the head if it was not written yet. The end of the
+  /// connection marks the end of the stream.
   static asio::awaitable<bool> write_token(beast::tcp_stream& stream, const token_item& token,
-                                           bool head_written) {
+                                           bool is_head_written) {
     std::string text;
-    if (!head_written) {
+    if (!is_head_written) {
       text = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n";
     }
     text += make_event("token", {{"offset", token.offset}, {"text", token.text}});
@@ -326,15 +333,15 @@
 
   asio::io_context* io_;
   connection_acceptor acceptor_;
-  fresh_connections fresh_;
+  new_connections new_connections_;
   settings::caller_limits limits_;
   caller_observer observer_;
-  bool stopping_ = false;
+  bool is_stopping_ = false;
   std::size_t connections_ = 0;
-  /// Connections between the first byte of a request and the last of its answer.
-  std::size_t serving_ = 0;
+  /// Number of connections between the first byte of a request and the last byte of its answer.
+  std::size_t busy_connections_ = 0;
   base::caller_id next_caller_ = 1;
-  std::unordered_map<base::caller_id, std::shared_ptr<exchange>> exchanges_;
+  std::unordered_map<base::caller_id, std::shared_ptr<caller_exchange>> exchanges_;
 };
 
 } // namespace
--- a/src/http/connection_acceptor.h
+++ b/src/http/connection_acceptor.h
@@ -1,9 +1,10 @@
-/// Accepts connections, and stops without cutting any that a peer takes for established.
+/// Accepts connections, and stops without resetting connections that clients consider established.
 ///
-/// Closing a listening socket resets every connection whose handshake is complete and that was not
-/// accepted yet: also those that arrive between the last accept and the close. While the last are
-/// accepted, a packet filter turns new handshakes away; their peers try again and find the port
-/// closed.
+/// Closing a listening socket resets every connection whose handshake is complete but which was not
+/// accepted yet, including connections that arrive between the last accept and the close. Therefore
+/// a stop first attaches a packet filter that drops new handshakes, then accepts the connections
+/// that remain, then closes the socket. Clients whose handshake was dropped retry it and find the
+/// port closed.
 #pragma once
 
 #include "base/time.h"
@@ -23,42 +24,44 @@
  public:
   using connection_handler = std::function<void(boost::asio::ip::tcp::socket)>;
 
-  /// Binds and starts accepting.
-  /// @throws boost::system::system_error where the address cannot be bound.
+  /// Binds and starts accepting connections.
+  /// @throws boost::system::system_error if the address cannot be bound.
   connection_acceptor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
                       connection_handler on_connection);
 
-  /// Hands on what has connected so far and closes shortly after.
+  /// Stops accepting new connections. Passes the connections that are already established to the
+  /// handler and closes the socket after the handshakes in progress have completed.
   void stop();
 
  private:
   void accept_next();
-  void accept_waiting();
+  void accept_pending();
   void close();
 
   boost::asio::io_context* io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer last_handshakes_;
+  boost::asio::steady_timer handshake_timer_;
   connection_handler on_connection_;
 };
 
-/// Connections that have not carried a request yet. They hold a planned stop for a while: their
-/// client may have been kept from sending, or this process from reading.
-class fresh_connections {
+/// Counts connections that have not carried a request yet. They delay a planned stop for a limited
+/// time, since the client may have been delayed in sending its request, or this process in reading
+/// it.
+class new_connections {
  public:
-  /// Counts a connection until its first request arrives, or as long as it lasts.
+  /// Counts a connection until its first request arrives or the connection ends.
   class guard : public count_guard {
    public:
-    explicit guard(fresh_connections& counted) : count_guard(counted.count_) {}
+    explicit guard(new_connections& counted) : count_guard(counted.count_) {}
   };
 
-  void begin_stop(base::time_point now) { stopping_since_ = now; }
-  /// @return connections for whose first request a stop waits.
-  [[nodiscard]] std::size_t awaited(base::time_point now) const;
+  void begin_stop(base::time_point now) { stop_began_at_ = now; }
+  /// @return number of connections whose first request a stop waits for; 0 outside a stop.
+  [[nodiscard]] std::size_t awaiting_first_request(base::time_point now) const;
 
  private:
   std::size_t count_ = 0;
-  base::time_point stopping_since_{base::time_point::max()};
+  base::time_point stop_began_at_{base::time_point::max()};
 };
 
 } // namespace spurrack::http
