--- a/src/simulation/emulated_backend.cc
+++ b/src/simulation/emulated_backend.cc
@@ -47,7 +47,7 @@
     reply({refusal(call, execution::call_status::refused_leaving), {}});
     return;
   }
-  if (running_.size() + waiting_.size() >= profile_.most_calls) {
+  if (running_.size() + waiting_.size() >= profile_.max_calls) {
     reply({refusal(call, execution::call_status::refused_overloaded), {}});
     return;
   }
--- a/src/simulation/emulated_backend.h
+++ b/src/simulation/emulated_backend.h
@@ -21,7 +21,7 @@
   std::string pool;
   std::uint32_t concurrency = 8;
   /// Calls at the back end, waiting ones included, beyond which it refuses.
-  std::uint32_t most_calls = 16;
+  std::uint32_t max_calls = 16;
   /// Mean time of a call, without tokens.
   base::duration service_time = std::chrono::milliseconds(5);
   base::duration token_time{};
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -29,7 +29,7 @@
   }
   for (const auto& profile : settings_.nodes) {
     nodes_[profile.name].profile = profile;
-    if (settings_.lists_nodes) {
+    if (settings_.should_publish_node_list) {
       publish_node(profile.name, true);
     }
   }
@@ -251,7 +251,7 @@
 
 // --- network -------------------------------------------------------------------------------------
 
-void fleet_simulation::cut_zone(const std::string& zone, bool from_platform) {
+void fleet_simulation::partition_zone(const std::string& zone, bool from_platform) {
   cuts_[zone] = from_platform;
 }
 void fleet_simulation::heal_zone(const std::string& zone) {
--- a/src/simulation/fleet_simulation.h
+++ b/src/simulation/fleet_simulation.h
@@ -8,7 +8,7 @@
 #include "simulation/emulated_platform.h"
 #include "simulation/event_queue.h"
 #include "simulation/link.h"
-#include "simulation/traffic_ledger.h"
+#include "simulation/traffic_counters.h"
 
 #include <array>
 #include <cstdint>
@@ -64,7 +64,7 @@
   /// Nodes whose addresses all others know at their start; none named: all nodes.
   std::vector<std::string> seeds;
   /// Whether the platform publishes the list of nodes; otherwise they meet at the seeds only.
-  bool lists_nodes = true;
+  bool should_publish_node_list = true;
   /// Settings shared by all nodes; identity and seeds are filled in.
   node::node_settings node;
 };
@@ -110,7 +110,7 @@
   event_queue& events() { return events_; }
   emulated_platform& platform() { return platform_; }
   /// Messages between nodes since it was cleared.
-  traffic_ledger& traffic() { return traffic_; }
+  traffic_counters& traffic() { return traffic_; }
   base::random_source& random() { return random_; }
   [[nodiscard]] base::time_point now() const { return events_.now(); }
   void run_for(base::duration span) { events_.run_until(events_.now() + span); }
@@ -137,14 +137,14 @@
   [[nodiscard]] bool all_ready() const;
 
   // --- network; a cut separates a zone from all others, from the platform where wanted
-  void cut_zone(const std::string& zone, bool from_platform);
+  void partition_zone(const std::string& zone, bool from_platform);
   void heal_zone(const std::string& zone);
   [[nodiscard]] bool is_cut(const std::string& zone) const { return cuts_.contains(zone); }
   /// The platform answers no node of these zones, while it serves all others.
   void turn_away(std::set<std::string> zones) { turned_away_ = std::move(zones); }
   /// The platform's service answers nothing for a while, also not what it holds now.
-  void silence_platform(base::duration span) { platform_silent_until_ = now() + span; }
-  void set_loss(double loss) { settings_.network.loss = loss; }
+  void hang_platform(base::duration span) { platform_silent_until_ = now() + span; }
+  void set_loss_probability(double loss) { settings_.network.loss = loss; }
 
   // --- back ends
   emulated_backend& backend(const std::string& name) { return *backends_.at(name); }
@@ -243,7 +243,7 @@
   std::vector<execution_record> executions_;
   node::control_counters past_control_;
   link store_link_;
-  traffic_ledger traffic_;
+  traffic_counters traffic_;
   base::caller_id next_caller_ = 1;
 };
 
--- a/src/simulation/promise_checker.cc
+++ b/src/simulation/invariant_checker.cc
@@ -1,4 +1,4 @@
-#include "simulation/promise_checker.h"
+#include "simulation/invariant_checker.h"
 
 #include "model/record_parser.h"
 
@@ -16,13 +16,13 @@
 
 } // namespace
 
-void promise_checker::report(const std::string& promise, const std::string& detail,
-                             const base::request_id& request) {
+void invariant_checker::report(const std::string& promise, const std::string& detail,
+                               const base::request_id& request) {
   violations_.push_back({promise, detail, request});
 }
 
-void promise_checker::expect(base::caller_id caller, const model::pipeline_template& pipeline,
-                             const std::string& effect) {
+void invariant_checker::expect(base::caller_id caller, const model::pipeline_template& pipeline,
+                               const std::string& effect) {
   auto& expected = expectations_[caller];
   expected.effect = effect;
   auto text = fleet_->callers().at(caller).request.input;
@@ -37,7 +37,7 @@
   }
 }
 
-void promise_checker::backend_published(const std::string& name, bool leaving) {
+void invariant_checker::backend_published(const std::string& name, bool leaving) {
   if (leaving) {
     leaving_[name] = {};
   } else {
@@ -45,14 +45,14 @@
   }
 }
 
-void promise_checker::step() {
+void invariant_checker::step() {
   note_disturbances();
   check_configuration();
   check_leaving();
   check_executions_of_leaving();
 }
 
-void promise_checker::note_disturbances() {
+void invariant_checker::note_disturbances() {
   for (const auto& name : fleet_->node_names()) {
     const bool whole = fleet_->is_alive(name) && !fleet_->is_frozen(name) &&
                        !fleet_->is_cut(fleet_->node(name).settings().self.zone.text()) &&
@@ -63,12 +63,12 @@
   }
 }
 
-bool promise_checker::was_disturbed_since(const std::string& node, base::time_point since) const {
+bool invariant_checker::was_disturbed_since(const std::string& node, base::time_point since) const {
   const auto found = disturbed_at_.find(node);
   return found != disturbed_at_.end() && found->second >= since;
 }
 
-void promise_checker::check_configuration() {
+void invariant_checker::check_configuration() {
   for (const auto& name : fleet_->node_names()) {
     if (!fleet_->is_alive(name)) {
       continue;
@@ -93,7 +93,7 @@
   }
 }
 
-void promise_checker::check_leaving() {
+void invariant_checker::check_leaving() {
   for (auto& [backend, watch] : leaving_) {
     if (watch.first_known) {
       continue;
@@ -111,7 +111,7 @@
   }
 }
 
-void promise_checker::check_executions_of_leaving() {
+void invariant_checker::check_executions_of_leaving() {
   const auto& executions = fleet_->executions();
   for (; checked_executions_ < executions.size(); ++checked_executions_) {
     const auto& run = executions[checked_executions_];
@@ -130,14 +130,14 @@
   }
 }
 
-void promise_checker::finish() {
+void invariant_checker::finish() {
   check_answers();
   check_truth();
   check_effects();
   check_convergence();
 }
 
-void promise_checker::check_answers() {
+void invariant_checker::check_answers() {
   for (const auto& [id, record] : fleet_->callers()) {
     const auto expected = expectations_.find(id);
     if (expected == expectations_.end()) {
@@ -177,7 +177,7 @@
   }
 }
 
-void promise_checker::check_truth() {
+void invariant_checker::check_truth() {
   std::map<base::request_id, unsigned> executions;
   std::map<std::string, unsigned> effect_runs;
   for (const auto& run : fleet_->executions()) {
@@ -217,7 +217,7 @@
   }
 }
 
-void promise_checker::check_effects() {
+void invariant_checker::check_effects() {
   // Inputs are unique to a request or to a key, and the input of an effect holds them.
   std::map<std::string, unsigned> runs;
   std::map<std::string, base::request_id> runner;
@@ -256,7 +256,7 @@
   }
 }
 
-void promise_checker::check_convergence() {
+void invariant_checker::check_convergence() {
   std::set<std::uint64_t> hashes;
   for (const auto& name : fleet_->node_names()) {
     if (!fleet_->is_alive(name)) {
--- a/src/simulation/promise_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -20,7 +20,7 @@
 
 /// Watches one simulation. Call `step` every few tens of milliseconds of virtual time and `finish`
 /// at the end. Not thread-safe.
-class promise_checker {
+class invariant_checker {
  public:
   /// A leaving back end gets no new work after this time from the first node's knowledge.
   static constexpr base::duration leave_limit = std::chrono::milliseconds(2500);
@@ -30,7 +30,7 @@
   /// How late a call may reach a back end behind its expiry: one network delay.
   static constexpr base::duration send_slack = std::chrono::milliseconds(20);
 
-  explicit promise_checker(fleet_simulation& fleet) : fleet_(&fleet) {}
+  explicit invariant_checker(fleet_simulation& fleet) : fleet_(&fleet) {}
 
   /// Names the expected outputs of a request by its input; requests with the same key share one.
   /// @param effect key or ticket under which the request may run at most once; empty for none.
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -195,12 +195,12 @@
   void inject(fault_kind kind) {
     switch (kind) {
     case fault_kind::message_loss:
-      fleet_.set_loss(random_.unit() * 0.2);
+      fleet_.set_loss_probability(random_.unit() * 0.2);
       break;
     case fault_kind::zone_cut:
     case fault_kind::zone_cut_from_platform: {
       const auto zone = any_zone();
-      fleet_.cut_zone(zone, kind == fault_kind::zone_cut_from_platform);
+      fleet_.partition_zone(zone, kind == fault_kind::zone_cut_from_platform);
       end_later(any_time(500, 6000), [this, zone] { fleet_.heal_zone(zone); });
       break;
     }
@@ -314,7 +314,7 @@
     for (const auto* zone : {"a", "b", "c"}) {
       fleet_.heal_zone(zone);
     }
-    fleet_.set_loss(0);
+    fleet_.set_loss_probability(0);
     fleet_.platform().set_mode(platform_mode::up);
     for (const auto& name : fleet_.backend_names()) {
       fleet_.backend(name).faults() = {};
@@ -361,7 +361,7 @@
   run_options options_;
   base::seeded_random random_;
   fleet_simulation fleet_;
-  promise_checker checker_;
+  invariant_checker checker_;
   run_report report_;
   std::shared_ptr<const model::pipeline_template> answer_;
   std::shared_ptr<const model::pipeline_template> payout_;
--- a/src/simulation/random_faults.h
+++ b/src/simulation/random_faults.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/safety_switches.h"
-#include "simulation/promise_checker.h"
+#include "simulation/invariant_checker.h"
 
 #include <cstdint>
 #include <optional>
--- a/src/simulation/traffic_ledger.h
+++ b/src/simulation/traffic_counters.h
@@ -21,7 +21,7 @@
 };
 
 /// Not thread-safe.
-class traffic_ledger {
+class traffic_counters {
  public:
   void add(const traffic_flow& flow, std::uint64_t bytes) { flows_[flow] += bytes; }
   void clear() { flows_.clear(); }
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -72,7 +72,7 @@
   fleet_simulation fleet(zone_of(8));
   fleet.start_all_nodes();
   fleet.run_for(seconds(5));
-  fleet.set_loss(0.05);
+  fleet.set_loss_probability(0.05);
   int deaths = 0;
   for (int second = 0; second < 120; ++second) {
     fleet.run_for(seconds(1));
--- a/tests/simulation/evacuation_spread_test.cc
+++ b/tests/simulation/evacuation_spread_test.cc
@@ -65,7 +65,7 @@
   fleet_simulation fleet(simulation::serving_fleet_settings(12));
   start(fleet);
   fleet.kill_node("node-5");
-  fleet.cut_zone("z2", true);
+  fleet.partition_zone("z2", true);
   fleet.platform().publish(key, evacuation_record());
   fleet.run_for(seconds(3));
   fleet.start_node("node-5");
--- a/tests/simulation/long_cut_test.cc
+++ b/tests/simulation/long_cut_test.cc
@@ -42,7 +42,7 @@
   fleet.start_all_nodes();
   BOOST_TEST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(20)));
   fleet.run_for(seconds(10));
-  fleet.cut_zone("c", true);
+  fleet.partition_zone("c", true);
   for (int quarter = 0; quarter < 12; ++quarter) {
     fleet.run_for(std::chrono::minutes(15));
     fleet.platform().publish("templates/new" + std::to_string(quarter),
--- a/tests/simulation/regional_fleet.h
+++ b/tests/simulation/regional_fleet.h
@@ -100,7 +100,7 @@
   for (int index = 0; index < 3; ++index) {
     settings.seeds.push_back("node-" + std::to_string(regional_zone_count + index * 7));
   }
-  settings.lists_nodes = false;
+  settings.should_publish_node_list = false;
   for (int number = 0; number < nodes * regional_replicas_per_node; ++number) {
     settings.records[std::string(model::replica_prefix) + "i-" + std::to_string(number)] =
         regional_replica(number);
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -30,7 +30,7 @@
     settings.nodes.push_back(
         {"node-" + std::to_string(index), "z" + std::to_string(index % zones)});
   }
-  settings.lists_nodes = false;
+  settings.should_publish_node_list = false;
   settings.node.service_timing.hold = seconds(8);
   settings.node.service_timing.rest_longest = std::chrono::milliseconds(1'000);
   return settings;
@@ -128,7 +128,7 @@
     fleet.start_all_nodes();
     BOOST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(10)));
     fleet.run_for(seconds(10));
-    fleet.silence_platform(silence);
+    fleet.hang_platform(silence);
     fleet.run_for(silence + seconds(1));
     fleet.platform().publish(std::string(model::configuration_key), configuration_of(2));
     BOOST_TEST(all_hold(fleet, 2, seconds(1)), silence.count() << " ms");
@@ -142,7 +142,7 @@
     fleet.start_all_nodes();
     BOOST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(10)));
     fleet.run_for(seconds(10));
-    fleet.cut_zone("z" + std::to_string(cut), false);
+    fleet.partition_zone("z" + std::to_string(cut), false);
     fleet.platform().publish(std::string(model::configuration_key), configuration_of(2));
     BOOST_TEST(all_hold(fleet, 2, seconds(4)), "z" << cut << " is cut off");
   }
--- a/tools/load_scenario.cc
+++ b/tools/load_scenario.cc
@@ -55,7 +55,7 @@
     profile.pool = pool;
     profile.concurrency = concurrency;
     // Engines queue what they are sent; only a very long queue is refused.
-    profile.most_calls = concurrency * 40;
+    profile.max_calls = concurrency * 40;
     profile.service_time = service;
     profile.token_time = token;
     profile.early_first_token = true;
@@ -183,7 +183,7 @@
       fleet_.crash_backend("engines-a0");
       break;
     case disturbance::zone_cut:
-      fleet_.cut_zone("d", true);
+      fleet_.partition_zone("d", true);
       break;
     case disturbance::none:
       break;
