--- a/src/simulation/emulated_backend.cc
+++ b/src/simulation/emulated_backend.cc
@@ -65,7 +65,7 @@
   const auto tokens =
       static_cast<double>(call.max_tokens - std::min(call.max_tokens, call.resume_offset));
   const double mean =
-      base::to_seconds(profile_.service_time) + tokens * base::to_seconds(profile_.token_time);
+      base::to_seconds(profile_.service_time) + tokens * base::to_seconds(profile_.time_per_token);
   return base::from_seconds(mean * factor * faults_.slowdown);
 }
 
@@ -76,9 +76,9 @@
   held.started = events_->now();
   const auto takes = sample(held.call);
   running_.emplace(slot, std::move(held));
-  if (!faults_.hanging) {
+  if (!faults_.is_hanging) {
     schedule_first_token(slot, takes);
-    events_->after(takes, [this, slot] { finish(slot); });
+    events_->schedule_after(takes, [this, slot] { finish(slot); });
   }
 }
 
@@ -89,9 +89,9 @@
   }
   // The prompt takes its part of the whole time, as the means say.
   const double prompt = base::to_seconds(profile_.service_time);
-  const double tokens = call.max_tokens * base::to_seconds(profile_.token_time);
+  const double tokens = call.max_tokens * base::to_seconds(profile_.time_per_token);
   const auto delay = base::from_seconds(base::to_seconds(takes) * prompt / (prompt + tokens));
-  events_->after(delay, [this, slot] {
+  events_->schedule_after(delay, [this, slot] {
     const auto found = running_.find(slot);
     if (alive_ && found != running_.end() && found->second.call.resume_offset == 0) {
       const auto& held = found->second;
--- a/src/simulation/emulated_backend.h
+++ b/src/simulation/emulated_backend.h
@@ -24,7 +24,7 @@
   std::uint32_t max_calls = 16;
   /// Mean time of a call, without tokens.
   base::duration service_time = std::chrono::milliseconds(5);
-  base::duration token_time{};
+  base::duration time_per_token{};
   /// Part of the service time that varies (exponentially), 0 to 1.
   double variation = 0.5;
   /// Whether the first token of a generating call is sent as soon as the prompt is read; otherwise
@@ -40,7 +40,7 @@
   double slowdown = 1;
   bool leaving = false;
   /// Accepts calls and never answers.
-  bool hanging = false;
+  bool is_hanging = false;
 };
 
 /// What the back end reports of one call.
--- a/src/simulation/emulated_platform.cc
+++ b/src/simulation/emulated_platform.cc
@@ -35,7 +35,7 @@
   }
   const auto id = next_watch_++;
   watches_.emplace(id, watch{what, std::move(answer)});
-  events_->after(watch_time, [this, id] { finish(id); });
+  events_->schedule_after(watch_time, [this, id] { finish(id); });
 }
 
 void emulated_platform::finish(std::uint64_t watch_id) {
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -18,10 +18,12 @@
 
   [[nodiscard]] base::time_point now() const { return now_; }
 
-  void at(base::time_point when, action what) {
+  void schedule_at(base::time_point when, action what) {
     entries_.push({when < now_ ? now_ : when, next_++, std::move(what)});
   }
-  void after(base::duration delay, action what) { at(now_ + delay, std::move(what)); }
+  void schedule_after(base::duration delay, action what) {
+    schedule_at(now_ + delay, std::move(what));
+  }
 
   /// Runs everything up to and including `until`; the clock then stands at `until`.
   void run_until(base::time_point until) {
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -161,8 +161,8 @@
     return;
   }
   if (slot.frozen_until > now()) {
-    events_.at(slot.frozen_until,
-               [this, name, life, what = std::move(what)] { at_node(name, life, what); });
+    events_.schedule_at(slot.frozen_until,
+                        [this, name, life, what = std::move(what)] { at_node(name, life, what); });
     return;
   }
   what();
@@ -186,7 +186,7 @@
     return;
   }
   slot.wake_scheduled = when;
-  events_.at(when, [this, name = slot.profile.name, life = slot.life, when] {
+  events_.schedule_at(when, [this, name = slot.profile.name, life = slot.life, when] {
     auto& due = nodes_.at(name);
     if (due.life == life && due.wake_scheduled == when) {
       due.wake_scheduled = base::time_point::max();
@@ -211,8 +211,8 @@
       open.cancelled = true;
       auto& target = *backends_.at(open.call.backend.text());
       if (connected(slot.profile.zone, target.profile().zone)) {
-        events_.after(network_delay(),
-                      [&target, identity = open.call.identity] { target.cancel(identity); });
+        events_.schedule_after(
+            network_delay(), [&target, identity = open.call.identity] { target.cancel(identity); });
       }
     }
   } else if (auto* token = std::get_if<execution::send_token>(&wanted)) {
@@ -287,15 +287,16 @@
     return;
   }
   const auto arrival = *sent + delay_between(from.profile.zone, to->second.profile.zone);
-  events_.at(arrival, [this, carried, from_zone = from.profile.zone, name = to->first,
-                       life = to->second.life, content = std::move(message.message)] {
+  events_.schedule_at(arrival, [this, carried, from_zone = from.profile.zone, name = to->first,
+                                life = to->second.life, content = std::move(message.message)] {
     auto& receiver = nodes_.at(name);
     const auto received = receiver.receiving.carry(carried, now());
     if (!received || !connected(from_zone, receiver.profile.zone)) {
       return;
     }
-    events_.at(*received,
-               [this, name, life, content] { deliver(name, life, node::peer_message{content}); });
+    events_.schedule_at(*received, [this, name, life, content] {
+      deliver(name, life, node::peer_message{content});
+    });
   });
 }
 
@@ -308,7 +309,7 @@
   const bool answers =
       reaches_platform(slot) && now() >= platform_silent_until_ && platform_.answer_probe();
   if (!answers) {
-    events_.after(connect_timeout, [=, this, name = slot.profile.name, life = slot.life] {
+    events_.schedule_after(connect_timeout, [=, this, name = slot.profile.name, life = slot.life] {
       deliver(name, life, node::service_failed{what.source});
     });
   }
@@ -325,7 +326,7 @@
     return nodes_.at(name).reads[source] == number;
   };
   const auto fail_after = [=, this](base::duration span) {
-    events_.after(span, [=, this] {
+    events_.schedule_after(span, [=, this] {
       if (is_latest()) {
         deliver(name, life, node::service_failed{what.source});
       }
@@ -333,7 +334,7 @@
   };
   const auto fail = [fail_after] { fail_after(connect_timeout); };
   const auto began = now();
-  events_.after(platform_delay, [=, this] {
+  events_.schedule_after(platform_delay, [=, this] {
     if (platform_silent_until_ > began) {
       fail_after(what.hold + connect_timeout);
       return;
@@ -367,7 +368,7 @@
   const double bytes = static_cast<double>(page) * settings_.store.bytes_per_entry;
   const auto limit = now() + settings_.store.page_timeout;
   const auto fail = [this, transfer, limit] {
-    events_.at(limit, [this, transfer] {
+    events_.schedule_at(limit, [this, transfer] {
       deliver(transfer->node, transfer->life, node::service_failed{transfer->answer.source});
     });
   };
@@ -376,14 +377,14 @@
     fail();
     return;
   }
-  events_.at(*sent, [this, transfer, page, bytes, limit, fail] {
+  events_.schedule_at(*sent, [this, transfer, page, bytes, limit, fail] {
     const auto received = nodes_.at(transfer->node).receiving.carry(bytes, now());
     if (!received || *received > limit) {
       fail();
       return;
     }
     transfer->entries_left -= page;
-    events_.at(*received + platform_delay, [this, transfer] {
+    events_.schedule_at(*received + platform_delay, [this, transfer] {
       if (transfer->entries_left > 0) {
         carry_pages(transfer);
       } else {
@@ -412,8 +413,8 @@
     }
   }
   for (const auto& open : lost) {
-    events_.after(network_delay(),
-                  [this, open] { end_call(open, execution::call_status::broken); });
+    events_.schedule_after(network_delay(),
+                           [this, open] { end_call(open, execution::call_status::broken); });
   }
 }
 
@@ -448,11 +449,12 @@
   const bool reachable = connected(slot.profile.zone, target.profile().zone);
   if (!reachable || !target.alive()) {
     const auto wait = reachable ? network_delay() : connect_timeout;
-    events_.after(wait, [this, open] { end_call(open, execution::call_status::never_sent); });
+    events_.schedule_after(wait,
+                           [this, open] { end_call(open, execution::call_status::never_sent); });
     return;
   }
   // A round trip to connect, then the adapter writes.
-  events_.after(network_delay() + network_delay(), [this, open] {
+  events_.schedule_after(network_delay() + network_delay(), [this, open] {
     at_node(open->node, open->life, [this, open] { write_call(open); });
   });
 }
@@ -466,7 +468,7 @@
     return;
   }
   open->written = true;
-  events_.after(network_delay(), [this, open] {
+  events_.schedule_after(network_delay(), [this, open] {
     auto& target = *backends_.at(open->call.backend.text());
     const auto zone = target.profile().zone;
     if (!connected(nodes_.at(open->node).profile.zone, zone)) {
@@ -487,7 +489,7 @@
 
 void fleet_simulation::send_first_token(const open_call_ref& open, const std::string& backend_zone,
                                         const execution::call_token& token) {
-  events_.after(network_delay(), [this, open, backend_zone, token] {
+  events_.schedule_after(network_delay(), [this, open, backend_zone, token] {
     if (!open->cancelled && connected(nodes_.at(open->node).profile.zone, backend_zone)) {
       deliver(open->node, open->life, token);
     }
@@ -496,7 +498,7 @@
 
 void fleet_simulation::reply_to_call(const open_call_ref& open, const std::string& backend_zone,
                                      backend_reply reply) {
-  events_.after(network_delay(), [this, open, backend_zone, reply = std::move(reply)] {
+  events_.schedule_after(network_delay(), [this, open, backend_zone, reply = std::move(reply)] {
     const auto& zone = nodes_.at(open->node).profile.zone;
     if (open->cancelled || !connected(zone, backend_zone)) {
       return;
@@ -535,11 +537,12 @@
     return id;
   }
   record.deadline = now() + request.deadline.value_or(std::chrono::seconds(3));
-  events_.after(network_delay(), [this, name, life = slot.life, id, request = std::move(request)] {
-    const auto& target = nodes_.at(name);
-    callers_.at(id).arrived = target.alive && target.life == life;
-    deliver(name, life, node::caller_arrived{id, request, now()});
-  });
+  events_.schedule_after(network_delay(),
+                         [this, name, life = slot.life, id, request = std::move(request)] {
+                           const auto& target = nodes_.at(name);
+                           callers_.at(id).arrived = target.alive && target.life == life;
+                           deliver(name, life, node::caller_arrived{id, request, now()});
+                         });
   return id;
 }
 
--- a/src/simulation/invariant_checker.cc
+++ b/src/simulation/invariant_checker.cc
@@ -16,9 +16,9 @@
 
 } // namespace
 
-void invariant_checker::report(const std::string& promise, const std::string& detail,
+void invariant_checker::report(const std::string& invariant, const std::string& detail,
                                const base::request_id& request) {
-  violations_.push_back({promise, detail, request});
+  violations_.push_back({invariant, detail, request});
 }
 
 void invariant_checker::expect(base::caller_id caller, const model::pipeline_template& pipeline,
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -13,7 +13,7 @@
 
 /// A promise that was broken.
 struct violation {
-  std::string promise;
+  std::string invariant;
   std::string detail;
   base::request_id request;
 };
@@ -56,7 +56,7 @@
     std::uint64_t generation = 0;
   };
 
-  void report(const std::string& promise, const std::string& detail,
+  void report(const std::string& invariant, const std::string& detail,
               const base::request_id& request = {});
   void check_configuration();
   void check_leaving();
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -189,7 +189,7 @@
   }
 
   void end_later(base::duration after, std::function<void()> what) {
-    fleet_.events().after(after, std::move(what));
+    fleet_.events().schedule_after(after, std::move(what));
   }
 
   void inject(fault_kind kind) {
--- a/tests/simulation/control_traffic_test.cc
+++ b/tests/simulation/control_traffic_test.cc
@@ -142,7 +142,7 @@
 void start_all_within(fleet_simulation& fleet, int spread_milliseconds) {
   for (const auto& name : fleet.node_names()) {
     const auto wait = fleet.random().below(static_cast<std::uint64_t>(spread_milliseconds) + 1);
-    fleet.events().after(milliseconds(wait), [&fleet, name] { fleet.start_node(name); });
+    fleet.events().schedule_after(milliseconds(wait), [&fleet, name] { fleet.start_node(name); });
   }
 }
 
--- a/tests/simulation/promises_test.cc
+++ b/tests/simulation/promises_test.cc
@@ -17,7 +17,7 @@
 void require_kept(const simulation::run_options& options) {
   const auto report = simulation::run_with_faults(options);
   for (const auto& broken : report.violations) {
-    BOOST_ERROR("seed " << options.seed << ": " << broken.promise << ": " << broken.detail);
+    BOOST_ERROR("seed " << options.seed << ": " << broken.invariant << ": " << broken.detail);
   }
   if (!report.violations.empty()) {
     BOOST_TEST_MESSAGE(report.timeline);
@@ -105,7 +105,7 @@
     options.faults = {row.fault};
     options.switches.*row.mechanism = false;
     for (const auto& broken : simulation::run_with_faults(options).violations) {
-      found = found || broken.promise == row.broken;
+      found = found || broken.invariant == row.broken;
     }
   }
   BOOST_TEST(found, row.name << " off breaks nothing");
--- a/tools/fleet_soak.cc
+++ b/tools/fleet_soak.cc
@@ -25,7 +25,7 @@
   }
   std::cout << "\n";
   for (const auto& broken : report.violations) {
-    std::cout << "  " << broken.promise << ": " << broken.detail << " " << broken.request << "\n";
+    std::cout << "  " << broken.invariant << ": " << broken.detail << " " << broken.request << "\n";
   }
   std::cout << report.timeline << std::flush;
 }
--- a/tools/load_scenario.cc
+++ b/tools/load_scenario.cc
@@ -57,7 +57,7 @@
     // Engines queue what they are sent; only a very long queue is refused.
     profile.max_calls = concurrency * 40;
     profile.service_time = service;
-    profile.token_time = token;
+    profile.time_per_token = token;
     profile.early_first_token = true;
     user.backends.push_back(profile);
   }
@@ -150,7 +150,7 @@
 
   void schedule_next() {
     const double gap = -std::log(1.0 - random_.unit()) / rate();
-    fleet_.events().after(base::from_seconds(gap), [this] {
+    fleet_.events().schedule_after(base::from_seconds(gap), [this] {
       if (fleet_.now() < end_) {
         send();
         schedule_next();
@@ -177,7 +177,7 @@
       fleet_.backend("engines-a0").faults().slowdown = 5;
       break;
     case disturbance::hanging_replica:
-      fleet_.backend("engines-a0").faults().hanging = true;
+      fleet_.backend("engines-a0").faults().is_hanging = true;
       break;
     case disturbance::failing_replica:
       fleet_.crash_backend("engines-a0");
