--- a/src/simulation/emulated_backend.cc
+++ b/src/simulation/emulated_backend.cc
@@ -40,26 +40,26 @@
 
 void emulated_backend::receive(const execution::stage_call& call, reply_handler reply,
                                token_handler first_token) {
-  if (!alive_) {
+  if (!is_alive_) {
     return;
   }
-  if (faults_.leaving) {
+  if (faults_.is_draining) {
     reply({refusal(call, execution::call_status::refused_leaving), {}});
     return;
   }
-  if (running_.size() + waiting_.size() >= profile_.max_calls) {
+  if (running_.size() + queued_.size() >= profile_.max_calls) {
     reply({refusal(call, execution::call_status::refused_overloaded), {}});
     return;
   }
-  held_call held{call, std::move(reply), std::move(first_token), {}};
+  accepted_call accepted{call, std::move(reply), std::move(first_token), {}};
   if (running_.size() < profile_.concurrency) {
-    start(std::move(held));
+    start_call(std::move(accepted));
   } else {
-    waiting_.push_back(std::move(held));
+    queued_.push_back(std::move(accepted));
   }
 }
 
-base::duration emulated_backend::sample(const execution::stage_call& call) {
+base::duration emulated_backend::sample_call_time(const execution::stage_call& call) {
   const double exponential = -std::log(1.0 - random_->unit());
   const double factor = (1.0 - profile_.variation) + profile_.variation * exponential;
   const auto tokens =
@@ -69,44 +69,45 @@
   return base::from_seconds(mean * factor * faults_.slowdown);
 }
 
-void emulated_backend::start(held_call held) {
+void emulated_backend::start_call(accepted_call accepted) {
   ++executions_;
-  observer_(*this, held.call);
-  const auto slot = next_slot_++;
-  held.started = events_->now();
-  const auto takes = sample(held.call);
-  running_.emplace(slot, std::move(held));
+  observer_(*this, accepted.call);
+  const auto slot_id = next_slot_id_++;
+  accepted.started_at = events_->now();
+  const auto call_time = sample_call_time(accepted.call);
+  running_.emplace(slot_id, std::move(accepted));
   if (!faults_.is_hanging) {
-    schedule_first_token(slot, takes);
-    events_->schedule_after(takes, [this, slot] { finish(slot); });
+    schedule_first_token(slot_id, call_time);
+    events_->schedule_after(call_time, [this, slot_id] { finish(slot_id); });
   }
 }
 
-void emulated_backend::schedule_first_token(std::uint64_t slot, base::duration takes) {
-  const auto& call = running_.at(slot).call;
+void emulated_backend::schedule_first_token(std::uint64_t slot_id, base::duration call_time) {
+  const auto& call = running_.at(slot_id).call;
   if (!profile_.early_first_token || call.kind != model::stage_kind::generate) {
     return;
   }
-  // The prompt takes its part of the whole time, as the means say.
-  const double prompt = base::to_seconds(profile_.service_time);
-  const double tokens = call.max_tokens * base::to_seconds(profile_.time_per_token);
-  const auto delay = base::from_seconds(base::to_seconds(takes) * prompt / (prompt + tokens));
-  events_->schedule_after(delay, [this, slot] {
-    const auto found = running_.find(slot);
-    if (alive_ && found != running_.end() && found->second.call.resume_offset == 0) {
-      const auto& held = found->second;
-      held.first_token({held.call.call, 0, token_text(held.call.input, 0)});
+  // The prompt takes the same fraction of the sampled call time as of the mean call time.
+  const double prompt_seconds = base::to_seconds(profile_.service_time);
+  const double token_seconds = call.max_tokens * base::to_seconds(profile_.time_per_token);
+  const auto delay = base::from_seconds(base::to_seconds(call_time) * prompt_seconds /
+                                        (prompt_seconds + token_seconds));
+  events_->schedule_after(delay, [this, slot_id] {
+    const auto found = running_.find(slot_id);
+    if (is_alive_ && found != running_.end() && found->second.call.resume_offset == 0) {
+      const auto& accepted = found->second;
+      accepted.first_token({accepted.call.call, 0, token_text(accepted.call.input, 0)});
     }
   });
 }
 
-backend_reply emulated_backend::make_reply(const held_call& held) {
-  const auto& call = held.call;
+backend_reply emulated_backend::make_reply(const accepted_call& accepted) {
+  const auto& call = accepted.call;
   backend_reply reply;
   reply.result = refusal(call, execution::call_status::completed);
-  reply.result.backend_time = events_->now() - held.started;
+  reply.result.backend_time = events_->now() - accepted.started_at;
   reply.result.reported_in_flight =
-      static_cast<std::uint32_t>(running_.size() + waiting_.size()) + 1;
+      static_cast<std::uint32_t>(running_.size() + queued_.size()) + 1;
   if (call.kind == model::stage_kind::generate) {
     reply.result.tokens = call.max_tokens;
     for (auto offset = call.resume_offset; offset < call.max_tokens; ++offset) {
@@ -115,56 +116,57 @@
   } else {
     reply.result.output = expected_output(call.kind, call.input, 0);
   }
-  if (random_->unit() < faults_.crossed) {
+  if (random_->unit() < faults_.misdirected_answer_probability) {
     reply.result.identity.request = base::request_id("another-request");
     reply.result.output = "another answer";
-  } else if (random_->unit() < faults_.truncated) {
+  } else if (random_->unit() < faults_.truncated_answer_probability) {
     reply.result.status = execution::call_status::broken;
     reply.tokens.resize(reply.tokens.size() / 2);
   }
   return reply;
 }
 
-void emulated_backend::finish(std::uint64_t slot) {
-  auto found = running_.extract(slot);
-  if (found.empty() || !alive_) {
+void emulated_backend::finish(std::uint64_t slot_id) {
+  auto found = running_.extract(slot_id);
+  if (found.empty() || !is_alive_) {
     return;
   }
-  const auto& held = found.mapped();
-  busy_time_ += events_->now() - held.started;
-  auto reply = make_reply(held);
-  held.reply(std::move(reply));
-  start_waiting();
+  const auto& accepted = found.mapped();
+  busy_time_ += events_->now() - accepted.started_at;
+  auto reply = make_reply(accepted);
+  accepted.reply(std::move(reply));
+  start_queued_calls();
 }
 
-void emulated_backend::start_waiting() {
-  while (!waiting_.empty() && running_.size() < profile_.concurrency) {
-    auto next = std::move(waiting_.front());
-    waiting_.pop_front();
-    start(std::move(next));
+void emulated_backend::start_queued_calls() {
+  while (!queued_.empty() && running_.size() < profile_.concurrency) {
+    auto next = std::move(queued_.front());
+    queued_.pop_front();
+    start_call(std::move(next));
   }
 }
 
 void emulated_backend::cancel(const execution::call_identity& identity) {
-  std::erase_if(waiting_, [&](const held_call& held) { return held.call.identity == identity; });
+  std::erase_if(queued_,
+                [&](const accepted_call& accepted) { return accepted.call.identity == identity; });
   const auto found = std::find_if(running_.begin(), running_.end(), [&](const auto& entry) {
     return entry.second.call.identity == identity;
   });
   if (found != running_.end()) {
-    busy_time_ += events_->now() - found->second.started;
+    busy_time_ += events_->now() - found->second.started_at;
     running_.erase(found);
-    start_waiting();
+    start_queued_calls();
   }
 }
 
 void emulated_backend::crash() {
-  alive_ = false;
+  is_alive_ = false;
   running_.clear();
-  waiting_.clear();
+  queued_.clear();
 }
 
 void emulated_backend::restart() {
-  alive_ = true;
+  is_alive_ = true;
 }
 
 } // namespace spurrack::simulation
--- a/src/simulation/emulated_backend.h
+++ b/src/simulation/emulated_backend.h
@@ -1,5 +1,5 @@
-/// A back end in virtual time: slots, a short queue, a distribution of service times, and faults.
-/// It counts every execution, which makes it the judge of at-most-once.
+/// Back end in virtual time with slots, a short queue, random service times and injected faults. It
+/// reports every execution, so that at-most-once execution can be verified.
 #pragma once
 
 #include "base/random.h"
@@ -14,39 +14,42 @@
 
 namespace spurrack::simulation {
 
-/// How a back end works.
+/// Capacity and timing of a back end.
 struct backend_profile {
   std::string name;
   std::string zone;
   std::string pool;
   std::uint32_t concurrency = 8;
-  /// Calls at the back end, waiting ones included, beyond which it refuses.
+  /// Number of running and queued calls at which the back end refuses further calls.
   std::uint32_t max_calls = 16;
-  /// Mean time of a call, without tokens.
+  /// Mean time of a call, without the time for generated tokens.
   base::duration service_time = std::chrono::milliseconds(5);
   base::duration time_per_token{};
-  /// Part of the service time that varies (exponentially), 0 to 1.
+  /// Fraction of the call time that is exponentially distributed, 0 to 1; the rest is constant.
   double variation = 0.5;
-  /// Whether the first token of a generating call is sent as soon as the prompt is read; otherwise
-  /// all tokens are sent at the end.
+  /// Whether the first token of a generating call is sent as soon as the prompt is processed;
+  /// otherwise all tokens are sent at the end of the call.
   bool early_first_token = false;
 };
 
-/// How answers are spoiled, each with its own probability.
+/// Faults that are injected into a back end.
 struct backend_faults {
-  double crossed = 0;
-  double truncated = 0;
-  /// Time is multiplied by this.
+  /// Probability that an answer carries the identity of another request and a wrong output.
+  double misdirected_answer_probability = 0;
+  /// Probability that a call breaks after half of its tokens.
+  double truncated_answer_probability = 0;
+  /// Factor of the call time.
   double slowdown = 1;
-  bool leaving = false;
-  /// Accepts calls and never answers.
+  /// Whether the back end refuses all calls because it drains.
+  bool is_draining = false;
+  /// Whether the back end never answers the calls that it starts.
   bool is_hanging = false;
 };
 
-/// What the back end reports of one call.
+/// Result of a call.
 struct backend_reply {
   execution::call_result result;
-  /// Tokens generated, in order; empty for calls that do not generate.
+  /// Generated tokens, in order; empty for calls that do not generate.
   std::vector<execution::call_token> tokens;
 };
 
@@ -55,59 +58,66 @@
  public:
   using reply_handler = std::function<void(backend_reply)>;
   using token_handler = std::function<void(const execution::call_token&)>;
-  /// Called at each execution, before it is known how it ends.
+  /// Called when the execution of a call begins.
   using execution_observer =
       std::function<void(const emulated_backend&, const execution::stage_call&)>;
 
   emulated_backend(backend_profile profile, event_queue& events, base::random_source& random,
                    execution_observer observer);
 
-  /// A call arrives. `reply` is called when it ends, unless the back end dies or hangs.
-  /// `first_token` is called before it, where the profile says so.
+  /// Executes, queues or refuses a call.
+  /// @param reply called when the call ends; never called if the back end crashes or hangs, or if
+  ///        the call is cancelled.
+  /// @param first_token called with the first token, before `reply`, if the profile sends the first
+  ///        token early and the call generates from the beginning.
   void receive(const execution::stage_call& call, reply_handler reply, token_handler first_token);
-  /// The caller closed the connection: a waiting call is dropped, a running one frees its slot.
+  /// Cancels a call whose caller closed the connection: drops a queued call, frees the slot of a
+  /// running call.
   void cancel(const execution::call_identity& identity);
-  /// Dies: all calls are lost.
+  /// Crashes the back end; all its calls are lost.
   void crash();
+  /// Starts a crashed back end without calls.
   void restart();
 
-  [[nodiscard]] bool alive() const { return alive_; }
+  [[nodiscard]] bool is_alive() const { return is_alive_; }
   [[nodiscard]] const backend_profile& profile() const { return profile_; }
   backend_faults& faults() { return faults_; }
-  /// @return time in which slots were busy, all slots together.
+  /// @return sum of the times for which the slots were busy.
   [[nodiscard]] base::duration busy_time() const { return busy_time_; }
   [[nodiscard]] std::uint64_t executions() const { return executions_; }
 
  private:
-  struct held_call {
+  /// Running or queued call.
+  struct accepted_call {
     execution::stage_call call;
     reply_handler reply;
     token_handler first_token;
-    base::time_point started;
+    base::time_point started_at;
   };
 
-  void start(held_call held);
-  void finish(std::uint64_t slot);
-  void schedule_first_token(std::uint64_t slot, base::duration takes);
-  void start_waiting();
-  base::duration sample(const execution::stage_call& call);
-  backend_reply make_reply(const held_call& held);
+  void start_call(accepted_call accepted);
+  void finish(std::uint64_t slot_id);
+  /// Schedules the early first token of a generating call, if the profile sends it.
+  void schedule_first_token(std::uint64_t slot_id, base::duration call_time);
+  void start_queued_calls();
+  base::duration sample_call_time(const execution::stage_call& call);
+  backend_reply make_reply(const accepted_call& accepted);
 
   backend_profile profile_;
   event_queue* events_;
   base::random_source* random_;
   execution_observer observer_;
   backend_faults faults_;
-  bool alive_ = true;
-  std::uint64_t next_slot_ = 1;
-  std::map<std::uint64_t, held_call> running_;
-  std::deque<held_call> waiting_;
+  bool is_alive_ = true;
+  std::uint64_t next_slot_id_ = 1;
+  std::map<std::uint64_t, accepted_call> running_;
+  std::deque<accepted_call> queued_;
   base::duration busy_time_{};
   std::uint64_t executions_ = 0;
 };
 
-/// @return the output that a correct back end gives: `kind(input)` and, for generation, further
-/// words.
+/// @return output of a correct back end: `kind(input)` and, for generation, a word for each further
+///         token.
 std::string expected_output(model::stage_kind kind, const std::string& input,
                             std::uint32_t max_tokens);
 
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -1,4 +1,5 @@
-/// Virtual time: events run in the order of their times, equal times in the order they were added.
+/// Event queue of the virtual clock. Events run in the order of their times; events with equal
+/// times run in the order in which they were scheduled.
 #pragma once
 
 #include "base/time.h"
@@ -18,36 +19,39 @@
 
   [[nodiscard]] base::time_point now() const { return now_; }
 
-  void schedule_at(base::time_point when, action what) {
-    entries_.push({when < now_ ? now_ : when, next_++, std::move(what)});
+  /// Schedules an action; a time in the past counts as now.
+  void schedule_at(base::time_point due_at, action callback) {
+    entries_.push({due_at < now_ ? now_ : due_at, next_sequence_number_++, std::move(callback)});
   }
-  void schedule_after(base::duration delay, action what) {
-    schedule_at(now_ + delay, std::move(what));
+  void schedule_after(base::duration delay, action callback) {
+    schedule_at(now_ + delay, std::move(callback));
   }
 
-  /// Runs everything up to and including `until`; the clock then stands at `until`.
-  void run_until(base::time_point until) {
-    while (!entries_.empty() && entries_.top().when <= until) {
+  /// Runs all events that are due up to and including `end`, then sets the clock to `end`.
+  void run_until(base::time_point end) {
+    while (!entries_.empty() && entries_.top().due_at <= end) {
       auto entry = entries_.top();
       entries_.pop();
-      now_ = entry.when;
-      entry.what();
+      now_ = entry.due_at;
+      entry.callback();
     }
-    now_ = until;
+    now_ = end;
   }
 
  private:
   struct entry {
-    base::time_point when;
-    std::uint64_t order = 0;
-    action what;
+    base::time_point due_at;
+    std::uint64_t sequence_number = 0;
+    action callback;
+    /// Inverted, because std::priority_queue returns the largest entry first.
     bool operator<(const entry& other) const {
-      return when != other.when ? when > other.when : order > other.order;
+      return due_at != other.due_at ? due_at > other.due_at
+                                    : sequence_number > other.sequence_number;
     }
   };
 
   base::time_point now_{std::chrono::hours(1)};
-  std::uint64_t next_ = 0;
+  std::uint64_t next_sequence_number_ = 0;
   std::priority_queue<entry> entries_;
 };
 
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -282,7 +282,7 @@
   const auto size = message.message.ByteSizeLong();
   traffic_.add({message.message.body_case(), from.profile.name, to->first}, size);
   const double carried = static_cast<double>(size) + transport_overhead_bytes;
-  const auto sent = from.sending.carry(carried, now());
+  const auto sent = from.sending.transmit(carried, now());
   if (!sent) {
     return;
   }
@@ -290,7 +290,7 @@
   events_.schedule_at(arrival, [this, carried, from_zone = from.profile.zone, name = to->first,
                                 life = to->second.life, content = std::move(message.message)] {
     auto& receiver = nodes_.at(name);
-    const auto received = receiver.receiving.carry(carried, now());
+    const auto received = receiver.receiving.transmit(carried, now());
     if (!received || !connected(from_zone, receiver.profile.zone)) {
       return;
     }
@@ -372,13 +372,13 @@
       deliver(transfer->node, transfer->life, node::service_failed{transfer->answer.source});
     });
   };
-  const auto sent = store_link_.carry(bytes, now());
+  const auto sent = store_link_.transmit(bytes, now());
   if (!sent || *sent > limit) {
     fail();
     return;
   }
   events_.schedule_at(*sent, [this, transfer, page, bytes, limit, fail] {
-    const auto received = nodes_.at(transfer->node).receiving.carry(bytes, now());
+    const auto received = nodes_.at(transfer->node).receiving.transmit(bytes, now());
     if (!received || *received > limit) {
       fail();
       return;
@@ -447,7 +447,7 @@
   open_calls_[{slot.profile.name, call.call}] = open;
   auto& target = *backends_.at(call.backend.text());
   const bool reachable = connected(slot.profile.zone, target.profile().zone);
-  if (!reachable || !target.alive()) {
+  if (!reachable || !target.is_alive()) {
     const auto wait = reachable ? network_delay() : connect_timeout;
     events_.schedule_after(wait,
                            [this, open] { end_call(open, execution::call_status::never_sent); });
@@ -474,7 +474,7 @@
     if (!connected(nodes_.at(open->node).profile.zone, zone)) {
       return;
     }
-    if (!target.alive()) {
+    if (!target.is_alive()) {
       end_call(open, execution::call_status::broken);
       return;
     }
--- a/src/simulation/link.h
+++ b/src/simulation/link.h
@@ -1,4 +1,4 @@
-/// A link of bounded rate in virtual time: what is sent over it goes one after the other.
+/// Network link of limited rate in virtual time. Messages are transmitted one after the other.
 #pragma once
 
 #include "base/time.h"
@@ -11,26 +11,27 @@
 /// Not thread-safe.
 class link {
  public:
-  /// Waits longer than this end in a lost message: the transport drops a connection whose bytes
-  /// stay unacknowledged for so long.
-  static constexpr base::duration longest_wait = std::chrono::milliseconds(2000);
+  /// Messages that would wait longer are lost: the transport closes a connection whose bytes stay
+  /// unacknowledged for this time.
+  static constexpr base::duration max_queueing_delay = std::chrono::milliseconds(2000);
 
-  /// @param bytes_per_second 0: without bound.
+  /// @param bytes_per_second 0 for an unlimited rate.
   explicit link(double bytes_per_second = 0) : bytes_per_second_(bytes_per_second) {}
 
-  /// Takes up the link for some bytes.
-  /// @return when the last of them has left it; nothing where they would wait for too long.
-  std::optional<base::time_point> carry(double bytes, base::time_point now) {
+  /// Occupies the link for the transmission of `bytes`, after all earlier transmissions.
+  /// @return time at which the last byte has left the link; std::nullopt if the transmission could
+  ///         not begin within `max_queueing_delay`, in which case the link is not occupied.
+  std::optional<base::time_point> transmit(double bytes, base::time_point now) {
     if (bytes_per_second_ <= 0) {
       return now;
     }
-    const auto begin = std::max(now, free_at_);
-    if (begin - now > longest_wait) {
+    const auto begins_at = std::max(now, free_at_);
+    if (begins_at - now > max_queueing_delay) {
       return std::nullopt;
     }
-    return free_at_ = begin + base::from_seconds(bytes / bytes_per_second_);
+    return free_at_ = begins_at + base::from_seconds(bytes / bytes_per_second_);
   }
-  /// @return when all that was given to it has left it.
+  /// @return time at which all accepted transmissions have left the link.
   [[nodiscard]] base::time_point free_at() const { return free_at_; }
 
  private:
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -224,8 +224,8 @@
     }
     case fault_kind::bad_answers: {
       auto& faults = fleet_.backend(any_backend()).faults();
-      faults.crossed = random_.unit() * 0.3;
-      faults.truncated = random_.unit() * 0.3;
+      faults.misdirected_answer_probability = random_.unit() * 0.3;
+      faults.truncated_answer_probability = random_.unit() * 0.3;
       break;
     }
     default:
--- a/src/simulation/traffic_counters.h
+++ b/src/simulation/traffic_counters.h
@@ -1,5 +1,5 @@
-/// Who sent how many bytes of which kind of message to whom, over a time. Sizes are those of the
-/// serialized messages, without what the transport adds.
+/// Number of bytes that nodes send to each other, by kind of message. Sizes are those of the
+/// serialized messages, without the overhead of the transport.
 #pragma once
 
 #include "wire/peer.pb.h"
@@ -12,7 +12,7 @@
 
 namespace spurrack::simulation {
 
-/// One way between two nodes, for one kind of message.
+/// Direction between two nodes, and kind of message.
 struct traffic_flow {
   wire::envelope::BodyCase kind = wire::envelope::BODY_NOT_SET;
   std::string sender;
@@ -28,7 +28,8 @@
 
   [[nodiscard]] const std::map<traffic_flow, std::uint64_t>& flows() const { return flows_; }
 
-  /// @param key_of what the bytes are put together by: a sender, a kind, a pair of zones.
+  /// Sums the bytes of all flows with the same key.
+  /// @param key_of maps a flow to its key, for example the sender, the kind or a pair of zones.
   template <typename key_function>
   [[nodiscard]] auto sum_by(const key_function& key_of) const {
     std::map<std::invoke_result_t<key_function, const traffic_flow&>, std::uint64_t> sums;
