--- a/src/simulation/emulated_backend.cc
+++ b/src/simulation/emulated_backend.cc
@@ -84,7 +84,7 @@
 
 void emulated_backend::schedule_first_token(std::uint64_t slot_id, base::duration call_time) {
   const auto& call = running_.at(slot_id).call;
-  if (!profile_.early_first_token || call.kind != model::stage_kind::generate) {
+  if (!profile_.has_early_first_token || call.kind != model::stage_kind::generate) {
     return;
   }
   // The prompt takes the same fraction of the sampled call time as of the mean call time.
--- a/src/simulation/emulated_backend.h
+++ b/src/simulation/emulated_backend.h
@@ -29,7 +29,7 @@
   double variation = 0.5;
   /// Whether the first token of a generating call is sent as soon as the prompt is processed;
   /// otherwise all tokens are sent at the end of the call.
-  bool early_first_token = false;
+  bool has_early_first_token = false;
 };
 
 /// Faults that are injected into a back end.
--- a/tools/load_scenario.cc
+++ b/tools/load_scenario.cc
@@ -58,7 +58,7 @@
     profile.max_calls = concurrency * 40;
     profile.service_time = service;
     profile.time_per_token = token;
-    profile.early_first_token = true;
+    profile.has_early_first_token = true;
     user.backends.push_back(profile);
   }
 }
