--- a/src/simulation/emulated_platform.cc
+++ b/src/simulation/emulated_platform.cc
@@ -9,70 +9,72 @@
 base::revision emulated_platform::publish(const std::string& key,
                                           std::optional<std::string> value) {
   entries_[key] = {++revision_, std::move(value)};
-  wake_all();
+  finish_all_watches();
   return revision_;
 }
 
 void emulated_platform::restore(base::revision revision) {
   revision_ = revision;
   std::erase_if(entries_, [&](const auto& entry) { return entry.second.revision > revision; });
-  wake_all();
+  finish_all_watches();
 }
 
 void emulated_platform::set_mode(platform_mode mode) {
   mode_ = mode;
   stale_revision_ = revision_;
-  wake_all();
+  finish_all_watches();
 }
 
-void emulated_platform::read(const node::read_service& what, answer_handler answer) {
+void emulated_platform::read(const node::read_service& request, answer_handler answer) {
   ++calls_;
-  listings_ += what.after == 0 ? 1 : 0;
-  const auto newest = mode_ == platform_mode::stale ? stale_revision_ : revision_;
-  if (mode_ == platform_mode::down || what.after != newest) {
-    answer(mode_ == platform_mode::down ? std::nullopt : std::optional(answer_for(what)));
+  listings_ += request.after == 0 ? 1 : 0;
+  const auto latest_revision = mode_ == platform_mode::stale ? stale_revision_ : revision_;
+  if (mode_ == platform_mode::down || request.after != latest_revision) {
+    answer(mode_ == platform_mode::down ? std::nullopt : std::optional(answer_for(request)));
     return;
   }
   const auto id = next_watch_++;
-  watches_.emplace(id, watch{what, std::move(answer)});
-  events_->schedule_after(watch_time, [this, id] { finish(id); });
+  watches_.emplace(id, watch{request, std::move(answer)});
+  events_->schedule_after(watch_timeout, [this, id] { finish_watch(id); });
 }
 
-void emulated_platform::finish(std::uint64_t watch_id) {
+void emulated_platform::finish_watch(std::uint64_t watch_id) {
   auto found = watches_.extract(watch_id);
   if (found.empty()) {
     return;
   }
-  const auto& held = found.mapped();
-  held.answer(mode_ == platform_mode::down ? std::nullopt : std::optional(answer_for(held.what)));
+  const auto& pending = found.mapped();
+  pending.answer(mode_ == platform_mode::down ? std::nullopt
+                                              : std::optional(answer_for(pending.request)));
 }
 
-void emulated_platform::wake_all() {
+void emulated_platform::finish_all_watches() {
   std::vector<std::uint64_t> ids;
-  for (const auto& [id, held] : watches_) {
+  for (const auto& [id, pending] : watches_) {
     ids.push_back(id);
   }
   for (const auto id : ids) {
-    finish(id);
+    finish_watch(id);
   }
 }
 
-node::service_answered emulated_platform::answer_for(const node::read_service& what) const {
+node::service_answered emulated_platform::answer_for(const node::read_service& request) const {
   node::service_answered answer;
-  answer.source = what.source;
+  answer.source = request.source;
   answer.service_revision = mode_ == platform_mode::stale ? stale_revision_ : revision_;
-  const bool machines = what.source == node::source_kind::machine_list;
+  const bool reads_machine_list = request.source == node::source_kind::machine_list;
   for (const auto& [key, entry] : entries_) {
-    const bool wanted = key.starts_with(model::machine_prefix) == machines;
-    if (!wanted || entry.revision <= what.after || entry.revision > answer.service_revision) {
+    const bool is_requested = key.starts_with(model::machine_prefix) == reads_machine_list;
+    if (!is_requested || entry.revision <= request.after ||
+        entry.revision > answer.service_revision) {
       continue;
     }
-    wire::catalog_entry item;
-    item.set_key(key);
-    item.set_revision(entry.revision);
-    item.set_deleted(!entry.value);
-    item.set_value(entry.value.value_or(""));
-    answer.entries.push_back(std::move(item));
+    wire::catalog_entry change;
+    change.set_key(key);
+    change.set_revision(entry.revision);
+    change.set_deleted(!entry.value);
+    change.set_value(entry.value.value_or(""));
+    answer.entries.push_back(std::move(change));
   }
   return answer;
 }
--- a/src/simulation/emulated_platform.h
+++ b/src/simulation/emulated_platform.h
@@ -1,4 +1,4 @@
-/// The platform's services in virtual time: published entries with revisions, watches, outages.
+/// Services of the platform in virtual time: published entries with revisions, watches and outages.
 #pragma once
 
 #include "node/events.h"
@@ -13,55 +13,64 @@
 
 namespace spurrack::simulation {
 
+/// In `stale` mode the platform answers as of the revision at which the mode was set.
 enum class platform_mode : std::uint8_t { up, down, stale };
 
-/// Serves both sources from one sequence of revisions. Not thread-safe.
+/// Serves the configuration and the machine list from one sequence of revisions. Not thread-safe.
 class emulated_platform {
  public:
   using answer_handler = std::function<void(const std::optional<node::service_answered>&)>;
-  static constexpr base::duration watch_time = std::chrono::seconds(8);
+  /// Time after which a watch is answered even if no entry has changed.
+  static constexpr base::duration watch_timeout = std::chrono::seconds(8);
 
   explicit emulated_platform(event_queue& events) : events_(&events) {}
 
-  /// Publishes a value, or deletes the key where there is none.
+  /// Publishes a value, or deletes the key if `value` is std::nullopt.
+  /// @return revision of the change.
   base::revision publish(const std::string& key, std::optional<std::string> value);
-  /// Goes back to an earlier revision.
+  /// Sets the revision back to `revision` and removes the entries that were published later.
   void restore(base::revision revision);
   void set_mode(platform_mode mode);
 
-  /// Answers at once where there is something newer, otherwise when there is or the watch ends.
-  /// Nothing is answered with where the service is down.
-  void read(const node::read_service& what, answer_handler answer);
+  /// Reads the entries that changed after `request.after`. Answers at once if the latest revision
+  /// differs from `request.after` or the platform is down, otherwise at the next change of entries
+  /// or of the mode, at the latest after `watch_timeout`.
+  /// @param answer called with std::nullopt if the platform is down.
+  void read(const node::read_service& request, answer_handler answer);
 
-  /// @return whether the service answers a question that it need not look up.
+  /// Answers a probe, which reads no entries.
+  /// @return whether the platform answers.
   bool answer_probe() {
     ++probes_;
     return mode_ != platform_mode::down;
   }
-  /// A probe costs a tenth of a call.
+  /// @return number of probes. A probe costs the platform a tenth of a read.
   [[nodiscard]] std::uint64_t probes() const { return probes_; }
   [[nodiscard]] base::revision revision() const { return revision_; }
+  /// @return number of reads, without probes.
   [[nodiscard]] std::uint64_t calls() const { return calls_; }
-  /// @return reads from the beginning.
+  /// @return number of reads that list all entries.
   [[nodiscard]] std::uint64_t listings() const { return listings_; }
 
  private:
-  struct published {
+  struct published_entry {
     base::revision revision = 0;
+    /// std::nullopt if the entry is deleted.
     std::optional<std::string> value;
   };
   struct watch {
-    node::read_service what;
+    node::read_service request;
     answer_handler answer;
   };
 
-  void wake_all();
-  void finish(std::uint64_t watch_id);
-  [[nodiscard]] node::service_answered answer_for(const node::read_service& what) const;
+  void finish_all_watches();
+  void finish_watch(std::uint64_t watch_id);
+  [[nodiscard]] node::service_answered answer_for(const node::read_service& request) const;
 
   event_queue* events_;
-  std::map<std::string, published> entries_;
+  std::map<std::string, published_entry> entries_;
   base::revision revision_ = 0;
+  /// Revision that is served in `platform_mode::stale`.
   base::revision stale_revision_ = 0;
   platform_mode mode_ = platform_mode::up;
   std::uint64_t calls_ = 0;
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -77,7 +77,7 @@
   BOOST_TEST_MESSAGE("calls in 48 s: " << few << ", " << more_nodes << ", " << more_zones);
   // Two nodes of two zones watch two sources.
   constexpr std::uint64_t watches = 8;
-  const auto held_for = simulation::emulated_platform::watch_time;
+  const auto held_for = simulation::emulated_platform::watch_timeout;
   const auto expected = watches * static_cast<std::uint64_t>(seconds(48) / held_for);
   BOOST_TEST(few <= expected + watches);
   BOOST_TEST(more_nodes <= expected + watches);
