--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -9,14 +9,14 @@
 
 constexpr base::duration connect_timeout = std::chrono::milliseconds(400);
 constexpr base::duration platform_delay = std::chrono::milliseconds(3);
-constexpr base::duration poll_step = std::chrono::milliseconds(10);
-/// What TCP and ZeroMQ add to a message.
+constexpr base::duration poll_interval = std::chrono::milliseconds(10);
+/// Overhead of TCP and ZeroMQ per message.
 constexpr double transport_overhead_bytes = 80;
 constexpr std::uint64_t seed_stride = 0x9E3779B97F4A7C15;
 
-std::uint64_t microseconds_of(base::time_point moment) {
+std::uint64_t microseconds_of(base::time_point instant) {
   return static_cast<std::uint64_t>(
-      std::chrono::duration_cast<std::chrono::microseconds>(moment.time_since_epoch()).count());
+      std::chrono::duration_cast<std::chrono::microseconds>(instant.time_since_epoch()).count());
 }
 
 } // namespace
@@ -36,21 +36,21 @@
   for (const auto& profile : settings_.backends) {
     backends_[profile.name] = std::make_unique<emulated_backend>(
         profile, events_, random_,
-        [this](const emulated_backend& where, const execution::stage_call& call) {
-          executions_.push_back({where.profile().name, call.identity, call.repeatable, call.input,
+        [this](const emulated_backend& target, const execution::stage_call& call) {
+          executions_.push_back({target.profile().name, call.identity, call.repeatable, call.input,
                                  events_.now(), call.not_after});
         });
     publish_backend(profile.name, "live", 1);
   }
 }
 
-bool fleet_simulation::run_until(const std::function<bool()>& condition, base::duration limit) {
-  const auto end = now() + limit;
-  while (now() < end) {
+bool fleet_simulation::run_until(const std::function<bool()>& condition, base::duration timeout) {
+  const auto deadline = now() + timeout;
+  while (now() < deadline) {
     if (condition()) {
       return true;
     }
-    run_for(poll_step);
+    run_for(poll_interval);
   }
   return condition();
 }
@@ -58,20 +58,20 @@
 // --- nodes ---------------------------------------------------------------------------------------
 
 void fleet_simulation::start_node(const std::string& name) {
-  auto& slot = nodes_.at(name);
-  ++slot.life;
-  slot.alive = true;
-  slot.exited = false;
-  slot.frozen_until = {};
-  slot.freeze_before_effect.reset();
-  slot.random =
+  auto& instance = nodes_.at(name);
+  ++instance.incarnation;
+  instance.is_alive = true;
+  instance.has_exited = false;
+  instance.frozen_until = {};
+  instance.freeze_before_effect.reset();
+  instance.random =
       std::make_unique<base::seeded_random>(settings_.seed * seed_stride + random_.next());
   auto node_settings = settings_.node;
   node_settings.self.node = base::node_id(name);
-  node_settings.self.zone = base::zone_id(slot.profile.zone);
+  node_settings.self.zone = base::zone_id(instance.profile.zone);
   node_settings.self.address = base::network_address(name);
   node_settings.self.process_start = microseconds_of(now());
-  node_settings.self.processor_share = static_cast<float>(slot.profile.processor_share);
+  node_settings.self.processor_share = static_cast<float>(instance.profile.processor_share);
   for (const auto& seed : settings_.seeds) {
     node_settings.seeds.emplace_back(seed);
   }
@@ -80,11 +80,11 @@
       node_settings.seeds.emplace_back(other.name);
     }
   }
-  slot.sending = link(slot.profile.link_bytes_per_second);
-  slot.receiving = link(slot.profile.link_bytes_per_second);
-  slot.logic = std::make_unique<node::node>(node_settings, *slot.random, now());
-  slot.wake_scheduled = base::time_point::max();
-  deliver(name, slot.life, node::time_passed{});
+  instance.uplink = link(instance.profile.link_bytes_per_second);
+  instance.downlink = link(instance.profile.link_bytes_per_second);
+  instance.logic = std::make_unique<node::node>(node_settings, *instance.random, now());
+  instance.wakeup_at = base::time_point::max();
+  deliver(name, instance.incarnation, node::time_passed{});
 }
 
 void fleet_simulation::start_all_nodes() {
@@ -94,47 +94,48 @@
 }
 
 void fleet_simulation::kill_node(const std::string& name) {
-  auto& slot = nodes_.at(name);
-  if (!slot.alive) {
+  auto& instance = nodes_.at(name);
+  if (!instance.is_alive) {
     return;
   }
-  slot.alive = false;
-  past_control_.messages_sent += slot.logic->control().messages_sent;
-  past_control_.bytes_sent += slot.logic->control().bytes_sent;
+  instance.is_alive = false;
+  earlier_control_totals_.messages_sent += instance.logic->control().messages_sent;
+  earlier_control_totals_.bytes_sent += instance.logic->control().bytes_sent;
   for (auto& [id, record] : callers_) {
-    record.connection_lost = record.connection_lost || (record.node == name && record.answers == 0);
+    record.is_connection_lost =
+        record.is_connection_lost || (record.node == name && record.answer_count == 0);
   }
   for (auto& [key, open] : open_calls_) {
     if (key.first == name) {
-      open->cancelled = true;
+      open->is_cancelled = true;
     }
   }
 }
 
-void fleet_simulation::freeze_node(const std::string& name, base::duration span) {
-  auto& slot = nodes_.at(name);
-  slot.frozen_until = std::max(slot.frozen_until, now() + span);
+void fleet_simulation::freeze_node(const std::string& name, base::duration duration) {
+  auto& instance = nodes_.at(name);
+  instance.frozen_until = std::max(instance.frozen_until, now() + duration);
 }
 
-void fleet_simulation::freeze_before_next_effect(const std::string& name, base::duration span) {
-  nodes_.at(name).freeze_before_effect = span;
+void fleet_simulation::freeze_before_next_effect(const std::string& name, base::duration duration) {
+  nodes_.at(name).freeze_before_effect = duration;
 }
 
 void fleet_simulation::stop_node(const std::string& name) {
-  auto& slot = nodes_.at(name);
-  if (slot.alive) {
-    deliver(name, slot.life, node::stop_requested{});
+  auto& instance = nodes_.at(name);
+  if (instance.is_alive) {
+    deliver(name, instance.incarnation, node::stop_requested{});
   }
 }
 
 bool fleet_simulation::is_alive(const std::string& name) const {
-  return nodes_.at(name).alive;
+  return nodes_.at(name).is_alive;
 }
 bool fleet_simulation::is_frozen(const std::string& name) const {
   return nodes_.at(name).frozen_until > events_.now();
 }
 bool fleet_simulation::has_exited(const std::string& name) const {
-  return nodes_.at(name).exited;
+  return nodes_.at(name).has_exited;
 }
 const node::node& fleet_simulation::node(const std::string& name) const {
   return *nodes_.at(name).logic;
@@ -142,7 +143,7 @@
 
 std::vector<std::string> fleet_simulation::node_names() const {
   std::vector<std::string> names;
-  for (const auto& [name, slot] : nodes_) {
+  for (const auto& [name, instance] : nodes_) {
     names.push_back(name);
   }
   return names;
@@ -150,100 +151,104 @@
 
 bool fleet_simulation::all_ready() const {
   return std::all_of(nodes_.begin(), nodes_.end(), [](const auto& entry) {
-    return entry.second.alive && entry.second.logic->is_ready();
+    return entry.second.is_alive && entry.second.logic->is_ready();
   });
 }
 
-void fleet_simulation::at_node(const std::string& name, std::uint64_t life,
-                               std::function<void()> what) {
-  auto& slot = nodes_.at(name);
-  if (!slot.alive || slot.life != life) {
+void fleet_simulation::run_at_node(const std::string& name, std::uint64_t incarnation,
+                                   std::function<void()> action) {
+  auto& instance = nodes_.at(name);
+  if (!instance.is_alive || instance.incarnation != incarnation) {
     return;
   }
-  if (slot.frozen_until > now()) {
-    events_.schedule_at(slot.frozen_until,
-                        [this, name, life, what = std::move(what)] { at_node(name, life, what); });
+  if (instance.frozen_until > now()) {
+    events_.schedule_at(instance.frozen_until,
+                        [this, name, incarnation, action = std::move(action)] {
+                          run_at_node(name, incarnation, action);
+                        });
     return;
   }
-  what();
+  action();
 }
 
-void fleet_simulation::deliver(const std::string& name, std::uint64_t life,
-                               const node::event& what) {
-  at_node(name, life, [this, name, what] {
-    auto& slot = nodes_.at(name);
-    auto commands = slot.logic->handle(what, now());
-    for (auto& wanted : commands) {
-      carry_out(slot, wanted);
+void fleet_simulation::deliver(const std::string& name, std::uint64_t incarnation,
+                               const node::event& event) {
+  run_at_node(name, incarnation, [this, name, event] {
+    auto& instance = nodes_.at(name);
+    auto commands = instance.logic->handle(event, now());
+    for (auto& command : commands) {
+      execute_command(instance, command);
     }
-    schedule_wakeup(slot);
+    schedule_wakeup(instance);
   });
 }
 
-void fleet_simulation::schedule_wakeup(node_slot& slot) {
-  const auto when = std::max(slot.logic->next_wakeup(), now() + std::chrono::microseconds(1));
-  if (!slot.alive || (slot.wake_scheduled > now() && slot.wake_scheduled <= when)) {
+void fleet_simulation::schedule_wakeup(node_instance& instance) {
+  const auto next_wakeup =
+      std::max(instance.logic->next_wakeup(), now() + std::chrono::microseconds(1));
+  if (!instance.is_alive || (instance.wakeup_at > now() && instance.wakeup_at <= next_wakeup)) {
     return;
   }
-  slot.wake_scheduled = when;
-  events_.schedule_at(when, [this, name = slot.profile.name, life = slot.life, when] {
-    auto& due = nodes_.at(name);
-    if (due.life == life && due.wake_scheduled == when) {
-      due.wake_scheduled = base::time_point::max();
-      deliver(name, life, node::time_passed{});
+  instance.wakeup_at = next_wakeup;
+  events_.schedule_at(next_wakeup, [this, name = instance.profile.name,
+                                    incarnation = instance.incarnation, next_wakeup] {
+    auto& current = nodes_.at(name);
+    if (current.incarnation == incarnation && current.wakeup_at == next_wakeup) {
+      current.wakeup_at = base::time_point::max();
+      deliver(name, incarnation, node::time_passed{});
     }
   });
 }
 
-void fleet_simulation::carry_out(node_slot& slot, node::command& wanted) {
-  if (auto* message = std::get_if<wire::outgoing>(&wanted)) {
-    send_message(slot, *message);
-  } else if (auto* start = std::get_if<execution::start_call>(&wanted)) {
-    if (slot.freeze_before_effect && !start->call.repeatable) {
-      slot.frozen_until = now() + *slot.freeze_before_effect;
-      slot.freeze_before_effect.reset();
+void fleet_simulation::execute_command(node_instance& instance, node::command& command) {
+  if (auto* message = std::get_if<wire::outgoing>(&command)) {
+    send_message(instance, *message);
+  } else if (auto* start = std::get_if<execution::start_call>(&command)) {
+    if (instance.freeze_before_effect && !start->call.repeatable) {
+      instance.frozen_until = now() + *instance.freeze_before_effect;
+      instance.freeze_before_effect.reset();
     }
-    start_call(slot, start->call);
-  } else if (auto* cancel = std::get_if<execution::cancel_call>(&wanted)) {
-    auto found = open_calls_.extract({slot.profile.name, cancel->call});
+    start_call(instance, start->call);
+  } else if (auto* cancel = std::get_if<execution::cancel_call>(&command)) {
+    auto found = open_calls_.extract({instance.profile.name, cancel->call});
     if (!found.empty()) {
       auto& open = *found.mapped();
-      open.cancelled = true;
+      open.is_cancelled = true;
       auto& target = *backends_.at(open.call.backend.text());
-      if (connected(slot.profile.zone, target.profile().zone)) {
+      if (are_connected(instance.profile.zone, target.profile().zone)) {
         events_.schedule_after(
             network_delay(), [&target, identity = open.call.identity] { target.cancel(identity); });
       }
     }
-  } else if (auto* token = std::get_if<execution::send_token>(&wanted)) {
+  } else if (auto* token = std::get_if<execution::send_token>(&command)) {
     auto& record = callers_.at(token->caller);
-    record.streamed += token->text;
+    record.streamed_text += token->text;
     record.first_token_at = record.first_token_at.value_or(now());
-  } else if (auto* answer = std::get_if<execution::send_answer>(&wanted)) {
-    answer_caller(*answer);
-  } else if (auto* ticket = std::get_if<node::send_ticket>(&wanted)) {
+  } else if (auto* answer = std::get_if<execution::send_answer>(&command)) {
+    record_answer(*answer);
+  } else if (auto* ticket = std::get_if<node::send_ticket>(&command)) {
     tickets_[ticket->caller] = ticket->ticket;
-  } else if (auto* read = std::get_if<node::read_service>(&wanted)) {
-    read_platform(slot, *read);
-  } else if (auto* probe = std::get_if<node::probe_service>(&wanted)) {
-    probe_platform(slot, *probe);
-  } else if (std::holds_alternative<node::stop_completed>(wanted)) {
+  } else if (auto* read = std::get_if<node::read_service>(&command)) {
+    read_platform(instance, *read);
+  } else if (auto* probe = std::get_if<node::probe_service>(&command)) {
+    probe_platform(instance, *probe);
+  } else if (std::holds_alternative<node::stop_completed>(command)) {
     for (auto& [id, record] : callers_) {
-      record.cut_by_stop =
-          record.cut_by_stop || (record.node == slot.profile.name && record.arrived &&
-                                 record.answers == 0 && !record.connection_lost);
+      record.is_dropped_by_stop = record.is_dropped_by_stop ||
+                                  (record.node == instance.profile.name && record.has_arrived &&
+                                   record.answer_count == 0 && !record.is_connection_lost);
     }
-    kill_node(slot.profile.name);
-    slot.exited = true;
+    kill_node(instance.profile.name);
+    instance.has_exited = true;
   }
 }
 
 node::control_counters fleet_simulation::control_totals() const {
-  auto totals = past_control_;
-  for (const auto& [name, slot] : nodes_) {
-    if (slot.alive) {
-      totals.messages_sent += slot.logic->control().messages_sent;
-      totals.bytes_sent += slot.logic->control().bytes_sent;
+  auto totals = earlier_control_totals_;
+  for (const auto& [name, instance] : nodes_) {
+    if (instance.is_alive) {
+      totals.messages_sent += instance.logic->control().messages_sent;
+      totals.bytes_sent += instance.logic->control().bytes_sent;
     }
   }
   return totals;
@@ -251,15 +256,15 @@
 
 // --- network -------------------------------------------------------------------------------------
 
-void fleet_simulation::partition_zone(const std::string& zone, bool from_platform) {
-  cuts_[zone] = from_platform;
+void fleet_simulation::partition_zone(const std::string& zone, bool includes_platform) {
+  partitions_[zone] = includes_platform;
 }
 void fleet_simulation::heal_zone(const std::string& zone) {
-  cuts_.erase(zone);
+  partitions_.erase(zone);
 }
 
-bool fleet_simulation::connected(const std::string& zone, const std::string& other) const {
-  return zone == other || (!cuts_.contains(zone) && !cuts_.contains(other));
+bool fleet_simulation::are_connected(const std::string& zone, const std::string& other_zone) const {
+  return zone == other_zone || (!partitions_.contains(zone) && !partitions_.contains(other_zone));
 }
 
 base::duration fleet_simulation::network_delay() {
@@ -267,128 +272,134 @@
          base::from_seconds(base::to_seconds(settings_.network.jitter) * random_.unit());
 }
 
-base::duration fleet_simulation::delay_between(const std::string& zone, const std::string& other) {
+base::duration fleet_simulation::delay_between(const std::string& zone,
+                                               const std::string& other_zone) {
   const auto& serving = settings_.node.serving;
-  const bool near =
-      !serving || serving->regions.same_region(base::zone_id(zone), base::zone_id(other));
-  return network_delay() + (near ? base::duration{} : settings_.network.region_delay);
+  const bool are_in_one_region =
+      !serving || serving->regions.same_region(base::zone_id(zone), base::zone_id(other_zone));
+  return network_delay() + (are_in_one_region ? base::duration{} : settings_.network.region_delay);
 }
 
-void fleet_simulation::send_message(node_slot& from, wire::outgoing& message) {
-  const auto to = nodes_.find(message.to.text());
-  if (to == nodes_.end() || random_.unit() < settings_.network.loss) {
+void fleet_simulation::send_message(node_instance& sender, wire::outgoing& message) {
+  const auto found = nodes_.find(message.to.text());
+  if (found == nodes_.end() || random_.unit() < settings_.network.loss_probability) {
     return;
   }
-  const auto size = message.message.ByteSizeLong();
-  traffic_.add({message.message.body_case(), from.profile.name, to->first}, size);
-  const double carried = static_cast<double>(size) + transport_overhead_bytes;
-  const auto sent = from.sending.transmit(carried, now());
-  if (!sent) {
+  const auto message_bytes = message.message.ByteSizeLong();
+  traffic_.add({message.message.body_case(), sender.profile.name, found->first}, message_bytes);
+  const double transmitted_bytes = static_cast<double>(message_bytes) + transport_overhead_bytes;
+  const auto sent_at = sender.uplink.transmit(transmitted_bytes, now());
+  if (!sent_at) {
     return;
   }
-  const auto arrival = *sent + delay_between(from.profile.zone, to->second.profile.zone);
-  events_.schedule_at(arrival, [this, carried, from_zone = from.profile.zone, name = to->first,
-                                life = to->second.life, content = std::move(message.message)] {
+  const auto arrives_at = *sent_at + delay_between(sender.profile.zone, found->second.profile.zone);
+  events_.schedule_at(arrives_at, [this, transmitted_bytes, sender_zone = sender.profile.zone,
+                                   name = found->first, incarnation = found->second.incarnation,
+                                   envelope = std::move(message.message)] {
     auto& receiver = nodes_.at(name);
-    const auto received = receiver.receiving.transmit(carried, now());
-    if (!received || !connected(from_zone, receiver.profile.zone)) {
+    const auto received_at = receiver.downlink.transmit(transmitted_bytes, now());
+    if (!received_at || !are_connected(sender_zone, receiver.profile.zone)) {
       return;
     }
-    events_.schedule_at(*received, [this, name, life, content] {
-      deliver(name, life, node::peer_message{content});
+    events_.schedule_at(*received_at, [this, name, incarnation, envelope] {
+      deliver(name, incarnation, node::peer_message{envelope});
     });
   });
 }
 
-bool fleet_simulation::reaches_platform(const node_slot& slot) const {
-  const auto cut = cuts_.find(slot.profile.zone);
-  return !turned_away_.contains(slot.profile.zone) && (cut == cuts_.end() || !cut->second);
+bool fleet_simulation::can_reach_platform(const node_instance& instance) const {
+  const auto partition = partitions_.find(instance.profile.zone);
+  return !zones_without_platform_.contains(instance.profile.zone) &&
+         (partition == partitions_.end() || !partition->second);
 }
 
-void fleet_simulation::probe_platform(const node_slot& slot, const node::probe_service& what) {
-  const bool answers =
-      reaches_platform(slot) && now() >= platform_silent_until_ && platform_.answer_probe();
-  if (!answers) {
-    events_.schedule_after(connect_timeout, [=, this, name = slot.profile.name, life = slot.life] {
-      deliver(name, life, node::service_failed{what.source});
+void fleet_simulation::probe_platform(const node_instance& instance,
+                                      const node::probe_service& request) {
+  const bool is_answered =
+      can_reach_platform(instance) && now() >= platform_hangs_until_ && platform_.answer_probe();
+  if (!is_answered) {
+    events_.schedule_after(connect_timeout, [=, this, name = instance.profile.name,
+                                             incarnation = instance.incarnation] {
+      deliver(name, incarnation, node::service_failed{request.source});
     });
   }
 }
 
-void fleet_simulation::read_platform(node_slot& slot, const node::read_service& what) {
-  const auto name = slot.profile.name;
-  const auto life = slot.life;
-  const auto reachable = [this, name] { return reaches_platform(nodes_.at(name)); };
-  const auto source = static_cast<std::size_t>(what.source);
-  const auto number = ++slot.reads[source];
-  // Of reads of a source only the latest counts, as with the platform's client.
-  const auto is_latest = [this, name, source, number] {
-    return nodes_.at(name).reads[source] == number;
+void fleet_simulation::read_platform(node_instance& instance, const node::read_service& request) {
+  const auto name = instance.profile.name;
+  const auto incarnation = instance.incarnation;
+  const auto is_reachable = [this, name] { return can_reach_platform(nodes_.at(name)); };
+  const auto source = static_cast<std::size_t>(request.source);
+  const auto read_number = ++instance.reads[source];
+  // Only the latest read of a source counts, as in the platform's client.
+  const auto is_latest = [this, name, source, read_number] {
+    return nodes_.at(name).reads[source] == read_number;
   };
-  const auto fail_after = [=, this](base::duration span) {
-    events_.schedule_after(span, [=, this] {
+  const auto fail_after = [=, this](base::duration delay) {
+    events_.schedule_after(delay, [=, this] {
       if (is_latest()) {
-        deliver(name, life, node::service_failed{what.source});
+        deliver(name, incarnation, node::service_failed{request.source});
       }
     });
   };
   const auto fail = [fail_after] { fail_after(connect_timeout); };
-  const auto began = now();
+  const auto started_at = now();
   events_.schedule_after(platform_delay, [=, this] {
-    if (platform_silent_until_ > began) {
-      fail_after(what.hold + connect_timeout);
+    if (platform_hangs_until_ > started_at) {
+      fail_after(request.hold + connect_timeout);
       return;
     }
-    if (!reachable()) {
+    if (!is_reachable()) {
       fail();
       return;
     }
-    platform_.read(what, [=, this](const std::optional<node::service_answered>& answer) {
+    platform_.read(request, [=, this](const std::optional<node::service_answered>& answer) {
       if (!is_latest()) {
         return;
       }
-      if (platform_silent_until_ > began) {
-        const base::duration held = now() - began;
-        fail_after(std::max<base::duration>(what.hold - held, base::duration{}) + connect_timeout);
+      if (platform_hangs_until_ > started_at) {
+        const base::duration elapsed = now() - started_at;
+        fail_after(std::max<base::duration>(request.hold - elapsed, base::duration{}) +
+                   connect_timeout);
         return;
       }
-      if (!answer || !reachable()) {
+      if (!answer || !is_reachable()) {
         fail();
         return;
       }
       auto transfer = std::make_shared<store_transfer>(
-          store_transfer{name, life, *answer, answer->entries.size()});
-      carry_pages(transfer);
+          store_transfer{name, incarnation, *answer, answer->entries.size()});
+      transfer_pages(transfer);
     });
   });
 }
 
-void fleet_simulation::carry_pages(const std::shared_ptr<store_transfer>& transfer) {
-  const auto page = std::min(transfer->entries_left, settings_.store.entries_per_page);
-  const double bytes = static_cast<double>(page) * settings_.store.bytes_per_entry;
-  const auto limit = now() + settings_.store.page_timeout;
-  const auto fail = [this, transfer, limit] {
-    events_.schedule_at(limit, [this, transfer] {
-      deliver(transfer->node, transfer->life, node::service_failed{transfer->answer.source});
+void fleet_simulation::transfer_pages(const std::shared_ptr<store_transfer>& transfer) {
+  const auto page_entries = std::min(transfer->entries_left, settings_.store.entries_per_page);
+  const double page_bytes = static_cast<double>(page_entries) * settings_.store.bytes_per_entry;
+  const auto deadline = now() + settings_.store.page_timeout;
+  const auto fail = [this, transfer, deadline] {
+    events_.schedule_at(deadline, [this, transfer] {
+      deliver(transfer->node, transfer->incarnation, node::service_failed{transfer->answer.source});
     });
   };
-  const auto sent = store_link_.transmit(bytes, now());
-  if (!sent || *sent > limit) {
+  const auto sent_at = store_link_.transmit(page_bytes, now());
+  if (!sent_at || *sent_at > deadline) {
     fail();
     return;
   }
-  events_.schedule_at(*sent, [this, transfer, page, bytes, limit, fail] {
-    const auto received = nodes_.at(transfer->node).receiving.transmit(bytes, now());
-    if (!received || *received > limit) {
+  events_.schedule_at(*sent_at, [this, transfer, page_entries, page_bytes, deadline, fail] {
+    const auto received_at = nodes_.at(transfer->node).downlink.transmit(page_bytes, now());
+    if (!received_at || *received_at > deadline) {
       fail();
       return;
     }
-    transfer->entries_left -= page;
-    events_.schedule_at(*received + platform_delay, [this, transfer] {
+    transfer->entries_left -= page_entries;
+    events_.schedule_at(*received_at + platform_delay, [this, transfer] {
       if (transfer->entries_left > 0) {
-        carry_pages(transfer);
+        transfer_pages(transfer);
       } else {
-        deliver(transfer->node, transfer->life, transfer->answer);
+        deliver(transfer->node, transfer->incarnation, transfer->answer);
       }
     });
   });
@@ -398,7 +409,7 @@
 
 std::vector<std::string> fleet_simulation::backend_names() const {
   std::vector<std::string> names;
-  for (const auto& [name, where] : backends_) {
+  for (const auto& [name, target] : backends_) {
     names.push_back(name);
   }
   return names;
@@ -406,13 +417,13 @@
 
 void fleet_simulation::crash_backend(const std::string& name) {
   backends_.at(name)->crash();
-  std::vector<open_call_ref> lost;
+  std::vector<open_call_ref> broken_calls;
   for (const auto& [key, open] : open_calls_) {
-    if (open->call.backend.text() == name && open->written) {
-      lost.push_back(open);
+    if (open->call.backend.text() == name && open->is_written) {
+      broken_calls.push_back(open);
     }
   }
-  for (const auto& open : lost) {
+  for (const auto& open : broken_calls) {
     events_.schedule_after(network_delay(),
                            [this, open] { end_call(open, execution::call_status::broken); });
   }
@@ -434,44 +445,44 @@
                     machine_record(backends_.at(name)->profile(), state, generation));
 }
 
-void fleet_simulation::publish_node(const std::string& name, bool listed) {
+void fleet_simulation::publish_node(const std::string& name, bool is_listed) {
   const auto& profile = nodes_.at(name).profile;
-  const auto value =
+  const auto record =
       "{name: " + name + ", role: node, zone: " + profile.zone + ", address: " + name + "}";
-  platform_.publish("machines/" + name, listed ? std::optional(value) : std::nullopt);
+  platform_.publish("machines/" + name, is_listed ? std::optional(record) : std::nullopt);
 }
 
-void fleet_simulation::start_call(node_slot& slot, const execution::stage_call& call) {
-  auto open =
-      std::make_shared<open_call>(open_call{call, slot.profile.name, slot.life, false, false});
-  open_calls_[{slot.profile.name, call.call}] = open;
+void fleet_simulation::start_call(node_instance& instance, const execution::stage_call& call) {
+  auto open = std::make_shared<open_call>(
+      open_call{call, instance.profile.name, instance.incarnation, false, false});
+  open_calls_[{instance.profile.name, call.call}] = open;
   auto& target = *backends_.at(call.backend.text());
-  const bool reachable = connected(slot.profile.zone, target.profile().zone);
-  if (!reachable || !target.is_alive()) {
-    const auto wait = reachable ? network_delay() : connect_timeout;
-    events_.schedule_after(wait,
+  const bool is_reachable = are_connected(instance.profile.zone, target.profile().zone);
+  if (!is_reachable || !target.is_alive()) {
+    const auto delay = is_reachable ? network_delay() : connect_timeout;
+    events_.schedule_after(delay,
                            [this, open] { end_call(open, execution::call_status::never_sent); });
     return;
   }
-  // A round trip to connect, then the adapter writes.
+  // Connecting takes one round trip; then the adapter writes the request.
   events_.schedule_after(network_delay() + network_delay(), [this, open] {
-    at_node(open->node, open->life, [this, open] { write_call(open); });
+    run_at_node(open->node, open->incarnation, [this, open] { write_call(open); });
   });
 }
 
 void fleet_simulation::write_call(const open_call_ref& open) {
-  if (open->cancelled) {
+  if (open->is_cancelled) {
     return;
   }
   if (now() >= open->call.not_after && settings_.node.switches.expiry_check_before_send) {
     end_call(open, execution::call_status::never_sent);
     return;
   }
-  open->written = true;
+  open->is_written = true;
   events_.schedule_after(network_delay(), [this, open] {
     auto& target = *backends_.at(open->call.backend.text());
     const auto zone = target.profile().zone;
-    if (!connected(nodes_.at(open->node).profile.zone, zone)) {
+    if (!are_connected(nodes_.at(open->node).profile.zone, zone)) {
       return;
     }
     if (!target.is_alive()) {
@@ -480,46 +491,47 @@
     }
     target.receive(
         open->call,
-        [this, open, zone](backend_reply reply) { reply_to_call(open, zone, std::move(reply)); },
+        [this, open, zone](backend_reply reply) { deliver_reply(open, zone, std::move(reply)); },
         [this, open, zone](const execution::call_token& token) {
-          send_first_token(open, zone, token);
+          deliver_first_token(open, zone, token);
         });
   });
 }
 
-void fleet_simulation::send_first_token(const open_call_ref& open, const std::string& backend_zone,
-                                        const execution::call_token& token) {
+void fleet_simulation::deliver_first_token(const open_call_ref& open,
+                                           const std::string& backend_zone,
+                                           const execution::call_token& token) {
   events_.schedule_after(network_delay(), [this, open, backend_zone, token] {
-    if (!open->cancelled && connected(nodes_.at(open->node).profile.zone, backend_zone)) {
-      deliver(open->node, open->life, token);
+    if (!open->is_cancelled && are_connected(nodes_.at(open->node).profile.zone, backend_zone)) {
+      deliver(open->node, open->incarnation, token);
     }
   });
 }
 
-void fleet_simulation::reply_to_call(const open_call_ref& open, const std::string& backend_zone,
+void fleet_simulation::deliver_reply(const open_call_ref& open, const std::string& backend_zone,
                                      backend_reply reply) {
   events_.schedule_after(network_delay(), [this, open, backend_zone, reply = std::move(reply)] {
     const auto& zone = nodes_.at(open->node).profile.zone;
-    if (open->cancelled || !connected(zone, backend_zone)) {
+    if (open->is_cancelled || !are_connected(zone, backend_zone)) {
       return;
     }
     open_calls_.erase({open->node, open->call.call});
     for (const auto& token : reply.tokens) {
-      deliver(open->node, open->life, token);
+      deliver(open->node, open->incarnation, token);
     }
-    deliver(open->node, open->life, reply.result);
+    deliver(open->node, open->incarnation, reply.result);
   });
 }
 
 void fleet_simulation::end_call(const open_call_ref& open, execution::call_status status) {
-  if (open->cancelled) {
+  if (open->is_cancelled) {
     return;
   }
   open_calls_.erase({open->node, open->call.call});
   execution::call_result result;
   result.call = open->call.call;
   result.status = status;
-  deliver(open->node, open->life, result);
+  deliver(open->node, open->incarnation, result);
 }
 
 // --- callers -------------------------------------------------------------------------------------
@@ -531,50 +543,50 @@
   record.node = name;
   record.request = request;
   record.sent_at = now();
-  const auto& slot = nodes_.at(name);
-  if (!slot.alive) {
-    record.connection_lost = true;
+  const auto& instance = nodes_.at(name);
+  if (!instance.is_alive) {
+    record.is_connection_lost = true;
     return id;
   }
   record.deadline = now() + request.deadline.value_or(std::chrono::seconds(3));
-  events_.schedule_after(network_delay(),
-                         [this, name, life = slot.life, id, request = std::move(request)] {
-                           const auto& target = nodes_.at(name);
-                           callers_.at(id).arrived = target.alive && target.life == life;
-                           deliver(name, life, node::caller_arrived{id, request, now()});
-                         });
+  events_.schedule_after(network_delay(), [this, name, incarnation = instance.incarnation, id,
+                                           request = std::move(request)] {
+    const auto& target = nodes_.at(name);
+    callers_.at(id).has_arrived = target.is_alive && target.incarnation == incarnation;
+    deliver(name, incarnation, node::caller_arrived{id, request, now()});
+  });
   return id;
 }
 
-std::string fleet_simulation::take_ticket(const std::string& name,
-                                          const std::string& token_sha256) {
+std::string fleet_simulation::request_ticket(const std::string& name,
+                                             const std::string& token_sha256) {
   const auto id = next_caller_++;
   callers_[id].id = id;
   callers_[id].node = name;
-  deliver(name, nodes_.at(name).life, node::ticket_wanted{id, token_sha256});
+  deliver(name, nodes_.at(name).incarnation, node::ticket_wanted{id, token_sha256});
   run_until([&] { return tickets_.contains(id); }, std::chrono::seconds(1));
   callers_.erase(id);
   return tickets_[id];
 }
 
-void fleet_simulation::hang_up(base::caller_id caller) {
+void fleet_simulation::disconnect_caller(base::caller_id caller) {
   const auto& record = callers_.at(caller);
-  deliver(record.node, nodes_.at(record.node).life, node::caller_left{caller});
+  deliver(record.node, nodes_.at(record.node).incarnation, node::caller_left{caller});
 }
 
-void fleet_simulation::answer_caller(const execution::send_answer& wanted) {
-  const auto found = callers_.find(std::get<execution::local_caller>(wanted.caller).id);
+void fleet_simulation::record_answer(const execution::send_answer& answer) {
+  const auto found = callers_.find(std::get<execution::local_caller>(answer.caller).id);
   if (found == callers_.end()) {
     return;
   }
   auto& record = found->second;
-  ++record.answers;
-  record.answer = wanted.content;
+  ++record.answer_count;
+  record.answer = answer.content;
   record.answered_at = now();
 }
 
-void fleet_simulation::forget_records() {
-  std::erase_if(callers_, [](const auto& entry) { return entry.second.answers > 0; });
+void fleet_simulation::clear_settled_records() {
+  std::erase_if(callers_, [](const auto& entry) { return entry.second.answer_count > 0; });
   executions_.clear();
 }
 
--- a/src/simulation/fleet_simulation.h
+++ b/src/simulation/fleet_simulation.h
@@ -1,5 +1,6 @@
-/// A whole fleet in one thread under virtual time: the real decision logic of every node, an
-/// emulated network, platform and back ends, and callers. The same seed gives the same run.
+/// Simulates a whole fleet in one thread under virtual time: the production decision logic of every
+/// node, an emulated network, an emulated platform, emulated back ends and callers. Runs with the
+/// same seed are identical.
 #pragma once
 
 #include "base/random.h"
@@ -24,31 +25,31 @@
 namespace spurrack::simulation {
 
 struct network_profile {
-  /// One-way delay between any two machines; the time added at random reorders messages.
+  /// One-way delay between any two machines. The jitter, added at random, reorders messages.
   base::duration delay = std::chrono::microseconds(500);
   base::duration jitter = std::chrono::microseconds(500);
-  /// Added where the two machines are of different regions, as the serving settings name them.
+  /// Additional delay between nodes of two regions, according to the serving settings.
   base::duration region_delay{};
-  /// Probability that a message between nodes is lost.
-  double loss = 0;
+  /// Probability that a message between two nodes is lost.
+  double loss_probability = 0;
 };
 
-/// How the store's answers reach a node. A listing comes in pages; one that is late fails as a
-/// whole, as it does with the platform's client.
+/// Transfer of the platform store's answers to nodes. A listing is sent in pages; it fails as a
+/// whole if a page is late, as in the platform's client.
 struct store_profile {
-  /// Rate of all answers together; 0: without bound.
+  /// Rate of all answers together; 0 for an unlimited rate.
   double bytes_per_second = 0;
   std::size_t entries_per_page = 500;
-  /// Size of an entry in an answer.
+  /// Number of bytes of an entry in an answer.
   double bytes_per_entry = 0;
   base::duration page_timeout = std::chrono::milliseconds(1000);
 };
 
-/// A node to simulate.
+/// Simulated node.
 struct node_profile {
   std::string name;
   std::string zone;
-  /// Rate of its link, each way; 0: without bound.
+  /// Rate of the node's network link in each direction; 0 for an unlimited rate.
   double link_bytes_per_second = 0;
   double processor_share = 1;
 };
@@ -57,19 +58,20 @@
   std::uint64_t seed = 1;
   std::vector<node_profile> nodes;
   std::vector<backend_profile> backends;
-  /// Templates and tenants: key and YAML value.
+  /// Entries that are published at the start, such as templates and tenants: key and value.
   std::map<std::string, std::string> records;
   network_profile network;
   store_profile store;
-  /// Nodes whose addresses all others know at their start; none named: all nodes.
+  /// Nodes whose addresses every node knows at its start; all nodes if empty.
   std::vector<std::string> seeds;
-  /// Whether the platform publishes the list of nodes; otherwise they meet at the seeds only.
+  /// Whether the platform publishes the list of nodes. Otherwise nodes discover each other only
+  /// through the seeds.
   bool should_publish_node_list = true;
-  /// Settings shared by all nodes; identity and seeds are filled in.
+  /// Settings of all nodes; the identity of each node and the seeds are filled in.
   node::node_settings node;
 };
 
-/// One send of a caller and what it was told.
+/// Request of a caller, and its answer.
 struct caller_record {
   base::caller_id id = 0;
   std::string node;
@@ -78,27 +80,28 @@
   base::time_point deadline;
   std::optional<execution::answer> answer;
   base::time_point answered_at;
-  /// Tokens received, in order.
-  std::string streamed;
+  /// Concatenated text of the received tokens, in order.
+  std::string streamed_text;
   std::optional<base::time_point> first_token_at;
-  /// Answers received; more than one is a violation.
-  unsigned answers = 0;
-  /// The node died or was cut from the caller before it answered.
-  bool connection_lost = false;
-  /// The request reached the node.
-  bool arrived = false;
-  /// The node ended its planned stop without answering a request that had reached it.
-  bool cut_by_stop = false;
+  /// Number of received answers; more than one is a violation.
+  unsigned answer_count = 0;
+  /// Whether the node was not running when the request was sent, or was killed before it answered.
+  bool is_connection_lost = false;
+  /// Whether the request reached the node.
+  bool has_arrived = false;
+  /// Whether the node completed its graceful stop without answering the request, which had reached
+  /// it.
+  bool is_dropped_by_stop = false;
 };
 
-/// One execution of a stage at a back end.
+/// Execution of a stage call at a back end.
 struct execution_record {
   std::string backend;
   execution::call_identity identity;
   bool repeatable = true;
   std::string input;
-  base::time_point at;
-  /// Time after which the call should not have been sent.
+  base::time_point started_at;
+  /// Time after which the call must not be sent.
   base::time_point not_after;
 };
 
@@ -109,121 +112,145 @@
 
   event_queue& events() { return events_; }
   emulated_platform& platform() { return platform_; }
-  /// Messages between nodes since it was cleared.
+  /// Messages between nodes since the counters were last cleared.
   traffic_counters& traffic() { return traffic_; }
   base::random_source& random() { return random_; }
   [[nodiscard]] base::time_point now() const { return events_.now(); }
-  void run_for(base::duration span) { events_.run_until(events_.now() + span); }
-  /// Runs until a condition holds, looking every 10 ms. @return whether it came within `limit`.
-  bool run_until(const std::function<bool()>& condition, base::duration limit);
+  void run_for(base::duration duration) { events_.run_until(events_.now() + duration); }
+  /// Runs until a condition holds; checks it every 10 ms.
+  /// @return whether the condition held within `timeout`.
+  bool run_until(const std::function<bool()>& condition, base::duration timeout);
 
   // --- nodes
   void start_node(const std::string& name);
   void start_all_nodes();
   void kill_node(const std::string& name);
-  /// Pauses a node; what happens meanwhile reaches it when it wakes.
-  void freeze_node(const std::string& name, base::duration span);
-  /// Pauses a node between its decision to make a call that may not be repeated and the send.
-  void freeze_before_next_effect(const std::string& name, base::duration span);
+  /// Suspends a node for `duration`. Events that occur during the suspension are delivered at its
+  /// end.
+  void freeze_node(const std::string& name, base::duration duration);
+  /// Suspends a node for `duration` after its next decision to make a non-repeatable call, before
+  /// the call is sent.
+  void freeze_before_next_effect(const std::string& name, base::duration duration);
   void cancel_freeze_before_effect(const std::string& name) {
     nodes_.at(name).freeze_before_effect.reset();
   }
+  /// Begins the graceful stop of a node.
   void stop_node(const std::string& name);
   [[nodiscard]] bool is_alive(const std::string& name) const;
   [[nodiscard]] bool is_frozen(const std::string& name) const;
+  /// @return whether the node has completed its graceful stop and was not started again.
   [[nodiscard]] bool has_exited(const std::string& name) const;
   [[nodiscard]] const node::node& node(const std::string& name) const;
   [[nodiscard]] std::vector<std::string> node_names() const;
   [[nodiscard]] bool all_ready() const;
 
-  // --- network; a cut separates a zone from all others, from the platform where wanted
-  void partition_zone(const std::string& zone, bool from_platform);
+  // --- network
+  /// Partitions a zone from all other zones.
+  /// @param includes_platform whether the zone is partitioned from the platform as well.
+  void partition_zone(const std::string& zone, bool includes_platform);
   void heal_zone(const std::string& zone);
-  [[nodiscard]] bool is_cut(const std::string& zone) const { return cuts_.contains(zone); }
-  /// The platform answers no node of these zones, while it serves all others.
-  void turn_away(std::set<std::string> zones) { turned_away_ = std::move(zones); }
-  /// The platform's service answers nothing for a while, also not what it holds now.
-  void hang_platform(base::duration span) { platform_silent_until_ = now() + span; }
-  void set_loss_probability(double loss) { settings_.network.loss = loss; }
+  [[nodiscard]] bool is_partitioned(const std::string& zone) const {
+    return partitions_.contains(zone);
+  }
+  /// Makes the platform unreachable for the nodes of `zones` and reachable for all other nodes.
+  void block_platform_access(std::set<std::string> zones) {
+    zones_without_platform_ = std::move(zones);
+  }
+  /// Makes the platform unresponsive for `duration`, also to reads that it already holds.
+  void hang_platform(base::duration duration) { platform_hangs_until_ = now() + duration; }
+  void set_loss_probability(double loss_probability) {
+    settings_.network.loss_probability = loss_probability;
+  }
 
   // --- back ends
   emulated_backend& backend(const std::string& name) { return *backends_.at(name); }
   [[nodiscard]] std::vector<std::string> backend_names() const;
-  /// A back end dies: connections to it break, calls on it are lost.
+  /// Crashes a back end: its connections break, its calls are lost.
   void crash_backend(const std::string& name);
-  /// Publishes a back end's machine record.
+  /// Publishes the machine record of a back end.
   void publish_backend(const std::string& name, const std::string& state, int generation);
-  void publish_node(const std::string& name, bool listed);
+  /// Publishes the machine record of a node, or deletes it if `is_listed` is false.
+  void publish_node(const std::string& name, bool is_listed);
 
   // --- callers
+  /// Sends a request to a node. @return id of the caller, which is the key of its record.
   base::caller_id send(const std::string& node, execution::caller_request request);
-  /// Asks a node for a ticket; empty where it gives none within a second of virtual time.
-  std::string take_ticket(const std::string& node, const std::string& token_sha256);
-  void hang_up(base::caller_id caller);
+  /// Requests a ticket from a node, and runs the simulation until it arrives.
+  /// @return ticket; empty if the node issues none within one second of virtual time.
+  std::string request_ticket(const std::string& node, const std::string& token_sha256);
+  /// Closes the connection of a caller.
+  void disconnect_caller(base::caller_id caller);
   [[nodiscard]] const std::map<base::caller_id, caller_record>& callers() const { return callers_; }
   [[nodiscard]] const std::vector<execution_record>& executions() const { return executions_; }
-  /// Forgets callers and executions that are settled; for long measurements.
-  void forget_records();
+  /// Removes the records of answered callers and of all executions, to limit the memory of long
+  /// measurements.
+  void clear_settled_records();
 
-  /// @return control bytes and messages of all nodes together, over all their lives.
+  /// @return number of control messages and bytes that all nodes sent, including earlier
+  ///         incarnations.
   [[nodiscard]] node::control_counters control_totals() const;
 
  private:
-  struct node_slot {
+  struct node_instance {
     node_profile profile;
     std::unique_ptr<base::seeded_random> random;
     std::unique_ptr<node::node> logic;
-    /// Counts starts; events of an earlier life are dropped.
-    std::uint64_t life = 0;
-    bool alive = false;
-    bool exited = false;
+    /// Number of starts; events of an earlier incarnation are dropped.
+    std::uint64_t incarnation = 0;
+    bool is_alive = false;
+    bool has_exited = false;
     base::time_point frozen_until;
+    /// Duration of the suspension before the next non-repeatable call is sent.
     std::optional<base::duration> freeze_before_effect;
-    base::time_point wake_scheduled;
-    /// Reads of each source that were begun.
+    /// Time of the scheduled wakeup.
+    base::time_point wakeup_at;
+    /// Number of started reads of each source.
     std::array<std::uint64_t, node::source_count> reads{};
-    link sending;
-    link receiving;
+    link uplink;
+    link downlink;
   };
-  /// Pages of an answer of the store that are still to come to a node.
+  /// Answer of the store whose pages are being sent to a node.
   struct store_transfer {
     std::string node;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     node::service_answered answer;
     std::size_t entries_left = 0;
   };
+  /// Call of a node to a back end that has not ended.
   struct open_call {
     execution::stage_call call;
     std::string node;
-    std::uint64_t life = 0;
-    bool cancelled = false;
-    bool written = false;
+    std::uint64_t incarnation = 0;
+    bool is_cancelled = false;
+    bool is_written = false;
   };
   using open_call_ref = std::shared_ptr<open_call>;
 
-  /// Runs something at a node of a given life: later where it is paused, never where it died.
-  void at_node(const std::string& name, std::uint64_t life, std::function<void()> what);
-  void deliver(const std::string& name, std::uint64_t life, const node::event& what);
-  void carry_out(node_slot& slot, node::command& wanted);
-  void schedule_wakeup(node_slot& slot);
-  void send_message(node_slot& from, wire::outgoing& message);
-  [[nodiscard]] bool reaches_platform(const node_slot& slot) const;
-  void read_platform(node_slot& slot, const node::read_service& what);
-  void probe_platform(const node_slot& slot, const node::probe_service& what);
-  /// Carries the pages of an answer to the node that asked, one after the other.
-  void carry_pages(const std::shared_ptr<store_transfer>& transfer);
-  void start_call(node_slot& slot, const execution::stage_call& call);
+  /// Runs an action at an incarnation of a node: after its suspension if it is frozen, not at all
+  /// if it has ended.
+  void run_at_node(const std::string& name, std::uint64_t incarnation,
+                   std::function<void()> action);
+  void deliver(const std::string& name, std::uint64_t incarnation, const node::event& event);
+  void execute_command(node_instance& instance, node::command& command);
+  void schedule_wakeup(node_instance& instance);
+  void send_message(node_instance& sender, wire::outgoing& message);
+  [[nodiscard]] bool can_reach_platform(const node_instance& instance) const;
+  void read_platform(node_instance& instance, const node::read_service& request);
+  void probe_platform(const node_instance& instance, const node::probe_service& request);
+  /// Sends the remaining pages of an answer to the requesting node, one after the other.
+  void transfer_pages(const std::shared_ptr<store_transfer>& transfer);
+  void start_call(node_instance& instance, const execution::stage_call& call);
   void write_call(const open_call_ref& open);
-  void send_first_token(const open_call_ref& open, const std::string& backend_zone,
-                        const execution::call_token& token);
-  void reply_to_call(const open_call_ref& open, const std::string& backend_zone,
+  void deliver_first_token(const open_call_ref& open, const std::string& backend_zone,
+                           const execution::call_token& token);
+  void deliver_reply(const open_call_ref& open, const std::string& backend_zone,
                      backend_reply reply);
   void end_call(const open_call_ref& open, execution::call_status status);
-  void answer_caller(const execution::send_answer& wanted);
+  void record_answer(const execution::send_answer& answer);
   base::duration network_delay();
   /// @return one-way delay of a message between nodes of two zones.
-  base::duration delay_between(const std::string& zone, const std::string& other);
-  [[nodiscard]] bool connected(const std::string& zone, const std::string& other) const;
+  base::duration delay_between(const std::string& zone, const std::string& other_zone);
+  [[nodiscard]] bool are_connected(const std::string& zone, const std::string& other_zone) const;
   [[nodiscard]] std::string machine_record(const backend_profile& profile, const std::string& state,
                                            int generation) const;
 
@@ -231,17 +258,18 @@
   event_queue events_;
   base::seeded_random random_;
   emulated_platform platform_;
-  std::map<std::string, node_slot> nodes_;
+  std::map<std::string, node_instance> nodes_;
   std::map<std::string, std::unique_ptr<emulated_backend>> backends_;
-  /// Zones cut from the others; the value says whether from the platform too.
-  std::map<std::string, bool> cuts_;
-  std::set<std::string> turned_away_;
-  base::time_point platform_silent_until_;
+  /// Partitioned zones; the value is true if the zone is partitioned from the platform as well.
+  std::map<std::string, bool> partitions_;
+  std::set<std::string> zones_without_platform_;
+  base::time_point platform_hangs_until_;
   std::map<std::pair<std::string, base::call_id>, open_call_ref> open_calls_;
   std::map<base::caller_id, caller_record> callers_;
   std::map<base::caller_id, std::string> tickets_;
   std::vector<execution_record> executions_;
-  node::control_counters past_control_;
+  /// Sums over ended incarnations.
+  node::control_counters earlier_control_totals_;
   link store_link_;
   traffic_counters traffic_;
   base::caller_id next_caller_ = 1;
--- a/src/simulation/invariant_checker.cc
+++ b/src/simulation/invariant_checker.cc
@@ -8,6 +8,7 @@
 namespace spurrack::simulation {
 namespace {
 
+/// Request ids consist of the name of the node and two further fields, separated by '-'.
 std::string node_of(const base::request_id& request) {
   const auto& text = request.text();
   const auto last = text.rfind('-');
@@ -16,48 +17,50 @@
 
 } // namespace
 
-void invariant_checker::report(const std::string& invariant, const std::string& detail,
-                               const base::request_id& request) {
+void invariant_checker::report_violation(const std::string& invariant, const std::string& detail,
+                                         const base::request_id& request) {
   violations_.push_back({invariant, detail, request});
 }
 
-void invariant_checker::expect(base::caller_id caller, const model::pipeline_template& pipeline,
-                               const std::string& effect) {
+void invariant_checker::add_expectation(base::caller_id caller,
+                                        const model::pipeline_template& pipeline,
+                                        const std::string& effect) {
   auto& expected = expectations_[caller];
   expected.effect = effect;
   auto text = fleet_->callers().at(caller).request.input;
-  for (const auto& step : pipeline.stages) {
-    text = expected_output(step.kind, text, step.max_tokens);
-    if (step.kind == model::stage_kind::generate || step.kind == model::stage_kind::call) {
-      expected.outputs[step.name] = text;
+  for (const auto& stage : pipeline.stages) {
+    text = expected_output(stage.kind, text, stage.max_tokens);
+    if (stage.kind == model::stage_kind::generate || stage.kind == model::stage_kind::call) {
+      expected.outputs[stage.name] = text;
     }
-    if (step.kind == model::stage_kind::generate) {
+    if (stage.kind == model::stage_kind::generate) {
       expected.generated = text;
     }
   }
 }
 
-void invariant_checker::backend_published(const std::string& name, bool leaving) {
-  if (leaving) {
-    leaving_[name] = {};
+void invariant_checker::note_backend_published(const std::string& name, bool is_draining) {
+  if (is_draining) {
+    draining_[name] = {};
   } else {
-    leaving_.erase(name);
+    draining_.erase(name);
   }
 }
 
-void invariant_checker::step() {
+void invariant_checker::check_step() {
   note_disturbances();
   check_configuration();
-  check_leaving();
-  check_executions_of_leaving();
+  observe_draining();
+  check_calls_to_draining();
 }
 
 void invariant_checker::note_disturbances() {
   for (const auto& name : fleet_->node_names()) {
-    const bool whole = fleet_->is_alive(name) && !fleet_->is_frozen(name) &&
-                       !fleet_->is_cut(fleet_->node(name).settings().self.zone.text()) &&
-                       fleet_->node(name).is_ready();
-    if (!whole) {
+    const bool is_undisturbed =
+        fleet_->is_alive(name) && !fleet_->is_frozen(name) &&
+        !fleet_->is_partitioned(fleet_->node(name).settings().self.zone.text()) &&
+        fleet_->node(name).is_ready();
+    if (!is_undisturbed) {
       disturbed_at_[name] = fleet_->now();
     }
   }
@@ -74,28 +77,29 @@
       continue;
     }
     const auto& node = fleet_->node(name);
-    auto& seen = seen_revisions_[name];
-    const auto life = node.settings().self.process_start;
-    if (seen_lives_[name] != life) {
-      seen_lives_[name] = life;
-      seen.clear();
+    auto& revisions = seen_revisions_[name];
+    const auto incarnation = node.settings().self.process_start;
+    if (seen_incarnations_[name] != incarnation) {
+      seen_incarnations_[name] = incarnation;
+      revisions.clear();
     }
     for (const auto& [id, pipeline] : node.content().templates()) {
       const auto key = "templates/" + id.text();
       const auto revision = node.content().revision_of(key);
-      if (revision < seen[key]) {
+      if (revision < revisions[key]) {
         std::ostringstream detail;
-        detail << name << " went back from " << seen[key] << " to " << revision << " for " << key;
-        report("configuration never reverts", detail.str());
+        detail << name << " reverted from " << revisions[key] << " to " << revision << " for "
+               << key;
+        report_violation("configuration never reverts", detail.str());
       }
-      seen[key] = revision;
+      revisions[key] = revision;
     }
   }
 }
 
-void invariant_checker::check_leaving() {
-  for (auto& [backend, watch] : leaving_) {
-    if (watch.first_known) {
+void invariant_checker::observe_draining() {
+  for (auto& [backend, observation] : draining_) {
+    if (observation.first_known_at) {
       continue;
     }
     for (const auto& name : fleet_->node_names()) {
@@ -105,34 +109,36 @@
       const auto& machines = fleet_->node(name).content().machines();
       const auto found = machines.find(backend);
       if (found != machines.end() && found->second->state == model::machine_state::leaving) {
-        watch.first_known = fleet_->now();
+        observation.first_known_at = fleet_->now();
       }
     }
   }
 }
 
-void invariant_checker::check_executions_of_leaving() {
+void invariant_checker::check_calls_to_draining() {
   const auto& executions = fleet_->executions();
   for (; checked_executions_ < executions.size(); ++checked_executions_) {
-    const auto& run = executions[checked_executions_];
-    const auto watch = leaving_.find(run.backend);
-    if (watch == leaving_.end() || !watch->second.first_known) {
+    const auto& executed_call = executions[checked_executions_];
+    const auto observation = draining_.find(executed_call.backend);
+    if (observation == draining_.end() || !observation->second.first_known_at) {
       continue;
     }
-    const auto known_for = run.at - *watch->second.first_known;
-    const auto node = node_of(run.identity.request);
-    if (known_for > leave_limit && !was_disturbed_since(node, run.at - leave_limit)) {
-      report("a leaving back end gets no new work",
-             node + " called " + run.backend + " " +
-                 std::to_string(base::to_milliseconds(known_for)) + " ms after it was known",
-             run.identity.request);
+    const auto known_for = executed_call.started_at - *observation->second.first_known_at;
+    const auto node = node_of(executed_call.identity.request);
+    if (known_for > drain_grace_period &&
+        !was_disturbed_since(node, executed_call.started_at - drain_grace_period)) {
+      report_violation("a leaving back end gets no new work",
+                       node + " called " + executed_call.backend + " " +
+                           std::to_string(base::to_milliseconds(known_for)) +
+                           " ms after the first node learned that it drains",
+                       executed_call.identity.request);
     }
   }
 }
 
-void invariant_checker::finish() {
+void invariant_checker::check_final_state() {
   check_answers();
-  check_truth();
+  check_not_run_answers();
   check_effects();
   check_convergence();
 }
@@ -143,18 +149,19 @@
     if (expected == expectations_.end()) {
       continue;
     }
-    if (record.answers > 1) {
-      report("one answer a request",
-             "caller " + std::to_string(id) + " got " + std::to_string(record.answers));
+    if (record.answer_count > 1) {
+      report_violation("one answer a request", "caller " + std::to_string(id) + " received " +
+                                                   std::to_string(record.answer_count));
     }
-    if (record.cut_by_stop) {
-      report("a planned stop cuts no request",
-             "caller " + std::to_string(id) + " of " + record.node + " was cut");
+    if (record.is_dropped_by_stop) {
+      report_violation("a planned stop cuts no request",
+                       "caller " + std::to_string(id) + " of " + record.node +
+                           " was not answered before the node exited");
     }
-    if (record.answers == 0) {
-      if (!record.connection_lost) {
-        report("every request is answered",
-               "caller " + std::to_string(id) + " of " + record.node + " got no answer");
+    if (record.answer_count == 0) {
+      if (!record.is_connection_lost) {
+        report_violation("every request is answered", "caller " + std::to_string(id) + " of " +
+                                                          record.node + " received no answer");
       }
       continue;
     }
@@ -166,91 +173,97 @@
       outputs[output.stage] = output.text;
     }
     if (outputs != expected->second.outputs) {
-      report("the whole answer to its own request",
-             "caller " + std::to_string(id) + " got another output", record.answer->request);
+      report_violation("the whole answer to its own request",
+                       "caller " + std::to_string(id) + " received a wrong output",
+                       record.answer->request);
     }
-    const bool streamed = record.request.stream && !record.streamed.empty();
-    if (streamed && record.streamed != expected->second.generated) {
-      report("each token once", "caller " + std::to_string(id) + " saw '" + record.streamed + "'",
-             record.answer->request);
+    const bool has_streamed_text = record.request.stream && !record.streamed_text.empty();
+    if (has_streamed_text && record.streamed_text != expected->second.generated) {
+      report_violation("each token once",
+                       "caller " + std::to_string(id) + " received '" + record.streamed_text + "'",
+                       record.answer->request);
     }
   }
 }
 
-void invariant_checker::check_truth() {
+void invariant_checker::check_not_run_answers() {
   std::map<base::request_id, unsigned> executions;
   std::map<std::string, unsigned> effect_runs;
-  for (const auto& run : fleet_->executions()) {
-    ++executions[run.identity.request];
+  for (const auto& executed_call : fleet_->executions()) {
+    ++executions[executed_call.identity.request];
   }
   for (const auto& [id, record] : fleet_->callers()) {
     if (!record.answer || record.answer->outcome != model::outcome::not_run) {
       continue;
     }
     if (executions[record.answer->request] > 0) {
-      report("'not run' is true",
-             "caller " + std::to_string(id) + " was told not_run (" +
-                 std::string(execution::name_of(record.answer->why)) + ")",
-             record.answer->request);
+      report_violation("'not run' is true",
+                       "caller " + std::to_string(id) + " received not_run (" +
+                           std::string(execution::name_of(record.answer->why)) + ")",
+                       record.answer->request);
     }
   }
-  // A request that is sent again under its key is the same request: where it ran before the answer,
-  // 'not run' is untrue whichever node said so.
+  // A request that is sent again under its key is the same request. If it was executed before the
+  // answer, 'not run' is false, regardless of the node that answered.
   for (const auto& [id, record] : fleet_->callers()) {
     const auto expected = expectations_.find(id);
-    const bool refused = record.answer && record.answer->outcome == model::outcome::not_run &&
-                         expected != expectations_.end() && !expected->second.effect.empty();
-    if (!refused) {
+    const bool is_refused = record.answer && record.answer->outcome == model::outcome::not_run &&
+                            expected != expectations_.end() && !expected->second.effect.empty();
+    if (!is_refused) {
       continue;
     }
-    for (const auto& run : fleet_->executions()) {
-      const bool same =
-          !run.repeatable && run.input.find("(" + record.request.input + ")") != std::string::npos;
-      if (same && run.at < record.answered_at) {
-        report("'not run' is true",
-               "caller " + std::to_string(id) + " was told not_run (" +
-                   std::string(execution::name_of(record.answer->why)) +
-                   ") of a request that ran under its key",
-               record.answer->request);
+    for (const auto& executed_call : fleet_->executions()) {
+      const bool is_same_request =
+          !executed_call.repeatable &&
+          executed_call.input.find("(" + record.request.input + ")") != std::string::npos;
+      if (is_same_request && executed_call.started_at < record.answered_at) {
+        report_violation("'not run' is true",
+                         "caller " + std::to_string(id) + " received not_run (" +
+                             std::string(execution::name_of(record.answer->why)) +
+                             ") for a request that was executed under its key",
+                         record.answer->request);
       }
     }
   }
 }
 
 void invariant_checker::check_effects() {
-  // Inputs are unique to a request or to a key, and the input of an effect holds them.
-  std::map<std::string, unsigned> runs;
-  std::map<std::string, base::request_id> runner;
-  for (const auto& run : fleet_->executions()) {
-    if (!run.repeatable) {
-      if (run.at > run.not_after + send_slack) {
-        report("no effect after its deadline",
-               "'" + run.input + "' ran " +
-                   std::to_string(base::to_milliseconds(run.at - run.not_after)) + " ms late",
-               run.identity.request);
+  // The input of a request is unique to the request or to its key, and the input of a
+  // non-repeatable call contains it.
+  std::map<std::string, unsigned> execution_counts;
+  std::map<std::string, base::request_id> last_request;
+  for (const auto& executed_call : fleet_->executions()) {
+    if (!executed_call.repeatable) {
+      if (executed_call.started_at > executed_call.not_after + send_slack) {
+        report_violation("no effect after its deadline",
+                         "'" + executed_call.input + "' ran " +
+                             std::to_string(base::to_milliseconds(executed_call.started_at -
+                                                                  executed_call.not_after)) +
+                             " ms late",
+                         executed_call.identity.request);
       }
-      ++runs[run.input];
-      runner[run.input] = run.identity.request;
+      ++execution_counts[executed_call.input];
+      last_request[executed_call.input] = executed_call.identity.request;
     }
   }
-  for (const auto& [input, count] : runs) {
+  for (const auto& [input, count] : execution_counts) {
     if (count > 1) {
-      report("at most once", "'" + input + "' ran " + std::to_string(count) + " times",
-             runner[input]);
+      report_violation("at most once", "'" + input + "' ran " + std::to_string(count) + " times",
+                       last_request[input]);
     }
   }
   for (const auto& [id, record] : fleet_->callers()) {
     const auto expected = expectations_.find(id);
-    const bool completed = record.answer && record.answer->outcome == model::outcome::completed;
-    if (!completed || expected == expectations_.end()) {
+    const bool is_completed = record.answer && record.answer->outcome == model::outcome::completed;
+    if (!is_completed || expected == expectations_.end()) {
       continue;
     }
     for (const auto& [stage, text] : expected->second.outputs) {
-      const bool effect = text.starts_with("call(");
-      const auto input = effect ? text.substr(5, text.size() - 6) : "";
-      if (effect && runs[input] == 0) {
-        report("no result is made up", "'" + input + "' was answered but never ran",
-               record.answer->request);
+      const bool is_effect = text.starts_with("call(");
+      const auto input = is_effect ? text.substr(5, text.size() - 6) : "";
+      if (is_effect && execution_counts[input] == 0) {
+        report_violation("no result is made up", "'" + input + "' was answered but never ran",
+                         record.answer->request);
       }
     }
   }
@@ -265,19 +278,19 @@
     const auto& node = fleet_->node(name);
     hashes.insert(node.content().content_hash());
     if (!node.is_ready()) {
-      report("nodes become ready", name + " is not ready in a whole fleet");
+      report_violation("nodes become ready", name + " is not ready in a whole fleet");
     }
     for (const auto& [id, other] : node.members().members()) {
-      const bool same_zone = other.zone == node.settings().self.zone;
-      const bool alive = fleet_->is_alive(id.text());
-      if (same_zone && alive && other.state != wire::ALIVE) {
-        report("members return", name + " does not see " + id.text() + " alive");
+      const bool is_in_same_zone = other.zone == node.settings().self.zone;
+      const bool is_alive = fleet_->is_alive(id.text());
+      if (is_in_same_zone && is_alive && other.state != wire::ALIVE) {
+        report_violation("members return", name + " does not see " + id.text() + " alive");
       }
     }
   }
   if (hashes.size() > 1) {
-    report("configuration is in force everywhere",
-           std::to_string(hashes.size()) + " different catalogs");
+    report_violation("configuration is in force everywhere",
+                     std::to_string(hashes.size()) + " different catalogs");
   }
 }
 
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -1,5 +1,5 @@
-/// Checks what must always hold on a simulated fleet. A violation is a sentence that names who and
-/// what.
+/// Checks the invariants of a simulated fleet. Each violation names the invariant, the nodes or
+/// callers concerned and the observed values.
 #pragma once
 
 #include "simulation/fleet_simulation.h"
@@ -11,71 +11,81 @@
 
 namespace spurrack::simulation {
 
-/// A promise that was broken.
+/// Violated invariant.
 struct violation {
   std::string invariant;
   std::string detail;
   base::request_id request;
 };
 
-/// Watches one simulation. Call `step` every few tens of milliseconds of virtual time and `finish`
-/// at the end. Not thread-safe.
+/// Checks one simulation. Call `check_step` every few tens of milliseconds of virtual time and
+/// `check_final_state` at the end. Not thread-safe.
 class invariant_checker {
  public:
-  /// A leaving back end gets no new work after this time from the first node's knowledge.
-  static constexpr base::duration leave_limit = std::chrono::milliseconds(2500);
-  /// How late an answer may be behind its deadline: one wake-up of the driver.
+  /// Time after the first node learned that a back end drains during which other nodes may still
+  /// call the back end.
+  static constexpr base::duration drain_grace_period = std::chrono::milliseconds(2500);
+  /// Time by which an answer may exceed its deadline: one wakeup of the driver.
   static constexpr base::duration answer_slack = std::chrono::milliseconds(50);
 
-  /// How late a call may reach a back end behind its expiry: one network delay.
+  /// Time after its expiry at which a call may still reach a back end: one network delay.
   static constexpr base::duration send_slack = std::chrono::milliseconds(20);
 
   explicit invariant_checker(fleet_simulation& fleet) : fleet_(&fleet) {}
 
-  /// Names the expected outputs of a request by its input; requests with the same key share one.
-  /// @param effect key or ticket under which the request may run at most once; empty for none.
-  void expect(base::caller_id caller, const model::pipeline_template& pipeline,
-              const std::string& effect);
-  /// A back end was published as leaving, or as live again.
-  void backend_published(const std::string& name, bool leaving);
+  /// Records the outputs that a caller's request must have, computed from its input. Requests with
+  /// the same key have the same input.
+  /// @param effect idempotency key or ticket under which the request may be executed at most once;
+  ///        empty if the request has none.
+  void add_expectation(base::caller_id caller, const model::pipeline_template& pipeline,
+                       const std::string& effect);
+  /// Records that a back end was published as draining, or as live again.
+  void note_backend_published(const std::string& name, bool is_draining);
 
-  void step();
-  /// @param converged_within the fleet is whole since at least this time.
-  void finish();
+  /// Checks the invariants that must hold at any time.
+  void check_step();
+  /// Checks answers, executions and convergence. All faults must have ended, and the fleet must
+  /// have had time to converge.
+  void check_final_state();
 
   [[nodiscard]] const std::vector<violation>& violations() const { return violations_; }
 
  private:
   struct expectation {
+    /// Output of each stage of the answer, by name.
     std::map<std::string, std::string> outputs;
+    /// Text that a streaming caller receives.
     std::string generated;
     std::string effect;
   };
-  struct leave_watch {
-    std::optional<base::time_point> first_known;
+  struct drain_observation {
+    /// Time at which the first node recorded the back end as draining.
+    std::optional<base::time_point> first_known_at;
     std::uint64_t generation = 0;
   };
 
-  void report(const std::string& invariant, const std::string& detail,
-              const base::request_id& request = {});
+  void report_violation(const std::string& invariant, const std::string& detail,
+                        const base::request_id& request = {});
   void check_configuration();
-  void check_leaving();
-  void check_executions_of_leaving();
+  void observe_draining();
+  void check_calls_to_draining();
   void check_answers();
-  void check_truth();
+  void check_not_run_answers();
+  /// Checks calls that must not be repeated.
   void check_effects();
   void check_convergence();
+  /// Records the nodes that are currently partitioned, frozen, not running or not ready.
   void note_disturbances();
   [[nodiscard]] bool was_disturbed_since(const std::string& node, base::time_point since) const;
 
   fleet_simulation* fleet_;
   std::map<base::caller_id, expectation> expectations_;
-  std::map<std::string, leave_watch> leaving_;
-  /// Last time a node was cut off, paused or not running.
+  std::map<std::string, drain_observation> draining_;
+  /// Last time at which a node was partitioned, frozen, not running or not ready.
   std::map<std::string, base::time_point> disturbed_at_;
-  /// Highest accepted revision seen, by node life and key.
+  /// Last accepted revision by node and key, within the current incarnation of the node.
   std::map<std::string, std::map<std::string, base::revision>> seen_revisions_;
-  std::map<std::string, base::incarnation> seen_lives_;
+  std::map<std::string, base::incarnation> seen_incarnations_;
   std::size_t checked_executions_ = 0;
   std::vector<violation> violations_;
 };
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -55,15 +55,15 @@
     fleet_.run_for(key_lifetime);
     const auto end = fleet_.now() + options_.length;
     while (fleet_.now() < end) {
-      step(true);
+      run_step(true);
     }
     heal();
     fleet_.run_until([&] { return nobody_frozen(); }, std::chrono::seconds(30));
     const auto quiet_end = fleet_.now() + quiet_time;
     while (fleet_.now() < quiet_end) {
-      step(false);
+      run_step(false);
     }
-    checker_.finish();
+    checker_.check_final_state();
     fill_report();
     return report_;
   }
@@ -79,7 +79,7 @@
     }
   }
 
-  void step(bool active) {
+  void run_step(bool active) {
     fleet_.run_for(step_time);
     if (active) {
       constexpr double fault_probability = 0.06;
@@ -96,7 +96,7 @@
     }
     resend_some();
     restart_exited();
-    checker_.step();
+    checker_.check_step();
   }
 
   std::string any_node() {
@@ -134,7 +134,7 @@
     if (random_.unit() > payout_share) {
       request.pipeline = base::template_id("answer");
       request.stream = random_.below(2) == 0;
-      checker_.expect(fleet_.send(any_node(), request), *answer_, "");
+      checker_.add_expectation(fleet_.send(any_node(), request), *answer_, "");
       return;
     }
     request.pipeline = base::template_id("payout");
@@ -144,7 +144,7 @@
       request.idempotency_key = "key" + std::to_string(sent_);
       effect = request.idempotency_key;
     } else if (guard == 1) {
-      request.ticket = fleet_.take_ticket(any_node(), example_token_hash);
+      request.ticket = fleet_.request_ticket(any_node(), example_token_hash);
       effect = request.ticket;
     }
     send_guarded({request, effect, fleet_.now(), 0});
@@ -152,7 +152,7 @@
 
   void send_guarded(resendable what) {
     what.last_caller = fleet_.send(any_node(), what.request);
-    checker_.expect(what.last_caller, *payout_, what.effect);
+    checker_.add_expectation(what.last_caller, *payout_, what.effect);
     if (!what.effect.empty()) {
       resendables_.push_back(std::move(what));
     }
@@ -167,7 +167,7 @@
       }
       const auto& record = fleet_.callers().at(what.last_caller);
       const bool certain = record.answer && record.answer->outcome == model::outcome::completed;
-      const bool ended = record.answer || record.connection_lost;
+      const bool ended = record.answer || record.is_connection_lost;
       const bool again = (ended && !certain && random_.unit() < resend_probability) ||
                          random_.unit() < duplicate_probability;
       if (again) {
@@ -279,11 +279,11 @@
     }
     const auto generation = ++generations_[name];
     fleet_.publish_backend(name, "leaving", generation);
-    checker_.backend_published(name, true);
+    checker_.note_backend_published(name, true);
     end_later(any_time(3000, 5000), [this, name] {
       leaving_.erase(name);
       fleet_.publish_backend(name, "live", ++generations_[name]);
-      checker_.backend_published(name, false);
+      checker_.note_backend_published(name, false);
     });
   }
 
--- a/tests/simulation/evacuation_spread_test.cc
+++ b/tests/simulation/evacuation_spread_test.cc
@@ -82,7 +82,7 @@
     fleet_simulation fleet(simulation::regional_fleet_settings(nodes));
     start(fleet);
     // Both zones of one region, for longer than a node takes to notice.
-    fleet.turn_away({"z1", "z4"});
+    fleet.block_platform_access({"z1", "z4"});
     fleet.run_for(seconds(10));
     for (const bool evacuated : {true, false, true}) {
       const auto began = fleet.now();
--- a/tests/simulation/long_cut_test.cc
+++ b/tests/simulation/long_cut_test.cc
@@ -56,7 +56,7 @@
     }
     // The cut zone runs effects by ticket; under a key it cannot know and says so.
     auto by_ticket = ask("payout", "t" + number);
-    by_ticket.ticket = fleet.take_ticket("node-c1", simulation::example_token_hash);
+    by_ticket.ticket = fleet.request_ticket("node-c1", simulation::example_token_hash);
     BOOST_CHECK(outcome_of(fleet, fleet.send("node-c2", by_ticket)) == model::outcome::completed);
     auto by_key = ask("payout", "k" + number);
     by_key.idempotency_key = "key" + number;
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -112,7 +112,7 @@
       fleet.start_all_nodes();
       BOOST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(10)));
       fleet.run_for(seconds(10));
-      fleet.turn_away({"z" + std::to_string(one), "z" + std::to_string(other)});
+      fleet.block_platform_access({"z" + std::to_string(one), "z" + std::to_string(other)});
       fleet.platform().publish(std::string(model::configuration_key), configuration_of(2));
       const auto began = fleet.now();
       BOOST_TEST(all_hold(fleet, 2, seconds(5)),
