--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -8,12 +8,16 @@
 namespace spurrack::simulation {
 namespace {
 
-constexpr base::duration step_time = std::chrono::milliseconds(50);
+constexpr base::duration step_duration = std::chrono::milliseconds(50);
 constexpr base::duration key_lifetime = std::chrono::seconds(4);
-constexpr base::duration quiet_time = std::chrono::seconds(6);
-constexpr base::duration resend_within = std::chrono::milliseconds(2500);
+/// Duration without faults and new requests at the end of a run.
+constexpr base::duration settle_duration = std::chrono::seconds(6);
+/// Time after its first send within which a request may be sent again.
+constexpr base::duration resend_window = std::chrono::milliseconds(2500);
 constexpr base::duration request_deadline = std::chrono::milliseconds(1000);
+/// Probability, per step, that a caller without a certain answer sends its request again.
 constexpr double resend_probability = 0.5;
+/// Probability, per step, that a request is sent again without need.
 constexpr double duplicate_probability = 0.15;
 constexpr const char* answer_template = R"(name: answer
 deadline_ms: 1000
@@ -28,14 +32,15 @@
   - {name: notice, kind: call, pool: payouts, repeatable: false}
 )";
 
-/// A request under a key or ticket that may be sent again.
-struct resendable {
+/// Request with an idempotency key or ticket, which may be sent again.
+struct resendable_request {
   execution::caller_request request;
   std::string effect;
-  base::time_point first_sent;
+  base::time_point first_sent_at;
   base::caller_id last_caller = 0;
 };
 
+/// One run: load with faults, then healing, then final checks.
 class fault_run {
  public:
   explicit fault_run(const run_options& options)
@@ -53,14 +58,14 @@
     fleet_.start_all_nodes();
     fleet_.run_until([&] { return fleet_.all_ready(); }, std::chrono::seconds(20));
     fleet_.run_for(key_lifetime);
-    const auto end = fleet_.now() + options_.length;
-    while (fleet_.now() < end) {
+    const auto load_end = fleet_.now() + options_.load_duration;
+    while (fleet_.now() < load_end) {
       run_step(true);
     }
     heal();
-    fleet_.run_until([&] { return nobody_frozen(); }, std::chrono::seconds(30));
-    const auto quiet_end = fleet_.now() + quiet_time;
-    while (fleet_.now() < quiet_end) {
+    fleet_.run_until([&] { return are_no_nodes_frozen(); }, std::chrono::seconds(30));
+    const auto settle_end = fleet_.now() + settle_duration;
+    while (fleet_.now() < settle_end) {
       run_step(false);
     }
     checker_.check_final_state();
@@ -79,27 +84,27 @@
     }
   }
 
-  void run_step(bool active) {
-    fleet_.run_for(step_time);
-    if (active) {
+  void run_step(bool has_load) {
+    fleet_.run_for(step_duration);
+    if (has_load) {
       constexpr double fault_probability = 0.06;
       for (const auto kind : report_.faults) {
         if (random_.unit() < fault_probability) {
           inject(kind);
         }
       }
-      constexpr std::size_t most_sends = 5;
-      const auto sends = random_.below(most_sends);
-      for (std::size_t index = 0; index < sends; ++index) {
+      constexpr std::size_t max_sends = 5;
+      const auto send_count = random_.below(max_sends);
+      for (std::size_t index = 0; index < send_count; ++index) {
         send_request();
       }
     }
-    resend_some();
-    restart_exited();
+    resend_due_requests();
+    restart_due_nodes();
     checker_.check_step();
   }
 
-  std::string any_node() {
+  std::string pick_node() {
     const auto names = fleet_.node_names();
     for (std::size_t attempt = 0; attempt < names.size(); ++attempt) {
       const auto& name = names[random_.below(names.size())];
@@ -110,75 +115,77 @@
     return names.front();
   }
 
-  std::string any_zone() {
+  std::string pick_zone() {
     static const std::vector<std::string> zones{"a", "b", "c"};
     return zones[random_.below(zones.size())];
   }
 
-  std::string any_backend() {
+  std::string pick_backend() {
     const auto names = fleet_.backend_names();
     return names[random_.below(names.size())];
   }
 
-  base::duration any_time(int low_milliseconds, int high_milliseconds) {
-    const auto span = static_cast<std::size_t>(high_milliseconds - low_milliseconds);
-    return std::chrono::milliseconds(low_milliseconds + static_cast<int>(random_.below(span)));
+  base::duration pick_duration(int low_milliseconds, int high_milliseconds) {
+    const auto range = static_cast<std::size_t>(high_milliseconds - low_milliseconds);
+    return std::chrono::milliseconds(low_milliseconds + static_cast<int>(random_.below(range)));
   }
 
   void send_request() {
     execution::caller_request request;
     request.token_sha256 = example_token_hash;
-    request.input = "r" + std::to_string(++sent_);
+    request.input = "r" + std::to_string(++sent_requests_);
     request.deadline = request_deadline;
-    constexpr double payout_share = 0.5;
-    if (random_.unit() > payout_share) {
+    constexpr double payout_fraction = 0.5;
+    if (random_.unit() > payout_fraction) {
       request.pipeline = base::template_id("answer");
       request.stream = random_.below(2) == 0;
-      checker_.add_expectation(fleet_.send(any_node(), request), *answer_, "");
+      checker_.add_expectation(fleet_.send(pick_node(), request), *answer_, "");
       return;
     }
     request.pipeline = base::template_id("payout");
-    const auto guard = random_.below(3);
+    const auto guard_kind = random_.below(3);
     std::string effect;
-    if (guard == 0) {
-      request.idempotency_key = "key" + std::to_string(sent_);
+    if (guard_kind == 0) {
+      request.idempotency_key = "key" + std::to_string(sent_requests_);
       effect = request.idempotency_key;
-    } else if (guard == 1) {
-      request.ticket = fleet_.request_ticket(any_node(), example_token_hash);
+    } else if (guard_kind == 1) {
+      request.ticket = fleet_.request_ticket(pick_node(), example_token_hash);
       effect = request.ticket;
     }
-    send_guarded({request, effect, fleet_.now(), 0});
+    send_payout({request, effect, fleet_.now(), 0});
   }
 
-  void send_guarded(resendable what) {
-    what.last_caller = fleet_.send(any_node(), what.request);
-    checker_.add_expectation(what.last_caller, *payout_, what.effect);
-    if (!what.effect.empty()) {
-      resendables_.push_back(std::move(what));
+  void send_payout(resendable_request resendable) {
+    resendable.last_caller = fleet_.send(pick_node(), resendable.request);
+    checker_.add_expectation(resendable.last_caller, *payout_, resendable.effect);
+    if (!resendable.effect.empty()) {
+      resendable_requests_.push_back(std::move(resendable));
     }
   }
 
-  /// Callers that got no certain answer send again, to any node; some send twice for no reason.
-  void resend_some() {
-    auto pending = std::exchange(resendables_, {});
-    for (auto& what : pending) {
-      if (fleet_.now() - what.first_sent > resend_within) {
+  /// Sends requests without a certain answer again, to any node, and some others twice to inject
+  /// duplicates.
+  void resend_due_requests() {
+    auto pending = std::exchange(resendable_requests_, {});
+    for (auto& resendable : pending) {
+      if (fleet_.now() - resendable.first_sent_at > resend_window) {
         continue;
       }
-      const auto& record = fleet_.callers().at(what.last_caller);
-      const bool certain = record.answer && record.answer->outcome == model::outcome::completed;
-      const bool ended = record.answer || record.is_connection_lost;
-      const bool again = (ended && !certain && random_.unit() < resend_probability) ||
-                         random_.unit() < duplicate_probability;
-      if (again) {
-        send_guarded(std::move(what));
+      const auto& record = fleet_.callers().at(resendable.last_caller);
+      const bool is_certain = record.answer && record.answer->outcome == model::outcome::completed;
+      const bool has_ended = record.answer || record.is_connection_lost;
+      const bool should_resend =
+          (has_ended && !is_certain && random_.unit() < resend_probability) ||
+          random_.unit() < duplicate_probability;
+      if (should_resend) {
+        send_payout(std::move(resendable));
       } else {
-        resendables_.push_back(std::move(what));
+        resendable_requests_.push_back(std::move(resendable));
       }
     }
   }
 
-  void restart_exited() {
+  void restart_due_nodes() {
     for (const auto& name : fleet_.node_names()) {
       if (!fleet_.is_alive(name) && restart_at_.contains(name) &&
           restart_at_[name] <= fleet_.now()) {
@@ -188,8 +195,8 @@
     }
   }
 
-  void end_later(base::duration after, std::function<void()> what) {
-    fleet_.events().schedule_after(after, std::move(what));
+  void schedule(base::duration delay, std::function<void()> action) {
+    fleet_.events().schedule_after(delay, std::move(action));
   }
 
   void inject(fault_kind kind) {
@@ -199,31 +206,31 @@
       break;
     case fault_kind::zone_cut:
     case fault_kind::zone_cut_from_platform: {
-      const auto zone = any_zone();
+      const auto zone = pick_zone();
       fleet_.partition_zone(zone, kind == fault_kind::zone_cut_from_platform);
-      end_later(any_time(500, 6000), [this, zone] { fleet_.heal_zone(zone); });
+      schedule(pick_duration(500, 6000), [this, zone] { fleet_.heal_zone(zone); });
       break;
     }
     case fault_kind::node_freeze:
-      fleet_.freeze_node(any_node(), any_time(200, 6000));
+      fleet_.freeze_node(pick_node(), pick_duration(200, 6000));
       break;
     case fault_kind::freeze_before_effect:
-      fleet_.freeze_before_next_effect(any_node(), any_time(500, 7000));
+      fleet_.freeze_before_next_effect(pick_node(), pick_duration(500, 7000));
       break;
     case fault_kind::node_kill:
-      kill_node(any_node());
+      kill_node(pick_node());
       break;
     case fault_kind::node_stop:
-      stop_node(any_node());
+      stop_node(pick_node());
       break;
     case fault_kind::backend_crash: {
-      const auto name = any_backend();
+      const auto name = pick_backend();
       fleet_.crash_backend(name);
-      end_later(any_time(200, 4000), [this, name] { fleet_.backend(name).restart(); });
+      schedule(pick_duration(200, 4000), [this, name] { fleet_.backend(name).restart(); });
       break;
     }
     case fault_kind::bad_answers: {
-      auto& faults = fleet_.backend(any_backend()).faults();
+      auto& faults = fleet_.backend(pick_backend()).faults();
       faults.misdirected_answer_probability = random_.unit() * 0.3;
       faults.truncated_answer_probability = random_.unit() * 0.3;
       break;
@@ -240,13 +247,13 @@
     case fault_kind::platform_stale:
       fleet_.platform().set_mode(kind == fault_kind::platform_down ? platform_mode::down
                                                                    : platform_mode::stale);
-      end_later(any_time(500, 5000), [this] { fleet_.platform().set_mode(platform_mode::up); });
+      schedule(pick_duration(500, 5000), [this] { fleet_.platform().set_mode(platform_mode::up); });
       publish_template();
       break;
     case fault_kind::platform_restored:
       publish_template();
-      end_later(any_time(300, 1500),
-                [this] { fleet_.platform().restore(fleet_.platform().revision() - 1); });
+      schedule(pick_duration(300, 1500),
+               [this] { fleet_.platform().restore(fleet_.platform().revision() - 1); });
       break;
     case fault_kind::operators_race:
       publish_template();
@@ -254,12 +261,12 @@
       fleet_.platform().publish("templates/broken", "{name: broken, deadline_ms: soon}");
       break;
     case fault_kind::backend_leaving:
-      leave_and_return(any_backend());
+      drain_and_return(pick_backend());
       break;
     case fault_kind::node_list_changes: {
-      const auto name = any_node();
+      const auto name = pick_node();
       fleet_.publish_node(name, false);
-      end_later(any_time(500, 3000), [this, name] { fleet_.publish_node(name, true); });
+      schedule(pick_duration(500, 3000), [this, name] { fleet_.publish_node(name, true); });
       break;
     }
     default:
@@ -269,19 +276,19 @@
 
   void publish_template() {
     auto text = std::string(answer_template);
-    text += "# edition " + std::to_string(++editions_) + "\n";
+    text += "# edition " + std::to_string(++template_editions_) + "\n";
     fleet_.platform().publish("templates/answer", text);
   }
 
-  void leave_and_return(const std::string& name) {
-    if (!leaving_.insert(name).second) {
+  void drain_and_return(const std::string& name) {
+    if (!draining_.insert(name).second) {
       return;
     }
     const auto generation = ++generations_[name];
     fleet_.publish_backend(name, "leaving", generation);
     checker_.note_backend_published(name, true);
-    end_later(any_time(3000, 5000), [this, name] {
-      leaving_.erase(name);
+    schedule(pick_duration(3000, 5000), [this, name] {
+      draining_.erase(name);
       fleet_.publish_backend(name, "live", ++generations_[name]);
       checker_.note_backend_published(name, false);
     });
@@ -289,19 +296,19 @@
 
   void kill_node(const std::string& name) {
     fleet_.kill_node(name);
-    restart_at_[name] = fleet_.now() + any_time(100, 3000);
+    restart_at_[name] = fleet_.now() + pick_duration(100, 3000);
   }
 
-  /// A planned stop under load; the process is started again once it has ended by itself.
+  /// Begins a graceful stop under load. The node is started again after it has exited.
   void stop_node(const std::string& name) {
     if (fleet_.is_frozen(name)) {
       return;
     }
     fleet_.stop_node(name);
-    restart_at_[name] = fleet_.now() + any_time(1500, 3000);
+    restart_at_[name] = fleet_.now() + pick_duration(1500, 3000);
   }
 
-  bool nobody_frozen() {
+  bool are_no_nodes_frozen() {
     const auto names = fleet_.node_names();
     return std::none_of(names.begin(), names.end(),
                         [&](const std::string& name) { return fleet_.is_frozen(name); });
@@ -328,21 +335,22 @@
       report_.completed +=
           record.answer && record.answer->outcome == model::outcome::completed ? 1 : 0;
     }
-    for (const auto& run : fleet_.executions()) {
-      report_.effects += run.repeatable ? 0 : 1;
+    for (const auto& executed_call : fleet_.executions()) {
+      report_.effects += executed_call.repeatable ? 0 : 1;
     }
     if (!report_.violations.empty()) {
       report_.timeline = timeline(report_.violations.front().request);
     }
   }
 
-  /// Merged events of all nodes about one request; about none, the last ones of the fleet.
+  /// @return merged events of all nodes about `request`; if it is empty, the most recent events of
+  ///         the fleet without a request.
   std::string timeline(const base::request_id& request) {
     std::vector<std::pair<base::hybrid_timestamp, std::string>> lines;
     for (const auto& name : fleet_.node_names()) {
       for (const auto& entry : fleet_.node(name).events().entries()) {
-        const bool wanted = request.empty() ? entry.request.empty() : entry.request == request;
-        if (wanted) {
+        const bool is_selected = request.empty() ? entry.request.empty() : entry.request == request;
+        if (is_selected) {
           std::ostringstream line;
           line << entry.at.wall_microseconds << "." << entry.at.logical << " " << name << " "
                << base::name_of(entry.kind) << " " << entry.subject << " " << entry.detail;
@@ -365,12 +373,12 @@
   run_report report_;
   std::shared_ptr<const model::pipeline_template> answer_;
   std::shared_ptr<const model::pipeline_template> payout_;
-  std::vector<resendable> resendables_;
+  std::vector<resendable_request> resendable_requests_;
   std::map<std::string, base::time_point> restart_at_;
   std::map<std::string, int> generations_;
-  std::set<std::string> leaving_;
-  std::size_t sent_ = 0;
-  int editions_ = 0;
+  std::set<std::string> draining_;
+  std::size_t sent_requests_ = 0;
+  int template_editions_ = 0;
 };
 
 } // namespace
--- a/src/simulation/random_faults.h
+++ b/src/simulation/random_faults.h
@@ -1,4 +1,4 @@
-/// One run of a small fleet under load with faults drawn from a seed, promises checked throughout.
+/// Runs a small simulated fleet under load with seeded random faults and checks its invariants.
 #pragma once
 
 #include "base/safety_switches.h"
@@ -11,7 +11,7 @@
 
 namespace spurrack::simulation {
 
-/// Kinds of faults. A run draws one or two of them, unless told which.
+/// Kinds of faults. A run draws one or two of them unless its options name the faults.
 enum class fault_kind : std::uint8_t {
   message_loss,
   zone_cut,
@@ -36,9 +36,10 @@
 struct run_options {
   std::uint64_t seed = 1;
   base::safety_switches switches;
-  /// Drawn from the seed where empty.
+  /// Faults of the run; drawn at random from the seed if empty.
   std::vector<fault_kind> faults;
-  base::duration length = std::chrono::seconds(15);
+  /// Duration of load and faults, without start and settling.
+  base::duration load_duration = std::chrono::seconds(15);
 };
 
 struct run_report {
@@ -47,18 +48,21 @@
   std::vector<violation> violations;
   std::size_t requests = 0;
   std::size_t completed = 0;
+  /// Number of executions of non-repeatable calls.
   std::size_t effects = 0;
-  /// Time line of the first violation's request, or of the whole fleet's last events.
+  /// Events about the request of the first violation, or the most recent events of the fleet
+  /// without a request if the violation concerns none; empty without a violation.
   std::string timeline;
 };
 
-/// Stands for the SHA-256 of the example tenant's token; the simulation has no door.
+/// Placeholder for the SHA-256 hash of the example tenant's token; the simulation has no listener
+/// that computes hashes.
 inline constexpr const char* example_token_hash =
     "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa";
 
-/// @return three zones with two nodes each, their back ends, the templates `answer` (repeatable)
-/// and
-///         `payout` (with an effect), and one tenant; lives of keys are seconds.
+/// @return settings of a fleet of three zones with two nodes each, their back ends, the templates
+///         `answer` (repeatable) and `payout` (with a non-repeatable call), and one tenant.
+///         Idempotency keys and tickets expire within seconds.
 simulation_settings example_settings(const run_options& options);
 
 run_report run_with_faults(const run_options& options);
