--- a/tests/simulation/control_traffic_test.cc
+++ b/tests/simulation/control_traffic_test.cc
@@ -1,5 +1,5 @@
-/// What a fleet in three regions sends for control: by kind, by node, by zones and regions; in
-/// steady state and after all nodes were lost at once.
+/// Control traffic of a fleet in three regions, by kind of message, by node and between regions, in
+/// steady state and after all nodes were lost and started again at once.
 #include "regional_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Every machine of a fleet starts within this time of the others.
+/// Time within which all nodes of a fleet start.
 constexpr int start_spread_milliseconds = 300;
 constexpr double kilobyte = 1000;
 
@@ -29,40 +29,42 @@
   return field == nullptr ? "none" : field->name();
 }
 
-/// Messages of a fleet over a time.
+/// Rates of the messages of a fleet over a measured time.
 class traffic_report {
  public:
-  traffic_report(fleet_simulation& fleet, double span_seconds)
-      : fleet_(&fleet), span_(span_seconds), nodes_(fleet.node_names().size()) {}
+  traffic_report(fleet_simulation& fleet, double measured_seconds)
+      : fleet_(&fleet), measured_seconds_(measured_seconds),
+        node_count_(fleet.node_names().size()) {}
 
-  /// @return kilobytes a second of each node, sent and received together, in rising order.
+  /// @return kilobytes per second that each node sends and receives, in ascending order.
   [[nodiscard]] std::vector<std::pair<double, std::string>> by_node() const {
     std::map<std::string, std::uint64_t> sums;
     for (const auto& [flow, bytes] : fleet_->traffic().flows()) {
       sums[flow.sender] += bytes;
       sums[flow.receiver] += bytes;
     }
-    std::vector<std::pair<double, std::string>> found;
-    found.reserve(sums.size());
+    std::vector<std::pair<double, std::string>> rates;
+    rates.reserve(sums.size());
     for (const auto& [node, bytes] : sums) {
-      found.emplace_back(static_cast<double>(bytes) / span_ / kilobyte, node);
+      rates.emplace_back(static_cast<double>(bytes) / measured_seconds_ / kilobyte, node);
     }
-    std::sort(found.begin(), found.end());
-    return found;
+    std::sort(rates.begin(), rates.end());
+    return rates;
   }
-  /// @return kilobytes a second of the whole fleet between regions.
+  /// @return kilobytes per second that the whole fleet sends between regions.
   [[nodiscard]] double between_regions() const {
     const auto sums = fleet_->traffic().sum_by([&](const traffic_flow& flow) {
       return region_of(flow.sender) != region_of(flow.receiver);
     });
-    return sums.contains(true) ? static_cast<double>(sums.at(true)) / span_ / kilobyte : 0;
+    return sums.contains(true) ? static_cast<double>(sums.at(true)) / measured_seconds_ / kilobyte
+                               : 0;
   }
   void print(const std::string& label) const {
     const auto nodes = by_node();
-    BOOST_TEST_MESSAGE(nodes_ << " nodes, " << label << ": middle " << nodes[nodes.size() / 2].first
-                              << ", busiest " << nodes.back().first << " kB/s ("
-                              << nodes.back().second << "), between regions " << between_regions()
-                              << " kB/s in all");
+    BOOST_TEST_MESSAGE(node_count_
+                       << " nodes, " << label << ": median " << nodes[nodes.size() / 2].first
+                       << ", busiest " << nodes.back().first << " kB/s (" << nodes.back().second
+                       << "), between regions " << between_regions() << " kB/s in total");
     print_kinds("  all", [](const traffic_flow&) { return true; });
     print_kinds("  between regions", [&](const traffic_flow& flow) {
       return region_of(flow.sender) != region_of(flow.receiver);
@@ -76,97 +78,100 @@
   [[nodiscard]] std::string region_of(const std::string& node) const {
     return simulation::region_of_zone(fleet_->node(node).settings().self.zone.text());
   }
-  template <typename filter>
-  void print_kinds(const std::string& label, const filter& wanted) const {
+  template <typename flow_filter>
+  void print_kinds(const std::string& label, const flow_filter& is_selected) const {
     std::map<wire::envelope::BodyCase, double> sums;
     for (const auto& [flow, bytes] : fleet_->traffic().flows()) {
-      if (wanted(flow)) {
-        sums[flow.kind] += static_cast<double>(bytes) / span_ / kilobyte;
+      if (is_selected(flow)) {
+        sums[flow.kind] += static_cast<double>(bytes) / measured_seconds_ / kilobyte;
       }
     }
-    std::string line;
+    std::string text;
     for (const auto& [kind, rate] : sums) {
-      line += " " + name_of(kind) + " " + std::to_string(rate);
+      text += " " + name_of(kind) + " " + std::to_string(rate);
     }
-    BOOST_TEST_MESSAGE(label << ", kB/s:" << line);
+    BOOST_TEST_MESSAGE(label << ", kB/s:" << text);
   }
 
   fleet_simulation* fleet_;
-  double span_;
-  std::size_t nodes_;
+  double measured_seconds_;
+  std::size_t node_count_;
 };
 
-/// Something each node of a starting fleet reaches, and when it did.
+/// State that each node of a starting fleet reaches, and the time at which each node reached it.
 struct milestone {
   std::string label;
   std::function<bool(const node::node&)> is_reached;
-  /// Milliseconds after the first node started, by node.
+  /// Milliseconds after the start of the fleet, by node.
   std::map<std::string, double> reached_at{};
 
-  [[nodiscard]] std::vector<double> times() const {
-    std::vector<double> found;
+  [[nodiscard]] std::vector<double> sorted_times() const {
+    std::vector<double> times;
     for (const auto& [name, time] : reached_at) {
-      found.push_back(time);
+      times.push_back(time);
     }
-    std::sort(found.begin(), found.end());
-    return found;
+    std::sort(times.begin(), times.end());
+    return times;
   }
-  [[nodiscard]] double last() const { return reached_at.empty() ? 0 : times().back(); }
+  [[nodiscard]] double last() const { return reached_at.empty() ? 0 : sorted_times().back(); }
   void print() const {
     std::string text;
-    const auto sorted = times();
-    for (const double part : {0.0, 0.1, 0.5, 0.9, 1.0}) {
-      const auto place = static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1));
-      text += sorted.empty() ? "" : " " + std::to_string(static_cast<int>(sorted[place]));
+    const auto times = sorted_times();
+    for (const double quantile : {0.0, 0.1, 0.5, 0.9, 1.0}) {
+      const auto index = static_cast<std::size_t>(quantile * static_cast<double>(times.size() - 1));
+      text += times.empty() ? "" : " " + std::to_string(static_cast<int>(times[index]));
     }
-    BOOST_TEST_MESSAGE("  " << label << " at" << text << " ms (first, 0.1, middle, 0.9, last of "
-                            << sorted.size() << " nodes)");
+    BOOST_TEST_MESSAGE("  " << label << " after" << text << " ms (first, 0.1, median, 0.9, last of "
+                            << times.size() << " nodes)");
   }
 };
 
-/// How a fleet came up.
-struct time_line {
-  milestone introduced{"knows another node",
-                       [](const auto& node) { return !node.members().members().empty(); }};
-  milestone whole;
-  milestone configured{"holds the configuration",
+/// Milestones of the start of a fleet.
+struct start_timeline {
+  milestone first_member_known{"knows another node",
+                               [](const auto& node) { return !node.members().members().empty(); }};
+  milestone all_members_known;
+  milestone configured{"has the configuration",
                        [](const auto& node) { return node.content().serving() != nullptr; }};
   milestone ready{"ready", [](const auto& node) { return node.is_ready(); }};
 
-  explicit time_line(std::size_t nodes)
-      : whole{"knows all",
-              [nodes](const auto& node) { return node.members().members().size() + 1 == nodes; }} {}
-  std::vector<milestone*> all() { return {&introduced, &whole, &configured, &ready}; }
+  explicit start_timeline(std::size_t nodes)
+      : all_members_known{"knows all nodes", [nodes](const auto& node) {
+                            return node.members().members().size() + 1 == nodes;
+                          }} {}
+  std::vector<milestone*> all() {
+    return {&first_member_known, &all_members_known, &configured, &ready};
+  }
 };
 
 void start_all_within(fleet_simulation& fleet, int spread_milliseconds) {
   for (const auto& name : fleet.node_names()) {
-    const auto wait = fleet.random().below(static_cast<std::uint64_t>(spread_milliseconds) + 1);
-    fleet.events().schedule_after(milliseconds(wait), [&fleet, name] { fleet.start_node(name); });
+    const auto delay = fleet.random().below(static_cast<std::uint64_t>(spread_milliseconds) + 1);
+    fleet.events().schedule_after(milliseconds(delay), [&fleet, name] { fleet.start_node(name); });
   }
 }
 
-time_line watch_start(fleet_simulation& fleet, base::duration span) {
+start_timeline observe_start(fleet_simulation& fleet, base::duration duration) {
   constexpr base::duration step = milliseconds(20);
   const auto names = fleet.node_names();
-  time_line line(names.size());
-  const auto began = fleet.now();
+  start_timeline timeline(names.size());
+  const auto started_at = fleet.now();
   start_all_within(fleet, start_spread_milliseconds);
-  while (fleet.now() - began < span) {
+  while (fleet.now() - started_at < duration) {
     fleet.run_for(step);
-    const auto at = static_cast<double>(base::to_milliseconds(fleet.now() - began));
+    const auto elapsed = static_cast<double>(base::to_milliseconds(fleet.now() - started_at));
     for (const auto& name : names) {
-      for (auto* one : line.all()) {
-        if (fleet.is_alive(name) && one->is_reached(fleet.node(name))) {
-          one->reached_at.try_emplace(name, at);
+      for (auto* each : timeline.all()) {
+        if (fleet.is_alive(name) && each->is_reached(fleet.node(name))) {
+          each->reached_at.try_emplace(name, elapsed);
         }
       }
     }
   }
-  return line;
+  return timeline;
 }
 
-/// Every byte that was counted as sent went somewhere.
+/// Checks that the bytes sent by class add up to the total of each node.
 void check_counters(const fleet_simulation& fleet) {
   for (const auto& name : fleet.node_names()) {
     const auto& control = fleet.node(name).control();
@@ -178,63 +183,65 @@
   }
 }
 
-/// Kilobytes a second of a whole fleet between regions: what the relays of the pairs of regions say
-/// to one another, and a report a second to each node from each other region.
-double most_between_regions(int nodes) {
+/// Limit of the traffic between regions, in kilobytes per second of the whole fleet: messages
+/// between the relays of each pair of regions, and one report per second to each node from each
+/// other region.
+double max_kilobytes_between_regions(int nodes) {
   return 20 + 0.4 * nodes;
 }
 
 void check_steady_state(fleet_simulation& fleet, int nodes) {
-  constexpr double seconds_watched = 10;
+  constexpr double measured_seconds = 10;
   fleet.traffic().clear();
-  fleet.run_for(base::from_seconds(seconds_watched));
-  const traffic_report report(fleet, seconds_watched);
+  fleet.run_for(base::from_seconds(measured_seconds));
+  const traffic_report report(fleet, measured_seconds);
   report.print("steady");
-  BOOST_TEST(report.between_regions() <= most_between_regions(nodes));
+  BOOST_TEST(report.between_regions() <= max_kilobytes_between_regions(nodes));
   check_counters(fleet);
 }
 
-void check_return(fleet_simulation& fleet, int nodes) {
-  constexpr double seconds_watched = 10;
+void check_restart_of_all(fleet_simulation& fleet, int nodes) {
+  constexpr double measured_seconds = 10;
   for (const auto& name : fleet.node_names()) {
     fleet.kill_node(name);
   }
   fleet.run_for(seconds(1));
   fleet.traffic().clear();
-  const auto listings = fleet.platform().listings();
-  auto line = watch_start(fleet, base::from_seconds(seconds_watched));
-  const traffic_report report(fleet, seconds_watched);
-  report.print("return of all");
-  for (const auto* one : line.all()) {
-    one->print();
+  const auto listings_before = fleet.platform().listings();
+  auto timeline = observe_start(fleet, base::from_seconds(measured_seconds));
+  const traffic_report report(fleet, measured_seconds);
+  report.print("restart of all nodes");
+  for (const auto* each : timeline.all()) {
+    each->print();
   }
-  const auto read = fleet.platform().listings() - listings;
-  BOOST_TEST_MESSAGE("  listings read from the store: " << read);
-  // Two sources: most nodes learn from those that read, however many they are.
+  const auto listings = fleet.platform().listings() - listings_before;
+  BOOST_TEST_MESSAGE("  listings read from the store: " << listings);
+  // Two sources. Most nodes receive the entries from the nodes that read the store, regardless of
+  // the size of the fleet.
   constexpr std::uint64_t sources = 2;
-  BOOST_TEST(read <= sources * (20 + static_cast<std::uint64_t>(nodes) / 5));
-  constexpr double longest_return_milliseconds = 3'000;
-  BOOST_TEST(line.ready.reached_at.size() == static_cast<std::size_t>(nodes));
-  BOOST_TEST(line.ready.last() <= longest_return_milliseconds);
-  BOOST_TEST(line.whole.reached_at.size() == static_cast<std::size_t>(nodes));
-  BOOST_TEST(line.whole.last() <= longest_return_milliseconds);
-  BOOST_TEST(report.between_regions() <= 2 * most_between_regions(nodes));
-  // A fifth of a link of 10 Mbit/s, each way together.
-  constexpr double most_of_a_node = 250;
-  BOOST_TEST(report.by_node().back().first <= most_of_a_node);
+  BOOST_TEST(listings <= sources * (20 + static_cast<std::uint64_t>(nodes) / 5));
+  constexpr double max_restart_milliseconds = 3'000;
+  BOOST_TEST(timeline.ready.reached_at.size() == static_cast<std::size_t>(nodes));
+  BOOST_TEST(timeline.ready.last() <= max_restart_milliseconds);
+  BOOST_TEST(timeline.all_members_known.reached_at.size() == static_cast<std::size_t>(nodes));
+  BOOST_TEST(timeline.all_members_known.last() <= max_restart_milliseconds);
+  BOOST_TEST(report.between_regions() <= 2 * max_kilobytes_between_regions(nodes));
+  // A fifth of a 10 Mbit/s link, both directions together.
+  constexpr double max_kilobytes_per_node = 250;
+  BOOST_TEST(report.by_node().back().first <= max_kilobytes_per_node);
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(control_traffic)
 
-BOOST_AUTO_TEST_CASE(bytes_between_regions_are_few_and_all_nodes_return_at_once) {
+BOOST_AUTO_TEST_CASE(traffic_between_regions_is_limited_and_all_nodes_recover_from_a_joint_loss) {
   for (const int nodes : {30, 100, 300}) {
     fleet_simulation fleet(simulation::regional_fleet_settings(nodes));
     start_all_within(fleet, start_spread_milliseconds);
     fleet.run_for(seconds(12));
     check_steady_state(fleet, nodes);
-    check_return(fleet, nodes);
+    check_restart_of_all(fleet, nodes);
   }
 }
 
--- a/tests/simulation/evacuation_spread_test.cc
+++ b/tests/simulation/evacuation_spread_test.cc
@@ -1,5 +1,5 @@
-/// How fast an evacuation is in force at all nodes of a fleet: heard from the store or from peers
-/// only, at a start, and after a cut.
+/// Time until an evacuation takes effect at all nodes of a fleet: with and without access to the
+/// store, at the start of a node and after a partition.
 #include "regional_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,8 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// An evacuation is in force everywhere within this time of its publication.
-constexpr base::duration spread_target = seconds(1);
+/// Time after its publication within which an evacuation takes effect at all nodes.
+constexpr base::duration max_spread_time = seconds(1);
 const std::string key = std::string(model::evacuation_prefix) + "z1";
 
 std::string evacuation_record() {
@@ -23,12 +23,14 @@
   return record.SerializeAsString();
 }
 
-/// @return whether all nodes run and see the zone evacuated, or not.
-bool all_see(const fleet_simulation& fleet, bool evacuated) {
+/// @return whether all nodes run and their catalogs have the zone as evacuated, or as not evacuated
+///         if `evacuated` is false.
+bool all_have_evacuation_state(const fleet_simulation& fleet, bool evacuated) {
   for (const auto& name : fleet.node_names()) {
-    const bool seen = fleet.is_alive(name) && fleet.node(name).content().evacuated_zones().contains(
-                                                  base::zone_id("z1")) == evacuated;
-    if (!seen) {
+    const bool has_expected_state =
+        fleet.is_alive(name) &&
+        fleet.node(name).content().evacuated_zones().contains(base::zone_id("z1")) == evacuated;
+    if (!has_expected_state) {
       return false;
     }
   }
@@ -45,23 +47,24 @@
 
 BOOST_AUTO_TEST_SUITE(evacuation_spread)
 
-BOOST_AUTO_TEST_CASE(it_is_in_force_everywhere_within_a_second_at_any_size) {
+BOOST_AUTO_TEST_CASE(evacuation_takes_effect_at_all_nodes_within_a_second_at_any_fleet_size) {
   for (const int nodes : {6, 86, 300}) {
     fleet_simulation fleet(simulation::serving_fleet_settings(nodes));
     start(fleet);
     for (const bool evacuated : {true, false, true}) {
-      const auto began = fleet.now();
+      const auto published_at = fleet.now();
       fleet.platform().publish(key, evacuated ? std::optional(evacuation_record()) : std::nullopt);
-      BOOST_TEST(fleet.run_until([&] { return all_see(fleet, evacuated); }, seconds(10)));
-      const auto took = fleet.now() - began;
-      BOOST_TEST_MESSAGE(nodes << " nodes: in force after " << base::to_milliseconds(took)
+      BOOST_TEST(fleet.run_until([&] { return all_have_evacuation_state(fleet, evacuated); },
+                                 seconds(10)));
+      const auto elapsed = fleet.now() - published_at;
+      BOOST_TEST_MESSAGE(nodes << " nodes: in effect after " << base::to_milliseconds(elapsed)
                                << " ms");
-      BOOST_TEST(base::to_milliseconds(took) <= base::to_milliseconds(spread_target));
+      BOOST_TEST(base::to_milliseconds(elapsed) <= base::to_milliseconds(max_spread_time));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_starts_during_it_or_comes_back_from_a_cut_knows_of_it) {
+BOOST_AUTO_TEST_CASE(node_learns_of_evacuation_at_start_and_after_a_partition) {
   fleet_simulation fleet(simulation::serving_fleet_settings(12));
   start(fleet);
   fleet.kill_node("node-5");
@@ -69,29 +72,30 @@
   fleet.platform().publish(key, evacuation_record());
   fleet.run_for(seconds(3));
   fleet.start_node("node-5");
-  // A node is ready only once it knows what is in force.
+  // A node becomes ready only after it has the evacuations that are in effect.
   BOOST_TEST(fleet.run_until([&] { return fleet.node("node-5").is_ready(); }, seconds(5)));
   BOOST_TEST(fleet.node("node-5").content().evacuated_zones().contains(base::zone_id("z1")));
   BOOST_TEST(fleet.node("node-2").content().evacuated_zones().empty());
   fleet.heal_zone("z2");
-  BOOST_TEST(fleet.run_until([&] { return all_see(fleet, true); }, seconds(4)));
+  BOOST_TEST(fleet.run_until([&] { return all_have_evacuation_state(fleet, true); }, seconds(4)));
 }
 
-BOOST_AUTO_TEST_CASE(a_region_that_the_store_turns_away_hears_of_it_from_the_others) {
+BOOST_AUTO_TEST_CASE(region_without_store_access_learns_of_evacuation_from_other_regions) {
   for (const int nodes : {30, 100}) {
     fleet_simulation fleet(simulation::regional_fleet_settings(nodes));
     start(fleet);
-    // Both zones of one region, for longer than a node takes to notice.
+    // Both zones of one region lose access, for longer than a node needs to detect it.
     fleet.block_platform_access({"z1", "z4"});
     fleet.run_for(seconds(10));
     for (const bool evacuated : {true, false, true}) {
-      const auto began = fleet.now();
+      const auto published_at = fleet.now();
       fleet.platform().publish(key, evacuated ? std::optional(evacuation_record()) : std::nullopt);
-      BOOST_TEST(fleet.run_until([&] { return all_see(fleet, evacuated); }, seconds(4)));
-      BOOST_TEST_MESSAGE(nodes << " nodes, a region turned away: in force after "
-                               << base::to_milliseconds(fleet.now() - began) << " ms");
+      BOOST_TEST(
+          fleet.run_until([&] { return all_have_evacuation_state(fleet, evacuated); }, seconds(4)));
+      BOOST_TEST_MESSAGE(nodes << " nodes, one region without store access: in effect after "
+                               << base::to_milliseconds(fleet.now() - published_at) << " ms");
     }
-    // All of the region start anew: they learn everything from the others.
+    // All nodes of the region restart; they learn the catalog from the other regions.
     for (const auto& name : fleet.node_names()) {
       const auto zone = fleet.node(name).settings().self.zone.text();
       if (simulation::region_of_zone(zone) == "r1") {
@@ -100,24 +104,25 @@
       }
     }
     BOOST_TEST(fleet.run_until([&] { return fleet.all_ready(); }, seconds(4)));
-    BOOST_TEST(all_see(fleet, true));
+    BOOST_TEST(all_have_evacuation_state(fleet, true));
   }
 }
 
-BOOST_AUTO_TEST_CASE(it_stands_while_the_store_is_down) {
+BOOST_AUTO_TEST_CASE(evacuation_stays_in_effect_while_the_store_is_down) {
   fleet_simulation fleet(simulation::serving_fleet_settings(12));
   start(fleet);
   fleet.platform().publish(key, evacuation_record());
-  BOOST_TEST(fleet.run_until([&] { return all_see(fleet, true); }, spread_target));
+  BOOST_TEST(
+      fleet.run_until([&] { return all_have_evacuation_state(fleet, true); }, max_spread_time));
   fleet.platform().set_mode(simulation::platform_mode::down);
   fleet.kill_node("node-1");
   fleet.run_for(seconds(2));
   fleet.start_node("node-1");
   fleet.run_for(seconds(5));
-  BOOST_TEST(all_see(fleet, true));
+  BOOST_TEST(all_have_evacuation_state(fleet, true));
   fleet.platform().publish(key, std::nullopt);
   fleet.platform().set_mode(simulation::platform_mode::up);
-  BOOST_TEST(fleet.run_until([&] { return all_see(fleet, false); }, seconds(4)));
+  BOOST_TEST(fleet.run_until([&] { return all_have_evacuation_state(fleet, false); }, seconds(4)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/simulation/large_catalog_test.cc
+++ b/tests/simulation/large_catalog_test.cc
@@ -1,5 +1,5 @@
-/// What it costs a fleet to learn a catalog of thousands of replicas: when it starts, in steady
-/// state, and after all nodes were lost at once.
+/// Bytes that the nodes of a fleet send to distribute a catalog of up to 1,000 replicas: after the
+/// start of the fleet, and after all nodes were lost and started again at once.
 #include "catalog/entry_packing.h"
 #include "serving_fleet.h"
 
@@ -29,7 +29,7 @@
   return record.SerializeAsString();
 }
 
-simulation::simulation_settings settings_of(int nodes) {
+simulation::simulation_settings large_catalog_settings(int nodes) {
   auto settings = simulation::serving_fleet_settings(nodes);
   for (int number = 0; number < nodes * replicas_per_node; ++number) {
     settings.records[std::string(model::replica_prefix) + "i-" + std::to_string(number)] =
@@ -38,10 +38,10 @@
   return settings;
 }
 
-/// Bytes of messages about the catalog that a node of a fleet sent in its life.
+/// Bytes of catalog messages that a node sent in its current incarnation.
 struct catalog_traffic {
   double mean = 0;
-  double most = 0;
+  double max = 0;
 };
 
 std::uint64_t catalog_bytes(const node::control_counters& control) {
@@ -53,25 +53,25 @@
   return bytes;
 }
 
-catalog_traffic sent_in_this_life(const fleet_simulation& fleet, const std::string& label) {
-  catalog_traffic found;
+catalog_traffic catalog_traffic_of(const fleet_simulation& fleet, const std::string& label) {
+  catalog_traffic traffic;
   double all_kinds = 0;
   const auto names = fleet.node_names();
   const auto size = static_cast<double>(names.size());
   for (const auto& name : names) {
     const auto& control = fleet.node(name).control();
     const auto bytes = static_cast<double>(catalog_bytes(control));
-    found.mean += bytes / size;
-    found.most = std::max(found.most, bytes);
+    traffic.mean += bytes / size;
+    traffic.max = std::max(traffic.max, bytes);
     all_kinds += static_cast<double>(control.bytes_sent) / size;
   }
-  BOOST_TEST_MESSAGE(names.size() << " nodes, " << label << ": " << found.mean
-                                  << " bytes of catalog a node, most " << found.most
+  BOOST_TEST_MESSAGE(names.size() << " nodes, " << label << ": " << traffic.mean
+                                  << " bytes of catalog per node, maximum " << traffic.max
                                   << "; all messages " << all_kinds);
-  return found;
+  return traffic;
 }
 
-/// @return bytes of a compressed message with the whole catalog.
+/// @return size in bytes of a compressed message with the whole catalog.
 double whole_catalog_bytes(const fleet_simulation& fleet) {
   wire::catalog_push message;
   catalog::pack_entries(
@@ -79,47 +79,48 @@
   return static_cast<double>(message.ByteSizeLong());
 }
 
-/// Copies of the whole catalog that a node sends while the fleet learns it.
-constexpr double most_mean_copies = 2.5;
-/// The same for those who have it first and are asked by all others.
-constexpr double most_copies = 40;
-/// What comparisons cost beside the entries: two kilobytes each.
+/// Limit of the mean number of copies of the catalog that a node sends while the fleet learns it.
+constexpr double max_mean_copies = 2.5;
+/// Limit of the number of copies for a single node: the nodes that have the catalog first receive
+/// the requests of all other nodes.
+constexpr double max_copies = 40;
+/// Bytes for comparisons of catalogs, two kilobytes each, in addition to the entries.
 constexpr double comparison_bytes = 10'000;
 
 void check_traffic(const fleet_simulation& fleet, const std::string& label) {
-  const auto sent = sent_in_this_life(fleet, label);
-  const double whole = whole_catalog_bytes(fleet);
-  BOOST_TEST(sent.mean <= whole * most_mean_copies + comparison_bytes);
-  BOOST_TEST(sent.most <= whole * most_copies + comparison_bytes);
+  const auto sent = catalog_traffic_of(fleet, label);
+  const double copy_bytes = whole_catalog_bytes(fleet);
+  BOOST_TEST(sent.mean <= copy_bytes * max_mean_copies + comparison_bytes);
+  BOOST_TEST(sent.max <= copy_bytes * max_copies + comparison_bytes);
 }
 
-void learn_catalog(int nodes) {
-  fleet_simulation fleet(settings_of(nodes));
+void check_catalog_traffic_at_starts(int nodes) {
+  fleet_simulation fleet(large_catalog_settings(nodes));
   fleet.start_all_nodes();
   BOOST_TEST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(20)));
   fleet.run_for(seconds(5));
-  check_traffic(fleet, "start and 5 s");
+  check_traffic(fleet, "5 s after the start");
   for (const auto& name : fleet.node_names()) {
     fleet.kill_node(name);
   }
   fleet.run_for(seconds(1));
-  const auto began = fleet.now();
+  const auto started_at = fleet.now();
   fleet.start_all_nodes();
   BOOST_TEST(fleet.run_until([&] { return fleet.all_ready(); }, seconds(20)));
-  const auto took = base::to_milliseconds(fleet.now() - began);
-  BOOST_TEST_MESSAGE("all ready " << took << " ms after all were lost");
-  BOOST_TEST(took <= 2'000);
+  const auto elapsed = base::to_milliseconds(fleet.now() - started_at);
+  BOOST_TEST_MESSAGE("all ready " << elapsed << " ms after the restart of all nodes");
+  BOOST_TEST(elapsed <= 2'000);
   fleet.run_for(seconds(5));
-  check_traffic(fleet, "all lost, 5 s after");
+  check_traffic(fleet, "5 s after the restart of all nodes");
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(large_catalog)
 
-BOOST_AUTO_TEST_CASE(a_start_costs_a_node_no_more_in_a_large_fleet) {
+BOOST_AUTO_TEST_CASE(catalog_traffic_per_node_at_start_stays_limited_in_a_large_fleet) {
   for (const int nodes : {30, 100}) {
-    learn_catalog(nodes);
+    check_catalog_traffic_at_starts(nodes);
   }
 }
 
--- a/tests/simulation/long_cut_test.cc
+++ b/tests/simulation/long_cut_test.cc
@@ -1,5 +1,5 @@
-/// A zone cut off from the others and from the platform for hours of virtual time, and the
-/// platform's share of the work.
+/// Zone that is partitioned from the other zones and from the platform for hours of virtual time,
+/// and number of reads of the platform depending on the number of nodes.
 #include "simulation/random_faults.h"
 
 #include <boost/test/unit_test.hpp>
@@ -10,7 +10,7 @@
 using simulation::fleet_simulation;
 using std::chrono::seconds;
 
-execution::caller_request ask(const std::string& pipeline, const std::string& input) {
+execution::caller_request make_request(const std::string& pipeline, const std::string& input) {
   execution::caller_request request;
   request.token_sha256 = simulation::example_token_hash;
   request.pipeline = base::template_id(pipeline);
@@ -23,7 +23,7 @@
   return fleet.callers().at(caller).answer->outcome;
 }
 
-bool one_catalog(const fleet_simulation& fleet) {
+bool all_catalogs_are_equal(const fleet_simulation& fleet) {
   for (const auto& name : fleet.node_names()) {
     if (fleet.node(name).content().content_hash() !=
         fleet.node("node-a1").content().content_hash()) {
@@ -37,7 +37,7 @@
 
 BOOST_AUTO_TEST_SUITE(long_cuts)
 
-BOOST_AUTO_TEST_CASE(a_zone_cut_off_for_three_hours_serves_on_and_rejoins) {
+BOOST_AUTO_TEST_CASE(zone_partitioned_for_three_hours_serves_requests_and_rejoins) {
   fleet_simulation fleet(simulation::example_settings({}));
   fleet.start_all_nodes();
   BOOST_TEST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(20)));
@@ -51,21 +51,22 @@
                                  "encoders}]}");
     const auto number = std::to_string(quarter);
     for (const auto* node : {"node-a1", "node-c1", "node-c2"}) {
-      const auto answered = fleet.send(node, ask("answer", "q" + number + node));
-      BOOST_CHECK(outcome_of(fleet, answered) == model::outcome::completed);
+      const auto caller = fleet.send(node, make_request("answer", "q" + number + node));
+      BOOST_CHECK(outcome_of(fleet, caller) == model::outcome::completed);
     }
-    // The cut zone runs effects by ticket; under a key it cannot know and says so.
-    auto by_ticket = ask("payout", "t" + number);
+    // The partitioned zone executes non-repeatable calls under a ticket. Under an idempotency key
+    // it cannot know whether the request has run, and answers `unknown`.
+    auto by_ticket = make_request("payout", "t" + number);
     by_ticket.ticket = fleet.request_ticket("node-c1", simulation::example_token_hash);
     BOOST_CHECK(outcome_of(fleet, fleet.send("node-c2", by_ticket)) == model::outcome::completed);
-    auto by_key = ask("payout", "k" + number);
+    auto by_key = make_request("payout", "k" + number);
     by_key.idempotency_key = "key" + number;
     BOOST_CHECK(outcome_of(fleet, fleet.send("node-c1", by_key)) == model::outcome::unknown);
     BOOST_CHECK(outcome_of(fleet, fleet.send("node-a1", by_key)) == model::outcome::completed);
   }
-  BOOST_TEST(!one_catalog(fleet));
+  BOOST_TEST(!all_catalogs_are_equal(fleet));
   fleet.heal_zone("c");
-  BOOST_TEST(fleet.run_until([&] { return one_catalog(fleet); }, seconds(13)));
+  BOOST_TEST(fleet.run_until([&] { return all_catalogs_are_equal(fleet); }, seconds(13)));
   BOOST_TEST(fleet.node("node-c2").content().templates().size() == 14U);
 }
 
@@ -80,9 +81,9 @@
     fleet_simulation fleet(settings);
     fleet.start_all_nodes();
     fleet.run_for(seconds(30));
-    const auto before = fleet.platform().calls();
+    const auto calls_before = fleet.platform().calls();
     fleet.run_for(std::chrono::minutes(10));
-    calls.push_back(fleet.platform().calls() - before);
+    calls.push_back(fleet.platform().calls() - calls_before);
   }
   BOOST_TEST_MESSAGE("calls in ten minutes: " << calls[0] << " with 4 nodes, " << calls[1]
                                               << " with 32");
--- a/tests/simulation/promises_test.cc
+++ b/tests/simulation/promises_test.cc
@@ -1,5 +1,5 @@
-/// The promises under seeded faults; and each safety mechanism switched off breaks one of them, so
-/// the checks are known to be able to fail.
+/// Checks the invariants of a fleet under seeded random faults, and that a run with any single
+/// safety mechanism switched off violates an invariant, which shows that the checks can fail.
 #include "simulation/random_faults.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -14,10 +14,10 @@
 using base::safety_switches;
 using simulation::fault_kind;
 
-void require_kept(const simulation::run_options& options) {
+void require_no_violations(const simulation::run_options& options) {
   const auto report = simulation::run_with_faults(options);
-  for (const auto& broken : report.violations) {
-    BOOST_ERROR("seed " << options.seed << ": " << broken.invariant << ": " << broken.detail);
+  for (const auto& violation : report.violations) {
+    BOOST_ERROR("seed " << options.seed << ": " << violation.invariant << ": " << violation.detail);
   }
   if (!report.violations.empty()) {
     BOOST_TEST_MESSAGE(report.timeline);
@@ -25,25 +25,28 @@
   BOOST_TEST(report.completed > 0U);
 }
 
-/// Seeds that once found a fault: a stale request run after a pause (8, 10, 20, 37), requests cut
-/// by a stop with a pause (998, 1126, 1308, 20112), a chain of pauses (41).
+/// Seeds that found faults: a stale request was executed after a suspension (8, 10, 20, 37),
+/// requests were dropped by a stop during which the node was suspended (998, 1126, 1308, 20112),
+/// and several suspensions in a row (41).
 constexpr std::uint64_t regression_seeds[] = {8, 10, 20, 37, 41, 998, 1126, 1308, 20112};
 
 constexpr std::uint64_t first_ci_seed = 1;
-constexpr std::uint64_t ci_seeds = 150;
+constexpr std::uint64_t ci_seed_count = 150;
 
-struct switched_off {
+/// Safety mechanism, the fault under which it is needed, and the invariant that is violated without
+/// it.
+struct disabled_mechanism {
   const char* name;
-  bool safety_switches::*mechanism;
+  bool safety_switches::*safety_switch;
   fault_kind fault;
-  const char* broken;
+  const char* violated_invariant;
 };
 
-std::ostream& operator<<(std::ostream& out, const switched_off& row) {
+std::ostream& operator<<(std::ostream& out, const disabled_mechanism& row) {
   return out << row.name;
 }
 
-const switched_off switched_off_rows[] = {
+const disabled_mechanism disabled_mechanisms[] = {
     {"witness_majority", &safety_switches::witness_majority, fault_kind::node_kill, "at most once"},
     {"young_witness_wait", &safety_switches::young_witness_wait, fault_kind::node_kill,
      "at most once"},
@@ -72,14 +75,14 @@
                      seed) {
   simulation::run_options options;
   options.seed = seed;
-  require_kept(options);
+  require_no_violations(options);
 }
 
 BOOST_AUTO_TEST_CASE(hold_for_many_seeds) {
-  for (auto seed = first_ci_seed; seed < first_ci_seed + ci_seeds; ++seed) {
+  for (auto seed = first_ci_seed; seed < first_ci_seed + ci_seed_count; ++seed) {
     simulation::run_options options;
     options.seed = seed;
-    require_kept(options);
+    require_no_violations(options);
   }
 }
 
@@ -90,25 +93,25 @@
       simulation::run_options options;
       options.seed = ++seed;
       options.faults = {static_cast<fault_kind>(first), static_cast<fault_kind>(second)};
-      require_kept(options);
+      require_no_violations(options);
     }
   }
 }
 
-BOOST_DATA_TEST_CASE(break_with_a_mechanism_off, boost::unit_test::data::make(switched_off_rows),
-                     row) {
-  constexpr std::uint64_t most_seeds = 20;
-  bool found = false;
-  for (std::uint64_t seed = 1; seed <= most_seeds && !found; ++seed) {
+BOOST_DATA_TEST_CASE(break_with_a_safety_mechanism_off,
+                     boost::unit_test::data::make(disabled_mechanisms), row) {
+  constexpr std::uint64_t max_seeds = 20;
+  bool is_found = false;
+  for (std::uint64_t seed = 1; seed <= max_seeds && !is_found; ++seed) {
     simulation::run_options options;
     options.seed = seed;
     options.faults = {row.fault};
-    options.switches.*row.mechanism = false;
-    for (const auto& broken : simulation::run_with_faults(options).violations) {
-      found = found || broken.invariant == row.broken;
+    options.switches.*row.safety_switch = false;
+    for (const auto& violation : simulation::run_with_faults(options).violations) {
+      is_found = is_found || violation.invariant == row.violated_invariant;
     }
   }
-  BOOST_TEST(found, row.name << " off breaks nothing");
+  BOOST_TEST(is_found, row.name << " switched off violates no invariant");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/simulation/regional_fleet.h
+++ b/tests/simulation/regional_fleet.h
@@ -1,5 +1,5 @@
-/// Simulated fleets of six zones in three regions behind links of unequal rate, before ten replicas
-/// a node: the shape of a deployment whose bytes between regions are dear.
+/// Simulated fleets of six zones in three regions, with network links of unequal rates and ten
+/// replicas per node: the shape of a deployment in which traffic between regions is expensive.
 #pragma once
 
 #include "serving_fleet.h"
@@ -12,14 +12,14 @@
 inline constexpr int regional_zone_count = 6;
 inline constexpr int regional_region_count = 3;
 inline constexpr int regional_replicas_per_node = 10;
-/// Of so many nodes one has a strong processor and a fast link.
+/// Number of nodes of a zone among which one node has a strong processor and a fast link.
 inline constexpr int nodes_per_strong_node = 8;
-inline constexpr double fast_link = 25e6;   // 200 Mbit/s
-inline constexpr double slow_link = 1.25e6; // 10 Mbit/s
-/// A replica's entry in an answer of the store: a document of 300 bytes in base64, its key,
-/// numbers.
+inline constexpr double fast_link_bytes_per_second = 25e6;   // 200 Mbit/s
+inline constexpr double slow_link_bytes_per_second = 1.25e6; // 10 Mbit/s
+/// Number of bytes of a replica's entry in an answer of the store: a document of 300 bytes in
+/// base64, its key and numbers.
 inline constexpr double store_entry_bytes = 500;
-inline constexpr double store_link = 125e6; // 1,000 Mbit/s
+inline constexpr double store_link_bytes_per_second = 125e6; // 1,000 Mbit/s
 
 inline std::string regional_zone(int index) {
   return "z" + std::to_string(index % regional_zone_count);
@@ -29,12 +29,15 @@
   return "r" + std::to_string((zone.back() - '0') % regional_region_count);
 }
 
-/// One service whose replicas answer requests, one with few replicas, three that make pieces.
+/// Service, and the percentage of the replicas that belong to it.
 struct regional_service {
   const char* name;
-  int share_in_hundred;
-  bool makes_pieces;
+  int percentage;
+  /// Whether the replicas execute pieces of stages instead of requests.
+  bool has_pieces;
 };
+/// One service whose replicas execute requests, one such service with few replicas, and three
+/// services whose replicas execute pieces.
 inline constexpr regional_service regional_services[] = {{"chat", 60, false},
                                                          {"bookings", 4, false},
                                                          {"assets", 13, true},
@@ -47,7 +50,7 @@
   for (const auto& described : regional_services) {
     auto& service = *configuration.add_services();
     service.set_name(described.name);
-    if (described.makes_pieces) {
+    if (described.has_pieces) {
       auto& pieces = *service.mutable_pieces();
       pieces.set_slots(2);
       pieces.set_queue(4);
@@ -63,14 +66,14 @@
 
 inline std::string regional_replica(int number) {
   constexpr int hundred = 100;
-  int place = (number / regional_zone_count) % hundred;
+  int remainder = (number / regional_zone_count) % hundred;
   const auto* service = &regional_services[0];
   for (const auto& described : regional_services) {
     service = &described;
-    if (place < described.share_in_hundred) {
+    if (remainder < described.percentage) {
       break;
     }
-    place -= described.share_in_hundred;
+    remainder -= described.percentage;
   }
   wire::published_replica record;
   record.set_id("i-" + std::to_string(number));
@@ -83,7 +86,9 @@
   return record.SerializeAsString();
 }
 
-/// @return a fleet of `nodes` nodes; three of them, with slow links, are everybody's seeds.
+/// @return settings of a fleet of `nodes` nodes. Three of them, with slow links, are the seeds of
+/// all
+///         nodes.
 inline simulation_settings regional_fleet_settings(int nodes) {
   auto settings = serving_fleet_settings(0);
   std::map<base::zone_id, base::region_id> regions;
@@ -93,9 +98,10 @@
   }
   settings.node.serving->regions = model::zone_regions(std::move(regions));
   for (int index = 0; index < nodes; ++index) {
-    const bool strong = index / regional_zone_count % nodes_per_strong_node == 0;
+    const bool is_strong = index / regional_zone_count % nodes_per_strong_node == 0;
     settings.nodes.push_back({"node-" + std::to_string(index), regional_zone(index),
-                              strong ? fast_link : slow_link, strong ? 0.5 : 0.12});
+                              is_strong ? fast_link_bytes_per_second : slow_link_bytes_per_second,
+                              is_strong ? 0.5 : 0.12});
   }
   for (int index = 0; index < 3; ++index) {
     settings.seeds.push_back("node-" + std::to_string(regional_zone_count + index * 7));
@@ -108,7 +114,7 @@
   settings.records[std::string(model::configuration_key)] = regional_configuration();
   settings.network.delay = std::chrono::microseconds(1400);
   settings.network.region_delay = std::chrono::milliseconds(12);
-  settings.store.bytes_per_second = store_link;
+  settings.store.bytes_per_second = store_link_bytes_per_second;
   settings.store.bytes_per_entry = store_entry_bytes;
   return settings;
 }
--- a/tests/simulation/serving_fleet.h
+++ b/tests/simulation/serving_fleet.h
@@ -1,4 +1,5 @@
-/// Simulated fleets whose nodes serve published routes, with the timing of the users' deployments.
+/// Simulated fleets whose nodes serve published routes, with the timing settings of user
+/// deployments.
 #pragma once
 
 #include "model/serving_record_parser.h"
@@ -9,10 +10,11 @@
 
 namespace spurrack::simulation {
 
-/// Zones `z0`, `z1`, ... of the fleets.
+/// Number of zones, which are named `z0`, `z1` and so on.
 inline constexpr int serving_zone_count = 4;
 
-/// @return a fleet of `nodes` nodes spread over the zones; the configuration has no routes.
+/// @return settings of a fleet of `nodes` nodes that are spread over the zones; the published
+///         configuration has no routes.
 inline simulation_settings serving_fleet_settings(int nodes) {
   simulation_settings settings;
   for (int index = 0; index < nodes; ++index) {
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -1,5 +1,5 @@
-/// What a fleet in one region asks of the platform's store, and what becomes of changes while the
-/// store answers only a part of the nodes.
+/// Number of reads that a fleet in one region sends to the platform's store, and propagation of
+/// changes while the store answers only some of the nodes.
 #include "serving_fleet.h"
 
 #include "node/node_roles.h"
@@ -18,7 +18,7 @@
 using simulation::fleet_simulation;
 using std::chrono::seconds;
 
-/// Nodes of several zones of one region.
+/// @return settings of a fleet whose nodes are spread over several zones of one region.
 simulation::simulation_settings region_settings(int nodes, int zones) {
   auto settings = simulation::serving_fleet_settings(0);
   std::map<base::zone_id, base::region_id> regions;
@@ -36,15 +36,15 @@
   return settings;
 }
 
-/// @return calls in a quiet time.
-std::uint64_t quiet_calls(int nodes, int zones) {
+/// @return number of reads of the store in 48 s without changes.
+std::uint64_t idle_calls(int nodes, int zones) {
   fleet_simulation fleet(region_settings(nodes, zones));
   fleet.start_all_nodes();
   BOOST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(10)));
   fleet.run_for(seconds(10));
-  const auto before = fleet.platform().calls();
+  const auto calls_before = fleet.platform().calls();
   fleet.run_for(seconds(48));
-  return fleet.platform().calls() - before;
+  return fleet.platform().calls() - calls_before;
 }
 
 std::string configuration_of(std::uint64_t version) {
@@ -53,38 +53,38 @@
   return configuration.SerializeAsString();
 }
 
-/// @return whether all nodes hold a version within a time.
-bool all_hold(fleet_simulation& fleet, std::uint64_t version, base::duration limit) {
+/// @return whether all nodes have the configuration of `version` or a later one within `timeout`.
+bool wait_for_version(fleet_simulation& fleet, std::uint64_t version, base::duration timeout) {
   const auto names = fleet.node_names();
   return fleet.run_until(
       [&] {
         return std::all_of(names.begin(), names.end(), [&](const auto& name) {
-          const auto held = fleet.node(name).content().serving();
-          return held != nullptr && held->version >= version;
+          const auto configuration = fleet.node(name).content().serving();
+          return configuration != nullptr && configuration->version >= version;
         });
       },
-      limit);
+      timeout);
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(store_calls)
 
-BOOST_AUTO_TEST_CASE(calls_to_the_store_grow_neither_with_nodes_nor_with_zones) {
-  const auto few = quiet_calls(24, 3);
-  const auto more_nodes = quiet_calls(96, 3);
-  const auto more_zones = quiet_calls(96, 12);
-  BOOST_TEST_MESSAGE("calls in 48 s: " << few << ", " << more_nodes << ", " << more_zones);
-  // Two nodes of two zones watch two sources.
+BOOST_AUTO_TEST_CASE(number_of_store_reads_is_independent_of_nodes_and_zones) {
+  const auto few_nodes = idle_calls(24, 3);
+  const auto more_nodes = idle_calls(96, 3);
+  const auto more_zones = idle_calls(96, 12);
+  BOOST_TEST_MESSAGE("calls in 48 s: " << few_nodes << ", " << more_nodes << ", " << more_zones);
+  // Two nodes in each of two zones watch two sources.
   constexpr std::uint64_t watches = 8;
-  const auto held_for = simulation::emulated_platform::watch_timeout;
-  const auto expected = watches * static_cast<std::uint64_t>(seconds(48) / held_for);
-  BOOST_TEST(few <= expected + watches);
+  const auto watch_timeout = simulation::emulated_platform::watch_timeout;
+  const auto expected = watches * static_cast<std::uint64_t>(seconds(48) / watch_timeout);
+  BOOST_TEST(few_nodes <= expected + watches);
   BOOST_TEST(more_nodes <= expected + watches);
   BOOST_TEST(more_zones <= expected + watches);
 }
 
-BOOST_AUTO_TEST_CASE(two_nodes_of_two_zones_watch_and_two_of_each_zone_relay) {
+BOOST_AUTO_TEST_CASE(two_nodes_in_two_zones_watch_and_two_nodes_per_zone_relay) {
   constexpr int zones = 6;
   fleet_simulation fleet(region_settings(48, zones));
   fleet.start_all_nodes();
@@ -104,51 +104,53 @@
   BOOST_TEST(relays == 2 * zones);
 }
 
-BOOST_AUTO_TEST_CASE(a_change_reaches_all_while_the_store_turns_away_any_two_zones) {
+BOOST_AUTO_TEST_CASE(change_reaches_all_nodes_while_any_two_zones_have_no_store_access) {
   constexpr int zones = 4;
-  for (int one = 0; one < zones; ++one) {
-    for (int other = one + 1; other < zones; ++other) {
+  for (int first = 0; first < zones; ++first) {
+    for (int second = first + 1; second < zones; ++second) {
       fleet_simulation fleet(region_settings(24, zones));
       fleet.start_all_nodes();
       BOOST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(10)));
       fleet.run_for(seconds(10));
-      fleet.block_platform_access({"z" + std::to_string(one), "z" + std::to_string(other)});
+      fleet.block_platform_access({"z" + std::to_string(first), "z" + std::to_string(second)});
       fleet.platform().publish(std::string(model::configuration_key), configuration_of(2));
-      const auto began = fleet.now();
-      BOOST_TEST(all_hold(fleet, 2, seconds(5)),
-                 "z" << one << " and z" << other << " are turned away");
-      BOOST_TEST_MESSAGE("all after " << base::to_seconds(fleet.now() - began) << " s");
+      const auto published_at = fleet.now();
+      BOOST_TEST(wait_for_version(fleet, 2, seconds(5)),
+                 "z" << first << " and z" << second << " have no store access");
+      BOOST_TEST_MESSAGE("all nodes after " << base::to_seconds(fleet.now() - published_at)
+                                            << " s");
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_was_silent_is_watched_again_within_two_seconds) {
-  for (const auto silence : {std::chrono::milliseconds(3'300), std::chrono::milliseconds(9'000)}) {
+BOOST_AUTO_TEST_CASE(watches_resume_within_two_seconds_after_the_store_was_unresponsive) {
+  for (const auto unresponsive_time :
+       {std::chrono::milliseconds(3'300), std::chrono::milliseconds(9'000)}) {
     fleet_simulation fleet(region_settings(24, 4));
     fleet.start_all_nodes();
     BOOST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(10)));
     fleet.run_for(seconds(10));
-    fleet.hang_platform(silence);
-    fleet.run_for(silence + seconds(1));
+    fleet.hang_platform(unresponsive_time);
+    fleet.run_for(unresponsive_time + seconds(1));
     fleet.platform().publish(std::string(model::configuration_key), configuration_of(2));
-    BOOST_TEST(all_hold(fleet, 2, seconds(1)), silence.count() << " ms");
+    BOOST_TEST(wait_for_version(fleet, 2, seconds(1)), unresponsive_time.count() << " ms");
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_that_hears_no_other_watches_for_itself) {
+BOOST_AUTO_TEST_CASE(partitioned_zone_with_store_access_watches_the_store) {
   constexpr int zones = 4;
-  for (int cut = 0; cut < zones; ++cut) {
+  for (int zone = 0; zone < zones; ++zone) {
     fleet_simulation fleet(region_settings(24, zones));
     fleet.start_all_nodes();
     BOOST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(10)));
     fleet.run_for(seconds(10));
-    fleet.partition_zone("z" + std::to_string(cut), false);
+    fleet.partition_zone("z" + std::to_string(zone), false);
     fleet.platform().publish(std::string(model::configuration_key), configuration_of(2));
-    BOOST_TEST(all_hold(fleet, 2, seconds(4)), "z" << cut << " is cut off");
+    BOOST_TEST(wait_for_version(fleet, 2, seconds(4)), "z" << zone << " is partitioned");
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_answers_nobody_is_asked_no_more_often_by_a_larger_fleet) {
+BOOST_AUTO_TEST_CASE(number_of_reads_of_a_store_that_is_down_is_independent_of_fleet_size) {
   std::uint64_t calls[2] = {};
   for (int size = 0; size < 2; ++size) {
     fleet_simulation fleet(region_settings(size == 0 ? 24 : 96, 6));
@@ -156,15 +158,16 @@
     BOOST_REQUIRE(fleet.run_until([&] { return fleet.all_ready(); }, seconds(10)));
     fleet.run_for(seconds(10));
     fleet.platform().set_mode(simulation::platform_mode::down);
-    const auto before = fleet.platform().calls();
+    const auto calls_before = fleet.platform().calls();
     fleet.run_for(seconds(10));
-    calls[size] = fleet.platform().calls() - before;
+    calls[size] = fleet.platform().calls() - calls_before;
   }
   BOOST_TEST_MESSAGE("calls in 10 s: " << calls[0] << ", " << calls[1]);
-  // Each of eight watches tries six times at 0.25 to 8 s, and hands over twice in two steps.
-  constexpr std::uint64_t most = 80;
-  BOOST_TEST(calls[0] <= most);
-  BOOST_TEST(calls[1] <= most);
+  // Each of eight watches tries six times, at intervals of 0.25 s to 8 s, and is handed over twice
+  // in two steps.
+  constexpr std::uint64_t max_calls = 80;
+  BOOST_TEST(calls[0] <= max_calls);
+  BOOST_TEST(calls[1] <= max_calls);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
