--- a/tests/simulation/regional_fleet.h
+++ b/tests/simulation/regional_fleet.h
@@ -86,9 +86,7 @@
   return record.SerializeAsString();
 }
 
-/// @return settings of a fleet of `nodes` nodes. Three of them, with slow links, are the seeds of
-/// all
-///         nodes.
+/// @return settings of a fleet of `nodes` nodes; three nodes with slow links are the seeds.
 inline simulation_settings regional_fleet_settings(int nodes) {
   auto settings = serving_fleet_settings(0);
   std::map<base::zone_id, base::region_id> regions;
