--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -74,7 +74,7 @@
   fleet_simulation fleet(settings_with_nodes(8));
   fleet.start_all_nodes();
   fleet.run_for(seconds(5));
-  fleet.set_loss(0.05);
+  fleet.set_loss_probability(0.05);
   int deaths = 0;
   for (int second = 0; second < 120; ++second) {
     fleet.run_for(seconds(1));
