--- a/tests/platform_fleet/crashing_request.cc
+++ b/tests/platform_fleet/crashing_request_check.cc
@@ -1,4 +1,4 @@
-#include "crashing_request.h"
+#include "crashing_request_check.h"
 
 #include "soak_request.h"
 
--- a/tests/platform_fleet/foreign_entries.h
+++ b/tests/platform_fleet/foreign_entries.h
@@ -2,7 +2,7 @@
 /// type, unknown names, bytes that cannot be read. They name no replica to use.
 #pragma once
 
-#include "soak_ledger.h"
+#include "soak_recorder.h"
 #include "soak_replica.h"
 #include "soak_store.h"
 
--- a/tests/platform_fleet/planned_stops.cc
+++ b/tests/platform_fleet/graceful_stops.cc
@@ -1,4 +1,4 @@
-#include "planned_stops.h"
+#include "graceful_stops.h"
 
 #include <csignal>
 
--- a/tests/platform_fleet/planned_work.cc
+++ b/tests/platform_fleet/planned_maintenance.cc
@@ -1,4 +1,4 @@
-#include "planned_work.h"
+#include "planned_maintenance.h"
 
 #include <algorithm>
 #include <csignal>
--- a/tests/platform_fleet/planned_work.h
+++ b/tests/platform_fleet/planned_maintenance.h
@@ -2,7 +2,7 @@
 /// settings, single changes of the configuration and a storm of them.
 #pragma once
 
-#include "planned_stops.h"
+#include "graceful_stops.h"
 
 #include "base/random.h"
 
--- a/tests/platform_fleet/random_faults.h
+++ b/tests/platform_fleet/random_faults.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "foreign_entries.h"
-#include "planned_stops.h"
+#include "graceful_stops.h"
 
 #include "base/random.h"
 
--- a/tests/platform_fleet/limited_replica.cc
+++ b/tests/platform_fleet/rate_limit_check.cc
@@ -1,4 +1,4 @@
-#include "limited_replica.h"
+#include "rate_limit_check.h"
 
 #include <algorithm>
 #include <string>
--- a/tests/platform_fleet/stating_replica.cc
+++ b/tests/platform_fleet/self_report_check.cc
@@ -1,4 +1,4 @@
-#include "stating_replica.h"
+#include "self_report_check.h"
 
 #include <algorithm>
 #include <string>
--- a/tests/platform_fleet/stating_replica.h
+++ b/tests/platform_fleet/self_report_check.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "soak_fleet.h"
-#include "soak_ledger.h"
+#include "soak_recorder.h"
 
 #include "base/random.h"
 
--- a/tests/platform_fleet/serving_process_test.cc
+++ b/tests/platform_fleet/serving_process_test.cc
@@ -1,6 +1,6 @@
 /// A real spurrackd before a stand-in of the users' platform: what clients and replicas see.
 #include "http_text.h"
-#include "platform_stand_in.h"
+#include "scripted_server.h"
 #include "single_daemon.h"
 #include "soak_store.h"
 
--- a/tests/platform_fleet/soak_replica.h
+++ b/tests/platform_fleet/soak_replica.h
@@ -2,8 +2,8 @@
 /// id that they had, and check what they are asked.
 #pragma once
 
-#include "platform_stand_in.h"
-#include "soak_ledger.h"
+#include "scripted_server.h"
+#include "soak_recorder.h"
 
 #include <boost/json.hpp>
 
--- a/tests/platform_fleet/soak_run.cc
+++ b/tests/platform_fleet/soak_run.cc
@@ -1,10 +1,10 @@
 #include "soak_run.h"
 
-#include "crashing_request.h"
-#include "limited_replica.h"
-#include "planned_work.h"
+#include "crashing_request_check.h"
+#include "planned_maintenance.h"
+#include "rate_limit_check.h"
+#include "self_report_check.h"
 #include "soak_request.h"
-#include "stating_replica.h"
 
 #include "fleet/http_client.h"
 
--- a/tests/platform_fleet/soak_store.h
+++ b/tests/platform_fleet/soak_store.h
@@ -1,7 +1,7 @@
 /// The platform's metadata store on loopback, which misbehaves on request.
 #pragma once
 
-#include "platform_stand_in.h"
+#include "scripted_server.h"
 
 #include <boost/json.hpp>
 
