--- a/tests/platform_fleet/foreign_entries.cc
+++ b/tests/platform_fleet/foreign_entries.cc
@@ -83,14 +83,14 @@
 }
 
 void foreign_entries::put_all() {
-  for (const auto& entry_to_write : entries_) {
-    store_->put(replica_key_prefix + entry_to_write.key, entry_to_write.value);
+  for (const auto& foreign_entry : entries_) {
+    store_->put(replica_key_prefix + foreign_entry.key, foreign_entry.value);
   }
 }
 
 void foreign_entries::remove_all() {
-  for (const auto& entry_to_write : entries_) {
-    store_->remove(replica_key_prefix + entry_to_write.key);
+  for (const auto& foreign_entry : entries_) {
+    store_->remove(replica_key_prefix + foreign_entry.key);
   }
 }
 
--- a/tests/platform_fleet/random_faults.cc
+++ b/tests/platform_fleet/random_faults.cc
@@ -30,7 +30,7 @@
 constexpr std::size_t store_fault_count = static_cast<std::size_t>(store_mode::expired_watches);
 constexpr milliseconds min_fault_interval{300};
 constexpr std::size_t fault_interval_spread_milliseconds = 500;
-constexpr std::size_t max_absence_milliseconds = 800;
+constexpr std::size_t max_extra_downtime_milliseconds = 800;
 constexpr int link_delay_milliseconds = 80;
 
 } // namespace
@@ -162,7 +162,7 @@
   replica.crash();
   // If a replica stays down longer, its store entry disappears before it is written again.
   if (random_->below(2) == 0) {
-    std::this_thread::sleep_for(milliseconds(random_->below(max_absence_milliseconds)));
+    std::this_thread::sleep_for(milliseconds(random_->below(max_extra_downtime_milliseconds)));
     fleet_->unpublish(replica);
   }
   replica.restart();
--- a/tests/platform_fleet/reading_client.cc
+++ b/tests/platform_fleet/reading_client.cc
@@ -134,7 +134,7 @@
     const auto read_count = co_await socket.async_read_some(asio::buffer(bytes), await_into(error));
     received_bytes += read_count;
     needs_more = reader.feed({bytes.data(), read_count}, result) && !error;
-    result.reset = error == asio::error::connection_reset;
+    result.was_reset = error == asio::error::connection_reset;
   }
   reader.finish(result);
 }
--- a/tests/platform_fleet/reading_client.h
+++ b/tests/platform_fleet/reading_client.h
@@ -47,7 +47,7 @@
   std::chrono::steady_clock::duration duration{};
   bool has_retry_after = false;
   /// The connection was reset instead of closed.
-  bool reset = false;
+  bool was_reset = false;
 };
 
 /// Limits the kernel buffers of both sides of a connection, so that unread bytes stay in the
--- a/tests/platform_fleet/self_report_check.cc
+++ b/tests/platform_fleet/self_report_check.cc
@@ -9,8 +9,8 @@
 
 using std::chrono::milliseconds;
 
-/// Time after the first announcement from which on no node sends requests: the node that received
-/// it has informed the other nodes.
+/// Time within which the node that received the announcement informs the other nodes. Afterwards no
+/// node sends requests.
 constexpr milliseconds drain_timeout{2'000};
 constexpr milliseconds observation_time{1'500};
 /// Time within which requests arrive that were in flight when the backoff was requested.
--- a/tests/platform_fleet/slow_readers_test.cc
+++ b/tests/platform_fleet/slow_readers_test.cc
@@ -170,13 +170,13 @@
 
  private:
   asio::awaitable<void> send_repeatedly(std::string id) {
-    const event_replica_options load;
+    const event_replica_options replica_options;
     for (std::size_t number = 0;; ++number) {
       request_plan plan{
           read_pattern::fast, "/stream/good/", id + "-" + std::to_string(number), "", {}};
       const auto result = co_await send_and_read(address_, std::move(plan));
       const std::lock_guard lock(mutex_);
-      result_.add(result, load.short_events);
+      result_.add(result, replica_options.short_events);
     }
   }
 
@@ -213,9 +213,9 @@
 
  private:
   asio::awaitable<void> send_once(request_plan plan, group_result& group) {
-    const event_replica_options load;
+    const event_replica_options replica_options;
     const auto result = co_await send_and_read(fleet_->daemon->client_address, std::move(plan));
-    group.add(result, load.long_events);
+    group.add(result, replica_options.long_events);
   }
 
   asio::awaitable<void> start_at_intervals(std::size_t clients_per_pattern) {
@@ -331,7 +331,7 @@
   BOOST_TEST(refused.status == 503U);
   BOOST_TEST(refused.is_complete);
   BOOST_TEST(refused.has_retry_after);
-  BOOST_TEST(!refused.reset);
+  BOOST_TEST(!refused.was_reset);
   BOOST_TEST(metric("spurrack_arrivals_refused_total{missing=\"memory\"}") == 1);
   const auto small =
       send({read_pattern::fast, "/safe/whole/", "small", std::string(1'000, 'b'), {}});
--- a/tests/platform_fleet/soak_client.cc
+++ b/tests/platform_fleet/soak_client.cc
@@ -96,7 +96,7 @@
   const auto body = soak_request::body(id);
   bytes += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   if (kind == "unsafe" || kind == "long" || soak_request::has_stages(kind)) {
-    recorder_->note_once(id);
+    recorder_->note_single_run(id);
   }
   const auto sent_at = soak_clock::now();
   const auto outcome = exchange(bytes, request_timeout + scheduling_slack);
@@ -173,7 +173,7 @@
   // read.
   const auto waited = std::chrono::duration_cast<milliseconds>(soak_clock::now() - sent_at);
   const bool raced_close =
-      outcome.status == 0 && waited < close_race_time && !recorder_->was_passed_on(id);
+      outcome.status == 0 && waited < close_race_time && !recorder_->was_forwarded(id);
   if (raced_close) {
     recorder_->count("raced a close");
     return;
@@ -183,7 +183,7 @@
                   (outcome.status == 0 ? " received no answer" : " received an incomplete answer") +
                   " from " + node_->name + " in " + std::to_string(waited.count()) + " ms" +
                   (node_->is_stopping ? " while it stopped" : "") +
-                  (recorder_->was_passed_on(id) ? ", after it had been forwarded" : ""));
+                  (recorder_->was_forwarded(id) ? ", after it had been forwarded" : ""));
 }
 
 } // namespace spurrack::platform_tests
--- a/tests/platform_fleet/soak_fleet.h
+++ b/tests/platform_fleet/soak_fleet.h
@@ -38,8 +38,8 @@
   std::unique_ptr<fleet::child_process> process;
 };
 
-/// Time after the last fault from which on the invariants with a time limit hold, and the invariant
-/// that no request is lost. Planned maintenance is no fault.
+/// Time after the last fault after which the invariants with a time limit hold again, and no
+/// request may be lost. Planned maintenance is not a fault.
 constexpr std::chrono::milliseconds settle_time{4'000};
 
 struct soak_fleet_options {
@@ -97,8 +97,8 @@
   /// zone.
   void set_evacuated(const std::string& zone, bool evacuated);
   /// Sets the fault of the peer link of a node or of the link to a replica.
-  /// @param fault `cut` or `black_hole`; empty for neither. Without fault and delay the link is
-  /// healed.
+  /// @param fault `cut` or `black_hole`; empty for neither. Without fault and delay the
+  ///        link is healed.
   void set_link_fault(const std::string& name, const std::string& fault,
                       int delay_milliseconds = 0) const;
   /// Sends SIGHUP with valid or invalid settings. The settings file is valid afterwards.
--- a/tests/platform_fleet/soak_recorder.h
+++ b/tests/platform_fleet/soak_recorder.h
@@ -20,12 +20,12 @@
   void note_run(const std::string& request, const std::string& replica) {
     const std::lock_guard lock(mutex_);
     runs_[request].push_back(replica);
-    passed_on_.insert(request);
+    forwarded_.insert(request);
   }
   /// Records that a request, or a piece of a request, reached a replica.
-  void note_passed_on(const std::string& request) {
+  void note_forwarded(const std::string& request) {
     const std::lock_guard lock(mutex_);
-    passed_on_.insert(request);
+    forwarded_.insert(request);
   }
   /// Records an answer which states that the request has not run and will not run.
   void note_not_run(const std::string& request) {
@@ -33,9 +33,9 @@
     not_run_.insert(request);
   }
   /// Records that a client sent a request that may run at most once.
-  void note_once(const std::string& request) {
+  void note_single_run(const std::string& request) {
     const std::lock_guard lock(mutex_);
-    once_.insert(request);
+    single_run_requests_.insert(request);
   }
   /// @param rule invariant that was violated, in capitals.
   void note_violation(const std::string& rule, const std::string& detail) {
@@ -48,15 +48,15 @@
     count(answer_prefix + kind + " " + status);
   }
   /// @return whether the label of a count belongs to `count_answer`.
-  static bool counts_answers(const std::string& what) { return what.starts_with(answer_prefix); }
+  static bool is_answer_count(const std::string& what) { return what.starts_with(answer_prefix); }
   void count(const std::string& what) {
     const std::lock_guard lock(mutex_);
     ++counts_[what];
   }
 
-  [[nodiscard]] bool was_passed_on(const std::string& request) const {
+  [[nodiscard]] bool was_forwarded(const std::string& request) const {
     const std::lock_guard lock(mutex_);
-    return passed_on_.contains(request);
+    return forwarded_.contains(request);
   }
   [[nodiscard]] bool has_run(const std::string& request) const {
     const std::lock_guard lock(mutex_);
@@ -71,22 +71,22 @@
   ///         answered as not run. Complete after the load has ended.
   [[nodiscard]] std::vector<std::string> violations() const {
     const std::lock_guard lock(mutex_);
-    auto found = violations_;
-    for (const auto& request : once_) {
+    auto all_violations = violations_;
+    for (const auto& request : single_run_requests_) {
       const auto runs = runs_.find(request);
       if (runs == runs_.end()) {
         continue;
       }
       if (runs->second.size() > 1) {
-        found.push_back("TWICE: " + request + " ran " + std::to_string(runs->second.size()) +
-                        " times");
+        all_violations.push_back("TWICE: " + request + " ran " +
+                                 std::to_string(runs->second.size()) + " times");
       }
       if (not_run_.contains(request)) {
-        found.push_back("REFUSED: " + request + " was answered as not run and ran at " +
-                        runs->second.front());
+        all_violations.push_back("REFUSED: " + request + " was answered as not run and ran at " +
+                                 runs->second.front());
       }
     }
-    return found;
+    return all_violations;
   }
 
  private:
@@ -95,9 +95,9 @@
   mutable std::mutex mutex_;
   /// Replicas that ran each request.
   std::map<std::string, std::vector<std::string>> runs_;
-  std::set<std::string> passed_on_;
+  std::set<std::string> forwarded_;
   std::set<std::string> not_run_;
-  std::set<std::string> once_;
+  std::set<std::string> single_run_requests_;
   std::vector<std::string> violations_;
   std::map<std::string, std::size_t> counts_;
 };
--- a/tests/platform_fleet/soak_replica.cc
+++ b/tests/platform_fleet/soak_replica.cc
@@ -19,8 +19,8 @@
 constexpr milliseconds slow_work_time{400};
 /// Interval between the events of a long stream.
 constexpr milliseconds long_event_interval{100};
-/// Time after a crash from which on lost results must not be used as inputs: callers have learned
-/// of the crash of the replica.
+/// Time within which callers learn of the crash of a replica. Afterwards its lost results must not
+/// be used as inputs.
 constexpr milliseconds stale_result_timeout{3'000};
 
 std::string header_of(const http_request& request, const char* name) {
@@ -161,12 +161,12 @@
 }
 
 scripted_answer soak_replica::rejection(const std::string& id) const {
-  const auto pause = backoff_.load();
-  const auto pause_line =
-      "Retry-After: " + std::to_string(static_cast<double>(pause.count()) / 1'000) + "\r\n";
+  const auto backoff = backoff_.load();
+  const auto backoff_line =
+      "Retry-After: " + std::to_string(static_cast<double>(backoff.count()) / 1'000) + "\r\n";
   return {http_message("503 Service Unavailable",
                        "X-Not-Executed: 1\r\nX-Request-Id: " + id + "\r\n" +
-                           (pause.count() > 0 ? pause_line : "") + self_report_headers(),
+                           (backoff.count() > 0 ? backoff_line : "") + self_report_headers(),
                        "")};
 }
 
@@ -264,14 +264,14 @@
   }
   recorder_->note_run(id, id_);
   const auto mode = mode_.load();
-  const bool is_odd_call = ++calls_ % 2 == 1;
+  const bool is_odd_call = ++call_count_ % 2 == 1;
   std::this_thread::sleep_for(mode == replica_mode::slow ? slow_work_time : normal_work_time);
   if (soak_request::is_stream(kind_in(std::string(request.target())))) {
     return stream(request, id);
   }
   const auto headers =
       "X-Request-Id: " + id + "\r\nX-Response-Seal: " + id + "\r\n" + self_report_headers();
-  auto whole = http_message("200 OK", headers, soak_request::answer(id));
+  auto complete_answer = http_message("200 OK", headers, soak_request::answer(id));
   if (mode == replica_mode::failing && is_odd_call) {
     return {http_message("500 Internal Server Error", headers, "failed")};
   }
@@ -279,12 +279,12 @@
     return {"", false, true};
   }
   if (mode == replica_mode::corrupting && is_odd_call) {
-    return {whole + http_message("200 OK", headers, "surplus")};
+    return {complete_answer + http_message("200 OK", headers, "surplus")};
   }
   if (mode == replica_mode::corrupting) {
-    return {whole.substr(0, whole.size() / 2), true};
+    return {complete_answer.substr(0, complete_answer.size() / 2), true};
   }
-  return {whole};
+  return {complete_answer};
 }
 
 scripted_answer soak_replica::stream(const http_request& request, const std::string& id) {
@@ -302,14 +302,14 @@
     return long_stream(head, events, should_break);
   }
   const auto all_events = std::accumulate(events.begin(), events.end(), std::string());
-  if (should_break && calls_ % 2 == 1) {
+  if (should_break && call_count_ % 2 == 1) {
     return {head + http_chunk(all_events.substr(0, all_events.size() / 2)), true};
   }
   return {head + http_chunk(all_events) + last_http_chunk};
 }
 
 scripted_answer soak_replica::run_pieces(const http_request& request) {
-  const auto call = ++calls_;
+  const auto call = ++call_count_;
   const auto call_body = boost::json::parse(request.body()).as_object();
   boost::json::array results;
   for (const auto& value : call_body.at("items").as_array()) {
@@ -327,7 +327,7 @@
   const std::string id(item.at("id").as_string());
   const auto stage = item.at("stage").to_number<std::size_t>();
   const auto piece = item.at("piece").to_number<std::size_t>();
-  recorder_->note_passed_on(id);
+  recorder_->note_forwarded(id);
   check_region(id);
   std::vector<std::string> inputs;
   if (const auto* input_list = item.if_contains("inputs")) {
--- a/tests/platform_fleet/soak_replica.h
+++ b/tests/platform_fleet/soak_replica.h
@@ -50,9 +50,8 @@
 /// Replica with its server. Thread-safe.
 class soak_replica {
  public:
-  /// @param published_address address at which callers reach the replica; part of the handles of
-  /// its
-  ///        results.
+  /// @param published_address address at which callers reach the replica. Handles of results
+  ///        contain it.
   soak_replica(std::string id, std::string service, std::string zone, std::string published_address,
                replica_incarnations& incarnations, soak_recorder& recorder);
 
@@ -60,9 +59,9 @@
   /// Announces a limit in the answers: requests per second of all callers together; 0: no limit.
   void set_limit(unsigned per_second) { limit_ = per_second; }
   /// Sets whether answers announce that the replica drains.
-  void set_drain_announced(bool leaving) { is_drain_announced_ = leaving; }
+  void set_drain_announced(bool is_announced) { is_drain_announced_ = is_announced; }
   /// Rejects all requests and requests this backoff of the callers; 0: accepts requests.
-  void set_backoff(std::chrono::milliseconds pause) { backoff_ = pause; }
+  void set_backoff(std::chrono::milliseconds backoff) { backoff_ = backoff; }
   /// Sets whether the next store entry has the state `draining`.
   void set_draining(bool draining) { is_draining_ = draining; }
   /// Crashes at once: running requests and all results are lost.
@@ -124,7 +123,7 @@
   std::atomic<bool> crashed_by_request_ = false;
   std::atomic<std::int64_t> started_at_milliseconds_;
   std::atomic<std::uint64_t> sequence_ = 0;
-  std::atomic<std::uint64_t> calls_ = 0;
+  std::atomic<std::uint64_t> call_count_ = 0;
   std::atomic<soak_clock::time_point> last_arrival_at_{soak_clock::time_point{}};
   std::unique_ptr<scripted_server> server_;
 };
--- a/tests/platform_fleet/soak_run.cc
+++ b/tests/platform_fleet/soak_run.cc
@@ -100,8 +100,8 @@
   fleet_.set_evacuated(evacuated_zone, true);
   std::this_thread::sleep_for(std::max({drain_timeout, convergence_timeout, evacuation_timeout}));
   const auto quiet_since = soak_clock::now();
-  check_key("extra", 401);
-  check_key("base", 200);
+  check_api_key("extra", 401);
+  check_api_key("base", 200);
   std::this_thread::sleep_for(idle_observation_time);
   check_no_request_since(draining, quiet_since, "DRAIN", "it was draining");
   check_no_request_since(unreadable, quiet_since, "FOREIGN", "its entry could not be read");
@@ -117,7 +117,7 @@
   fleet_.publish(unreadable);
   fleet_.publish_configuration(true);
   std::this_thread::sleep_for(convergence_timeout);
-  check_key("extra", 200);
+  check_api_key("extra", 200);
   check_used_again(draining);
   check_used_again(unreadable);
 }
@@ -152,12 +152,12 @@
   draining.set_draining(true);
   fleet_.publish(draining);
   std::this_thread::sleep_for(std::max(drain_timeout, convergence_timeout));
-  check_key("extra", 401);
+  check_api_key("extra", 401);
   const auto quiet_since = soak_clock::now();
   fleet_.store.restore_snapshot();
   std::this_thread::sleep_for(time_before_rewrite);
-  check_key("extra", 401);
-  check_key("base", 200);
+  check_api_key("extra", 401);
+  check_api_key("base", 200);
   check_no_request_since(draining, quiet_since, "DRAIN",
                          "it was draining before the store was rolled back");
   for (const auto& replica : fleet_.replicas) {
@@ -165,16 +165,16 @@
   }
   fleet_.publish_configuration(true);
   std::this_thread::sleep_for(convergence_timeout);
-  check_key("extra", 200);
+  check_api_key("extra", 200);
   draining.set_draining(false);
   fleet_.publish(draining);
   check_used_again(draining);
 }
 
 void soak_run::check_planned_maintenance() {
-  planned_maintenance work(fleet_, recorder_, random_);
+  planned_maintenance maintenance(fleet_, recorder_, random_);
   for (std::size_t number = 0; number < options_.rolling_restarts; ++number) {
-    work.restart_all_nodes();
+    maintenance.restart_all_nodes();
     if (!fleet_.wait_until_all_ready(options_.ready_timeout)) {
       recorder_.note_violation("RECOVER", "not all nodes became ready after planned maintenance");
     }
@@ -189,9 +189,9 @@
   stops.wait();
 }
 
-void soak_run::check_key(const std::string& key, unsigned expected) {
+void soak_run::check_api_key(const std::string& key, unsigned expected) {
   for (const auto& node : fleet_.nodes) {
-    const auto id = "probe" + std::to_string(++probes_);
+    const auto id = "probe" + std::to_string(++probe_count_);
     const auto answer = fleet::call({node->client_address,
                                      "POST",
                                      soak_request::path("safe", id),
@@ -212,7 +212,7 @@
   std::size_t successes = 0;
   std::size_t requests = 0;
   for (const auto& [label, count] : recorder_.counts()) {
-    if (!soak_recorder::counts_answers(label)) {
+    if (!soak_recorder::is_answer_count(label)) {
       continue;
     }
     const auto earlier = counts_before.find(label);
--- a/tests/platform_fleet/soak_run.h
+++ b/tests/platform_fleet/soak_run.h
@@ -60,7 +60,7 @@
   /// Stops all nodes gracefully.
   void check_final_stops();
   /// Sends a request with an API key to every node and checks the status of the answer.
-  void check_key(const std::string& key, unsigned expected);
+  void check_api_key(const std::string& key, unsigned expected);
   /// Checks that most requests since `counts_before` were answered with 200.
   void check_success_rate(const std::map<std::string, std::size_t>& counts_before);
   /// Checks that a replica received no request after `quiet_since`.
@@ -81,8 +81,8 @@
   std::atomic<bool> should_stop_clients_ = false;
   std::list<soak_client> clients_;
   std::vector<std::thread> client_threads_;
-  /// Number of requests sent by `check_key`.
-  std::size_t probes_ = 0;
+  /// Number of requests sent by `check_api_key`.
+  std::size_t probe_count_ = 0;
   std::size_t resident_bytes_ = 0;
 };
 
