--- /dev/null
+++ b/tests/platform_fleet/crashing_request_check.cc
@@ -0,0 +1,103 @@
+#include "crashing_request_check.h"
+
+#include "soak_request.h"
+
+#include "fleet/http_client.h"
+
+#include <algorithm>
+#include <thread>
+
+namespace spurrack::platform_tests {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr std::size_t max_sends = 16;
+/// Interval between two requests. Longer than the downtime of a replica: the fault proxy accepts
+/// connections for a replica that is down, so that nodes detect a crash only by the restart.
+constexpr milliseconds send_interval{700};
+constexpr milliseconds downtime{400};
+/// Number of replicas that one request may crash.
+constexpr std::size_t max_exits = 5;
+/// Number of replicas that the request may crash after all nodes know of the first three crashes.
+constexpr std::size_t max_late_exits = 3;
+constexpr std::size_t known_exits = 3;
+constexpr unsigned not_executed_status = 503;
+
+} // namespace
+
+crashing_request_check::crashing_request_check(soak_fleet& fleet, soak_recorder& recorder,
+                                               base::random_source& random)
+    : fleet_(&fleet), recorder_(&recorder), random_(&random) {}
+
+void crashing_request_check::check() {
+  for (send_number_ = 1; send_number_ <= max_sends; ++send_number_) {
+    fleet_->last_fault_at = soak_clock::now();
+    send();
+    const auto next_send_at = soak_clock::now() + send_interval;
+    while (soak_clock::now() < next_send_at) {
+      restart_crashed();
+      std::this_thread::sleep_for(milliseconds(20));
+    }
+  }
+  fleet_->last_fault_at = soak_clock::now();
+  check_limits();
+  std::this_thread::sleep_for(settle_time);
+}
+
+void crashing_request_check::send() {
+  const auto& node = *fleet_->nodes[random_->below(fleet_->nodes.size())];
+  const auto answer = fleet::call({node.client_address,
+                                   "POST",
+                                   soak_request::crashing_path,
+                                   {{"Host", "h"},
+                                    {"X-Request-Id", "crash" + std::to_string(send_number_)},
+                                    {"X-Deadline-Ms", "3000"},
+                                    {"Authorization", "Token base"}},
+                                   "crash"});
+  answer_statuses_.push_back(answer.status);
+  recorder_->count_answer("crashing", std::to_string(answer.status));
+}
+
+void crashing_request_check::restart_crashed() {
+  const auto now = soak_clock::now();
+  for (const auto& replica : fleet_->replicas) {
+    if (replica->take_crashed_by_request()) {
+      exit_times_.push_back(now);
+      crashed_at_[replica.get()] = now;
+    }
+  }
+  std::erase_if(crashed_at_, [&](const auto& entry) {
+    const auto& [replica, crashed_at] = entry;
+    if (now - crashed_at < downtime) {
+      return false;
+    }
+    replica->restart();
+    fleet_->publish(*replica);
+    return true;
+  });
+}
+
+void crashing_request_check::check_limits() {
+  recorder_->count("exits under the crashing request " + std::to_string(exit_times_.size()));
+  if (exit_times_.size() > max_exits) {
+    recorder_->note_violation("BUDGET", "a request crashed " + std::to_string(exit_times_.size()) +
+                                            " replicas");
+  }
+  if (exit_times_.size() > known_exits) {
+    const auto known_at = exit_times_[known_exits - 1] + settle_time;
+    const auto late = std::count_if(exit_times_.begin(), exit_times_.end(),
+                                    [&](auto at) { return at > known_at; });
+    if (static_cast<std::size_t>(late) > max_late_exits) {
+      recorder_->note_violation("BUDGET", "a request that had crashed three replicas crashed " +
+                                              std::to_string(late) + " more after all nodes knew");
+    }
+  }
+  if (answer_statuses_.back() != not_executed_status) {
+    recorder_->note_violation("BUDGET",
+                              "a request that crashes replicas was not quarantined but answered " +
+                                  std::to_string(answer_statuses_.back()));
+  }
+}
+
+} // namespace spurrack::platform_tests
--- a/tests/platform_fleet/platform_stand_in.h
+++ b/tests/platform_fleet/scripted_server.h
@@ -1,5 +1,5 @@
-/// The users' platform as a test sees it: a metadata store and replicas on loopback, each
-/// connection served by a thread, answers scripted by the test.
+/// HTTP server on loopback for tests that emulate the metadata store and the replicas of the users'
+/// platform. One thread per connection; the test scripts the answers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,20 +22,21 @@
 using http_request = boost::beast::http::request<boost::beast::http::string_body>;
 using boost::asio::ip::tcp;
 
-/// What a server does with one request.
+/// Answer of the server to one request.
 struct scripted_answer {
-  /// Bytes as they are written.
+  /// Bytes that are written unchanged.
   std::string bytes;
-  /// The connection is closed afterwards.
+  /// Whether the connection is closed after the answer.
   bool close = false;
-  /// It is closed with a reset.
+  /// Whether the connection is closed with a reset after the answer.
   bool reset = false;
-  /// Written after `bytes`, each after a pause.
-  std::vector<std::string> later_bytes{};
+  /// Parts that are written after `bytes`, each after `pause`.
+  std::vector<std::string> delayed_bytes{};
   std::chrono::milliseconds pause{0};
 };
 
-/// A server on 127.0.0.1 that answers each request by a function.
+/// Server on 127.0.0.1 that answers each request with the result of a function. Thread-safe; the
+/// function is called by the threads of the connections.
 class scripted_server {
  public:
   using script = std::function<scripted_answer(const http_request&)>;
@@ -43,18 +44,18 @@
   explicit scripted_server(script answer)
       : answer_(std::move(answer)),
         acceptor_(io_, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)),
-        accepting_([this] { accept_all(); }) {}
+        accept_thread_([this] { accept_connections(); }) {}
 
   ~scripted_server() {
-    stopping_ = true;
+    is_stopping_ = true;
     boost::system::error_code ignored;
-    // Wakes the blocking accept.
+    // Unblocks the accept.
     tcp::socket wake(io_);
     wake.connect(acceptor_.local_endpoint(), ignored);
-    accepting_.join();
-    end_connections();
-    for (auto& worker : connections_) {
-      worker.thread.join();
+    accept_thread_.join();
+    shut_down_connections();
+    for (auto& opened : connections_) {
+      opened.thread.join();
     }
   }
   scripted_server(const scripted_server&) = delete;
@@ -64,8 +65,8 @@
     return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
   }
 
-  /// Ends all connections, also in the middle of an answer.
-  void end_connections() {
+  /// Shuts down all connections, including connections with an unfinished answer.
+  void shut_down_connections() {
     const std::lock_guard lock(mutex_);
     for (const auto& open : connections_) {
       boost::system::error_code ignored;
@@ -73,34 +74,35 @@
     }
   }
 
-  /// While it takes no connections, each is closed as it comes.
-  void set_taking_connections(bool taking) { taking_connections_ = taking; }
+  /// @param is_accepting if false, each new connection is closed at once.
+  void set_accepting_connections(bool is_accepting) { is_accepting_connections_ = is_accepting; }
 
-  /// @return the requests so far.
+  /// @return all requests received so far.
   [[nodiscard]] std::vector<http_request> requests() const {
     const std::lock_guard lock(mutex_);
     return requests_;
   }
 
  private:
-  /// A connection and the thread that serves it.
+  /// Connection and the thread that serves it.
   struct connection {
     std::shared_ptr<tcp::socket> socket;
+    /// Set by the thread as its last action.
     std::shared_ptr<std::atomic<bool>> ended;
     std::thread thread;
   };
 
-  void accept_all() {
-    while (!stopping_) {
+  void accept_connections() {
+    while (!is_stopping_) {
       auto socket = std::make_shared<tcp::socket>(io_);
       boost::system::error_code error;
       acceptor_.accept(*socket, error);
-      if (error || stopping_) {
+      if (error || is_stopping_) {
         return;
       }
       const std::lock_guard lock(mutex_);
-      forget_ended();
-      if (!taking_connections_) {
+      remove_ended_connections();
+      if (!is_accepting_connections_) {
         continue;
       }
       auto ended = std::make_shared<std::atomic<bool>>(false);
@@ -111,12 +113,13 @@
     }
   }
 
-  /// A thread that has ended and isn't joined keeps its stack: a long run would have too many.
-  void forget_ended() {
-    connections_.remove_if([](connection& old) {
-      const bool ended = *old.ended;
+  /// Joins threads that have ended: a thread keeps its stack until it is joined, and a long run
+  /// would accumulate too many stacks.
+  void remove_ended_connections() {
+    connections_.remove_if([](connection& candidate) {
+      const bool ended = *candidate.ended;
       if (ended) {
-        old.thread.join();
+        candidate.thread.join();
       }
       return ended;
     });
@@ -125,7 +128,7 @@
   void serve(tcp::socket& socket) {
     boost::beast::flat_buffer buffer;
     boost::system::error_code error;
-    while (!stopping_) {
+    while (!is_stopping_) {
       http_request request;
       boost::beast::http::read(socket, buffer, request, error);
       if (error) {
@@ -135,28 +138,28 @@
         const std::lock_guard lock(mutex_);
         requests_.push_back(request);
       }
-      const auto wanted = answer_(request);
-      write(socket, wanted, error);
-      if (wanted.reset) {
+      const auto answer = answer_(request);
+      write(socket, answer, error);
+      if (answer.reset) {
         socket.set_option(boost::asio::socket_base::linger(true, 0), error);
       }
-      if (error || wanted.close || wanted.reset) {
+      if (error || answer.close || answer.reset) {
         break;
       }
     }
-    // Not while `end_connections` looks at it.
+    // The lock excludes `shut_down_connections`, which uses the socket.
     const std::lock_guard lock(mutex_);
     socket.close(error);
   }
 
-  static void write(tcp::socket& socket, const scripted_answer& wanted,
+  static void write(tcp::socket& socket, const scripted_answer& answer,
                     boost::system::error_code& error) {
-    boost::asio::write(socket, boost::asio::buffer(wanted.bytes), error);
-    for (const auto& bytes : wanted.later_bytes) {
+    boost::asio::write(socket, boost::asio::buffer(answer.bytes), error);
+    for (const auto& bytes : answer.delayed_bytes) {
       if (error) {
         return;
       }
-      std::this_thread::sleep_for(wanted.pause);
+      std::this_thread::sleep_for(answer.pause);
       boost::asio::write(socket, boost::asio::buffer(bytes), error);
     }
   }
@@ -164,12 +167,12 @@
   script answer_;
   boost::asio::io_context io_;
   tcp::acceptor acceptor_;
-  std::atomic<bool> stopping_ = false;
-  std::atomic<bool> taking_connections_ = true;
+  std::atomic<bool> is_stopping_ = false;
+  std::atomic<bool> is_accepting_connections_ = true;
   mutable std::mutex mutex_;
   std::vector<http_request> requests_;
   std::list<connection> connections_;
-  std::thread accepting_;
+  std::thread accept_thread_;
 };
 
 } // namespace spurrack::platform_tests
--- /dev/null
+++ b/tests/platform_fleet/self_report_check.cc
@@ -0,0 +1,90 @@
+#include "self_report_check.h"
+
+#include <algorithm>
+#include <string>
+#include <thread>
+
+namespace spurrack::platform_tests {
+namespace {
+
+using std::chrono::milliseconds;
+
+/// Time within which the node that received the announcement informs the other nodes. Afterwards no
+/// node sends requests.
+constexpr milliseconds drain_timeout{2'000};
+constexpr milliseconds observation_time{1'500};
+/// Time within which requests arrive that were in flight when the backoff was requested.
+constexpr milliseconds in_flight_time{500};
+/// Each node may learn of the backoff by a rejection of its own, and may send two more requests.
+constexpr std::size_t max_requests_per_node = 3;
+/// Time to wait for the first request, whose answer carries the self-report.
+constexpr milliseconds first_request_timeout{5'000};
+constexpr milliseconds poll_interval{10};
+
+/// @return number of arrivals in [from, until).
+std::size_t arrived_between(const std::vector<soak_clock::time_point>& arrivals,
+                            soak_clock::time_point from, soak_clock::time_point until) {
+  return static_cast<std::size_t>(std::count_if(arrivals.begin(), arrivals.end(),
+                                                [&](auto at) { return from <= at && at < until; }));
+}
+
+/// Waits until the replica receives a request. @return whether it received a request in time.
+bool wait_for_request(const soak_replica& replica) {
+  const auto started_at = soak_clock::now();
+  while (replica.last_arrival_at() < started_at &&
+         soak_clock::now() - started_at < first_request_timeout) {
+    std::this_thread::sleep_for(poll_interval);
+  }
+  return replica.last_arrival_at() >= started_at;
+}
+
+} // namespace
+
+void self_report_check::check_drain_announcement() {
+  // Requests that fail because of the store or the crash of the replica are not violations.
+  fleet_->last_fault_at = soak_clock::now();
+  fleet_->store.set_mode(store_mode::refusing);
+  replica_->set_drain_announced(true);
+  if (wait_for_request(*replica_)) {
+    std::this_thread::sleep_for(drain_timeout);
+    const auto observation_started_at = soak_clock::now();
+    replica_->take_arrivals();
+    std::this_thread::sleep_for(observation_time);
+    const auto arrivals = replica_->take_arrivals();
+    recorder_->count("observed a replica that announced a drain");
+    if (!arrivals.empty() && arrivals.back() > observation_started_at) {
+      recorder_->note_violation("DRAIN", replica_->id() + " got " +
+                                             std::to_string(arrivals.size()) +
+                                             " requests 2 s after its drain announcement");
+    }
+  }
+  replica_->crash();
+  fleet_->store.set_mode(store_mode::normal);
+  replica_->set_drain_announced(false);
+  replica_->restart();
+  fleet_->publish(*replica_);
+  fleet_->last_fault_at = soak_clock::now();
+}
+
+void self_report_check::check_requested_backoff() {
+  const milliseconds backoff(1'000 + static_cast<int>(random_->below(2'000)));
+  replica_->take_arrivals();
+  replica_->set_backoff(backoff);
+  if (wait_for_request(*replica_)) {
+    const auto started_at = replica_->last_arrival_at();
+    std::this_thread::sleep_until(started_at + backoff);
+    const auto arrivals_during_backoff = arrived_between(
+        replica_->take_arrivals(), started_at + in_flight_time, started_at + backoff);
+    recorder_->count("observed a replica that requested a backoff");
+    if (arrivals_during_backoff > max_requests_per_node * fleet_->nodes.size()) {
+      recorder_->note_violation("BUDGET", replica_->id() + " got " +
+                                              std::to_string(arrivals_during_backoff) +
+                                              " requests in a requested backoff of " +
+                                              std::to_string(backoff.count()) + " ms");
+    }
+  }
+  replica_->set_backoff(milliseconds(0));
+  std::this_thread::sleep_for(backoff);
+}
+
+} // namespace spurrack::platform_tests
