--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -259,10 +259,10 @@
 
 void stage_exchange::note_incarnation(peer_state& peer, const wire::stage_work& message,
                                       base::time_point now) {
-  const bool has_restarted = peer.incarnation != 0 && peer.incarnation != message.incarnation();
-  const bool has_begun_stop = message.is_stopping() && !peer.is_stopping;
-  peer.incarnation = message.incarnation();
-  peer.is_stopping = message.is_stopping();
+  const bool has_restarted = peer.incarnation != 0 && peer.incarnation != message.life();
+  const bool has_begun_stop = message.leaving() && !peer.is_stopping;
+  peer.incarnation = message.life();
+  peer.is_stopping = message.leaving();
   if (has_restarted || has_begun_stop) {
     note_peers_changed();
     refresh(now);
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -132,7 +132,7 @@
     /// Number of its replicas that can be called now; a replica with an announced limit counts as
     /// the fraction of full calls that it accepts. If no replica can be called now, the number of
     /// those that can be called after their backoffs.
-    double replicas = 0;
+    double callable_replicas = 0;
     /// Time at which the first of these backoffs ends; a time in the past if a replica can be
     /// called now.
     base::time_point callable_at;
--- a/tests/stage_work/exchange_fleet.h
+++ b/tests/stage_work/exchange_fleet.h
@@ -45,7 +45,7 @@
   stage_exchange subject;
   std::vector<start_stage_call> calls;
   std::vector<free_results> freed;
-  std::vector<piece_finished> finished;
+  std::vector<finished_piece> finished;
 };
 
 struct exchange_fleet {
