--- a/src/stage_work/shard_map.cc
+++ b/src/stage_work/shard_map.cc
@@ -8,12 +8,13 @@
 namespace spurrack::serving {
 namespace {
 
-/// Target number of replicas per shard; larger sets are divided over several shards.
+/// Target number of replicas per shard; a larger number is divided over several shards.
 constexpr std::size_t target_replicas_per_shard = 16;
-/// Number of replicas from which a zone has shards of its own, if the service has more than one
+/// Minimum number of replicas of a zone that has shards of its own if its region has more than one
 /// shard: with fewer replicas, calls would be sent half empty or wait for the only free replica.
 constexpr std::size_t min_replicas_per_zone_shard = 4;
-/// A node whose processor share is less than this fraction of the largest one does not batch.
+/// Minimum processor share of a batcher, as a fraction of the largest processor share of the nodes
+/// of its zone or region.
 constexpr double min_relative_processor_share = 0.5;
 
 } // namespace
--- a/src/stage_work/shard_map.h
+++ b/src/stage_work/shard_map.h
@@ -28,14 +28,16 @@
   base::node_id batcher;
 };
 
-/// Holds the shards of all services. A small number of replicas is one shard of its region; a large
-/// number is divided by zone, and only the shards of this node's own zone are kept: batchers of
-/// other zones report themselves.
+/// Holds the shards of all services. If a service has few replicas in a region, they form one
+/// shard. If it has many, each zone with nodes and enough replicas has its own shards, and the
+/// replicas of the other zones share the shards of the region. Of the shards of zones, this node
+/// keeps only those of its own zone: the batchers of other zones announce themselves in their load
+/// reports.
 ///
-/// The nodes that may batch are recomputed after a node is added, removed or changed; the shards
-/// are recomputed by each `assign`, which callers use after such a change or a change of replicas
-/// that run pieces. `assign` evaluates each replica that runs pieces once and copies the
-/// identifiers of the replicas in its shards. Not thread-safe.
+/// The candidates for batchers are recomputed after a node is added, removed or changed. The shards
+/// are recomputed by each `assign`, which callers use after a change of nodes or of replicas that
+/// run pieces. `assign` evaluates each replica that runs pieces once and copies the identifiers of
+/// the replicas in the shards that it keeps. Not thread-safe.
 class shard_map {
  public:
   /// @param replicas, peers must outlive this object.
@@ -45,31 +47,32 @@
   /// Must be called after other nodes were added or removed, or their eligibility for work changed.
   void note_peers_changed() { candidates_.reset(); }
   /// Divides the replicas of all services with pieces into shards and selects the batcher of each.
-  /// @param is_stopping whether this node batches only if no other node can.
+  /// @param is_stopping whether this node is in a graceful stop: it is then a batcher only if no
+  ///        other node can be.
   void assign(const model::serving_configuration& configuration, bool is_stopping);
 
   [[nodiscard]] const std::vector<shard>& shards() const { return shards_; }
   [[nodiscard]] bool has_shards_of(const std::string& service) const;
   /// @return batchers of all shards.
   [[nodiscard]] std::set<base::node_id> batchers() const;
-  /// @return replicas for which this node is the batcher.
+  /// @return replicas of the shards of which this node is the batcher.
   [[nodiscard]] const std::set<base::replica_id>& own_replicas() const { return own_replicas_; }
-  /// @return services of the replicas for which this node is the batcher, with the regions of these
-  ///         replicas.
+  /// @return services of `own_replicas`, with the regions of these replicas.
   [[nodiscard]] const std::map<std::string, std::set<model::effective_region>>&
   own_services() const {
     return own_services_;
   }
   /// @return whether this node is the batcher of a shard that is not limited to one zone.
   [[nodiscard]] bool batches_for_other_zones() const;
-  /// @return number of replicas evaluated and nodes considered since construction.
+  /// @return number of evaluations of replicas and nodes since construction.
   [[nodiscard]] std::uint64_t evaluations() const { return evaluations_; }
 
  private:
   using state_list = std::vector<const replica_state*>;
   /// Replicas of one service in one region, by zone.
   using zone_replicas = std::map<base::zone_id, state_list>;
-  /// Nodes that may be batchers.
+  /// Nodes that may be batchers of the shards of a zone, of a region, and of a region without
+  /// nodes.
   struct candidate_nodes {
     std::map<base::zone_id, std::vector<base::node_id>> by_zone;
     std::map<model::effective_region, std::vector<base::node_id>> by_region;
@@ -87,6 +90,7 @@
   /// @param common service, region and zone of the shards.
   void add_shards(const shard& common, const state_list& replicas,
                   const std::vector<base::node_id>& candidates);
+  /// Computes `own_replicas_` and `own_services_` from the shards.
   void note_own_shards();
 
   fleet_peer self_;
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -8,25 +8,29 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time after which a piece that was not acknowledged is placed elsewhere.
+/// Time after which a piece that was not acknowledged is sent to another node.
 constexpr base::duration acceptance_timeout = std::chrono::milliseconds(250);
-/// Time since the last confirmation after which a holder is asked whether it still has a piece.
+/// Time since the last confirmation after which the holder of a piece is queried whether it still
+/// holds the piece.
 constexpr base::duration confirmation_interval = std::chrono::milliseconds(700);
-/// Time since the last confirmation after which a piece is assumed to be lost and is moved.
+/// Time since the last confirmation after which the holder is assumed to have lost the piece, and
+/// the piece is moved.
 constexpr base::duration confirmation_timeout = std::chrono::milliseconds(1500);
-/// Time for which outcomes of pieces of other nodes are kept.
+/// Time for which the outcomes of pieces of other nodes are kept to answer queries.
 constexpr base::duration reported_result_lifetime = std::chrono::seconds(3);
-/// Interval between checks of the pieces at other nodes: a tenth of the shortest limit above.
+/// Interval between checks of the pieces that other nodes hold: a tenth of `acceptance_timeout`,
+/// the shortest of the times above.
 constexpr base::duration placement_check_interval = std::chrono::milliseconds(25);
-/// Number of times that a piece is placed at other nodes again before this node's pool takes it.
+/// Maximum number of times that a piece is sent to a batcher again; after that, it is submitted to
+/// this node's pool.
 constexpr std::uint32_t max_moves = 3;
 
 std::int64_t milliseconds_until(base::time_point when, base::time_point now) {
   return base::to_milliseconds(when - now);
 }
 
-/// @return permitted regions of a piece. An empty list in the message means everywhere, since a
-///         piece that no region permits is never sent.
+/// @return residency of a piece that another node forwarded. An empty list of regions means no
+///         restriction, since a piece for which no region is permitted is never sent.
 model::residency residency_of(const wire::piece_request& request) {
   std::set<base::region_id> regions;
   for (const auto& region : request.permitted_regions()) {
@@ -56,8 +60,8 @@
   if (shards_.own_replicas().contains(replica.record->id)) {
     return true;
   }
-  // A node without own replicas that the pieces may use calls other replicas: otherwise the pieces
-  // would wait here forever.
+  // If this node is the batcher of no replica that the pieces may use, it calls other replicas:
+  // otherwise the pieces would wait here forever.
   const auto own = shards_.own_services().find(replica.record->service);
   return own == shards_.own_services().end() ||
          std::none_of(own->second.begin(), own->second.end(), [&](const auto& effective_region) {
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -4,11 +4,17 @@
 /// small number of replicas is one shard of its region; a large number is divided by zone, so that
 /// a partitioned zone continues to serve.
 ///
-/// A node sends its pieces to the batcher with the lowest expected wait, its distance included. An
-/// unresponsive batcher is replaced by the next node in rendezvous order; two batchers of one shard
-/// at the same time do no harm. Batchers of other zones are known from the load that they report. A
-/// node that holds pieces without being their batcher, since views of the fleet differ or have
-/// changed, still calls replicas for them.
+/// A node sends its pieces to the batcher with the lowest expected wait, the cost of the distance
+/// included. An unresponsive batcher is replaced by the next node in rendezvous order; two batchers
+/// of one shard at the same time do no harm. Batchers of other zones are known from the load that
+/// they report. Because the nodes' views of the fleet differ or change, a node may hold pieces
+/// without being their batcher; it still calls replicas for them.
+///
+/// Terms: the origin of a piece is the node that serves the request of the piece. Its exchange
+/// returns a ticket, which identifies the piece at the origin. The holder of a piece is the node in
+/// whose pool the piece waits and from which it is called: the origin itself, or the node to which
+/// the origin forwarded the piece. The pool of the holder identifies the piece by a second ticket,
+/// the pool ticket.
 #pragma once
 
 #include "base/ids.h"
@@ -40,7 +46,7 @@
   past_due, ///< After all other pieces.
 };
 
-/// Demand of a request for work of a service. Refers to objects of the request.
+/// A request's need for pieces of a service. Refers to objects of the request.
 struct service_demand {
   const std::string& service;
   /// Zone to which the results are delivered.
@@ -48,13 +54,15 @@
   const model::residency& permitted_regions;
 };
 
-/// Places the pieces of this node, and batches the pieces of all nodes for the shards of this node.
-/// Not thread-safe. Commands, messages and results accumulate until the caller takes them.
+/// Sends the pieces of this node's requests to batchers, and forms the calls for the shards of
+/// which this node is the batcher. Not thread-safe. Commands, messages and results accumulate until
+/// the caller takes them with the `take_` functions.
 class stage_exchange {
  public:
   /// @param replicas must outlive this object.
-  /// @param next_call returns the number of the next call; shared with the other calls of the node.
-  /// @param first_ticket must be higher than every ticket of earlier incarnations of this node.
+  /// @param next_call returns the identifier of the next call, unique among all calls of the node.
+  /// @param first_ticket must be higher than every ticket of earlier incarnations of this node;
+  ///        also identifies this incarnation in messages.
   stage_exchange(fleet_peer self, replica_table& replicas, const serving_settings& settings,
                  std::function<base::call_id()> next_call, piece_ticket first_ticket,
                  decision_recorder record);
@@ -62,7 +70,8 @@
   void set_configuration(std::shared_ptr<const model::serving_configuration> configuration);
   /// Replaces the list of the other nodes that membership considers alive.
   void set_peers(std::vector<fleet_peer> peers);
-  /// Begins a graceful stop: returns the waiting pieces of other nodes, which place them elsewhere.
+  /// Begins a graceful stop: returns the waiting pieces of other nodes to their origins, which
+  /// place them at other nodes.
   void begin_stop(base::time_point now);
   /// @return number of pieces of a service that wait for a call in this node's pool.
   [[nodiscard]] std::size_t waiting(const std::string& service) const {
@@ -73,13 +82,13 @@
   /// Must be called after a replica announced that it drains: the other replicas are divided into
   /// shards again, so that no pieces wait for the draining replica.
   void on_drain_announced() { are_shards_stale_ = true; }
-  /// Cancels the calls to the earlier incarnation of a replica that restarted and forgets its
-  /// results.
+  /// Cancels the calls to the earlier incarnation of a replica that restarted, queues their pieces
+  /// again and forgets the results of that incarnation.
   void on_replica_restarted(const base::replica_id& replica, base::time_point now);
   /// Extends the timeouts of the calls under way by `gap`, the duration for which this process was
   /// suspended.
   void resume_after_suspension(base::duration gap) { pool_.resume_after_suspension(gap); }
-  /// @return whether calls for pieces are under way.
+  /// @return whether calls of this node's pool are under way.
   [[nodiscard]] bool has_calls_under_way() const { return pool_.has_calls_under_way(); }
 
   /// Submits the pieces of one stage of one request, all to the same batcher.
@@ -87,12 +96,13 @@
   /// @return the ticket of each piece, in the order of `pieces`.
   std::vector<piece_ticket> submit(std::vector<piece_work> pieces, const base::zone_id& zone,
                                    base::time_point now);
-  /// Cancels a piece whose result is not needed any longer.
+  /// Cancels a piece of this node whose result is no longer needed.
   void cancel(piece_ticket ticket);
-  /// Frees results that are not needed any longer.
+  /// Frees results that are no longer needed.
   void release(const std::vector<std::string>& handles);
 
-  /// Applies the end of a call. @return whether it was a call of this node's pool.
+  /// Applies the answer of a call, or queues its pieces again if it has none.
+  /// @return whether the call was under way in this node's pool.
   bool on_call_ended(const stage_call_ended& ended, base::time_point now);
   /// Applies a message of another node; ignores unknown senders.
   void handle(const base::node_id& sender, const wire::stage_work& message, base::time_point now);
@@ -107,15 +117,17 @@
   /// Starts calls for waiting pieces, checks the pieces that other nodes hold, and reports this
   /// node's load.
   void dispatch_waiting(base::time_point now);
-  /// @return latest time for the next `dispatch_waiting` on behalf of the pool; std::nullopt if the
-  ///         pool needs none.
+  /// @return latest time at which this node's pool needs the next `dispatch_waiting`; std::nullopt
+  ///         if the pool waits for nothing. Checks of pieces at other nodes and load reports are
+  ///         not taken into account.
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   [[nodiscard]] std::vector<finished_piece> take_finished() { return std::exchange(finished_, {}); }
-  /// @return pieces of this node whose inputs were fetched by their replica since the last call.
+  /// @return pieces of this node whose inputs were fetched by their replica since the previous
+  ///         `take_fetched`.
   [[nodiscard]] std::vector<piece_ticket> take_fetched() { return std::exchange(fetched_, {}); }
-  /// @return pieces of this node, at any batcher, whose calls ended without an answer since the
-  ///         last call.
+  /// @return pieces of this node, at any holder, whose calls ended without an answer since the
+  ///         previous `take_lost`.
   [[nodiscard]] std::vector<lost_piece> take_lost() { return std::exchange(lost_, {}); }
   [[nodiscard]] command_list take_commands() { return pool_.take_commands(); }
   [[nodiscard]] wire::outbox take_messages();
@@ -123,42 +135,45 @@
   [[nodiscard]] const shard_map& shards() const { return shards_; }
 
  private:
-  /// A node that batches the pieces for some replicas of a service.
+  /// Batcher of the shards of a service in one region or zone.
   struct batcher {
     base::node_id node;
     model::effective_region region;
-    /// Set if all these replicas are in one zone.
+    /// Set if all replicas of these shards are in one zone.
     std::optional<base::zone_id> zone;
-    /// Number of its replicas that can be called now; a replica with an announced limit counts as
-    /// the fraction of full calls that it accepts. If no replica can be called now, the number of
-    /// those that can be called after their backoffs.
+    /// Number of replicas of these shards that can be called now; a replica with an announced limit
+    /// counts as the fraction of full calls that it accepts. If no replica can be called now, the
+    /// number of replicas that can be called after their backoffs.
     double callable_replicas = 0;
     /// Time at which the first of these backoffs ends; a time in the past if a replica can be
     /// called now.
     base::time_point callable_at;
   };
-  /// Location of a piece of this node.
+  /// A piece of this node and its holder.
   struct placement {
     piece_work work;
-    /// Node that holds the piece; empty if this node's own pool holds it.
+    /// Empty if this node itself is the holder.
     base::node_id holder;
+    /// Valid only if this node itself is the holder.
     piece_ticket pool_ticket = 0;
+    /// Time at which the piece was sent to the holder.
     base::time_point sent_at;
     /// Time at which the holder last confirmed that it has the piece; std::nullopt before the first
     /// confirmation.
     std::optional<base::time_point> confirmed_at;
     /// Time at which the holder was last asked whether it still has the piece.
     base::time_point queried_at;
-    /// Number of times that the piece was placed again.
+    /// Number of times that the piece was sent to a holder again.
     std::uint32_t moves = 0;
   };
-  /// A piece that another node forwarded to this node, which batches it.
+  /// A piece of another node, the origin, that this node holds.
   struct forwarded_piece {
     base::node_id origin;
+    /// Ticket of the piece at the origin.
     piece_ticket origin_ticket = 0;
   };
-  /// Outcome of a piece that this node batched for another node; kept for
-  /// `reported_result_lifetime` because the message that reported it may have been lost.
+  /// Outcome of a piece that this node held for another node; kept for `reported_result_lifetime`
+  /// because the message that reported the outcome may have been lost.
   struct reported_result {
     base::time_point reported_at;
     forwarded_piece forwarded;
@@ -172,14 +187,14 @@
   void assign_shards(base::time_point now);
   /// Sends an empty message to each new batcher, so that the transport connects to it.
   void connect_to_batchers(const std::vector<base::node_id>& batchers);
-  /// Number of replicas of a shard that can be called. A replica counts 1, or, if it announces a
-  /// limit, the fraction of full calls that it accepts.
+  /// Number of replicas of a shard that can be called. A replica counts as 1, or, if it announces a
+  /// limit, as the fraction of full calls that it accepts.
   struct callable_count {
-    /// Replicas that can be called now.
+    /// Number of replicas that can be called now.
     double now = 0;
-    /// Replicas that can be called after the backoff that they requested from this node, and the
-    /// time at which the first backoff ends.
+    /// Number of replicas that can be called after the backoff that they requested from this node.
     double backing_off = 0;
+    /// Time at which the first of these backoffs ends.
     base::time_point callable_at = base::time_point::max();
   };
   [[nodiscard]] callable_count count_callable_of(const shard& entry, base::time_point now) const;
@@ -188,23 +203,29 @@
                                                               base::time_point now) const;
   /// Counts the callable replicas of each shard and batcher.
   void count_callable(base::time_point now) const;
-  /// Sets in a load report the number of callable replicas of the service that this node batches
-  /// for.
+  /// Sets, in the load report of a service, the number of callable replicas for which this node is
+  /// the batcher, and whether these replicas are in one zone.
   void describe_own_shards(wire::stage_load& load, base::time_point now) const;
-  /// @return batchers of a service that this node has assigned, and batchers of other zones that
-  ///         report to it; only reachable batchers whose replicas are in permitted regions.
+  /// @return the batchers of a service: those of the shards that this node assigned, and batchers
+  ///         of other zones that report to this node. Only batchers that can be reached and whose
+  ///         replicas are in permitted regions.
   [[nodiscard]] std::vector<batcher> batchers_of(const std::string& service,
                                                  const model::residency& permitted_regions,
                                                  base::time_point now) const;
+  /// @param zone preferred zone of the pieces.
+  /// @param result_bytes total size of the results that are transferred to that zone.
   /// @return cost of the distance to a batcher's replicas, in seconds of waiting.
   [[nodiscard]] double distance_seconds(const batcher& candidate, const base::zone_id& zone,
                                         double result_bytes) const;
   /// @param result_bytes total size of the results of all pieces that are placed together.
-  /// @return std::nullopt if no node batches for replicas that the piece may use.
+  /// @return the batcher with the lowest expected wait for a piece, the cost of the distance
+  ///         included; std::nullopt if no batcher has replicas that the piece may use.
   [[nodiscard]] std::optional<base::node_id>
   choose_batcher(const piece_work& work, double result_bytes, base::time_point now) const;
-  /// Work of a service at a batcher, as the batcher last reported it.
+  /// Work of a service at a batcher: its last report, and the pieces that this node sent to it
+  /// since.
   struct batcher_load {
+    /// Waiting pieces that are not past due.
     double waiting = 0;
     double waiting_past_due = 0;
     double calls_under_way = 0;
@@ -215,54 +236,62 @@
                                      base::time_point now) const;
   [[nodiscard]] double expected_wait_seconds(const batcher& candidate, const std::string& service,
                                              piece_order order, base::time_point now) const;
-  /// Sends a piece to a batcher, or submits it to the own pool if `chosen` is this node or
+  /// Sends a piece to a batcher, or submits it to this node's pool if `chosen` is this node or
   /// std::nullopt.
   void place(piece_ticket ticket, placement& placed, const std::optional<base::node_id>& chosen,
              base::time_point now);
-  /// Moves pieces whose holder is unresponsive or did not acknowledge them, and queries holders
-  /// that have not confirmed their pieces within `confirmation_interval`.
+  /// Moves pieces whose holder is unresponsive or did not acknowledge them, and queries the holders
+  /// of pieces that were not confirmed within `confirmation_interval`.
   void check_placements(base::time_point now);
   /// Queries the holder of an accepted piece, or moves the piece if the holder has not confirmed it
   /// within `confirmation_timeout`.
   void query_or_move(piece_ticket ticket, placement& placed, base::time_point now);
-  /// Passes on fetched inputs, lost pieces and results of the own pool: to the caller for pieces of
-  /// this node, otherwise to the node that forwarded the piece.
+  /// Passes on fetched inputs, lost pieces and results of this node's pool: to the caller for
+  /// pieces of this node, by message to the origin for other pieces.
   void collect_pool_results(base::time_point now);
+  /// Passes on the pieces whose inputs were fetched, to the caller or to the origins.
   void collect_fetched_pieces();
-  /// Reports pieces that were lost with their calls to the nodes that own the requests.
+  /// Passes on the pieces whose calls were lost, to the caller or to the origins.
   void collect_lost_pieces();
-  /// Returns waiting pieces of other nodes to these nodes as not run.
+  /// Returns the waiting pieces of other nodes to their origins as not run. Ignores pieces of this
+  /// node.
+  /// @param waiting pool tickets of waiting pieces.
   void return_forwarded(const std::vector<piece_ticket>& waiting, base::time_point now);
-  /// Moves the waiting pieces of a service to the nodes that are its batchers now. They would not
-  /// progress here: results whose release is no longer reported to this node appear to take up all
-  /// memory of the replicas.
+  /// Returns or moves the waiting pieces of a service to other nodes after this node stopped being
+  /// a batcher of the service. At this node, the pieces might wait for long: results whose release
+  /// is no longer reported to this node still count as used memory of the replicas.
   void move_waiting_pieces(const std::string& service, base::time_point now);
-  /// Reports to the owner of a forwarded piece that the piece is still here, or otherwise its
-  /// outcome; a piece of unknown outcome is reported as not run.
+  /// Reports to the origin of a piece that this node still holds the piece, or otherwise the
+  /// outcome of the piece; a piece of unknown outcome is reported as not run.
+  /// @param sender origin of the piece, which sent the query.
+  /// @param ticket ticket of the piece at the origin.
   void send_piece_state(const base::node_id& sender, piece_ticket ticket);
-  /// @return whether this node may call a replica with pieces that are restricted to these regions.
+  /// @return whether this node may call a replica with pieces of this residency.
   [[nodiscard]] bool may_call(const replica_state& replica,
                               const model::residency& permitted_regions) const;
   /// @return nodes to which this node reports its load as a batcher.
   [[nodiscard]] report_audience audience() const;
-  /// Records the incarnation of a peer and whether the peer is stopping. Places the pieces that a
-  /// restarted peer held again.
+  /// Records the incarnation of a peer and whether the peer is stopping. If the peer restarted,
+  /// moves the pieces that it held.
   void note_incarnation(peer_state& peer, const wire::stage_work& message, base::time_point now);
-  /// Submits a piece of another node to the own pool and acknowledges it.
+  /// Submits a piece of another node to this node's pool and acknowledges it to the origin.
   void accept_piece(const base::node_id& sender, const wire::piece_request& request,
                     base::time_point now);
-  /// Applies the outcome of a piece that another node holds; a piece that was not run is moved.
+  /// Applies the outcome of a piece that another node held. Moves the piece if it was not run.
   void apply_result(const base::node_id& sender, const wire::piece_result& result,
                     base::time_point now);
-  /// Places a piece of this node again: at a batcher, or in the own pool after `max_moves` moves.
+  /// Sends a piece of this node to a batcher again, or, after `max_moves` moves, submits it to this
+  /// node's pool. Cancels the piece at the previous holder unless it stays the holder.
   void move(piece_ticket ticket, placement& placed, base::time_point now);
   /// Cancels a piece that another node forwarded to this node.
+  /// @param ticket ticket of the piece at the origin.
   void cancel_forwarded(const base::node_id& sender, piece_ticket ticket);
-  /// Reports the outcome of a forwarded piece and keeps it for later queries.
+  /// Reports the outcome of a piece to its origin and keeps the outcome for later queries.
   void finish_forwarded(const forwarded_piece& forwarded, const piece_outcome& outcome,
                         base::time_point now);
   void send_result(const forwarded_piece& forwarded, const piece_outcome& outcome);
-  /// Reports the load of the own pool to the audience, at most once per `load_report_interval`.
+  /// Sends the load of this node's pool to the nodes of `audience`, at most once per
+  /// `load_report_interval`.
   void send_loads(base::time_point now);
   /// @return the message to a node that is sent by the next `take_messages`.
   wire::stage_work& message_to(const base::node_id& node);
@@ -278,22 +307,28 @@
   bool are_shards_stale_ = true;
   /// Whether replicas have changed since the shards were computed.
   bool has_replica_changes_ = false;
-  /// Batchers of the shards by service, with callable replicas; computed on demand.
+  /// Batchers of the shards, with the number of their callable replicas, by service; computed on
+  /// demand.
   mutable std::unordered_map<std::string, std::vector<batcher>> batchers_;
   mutable bool are_counts_stale_ = true;
-  /// Node that accounts for the memory of a result, by handle; only if it is another node.
+  /// Node that accounts for the memory of a result, by handle. Results that this node itself
+  /// accounts for have no entry.
   std::unordered_map<std::string, base::node_id> result_accounting_nodes_;
+  /// Identifier of this incarnation of the node, sent with each message.
   std::uint64_t incarnation_;
   bool is_stopping_ = false;
   piece_ticket next_ticket_;
   /// Unfinished pieces of this node, by ticket.
   std::map<piece_ticket, placement> placements_;
-  /// Tickets of the pieces of this node that the own pool holds, by pool ticket.
+  /// Tickets of the pieces of this node that this node itself holds, by pool ticket.
   std::unordered_map<piece_ticket, piece_ticket> own_ticket_by_pool_ticket_;
+  /// Pieces that other nodes forwarded to this node, by pool ticket.
   std::unordered_map<piece_ticket, forwarded_piece> forwarded_by_pool_ticket_;
-  /// Pool tickets of forwarded pieces, by owner and the owner's ticket.
+  /// Pool tickets of the pieces that other nodes forwarded to this node, by origin and the ticket
+  /// of the piece at the origin.
   std::map<std::pair<base::node_id, piece_ticket>, piece_ticket> forwarded_pool_tickets_;
   std::deque<reported_result> reported_results_;
+  /// Messages that are sent by the next `take_messages`, by receiver.
   std::map<base::node_id, wire::stage_work> messages_;
   std::vector<finished_piece> finished_;
   std::vector<piece_ticket> fetched_;
--- a/src/stage_work/stage_exchange_batchers.cc
+++ b/src/stage_work/stage_exchange_batchers.cc
@@ -1,4 +1,5 @@
-/// Selection of batchers, and the time that a piece is expected to wait at each.
+/// Selection of a batcher for pieces, and the time that a piece is expected to wait at each
+/// batcher.
 #include "stage_work/stage_exchange.h"
 
 #include "base/hashing.h"
@@ -56,7 +57,8 @@
 
 void stage_exchange::connect_to_batchers(const std::vector<base::node_id>& batchers) {
   for (const auto& node : batchers) {
-    // The transport connects on the first message to a node and may lose it; this message is empty.
+    // The transport connects on the first message to a node and may lose that message; therefore
+    // the first message is empty.
     message_to(node);
   }
 }
@@ -147,8 +149,8 @@
     const bool is_batcher = load != peer.loads.end() && load->second.replicas() > 0 &&
                             load->second.of_zone() && peer_directory::has_fresh_loads(peer, now);
     const auto& zone = peer.peer.zone;
-    // In the own zone only this node's assignment counts: otherwise two batchers would share the
-    // replicas.
+    // In this node's zone only the assignment of this node counts: otherwise two batchers would
+    // share the replicas.
     if (is_batcher && zone != self_.zone && !is_assigned(node) &&
         peer_directory::is_eligible(peer) && replicas_->is_reachable(zone) &&
         !replicas_->is_evacuated(zone)) {
@@ -195,7 +197,7 @@
   const double pieces_ahead =
       order == piece_order::in_time ? load.waiting : load.waiting + load.waiting_past_due;
   const double calls_ahead = pieces_ahead / capacity.batch + load.calls_under_way / 2;
-  // If the number of callable replicas is unknown, at least the capacity of one is assumed.
+  // If the number of callable replicas is not known, the capacity of one replica is assumed.
   const double replicas = candidate.callable_replicas > 0 ? candidate.callable_replicas : 1;
   const double wait_by_capacity = calls_ahead * full_call_time / replicas;
   // Memory for results may limit a service to far less than the capacity of its calls.
--- a/src/stage_work/stage_graph.h
+++ b/src/stage_work/stage_graph.h
@@ -11,7 +11,8 @@
 
 namespace spurrack::serving {
 
-/// One piece of one stage.
+/// Position of a piece in a request: index of its stage in the route, and of the piece in the
+/// stage.
 struct piece_position {
   std::uint32_t stage = 0;
   std::uint32_t piece = 0;
@@ -29,42 +30,46 @@
   std::vector<piece_position> take_ready();
   /// Records that the replica that runs a piece has fetched the inputs of the piece.
   void note_inputs_fetched(piece_position position);
-  /// Records the result of a piece.
+  /// Records the handle of the result of a piece; see `producer_of` for its format.
   void complete(piece_position position, std::string handle);
   /// Marks the results at a replica as lost because the replica restarted.
   /// @param producer address of the replica.
-  /// @return whether the graph had any unfreed result of that replica.
+  /// @return whether the graph has any result of that replica that is not freed.
   bool note_lost_results_of(const base::network_address& producer);
   /// Schedules the recomputation of a piece that found an input missing, of each of its inputs that
-  /// is lost, and of the freed results that these inputs depend on.
-  /// @param is_result_lost whether a result is known to be lost; if no input of the piece is, all
-  ///        of its inputs are assumed to be lost.
+  /// is lost, and of the freed results that these inputs depend on. If inputs are being recomputed
+  /// already, schedules only the piece itself.
+  /// @param is_result_lost whether a result is known to be lost. All inputs of the piece are
+  ///        assumed to be lost if none is known to be, or if results were recomputed before.
   /// @return handles of results that are no longer needed.
   std::vector<std::string>
   recompute_inputs_of(piece_position position,
                       const std::function<bool(const std::string&)>& is_result_lost);
-  /// Schedules the recomputation of the lost results among those that the request itself reads, and
-  /// of the freed results that they depend on; see `recompute_inputs_of`.
+  /// Schedules the recomputation of each final input (see `final_inputs`) that is lost, and of the
+  /// freed results that these final inputs depend on. Parameter and return value are those of
+  /// `recompute_inputs_of`.
   std::vector<std::string>
   recompute_final_inputs(const std::function<bool(const std::string&)>& is_result_lost);
   /// @return whether a piece is submitted and not finished.
   [[nodiscard]] bool is_under_way(piece_position position) const;
 
-  /// @return results that the pieces of `stage` read, ordered by stage and piece.
+  /// @return handles of the results that the pieces of `stage` read, ordered by stage and piece.
   [[nodiscard]] std::vector<std::string> inputs_of(std::uint32_t stage) const;
-  /// @return results of the last stages, ordered by stage and piece.
+  /// @return handles of the results that the request itself reads, ordered by stage and piece: the
+  ///         results of the stages that no other stage depends on.
   [[nodiscard]] std::vector<std::string> final_inputs() const;
-  /// @return results of one stage, ordered by piece.
+  /// @return handles of the results of one stage, ordered by piece.
   [[nodiscard]] std::vector<std::string> results_of(std::uint32_t stage) const;
   /// @return whether no other stage depends on `stage`.
   [[nodiscard]] bool is_last(std::uint32_t stage) const;
   /// @return whether all stages are finished.
   [[nodiscard]] bool is_done() const;
-  /// @return whether a result that the request itself reads was freed, or was lost when its
-  ///         producer restarted.
+  /// @return whether a result that the request itself reads was freed, or was lost when the replica
+  ///         that produced it restarted.
   [[nodiscard]] bool has_missing_final_inputs() const;
-  /// @return handles of results that all their consumers have fetched, or of all results if `all`
-  ///         is set; marks them as freed, so that each is returned once.
+  /// @return handles of the results that all pieces that read them have fetched, or of all results
+  ///         if `all` is set. Marks the results as freed, so that each handle is returned once. The
+  ///         results that the request itself reads are returned only if `all` is set.
   std::vector<std::string> take_unneeded_results(bool all);
   /// @param stage_time expected duration of a stage that is not finished.
   /// @return time until all stages are finished, along the critical path.
@@ -84,7 +89,7 @@
     bool is_submitted = false;
     bool has_fetched_inputs = false;
     bool is_freed = false;
-    /// The result was lost when its producer restarted.
+    /// The result was lost when the replica that produced it restarted.
     bool is_lost = false;
     std::string handle;
   };
@@ -95,11 +100,13 @@
   /// @return whether all pieces that read the results of a stage have fetched them.
   [[nodiscard]] bool consumers_have_fetched(std::uint32_t stage) const;
   [[nodiscard]] bool depends_on(std::uint32_t stage, std::uint32_t dependency) const;
-  /// Forgets the lost results of `stages`, or all their results if none is known to be lost.
+  /// Schedules the recomputation of the lost results of `stages`, or of all their results if none
+  /// is known to be lost or results were recomputed before.
   /// @return handles of results that are no longer needed.
   std::vector<std::string> recompute(const std::vector<std::uint32_t>& stages,
                                      const std::function<bool(const std::string&)>& is_result_lost);
-  /// Resets a piece so that its result is recomputed, and the freed results that it depends on.
+  /// Resets a piece, the unfinished pieces that read its result, and the pieces whose freed results
+  /// it reads, so that `take_ready` returns all of them again.
   /// @param obsolete receives the handles of results that are no longer needed.
   void forget_result(std::uint32_t stage, piece_state& piece, std::vector<std::string>& obsolete);
   void append_results(std::uint32_t stage, std::vector<std::string>& results) const;
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -9,12 +9,15 @@
 namespace spurrack::serving {
 namespace {
 
-/// Number of calls with one piece after which the piece finishes with a fault.
+/// Maximum number of attempts at a piece: after this number of failed or lost calls, the piece
+/// finishes with its last fault.
 constexpr std::uint32_t max_calls_per_piece = 4;
-/// A call is cancelled after this many times its expected duration, plus the margin below.
+/// Factor by which the timeout of a call exceeds its expected duration; `call_timeout_margin` is
+/// added.
 constexpr double call_timeout_factor = 4.0;
 /// Interval between checks of the replicas while pieces wait.
 constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
+/// Fixed part of the timeout of a call.
 constexpr base::duration call_timeout_margin = std::chrono::milliseconds(400);
 
 } // namespace
@@ -467,8 +470,8 @@
   cancel_timed_out_calls(now);
   note_fetched_inputs(now);
   drop_expired(now);
-  // A free counts against a replica's limit as a call does: it is sent before the calls only to
-  // replicas that are short of memory.
+  // A request to free results counts against the limit of a replica like a call. Such requests are
+  // sent before the calls only to replicas that are short of memory, and after the calls to others.
   free_deferred_results(true, now);
   for (auto& [name, queue] : queues_) {
     dispatch_service(name, queue, now);
--- a/src/stage_work/stage_pool.h
+++ b/src/stage_work/stage_pool.h
@@ -1,5 +1,11 @@
 /// Queues pieces of stages and sends them to replicas in batches. The next call to a replica is
 /// formed when the replica is free, from the pieces that are due first at that time.
+///
+/// Terms: a piece is a part of one stage of one request; one replica computes it. A call sends a
+/// batch of pieces to a replica. A call is lost if it ends without an answer: the replica may have
+/// exited while it ran the call. The result of a piece stays in the memory of its producer (the
+/// replica that computed it) until it is freed or expires. The residency of a piece is the set of
+/// regions in which it may be computed (`model::residency`).
 #pragma once
 
 #include "base/due_times.h"
@@ -26,7 +32,8 @@
 
 namespace spurrack::serving {
 
-/// Identifier of a piece within one pool.
+/// Identifier of a piece. Each `stage_pool` and each `stage_exchange` numbers its pieces itself:
+/// the ticket of a piece in a pool differs from the ticket that an exchange returned for it.
 using piece_ticket = std::uint64_t;
 
 /// A piece to be computed.
@@ -35,11 +42,12 @@
   std::string service;
   std::uint32_t stage = 0;
   std::uint32_t piece = 0;
-  /// Set for stages that do not depend on results of other stages.
+  /// Key that the client sent for the pieces of stages that do not depend on other stages; empty
+  /// for pieces of other stages.
   std::string piece_key;
   /// Handles of the results that the piece reads.
   std::vector<std::string> inputs;
-  /// Regions in which the piece may be computed, and so in which its result may be stored.
+  /// Residency: regions in which the piece may be computed, and so its result stored.
   model::residency permitted_regions;
   /// Zone in which the piece is preferably computed.
   base::zone_id zone;
@@ -52,8 +60,8 @@
   base::time_point due;
   /// Time after which the result is of no use.
   base::time_point deadline;
-  /// Whether replicas exited while they ran the request: the piece is sent without pieces of other
-  /// requests and, if its call is lost, is not retried.
+  /// Whether replicas exited while they ran the request. If set, the piece is sent without pieces
+  /// of other requests and, if its call is lost, is not retried.
   bool single_attempt = false;
 };
 
@@ -63,39 +71,42 @@
   piece_outcome outcome;
 };
 
-/// A piece whose call ended without an answer: the replica may have exited while it ran the call.
+/// A piece whose call was lost.
 struct lost_piece {
   piece_ticket ticket = 0;
+  /// Replica that was called.
   base::replica_id replica;
-  /// Identifies the exit of the called incarnation, if it exited.
+  /// Identifier of the exit of the called incarnation of the replica, should it have exited.
   replica_exit incarnation_exit = 0;
 };
 
-/// @return whether this node may call a replica with pieces that are restricted to these regions;
-///         whether the regions permit the replica is checked separately.
+/// @return whether this node may call a replica with pieces of a residency. Whether the residency
+///         permits the region of the replica is checked separately.
 using replica_filter = std::function<bool(const replica_state&, const model::residency&)>;
 
 /// Holds the waiting pieces, the calls under way and the results of one node. Not thread-safe.
-/// Commands and results accumulate until the caller takes them.
+/// Commands and results accumulate until the caller takes them with the `take_` functions.
 class stage_pool {
  public:
   /// @param replicas must outlive the pool.
-  /// @param next_call returns the number of the next call; shared with the other calls of the node.
+  /// @param next_call returns the identifier of the next call, unique among all calls of the node.
   stage_pool(replica_table& replicas, const serving_settings& settings,
              std::function<base::call_id()> next_call, decision_recorder record);
 
-  /// Replaces the capacities of the services. Waiting pieces of services that are not configured
-  /// any longer finish as `not_run`.
+  /// Replaces the capacities of the services. Waiting pieces of services that are no longer
+  /// configured finish as `not_run`.
   void set_configuration(std::shared_ptr<const model::serving_configuration> configuration);
   /// Restricts the replicas that may be called; without a filter all replicas may be called.
   void set_filter(replica_filter filter) { filter_ = std::move(filter); }
 
-  /// Queues a piece.
+  /// Queues a piece. @return its ticket in this pool.
   piece_ticket submit(piece_work work, base::time_point now);
-  /// Cancels a piece whose result is not needed any longer; a result that still arrives is freed.
+  /// Cancels a piece whose result is no longer needed. A call that holds the piece continues; the
+  /// result of the piece is freed when it arrives.
   void cancel(piece_ticket ticket);
 
-  /// Frees a result that is not needed any longer at the replica that holds it.
+  /// Frees a result that is no longer needed at its producer. If the producer limits its calls or
+  /// has requested a backoff, the request to free waits until the producer may be called.
   void release(const std::string& handle);
 
   /// Cancels the calls to the earlier incarnation of a replica that restarted, queues their pieces
@@ -106,7 +117,8 @@
   /// suspended.
   void resume_after_suspension(base::duration gap) { call_timeouts_.postpone_all(gap); }
 
-  /// Applies the end of a call. @return whether it was a call of this pool.
+  /// Applies the answer of a call, or queues its pieces again if it has none.
+  /// @return whether the call was under way in this pool.
   bool on_call_ended(const stage_call_ended& ended, base::time_point now);
 
   /// Starts calls for waiting pieces if replicas are free, expires pieces past their deadline and
@@ -118,9 +130,9 @@
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   [[nodiscard]] std::vector<finished_piece> take_finished() { return std::exchange(finished_, {}); }
-  /// @return pieces whose inputs were fetched by their replica since the last call.
+  /// @return pieces whose inputs were fetched by their replica since the previous `take_fetched`.
   [[nodiscard]] std::vector<piece_ticket> take_fetched() { return std::exchange(fetched_, {}); }
-  /// @return pieces whose calls ended without an answer since the last call; the pieces are queued
+  /// @return pieces whose calls were lost since the previous `take_lost`; the pieces are queued
   ///         again or finish as `lost`.
   [[nodiscard]] std::vector<lost_piece> take_lost() { return std::exchange(lost_, {}); }
   [[nodiscard]] command_list take_commands() { return std::exchange(commands_, {}); }
@@ -129,7 +141,7 @@
   /// @return number of waiting pieces of a service that are not past due: only these pieces are
   ///         sent before a piece submitted now.
   [[nodiscard]] std::size_t waiting_in_time(const std::string& service, base::time_point now) const;
-  /// @return pieces of a service per second that were sent recently while more pieces waited;
+  /// @return pieces of a service per second that were dispatched recently while more pieces waited;
   ///         std::nullopt if no pieces waited recently.
   [[nodiscard]] std::optional<double> drain_rate_of(const std::string& service,
                                                     base::time_point now) const;
@@ -138,16 +150,17 @@
   /// @return tickets of the pieces of one service that wait for a call, in the order of sending.
   [[nodiscard]] std::vector<piece_ticket> waiting_tickets(const std::string& service) const;
   [[nodiscard]] bool has_calls_under_way() const { return !calls_.empty(); }
-  /// @return number of calls of a service that are under way.
+  /// @return number of calls under way to replicas of a service.
   [[nodiscard]] std::size_t calls_under_way(const std::string& service) const;
 
  private:
   struct queued_piece {
     piece_work work;
     base::time_point submitted_at;
-    /// Number of calls that count against `max_calls_per_piece`.
+    /// Number of calls with this piece; calls that did not run, and calls whose replica had no
+    /// memory for the result, are subtracted again.
     std::uint32_t attempts = 0;
-    /// Number of calls with this piece that ended without an answer.
+    /// Number of calls with this piece that were lost.
     std::uint32_t lost_calls = 0;
     /// Time before which the piece is not sent.
     base::time_point backoff_ends_at{};
@@ -162,7 +175,7 @@
   struct open_call {
     start_stage_call command;
     std::string service;
-    /// Identifies the exit of the called incarnation, if it exited.
+    /// Identifier of the exit of the called incarnation of the replica, should it exit.
     replica_exit incarnation_exit = 0;
     base::time_point started_at;
     /// Whether the inputs of the call were reported as fetched.
@@ -193,27 +206,30 @@
   void cancel_timed_out_calls(base::time_point now);
   /// Reports the pieces of calls whose inputs are assumed to be fetched by now.
   void note_fetched_inputs(base::time_point now);
-  /// @return whether a piece that is still needed did not find a result that its producer should
-  ///         have.
+  /// @return whether a piece that is still needed failed because its inputs were freed before its
+  ///         replica fetched them; false if a producer may have lost the inputs by itself.
   [[nodiscard]] bool was_freed_too_early(piece_ticket ticket, const piece_outcome& outcome,
                                          base::time_point now) const;
-  /// Adjusts the time for which replicas are assumed to fetch inputs to the answer of a call.
+  /// Doubles `fetch_time_` after a call whose inputs were freed too early; otherwise reduces it
+  /// towards its configured value.
   void update_fetch_time(const open_call& call, const stage_call_ended& answer,
                          base::time_point now);
-  /// @return whether the queue holds a full batch or a piece that has waited for the batch wait.
+  /// @return whether the queue holds a full batch or a piece that has waited for
+  ///         `serving_settings::batch_wait`.
   bool is_batch_due(const service_queue& queue, const model::piece_capacity& capacity,
                     base::time_point now) const;
-  /// Distinct sets of permitted regions.
+  /// Distinct residencies.
   using residency_list = std::vector<model::residency>;
-  /// @return sets of permitted regions of the pieces of a queue.
+  /// @return the distinct residencies of the pieces of a queue.
   [[nodiscard]] residency_list residencies_in(const service_queue& queue) const;
-  /// @return whether a replica may be called with a piece that is restricted to these regions.
+  /// @return whether a replica may be called with a piece of this residency.
   [[nodiscard]] bool may_serve(const replica_state& replica,
                                const model::residency& residency) const;
-  /// @return whether a replica may be called with a piece that is restricted to any of the sets.
+  /// @return whether a replica may be called with a piece of at least one of the residencies.
   [[nodiscard]] bool may_serve_any(const replica_state& replica,
                                    const residency_list& residencies) const;
-  /// @return replicas that can be called now, slow replicas last.
+  /// @return replicas that can be called now with a piece of at least one of the residencies, slow
+  ///         replicas last.
   [[nodiscard]] std::vector<const replica_state*>
   replicas_with_free_slot(const std::string& name, const model::piece_capacity& capacity,
                           const residency_list& residencies, base::time_point now) const;
@@ -221,7 +237,7 @@
   void start_call(const std::string& name, const std::vector<queue_position>& batch,
                   service_queue& queue, const replica_state& replica,
                   const model::piece_capacity& capacity, base::time_point now);
-  /// Time at which the replicas of one zone are expected to accept further calls.
+  /// Estimate of the time at which the replicas of one zone can accept further calls.
   struct zone_wait_estimate {
     /// Time at which the first of the replicas is free.
     base::time_point free_at;
@@ -230,14 +246,15 @@
     /// Pieces in a full batch.
     std::uint32_t batch_size = 1;
     std::uint32_t replicas = 0;
-    /// Number of pieces that wait for this zone and are sent earlier.
+    /// Number of pieces that wait for a replica of this zone and come earlier in the queue than the
+    /// group of pieces that is being placed.
     std::size_t pieces_ahead = 0;
-    /// @return time at which a piece that waits for the zone is expected to start.
+    /// @return time at which the call of a piece that waits for the zone is expected to start.
     [[nodiscard]] base::time_point next_start_at() const;
   };
-  /// Estimates of the zones that have an available replica.
+  /// Estimates by zone; only zones with a replica that may be called have an entry.
   using zone_wait_estimates = std::map<base::zone_id, zone_wait_estimate>;
-  /// Pieces of one stage of one request with the same permitted regions, which are sent together.
+  /// Pieces of one stage of one request with the same residency, which are sent together.
   struct piece_group {
     const base::request_id* request = nullptr;
     std::uint32_t stage = 0;
@@ -249,28 +266,30 @@
     const base::zone_id* preferred_zone = nullptr;
     double carried_bytes = 0;
     base::time_point submitted_at;
-    /// Whether replicas may have exited because of these pieces: they are sent without other
-    /// pieces, so that the next call shows whether they are the cause, and does not harm other
-    /// pieces.
+    /// Whether replicas may have exited because of these pieces. If set, the group is sent without
+    /// other pieces, so that the next call shows whether the group is the cause, and so that
+    /// another exit does not affect other pieces.
     bool must_run_alone = false;
     std::vector<queue_position> pieces;
   };
   /// Moves the pieces for the next call to a replica from the groups into a batch: pieces that are
-  /// not past due first, as many as the replica has memory for.
+  /// not past due first, up to a full batch and to the free result memory of the replica.
+  /// @return the batch; empty if the replica should not be called now.
   std::vector<queue_position> take_batch(std::vector<piece_group>& groups,
                                          const replica_state& replica,
                                          zone_wait_estimates estimates,
                                          const model::piece_capacity& capacity,
                                          base::time_point now) const;
   /// Moves up to `free_slots` pieces of a group with up to `free_bytes` bytes of results into a
-  /// batch. Subtracts their results from `free_bytes`.
+  /// batch. Subtracts the sizes of their results from `free_bytes`.
   void move_pieces(piece_group& group, std::vector<queue_position>& batch, std::size_t free_slots,
                    double& free_bytes) const;
   /// @return whether a group may run at a replica of `zone` now; false if it should wait for a
   ///         replica of its preferred zone.
   [[nodiscard]] bool may_run_in(const piece_group& group, const base::zone_id& zone,
                                 const zone_wait_estimates& estimates, base::time_point now) const;
-  /// @return estimates of the zones whose replicas may serve pieces of any of the residencies.
+  /// @return for each zone, the estimated time at which its replicas can accept further calls; only
+  ///         zones with a replica that may serve a piece of at least one of the residencies.
   [[nodiscard]] zone_wait_estimates estimate_zone_waits(const std::string& name,
                                                         const model::piece_capacity& capacity,
                                                         const residency_list& residencies,
@@ -278,35 +297,38 @@
   /// @return groups of the pieces of a queue that are not backing off, in queue order.
   [[nodiscard]] std::vector<piece_group> group_pieces(const service_queue& queue,
                                                       base::time_point now) const;
-  /// @return bytes of result memory of a replica that are free for planning; may be negative.
+  /// @return bytes of result memory of a replica that further calls may fill; may be negative.
   [[nodiscard]] double free_result_bytes(const base::replica_id& replica,
                                          const model::piece_capacity& capacity,
                                          base::time_point now) const;
-  /// Records that a replica had no memory for a result: results unknown to this pool use the rest.
+  /// Records that a replica had no memory for a result. The memory that this pool counts as free is
+  /// assumed to be used by results that are unknown to this pool.
   void note_memory_exhausted(const open_call& call, base::time_point now);
   void forget_expired_results(base::time_point now);
   /// Cancels a call whose replica restarted and queues its pieces again.
   void cancel_call_of_earlier_incarnation(base::call_id call, base::time_point now);
-  /// @return whether results of an earlier incarnation of a producer may still be requested.
+  /// @return whether a producer restarted so recently that pieces may still read results of its
+  ///         earlier incarnation.
   [[nodiscard]] bool has_restarted_recently(const replica_state& producer,
                                             base::time_point now) const;
   /// Removes a result from the accounting of result memory.
   void forget_result(const std::string& handle);
-  /// Sends the deferred frees whose producers may be called now.
+  /// Sends the deferred requests to free results whose producers may be called now.
   /// @param only_short_of_memory whether to send only to producers that are short of memory.
   void free_deferred_results(bool only_short_of_memory, base::time_point now);
   [[nodiscard]] bool is_short_of_memory(const replica_state& replica, base::time_point now) const;
-  /// Records that a replica refused a call, as other nodes call it too.
+  /// Records that a replica refused a call because calls of other nodes occupy it.
   void note_occupied(const open_call& call, base::time_point now);
   /// Records the duration of a call, from which the slowdown of its replica is computed.
   void note_call_time(const open_call& call, base::time_point now);
-  /// Removes a call from the counts, timeouts and result memory.
+  /// Removes a call that ended from the counts, the timeouts and the accounting of result memory.
   void release_call(const open_call& call);
   /// Applies the outcome of a call to its replica and its pieces.
   void apply_answer(const open_call& call, const stage_call_ended& answer, base::time_point now);
-  /// Finishes or queues a piece again; frees the result of a cancelled piece.
+  /// Finishes a piece, or queues it again if its fault permits; frees the result of a cancelled
+  /// piece.
   void apply_outcome(piece_ticket ticket, const piece_outcome& outcome);
-  /// Reports the pieces of a call that ended without an answer as lost and sets their backoff.
+  /// Reports the pieces of a lost call as lost and sets their backoff.
   void note_lost_pieces(const open_call& call, base::time_point now);
   /// Writes the event for the end of a call.
   void record_call_end(const open_call& call, const stage_call_ended& answer,
@@ -317,7 +339,8 @@
   /// Queues a piece again, or finishes it with `fault` if it has no attempts left.
   void requeue(piece_ticket ticket, piece_fault fault);
   void finish(piece_ticket ticket, piece_outcome outcome);
-  /// @return null if the service is not configured or has no pieces.
+  /// @return capacity of the replicas of a service; null if the service is not configured or has no
+  ///         pieces.
   const model::piece_capacity* capacity_of(const std::string& name) const;
 
   replica_table* replicas_;
@@ -346,19 +369,21 @@
   base::due_times<std::string> result_expiries_;
   /// Number of calls under way, by replica.
   std::map<base::replica_id, std::uint32_t> call_counts_by_replica_;
-  /// Memory of results that are being computed or wait to be fetched, by replica.
+  /// Memory of results that are being computed or wait to be fetched, in bytes, by replica.
   std::map<base::replica_id, double> result_bytes_by_replica_;
-  /// Memory used by results unknown to this pool, computed when a replica had no memory left.
+  /// Result memory of a replica that results unknown to this pool use; computed when the replica
+  /// had no memory left.
   struct unaccounted_memory {
     double bytes = 0;
     base::time_point expires_at;
   };
   std::map<base::replica_id, unaccounted_memory> unaccounted_memory_;
+  /// Results at replicas, by handle.
   std::unordered_map<std::string, held_result> results_;
   std::vector<finished_piece> finished_;
   std::vector<piece_ticket> fetched_;
   std::vector<lost_piece> lost_;
-  /// Results to be freed when their producers may be called again.
+  /// Handles of results to be freed when their producer may be called again, by producer.
   std::map<base::replica_id, std::vector<std::string>> deferred_frees_;
   /// Time after the start of a call at which its replica is assumed to have fetched the inputs.
   base::duration fetch_time_;
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -1,5 +1,5 @@
-/// Selection of the pieces for the next call to a replica, and of those that wait for a replica of
-/// their preferred zone.
+/// Selection of the pieces for the next call to a replica, and of the pieces that wait for a
+/// replica of their preferred zone instead.
 #include "stage_work/stage_pool.h"
 
 #include "replicas/distance.h"
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -10,14 +10,18 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time for which memory that turned out to be in use is excluded from planning.
+/// Time for which memory that results unknown to this pool use counts as used; the pool learns of
+/// such results when a replica has no memory left.
 constexpr base::duration unaccounted_memory_lifetime = std::chrono::milliseconds(700);
-/// If inputs were freed too early, the fetch time is doubled up to this maximum; it decays over
-/// this number of successful calls. Results that are kept longer use memory that their producers
-/// are short of: more than the time of one or two calls does more harm than good.
+/// Maximum of the fetch time (time after the start of a call at which its inputs are assumed to be
+/// fetched), which doubles each time inputs were freed too early. Results that are kept longer use
+/// memory that their producers are short of: more than the time of one or two calls does more harm
+/// than good.
 constexpr base::duration max_fetch_time = std::chrono::milliseconds(640);
+/// Number of calls whose inputs were not freed too early over which the fetch time decays.
 constexpr int fetch_time_recovery_calls = 10;
-/// Share of failed calls among the latest calls from which a producer may have lost its results.
+/// Fraction of failed calls among the latest calls to a producer from which the producer may have
+/// lost its results.
 constexpr double suspect_failure_share = 0.1;
 
 } // namespace
@@ -100,7 +104,7 @@
     }
     if (can_send) {
       if (replicas_->limit_of(*replica)) {
-        // A free counts against the limit as a request does, but has no answer to wait for.
+        // The request to free counts against the limit like a call, but its answer is not awaited.
         replicas_->call_started(entry->first, now);
         replicas_->call_ended(entry->first);
       }
@@ -161,7 +165,7 @@
   if (outcome.fault != piece_fault::input_gone || found == pieces_.end()) {
     return false;
   }
-  // Results that were lost with their producer were not freed by this pool.
+  // Results that a producer lost when it exited were not freed too early.
   const auto& inputs = found->second.work.inputs;
   return std::all_of(inputs.begin(), inputs.end(), [&](const std::string& handle) {
     const auto* producer = replicas_->find_at(producer_of(handle));
