--- a/tests/stage_work/exchange_fleet.h
+++ b/tests/stage_work/exchange_fleet.h
@@ -1,4 +1,5 @@
-/// A fleet of stage exchanges in one process; the fixture delivers their messages.
+/// A fleet of nodes that each have a stage exchange, in one process. The fixture delivers the
+/// messages between them; tests answer the calls.
 #pragma once
 
 #include "stage_work/stage_exchange.h"
@@ -27,6 +28,7 @@
   return settings;
 }
 
+/// A node with its stage exchange, and its calls, its requests to free results, and the outcomes.
 struct exchange_node {
   exchange_node(const fleet_peer& self, published_world& world, std::uint64_t incarnation,
                 const serving_settings& settings = {})
@@ -48,6 +50,7 @@
   std::vector<finished_piece> finished;
 };
 
+/// Nodes `n0`, `n1`, ... that know the same published replicas and configuration.
 struct exchange_fleet {
   /// @param zone_count number of zones, `a`, `b`, ..., over which the nodes are spread.
   explicit exchange_fleet(int size = 3, int zone_count = 1, serving_settings settings = {})
@@ -66,6 +69,7 @@
             share == processor_shares.end() ? 1.0 : share->second};
   }
 
+  /// Starts a node, or restarts it with empty state.
   void start(int index, std::uint64_t incarnation) {
     if (nodes.size() <= static_cast<std::size_t>(index)) {
       nodes.resize(static_cast<std::size_t>(index) + 1);
@@ -74,6 +78,7 @@
         std::make_unique<exchange_node>(peer(index), world, incarnation, settings_);
   }
 
+  /// Gives each node the list of the other nodes, and advances the time by half a second.
   void exchange_peers() {
     for (auto& node : nodes) {
       std::vector<fleet_peer> others;
@@ -87,6 +92,8 @@
     run(std::chrono::milliseconds(500));
   }
 
+  /// Advances the time in steps of 10 ms; in each step, dispatches at every node and delivers the
+  /// messages.
   void run(base::duration duration) {
     constexpr base::duration step = std::chrono::milliseconds(10);
     for (const auto end = now + duration; now < end;) {
@@ -128,6 +135,9 @@
     }
   }
 
+  /// Submits a piece of service `pool` at a node.
+  /// @param zone preferred zone of the piece.
+  /// @param allowed permitted regions of the piece.
   piece_ticket submit(exchange_node& origin, const base::zone_id& zone = base::zone_id("a"),
                       const model::residency& allowed = {}, const std::string& request = "r") {
     piece_work work;
@@ -141,7 +151,7 @@
     return origin.subject.submit({work}, zone, now).front();
   }
 
-  /// @return the first node that has started a call; null if no node has.
+  /// @return the first node with a recorded call; null if no node has one.
   exchange_node* caller() {
     for (auto& node : nodes) {
       if (!node->calls.empty()) {
@@ -151,6 +161,7 @@
     return nullptr;
   }
 
+  /// Answers the latest recorded call of a node with one result for each piece.
   void answer(exchange_node& batcher) {
     const auto call = batcher.calls.back();
     stage_call_ended ended{call.call, stage_call_ended::result::answered, {}};
@@ -183,21 +194,24 @@
     return nodes[0].get() == &node ? *nodes[1] : *nodes[0];
   }
 
-  /// @return whether a message is lost, as the transport connects on the first message to a peer.
+  /// @return whether a message is lost: if `loses_first_messages` is set, the first message of each
+  ///         node to each peer is lost, as the transport may lose it while it connects.
   bool is_message_lost(const exchange_node& sender, const base::network_address& to) {
     return loses_first_messages && connected_.insert({sender.identity.node, to}).second;
   }
 
+  /// Replicas, services and evacuations that are published to all nodes.
   published_world world;
   std::vector<std::unique_ptr<exchange_node>> nodes;
   bool loses_first_messages = false;
+  /// Number of messages that all nodes sent.
   std::size_t messages_sent = 0;
   /// Processor shares of nodes, by index; 1 for all other nodes.
   std::map<std::size_t, double> processor_shares;
   base::time_point now{std::chrono::hours(1)};
-  /// Node that does nothing and receives no messages.
+  /// Node that does nothing and receives no messages; empty if there is none.
   base::node_id unresponsive;
-  /// Zone whose nodes exchange no messages with nodes outside it.
+  /// Zone whose nodes exchange no messages with nodes of other zones; empty if there is none.
   base::zone_id partitioned_zone;
 
  private:
--- a/tests/stage_work/piece_residency_test.cc
+++ b/tests/stage_work/piece_residency_test.cc
@@ -1,4 +1,5 @@
-/// Pieces that are restricted to regions, in a fleet whose nodes batch pieces for one another.
+/// Pieces with a residency (a set of permitted regions), in a fleet whose nodes batch pieces for
+/// one another.
 #include "exchange_fleet.h"
 #include "residency_fixture.h"
 
@@ -30,7 +31,7 @@
     run(seconds(3));
   }
 
-  /// Applies the published state at every node.
+  /// Applies the published replicas, evacuations and services at every node.
   void apply_published() {
     for (auto& node : nodes) {
       node->replicas.update(world.content.replicas(), now);
@@ -45,7 +46,7 @@
   }
 };
 
-/// A pool that may call all replicas, in zones `a` and `e`.
+/// A pool that may call all replicas: one in zone `a` and one in zone `e`.
 struct restricted_pool {
   restricted_pool()
       : random(1), replicas(base::node_id("n"), base::zone_id("a"), residency_settings(), random),
@@ -58,7 +59,7 @@
     pool.set_configuration(world.content.serving());
   }
 
-  /// Submits a piece of the same request with preferred zone `a`.
+  /// Submits a piece with preferred zone `a`; all pieces belong to one request.
   void submit(const model::residency& allowed) {
     piece_work work;
     work.request = base::request_id("same");
@@ -137,7 +138,8 @@
     static const std::vector<text_set> sets{{"north"}, {"south"}, {"west"}, {"north", "west"}};
     const auto set = random_.below(sets.size() + 1);
     const auto allowed = set == sets.size() ? model::residency{} : within(sets[set]);
-    // A client may repeat a request id when other residency rules apply.
+    // A client may use a request id again after its residency rules changed; here the residency is
+    // part of the id, so that `check` finds the residency of each piece.
     const auto name = "r" + std::to_string(random_.below(4)) + "-" + std::to_string(set);
     residency_by_request_[name] = allowed;
     auto& origin = *nodes[random_.below(nodes.size())];
@@ -235,7 +237,8 @@
 BOOST_FIXTURE_TEST_CASE(piece_does_not_wait_for_a_zone_that_is_not_permitted, restricted_pool) {
   submit(model::residency{});
   submit(within({"west"}));
-  // The preferred zone of both is `a`; the bytes to transfer are worth a wait.
+  // Zone `a` is the preferred zone of both pieces, and the bytes to transfer to another zone are
+  // worth a wait for the replica of zone `a`. The second piece may not run there.
   BOOST_TEST(zones_of_pieces().size() == 2U);
 }
 
@@ -266,7 +269,7 @@
 
 BOOST_AUTO_TEST_CASE(batcher_of_another_region_calls_for_pieces_of_a_region_without_nodes) {
   restricted_fleet fleet;
-  // All nodes of the south are removed: its replicas are called by nodes of other regions.
+  // All nodes of the region `south` are removed: nodes of other regions call its replicas.
   std::vector<fleet_peer> remaining;
   for (int index = 0; index < node_count; ++index) {
     if (residency_regions().region_of(fleet.peer(index).zone) != base::region_id("south")) {
--- a/tests/stage_work/region_batchers_test.cc
+++ b/tests/stage_work/region_batchers_test.cc
@@ -31,7 +31,9 @@
     run(seconds(3));
   }
 
-  /// Submits pieces at every node of the north, each with the node's own zone as preferred zone.
+  /// Submits pieces at each node of the region `north`, with the zone of the node as preferred
+  /// zone.
+  /// @param pieces number of pieces per node.
   void submit_in_north(int pieces) {
     for (auto& node : nodes) {
       const auto& zone = node->identity.zone;
@@ -43,7 +45,8 @@
     }
   }
 
-  /// @return number of pieces that ran in each region; "" for the zone without region.
+  /// Answers all calls during `span`.
+  /// @return number of pieces that ran in each region; "" stands for the zone without region.
   std::map<std::string, std::size_t> pieces_by_region(base::duration span) {
     std::map<std::string, std::size_t> piece_counts;
     run_answering(span, [&](const exchange_node&, const start_stage_call& call) {
--- a/tests/stage_work/shard_map_test.cc
+++ b/tests/stage_work/shard_map_test.cc
@@ -1,4 +1,5 @@
-/// Cost of dividing a large number of replicas into shards after nodes or replicas change.
+/// Number of evaluations for dividing a large number of replicas into shards after nodes or
+/// replicas change.
 #include "stage_work/shard_map.h"
 
 #include "exchange_fleet.h"
@@ -13,7 +14,7 @@
 
 namespace {
 
-/// Nodes of one zone, replicas that run pieces, and the same number of replicas that do not.
+/// Nodes of one zone, replicas that run pieces, and the same number of replicas that run no pieces.
 struct large_service {
   large_service(int nodes, int replicas) {
     for (int number = 0; number < replicas; ++number) {
@@ -52,7 +53,8 @@
 BOOST_AUTO_TEST_CASE(replica_change_evaluates_only_replicas_that_run_pieces) {
   for (const int size : {40, 160}) {
     large_service fleet(size, size);
-    // The world has two further replicas that run pieces; the own node is considered as well.
+    // `published_world` starts with two further replicas that run pieces, and this node is
+    // evaluated along with the other nodes.
     const auto replicas = static_cast<std::uint64_t>(size) + 2;
     const auto nodes = static_cast<std::uint64_t>(size) + 1;
     BOOST_TEST(fleet.evaluations_of_assignment() == replicas + nodes);
@@ -81,6 +83,7 @@
   }
   now += std::chrono::milliseconds(50);
   node.subject.dispatch_waiting(now);
+  // One assignment: the 40 replicas above and the two that `published_world` starts with.
   const std::uint64_t max_evaluations = 42;
   BOOST_TEST(node.subject.shards().evaluations() - before <= max_evaluations);
   for (const auto& entry : node.subject.shards().shards()) {
--- a/tests/stage_work/stage_exchange_test.cc
+++ b/tests/stage_work/stage_exchange_test.cc
@@ -1,4 +1,4 @@
-/// Nodes that batch pieces for one another; the fixture delivers the messages.
+/// Nodes that batch pieces for one another, in a fleet whose messages the fixture delivers.
 #include "exchange_fleet.h"
 
 using namespace spurrack;
@@ -147,7 +147,8 @@
   run(std::chrono::milliseconds(50));
   auto& second = *caller();
   BOOST_REQUIRE(second.identity.node != first);
-  // Both replicas are busy; these pieces wait until the first batcher is back.
+  // Both replicas are busy, so that these pieces wait at the second batcher until the first batcher
+  // responds again.
   for (int piece = 0; piece < 8; ++piece) {
     submit(second);
   }
--- a/tests/stage_work/stage_pool_test.cc
+++ b/tests/stage_work/stage_pool_test.cc
@@ -7,6 +7,7 @@
 
 namespace {
 
+/// A pool with the replicas `pool-a` and `pool-b` in zones `a` and `b`.
 struct pool_driver {
   pool_driver()
       : random(1), replicas(base::node_id("n"), base::zone_id("a"), {}, random),
@@ -31,6 +32,8 @@
     return pool.submit(std::move(work), now);
   }
 
+  /// Advances the time by `duration` and dispatches waiting pieces.
+  /// @return the calls that the pool started.
   std::vector<start_stage_call>
   start_calls(base::duration duration = std::chrono::milliseconds(20)) {
     now += duration;
@@ -160,7 +163,7 @@
   BOOST_TEST(pool.waiting_in_time("pool", now) == 1U);
 }
 
-/// Runs pieces that read a result of replica `pool-b`.
+/// A pool whose pieces read a result that replica `pool-b` produced.
 struct input_driver : pool_driver {
   piece_ticket submit_piece_with_input(const std::string& request) {
     piece_work work;
@@ -181,6 +184,9 @@
     start_calls(duration);
     return !pool.take_fetched().empty();
   }
+  /// Submits a piece, waits until its inputs are assumed to be fetched, and answers its call with
+  /// the fault that an input no longer exists.
+  /// @param cancelled whether the piece is cancelled before the answer.
   void fail_with_missing_input(bool cancelled) {
     const auto ticket = submit_piece_with_input("r");
     const auto call = start_calls().front();
@@ -214,6 +220,8 @@
   BOOST_TEST(are_inputs_fetched_after(std::chrono::milliseconds(100)));
 }
 
+/// Size of inputs whose transfer to another zone costs more than a short wait for the preferred
+/// zone.
 constexpr double large_input_bytes = 5e6;
 
 BOOST_AUTO_TEST_CASE(pieces_with_large_inputs_wait_for_their_zone_before_their_due_time) {
@@ -258,7 +266,7 @@
 
 BOOST_AUTO_TEST_CASE(replicas_busy_with_calls_of_others_are_retried_rarely) {
   // Calls of another batcher occupy both replicas for three seconds, as after a power loss of all
-  // nodes. A call with a full batch takes 0.24 s; replicas have one slot.
+  // nodes. A call with a full batch takes 0.24 s; each replica runs one call at a time.
   submit("r1", std::chrono::seconds(5));
   std::size_t refused = 0;
   for (const auto end = now + std::chrono::seconds(3); now < end;) {
@@ -272,7 +280,7 @@
   BOOST_TEST(refused >= 10U);
 }
 
-/// One replica that runs pieces and restarts.
+/// A pool with one replica, `pool-a`, that can restart.
 struct restart_driver : pool_driver {
   restart_driver() {
     world.remove_replica("pool-b");
--- a/tests/stage_work/zone_shards_test.cc
+++ b/tests/stage_work/zone_shards_test.cc
@@ -1,4 +1,5 @@
-/// Division of a service with many replicas by zone; the fixture delivers the messages.
+/// Division of the replicas of a service into shards by zone, in a fleet whose messages the fixture
+/// delivers.
 #include "exchange_fleet.h"
 
 using namespace spurrack;
@@ -10,7 +11,7 @@
 constexpr int node_count = 30;
 constexpr std::size_t replicas_per_zone = 8;
 
-/// Thirty nodes in three zones of one region, with replicas in each zone.
+/// Thirty nodes in three zones of one region; each zone has enough replicas for a shard of its own.
 struct divided_fleet : exchange_fleet {
   divided_fleet() : exchange_fleet(node_count, zone_count, one_region()) {
     for (const std::string zone : {"a", "b", "c"}) {
@@ -25,7 +26,8 @@
     run(std::chrono::seconds(3));
   }
 
-  /// Answers each call and records its caller and whether it crosses zones.
+  /// Answers each call; records the node that made the call, and whether its replica is in another
+  /// zone.
   void run_and_count_calls(base::duration span) {
     run_answering(span, [this](const auto& caller, const auto& call) { note_call(caller, call); });
   }
@@ -107,9 +109,9 @@
 BOOST_AUTO_TEST_CASE(nodes_without_shards_send_no_reports) {
   messages_sent = 0;
   run(std::chrono::seconds(1));
-  // Each batcher sends five reports per second to each of the nine nodes of its zone, and one
-  // report to each of the twenty other nodes; a tenth is added for rounds that begin or end within
-  // the second.
+  // Each batcher sends five reports per second to each of the nine other nodes of its zone, and one
+  // report per second to each of the twenty nodes of other zones; a tenth is added for rounds of
+  // reports that begin or end within the second.
   constexpr std::size_t batchers = zone_count;
   constexpr std::size_t reports_to_zone = 45;
   constexpr std::size_t reports_elsewhere = 20;
