--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -234,6 +234,8 @@
   };
   [[nodiscard]] batcher_load load_of(const base::node_id& node, const std::string& service,
                                      base::time_point now) const;
+  /// @return time that a piece is expected to wait at a batcher for its call, in seconds, without
+  ///         the cost of the distance.
   [[nodiscard]] double expected_wait_seconds(const batcher& candidate, const std::string& service,
                                              piece_order order, base::time_point now) const;
   /// Sends a piece to a batcher, or submits it to this node's pool if `chosen` is this node or
@@ -258,8 +260,8 @@
   /// @param waiting pool tickets of waiting pieces.
   void return_forwarded(const std::vector<piece_ticket>& waiting, base::time_point now);
   /// Returns or moves the waiting pieces of a service to other nodes after this node stopped being
-  /// a batcher of the service. At this node, the pieces might wait for long: results whose release
-  /// is no longer reported to this node still count as used memory of the replicas.
+  /// a batcher of the service. The pieces would not progress here: results whose release is no
+  /// longer reported to this node appear to take up all memory of the replicas.
   void move_waiting_pieces(const std::string& service, base::time_point now);
   /// Reports to the origin of a piece that this node still holds the piece, or otherwise the
   /// outcome of the piece; a piece of unknown outcome is reported as not run.
--- a/tests/stage_work/exchange_fleet.h
+++ b/tests/stage_work/exchange_fleet.h
@@ -28,7 +28,8 @@
   return settings;
 }
 
-/// A node with its stage exchange, and its calls, its requests to free results, and the outcomes.
+/// A node with its stage exchange, and its calls, its requests to free results and finished
+/// pieces.
 struct exchange_node {
   exchange_node(const fleet_peer& self, published_world& world, std::uint64_t incarnation,
                 const serving_settings& settings = {})
