--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -8,25 +8,29 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time after which a piece that was not acknowledged is placed elsewhere.
+/// Time after which a piece that was not acknowledged is sent to another node.
 constexpr base::duration acceptance_timeout = std::chrono::milliseconds(250);
-/// Time since the last confirmation after which a holder is asked whether it still has a piece.
+/// Time since the last confirmation after which the holder of a piece is queried whether it still
+/// holds the piece.
 constexpr base::duration confirmation_interval = std::chrono::milliseconds(700);
-/// Time since the last confirmation after which a piece is assumed to be lost and is moved.
+/// Time since the last confirmation after which the holder is assumed to have lost the piece, and
+/// the piece is moved.
 constexpr base::duration confirmation_timeout = std::chrono::milliseconds(1500);
-/// Time for which outcomes of pieces of other nodes are kept.
+/// Time for which the outcomes of pieces of other nodes are kept to answer queries.
 constexpr base::duration reported_result_lifetime = std::chrono::seconds(3);
-/// Interval between checks of the pieces at other nodes: a tenth of the shortest limit above.
+/// Interval between checks of the pieces that other nodes hold: a tenth of `acceptance_timeout`,
+/// the shortest of the times above.
 constexpr base::duration placement_check_interval = std::chrono::milliseconds(25);
-/// Number of times that a piece is placed at other nodes again before this node's pool takes it.
+/// Maximum number of times that a piece is sent to a batcher again; after that, it is submitted to
+/// this node's pool.
 constexpr std::uint32_t max_moves = 3;
 
 std::int64_t milliseconds_until(base::time_point when, base::time_point now) {
   return base::to_milliseconds(when - now);
 }
 
-/// @return permitted regions of a piece. An empty list in the message means everywhere, since a
-///         piece that no region permits is never sent.
+/// @return residency of a piece that another node forwarded. An empty list of regions means no
+///         restriction, since a piece for which no region is permitted is never sent.
 model::residency residency_of(const wire::piece_request& request) {
   std::set<base::region_id> regions;
   for (const auto& region : request.permitted_regions()) {
@@ -56,8 +60,8 @@
   if (shards_.own_replicas().contains(replica.record->id)) {
     return true;
   }
-  // A node without own replicas that the pieces may use calls other replicas: otherwise the pieces
-  // would wait here forever.
+  // If this node is the batcher of no replica that the pieces may use, it calls other replicas:
+  // otherwise the pieces would wait here forever.
   const auto own = shards_.own_services().find(replica.record->service);
   return own == shards_.own_services().end() ||
          std::none_of(own->second.begin(), own->second.end(), [&](const auto& effective_region) {
@@ -70,7 +74,7 @@
     return report_audience::everybody;
   }
   const bool for_zone =
-      !shards_.own_replicas().empty() || !forwarded_tickets_.empty() || is_stopping_;
+      !shards_.own_replicas().empty() || !forwarded_pool_tickets_.empty() || is_stopping_;
   return for_zone ? report_audience::own_zone : report_audience::nobody;
 }
 
@@ -97,15 +101,15 @@
   const auto waiting = pool_.waiting_tickets(service);
   return_forwarded(waiting, now);
   for (const auto ticket : waiting) {
-    const auto own = own_by_pool_ticket_.find(ticket);
-    if (own == own_by_pool_ticket_.end()) {
+    const auto own = own_ticket_by_pool_ticket_.find(ticket);
+    if (own == own_ticket_by_pool_ticket_.end()) {
       continue;
     }
     auto& placed = placements_.at(own->second);
     const auto chosen = choose_batcher(placed.work, placed.work.result_bytes, now);
     if (chosen && *chosen != self_.node) {
       const auto moved = own->second;
-      own_by_pool_ticket_.erase(own);
+      own_ticket_by_pool_ticket_.erase(own);
       pool_.cancel(ticket);
       place(moved, placed, chosen, now);
     }
@@ -119,7 +123,7 @@
     if (forwarded != forwarded_by_pool_ticket_.end()) {
       pool_.cancel(ticket);
       finish_forwarded(forwarded->second, {piece_fault::not_run, {}}, now);
-      forwarded_tickets_.erase({forwarded->second.origin, forwarded->second.origin_ticket});
+      forwarded_pool_tickets_.erase({forwarded->second.origin, forwarded->second.origin_ticket});
       forwarded_by_pool_ticket_.erase(forwarded);
     }
   }
@@ -155,7 +159,7 @@
   if (!chosen || *chosen == self_.node) {
     placed.holder = {};
     placed.pool_ticket = pool_.submit(placed.work, now);
-    own_by_pool_ticket_[placed.pool_ticket] = ticket;
+    own_ticket_by_pool_ticket_[placed.pool_ticket] = ticket;
     return;
   }
   placed.holder = *chosen;
@@ -230,7 +234,7 @@
     return;
   }
   if (found->second.holder.empty()) {
-    own_by_pool_ticket_.erase(found->second.pool_ticket);
+    own_ticket_by_pool_ticket_.erase(found->second.pool_ticket);
     pool_.cancel(found->second.pool_ticket);
   } else {
     message_to(found->second.holder).add_cancelled(ticket);
@@ -241,13 +245,13 @@
 void stage_exchange::release(const std::vector<std::string>& handles) {
   for (const auto& handle : handles) {
     const auto known = result_accounting_nodes_.find(handle);
-    const auto* holder =
+    const auto* accounting_peer =
         known == result_accounting_nodes_.end() ? nullptr : peers_.find(known->second);
-    if (holder == nullptr || holder->unresponsive_since) {
+    if (accounting_peer == nullptr || accounting_peer->unresponsive_since) {
       // Any node may free a result; the accounting node forgets the result when it expires.
       pool_.release(handle);
     } else {
-      message_to(holder->peer.node).add_released(handle);
+      message_to(accounting_peer->peer.node).add_released(handle);
     }
     if (known != result_accounting_nodes_.end()) {
       result_accounting_nodes_.erase(known);
@@ -259,10 +263,10 @@
 
 void stage_exchange::note_incarnation(peer_state& peer, const wire::stage_work& message,
                                       base::time_point now) {
-  const bool has_restarted = peer.incarnation != 0 && peer.incarnation != message.incarnation();
-  const bool has_begun_stop = message.is_stopping() && !peer.is_stopping;
-  peer.incarnation = message.incarnation();
-  peer.is_stopping = message.is_stopping();
+  const bool has_restarted = peer.incarnation != 0 && peer.incarnation != message.life();
+  const bool has_begun_stop = message.leaving() && !peer.is_stopping;
+  peer.incarnation = message.life();
+  peer.is_stopping = message.leaving();
   if (has_restarted || has_begun_stop) {
     note_peers_changed();
     refresh(now);
@@ -278,7 +282,7 @@
 }
 
 void stage_exchange::send_piece_state(const base::node_id& sender, piece_ticket ticket) {
-  if (forwarded_tickets_.contains({sender, ticket})) {
+  if (forwarded_pool_tickets_.contains({sender, ticket})) {
     message_to(sender).add_accepted(ticket);
     return;
   }
@@ -295,7 +299,7 @@
 
 void stage_exchange::accept_piece(const base::node_id& sender, const wire::piece_request& request,
                                   base::time_point now) {
-  if (forwarded_tickets_.contains({sender, request.ticket()})) {
+  if (forwarded_pool_tickets_.contains({sender, request.ticket()})) {
     message_to(sender).add_accepted(request.ticket());
     return;
   }
@@ -315,7 +319,7 @@
   work.permitted_regions = residency_of(request);
   const auto pool_ticket = pool_.submit(std::move(work), now);
   forwarded_by_pool_ticket_[pool_ticket] = {sender, request.ticket()};
-  forwarded_tickets_[{sender, request.ticket()}] = pool_ticket;
+  forwarded_pool_tickets_[{sender, request.ticket()}] = pool_ticket;
   message_to(sender).add_accepted(request.ticket());
 }
 
@@ -390,11 +394,11 @@
 }
 
 void stage_exchange::cancel_forwarded(const base::node_id& sender, piece_ticket ticket) {
-  const auto forwarded = forwarded_tickets_.find({sender, ticket});
-  if (forwarded != forwarded_tickets_.end()) {
+  const auto forwarded = forwarded_pool_tickets_.find({sender, ticket});
+  if (forwarded != forwarded_pool_tickets_.end()) {
     pool_.cancel(forwarded->second);
     forwarded_by_pool_ticket_.erase(forwarded->second);
-    forwarded_tickets_.erase(forwarded);
+    forwarded_pool_tickets_.erase(forwarded);
   }
 }
 
@@ -411,7 +415,8 @@
 
 void stage_exchange::collect_fetched_pieces() {
   for (const auto ticket : pool_.take_fetched()) {
-    if (const auto own = own_by_pool_ticket_.find(ticket); own != own_by_pool_ticket_.end()) {
+    if (const auto own = own_ticket_by_pool_ticket_.find(ticket);
+        own != own_ticket_by_pool_ticket_.end()) {
       fetched_.push_back(own->second);
     } else if (const auto forwarded = forwarded_by_pool_ticket_.find(ticket);
                forwarded != forwarded_by_pool_ticket_.end()) {
@@ -422,7 +427,8 @@
 
 void stage_exchange::collect_lost_pieces() {
   for (const auto& lost : pool_.take_lost()) {
-    if (const auto own = own_by_pool_ticket_.find(lost.ticket); own != own_by_pool_ticket_.end()) {
+    if (const auto own = own_ticket_by_pool_ticket_.find(lost.ticket);
+        own != own_ticket_by_pool_ticket_.end()) {
       lost_.push_back({own->second, lost.replica, lost.incarnation_exit});
     } else if (const auto forwarded = forwarded_by_pool_ticket_.find(lost.ticket);
                forwarded != forwarded_by_pool_ticket_.end()) {
@@ -438,17 +444,17 @@
   collect_fetched_pieces();
   collect_lost_pieces();
   for (auto& finished : pool_.take_finished()) {
-    const auto own = own_by_pool_ticket_.find(finished.ticket);
-    if (own != own_by_pool_ticket_.end()) {
+    const auto own = own_ticket_by_pool_ticket_.find(finished.ticket);
+    if (own != own_ticket_by_pool_ticket_.end()) {
       placements_.erase(own->second);
       finished_.push_back({own->second, std::move(finished.outcome)});
-      own_by_pool_ticket_.erase(own);
+      own_ticket_by_pool_ticket_.erase(own);
       continue;
     }
     const auto forwarded = forwarded_by_pool_ticket_.find(finished.ticket);
     if (forwarded != forwarded_by_pool_ticket_.end()) {
       finish_forwarded(forwarded->second, finished.outcome, now);
-      forwarded_tickets_.erase({forwarded->second.origin, forwarded->second.origin_ticket});
+      forwarded_pool_tickets_.erase({forwarded->second.origin, forwarded->second.origin_ticket});
       forwarded_by_pool_ticket_.erase(forwarded);
     }
   }
