--- a/src/dispatch/replica_report_exchange.cc
+++ b/src/dispatch/replica_report_exchange.cc
@@ -32,7 +32,7 @@
 }
 
 /// Maps values that only newer versions know to `well`.
-replica_health from_wire(wire::replica_health sign) {
+replica_health from_wire(wire::replica_sign sign) {
   switch (sign) {
   case wire::SIGN_SILENT:
     return replica_health::unresponsive;
