--- a/src/dispatch/admission_estimate.h
+++ b/src/dispatch/admission_estimate.h
@@ -13,8 +13,8 @@
 
 namespace spurrack::serving {
 
-/// Learns the times of calls to their first byte and adds up the remaining times of a request. Not
-/// thread-safe.
+/// Learns the times of calls to their first byte and adds up the times that a request still needs.
+/// Not thread-safe.
 class admission_estimate {
  public:
   /// Records the time that a call of a service took to its first byte.
@@ -23,9 +23,10 @@
                        base::duration duration);
 
   /// @param final_call call after the stages, with the zone in which their results are needed.
-  /// @param order position of the request's pieces in the queues of the stages.
-  /// @return time until the first byte of a request with the progress in `graph`; std::nullopt if
-  ///         some stage cannot be computed now.
+  /// @param order whether the request's pieces wait as in time or as past due in the queues of the
+  ///        stages.
+  /// @return expected time until the first byte of a request whose stages have the progress in
+  ///         `graph`; std::nullopt if some stage cannot be computed now.
   [[nodiscard]] std::optional<base::duration>
   time_to_first_byte(const model::serving_configuration& configuration, const model::route& route,
                      const stage_graph& graph, const stage_exchange& stages,
@@ -33,8 +34,8 @@
                      base::time_point now) const;
 
   /// @return conservative estimate of the time from the start of `stage` to the first byte: a call
-  ///         with a full batch and a typical wait for each stage on the longest path. A request
-  ///         whose piece starts with less time left will probably be late.
+  ///         with a full batch and a typical wait for each stage on the longest path. If a piece of
+  ///         `stage` starts with less time left, its request will probably be late.
   [[nodiscard]] base::duration
   conservative_time_from(const model::serving_configuration& configuration,
                          const model::route& route, const stage_graph& graph, std::uint32_t stage,
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -13,14 +13,14 @@
 
 /// Timeout of a request if neither the client nor the route sets one.
 constexpr base::duration default_request_timeout = std::chrono::minutes(2);
-/// A request with less than this fraction of its route's timeout is taken for one that comes back
-/// after a refusal.
+/// Fraction of the route's timeout. A request that is allowed less time is taken for the request of
+/// a client that returns after a refusal.
 constexpr double first_attempt_time_fraction = 0.97;
 /// Fraction of the time allowed by the client after which a request with unfinished stages is
-/// checked for feasibility, and the fraction between two such checks after that. The expected time
-/// changes with every replica that goes down. A request is aborted only if two consecutive checks
-/// agree, or by its first check: with seven checks of an inexact estimate, a single wrong one would
-/// abort a request that can still be served.
+/// checked for feasibility, and the fraction between two consecutive checks after the first. The
+/// expected time changes with every replica that goes down. A request is aborted only if two
+/// consecutive checks agree, or by its first check: with seven checks of an inexact estimate, a
+/// single wrong check would abort a request that can still be served.
 constexpr double first_check_fraction = 0.42;
 constexpr double check_interval_fraction = 0.08;
 
@@ -45,8 +45,7 @@
   return "the client left";
 }
 
-/// Picks one of the route's services by weight.
-/// @return service, which is the same for a request on every node.
+/// Picks one of the route's services by weight; every node picks the same service for a request.
 const std::string& pick_service(const model::route& route, const base::request_id& id) {
   std::uint64_t total = 0;
   for (const auto& target : route.services) {
@@ -278,8 +277,8 @@
   stages_.refresh(now);
   const auto expected = expected_time_to_first_byte(request, piece_order::in_time, now);
   const auto allowed = request.deadline - request.arrived_at;
-  // A returning request has less time than its route allows. It is refused only if it cannot end
-  // within its own time, whatever the target latency is.
+  // A client that returns after a refusal has less time than its route allows. Its request is
+  // refused only if it cannot complete in that time, even if it misses the target latency.
   const bool is_returning_client =
       request.route->timeout && allowed < *request.route->timeout * first_attempt_time_fraction;
   const auto target = request.route->target_latency;
@@ -335,7 +334,7 @@
   }
 }
 
-// --- ends ----------------------------------------------------------------------------------------
+// --- answers and removal -------------------------------------------------------------------------
 
 void dispatcher::on_event(const client_disconnected& disconnection, base::time_point now) {
   const auto found = active_.find(disconnection.client);
@@ -452,7 +451,7 @@
         handle_slow_client(request, now);
       }
     }
-    // Both on_stalled and handle_slow_client may have ended the request.
+    // Both on_stalled and handle_slow_client may have removed the request.
     if (const auto found = active_.find(client); found != active_.end()) {
       schedule_check(found->second);
     }
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -43,8 +43,16 @@
 
 namespace spurrack::serving {
 
-/// Decides how each request is served. Commands and messages are collected until `take_commands`
-/// and `take_messages` are called. Not thread-safe.
+/// Decides how each request is served: refuses it, queues it, computes its stages, sends it to
+/// replicas and forwards the answer. Commands for the I/O layer and messages to other nodes are
+/// collected until `take_commands` and `take_messages` are called. Not thread-safe.
+///
+/// An attempt is a call of a request at one replica, and a run is the execution of the request
+/// there. A piece is a part of a stage of the request; all pieces must be computed before the
+/// request itself is sent. A ticket identifies a piece that was submitted to `stage_exchange`. A
+/// request gets a slot when some replica may be sent the request; for a replica that announces a
+/// rate limit, this node needs a permit for each request. An exit is the end of a replica's
+/// process, planned or by a crash.
 class dispatcher {
  public:
   /// @param random must outlive this object.
@@ -67,7 +75,7 @@
     replicas_.set_unreachable(std::move(zones));
   }
   /// Begins a graceful stop: other nodes batch the pieces of stages from now on, and only requests
-  /// that are expected to end by `must_end_at` are accepted or sent to a replica.
+  /// that are expected to complete by `must_end_at` are accepted or sent to a replica.
   void begin_stop(base::time_point now, base::time_point must_end_at);
   /// @return whether requests are active, or calls for pieces, including those of other nodes, are
   ///         under way.
@@ -84,8 +92,8 @@
   /// Processes a query for retry budget, or a transfer of it, from another node.
   void handle_peer(const base::node_id& sender, const base::network_address& address,
                    const wire::retry_lending& message, base::time_point now);
-  /// Records another node's health reports on replicas. Calls at replicas that are now declared
-  /// down are checked at once.
+  /// Records another node's health reports on replicas. Calls at replicas that are declared down
+  /// after this message are checked at once.
   void handle_peer(const base::node_id& sender, const wire::replica_news& message,
                    base::time_point now);
   /// Merges another node's records of requests under which replicas exited.
@@ -101,9 +109,10 @@
   /// Releases a quarantined request.
   /// @return whether the crash registry had a record of the request.
   bool release_request(const quarantine::request_digest& digest, base::time_point now);
-  /// Aborts requests whose deadline has passed, and runs all other checks that are due.
+  /// Aborts requests whose deadline has passed, runs all other checks that are due, and dispatches
+  /// waiting requests and pieces.
   void advance(base::time_point now);
-  /// Ends all active requests, at the end of the time of a graceful stop.
+  /// Aborts all active requests when the time of a graceful stop is over.
   void abort_all_requests(base::time_point now);
 
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
@@ -136,24 +145,28 @@
   }
 
  private:
-  /// A call that runs the request itself, in contrast to its stage pieces.
+  /// A call that runs the request itself, in contrast to calls for pieces of its stages.
   struct open_call {
     base::call_id id = 0;
     base::replica_id replica;
-    /// Identifies the exit of the replica's incarnation that was called.
+    /// Identifier that the exit of the called incarnation has on all nodes. It is known before the
+    /// replica exits, and is recorded with the call if the call is lost.
     replica_exit incarnation_exit = 0;
     base::time_point started_at;
     /// Time at which the call counts as stalled unless the replica shows progress before;
     /// std::nullopt if progress is not watched.
     std::optional<base::time_point> stalls_at;
-    /// Time by which the replica has fetched the inputs; std::nullopt if that is not awaited.
+    /// Time by which the replica should have fetched the stage results that the call reads, which
+    /// are then freed; std::nullopt if they were freed, or are freed only with the first event or
+    /// the answer.
     std::optional<base::time_point> inputs_fetched_at;
-    /// Time since which the replica is declared down and the call is stalled.
+    /// Time of the first of the latest consecutive checks that found the call stalled and its
+    /// replica declared down; std::nullopt if the latest check did not.
     std::optional<base::time_point> down_since;
-    /// Time of the latest contact that was recorded in the replica table.
+    /// Time of the latest contact with the replica that was recorded in the replica table.
     base::time_point contact_noted_at;
-    /// Time at which this node learned that the replica restarted after the call began. The call
-    /// ends soon after this time unless it shows events.
+    /// Time at which this node learned that the replica restarted after the call began. A request
+    /// that cannot be retried fails unless the call shows events soon after this time.
     std::optional<base::time_point> restart_seen_at{};
   };
   /// Entry of a request that waits for a slot at a replica. Ordered by priority (0 is the most
@@ -172,9 +185,11 @@
     std::string reason;
     /// Answer of the replica, which is forwarded; std::nullopt if this node answers itself.
     std::optional<call_answered> answer;
-    /// Whether no replica has run the request, which this node's answer then states.
+    /// Whether no replica has run the request; this node's answer then states that the request was
+    /// not run.
     bool is_not_run = false;
   };
+  /// A request that has arrived and whose answer is not complete.
   struct active_request {
     base::caller_id client = 0;
     std::shared_ptr<const request_content> content;
@@ -201,14 +216,17 @@
     std::optional<failure_outcome> pending_failure;
     /// Entry in the admission queue; set only while the request waits for a slot at a replica.
     std::optional<waiting_request> queue_entry;
+    /// Replicas that are not chosen for the next attempt because an earlier attempt went to them.
     std::set<base::replica_id> tried_replicas;
+    /// Number of attempts, without those that reached no replica.
     std::uint32_t attempts = 0;
+    /// Number of attempts that reached no replica.
     std::uint32_t unreached_attempts = 0;
     /// Whether some replica may have worked on the request.
     bool may_have_run = false;
     bool has_begun_stream = false;
     /// Time of the next check whether the stages can still end in time; std::nullopt if the request
-    /// has no stages.
+    /// is not checked.
     std::optional<base::time_point> next_feasibility_check_at;
     /// Result of the last feasibility check; std::nullopt before the first check.
     std::optional<bool> was_infeasible_at_last_check;
@@ -276,23 +294,24 @@
   /// Refuses a request that is not expected to be served in time.
   /// @return whether the request was refused.
   bool refuse_infeasible(active_request& request, base::time_point now);
-  /// Refuses a request that a stopping node has no time to end.
+  /// Refuses a request that a stopping node has no time to complete.
   /// @return whether the request was refused.
   bool refuse_while_stopping(active_request& request, base::time_point now);
-  /// Ends a request that is not expected to end before the end of a graceful stop. The answer
-  /// states that the request was not run if no replica has run it.
-  /// @return whether the request was ended.
+  /// Aborts a request that is not expected to complete before the end of a graceful stop. If no
+  /// replica may have run the request, the answer states that it was not run.
+  /// @return whether the request was aborted.
   bool end_if_late_for_stop(active_request& request, base::time_point now);
-  /// @return whether a request that is sent to a replica now is expected to end before the end of a
-  ///         graceful stop; true if no stop has begun.
+  /// @return whether a request that is sent to a replica now is expected to complete before the end
+  ///         of a graceful stop; true if no stop has begun.
   [[nodiscard]] bool has_time_before_stop(const active_request& request,
                                           base::time_point now) const;
   /// @return remaining work of a request, given the progress of its stages and its stream.
   [[nodiscard]] remaining_work remaining_work_of(const active_request& request,
                                                  base::time_point now) const;
-  /// @return part of the expected time of the events that a stream has already used, if it is
-  ///         resumed after its last event. Zero if the stream has already lasted longer than
-  ///         expected, because the remaining time is unknown then.
+  /// @return part of the expected streaming time that a stream has already used, and does not need
+  ///         again if it is resumed after its last event. Zero if the stream has already lasted
+  ///         longer than expected, because its remaining time is then unknown, and zero for a slow
+  ///         client.
   [[nodiscard]] static base::duration streamed_time_of(const active_request& request,
                                                        base::duration expected_events);
   /// Records the times of a completed run, if one replica ran the request without interruptions.
@@ -317,7 +336,8 @@
   void free_fetched_stage_inputs();
   void on_piece_finished(active_request& request, piece_ticket ticket, const piece_outcome& outcome,
                          base::time_point now);
-  /// @return whether the replica that holds a result is gone or cannot be reached.
+  /// @return whether the replica that holds a result is no longer published, was replaced or is
+  ///         paused.
   [[nodiscard]] bool is_result_lost(const std::string& handle, base::time_point now) const;
   /// Recomputes the lost results that the request itself reads.
   void recompute_final_inputs(active_request& request, base::time_point now);
@@ -345,7 +365,7 @@
   /// Removes the open call from the request and from all indexes.
   /// @return the call.
   open_call close_call(active_request& request);
-  /// Records that a replica answered.
+  /// Records that a replica answered: as contact, and as evidence against its recorded exit.
   void note_answer(const base::replica_id& replica, const answer_head& head, base::time_point now);
   /// Advances the exchanges of self-reports and of permits, and processes the admission queues.
   void advance_self_reports(base::time_point now);
@@ -359,8 +379,8 @@
   /// Requests a permit of a limited replica that could serve the request.
   void request_permit(const active_request& request, base::time_point now);
   [[nodiscard]] static waiting_request queue_entry_of(const active_request& request);
-  /// @return whether a request with a higher rank waits in the admission queue and could be sent
-  ///         now.
+  /// @return whether the first request of the admission queue precedes this request and could be
+  ///         sent now.
   [[nodiscard]] bool is_behind_waiting_requests(const active_request& request,
                                                 base::time_point now);
   /// Chooses a replica, or queues or refuses the request.
@@ -384,7 +404,7 @@
                                                                   std::size_t requests_ahead,
                                                                   base::time_point now) const;
   /// @param requests_ahead number of queued requests before the request.
-  /// @return time until a permit for one of these replicas is expected.
+  /// @return expected time until this node gets a permit for one of these replicas.
   [[nodiscard]] base::duration
   expected_permit_wait(const std::string& service, const std::vector<const replica_state*>& limited,
                        std::size_t requests_ahead, base::time_point now) const;
@@ -403,7 +423,8 @@
   /// stages are not computed for nothing.
   /// @return whether the request was refused.
   bool refuse_without_expected_slot(active_request& request, base::time_point now);
-  /// Refuses a request that gets no slot in time, with a Retry-After time derived from `wait`.
+  /// Refuses a request that gets no slot in time, with a Retry-After time derived from `wait`. A
+  /// request that may have run fails instead.
   void refuse_without_slot(active_request& request, base::duration wait, base::time_point now);
   void process_admission_queues(base::time_point now);
   /// Sends or refuses the queued requests of one service in their order.
@@ -412,21 +433,21 @@
   void request_permits_for_waiting(const std::string& service, base::time_point now);
   void leave_admission_queue(active_request& request);
   void on_not_executed(active_request& request, const answer_head& head, base::time_point now);
-  /// Retries a request after an attempt that may have run, if its route allows that; otherwise ends
-  /// it.
+  /// Retries a request after an attempt that may have run, if its route, its attempts, its deadline
+  /// and the retry budget allow that; otherwise the request fails.
   void retry_or_fail(active_request& request, base::time_point now);
   /// Sends a granted retry. A stream resumes after the last forwarded event.
   void send_retry(active_request& request, base::time_point now);
   /// Retries a request if attempts, time and retry budget allow it. If only the budget is spent,
-  /// the request waits shortly for a transfer from other nodes. Otherwise it ends with `outcome`.
+  /// the request waits shortly for a transfer from other nodes. Otherwise it fails with `outcome`.
   void retry_or_end(active_request& request, failure_outcome outcome, base::time_point now);
   void end_with_failure(active_request& request, const failure_outcome& outcome,
                         base::time_point now);
-  /// Handles a call that ended without a whole answer: starts to find out whether its replica
-  /// exited.
+  /// Records a call that ended without a whole answer (a lost call), and has its replica probed to
+  /// find out whether it exited.
   void note_lost_call(const active_request& request, const base::replica_id& replica,
                       replica_exit incarnation_exit, base::time_point now);
-  /// Records the exit of a replica under all its lost calls.
+  /// Records the exit of a replica under the requests of all its lost calls.
   /// @param evidence observation that showed the exit, for the log.
   void note_replica_exit(const base::replica_id& replica, const char* evidence,
                          base::time_point now);
@@ -435,9 +456,10 @@
                                const char* evidence, base::time_point now);
   /// Drops expired records, quarantines newly suspected requests and sends crash reports.
   void advance_crashes(base::time_point now);
-  /// Records the exit of replicas that have lost calls and are no longer published.
+  /// Records the exits of replicas that have lost calls and are no longer published.
   void find_exited_replicas(base::time_point now);
-  /// Withdraws the recorded exit of a replica's current incarnation, because the replica answered.
+  /// Withdraws the recorded exit of a replica's published incarnation, if the replica answers
+  /// `min_withdrawal_age` or more after it, which shows that the replica has not exited.
   void withdraw_exit(const base::replica_id& replica, base::time_point now);
   /// Records that a replica survived a run of a request.
   void note_survived(const active_request& request, base::time_point now);
@@ -446,13 +468,15 @@
   /// Refuses a request that is quarantined.
   /// @return whether the request was refused.
   bool refuse_if_quarantined(active_request& request, base::time_point now);
-  /// Begins the quarantine of a request: its active instances that have shown no events end.
+  /// Begins the quarantine of a request: refuses the active requests with this digest, except those
+  /// whose call has shown events. Requests that may have run fail instead.
   void quarantine_request(const quarantine::request_digest& digest, base::time_point now);
   [[nodiscard]] static bool has_attempt_left(const active_request& request, base::time_point now);
-  /// @return whether another attempt is allowed and would end before the end of a graceful stop;
-  ///         the retry budget is not checked.
+  /// @return whether another attempt is allowed and is expected to complete before the end of a
+  ///         graceful stop; the retry budget is not checked.
   [[nodiscard]] bool can_retry(const active_request& request, base::time_point now) const;
-  /// Retries or ends the requests that waited for a budget transfer.
+  /// Retries the requests that waited for a budget transfer and have it now. Requests for which no
+  /// more answers are awaited fail.
   void process_awaiting_budget(base::time_point now);
   /// Takes a retry from the budget if another attempt is allowed.
   /// @return whether the retry was granted.
@@ -461,43 +485,49 @@
   void begin_stream(active_request& request, base::time_point now);
   /// Records the arrival of events; the times are logged at the end of the stream.
   static void note_event(active_request& request, base::time_point now);
-  /// Schedules the time at which the call counts as stalled; a timeout of 0 disables it.
+  /// Sets the time at which the call counts as stalled. A timeout of 0, or a closed window, means
+  /// that the call cannot stall.
   void watch_progress(active_request& request, base::duration timeout, base::time_point now);
-  /// Records contact with the replica in the replica table, at most once per interval.
+  /// Records contact with the replica of a call in the replica table, at most once per
+  /// `contact_note_interval`.
   void note_contact(open_call& call, base::time_point now);
   /// Pauses reading from the replica until the client reads on.
   void pause_stream(active_request& request, base::time_point now);
-  /// Resumes reading from the replica, or sends the request again if its call was suspended.
+  /// Resumes reading from the replica, or sends the request to a replica again if its call was
+  /// suspended.
   void resume_stream(active_request& request, base::time_point now);
-  /// Suspends the upstream call of a paused stream if the stream can be resumed later, otherwise
-  /// has its remainder buffered; both happen before the replica would break the unread answer off.
+  /// Suspends the upstream call of a paused stream if the stream can be resumed later; otherwise
+  /// has the remainder of the stream buffered. This happens before the replica would break the
+  /// unread answer off.
   void handle_slow_client(active_request& request, base::time_point now);
   [[nodiscard]] static bool can_suspend(const active_request& request);
   void mark_slow_client(active_request& request);
   /// Counts the buffered bytes of an incomplete event against the byte budget.
-  /// @return whether the budget has memory for them.
+  /// @return whether the budget has enough memory left for the bytes.
   bool reserve_partial_event(active_request& request);
   void abort_request(active_request& request, const std::string& reason, base::time_point now);
-  /// @return time of the earliest due check of a request: feasibility, fetched inputs, a stalled
-  ///         call or a slow client.
+  /// @return time of the earliest due check of a request: of its feasibility, of fetched inputs, of
+  ///         a stalled call or of a slow client; std::nullopt if no check is due.
   [[nodiscard]] static std::optional<base::time_point>
   next_due_check(const active_request& request);
-  /// Schedules the next due check of a request. If an earlier check is already scheduled, that
-  /// check reschedules, so that the events of a stream cost nothing.
+  /// Schedules the next due check of a request. If an earlier check is already scheduled, it stays
+  /// and schedules the next check when it runs, so that the events of a stream cost no
+  /// rescheduling.
   void schedule_check(active_request& request);
   /// Runs the due checks of all requests.
   void check_requests(base::time_point now);
-  /// Schedules an immediate check of retryable calls at a replica that is declared down, if they
-  /// have shown no events and the replica has been inactive since they began.
+  /// Schedules an immediate check of the calls at a replica that is declared down, if their route
+  /// allows retries, they have shown no events, and the replica has shown no activity since they
+  /// began.
   void recheck_calls_at(const base::replica_id& replica, base::time_point now);
-  /// Handles a call without progress: retries it at another replica if that is allowed, ends it if
-  /// it is not and the replica is down, and otherwise schedules another check.
+  /// Handles a stalled call: retries it at another replica if that is allowed. If it is not and the
+  /// replica stays declared down, the request fails; otherwise another check is scheduled.
   void on_stalled(active_request& request, base::time_point now);
   /// @return whether the replica of a call has shown no activity since the last progress of the
   ///         call.
   [[nodiscard]] bool is_replica_unresponsive(const active_request& request) const;
   /// Retries a stalled call at another replica if that is allowed and a replica is available;
-  /// otherwise schedules another check because both may change.
+  /// otherwise schedules another check, because permission and replicas may change.
   void retry_elsewhere(active_request& request, base::time_point now);
   /// Applies the published replicas: those that changed since the last update, or all of them.
   void update_replicas(const catalog::catalog& content, bool all, base::time_point now);
@@ -505,14 +535,15 @@
   void handle_replica_restarts(base::time_point now);
   void handle_replica_restart(const replica_restart& restart, base::time_point now);
   /// Detaches a call at an earlier incarnation from the replica, and schedules the check that
-  /// retries or ends it.
+  /// retries the call or lets its request fail.
   void move_to_earlier_incarnation(active_request& request, base::time_point now);
-  /// Ends a call at an earlier incarnation that cannot be retried, unless it shows events in time.
+  /// Lets the request of a call at an earlier incarnation fail if the call cannot be retried and
+  /// shows no events within `restart_confirm_time`.
   void check_call_at_earlier_incarnation(active_request& request, base::time_point now);
   /// Records an event for each replica of a service that is not configured, once per replica and
   /// service.
   void report_unknown_services();
-  /// Frees the inputs of a call if its replica has fetched them by now.
+  /// Frees the inputs of a call if its replica should have fetched them by now.
   void free_fetched_inputs(active_request& request, base::time_point now);
   void abort_expired(base::time_point now);
 
@@ -557,28 +588,34 @@
   quarantine::crash_registry crash_registry_;
   quarantine::crash_report_exchange crash_reports_;
   base::time_point next_crash_expiry_at_;
+  /// Requests whose quarantine begins with the next `advance`.
   std::vector<quarantine::request_digest> newly_quarantined_;
   stage_exchange stages_;
   admission_estimate admission_estimate_;
   run_times run_times_;
   stop_plan stop_plan_;
+  /// Active requests, by client.
   std::unordered_map<base::caller_id, active_request> active_;
   std::unordered_map<base::call_id, base::caller_id> clients_by_call_;
-  /// Clients whose request has a call at each replica.
+  /// By replica, the clients whose request has a call there.
   std::unordered_map<base::replica_id, std::set<base::caller_id>> clients_by_replica_;
   std::unordered_map<piece_ticket, base::caller_id> clients_by_ticket_;
-  /// Unconfigured services that were reported, by the replica that names them.
+  /// Names of unconfigured services that were reported, by the replica whose record names them.
   std::map<base::replica_id, std::string> reported_unknown_services_;
-  /// Clients whose request waits for a budget transfer, the earliest first.
+  /// Clients whose request waits for a budget transfer, in the order in which they began to wait.
   std::vector<base::caller_id> awaiting_budget_;
-  /// Requests that wait for slots, by service, and the rates at which they get them.
+  /// By service, the requests that wait for slots, and the rate at which requests leave the queue
+  /// for a slot.
   std::map<std::string, admission_queue> admission_queues_;
   std::map<std::string, drain_rate> drain_rates_;
   base::time_point next_queue_check_at_;
   /// Whether the requests of an admission queue are being processed in their order.
   bool is_processing_queue_ = false;
+  /// Number of received permits when the admission queues were last checked for new permits.
   std::uint64_t counted_permits_ = 0;
+  /// Deadlines of all active requests, the earliest first.
   std::set<std::pair<base::time_point, base::caller_id>> deadlines_;
+  /// Scheduled checks of requests, the earliest first.
   std::set<std::pair<base::time_point, base::caller_id>> due_checks_;
   serving_counters counters_;
   std::shared_ptr<flow::byte_budget> byte_budget_;
--- a/src/dispatch/dispatcher_admission_queue.cc
+++ b/src/dispatch/dispatcher_admission_queue.cc
@@ -16,11 +16,12 @@
 /// Interval at which the admission queues are processed; they are also processed when permits
 /// arrive.
 constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
-/// A request that already waits is refused only if this fraction of the expected wait exceeds its
-/// remaining time: waits vary by about their own length, and the time that the request has waited
-/// would be lost.
+/// Fraction of the expected wait that must exceed the remaining time of a queued request before the
+/// request is refused: waits vary by about their own length, and a refusal wastes the time that the
+/// request has already waited.
 constexpr double certain_wait_fraction = 0.5;
-/// Longer than any request may wait.
+/// Maximum expected wait, also used if the limits allow no requests; longer than any request may
+/// wait.
 constexpr base::duration unbounded_wait = std::chrono::hours(1);
 
 } // namespace
@@ -50,8 +51,8 @@
   }
   auto limited = replicas_.candidates_without_permit(demand_of(request), now);
   if (request.graph) {
-    // In another zone the results of its stages would have to be transferred, so a permit there is
-    // of no use.
+    // To another zone the results of the request's stages would have to be transferred, so a permit
+    // of a replica there is of no use.
     std::erase_if(limited, [&](const replica_state* state) {
       return state->record->zone != request.expected_zone;
     });
@@ -63,16 +64,17 @@
 
 void dispatcher::request_permits_for_waiting(const std::string& service, base::time_point now) {
   const auto& queue = admission_queues_.at(service);
-  // The replicas of the first request in the queue stand for those of all requests, which differ
-  // only by regions and tried replicas.
+  // Permits are requested of the replicas that could serve the first request in the queue. The
+  // other requests could use the same replicas, except for differences in permitted regions and
+  // tried replicas.
   const auto limited =
       replicas_.candidates_without_permit(demand_of(active_.at(queue.begin()->client)), now);
   if (limited.empty()) {
     return;
   }
   // A permit for any of the replicas suffices, so no more permits are requested than requests wait.
-  // The first replica rotates with time because the node that issues the permits of some replicas
-  // may be down.
+  // The replicas that are chosen rotate with time because the node that issues the permits of some
+  // replicas may be down.
   const auto replica_count = std::min(limited.size(), queue.size());
   const auto permits_per_replica =
       static_cast<std::uint32_t>((queue.size() + replica_count - 1) / replica_count);
@@ -114,8 +116,8 @@
   if (per_second <= 0) {
     return unbounded_wait;
   }
-  // Other nodes get permits too. If requests waited here recently, the rate at which this node got
-  // permits is a better estimate than the limits.
+  // Other nodes get permits too. If requests waited at this node recently, the rate at which this
+  // node got permits is a better estimate than the limits.
   const auto rate = std::min(per_second, drain_rate_of(service, now).value_or(per_second));
   return base::from_seconds(
       std::min(static_cast<double>(requests_ahead + 1) / rate, base::to_seconds(unbounded_wait)));
@@ -131,7 +133,7 @@
                                                  base::duration backoff_wait,
                                                  std::size_t requests_ahead,
                                                  base::time_point now) const {
-  // After a backoff calls begin slowly; their rate is known after the first of them.
+  // After a backoff calls begin slowly; their rate is known only after some calls have begun.
   const auto recent_rate = drain_rate_of(service, now);
   return recent_rate
              ? backoff_wait + base::from_seconds(static_cast<double>(requests_ahead) / *recent_rate)
@@ -163,7 +165,7 @@
   if (choose_replica_for(demand, now) != nullptr) {
     return false;
   }
-  // Requests whose stages are being computed also come first because they need the same slots.
+  // Requests whose stages are being computed also count as ahead because they need the same slots.
   const auto requests_ahead = std::count_if(active_.begin(), active_.end(), [&](const auto& entry) {
     const auto& other = entry.second;
     return other.client != request.client && other.service == request.service && !other.call;
@@ -294,7 +296,8 @@
     }
     const auto wait = expected_queue_wait(request, requests_ahead, now);
     if (!wait) {
-      // No replica can accept the request later: it ends like any request without a replica.
+      // No replica will accept the request later: it is answered like any request without a
+      // replica.
       leave_admission_queue(request);
       send_to_replica(request, now);
     } else if (now + base::scaled(*wait, certain_wait_fraction) > client_deadline_of(request)) {
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -10,18 +10,20 @@
 namespace spurrack::serving {
 namespace {
 
-/// Number of unreachable replicas after which a request is refused.
+/// Number of attempts that reach no replica after which a request is refused, or fails if it may
+/// have run.
 constexpr std::uint32_t max_unreached_attempts = 4;
-/// Fraction of the target latency after which a call of a safe route counts as stalled.
+/// Time after which a call of a safe route counts as stalled, as a fraction of the target latency.
 constexpr double plain_stall_fraction = 0.7;
-/// A stream counts as stalled after this many times the target gap between two events.
+/// Time without an event after which a stream counts as stalled, as a multiple of the target gap
+/// between two events.
 constexpr double stream_stall_factor = 2.5;
-/// Interval at which the events of a stream are recorded as contact with its replica; recording
-/// each event would cost a look-up.
+/// Minimum interval at which the events of a stream are recorded as contact with its replica;
+/// recording each event would cost a look-up per event.
 constexpr base::duration contact_note_interval = std::chrono::milliseconds(100);
-/// A prompt at an engine with a backlog counts as stalled after this many times its expected time
-/// to the first event. This saves long prompts a second prefill of the same tokens, which would not
-/// make the first event arrive sooner (docs/design/engines.md).
+/// Time after which a prompt at an engine with a backlog counts as stalled, as a multiple of its
+/// expected time to the first event. The wait saves long prompts a second prefill of the same
+/// tokens, which would not make the first event arrive sooner (docs/design/engines.md).
 constexpr double engine_stall_factor = 2;
 
 bool is_success(unsigned code) {
@@ -380,7 +382,8 @@
   if (is_whole) {
     begin_stream(*request, now);
     if (request->first_event_at == base::time_point{}) {
-      // A resumed stream without new events: its end is the first message to the client.
+      // A resumed stream had no new events: the end of the stream is the first message to the
+      // client.
       request->first_event_at = now;
     }
     replicas_.note_success(call.replica, now);
--- a/src/dispatch/dispatcher_constants.h
+++ b/src/dispatch/dispatcher_constants.h
@@ -20,7 +20,7 @@
 /// Reason in the answer to a request whose deadline has passed.
 inline constexpr const char* deadline_passed = "deadline passed";
 
-/// A request is admitted if its expected time is at most this many times its target latency.
+/// Maximum expected time of an admitted request, as a multiple of its target latency.
 inline constexpr double admission_target_factor = 1.3;
 
 /// Maximum number of times that stages of a request are recomputed because results were lost.
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -1,5 +1,6 @@
 /// Requests under which replicas exit: detection of exits, quarantine of requests and their
-/// release.
+/// release. A call that ends without a whole answer is a lost call; if its replica turns out to
+/// have exited, the exit is recorded under the request of the call.
 #include "dispatch/dispatcher.h"
 
 #include "dispatch/dispatcher_constants.h"
@@ -9,9 +10,9 @@
 namespace spurrack::serving {
 namespace {
 
-/// If a replica answers at least this long after its assumed exit and is still published with the
-/// same incarnation, it has not exited: replicas publish their entries every second or two, and the
-/// list lags by no more than the remainder of this time.
+/// Minimum time from the assumed exit of a replica to an answer that disproves the exit. The
+/// replica must still be published with the same incarnation: replicas publish their entries every
+/// second or two, and the list of replicas lags by no more than the remainder of this time.
 constexpr base::duration min_withdrawal_age = std::chrono::seconds(5);
 /// Interval of the search for expired records; the shortest lifetime of a record is 10 s.
 constexpr base::duration crash_expiry_interval = std::chrono::seconds(1);
@@ -26,7 +27,7 @@
 void dispatcher::note_lost_call(const active_request& request, const base::replica_id& replica,
                                 replica_exit incarnation_exit, base::time_point now) {
   const auto* state = replicas_.find(replica);
-  // A draining replica exits as planned, which no request caused.
+  // A draining replica exits as planned, so no request is the cause of the exit.
   if (state == nullptr || state->record->draining || state->is_replaced) {
     return;
   }
@@ -99,8 +100,8 @@
     crash_detector_.drop_expired(now);
     crash_registry_.expire(now);
   }
-  // Deferred to `advance`: the quarantine may end the very request that is processed when the exit
-  // is recorded.
+  // Quarantines begin here and not when the exit is recorded, because a quarantine may remove the
+  // very request that is being processed then.
   for (const auto& digest : std::exchange(newly_quarantined_, {})) {
     quarantine_request(digest, now);
   }
@@ -199,7 +200,7 @@
   }
   for (const auto client : clients) {
     auto& request = active_.at(client);
-    // The replica may be about to run the request; closing the connection cancels it there.
+    // The replica may be about to run the request; closing the connection cancels the call there.
     request.may_have_run = request.may_have_run || request.call.has_value();
     refuse_if_quarantined(request, now);
   }
--- a/src/dispatch/dispatcher_replica_restarts.cc
+++ b/src/dispatch/dispatcher_replica_restarts.cc
@@ -7,9 +7,10 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time within which a call at an incarnation that seems to have exited can show events: the entry
-/// of a restarted replica may reach this node after the new process accepted its first calls. Equal
-/// to the time for which a replica must be down before a request ends for it.
+/// Time for which a call that seems to run at an earlier incarnation is given to show events: the
+/// call may run at the new incarnation, because the entry of a restarted replica may reach this
+/// node after the new process accepted its first calls. Equal to the time for which a replica must
+/// stay declared down before requests at it fail.
 constexpr base::duration restart_confirm_time = std::chrono::milliseconds(500);
 
 /// @return id under which calls at an earlier incarnation are kept, so that their results are not
--- a/src/dispatch/dispatcher_retries.cc
+++ b/src/dispatch/dispatcher_retries.cc
@@ -9,15 +9,16 @@
 namespace spurrack::serving {
 namespace {
 
-/// Interval of the checks of a stalled call for which no other replica or no budget is available: a
-/// tenth of the second within which the requests of a replica that goes down are to be retried.
+/// Interval of the checks of a stalled call for which no other replica or no retry budget is
+/// available. Requests at a replica that goes down should be retried within one second; the
+/// interval is a tenth of it.
 constexpr base::duration stall_check_interval = std::chrono::milliseconds(100);
-/// Interval of the checks whether the replica of a stalled call that cannot be retried is down: a
-/// quarter of that second.
+/// Interval of the checks whether the replica of a stalled call that cannot be retried is declared
+/// down: a quarter of that second.
 constexpr base::duration down_check_interval = std::chrono::milliseconds(250);
-/// Time for which a replica must stay declared down before a request ends for it. Nodes that still
-/// have contact with the replica can report it in this time, and the request ends within the
-/// second.
+/// Time for which a replica must stay declared down before a request at it that cannot be retried
+/// fails. In this time, other nodes that still have contact with the replica can report that it is
+/// healthy. The time is short enough for the request to be answered within the same second.
 constexpr base::duration down_confirm_time = std::chrono::milliseconds(500);
 
 } // namespace
@@ -198,8 +199,8 @@
 }
 
 void dispatcher::retry_elsewhere(active_request& request, base::time_point now) {
-  // If a graceful stop leaves no time for another attempt, or the request is limited to one
-  // attempt, the stalled call is still the best option.
+  // If a graceful stop leaves no time for another attempt, or suspected crashes limit the request
+  // to one attempt, the stalled call is still the best option.
   if (!can_retry(request, now) || choose_replica(request, now) == nullptr) {
     request.call->stalls_at = now + stall_check_interval;
     return;
--- a/src/dispatch/dispatcher_self_reports.cc
+++ b/src/dispatch/dispatcher_self_reports.cc
@@ -1,4 +1,5 @@
-/// Self-reports of replicas, from answers and from other nodes: recorded, and logged as events.
+/// Records what replicas report of themselves (self-reports), in their answers or through other
+/// nodes, and records an event for each new fact.
 #include "dispatch/dispatcher.h"
 
 #include <cstdio>
--- a/src/dispatch/dispatcher_slow_clients.cc
+++ b/src/dispatch/dispatcher_slow_clients.cc
@@ -8,9 +8,9 @@
 namespace spurrack::serving {
 namespace {
 
-/// A call that is paused for this time is suspended or buffered. The time is well below the seconds
-/// after which a replica breaks an unread answer off, and longer than the pauses of links that lose
-/// packets.
+/// Time for which a call stays paused before it is suspended or the remainder of its stream is
+/// buffered. It is well below the seconds after which a replica breaks an unread answer off, and
+/// longer than the pauses of links that lose packets.
 constexpr base::duration max_call_pause = std::chrono::milliseconds(1'500);
 
 } // namespace
@@ -65,7 +65,8 @@
 }
 
 bool dispatcher::can_suspend(const active_request& request) {
-  // A request with stages would need their results to be recomputed for the second attempt.
+  // A request with stages is not suspended: the results of its stages would have to be recomputed
+  // for the second attempt.
   return request.call && request.has_begun_stream && request.route->is_repeatable() &&
          !request.graph && request.events.last_id().has_value();
 }
@@ -81,7 +82,7 @@
 void dispatcher::handle_slow_client(active_request& request, base::time_point now) {
   request.slow_client_check_at.reset();
   if (!request.call) {
-    // Between two calls: the next call starts paused and is checked again.
+    // The request is between two calls: the next call starts paused and is checked again.
     if (!request.is_suspended) {
       request.slow_client_check_at = now + max_call_pause;
     }
@@ -92,7 +93,7 @@
   const bool can_wait = !stop_plan_.has_begun() && can_suspend(request);
   if (!can_wait || !try_take_retry(request, now)) {
     commands_.emplace_back(read_ahead{request.client});
-    // Without free memory the call stays paused and is checked again.
+    // If there is no memory to buffer the remainder, the call stays paused and is checked again.
     request.slow_client_check_at = now + max_call_pause;
     return;
   }
--- a/src/dispatch/dispatcher_stages.cc
+++ b/src/dispatch/dispatcher_stages.cc
@@ -1,4 +1,5 @@
-/// Stages of requests: submits pieces, applies their results and recomputes lost results.
+/// Stages of requests: submits the pieces of stages, applies their results and recomputes lost
+/// results.
 #include "dispatch/dispatcher.h"
 #include "dispatch/dispatcher_constants.h"
 #include "stage_work/result_handle.h"
@@ -92,7 +93,8 @@
 
 bool dispatcher::process_piece_results(base::time_point now) {
   free_fetched_stage_inputs();
-  // Before the results are applied, because a failed piece may end its request.
+  // Lost pieces are recorded before results are applied, because a failed piece may remove its
+  // request.
   for (const auto& lost : stages_.take_lost()) {
     const auto owner = clients_by_ticket_.find(lost.ticket);
     if (owner != clients_by_ticket_.end()) {
--- a/src/dispatch/dispatcher_stop.cc
+++ b/src/dispatch/dispatcher_stop.cc
@@ -1,4 +1,5 @@
-/// Graceful stop: requests that are still accepted or sent, and the end of the remaining requests.
+/// Graceful stop: decides which requests are still accepted or sent, and aborts the requests that
+/// remain at its end.
 #include "dispatch/dispatcher.h"
 
 #include "dispatch/dispatcher_constants.h"
@@ -49,7 +50,8 @@
 
 base::duration dispatcher::streamed_time_of(const active_request& request,
                                             base::duration expected_events) {
-  // The events of a slow client include its pauses, which say nothing about the remaining time.
+  // The events of a slow client's stream were delayed by the client's pauses, so their times say
+  // nothing about the remaining time.
   if (!request.has_begun_stream || request.is_slow_client) {
     return {};
   }
--- a/src/dispatch/event_stream.h
+++ b/src/dispatch/event_stream.h
@@ -28,7 +28,8 @@
   [[nodiscard]] bool has_partial() const { return !pending_.empty(); }
   /// @return number of buffered bytes of an incomplete event.
   [[nodiscard]] std::size_t partial_bytes() const { return pending_.size(); }
-  /// Drops the buffered bytes of an incomplete event, before another run resumes the stream.
+  /// Drops the buffered bytes of an incomplete event, before another call resumes the stream after
+  /// the last whole event.
   void drop_partial_event() { pending_.clear(); }
 
  private:
--- a/src/dispatch/replica_report_exchange.cc
+++ b/src/dispatch/replica_report_exchange.cc
@@ -6,15 +6,16 @@
 namespace spurrack::serving {
 namespace {
 
-/// Maximum number of nodes of the region that receive one message, drawn at random if the region
+/// Maximum number of nodes that receive one message; they are drawn at random if this node's region
 /// has more. In a region of 100 nodes the reports of two nodes reach about half of the other nodes
 /// at once.
 constexpr std::size_t max_recipients = 32;
-/// Maximum number of replicas in one message of about 300 bytes. Replicas that only fail calls come
-/// last.
+/// Maximum number of replicas in one message, which then has about 300 bytes. Replicas that answer
+/// but fail calls come last.
 constexpr std::size_t max_reports_per_message = 8;
-/// Minimum interval between two messages; the first report is sent at once. A node sends at most 32
-/// messages of 300 bytes per second, and only while its calls fail.
+/// Minimum interval between two messages; the first report is sent at once. Because each message
+/// goes to at most 32 nodes, a node sends at most 32 times 300 bytes per second, and only while its
+/// calls fail.
 constexpr base::duration message_interval = std::chrono::milliseconds(1000);
 
 wire::replica_sign to_wire(replica_health sign) {
@@ -31,7 +32,7 @@
   return wire::SIGN_WELL;
 }
 
-/// Maps values that only newer versions know to `well`.
+/// Maps values that only newer versions know to `healthy`.
 replica_health from_wire(wire::replica_sign sign) {
   switch (sign) {
   case wire::SIGN_SILENT:
--- a/src/dispatch/replica_report_exchange.h
+++ b/src/dispatch/replica_report_exchange.h
@@ -40,7 +40,7 @@
   replica_report_exchange(replica_table& replicas, base::zone_id own_zone,
                           const model::zone_regions& regions, base::random_source& random);
 
-  /// Replaces the nodes that can be sent reports; only nodes of the own region are used.
+  /// Replaces the nodes that can be sent reports; only nodes of this node's region are used.
   void set_peers(const std::vector<fleet_peer>& alive);
   /// Sends the changed reports if the last message is at least one message interval old.
   void advance(base::time_point now);
@@ -55,7 +55,11 @@
   [[nodiscard]] const replica_report_counts& counts() const { return counts_; }
 
  private:
+  /// Collects the next message. Reports that do not fit stay in `pending_`.
+  /// @return message; empty if no report is left to send.
   [[nodiscard]] wire::replica_news collect_reports(base::time_point now);
+  /// @return whether a report refers to another incarnation of a replica than the one that this
+  ///         node knows; false if either incarnation is unknown.
   [[nodiscard]] bool is_of_other_incarnation(const wire::replica_evidence& entry) const;
 
   replica_table* replicas_;
--- a/src/dispatch/retry_budget.cc
+++ b/src/dispatch/retry_budget.cc
@@ -8,7 +8,7 @@
 /// Fraction of the fleet-wide budget that the nodes use. The remainder covers windows that are
 /// aligned differently on different nodes.
 constexpr double usable_fraction = 0.8;
-/// A transfer is at most the remaining budget divided by this.
+/// The maximum amount of one transfer is the remaining budget divided by this number.
 constexpr milli_retries transfer_divisor = 2;
 
 } // namespace
--- a/src/dispatch/retry_budget.h
+++ b/src/dispatch/retry_budget.h
@@ -1,6 +1,6 @@
 /// This node's part of the fleet-wide retry budget. The parts of all nodes add up to the fleet-wide
-/// budget, so keeping it needs no messages. An amount that a node transfers to another node counts
-/// as spent at the donor.
+/// budget, so nodes need no messages to stay within it. An amount that one node (the donor)
+/// transfers to another (the recipient) counts as spent at the donor.
 #pragma once
 
 #include "base/time.h"
@@ -50,14 +50,15 @@
   bool try_take(const std::string& service, base::time_point now);
   /// @return amount that the budget lacks for one retry; 0 if `try_take` would grant one.
   [[nodiscard]] milli_retries shortfall(const std::string& service, base::time_point now);
-  /// Grants another node at most half of the remaining budget, so that this node keeps some for its
-  /// own retries. Budget earned by this node's requests is not granted because it expires with
-  /// their window.
-  /// @return granted part of `requested`; it counts as spent at this node.
+  /// Grants another node at most half of the remaining budget, so that this node keeps budget for
+  /// its own retries. Budget that this node's requests earn is not granted because it expires when
+  /// the requests leave the window.
+  /// @return granted part of `requested`, which counts as spent at this node.
   [[nodiscard]] milli_retries donate(const std::string& service, milli_retries requested,
                                      base::time_point now);
   /// Adds an amount that another node granted.
-  /// @param expires_at time at which its lifetime ends; the lifetime starts with the query.
+  /// @param expires_at time at which the lifetime of the transfer ends; the lifetime starts when
+  ///        this node sends its query.
   void add_transfer(const std::string& service, milli_retries amount, base::time_point expires_at);
 
  private:
--- a/src/dispatch/retry_budget_exchange.cc
+++ b/src/dispatch/retry_budget_exchange.cc
@@ -5,16 +5,17 @@
 namespace spurrack::serving {
 namespace {
 
-/// Numbers of peers that one query goes to in the own zone and in other zones. Each peer transfers
-/// at most half of its remaining budget, so two peers with unspent budgets suffice for a whole
-/// retry even if the budget of a node is little more than one retry.
+/// Numbers of peers in this node's zone and in other zones that one query goes to. If this node's
+/// zone has too few peers, peers of other zones take their places. Each peer transfers at most half
+/// of its remaining budget, so two peers with unspent budgets suffice for a whole retry even if the
+/// budget of a node is little more than one retry.
 constexpr std::size_t nearby_donors = 2;
 constexpr std::size_t remote_donors = 1;
 /// Time for which answers are awaited: three round trips between regions. A transfer that arrives
 /// later serves the next request, unless a newer query about the service was sent in the meantime.
 constexpr base::duration answer_timeout = std::chrono::milliseconds(150);
-/// Bounds of the interval between two queries about a service. With three peers per query, a node
-/// that has spent its budget sends less than 2 kB a second, and a tenth of that if no peer has
+/// Minimum and maximum interval between two queries about a service. With three peers per query, a
+/// node that has spent its budget sends less than 2 kB a second, and a tenth of that if no peer has
 /// budget left.
 constexpr base::duration shortest_query_interval = std::chrono::milliseconds(200);
 constexpr base::duration longest_query_interval = std::chrono::milliseconds(3200);
--- a/src/dispatch/retry_budget_exchange.h
+++ b/src/dispatch/retry_budget_exchange.h
@@ -26,8 +26,9 @@
   std::uint64_t received_milli_retries = 0;
 };
 
-/// Exchanges retry budget with other nodes. Messages are collected until `take_messages` is called.
-/// Not thread-safe.
+/// Exchanges retry budget with other nodes: a node whose budget is spent (the recipient) queries
+/// others, and each queried node (a donor) answers with the amount that it transfers. Messages are
+/// collected until `take_messages` is called. Not thread-safe.
 class retry_budget_exchange {
  public:
   /// @param budget source and target of transfers; must outlive this object, as must `random`.
@@ -45,12 +46,13 @@
 
   /// Queries other nodes for the shortfall of the budget, unless an earlier query about the service
   /// is pending or too recent.
-  /// @param retries number of retries needed in all, at least 1.
+  /// @param retries number of retries that requests of the service need now, at least 1.
   /// @return whether answers are awaited.
   bool query_peers(const std::string& service, std::size_t retries, base::time_point now);
   /// @return whether answers are awaited that may still allow a retry.
   [[nodiscard]] bool is_awaiting_answers(const std::string& service, base::time_point now) const;
 
+  /// Answers the query of another node, or records the transfer in its answer.
   void handle(const base::node_id& sender, const base::network_address& address,
               const wire::retry_lending& message, base::time_point now);
 
@@ -65,7 +67,7 @@
     /// Donors that have not answered yet. One answer of each donor counts because a message may
     /// arrive twice.
     std::vector<base::node_id> awaited_donors;
-    /// The transfers sufficed for one retry.
+    /// Whether the transfers sufficed for one retry.
     bool is_sufficient = false;
     /// Minimum time between this query and the next; doubles after each insufficient query.
     base::duration interval{};
@@ -74,8 +76,9 @@
                     base::time_point now);
   void receive_transfer(const base::node_id& donor, const wire::retry_lending& answer,
                         base::time_point now);
-  /// @return peers to query: mostly peers of the own zone, which answer soon, and one of another
-  ///         zone because nearby peers may need their budgets for the same failure.
+  /// @return peers to query: mostly peers of this node's zone, which answer soon, and one peer of
+  ///         another zone because peers of this node's zone may need their budgets for the same
+  ///         failure.
   std::vector<const fleet_peer*> choose_donors();
 
   retry_budget* budget_;
--- a/src/dispatch/run_times.cc
+++ b/src/dispatch/run_times.cc
@@ -7,18 +7,21 @@
 namespace spurrack::serving {
 namespace {
 
-/// Defaults while too few runs are known: the times that a busy engine needs to the first event and
-/// for each token, and the length of a long answer for requests that name no number of tokens. The
-/// length is generous because a stream that lasts longer than expected is broken off at a stop.
+/// Default times and answer length, used while too few runs are known: the times that a busy engine
+/// needs to the first event and for each token, and the length of a long answer for requests that
+/// name no number of tokens. The length is generous because a stream that lasts longer than
+/// expected is broken off at a stop.
 constexpr base::duration default_time_to_first_event = std::chrono::milliseconds(500);
 constexpr base::duration default_time_per_token = std::chrono::milliseconds(10);
 constexpr std::uint32_t default_output_tokens = 600;
-/// Number of runs below which the longest run is no reliable estimate.
+/// Minimum number of recorded runs for an estimate: the longest of fewer runs says too little about
+/// the next run.
 constexpr std::size_t min_runs = 4;
-/// One of this number of runs may be longer than the estimate.
+/// Number of recorded runs for each outlier that the estimate ignores: it ignores the longest of 16
+/// runs and the two longest of 32, so about one run in 16 may last longer than the estimate.
 constexpr std::size_t runs_per_outlier = 16;
-/// The estimate is multiplied by this because the next run may be longer than all recorded runs:
-/// the longest of a few runs is often exceeded by some hundredths.
+/// Factor that the estimate is multiplied by because the next run may last longer than all recorded
+/// runs: the longest of a few runs is often exceeded by some hundredths.
 constexpr double headroom_factor = 1.1;
 
 run_time default_run(std::uint32_t output_tokens) {
@@ -27,8 +30,8 @@
 }
 
 /// @return longest value without the outliers, plus an allowance that grows with the spread of the
-///         values and shrinks with their number: for streams of three to six seconds, the longest
-///         of four was exceeded by a second.
+///         values and shrinks with their number: for streams of three to six seconds, the next
+///         stream exceeded the longest of four by a second.
 double upper_estimate_of(std::vector<double> seconds) {
   std::sort(seconds.begin(), seconds.end());
   const double longest = seconds[seconds.size() - 1 - seconds.size() / runs_per_outlier];
--- a/src/dispatch/run_times.h
+++ b/src/dispatch/run_times.h
@@ -1,4 +1,5 @@
-/// Estimates how long runs of a route last at replicas from the times of recent runs.
+/// Estimates from recent runs how long a run of a route lasts. A run is one execution of a request
+/// at a replica, from the call to the end of the answer.
 #pragma once
 
 #include "base/time.h"
@@ -22,28 +23,30 @@
 /// Keeps the times of the latest runs of each route and service. Not thread-safe.
 class run_times {
  public:
-  /// Records a run that was served completely.
+  /// Records a run whose whole answer arrived.
   /// @param output_tokens number of tokens that the client asked for; 0 if the request names none.
   void note_run(const std::string& route, const std::string& service, std::uint32_t output_tokens,
                 const run_time& observed);
 
   /// @return times that few of the recent runs of the route exceeded, scaled to `output_tokens` if
   ///         enough of these runs have a known number of tokens. If too few runs of the route are
-  ///         known, the estimate is scaled from the times per token of all runs of the service; if
-  ///         these are not known either, it is a default.
+  ///         known, the estimate uses the recent runs of all routes of the service and their times
+  ///         per token; if too few of these are known either, it is a default.
   [[nodiscard]] run_time upper_estimate(const std::string& route, const std::string& service,
                                         std::uint32_t output_tokens) const;
 
  private:
-  /// Number of runs that are kept. At one or two runs per second for a route on one node, they
-  /// cover the load of the last half minute.
+  /// Maximum number of recorded runs of a route or service. At one or two runs per second for a
+  /// route on one node, the recorded runs reflect the load of the last half minute.
   static constexpr std::size_t max_runs = 32;
+  /// One recorded run.
   struct sample {
     double seconds_to_first_event = 0;
     double streaming_seconds = 0;
-    /// 0 if the request names no number.
+    /// Number of tokens that the client asked for; 0 if the request names none.
     std::uint32_t output_tokens = 0;
   };
+  /// Ring buffer of the latest runs of one route or service.
   struct history {
     std::array<sample, max_runs> latest;
     std::size_t count = 0;
@@ -52,13 +55,13 @@
   using histories = std::unordered_map<std::string, history>;
 
   static void add_sample(history& runs, const sample& run);
-  /// @return whether the number of tokens is known for the coming run and for at least `min_runs`
+  /// @return whether the number of tokens is known for the next run and for at least `min_runs`
   ///         recorded runs.
   static bool can_scale_by_tokens(const history& runs, std::uint32_t output_tokens);
   /// @return seconds from the first event to the end that few of the runs exceeded, scaled by the
   ///         number of tokens if `can_scale_by_tokens`.
   static double upper_streaming_seconds(const history& runs, std::uint32_t output_tokens);
-  /// @return null if fewer than `min_runs` runs are known.
+  /// @return recorded runs of a route or service; null if they are fewer than `min_runs`.
   static const history* find(const histories& known, const std::string& name);
 
   histories runs_by_route_;
--- a/src/dispatch/stop_plan.cc
+++ b/src/dispatch/stop_plan.cc
@@ -3,8 +3,8 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time between the expected end of a request and the end of the process. It covers writing the
-/// last bytes, and the delays of a node that is short of processor time.
+/// Minimum time between the expected completion of a request and the end of the process. It covers
+/// writing the last bytes, and the delays of a node that is short of processor time.
 constexpr base::duration end_margin = std::chrono::milliseconds(150);
 
 } // namespace
--- a/src/dispatch/stop_plan.h
+++ b/src/dispatch/stop_plan.h
@@ -1,11 +1,11 @@
-/// Decides which requests a stopping node still accepts and sends: only those that it expects to
-/// end before the process must.
+/// Decides which requests a stopping node still accepts and sends: only requests that it expects to
+/// complete before the process must end.
 ///
 /// A node that is asked to stop has a fixed time left. A stream that is under way at the end of
 /// that time is broken off after its status promised success, and its client can no longer be sent
 /// an error; a request that is refused costs its client one more connection. Each request is
-/// therefore evaluated by the time it is expected to need, on arrival and again before it is sent
-/// to a replica. No I/O.
+/// therefore evaluated individually by the time that it is expected to need, on arrival and again
+/// before it is sent to a replica. No I/O.
 #pragma once
 
 #include "base/time.h"
@@ -19,9 +19,9 @@
 struct remaining_work {
   /// Whether the answer is a stream. A stream that has begun can only be completed or broken off.
   bool is_stream = false;
-  /// Time by which the request gets its final answer in any case.
+  /// Deadline of the request: it gets its final answer by this time in any case.
   base::time_point answer_deadline;
-  /// Expected time until the end of the request; std::nullopt if it cannot be served now.
+  /// Expected time until the request completes; std::nullopt if it cannot be served now.
   std::optional<base::duration> expected_duration;
 };
 
@@ -30,13 +30,16 @@
  public:
   explicit stop_plan(const stop_admission_windows& windows = {}) : windows_(windows) {}
 
-  /// @param must_end_at time at which requests that have not ended are aborted.
+  /// Begins the stop.
+  /// @param must_end_at time at which the requests that are still active are aborted.
   void begin(base::time_point now, base::time_point must_end_at);
   [[nodiscard]] bool has_begun() const { return times_.has_value(); }
 
-  /// @return whether a request that has just arrived is accepted; true if no stop has begun.
+  /// @return whether a request that has just arrived is accepted: it arrived in the admission
+  ///         window for its kind of answer, and `may_send` permits it; true if no stop has begun.
   [[nodiscard]] bool accepts(const remaining_work& work, base::time_point now) const;
-  /// @return whether an accepted request may still be sent to a replica; true if no stop has begun.
+  /// @return whether an accepted request may still be sent to a replica: it is expected to complete
+  ///         before the stop ends, or its deadline is earlier than that; true if no stop has begun.
   [[nodiscard]] bool may_send(const remaining_work& work, base::time_point now) const;
 
  private:
