--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -112,14 +112,14 @@
 
 void dispatcher::update(const catalog::catalog& content, base::time_point now) {
   budget_exchange_.start(now);
-  const bool is_configured_anew = configuration_ != content.serving();
-  if (is_configured_anew) {
+  const bool has_new_configuration = configuration_ != content.serving();
+  if (has_new_configuration) {
     configuration_ = content.serving();
     replicas_.set_configuration(configuration_);
     engine_directory_.set_configuration(configuration_);
     stages_.set_configuration(configuration_);
   }
-  update_replicas(content, is_configured_anew, now);
+  update_replicas(content, has_new_configuration, now);
   replicas_.set_evacuated(content.evacuated_zones(), now);
   stages_.on_replicas_changed();
   handle_replica_restarts(now);
@@ -379,9 +379,9 @@
   if (request.graph) {
     release_results(request.graph->take_unneeded_results(true));
   }
-  const bool own_answer =
+  const bool is_own_answer =
       code == status::unavailable || code == status::bad_gateway || code == status::timed_out;
-  if (!own_answer) {
+  if (!is_own_answer) {
     ++counters_.answers[code];
     record(base::event_kind::request_answered, request, std::to_string(code),
            reason + " after " + std::to_string(base::to_milliseconds(now - request.arrived_at)) +
@@ -412,9 +412,9 @@
 
 std::optional<base::time_point> dispatcher::next_due_check(const active_request& request) {
   auto next = request.next_feasibility_check_at;
-  const auto consider = [&](const std::optional<base::time_point>& when) {
-    if (when) {
-      next = next ? std::min(*next, *when) : *when;
+  const auto consider = [&](const std::optional<base::time_point>& due_at) {
+    if (due_at) {
+      next = next ? std::min(*next, *due_at) : *due_at;
     }
   };
   if (request.call) {
@@ -481,8 +481,8 @@
 
 std::optional<base::time_point> dispatcher::next_wakeup(base::time_point now) const {
   auto earliest = stages_.next_wakeup(now);
-  const auto consider = [&](base::time_point when) {
-    earliest = earliest ? std::min(*earliest, when) : when;
+  const auto consider = [&](base::time_point due_at) {
+    earliest = earliest ? std::min(*earliest, due_at) : due_at;
   };
   if (!deadlines_.empty()) {
     consider(deadlines_.begin()->first);
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -65,7 +65,7 @@
   void update(const catalog::catalog& content, base::time_point now);
   /// Replaces the other nodes of the fleet.
   /// @param known number of known other nodes, including dead nodes.
-  void set_peers(std::vector<fleet_peer> alive, std::size_t known);
+  void set_peers(std::vector<fleet_peer> alive, std::size_t known_peers);
   /// Sets the budget that the buffered bytes of incomplete events count against; without a budget
   /// they are not counted.
   void set_budget(std::shared_ptr<flow::byte_budget> budget) { byte_budget_ = std::move(budget); }
@@ -300,7 +300,7 @@
   /// Aborts a request that is not expected to complete before the end of a graceful stop. If no
   /// replica may have run the request, the answer states that it was not run.
   /// @return whether the request was aborted.
-  bool end_if_late_for_stop(active_request& request, base::time_point now);
+  bool abort_if_late_for_stop(active_request& request, base::time_point now);
   /// @return whether a request that is sent to a replica now is expected to complete before the end
   ///         of a graceful stop; true if no stop has begun.
   [[nodiscard]] bool has_time_before_stop(const active_request& request,
@@ -313,7 +313,7 @@
   ///         longer than expected, because its remaining time is then unknown, and zero for a slow
   ///         client.
   [[nodiscard]] static base::duration streamed_time_of(const active_request& request,
-                                                       base::duration expected_events);
+                                                       base::duration expected_streaming_time);
   /// Records the times of a completed run, if one replica ran the request without interruptions.
   void note_completed_run(const active_request& request, base::time_point now);
   /// Runs a due feasibility check. Aborts a request whose stages cannot end in time according to
@@ -440,9 +440,8 @@
   void send_retry(active_request& request, base::time_point now);
   /// Retries a request if attempts, time and retry budget allow it. If only the budget is spent,
   /// the request waits shortly for a transfer from other nodes. Otherwise it fails with `outcome`.
-  void retry_or_end(active_request& request, failure_outcome outcome, base::time_point now);
-  void end_with_failure(active_request& request, const failure_outcome& outcome,
-                        base::time_point now);
+  void retry_or_fail_with(active_request& request, failure_outcome outcome, base::time_point now);
+  void fail_with(active_request& request, const failure_outcome& outcome, base::time_point now);
   /// Records a call that ended without a whole answer (a lost call), and has its replica probed to
   /// find out whether it exited.
   void note_lost_call(const active_request& request, const base::replica_id& replica,
--- a/src/dispatch/dispatcher_admission_queue.cc
+++ b/src/dispatch/dispatcher_admission_queue.cc
@@ -78,9 +78,9 @@
   const auto replica_count = std::min(limited.size(), queue.size());
   const auto permits_per_replica =
       static_cast<std::uint32_t>((queue.size() + replica_count - 1) / replica_count);
-  const auto round =
+  const auto rotation =
       static_cast<std::uint64_t>(now.time_since_epoch() / rate_limits::query_lifetime);
-  const auto first = (base::stable_hash(self_.node.text()) + round) % limited.size();
+  const auto first = (base::stable_hash(self_.node.text()) + rotation) % limited.size();
   for (std::size_t index = 0; index < replica_count; ++index) {
     const auto* replica = limited[(first + index) % limited.size()];
     limits_.note_waiting(replica->record->id, permits_per_replica, now);
@@ -285,7 +285,7 @@
   std::size_t requests_ahead = 0;
   for (const auto& entry : waiting) {
     auto& request = active_.at(entry.client);
-    if (end_if_late_for_stop(request, now)) {
+    if (abort_if_late_for_stop(request, now)) {
       continue;
     }
     if (choose_replica(request, now) != nullptr) {
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -81,7 +81,7 @@
     abort_request(request, deadline_passed, now);
     return;
   }
-  if (end_if_late_for_stop(request, now) || refuse_if_quarantined(request, now)) {
+  if (abort_if_late_for_stop(request, now) || refuse_if_quarantined(request, now)) {
     return;
   }
   if (request.graph && request.graph->has_missing_final_inputs()) {
@@ -219,7 +219,8 @@
     recompute_final_inputs(request, now);
     return;
   }
-  retry_or_end(request, {status::bad_gateway, "replicas are full", {}, !request.may_have_run}, now);
+  retry_or_fail_with(request, {status::bad_gateway, "replicas are full", {}, !request.may_have_run},
+                     now);
 }
 
 void dispatcher::note_contact(open_call& call, base::time_point now) {
@@ -251,10 +252,10 @@
   }
   request->may_have_run = true;
   note_survived(*request, now);
-  const bool unusable =
+  const bool is_unusable =
       is_success(answered.head.status) && (!answered.head.sealed || answered.head.encoded);
-  const bool failed = unusable || answered.head.status >= status::first_server_error;
-  if (!failed) {
+  const bool has_failed = is_unusable || answered.head.status >= status::first_server_error;
+  if (!has_failed) {
     replicas_.note_success(replica, now);
     if (is_success(answered.head.status)) {
       note_completed_run(*request, now);
@@ -267,13 +268,13 @@
   record(base::event_kind::stage_retried, *request, call.replica.text(),
          "status " + std::to_string(answered.head.status));
   failure_outcome outcome{status::bad_gateway, "the replica's answer is not valid", {}, false};
-  if (!unusable && !request->has_begun_stream) {
+  if (!is_unusable && !request->has_begun_stream) {
     outcome.answer = answered;
   }
   if (request->route->is_repeatable()) {
-    retry_or_end(*request, std::move(outcome), now);
+    retry_or_fail_with(*request, std::move(outcome), now);
   } else {
-    end_with_failure(*request, outcome, now);
+    fail_with(*request, outcome, now);
   }
 }
 
@@ -363,9 +364,9 @@
   note_event(*request, now);
   note_contact(*request->call, now);
   commands_.emplace_back(stream_data{request->client, std::move(whole_events)});
-  const auto pause =
+  const auto stall_timeout =
       std::chrono::duration_cast<base::duration>(request->route->gap_target * stream_stall_factor);
-  watch_progress(*request, pause, now);
+  watch_progress(*request, stall_timeout, now);
 }
 
 void dispatcher::on_event(const stream_closed& closed, base::time_point now) {
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -118,12 +118,13 @@
   if (state == nullptr) {
     return;
   }
-  const auto end = exit_id_of(*state->record);
-  const auto ended_at = crash_registry_.exit_time_of(end);
-  if (ended_at && now - *ended_at >= min_withdrawal_age && crash_registry_.withdraw(end, now)) {
+  const auto exit_id = exit_id_of(*state->record);
+  const auto exited_at = crash_registry_.exit_time_of(exit_id);
+  if (exited_at && now - *exited_at >= min_withdrawal_age &&
+      crash_registry_.withdraw(exit_id, now)) {
     record_(base::event_kind::request_cleared, {}, replica.text(),
             "the replica answered in the incarnation that seemed to have exited " +
-                std::to_string(base::to_milliseconds(now - *ended_at)) + " ms ago");
+                std::to_string(base::to_milliseconds(now - *exited_at)) + " ms ago");
   }
 }
 
--- a/src/dispatch/dispatcher_retries.cc
+++ b/src/dispatch/dispatcher_retries.cc
@@ -49,9 +49,9 @@
 void dispatcher::retry_or_fail(active_request& request, base::time_point now) {
   failure_outcome outcome{status::bad_gateway, "the replica gave no whole answer", {}, false};
   if (request.route->is_repeatable()) {
-    retry_or_end(request, std::move(outcome), now);
+    retry_or_fail_with(request, std::move(outcome), now);
   } else {
-    end_with_failure(request, outcome, now);
+    fail_with(request, outcome, now);
   }
 }
 
@@ -61,8 +61,8 @@
   send_to_replica(request, now);
 }
 
-void dispatcher::retry_or_end(active_request& request, failure_outcome outcome,
-                              base::time_point now) {
+void dispatcher::retry_or_fail_with(active_request& request, failure_outcome outcome,
+                                    base::time_point now) {
   if (try_take_retry(request, now)) {
     send_retry(request, now);
     return;
@@ -73,11 +73,11 @@
     awaiting_budget_.push_back(request.client);
     return;
   }
-  end_with_failure(request, outcome, now);
+  fail_with(request, outcome, now);
 }
 
-void dispatcher::end_with_failure(active_request& request, const failure_outcome& outcome,
-                                  base::time_point now) {
+void dispatcher::fail_with(active_request& request, const failure_outcome& outcome,
+                           base::time_point now) {
   if (outcome.answer) {
     forward_answer(request, *outcome.answer, now);
   } else if (outcome.is_not_run) {
@@ -106,7 +106,7 @@
              "with transferred retry budget");
       send_retry(request, now);
     } else {
-      end_with_failure(request, outcome, now);
+      fail_with(request, outcome, now);
     }
   }
 }
--- a/src/dispatch/dispatcher_self_reports.cc
+++ b/src/dispatch/dispatcher_self_reports.cc
@@ -9,8 +9,8 @@
 
 using self_reports::self_report_change;
 
-base::event_kind kind_of(self_report_change::topic what) {
-  switch (what) {
+base::event_kind kind_of(self_report_change::topic report_topic) {
+  switch (report_topic) {
   case self_report_change::topic::drain:
     return base::event_kind::replica_leaving;
   case self_report_change::topic::backoff:
@@ -21,8 +21,8 @@
   return base::event_kind::replica_limit;
 }
 
-std::string unreadable_text(self_report_change::topic what) {
-  switch (what) {
+std::string unreadable_text(self_report_change::topic report_topic) {
+  switch (report_topic) {
   case self_report_change::topic::drain:
     return "its drain announcement cannot be read";
   case self_report_change::topic::backoff:
--- a/src/dispatch/dispatcher_stages.cc
+++ b/src/dispatch/dispatcher_stages.cc
@@ -64,9 +64,9 @@
   std::map<base::zone_id, double> input_bytes_by_zone;
   for (const auto predecessor : route.stages[stage].start_after) {
     for (const auto& handle : request.graph->results_of(predecessor)) {
-      const auto* maker = replicas_.find_at(producer_of(handle));
-      if (maker != nullptr) {
-        input_bytes_by_zone[maker->record->zone] += route.stages[predecessor].result_bytes;
+      const auto* producer = replicas_.find_at(producer_of(handle));
+      if (producer != nullptr) {
+        input_bytes_by_zone[producer->record->zone] += route.stages[predecessor].result_bytes;
       }
     }
   }
@@ -135,8 +135,8 @@
 }
 
 bool dispatcher::is_result_lost(const std::string& handle, base::time_point now) const {
-  const auto* maker = replicas_.find_at(producer_of(handle));
-  return maker == nullptr || maker->is_replaced || maker->paused_until > now;
+  const auto* producer = replicas_.find_at(producer_of(handle));
+  return producer == nullptr || producer->is_replaced || producer->paused_until > now;
 }
 
 void dispatcher::recompute_final_inputs(active_request& request, base::time_point now) {
--- a/src/dispatch/dispatcher_stop.cc
+++ b/src/dispatch/dispatcher_stop.cc
@@ -43,20 +43,21 @@
     to_first_event +=
         *with_stages - admission_estimate_.first_byte_time_of(request.service, own_tokens);
   }
-  const auto events = work.is_stream ? run.streaming_time : base::duration{};
-  work.expected_duration = to_first_event + events - streamed_time_of(request, events);
+  const auto streaming_time = work.is_stream ? run.streaming_time : base::duration{};
+  work.expected_duration =
+      to_first_event + streaming_time - streamed_time_of(request, streaming_time);
   return work;
 }
 
 base::duration dispatcher::streamed_time_of(const active_request& request,
-                                            base::duration expected_events) {
+                                            base::duration expected_streaming_time) {
   // The events of a slow client's stream were delayed by the client's pauses, so their times say
   // nothing about the remaining time.
   if (!request.has_begun_stream || request.is_slow_client) {
     return {};
   }
   const base::duration elapsed = request.latest_event_at - request.first_event_at;
-  return elapsed < expected_events ? elapsed : base::duration{};
+  return elapsed < expected_streaming_time ? elapsed : base::duration{};
 }
 
 bool dispatcher::refuse_while_stopping(active_request& request, base::time_point now) {
@@ -76,7 +77,7 @@
   return !stop_plan_.has_begun() || stop_plan_.may_send(remaining_work_of(request, now), now);
 }
 
-bool dispatcher::end_if_late_for_stop(active_request& request, base::time_point now) {
+bool dispatcher::abort_if_late_for_stop(active_request& request, base::time_point now) {
   if (has_time_before_stop(request, now)) {
     return false;
   }
--- a/src/dispatch/replica_report_exchange.cc
+++ b/src/dispatch/replica_report_exchange.cc
@@ -18,8 +18,8 @@
 /// calls fail.
 constexpr base::duration message_interval = std::chrono::milliseconds(1000);
 
-wire::replica_sign to_wire(replica_health sign) {
-  switch (sign) {
+wire::replica_sign to_wire(replica_health health) {
+  switch (health) {
   case replica_health::unresponsive:
     return wire::SIGN_SILENT;
   case replica_health::unreachable:
@@ -129,9 +129,10 @@
   if (state == nullptr) {
     return false;
   }
-  const auto known_mark = incarnation_fingerprint_of(*state->record);
-  const auto reported_mark = entry.life_mark();
-  return known_mark != 0 && reported_mark != 0 && known_mark != reported_mark;
+  const auto known_fingerprint = incarnation_fingerprint_of(*state->record);
+  const auto reported_fingerprint = entry.life_mark();
+  return known_fingerprint != 0 && reported_fingerprint != 0 &&
+         known_fingerprint != reported_fingerprint;
 }
 
 std::vector<base::replica_id> replica_report_exchange::handle(const base::node_id& sender,
