--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -368,7 +368,7 @@
     pass(std::chrono::milliseconds(200));
   }
   BOOST_TEST(all<start_call>().size() == 1U);
-  // Two and a half times the target gap between events.
+  // The stall timeout: two and a half times the target gap between events.
   pass(std::chrono::milliseconds(1100));
   BOOST_TEST(all<start_call>().size() == 2U);
   BOOST_TEST(*last<start_call>().resume_after == 20U);
@@ -379,7 +379,7 @@
   subject.update(world.content, now);
   time_allowed = std::chrono::seconds(5);
   arrive(1, "/staged/x", {1, 1});
-  // Well after the first feasibility check a replica for the stages is still available.
+  // A replica for the stages is available until well after the first feasibility check.
   pass(std::chrono::milliseconds(2500));
   BOOST_TEST(all<respond>().empty());
   const auto lost_at = now;
--- a/tests/dispatch/engine_requests_test.cc
+++ b/tests/dispatch/engine_requests_test.cc
@@ -31,7 +31,8 @@
       }
     }
     world.publish_configuration();
-    // With this many slots the prefill backlog decides, not the number of calls.
+    // With this number of slots the choice of an engine depends on its prefill backlog, not on its
+    // number of calls.
     constexpr std::uint32_t slots = 64;
     world.add_replica("llm-a", "llm", "a", false, 0, slots);
     world.add_replica("llm-b", "llm", "b", false, 0, slots);
@@ -105,7 +106,8 @@
   const auto calls = all<start_call>();
   BOOST_TEST(calls.size() == 10U);
   const auto& first = calls.front();
-  // Some requests go to the second engine; the last call that waits behind the first call matters.
+  // Some requests go to the second engine. The test needs the last call that waits behind the first
+  // call at the same engine.
   const auto last = std::find_if(calls.rbegin(), calls.rend(), [&](const start_call& call) {
     return call.target.replica == first.target.replica;
   });
--- a/tests/dispatch/planned_stop_requests_test.cc
+++ b/tests/dispatch/planned_stop_requests_test.cc
@@ -1,4 +1,4 @@
-/// Requests that arrive before and during a graceful stop.
+/// Requests that arrive before and during a graceful stop, through their whole lifecycle.
 #include "stopping_dispatcher.h"
 
 #include <map>
--- a/tests/dispatch/planned_stop_retries_test.cc
+++ b/tests/dispatch/planned_stop_retries_test.cc
@@ -70,7 +70,8 @@
 
 BOOST_AUTO_TEST_CASE(paused_stream_is_buffered_while_stopping) {
   const auto call = stream_before_stop("/stream/x");
-  // There is time to resume the stream now, but it can end only after the client reads on.
+  // There is time to resume the stream now, but the stream can complete only after the client reads
+  // on.
   continue_stream(call, seconds(2));
   happen(client_window{10, false});
   pass(milliseconds(1'600));
@@ -89,7 +90,8 @@
   happen(stream_opened{call, good_head()});
   send_next_event(call);
   continue_stream(call, milliseconds(1'500));
-  // Less time than a whole run needs, but more than a first event and half a second.
+  // The time is shorter than a whole run of the stream, but longer than the time to a first event
+  // and half a second of further events.
   subject.begin_stop(now, now + milliseconds(1'800));
   const auto calls = all<start_call>().size();
   happen(stream_closed{call, false});
@@ -104,7 +106,7 @@
   const auto replica = last<start_call>().target.replica;
   continue_stream(call, milliseconds(4'500));
   const auto calls = all<start_call>().size();
-  // Two and a half times the target gap between events.
+  // The stall timeout: two and a half times the target gap between events.
   pass(milliseconds(1'260));
   report_unresponsive(replica);
   pass(milliseconds(1'000));
@@ -128,8 +130,8 @@
     happen(stream_bytes{call, "id: 6\ndata: a\n\n"});
     happen(stream_closed{call, true});
   }
-  // Too short for a whole stream of two seconds, and long enough for the remainder of a resumed
-  // one.
+  // The time is too short for a whole stream of two seconds, and long enough for the remainder of a
+  // resumed stream.
   subject.begin_stop(now, now + milliseconds(1'500));
   const auto calls = all<start_call>().size();
   arrive(100, "/fixed/x");
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -244,8 +244,8 @@
 
 namespace {
 
-/// Performs random actions, and checks each call against the zones that its request was permitted
-/// when it arrived.
+/// Performs random actions, and checks each call against the zones that were permitted to its
+/// request when the request arrived.
 class random_run : public residency_driver {
  public:
   explicit random_run(std::uint64_t seed) : random_(seed) {}
@@ -259,6 +259,7 @@
 
   int calls_checked = 0;
   int calls_outside = 0;
+  /// Number of requests without a permitted zone that were not refused on arrival.
   int late_refusals = 0;
 
  private:
@@ -469,7 +470,7 @@
     BOOST_TEST(run.late_refusals == 0, "seed " << seed);
     checked += run.calls_checked;
   }
-  // Guards against runs without calls.
+  // Guards against seeds whose actions cause no calls.
   BOOST_TEST(checked > 1000);
 }
 
--- a/tests/dispatch/retry_budget_exchange_test.cc
+++ b/tests/dispatch/retry_budget_exchange_test.cc
@@ -53,7 +53,7 @@
   fleet_peer self;
   retry_budget budget;
   retry_budget_exchange exchange;
-  /// Number of requests that wait for a retry in addition to the request that queries.
+  /// Number of requests that wait for a retry in addition to the request that causes the query.
   std::size_t waiting_retries = 0;
   std::vector<base::time_point> retries;
 };
@@ -147,7 +147,7 @@
 BOOST_AUTO_TEST_SUITE(retry_budget_exchange_test)
 
 BOOST_AUTO_TEST_CASE(node_with_spent_budget_retries_with_transfers) {
-  // Two retries per node in a window; only one node needs retries.
+  // The fleet-wide budget is 40 retries in a window, two per node; only one node needs retries.
   budget_fleet fleet(20, {0, 40, seconds(10)}, 1);
   auto& recipient = *fleet.all[0];
   for (int step = 0; step < 1000; ++step) {
@@ -159,7 +159,7 @@
       continue;
     }
   }
-  // The budget of the node itself allows one retry.
+  // The node's own budget of 1.6 retries (0.8 of two) allows one retry; all others need transfers.
   BOOST_TEST(recipient.retries.size() >= 8U);
   BOOST_TEST(fleet.max_retries_in_window(seconds(10)) <= 40U);
 }
@@ -269,8 +269,9 @@
       node->request_retry(now);
     }
   }
-  // A node queries three peers and answers as many queries. The 20 seconds include the growth of
-  // the query interval to its maximum, which takes about twice that maximum.
+  // A node sends each query to three peers, and on average answers as many queries of other nodes.
+  // The 20 seconds include the growth of the query interval to its maximum, which takes about twice
+  // that maximum.
   BOOST_TEST(static_cast<double>(fleet.messages) / 20 / 20 < 4.0);
 }
 
--- a/tests/dispatch/run_times_test.cc
+++ b/tests/dispatch/run_times_test.cc
@@ -1,4 +1,5 @@
-/// Estimates of run times from recent runs.
+/// Estimates of the times of a run, which is one execution of a request at a replica, from recent
+/// runs.
 #include "dispatch/run_times.h"
 
 #include <boost/test/unit_test.hpp>
@@ -78,7 +79,8 @@
   for (const int run : {3000, 4500, 3500, 4000}) {
     note(run);
   }
-  // Longer than the longest run by half of the spread: such streams last up to six seconds.
+  // The longest of the four runs lasted 4.5 seconds. The allowance is half of the spread of 1.5
+  // seconds, because streams like these last up to six seconds.
   BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 5.25,
              boost::test_tools::tolerance(0.001));
   for (int round = 0; round < 3; ++round) {
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -229,7 +229,8 @@
     return found.back();
   }
 
-  /// @return replicas of all calls of any kind and of freed results after the first `first`
+  /// @param first index of the first command to search.
+  /// @return replicas of all calls, of any kind, and of all freed results among the searched
   ///         commands.
   [[nodiscard]] std::vector<base::replica_id> called_since(std::size_t first) const {
     std::vector<base::replica_id> called;
--- a/tests/dispatch/shared_evidence_test.cc
+++ b/tests/dispatch/shared_evidence_test.cc
@@ -1,5 +1,5 @@
-/// A fleet of nodes and replicas of which one stops answering: calls lost at it with and without
-/// health reports between the nodes.
+/// A fleet of nodes and replicas. One replica stops answering; the tests count the calls that are
+/// lost at this replica with and without health reports between the nodes.
 #include "serving_fixture.h"
 
 #include <map>
@@ -51,7 +51,7 @@
   std::map<base::call_id, base::time_point> answers;
 };
 
-/// Every node sends a request each second and a half on average; replicas answer after 50 ms.
+/// Every node sends a request every 1.5 seconds on average; replicas answer after 50 ms.
 struct reporting_fleet {
   reporting_fleet() {
     for (const std::string id : {"plain-a", "plain-b"}) {
--- a/tests/dispatch/slow_client_test.cc
+++ b/tests/dispatch/slow_client_test.cc
@@ -58,7 +58,7 @@
   happen(stream_opened{call.call, good_head()});
   happen(stream_bytes{call.call, "data: x\n\n"});
   close_window();
-  // Bytes that were already on their way must not restart the stall timeout.
+  // Bytes that the replica had sent before the pause must not restart the stall timeout.
   happen(stream_bytes{call.call, "data: y\n\n"});
   pass(seconds(10));
   BOOST_TEST(all<start_call>().size() == 1U);
@@ -100,7 +100,7 @@
   pass(milliseconds(1'600));
   BOOST_TEST(last<read_ahead>().client == 1U);
   BOOST_TEST(all<cancel_call>().empty());
-  // Memory may become free later: it is requested again while the window stays closed.
+  // Memory may become free later, so buffering is requested again while the window stays closed.
   pass(milliseconds(1'600));
   BOOST_TEST(all<read_ahead>().size() == 2U);
   open_window();
@@ -221,7 +221,7 @@
   arrive(1, "/safe/x");
   const auto first = last<start_call>();
   happen(call_failed{first.call, call_failure::no_memory});
-  // The request may be retried, also at the same replica.
+  // The request may be retried, even at the same replica.
   BOOST_REQUIRE(all<start_call>().size() == 2U);
   happen(call_failed{last<start_call>().call, call_failure::no_memory});
   BOOST_TEST(last<respond>().status == 502U);
--- a/tests/dispatch/stopping_dispatcher.h
+++ b/tests/dispatch/stopping_dispatcher.h
@@ -18,7 +18,8 @@
   stopping_dispatcher() { time_allowed = std::chrono::seconds(15); }
 
   /// Completes some streams of a route, so that the dispatcher learns their times.
-  /// @param pieces numbers of pieces of the stages; if not empty, the first stage has one piece.
+  /// @param pieces number of pieces of each stage: either empty, or one piece for the first stage
+  ///        and none for the other stages.
   void learn_run_times(const std::string& path, const std::vector<std::uint32_t>& pieces = {}) {
     constexpr base::caller_id stream_count = 4;
     for (base::caller_id client = 1; client <= stream_count; ++client) {
@@ -45,7 +46,7 @@
     pass(to_first_event);
     happen(stream_opened{call, good_head()});
     send_next_event(call);
-    // The events arrive within the stall timeout.
+    // The interval of the events is shorter than the stall timeout.
     for (base::duration elapsed{}; elapsed < events; elapsed += std::chrono::milliseconds(500)) {
       pass(std::chrono::milliseconds(500));
       send_next_event(call);
