--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -107,7 +107,7 @@
   BOOST_TEST(last<respond>().own_answer_to->text() == "r2");
 }
 
-BOOST_AUTO_TEST_CASE(deadline_ends_request_and_cancels_call) {
+BOOST_AUTO_TEST_CASE(deadline_aborts_request_and_cancels_call) {
   arrive(1, "/unsafe/x");
   pass(std::chrono::milliseconds(5001));
   BOOST_TEST(last<respond>().status == 504);
@@ -239,7 +239,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(missing_input_extends_retention_of_later_results) {
-  const auto play = [&](base::caller_id client) {
+  const auto complete_first_stage = [&](base::caller_id client) {
     arrive(client, "/staged/x", {1, 1});
     pass(std::chrono::milliseconds(20));
     const auto first = last<start_stage_call>();
@@ -249,13 +249,13 @@
     pass(std::chrono::milliseconds(100));
     return last<start_stage_call>().call;
   };
-  const auto second = play(1);
+  const auto second = complete_first_stage(1);
   BOOST_TEST(all<free_results>().size() == 1);
   happen(stage_call_ended{
       second, stage_call_ended::result::answered, {{piece_fault::input_gone, ""}}});
   happen(client_disconnected{1});
   commands.clear();
-  play(2);
+  complete_first_stage(2);
   BOOST_TEST(all<free_results>().empty());
 }
 
@@ -324,7 +324,7 @@
   BOOST_TEST(all<start_call>().size() == calls);
 }
 
-BOOST_AUTO_TEST_CASE(abort_all_requests_ends_every_request) {
+BOOST_AUTO_TEST_CASE(abort_all_requests_removes_every_request) {
   arrive(1, "/unsafe/x");
   arrive(2, "/staged/x", {1, 1});
   subject.abort_all_requests(now);
--- a/tests/dispatch/down_replica_test.cc
+++ b/tests/dispatch/down_replica_test.cc
@@ -105,7 +105,7 @@
   BOOST_TEST(reports[0].evidence(0).sign() == wire::SIGN_WELL);
 }
 
-BOOST_AUTO_TEST_CASE(reports_of_peers_end_no_unsafe_request_before_its_target) {
+BOOST_AUTO_TEST_CASE(reports_of_peers_fail_no_unsafe_request_before_its_target) {
   arrive(1, "/unsafe/x");
   report_unresponsive(last<start_call>().target.replica, "x");
   report_unresponsive(last<start_call>().target.replica, "y");
@@ -139,7 +139,7 @@
   BOOST_TEST(all<start_call>().size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(unresponsive_replica_is_reported_again_while_it_lasts) {
+BOOST_AUTO_TEST_CASE(replica_that_stays_unresponsive_is_reported_again) {
   arrive(1, "/unsafe/x");
   pass(milliseconds(990));
   BOOST_TEST(sent_reports().empty());
--- a/tests/dispatch/planned_stop_retries_test.cc
+++ b/tests/dispatch/planned_stop_retries_test.cc
@@ -99,7 +99,7 @@
   BOOST_TEST(last<start_call>().resume_after.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(unresponsive_replica_ends_no_stream_while_stopping) {
+BOOST_AUTO_TEST_CASE(unresponsive_replica_breaks_off_no_stream_while_stopping) {
   subject.set_peers(
       {{base::node_id("other"), base::zone_id("a"), base::network_address("other:1"), 1}}, 1);
   const auto call = stream_before_stop("/stream/x");
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -183,7 +183,7 @@
   BOOST_TEST(last<respond>().status == 502);
 }
 
-BOOST_AUTO_TEST_CASE(changed_entry_of_same_incarnation_ends_no_request) {
+BOOST_AUTO_TEST_CASE(changed_entry_of_same_incarnation_fails_no_request) {
   const auto call = call_at_zone_a("/unsafe/x", 1);
   world.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 1000, 500);
   update();
@@ -219,14 +219,14 @@
   call_at_zone_a("/unsafe/x", 1);
   static_cast<void>(subject.take_messages());
   pass(milliseconds(1010));
-  std::uint32_t incarnation_mark = 0;
+  std::uint32_t incarnation_fingerprint = 0;
   for (const auto& message : subject.take_messages()) {
     if (message.message.has_replica_news()) {
-      incarnation_mark = message.message.replica_news().evidence(0).life_mark();
+      incarnation_fingerprint = message.message.replica_news().evidence(0).life_mark();
     }
   }
-  BOOST_TEST(incarnation_mark == incarnation_fingerprint_of(*state("plain-a").record));
-  BOOST_TEST(incarnation_mark != 0U);
+  BOOST_TEST(incarnation_fingerprint == incarnation_fingerprint_of(*state("plain-a").record));
+  BOOST_TEST(incarnation_fingerprint != 0U);
 }
 
 BOOST_AUTO_TEST_CASE(pieces_at_earlier_incarnation_are_recomputed) {
@@ -264,9 +264,9 @@
   BOOST_TEST(all<start_call>().size() == 1);
   complete_next_piece("3");
   BOOST_TEST(all<start_call>().size() == 1);
-  const auto made_again = complete_next_piece("4");
+  const auto recomputed = complete_next_piece("4");
   BOOST_REQUIRE(all<start_call>().size() == 2);
-  BOOST_TEST(last<start_call>().inputs == std::vector<std::string>{made_again},
+  BOOST_TEST(last<start_call>().inputs == std::vector<std::string>{recomputed},
              boost::test_tools::per_element());
 }
 
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -235,9 +235,9 @@
   restrict_routes({"south"});
   arrive(2, "/safe/x");
   BOOST_TEST(subject.counts().confined_by_residency == 1U);
-  const auto& rings = subject.counts().calls_by_locality;
-  BOOST_TEST(rings[static_cast<std::size_t>(model::locality::zone)] == 1U);
-  BOOST_TEST(rings[static_cast<std::size_t>(model::locality::elsewhere)] == 1U);
+  const auto& calls_by_locality = subject.counts().calls_by_locality;
+  BOOST_TEST(calls_by_locality[static_cast<std::size_t>(model::locality::zone)] == 1U);
+  BOOST_TEST(calls_by_locality[static_cast<std::size_t>(model::locality::elsewhere)] == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
