--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -13,14 +13,14 @@
 
 /// Timeout of a request if neither the client nor the route sets one.
 constexpr base::duration default_request_timeout = std::chrono::minutes(2);
-/// A request with less than this fraction of its route's timeout is taken for one that comes back
-/// after a refusal.
+/// Fraction of the route's timeout. A request that is allowed less time is taken for the request of
+/// a client that returns after a refusal.
 constexpr double first_attempt_time_fraction = 0.97;
 /// Fraction of the time allowed by the client after which a request with unfinished stages is
-/// checked for feasibility, and the fraction between two such checks after that. The expected time
-/// changes with every replica that goes down. A request is aborted only if two consecutive checks
-/// agree, or by its first check: with seven checks of an inexact estimate, a single wrong one would
-/// abort a request that can still be served.
+/// checked for feasibility, and the fraction between two consecutive checks after the first. The
+/// expected time changes with every replica that goes down. A request is aborted only if two
+/// consecutive checks agree, or by its first check: with seven checks of an inexact estimate, a
+/// single wrong check would abort a request that can still be served.
 constexpr double first_check_fraction = 0.42;
 constexpr double check_interval_fraction = 0.08;
 
@@ -45,8 +45,7 @@
   return "the client left";
 }
 
-/// Picks one of the route's services by weight.
-/// @return service, which is the same for a request on every node.
+/// Picks one of the route's services by weight; every node picks the same service for a request.
 const std::string& pick_service(const model::route& route, const base::request_id& id) {
   std::uint64_t total = 0;
   for (const auto& target : route.services) {
@@ -113,14 +112,14 @@
 
 void dispatcher::update(const catalog::catalog& content, base::time_point now) {
   budget_exchange_.start(now);
-  const bool is_configured_anew = configuration_ != content.serving();
-  if (is_configured_anew) {
+  const bool has_new_configuration = configuration_ != content.serving();
+  if (has_new_configuration) {
     configuration_ = content.serving();
     replicas_.set_configuration(configuration_);
     engine_directory_.set_configuration(configuration_);
     stages_.set_configuration(configuration_);
   }
-  update_replicas(content, is_configured_anew, now);
+  update_replicas(content, has_new_configuration, now);
   replicas_.set_evacuated(content.evacuated_zones(), now);
   stages_.on_replicas_changed();
   handle_replica_restarts(now);
@@ -278,8 +277,8 @@
   stages_.refresh(now);
   const auto expected = expected_time_to_first_byte(request, piece_order::in_time, now);
   const auto allowed = request.deadline - request.arrived_at;
-  // A returning request has less time than its route allows. It is refused only if it cannot end
-  // within its own time, whatever the target latency is.
+  // A client that returns after a refusal has less time than its route allows. Its request is
+  // refused only if it cannot complete in that time, even if it misses the target latency.
   const bool is_returning_client =
       request.route->timeout && allowed < *request.route->timeout * first_attempt_time_fraction;
   const auto target = request.route->target_latency;
@@ -335,7 +334,7 @@
   }
 }
 
-// --- ends ----------------------------------------------------------------------------------------
+// --- answers and removal -------------------------------------------------------------------------
 
 void dispatcher::on_event(const client_disconnected& disconnection, base::time_point now) {
   const auto found = active_.find(disconnection.client);
@@ -380,9 +379,9 @@
   if (request.graph) {
     release_results(request.graph->take_unneeded_results(true));
   }
-  const bool own_answer =
+  const bool is_own_answer =
       code == status::unavailable || code == status::bad_gateway || code == status::timed_out;
-  if (!own_answer) {
+  if (!is_own_answer) {
     ++counters_.answers[code];
     record(base::event_kind::request_answered, request, std::to_string(code),
            reason + " after " + std::to_string(base::to_milliseconds(now - request.arrived_at)) +
@@ -413,9 +412,9 @@
 
 std::optional<base::time_point> dispatcher::next_due_check(const active_request& request) {
   auto next = request.next_feasibility_check_at;
-  const auto consider = [&](const std::optional<base::time_point>& when) {
-    if (when) {
-      next = next ? std::min(*next, *when) : *when;
+  const auto consider = [&](const std::optional<base::time_point>& due_at) {
+    if (due_at) {
+      next = next ? std::min(*next, *due_at) : *due_at;
     }
   };
   if (request.call) {
@@ -452,7 +451,7 @@
         handle_slow_client(request, now);
       }
     }
-    // Both on_stalled and handle_slow_client may have ended the request.
+    // Both on_stalled and handle_slow_client may have removed the request.
     if (const auto found = active_.find(client); found != active_.end()) {
       schedule_check(found->second);
     }
@@ -482,8 +481,8 @@
 
 std::optional<base::time_point> dispatcher::next_wakeup(base::time_point now) const {
   auto earliest = stages_.next_wakeup(now);
-  const auto consider = [&](base::time_point when) {
-    earliest = earliest ? std::min(*earliest, when) : when;
+  const auto consider = [&](base::time_point due_at) {
+    earliest = earliest ? std::min(*earliest, due_at) : due_at;
   };
   if (!deadlines_.empty()) {
     consider(deadlines_.begin()->first);
--- a/src/dispatch/dispatcher_retries.cc
+++ b/src/dispatch/dispatcher_retries.cc
@@ -9,15 +9,16 @@
 namespace spurrack::serving {
 namespace {
 
-/// Interval of the checks of a stalled call for which no other replica or no budget is available: a
-/// tenth of the second within which the requests of a replica that goes down are to be retried.
+/// Interval of the checks of a stalled call for which no other replica or no retry budget is
+/// available. Requests at a replica that goes down should be retried within one second; the
+/// interval is a tenth of it.
 constexpr base::duration stall_check_interval = std::chrono::milliseconds(100);
-/// Interval of the checks whether the replica of a stalled call that cannot be retried is down: a
-/// quarter of that second.
+/// Interval of the checks whether the replica of a stalled call that cannot be retried is declared
+/// down: a quarter of that second.
 constexpr base::duration down_check_interval = std::chrono::milliseconds(250);
-/// Time for which a replica must stay declared down before a request ends for it. Nodes that still
-/// have contact with the replica can report it in this time, and the request ends within the
-/// second.
+/// Time for which a replica must stay declared down before a request at it that cannot be retried
+/// fails. In this time, other nodes that still have contact with the replica can report that it is
+/// healthy. The time is short enough for the request to be answered within the same second.
 constexpr base::duration down_confirm_time = std::chrono::milliseconds(500);
 
 } // namespace
@@ -48,9 +49,9 @@
 void dispatcher::retry_or_fail(active_request& request, base::time_point now) {
   failure_outcome outcome{status::bad_gateway, "the replica gave no whole answer", {}, false};
   if (request.route->is_repeatable()) {
-    retry_or_end(request, std::move(outcome), now);
+    retry_or_fail_with(request, std::move(outcome), now);
   } else {
-    end_with_failure(request, outcome, now);
+    fail_with(request, outcome, now);
   }
 }
 
@@ -60,8 +61,8 @@
   send_to_replica(request, now);
 }
 
-void dispatcher::retry_or_end(active_request& request, failure_outcome outcome,
-                              base::time_point now) {
+void dispatcher::retry_or_fail_with(active_request& request, failure_outcome outcome,
+                                    base::time_point now) {
   if (try_take_retry(request, now)) {
     send_retry(request, now);
     return;
@@ -72,11 +73,11 @@
     awaiting_budget_.push_back(request.client);
     return;
   }
-  end_with_failure(request, outcome, now);
+  fail_with(request, outcome, now);
 }
 
-void dispatcher::end_with_failure(active_request& request, const failure_outcome& outcome,
-                                  base::time_point now) {
+void dispatcher::fail_with(active_request& request, const failure_outcome& outcome,
+                           base::time_point now) {
   if (outcome.answer) {
     forward_answer(request, *outcome.answer, now);
   } else if (outcome.is_not_run) {
@@ -105,7 +106,7 @@
              "with transferred retry budget");
       send_retry(request, now);
     } else {
-      end_with_failure(request, outcome, now);
+      fail_with(request, outcome, now);
     }
   }
 }
@@ -198,8 +199,8 @@
 }
 
 void dispatcher::retry_elsewhere(active_request& request, base::time_point now) {
-  // If a graceful stop leaves no time for another attempt, or the request is limited to one
-  // attempt, the stalled call is still the best option.
+  // If a graceful stop leaves no time for another attempt, or suspected crashes limit the request
+  // to one attempt, the stalled call is still the best option.
   if (!can_retry(request, now) || choose_replica(request, now) == nullptr) {
     request.call->stalls_at = now + stall_check_interval;
     return;
--- a/src/dispatch/dispatcher_self_reports.cc
+++ b/src/dispatch/dispatcher_self_reports.cc
@@ -1,4 +1,5 @@
-/// Self-reports of replicas, from answers and from other nodes: recorded, and logged as events.
+/// Records what replicas report of themselves (self-reports), in their answers or through other
+/// nodes, and records an event for each new fact.
 #include "dispatch/dispatcher.h"
 
 #include <cstdio>
@@ -8,8 +9,8 @@
 
 using self_reports::self_report_change;
 
-base::event_kind kind_of(self_report_change::topic what) {
-  switch (what) {
+base::event_kind kind_of(self_report_change::topic report_topic) {
+  switch (report_topic) {
   case self_report_change::topic::drain:
     return base::event_kind::replica_leaving;
   case self_report_change::topic::backoff:
@@ -20,8 +21,8 @@
   return base::event_kind::replica_limit;
 }
 
-std::string unreadable_text(self_report_change::topic what) {
-  switch (what) {
+std::string unreadable_text(self_report_change::topic report_topic) {
+  switch (report_topic) {
   case self_report_change::topic::drain:
     return "its drain announcement cannot be read";
   case self_report_change::topic::backoff:
