--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -20,7 +20,7 @@
 } // namespace
 
 std::optional<double> replica_table::limit_of(const replica_state& state) const {
-  return limits_ == nullptr ? std::nullopt : limits_->book().limit_of(state.record->id);
+  return limits_ == nullptr ? std::nullopt : limits_->announced_limits().limit_of(state.record->id);
 }
 
 double replica_table::limited_capacity_fraction(const replica_state& state,
@@ -31,7 +31,7 @@
 
 void replica_table::note_waiting(const base::replica_id& id, std::uint32_t count,
                                  base::time_point now) {
-  if (limits_ != nullptr && limits_->book().limit_of(id)) {
+  if (limits_ != nullptr && limits_->announced_limits().limit_of(id)) {
     limits_->note_waiting(id, count, now);
   }
 }
@@ -39,11 +39,11 @@
 std::vector<const replica_state*>
 replica_table::candidates_without_permit(const replica_demand& demand, base::time_point now) const {
   std::vector<const replica_state*> found;
-  if (limits_ == nullptr || !limits_->any()) {
+  if (limits_ == nullptr || !limits_->has_limits()) {
     return found;
   }
   for (const auto* state : index_.of_service(demand.service)) {
-    const bool is_limited = limits_->book().limit_of(state->record->id).has_value();
+    const bool is_limited = limits_->announced_limits().limit_of(state->record->id).has_value();
     if (is_limited && accepts_calls(*state, now) && could_serve(demand, *state) &&
         !has_permit(*state, now)) {
       found.push_back(state);
@@ -55,7 +55,7 @@
 void replica_table::exclude_limited(std::vector<const replica_state*>& candidates,
                                     const replica_demand& demand) const {
   const bool depends_on_replica = demand.results_zone != nullptr || demand.is_planned;
-  if (limits_ == nullptr || !limits_->any() || !depends_on_replica) {
+  if (limits_ == nullptr || !limits_->has_limits() || !depends_on_replica) {
     return;
   }
   const auto is_limited = [&](const replica_state* state) { return limit_of(*state).has_value(); };
@@ -70,14 +70,14 @@
 const replica_state*
 replica_table::find_stale_limit(const std::vector<const replica_state*>& candidates,
                                 const replica_demand& demand, base::time_point now) const {
-  if (limits_ == nullptr || !limits_->any() || demand.is_planned) {
+  if (limits_ == nullptr || !limits_->has_limits() || demand.is_planned) {
     return nullptr;
   }
   const bool is_short = demand.content.prompt_tokens <= short_prompt_tokens;
   const auto stale_time = is_short ? limit_stale_time : limit_stale_time_long_prompt;
   const auto found =
       std::find_if(candidates.begin(), candidates.end(), [&](const replica_state* state) {
-        const auto* record = limits_->book().find(state->record->id);
+        const auto* record = limits_->announced_limits().find(state->record->id);
         return record != nullptr && record->per_second &&
                now - record->last_reported_at >= stale_time;
       });
