--- a/src/replicas/region_spillover.cc
+++ b/src/replicas/region_spillover.cc
@@ -28,7 +28,7 @@
 constexpr std::size_t min_known_elsewhere = 1;
 
 /// A replica whose share of failed calls is above this counts as known without a load report.
-constexpr double mostly_failing = 0.5;
+constexpr double mostly_failing_share = 0.5;
 
 /// @return the mean load of the replicas whose load is known, with the cost of their failures,
 ///         relative to the slots; std::nullopt if too few are known.
@@ -41,7 +41,7 @@
       sum += replica_table::load_reported_within(*state, region_load_lifetime, now) +
              replica_table::failure_load(*state, now);
       ++known_count;
-    } else if (replica_table::failure_share_of(*state, now) > mostly_failing) {
+    } else if (replica_table::failure_share_of(*state, now) > mostly_failing_share) {
       sum += replica_table::failure_load(*state, now);
       ++known_count;
     }
--- a/src/replicas/replica_backoff.cc
+++ b/src/replicas/replica_backoff.cc
@@ -13,8 +13,8 @@
 
 } // namespace
 
-bool replica_backoff::note_request(base::duration span, std::uint32_t in_flight,
-                                   base::time_point now) {
+bool replica_backoff::note_requested(base::duration span, std::uint32_t in_flight,
+                                     base::time_point now) {
   const base::time_point new_ends_at = now + std::min(span, max_backoff);
   if (new_ends_at <= now || new_ends_at <= ends_at_) {
     return false;
--- a/src/replicas/replica_backoff.h
+++ b/src/replicas/replica_backoff.h
@@ -23,7 +23,7 @@
   /// waits is shortened.
   /// @param in_flight calls of this node in flight at the replica.
   /// @return whether the backoff ends later than before.
-  bool note_request(base::duration span, std::uint32_t in_flight, base::time_point now);
+  bool note_requested(base::duration span, std::uint32_t in_flight, base::time_point now);
   /// @return whether the backoff is in effect, so that no call may be made.
   [[nodiscard]] bool is_active(base::time_point now) const { return now < ends_at_; }
   /// @return whether one more call may be made beside the `in_flight` calls of this node.
--- a/src/replicas/replica_table_statements.cc
+++ b/src/replicas/replica_table_statements.cc
@@ -82,7 +82,7 @@
   }
   // The answered call no longer counts as in flight.
   const auto other_calls = state.in_flight - std::min(state.in_flight, 1U);
-  if (state.backoff.note_request(*span, other_calls, now)) {
+  if (state.backoff.note_requested(*span, other_calls, now)) {
     ++backoffs_;
     latest_backoff_end_ = std::max(latest_backoff_end_, state.backoff.ends_at());
     changed_.insert(received.replica);
--- a/tests/replicas/distance_test.cc
+++ b/tests/replicas/distance_test.cc
@@ -41,8 +41,8 @@
 }
 
 /// A node in zone `a` with replicas in four zones and both policies.
-struct chooser_world {
-  explicit chooser_world(const model::zone_regions& regions, std::size_t per_zone = 3)
+struct chooser_fixture {
+  explicit chooser_fixture(const model::zone_regions& regions, std::size_t per_zone = 3)
       : random(1), replicas(base::node_id("n"), base::zone_id("a"), settings_of(regions), random),
         plain(replicas, distance(base::zone_id("a"), regions), random),
         directory({base::node_id("self"), base::zone_id("a"), base::network_address("self")},
@@ -138,78 +138,78 @@
              distance::cost_seconds(locality::elsewhere, megabyte));
 }
 
-BOOST_AUTO_TEST_CASE(a_shared_prefix_prefers_engines_of_the_own_region) {
-  chooser_world world(two_regions());
-  BOOST_TEST(world.preferred_zones() == (text_set{"a", "b"}), boost::test_tools::per_element());
+BOOST_AUTO_TEST_CASE(a_shared_prefix_prefers_engines_of_the_same_region) {
+  chooser_fixture fixture(two_regions());
+  BOOST_TEST(fixture.preferred_zones() == (text_set{"a", "b"}), boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(a_long_shared_prefix_has_one_preferred_engine_in_the_fleet) {
   constexpr std::uint32_t long_prefix = 13'000;
-  chooser_world world(two_regions());
-  BOOST_TEST(world.preferred_zones(long_prefix) == (text_set{"a", "b", "c", "d"}),
+  chooser_fixture fixture(two_regions());
+  BOOST_TEST(fixture.preferred_zones(long_prefix) == (text_set{"a", "b", "c", "d"}),
              boost::test_tools::per_element());
   const auto allowed = model::residency::within({base::region_id("south")});
   for (int prefix = 0; prefix < 50; ++prefix) {
     const auto name = "part" + std::to_string(prefix);
-    const auto* preferred = world.choose(world.engines, name, allowed, long_prefix);
+    const auto* preferred = fixture.choose(fixture.engines, name, allowed, long_prefix);
     BOOST_TEST(two_regions().region_of(preferred->record->zone)->text() == "south");
   }
 }
 
 BOOST_AUTO_TEST_CASE(prompts_leave_a_busy_region_when_the_wait_costs_more_than_the_distance) {
-  chooser_world world(two_regions());
+  chooser_fixture fixture(two_regions());
   for (const std::string zone : {"a", "b"}) {
-    world.report_load(zone, 5);
+    fixture.report_load(zone, 5);
   }
-  BOOST_TEST(world.preferred_zones() == (text_set{"a"}), boost::test_tools::per_element());
+  BOOST_TEST(fixture.preferred_zones() == (text_set{"a"}), boost::test_tools::per_element());
   for (const std::string zone : {"a", "b"}) {
-    world.report_load(zone, 10);
+    fixture.report_load(zone, 10);
   }
   for (const std::string zone : {"c", "d"}) {
-    world.report_load(zone, 0);
+    fixture.report_load(zone, 0);
   }
-  BOOST_TEST(world.preferred_zones() == (text_set{"c", "d"}), boost::test_tools::per_element());
+  BOOST_TEST(fixture.preferred_zones() == (text_set{"c", "d"}), boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(requests_with_one_prefix_spill_over_to_one_engine) {
-  chooser_world world(two_regions());
+  chooser_fixture fixture(two_regions());
   for (const std::string zone : {"a", "b"}) {
-    world.report_load(zone, 10);
+    fixture.report_load(zone, 10);
   }
   for (const std::string zone : {"c", "d"}) {
-    world.report_load(zone, 0);
+    fixture.report_load(zone, 0);
   }
-  const auto* preferred = world.choose(world.engines, "part");
+  const auto* preferred = fixture.choose(fixture.engines, "part");
   for (int again = 0; again < 20; ++again) {
-    BOOST_TEST(world.choose(world.engines, "part") == preferred);
+    BOOST_TEST(fixture.choose(fixture.engines, "part") == preferred);
   }
 }
 
 BOOST_AUTO_TEST_CASE(requests_go_elsewhere_if_no_replica_of_the_region_accepts_work) {
-  chooser_world world(two_regions());
-  world.replicas.set_evacuated({base::zone_id("a"), base::zone_id("b")}, now);
-  BOOST_TEST(world.preferred_zones() == (text_set{"c", "d"}), boost::test_tools::per_element());
+  chooser_fixture fixture(two_regions());
+  fixture.replicas.set_evacuated({base::zone_id("a"), base::zone_id("b")}, now);
+  BOOST_TEST(fixture.preferred_zones() == (text_set{"c", "d"}), boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(requests_go_elsewhere_if_all_replicas_of_the_region_fail) {
-  chooser_world world(two_regions());
+  chooser_fixture fixture(two_regions());
   constexpr int failures = 30;
-  for (const auto& [id, state] : world.replicas.all()) {
+  for (const auto& [id, state] : fixture.replicas.all()) {
     for (int failure = 0; failure < failures && state.record->zone < base::zone_id("c");
          ++failure) {
-      world.replicas.note_failure(id, now);
+      fixture.replicas.note_failure(id, now);
     }
   }
   for (const std::string zone : {"c", "d"}) {
-    world.report_load(zone, 0);
+    fixture.report_load(zone, 0);
   }
-  BOOST_TEST(world.choose(world.plain, "part")->record->zone >= base::zone_id("c"));
+  BOOST_TEST(fixture.choose(fixture.plain, "part")->record->zone >= base::zone_id("c"));
 }
 
 BOOST_AUTO_TEST_CASE(a_request_confined_to_another_region_gets_an_engine_there) {
-  chooser_world world(two_regions());
+  chooser_fixture fixture(two_regions());
   const auto allowed = model::residency::within({base::region_id("south")});
-  const auto* preferred = world.choose(world.engines, "part", allowed);
+  const auto* preferred = fixture.choose(fixture.engines, "part", allowed);
   BOOST_REQUIRE(preferred != nullptr);
   BOOST_TEST(two_regions().region_of(preferred->record->zone)->text() == "south");
 }
@@ -224,22 +224,22 @@
   }
 
   /// @return the lowest cost of all replicas.
-  static double least_cost(const chooser_world& world) {
+  static double least_cost(const chooser_fixture& fixture) {
     double least = 1e9;
-    for (const auto& [id, state] : world.replicas.all()) {
+    for (const auto& [id, state] : fixture.replicas.all()) {
       least = std::min(least, cost_of(state));
     }
     return least;
   }
 
   /// @return the preferred engine of a shared prefix; null if all engines are loaded.
-  static const replica_state* preferred_engine_of(const chooser_world& world,
+  static const replica_state* preferred_engine_of(const chooser_fixture& fixture,
                                                   const std::string& prefix) {
     constexpr double load_bound = 0.6;
     const auto affinity = base::stable_hash(prefix, base::stable_hash("m")) | 1U;
     const replica_state* best = nullptr;
     std::uint64_t best_rank = 0;
-    for (const auto& [id, state] : world.replicas.all()) {
+    for (const auto& [id, state] : fixture.replicas.all()) {
       const auto rank = base::stable_hash(id.text(), affinity);
       if (replica_table::load_of(state, now) < load_bound &&
           (best == nullptr || rank >= best_rank)) {
@@ -254,21 +254,21 @@
 BOOST_AUTO_TEST_CASE(a_fleet_of_one_region_decides_as_without_regions) {
   base::seeded_random drawn(7);
   constexpr double tolerance = 0.02 * 3;
-  for (int world_number = 0; world_number < 200; ++world_number) {
-    chooser_world world(one_region_of_four());
+  for (int fixture_number = 0; fixture_number < 200; ++fixture_number) {
+    chooser_fixture fixture(one_region_of_four());
     const auto load_limit = 1 + drawn.below(12);
-    for (const auto& [id, state] : world.replicas.all()) {
-      world.replicas.note_load(id, {static_cast<std::uint32_t>(drawn.below(load_limit)), 0, 4},
-                               now);
+    for (const auto& [id, state] : fixture.replicas.all()) {
+      fixture.replicas.note_load(id, {static_cast<std::uint32_t>(drawn.below(load_limit)), 0, 4},
+                                 now);
       if (drawn.below(4) == 0) {
-        world.replicas.note_failure(id, now);
+        fixture.replicas.note_failure(id, now);
       }
     }
-    const auto prefix = "part" + std::to_string(world_number);
-    const auto* preferred = single_region_rule::preferred_engine_of(world, prefix);
-    const auto* engine = world.choose(world.engines, prefix);
-    const auto* plain = world.choose(world.plain, prefix);
-    const auto least = single_region_rule::least_cost(world);
+    const auto prefix = "part" + std::to_string(fixture_number);
+    const auto* preferred = single_region_rule::preferred_engine_of(fixture, prefix);
+    const auto* engine = fixture.choose(fixture.engines, prefix);
+    const auto* plain = fixture.choose(fixture.plain, prefix);
+    const auto least = single_region_rule::least_cost(fixture);
     BOOST_TEST(single_region_rule::cost_of(*plain) <= least + tolerance);
     if (preferred != nullptr) {
       BOOST_TEST(engine == preferred);
--- a/tests/replicas/replica_evidence_test.cc
+++ b/tests/replicas/replica_evidence_test.cc
@@ -85,7 +85,7 @@
   BOOST_TEST(table.ejections() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(an_own_observation_counts_as_one_reporter) {
+BOOST_AUTO_TEST_CASE(an_observation_of_this_node_counts_as_one_reporter) {
   table.note_unresponsive(id(0), now);
   BOOST_TEST(!table.is_declared_down(id(0), now));
   report(0, "x", replica_health::unresponsive);
