--- a/src/replicas/cold_limit.cc
+++ b/src/replicas/cold_limit.cc
@@ -8,13 +8,14 @@
 namespace spurrack::serving {
 namespace {
 
-/// Partitions of the fleet that may choose their own callers at the same time.
+/// Maximum number of partitions of the fleet that choose their own callers at the same time.
 constexpr double max_partitions = 2;
-/// More callers do not spread the load after a restart any better: 3 callers together send 4 to 5
-/// requests per second at the bounds of the deployments seen so far; a warm replica gets 2.
+/// Maximum number of callers of a cold replica. More callers do not spread the load after a restart
+/// any better: at the bounds of the deployments seen so far, 3 callers together send 4 to 5
+/// requests per second, and a warm replica gets 2.
 constexpr double max_callers = 3;
-/// Lower limit of a caller's requests per second, for bounds that leave it no more than the one
-/// saved token.
+/// Minimum rate of a caller in requests per second, for bounds so small that the one saved token
+/// uses up the caller's part.
 constexpr double min_requests_per_second = 0.1;
 
 } // namespace
@@ -22,7 +23,8 @@
 cold_call_quota cold_call_quota_of(const cold_bounds& bounds, double requests_per_second,
                                    bool has_single_caller) {
   const double planned = (requests_per_second * bounds.factor + bounds.allowance) / max_partitions;
-  // Within any second a caller sends at most its saved token and the requests that its rate adds.
+  // Within any second a caller sends at most one request for its saved token, plus the requests
+  // that its rate adds.
   const double callers = has_single_caller ? 1 : std::clamp(planned / 2, 1.0, max_callers);
   const auto caller_count = static_cast<std::size_t>(callers);
   const double per_caller = planned / static_cast<double>(caller_count);
--- a/src/replicas/cold_limit.h
+++ b/src/replicas/cold_limit.h
@@ -1,14 +1,16 @@
-/// Bounds the requests per second that all nodes together send to a cold replica. No node sees the
-/// requests of other nodes: while a replica is cold, only a few nodes call it. They are chosen by
-/// rendezvous hashing among the nodes of the replica's zone, and each has a token bucket with its
-/// part of the bound. Only half of the bound is given out, so that the bound also holds while the
-/// fleet is partitioned into two halves that each choose their own callers.
+/// Bounds the requests per second that all nodes together send to a cold replica: a replica that
+/// has just started or lost its caches and therefore sustains only few requests. No node sees the
+/// requests of other nodes. While a replica is cold, only a few nodes, its callers, send requests
+/// to it. The callers are chosen by rendezvous hashing among the nodes of the replica's zone, and
+/// each caller has a token bucket with its part of the bound. All callers together use only half of
+/// the bound, so that the bound also holds while the fleet is partitioned into two halves that each
+/// choose their own callers.
 ///
 /// The bound guards against the load after all replicas of a zone restart together or an evacuation
-/// ends: every node of a large fleet sees them idle, and all requests with one prompt prefix go to
-/// one of them. A quota for every node does not keep the bound: 300 nodes with a bucket of one
-/// request each may send 300 requests within a second. tests/replicas/cold_limit_test.cc measures
-/// both policies.
+/// ends: every node of a large fleet sees these replicas idle, and all requests with the same
+/// prompt prefix go to the same replica. A quota for every node does not keep the bound: 300 nodes
+/// with a bucket of one request each may send 300 requests within a second.
+/// tests/replicas/cold_limit_test.cc measures both policies.
 #pragma once
 
 #include "base/ids.h"
@@ -40,12 +42,12 @@
 /// of the quota. Starts empty, so that a node that restarts repeatedly does not gain tokens.
 class cold_bucket {
  public:
-  /// Starts to fill the bucket when the replica turns cold. Has no effect on a bucket that is
-  /// already started.
+  /// Starts to fill the bucket. To be called whenever the replica turns cold; has no effect if the
+  /// bucket is already started.
   void start(base::time_point now);
   [[nodiscard]] bool has_token(const cold_call_quota& quota, base::time_point now) const;
-  /// Takes one token; the level becomes negative if there is none. Precondition: the bucket is
-  /// started.
+  /// Takes one token; the level becomes negative if the bucket holds no token. Precondition: the
+  /// bucket is started.
   void take_token(const cold_call_quota& quota, base::time_point now);
 
  private:
@@ -57,8 +59,8 @@
   bool is_started_ = false;
 };
 
-/// Chooses the nodes that may call a cold replica; all nodes with equal views choose the same ones.
-/// Not thread-safe.
+/// Chooses the nodes that may call a cold replica; all nodes that see the same nodes alive choose
+/// the same callers. Not thread-safe.
 class cold_callers {
  public:
   explicit cold_callers(base::node_id self) : self_(std::move(self)) {}
@@ -71,7 +73,8 @@
   /// @return whether this node is one of the callers.
   [[nodiscard]] bool includes_self(const base::replica_id& replica, const base::zone_id& zone,
                                    std::size_t count);
-  /// Clears the cached choices. To be called when the bounds, and so the number of callers, change.
+  /// Clears the cached choices. To be called when the bounds, and therefore the number of callers,
+  /// change.
   void clear_cache() { includes_self_.clear(); }
 
  private:
@@ -79,7 +82,7 @@
   std::map<base::zone_id, std::vector<base::node_id>> by_zone_;
   /// Nodes of all zones.
   std::vector<base::node_id> all_;
-  /// Results of `includes_self` since the nodes or the bounds changed last.
+  /// Cached results of `includes_self` for the current nodes and bounds.
   std::unordered_map<base::replica_id, bool> includes_self_;
 };
 
--- a/src/replicas/distance.cc
+++ b/src/replicas/distance.cc
@@ -5,12 +5,12 @@
 
 /// Load cost of a replica in another zone of the region, relative to its slots.
 constexpr double other_zone_load = 0.5;
-/// Load cost of a replica in another region. An idle replica in another region is preferred to a
-/// replica with all slots taken and half as many requests waiting: at lower loads the latency and
-/// the bytes between regions cost more than the wait.
+/// Load cost of a replica in another region, relative to its slots. An idle replica in another
+/// region is preferred once a nearer replica has all slots taken and half as many requests as slots
+/// waiting: at lower loads the latency and the bytes between regions cost more than the wait.
 constexpr double other_region_load = 1.5;
-/// Fixed cost of work in another zone of the region, in seconds of waiting: the load of that zone
-/// is known a second late.
+/// Fixed cost of work in another zone of the region, in seconds of waiting: the load of the other
+/// zone is known only with a delay of one second.
 constexpr double other_zone_seconds = 0.2;
 /// Fixed cost of work in another region, in seconds of waiting.
 constexpr double other_region_seconds = 0.2;
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -1,13 +1,13 @@
-/// Locality of zones (same zone, same region, elsewhere) and what a choice in a farther locality
-/// costs: the single model of distance for plain calls, engines and stage work. No network I/O;
+/// Locality of zones (same zone, same region, elsewhere) and the cost of choosing a farther
+/// locality: the single model of distance for plain calls, engines and stage work. No network I/O;
 /// regions come from the settings.
 ///
 /// Usage: get the locality of a zone from `locality_of` (between two other zones:
 /// `zone_regions::locality_between`), search the localities from near to far, and prefer a
-/// candidate in a farther locality only if it is better by more than the cost of that locality:
-/// `load_cost` for choices between replicas by load, `cost_seconds` for choices by expected wait.
-/// In a fleet of one region no zone is `elsewhere`, and such a choice is the same as without
-/// regions.
+/// candidate in a farther locality only if the candidate is better by more than the cost of its
+/// locality: `load_cost` for choices between replicas by load, `cost_seconds` for choices by
+/// expected wait. A cost in seconds is the wait that is accepted to avoid the distance. In a fleet
+/// of one region no zone is `elsewhere`, and all choices are the same as without regions.
 #pragma once
 
 #include "base/ids.h"
@@ -17,7 +17,7 @@
 
 namespace spurrack::serving {
 
-/// Immutable.
+/// Distance of zones from this node. Immutable.
 class distance {
  public:
   /// @param own_zone zone of this node.
@@ -26,18 +26,18 @@
   /// @return the locality of a zone as seen from this node.
   [[nodiscard]] model::locality locality_of(const base::zone_id& zone) const;
 
-  /// @return how much less loaded, relative to its slots, a replica in the locality must be than a
-  ///         replica in the own zone to be preferred.
+  /// @return the load, relative to the slots, by which a replica in the locality must be less
+  ///         loaded than a replica in this node's zone to be preferred.
   [[nodiscard]] static double load_cost(model::locality locality);
   /// @return cost of transferring bytes to or from the locality, in seconds of waiting.
   [[nodiscard]] static double transfer_seconds(model::locality locality, double bytes);
   /// @param bytes bytes transferred to or from the locality.
-  /// @return cost of work in the locality beyond its wait, in seconds of waiting.
+  /// @return cost of work in the locality in addition to its wait, in seconds of waiting.
   [[nodiscard]] static double cost_seconds(model::locality locality, double bytes);
 
  private:
-  /// Localities of the zones of the own region. A hash map, because every choice looks up the zone
-  /// of every replica of the service.
+  /// Localities of the zones of this node's region. A hash map, because every choice looks up the
+  /// zone of every replica of the service.
   std::unordered_map<base::zone_id, model::locality> near_;
 };
 
--- a/src/replicas/least_loaded_chooser.cc
+++ b/src/replicas/least_loaded_chooser.cc
@@ -5,7 +5,7 @@
 namespace spurrack::serving {
 namespace {
 
-/// Costs that differ by less than this fraction of the slots are treated as equal.
+/// Maximum difference between two costs that count as equal, as a fraction of the slots.
 constexpr double equal_cost_tolerance = 0.02;
 
 } // namespace
--- a/src/replicas/least_loaded_chooser.h
+++ b/src/replicas/least_loaded_chooser.h
@@ -8,9 +8,10 @@
 
 namespace spurrack::serving {
 
-/// Chooses the least loaded replica of the own region, where another zone adds to the load. Chooses
-/// a replica in another region if the own region is busier by more than the cost of that distance.
-/// Not thread-safe.
+/// Chooses the least loaded replica of this node's region. A replica in another zone counts as more
+/// loaded by `distance::load_cost`, so that at equal loads nearer replicas are preferred. While
+/// this node's region is busier than other regions by more than the cost of the distance, chooses
+/// replicas in other regions for a fraction of the requests (`region_spillover`). Not thread-safe.
 class least_loaded_chooser final : public replica_chooser {
  public:
   /// @param replicas, random must outlive this object.
@@ -23,8 +24,8 @@
  private:
   /// @return the load plus the costs of the distance and of recent failures, relative to the slots.
   [[nodiscard]] double cost_of(const replica_state& state, base::time_point now) const;
-  /// @return the candidate of the least cost; null if there are none. Draws at random among
-  ///         candidates of nearly equal cost.
+  /// @return the candidate with the lowest cost; null if there are no candidates. Chooses at random
+  ///         among candidates with nearly equal costs.
   const replica_state* cheapest_of(const std::vector<const replica_state*>& candidates,
                                    base::time_point now);
 
--- a/src/replicas/region_spillover.cc
+++ b/src/replicas/region_spillover.cc
@@ -7,31 +7,35 @@
 namespace spurrack::serving {
 namespace {
 
-/// Load reports older than this do not count for the load of a region. One of 100 callers gets
-/// about ten reports within this time from a region whose replicas sustain 320 calls per second.
+/// Lifetime of a load report in the mean load of a region. Each of 100 callers gets about ten
+/// reports within this time from a region whose replicas sustain 320 calls per second.
 constexpr base::duration region_load_lifetime = std::chrono::seconds(3);
-/// Load difference beyond the cost of the distance, relative to the slots, over which the fraction
-/// of requests that spill over grows from none to all. In the simulation of region_spill_test with
-/// 300 callers, calls of a region that gets 1.5 times its capacity wait 0.09 s on average; they
-/// wait 1.4 s if each caller decides by its most recent load reports alone.
+/// Range of the load difference beyond the cost of the distance, relative to the slots, over which
+/// the fraction of requests that spill over grows from none to all. The fraction grows over a range
+/// so that callers that see the same load do not all leave their region at once. In the simulation
+/// of region_spill_test with 300 callers and a region at 1.5 times its capacity, calls wait 0.09 s
+/// on average; they wait 1.4 s if each caller decides by its most recent load reports alone.
 constexpr double spillover_load_range = 0.7;
 
 /// Fraction of the requests that is sent elsewhere to learn the load there, if no load is known
-/// elsewhere and the own region is loaded by more than the cost of the distance. If an unknown load
-/// counted as idle, 0.37 to 0.60 of all calls would spill over while every region gets 1.2 times
-/// its capacity; with this fraction it is 0.02 to 0.06 (region_spill_test).
+/// elsewhere and the load of this node's region exceeds the cost of the distance. If an unknown
+/// load counted as idle, 0.37 to 0.60 of all calls would spill over while every region gets 1.2
+/// times its capacity; with this fraction 0.02 to 0.06 of all calls spill over (region_spill_test).
 constexpr double sampling_fraction = 0.1;
 
-/// Replicas of the own region whose load must be known: a single replica may be busy by chance.
+/// Minimum number of replicas with known load from which the mean load of this node's region is
+/// computed: a single replica may be busy by chance.
 constexpr std::size_t min_known_near = 3;
-/// Replicas elsewhere whose load must be known; few requests are sent there.
+/// Minimum number of replicas with known load from which the mean load elsewhere is computed: only
+/// one, because few requests are sent elsewhere.
 constexpr std::size_t min_known_elsewhere = 1;
 
-/// A replica whose share of failed calls is above this counts as known without a load report.
+/// Share of failed calls above which the load of a replica counts as known without a load report.
 constexpr double mostly_failing_share = 0.5;
 
-/// @return the mean load of the replicas whose load is known, with the cost of their failures,
-///         relative to the slots; std::nullopt if too few are known.
+/// @param min_known number of replicas whose load must be known; all replicas if there are fewer.
+/// @return the mean load of the replicas whose load is known, including the load for their
+///         failures, relative to the slots; std::nullopt if the load of too few replicas is known.
 std::optional<double> mean_known_load(const std::vector<const replica_state*>& replicas,
                                       std::size_t min_known, base::time_point now) {
   double sum = 0;
@@ -76,8 +80,8 @@
   }
   const auto elsewhere = mean_known_load(candidates.elsewhere, min_known_elsewhere, now);
   // Differences between long queues are mostly chance, and while all regions queue requests no
-  // region gains by sending its calls to another: the busier elsewhere is, the less a difference
-  // counts.
+  // region gains by sending its calls to another: the busier the replicas elsewhere are, the less a
+  // difference counts.
   const double spillover_fraction =
       elsewhere ? (excess_load - *elsewhere) /
                       (spillover_load_range * std::max(1.0, *elsewhere * *elsewhere))
--- a/src/replicas/replica_backoff.cc
+++ b/src/replicas/replica_backoff.cc
@@ -5,10 +5,12 @@
 namespace spurrack::serving {
 namespace {
 
-/// No request waits for longer than this; a longer backoff would only leave the replica unused.
+/// Maximum length of a backoff. No request waits longer, so that a longer backoff would only leave
+/// the replica unused.
 constexpr base::duration max_backoff = std::chrono::minutes(2);
-/// Further calls in flight that each answer allows. With long calls this doubles the calls in
-/// flight, because the answered call itself may still be in flight.
+/// Number of further calls in flight that the head of an answer allows. If calls last long, the
+/// calls in flight about double each time all of them are answered, because an answered call may
+/// itself still be in flight.
 constexpr std::uint32_t allowed_per_answer = 2;
 
 } // namespace
--- a/src/replicas/replica_chooser.h
+++ b/src/replicas/replica_chooser.h
@@ -13,7 +13,7 @@
 namespace spurrack::serving {
 
 /// Requirements of a request on the replica that is to run it. Refers to objects of the request,
-/// which must outlive it.
+/// which must outlive this object.
 struct replica_demand {
   const std::string& service;
   const request_content& content;
@@ -23,11 +23,13 @@
   const std::set<base::replica_id>& excluded;
   /// Zone that stores the results that the request needs; null if it needs none.
   const base::zone_id* results_zone = nullptr;
-  /// Whether the request is only planned: it is sent later, when the permits held now have expired.
+  /// Whether the request is only planned: it is sent later, when the rate-limit permits that this
+  /// node holds now have expired.
   bool is_planned = false;
 };
 
-/// Implementations choose among the candidates of the replica table and do not modify the table.
+/// Chooses a replica for each request. Implementations choose among the candidates of the replica
+/// table and do not modify the table.
 class replica_chooser {
  public:
   replica_chooser() = default;
--- a/src/replicas/replica_evidence.h
+++ b/src/replicas/replica_evidence.h
@@ -13,13 +13,13 @@
 
 /// Health of a replica as the calls of one node show it.
 enum class replica_health : std::uint8_t {
-  healthy,      ///< The replica sent something recently: contradicts reports that it is down.
+  healthy,      ///< The replica sent something recently, which contradicts that it is down.
   unresponsive, ///< Calls make no progress and the replica sends nothing on any call.
   unreachable,  ///< Connections to the replica fail.
   failing,      ///< The replica answers with failures, or its answers break off.
 };
 
-/// @return whether a node that reports this health considers the replica down.
+/// @return whether a node that reports `health` considers the replica down.
 [[nodiscard]] inline bool means_down(replica_health health) {
   return health == replica_health::unresponsive || health == replica_health::unreachable;
 }
@@ -47,11 +47,12 @@
   double bad_calls = 0;
   /// Time of the observation, by the clock of this node.
   base::time_point seen_at;
-  /// Time at which the backoff ends that the replica requested of the reporter.
+  /// Time at which the backoff ends that the replica requested from the reporter; the epoch if it
+  /// requested none.
   base::time_point backoff_ends_at{};
 };
 
-/// Lifetime of a report that a replica is down. Faults that last longer are reported again.
+/// Lifetime of a report that a replica is down. A fault that lasts longer is reported again.
 inline constexpr base::duration down_report_lifetime = std::chrono::milliseconds(3000);
 /// Lifetime of the call counts of a report: two half-lives of a tally.
 inline constexpr base::duration failure_report_lifetime = std::chrono::milliseconds(10000);
@@ -62,23 +63,23 @@
   void record_report(const base::replica_id& replica, const base::node_id& reporter,
                      const replica_health_report& report);
   void forget(const base::replica_id& replica) { reports_.erase(replica); }
-  /// @return the number of nodes with a current report, observed at `since` or later, that the
-  ///         replica is down.
+  /// @return the number of nodes whose latest report says that the replica is down, was observed at
+  ///         `since` or later and has not expired.
   [[nodiscard]] std::size_t count_down_reporters(const base::replica_id& replica,
                                                  base::time_point since,
                                                  base::time_point now) const;
-  /// Backoffs in effect that a replica requested of other nodes.
+  /// Backoffs still in effect that a replica requested from other nodes.
   struct reported_backoffs {
-    /// Number of nodes that have such a backoff.
+    /// Number of nodes from which the replica requested a backoff that is still in effect.
     std::size_t nodes = 0;
-    /// Time at which the last of the backoffs ends.
+    /// Time at which the last of these backoffs ends; the epoch if no backoff is in effect.
     base::time_point last_ends_at;
   };
   [[nodiscard]] reported_backoffs reported_backoffs_of(const base::replica_id& replica,
                                                        base::time_point now) const;
   /// @param own calls of this node.
-  /// @return the share of failed calls, 0 to 1, over the calls of this node and the reported calls.
-  ///         It stays small while there were few calls.
+  /// @return the share of failed calls, 0 to 1, among the calls of this node and the reported
+  ///         calls. The share stays small while there are few calls.
   [[nodiscard]] double failure_share(const base::replica_id& replica, const call_tally& own,
                                      base::time_point now) const;
 
--- a/src/replicas/replica_incarnations.cc
+++ b/src/replicas/replica_incarnations.cc
@@ -11,8 +11,8 @@
 /// two minutes and stage results are kept for seconds, so that after this time no call or result of
 /// an earlier incarnation is left.
 constexpr base::duration unpublished_lifetime = std::chrono::minutes(5);
-/// Number of incarnation fingerprints. Two incarnations have equal fingerprints once in two million
-/// restarts. 21 bits are three bytes of a message; the whole start time would be six.
+/// Number of different incarnation fingerprints: after one restart in two million the fingerprint
+/// is the same as before. 21 bits are three bytes of a message; the whole start time would be six.
 constexpr std::uint64_t fingerprint_count = (1U << 21U) - 1;
 
 } // namespace
--- a/src/replicas/replica_incarnations.h
+++ b/src/replicas/replica_incarnations.h
@@ -1,6 +1,7 @@
-/// Current incarnation of each replica. A replica that restarts under its id has lost its state, so
-/// that observations of its earlier incarnation no longer apply. Only detects restarts; the callers
-/// act on them.
+/// Current incarnation of each replica. An incarnation is one process of the replica, from its
+/// start to its exit, and is identified by its start time. A replica that restarts under its id has
+/// lost its state, so that observations of its earlier incarnation no longer apply. Only detects
+/// restarts; the callers act on them.
 #pragma once
 
 #include "base/ids.h"
@@ -20,33 +21,34 @@
   base::network_address earlier_address;
 };
 
-/// Not thread-safe.
+/// Latest published incarnation of each replica. Not thread-safe.
 class replica_incarnations {
  public:
   /// Records the published record of a replica.
   /// @return the restart if the replica was known in another incarnation, else std::nullopt. A
-  ///         record without an incarnation counts as of the incarnation that was published last.
+  ///         record that names no incarnation counts as a record of the incarnation that was
+  ///         published last.
   std::optional<replica_restart> note_published(const model::replica& record);
   /// Records that a replica is no longer published. Its incarnation is kept for five minutes,
-  /// because most replicas that crash disappear from the published list before they restart.
+  /// because most replicas that crash are removed from the published list before they restart.
   void note_unpublished(const base::replica_id& replica, base::time_point now);
   /// Removes replicas that have been unpublished for five minutes.
   void forget_unpublished(base::time_point now);
-  /// @return the number of replicas whose incarnation is known.
+  /// @return the number of replicas whose incarnation is stored.
   [[nodiscard]] std::size_t size() const { return replicas_.size(); }
 
  private:
   struct known_incarnation {
     model::replica_incarnation incarnation;
     base::network_address address;
-    /// Time at which the replica was no longer published; std::nullopt while it is published.
+    /// Time since which the replica is no longer published; std::nullopt while it is published.
     std::optional<base::time_point> unpublished_at;
   };
   std::map<base::replica_id, known_incarnation> replicas_;
 };
 
-/// Identifies the exit of one incarnation of a replica: a hash of the replica's id and start time,
-/// equal on all nodes.
+/// Identifies the exit of one incarnation of a replica (the end of its process, by a crash or
+/// otherwise): a hash of the replica's id and start time, equal on all nodes.
 using replica_exit = std::uint64_t;
 [[nodiscard]] replica_exit exit_id_of(const model::replica& record);
 
@@ -55,7 +57,7 @@
 [[nodiscard]] std::uint32_t incarnation_fingerprint_of(const model::replica& record);
 
 /// @return a fingerprint of the process of a replica for messages between nodes, never 0. It
-///         differs for another start under the same id and for another address.
+///         changes if the replica restarts under its id or gets another address.
 [[nodiscard]] std::uint32_t process_fingerprint_of(const model::replica& record);
 
 } // namespace spurrack::serving
--- a/src/replicas/replica_index.cc
+++ b/src/replicas/replica_index.cc
@@ -38,7 +38,7 @@
 }
 
 const base::replica_id* replica_index::at_address(const base::network_address& address) const {
-  // The empty identifier sorts before all others.
+  // The empty identifier sorts before all other identifiers.
   const auto first = by_address_.lower_bound({address, base::replica_id()});
   return first == by_address_.end() || first->first != address ? nullptr : &first->second;
 }
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -16,30 +16,31 @@
 /// Part of the failure share that a successful trial call removes: larger than the weight of other
 /// calls, because few calls are trials.
 constexpr double trial_weight = 0.5;
-/// Load of a replica that fails all calls, as a multiple of its slots.
+/// Load that is added to a replica that fails all calls, as a multiple of its slots.
 constexpr double all_calls_failing_load = 3.0;
 /// Weight of the newest call in the slowdown: two calls suffice to learn the current slowdown.
 constexpr double newest_call_weight = 0.6;
 /// Half-life of the slowdown. A slow replica is tried again after a few half-lives, because faults
 /// last some seconds.
 constexpr base::duration slowdown_half_life = std::chrono::seconds(2);
-/// Shortest pause of a replica that rejected a call because it was occupied, in call times; a
-/// random part of one call time is added. The replica runs one call at a time and queues some, so
-/// it is busy for at least this time; retries of many nodes at a fixed short interval would mostly
-/// be rejected again.
+/// Minimum pause of a replica that rejected a call because it was occupied, as a multiple of the
+/// usual call time; a random part of one call time is added. The replica runs one call at a time
+/// and queues some calls, so that it stays busy for at least this time; retries of many nodes at a
+/// fixed short interval would mostly be rejected again.
 constexpr double min_occupied_calls = 0.5;
-/// Time after which a probe of a replica whose pause ended no longer prevents further requests, if
-/// the replica has sent nothing.
+/// Time after which a probe that brought no activity of the replica no longer holds back further
+/// requests.
 constexpr base::duration probe_timeout = std::chrono::milliseconds(1000);
-/// Interval between reports of a replica that stays unresponsive: a third of the lifetime of a
-/// report.
+/// Minimum interval between reports on a replica that stays unresponsive: a third of the lifetime
+/// of a report.
 constexpr base::duration unresponsive_report_interval = std::chrono::milliseconds(1000);
-/// Longest delay of the published list behind a restart: the store of the list may be unavailable
-/// for this time. A replica that was down within this time before its restart is published, and has
-/// sent something since, restarted while it was down.
+/// Maximum time from a restart until it is published: the store of the published list may be
+/// unavailable for this time. If this node found a replica down within this time before its restart
+/// was published, and the replica has sent something since, the replica is assumed to have
+/// restarted when it was found down.
 constexpr base::duration max_list_lag = std::chrono::seconds(30);
-/// An entry of the store that no replica renews expires after three heartbeats of about 1.2 s. A
-/// replica whose entry came back with an older copy of the store is paused for this time.
+/// Time for which a replica is paused whose entry reappeared with an older copy of the store. An
+/// entry that no replica renews expires after three heartbeats of about 1.2 s.
 constexpr base::duration entry_expiry_time = std::chrono::milliseconds(4'000);
 
 } // namespace
@@ -206,7 +207,7 @@
 }
 
 cold_call_quota replica_table::cold_call_quota_of(const model::service& service) const {
-  // A replica that works on pieces is called only by its batcher.
+  // A replica that works on pieces is called by a single node, its batcher.
   return serving::cold_call_quota_of(settings_.cold, service.cold_requests_per_second,
                                      service.pieces.has_value());
 }
@@ -376,7 +377,7 @@
 void replica_table::note_activity(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
     if (state->peer_reported_down_at > state->last_activity_at) {
-      // Other nodes consider the replica down; a health report of this node corrects that.
+      // Other nodes consider the replica down; a health report of this node contradicts them.
       changed_.insert(id);
     }
     state->last_activity_at = now;
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -1,8 +1,16 @@
 /// Replicas as this node sees them: the published records and the observations of calls.
 ///
+/// Terms: a replica is published while the list of replicas in the store, as this node received it,
+/// holds its record. A replica is paused while it gets no calls after a failed connection, a call
+/// without progress or a rejected call. It is ejected if it is paused because at least two nodes
+/// found it down. The first call after an ejection or after a pause for a failed connection or a
+/// call without progress is a probe: the replica gets no further call until it sends something or
+/// the probe times out. A trial is a call to a replica that has had no calls for some time because
+/// of its failures; the trial shows whether the replica has recovered.
+///
 /// The table holds one `replica_state` per replica of a configured service, found by id;
-/// `replica_index` finds the states by service and by address. Cost of a change: a replica that is
-/// published, changed or removed costs about the same whatever the size of the fleet
+/// `replica_index` finds the states by service and by address. Cost of a change: the cost of a
+/// replica that is published, changed or removed hardly depends on the size of the fleet
 /// (`apply_record`); a new configuration visits every replica (`update` of all). Cost of a choice:
 /// it visits each replica of the service, without copying ids or looking them up.
 #pragma once
@@ -35,7 +43,7 @@
 
 struct replica_demand;
 
-/// Backoff that a replica requested of this node, or the extension of one in effect.
+/// Backoff that a replica requested from this node, or an extension of a backoff in effect.
 struct backoff_change {
   base::replica_id replica;
   /// Time from now until the backoff ends.
@@ -44,14 +52,15 @@
 
 /// Whether the replicas of a service can serve a request within its permitted regions.
 enum class replica_presence : std::uint8_t {
-  none,         ///< No replica of the service is published in the regions.
-  accepts_none, ///< No published replica accepts work: all drain, are replaced or evacuated.
+  none,         ///< No replica of the service is published in the permitted regions.
+  accepts_none, ///< No published replica accepts work: each drains, is replaced or is evacuated.
   accepts_work, ///< At least one replica accepts work, though perhaps not at this moment.
 };
 
 using published_replicas = std::map<base::replica_id, std::shared_ptr<const model::replica>>;
 
-/// Not thread-safe.
+/// Published replicas with the observations of this node; decides which replicas may be sent a
+/// request. Not thread-safe.
 class replica_table {
  public:
   /// @param self id of this node.
@@ -62,8 +71,8 @@
   /// Replaces the published replicas. Keeps the observations of replicas whose incarnation is
   /// unchanged and ignores replicas of services that are not configured.
   void update(const published_replicas& published, base::time_point now);
-  /// Applies the published replicas if only `changed` differ from those applied last and the
-  /// configuration is unchanged.
+  /// Applies only the replicas in `changed`. Precondition: all other replicas are published as in
+  /// the last update, and the configuration has not changed since.
   void update(const published_replicas& published, const std::vector<base::replica_id>& changed,
               base::time_point now);
   /// @return the published replicas that are ignored because their service is not configured, with
@@ -76,7 +85,8 @@
   [[nodiscard]] std::vector<replica_restart> take_restarts() {
     return std::exchange(restarts_, {});
   }
-  /// @return whether a call that began at that time runs at an earlier incarnation of the replica.
+  /// @return whether a call that began at `began_at` was sent to an earlier incarnation of the
+  ///         replica.
   [[nodiscard]] bool is_at_earlier_incarnation(const base::replica_id& id,
                                                base::time_point began_at) const;
   void set_configuration(std::shared_ptr<const model::serving_configuration> configuration);
@@ -100,20 +110,23 @@
     return evacuated_zones_.contains(zone);
   }
 
-  /// Replaces the zones that cannot be reached: their replicas are chosen only if there are no
-  /// other candidates.
+  /// Replaces the zones that cannot be reached: their replicas are chosen only if no other replica
+  /// is a candidate.
   void set_unreachable(std::set<base::zone_id> zones) { unreachable_zones_ = std::move(zones); }
   [[nodiscard]] bool is_reachable(const base::zone_id& zone) const {
     return !unreachable_zones_.contains(zone);
   }
 
-  /// @return the replicas that may be sent a request now. If all replicas that could serve it are
-  ///         paused after failures, those replicas.
+  /// @return the replicas that may be sent a request now; only one replica if the limit that it
+  ///         announced is stale. If there is no such replica and no replica is expected to accept
+  ///         the request soon (after a backoff or with a permit), the replicas that are paused
+  ///         after failures.
   [[nodiscard]] std::vector<const replica_state*> candidates_for(const replica_demand& demand,
                                                                  base::time_point now) const;
-  /// @return the known calls in flight at a replica, relative to its slots.
+  /// @return the calls in flight at a replica as far as this node knows, relative to its slots,
+  ///         plus the load for backoffs that the replica requested from other nodes.
   [[nodiscard]] static double load_of(const replica_state& state, base::time_point now);
-  /// @return the load that a replica's failures count for, relative to its slots.
+  /// @return the load that is added for a replica's failed calls, relative to its slots.
   [[nodiscard]] static double failure_load(const replica_state& state, base::time_point now);
   /// @return `load_of`, but with load reports up to `span` old.
   [[nodiscard]] static double load_reported_within(const replica_state& state, base::duration span,
@@ -129,8 +142,8 @@
   ///         regions; std::nullopt if there is none.
   [[nodiscard]] std::optional<base::zone_id>
   any_accepting_zone(const std::string& service, const model::residency& allowed) const;
-  /// @return the replicas of a service that accept calls, those of the own zone first. Whether one
-  ///         of them may be called now is up to `may_send_to`.
+  /// @return the replicas of a service that accept calls, those in this node's zone first. Does not
+  ///         check their backoffs and limits: `may_send_to` does.
   [[nodiscard]] std::vector<const replica_state*> accepting_calls(const std::string& service,
                                                                   base::time_point now) const;
 
@@ -148,8 +161,8 @@
   /// @return the requests per second that a replica accepts from all nodes together; std::nullopt
   ///         if it announces no limit.
   [[nodiscard]] std::optional<double> limit_of(const replica_state& state) const;
-  /// @return the fraction of its time that a replica can run calls of `call_time`, one after
-  ///         another, under its limit; 1 if it announces no limit.
+  /// @return the fraction of its time in which a replica is busy if it runs calls of `call_time`
+  ///         one after another, as many as its limit permits; 1 if it announces no limit.
   [[nodiscard]] double limited_capacity_fraction(const replica_state& state,
                                                  base::duration call_time) const;
   /// @return limited replicas that accept calls and could serve a request, but have no permit for
@@ -170,8 +183,8 @@
   ///         is no such replica.
   [[nodiscard]] std::optional<base::duration> time_until_backoff_ends(const replica_demand& demand,
                                                                       base::time_point now) const;
-  /// Records that `count` calls wait for a permit of a limited replica. Has no effect if the
-  /// replica announces no limit.
+  /// Records that `count` calls wait for a permit of a limited replica and cannot be sent to any
+  /// other replica now. Has no effect if the replica announces no limit.
   void note_waiting(const base::replica_id& id, std::uint32_t count, base::time_point now);
   /// @return null if the table does not hold the replica.
   [[nodiscard]] const replica_state* find(const base::replica_id& id) const;
@@ -191,7 +204,7 @@
   }
   /// @return the number of backoffs that replicas requested or extended.
   [[nodiscard]] std::uint64_t backoffs() const { return backoffs_; }
-  /// Records that a replica reports that it stays cold for this time.
+  /// Records that a replica reports that it stays cold for `cold_for` from `now`.
   void note_cold(const base::replica_id& id, base::duration cold_for, base::time_point now);
   void call_ended(const base::replica_id& id);
   void note_load(const base::replica_id& id, const replica_load& load, base::time_point now);
@@ -205,19 +218,20 @@
   ///         reported it.
   [[nodiscard]] bool was_active_after(const base::replica_id& id, base::time_point when) const;
 
-  /// Records the health report of another node on a replica. If the replica is then declared down,
-  /// it is ejected (paused), unless too many replicas of its service are already ejected.
+  /// Records the health report of another node on a replica. If the replica is then declared down
+  /// and not paused yet, ejects it, unless too many replicas of its service are already ejected.
   void record_report(const base::replica_id& id, const base::node_id& reporter,
                      const replica_health_report& report, base::time_point now);
   /// @return whether at least two nodes (this node may be one of them) found a replica unresponsive
-  ///         or unreachable and no node has reported activity since.
+  ///         or unreachable and this node knows of no activity of the replica since.
   [[nodiscard]] bool is_declared_down(const base::replica_id& id, base::time_point now) const;
-  /// @return the expected share of calls that fail, 0 to 1: from this node's calls, or from reports
-  ///         of other nodes if that share is clearly higher than at the other replicas of the
-  ///         service. 0 once the replica is due for a trial call.
+  /// @return the expected share of calls to a replica that fail, 0 to 1: the share of failed calls
+  ///         of this node or, if higher, the excess of the share that nodes reported over the share
+  ///         at the other replicas of the service, unless the excess is too small to show a fault
+  ///         of the replica. 0 once the replica is due for a trial call.
   [[nodiscard]] static double failure_share_of(const replica_state& state, base::time_point now);
-  /// @return the health of a replica as this node's calls show it; std::nullopt if they show
-  ///         nothing within `down_report_lifetime`.
+  /// @return the health of a replica as this node's calls show it; std::nullopt if no call failed
+  ///         and the calls show neither activity nor a fault within `down_report_lifetime`.
   [[nodiscard]] static std::optional<replica_health_report>
   own_health_report(const replica_state& state, base::time_point now);
   /// @return replicas whose health, as this node's calls show it, has changed since the last call
@@ -230,13 +244,13 @@
   /// @param expected call time according to the published capacity.
   void note_call_time(const base::replica_id& id, base::duration call_time, base::duration expected,
                       base::time_point now);
-  /// @return the ratio of the expected call time to the published one, at least 1. Decays to 1
-  ///         while the replica gets no calls, so that it is tried again.
+  /// @return the ratio of the expected call time to the published call time, at least 1. Decays to
+  ///         1 while the replica gets no calls, so that the replica is tried again.
   [[nodiscard]] static double slowdown_of(const replica_state& state, base::time_point now);
   void note_failure(const base::replica_id& id, base::time_point now);
   /// Records that a call was abandoned because it made no progress. The replica's machine may be
-  /// down or partitioned, which open connections do not show. Pauses the replica like an
-  /// unreachable one, so that the next request with the same prompt prefix does not stall at it
+  /// down or cut off from the network, which open connections do not show. Pauses the replica like
+  /// an unreachable one, so that the next request with the same prompt prefix does not stall at it
   /// too.
   void note_stalled(const base::replica_id& id, base::time_point now);
   /// Records that no connection to the replica could be made, and pauses it. The pause doubles with
@@ -246,11 +260,12 @@
   /// `serving_settings::full_backoff`.
   void note_full(const base::replica_id& id, base::time_point now);
   /// Records that a replica that works on pieces rejected a call although this node has no other
-  /// call at it, so that another node must call it too. Pauses the replica for a random time after
-  /// which a call of that length may have ended, so that several callers do not collide again.
-  /// @param usual usual time of a call.
+  /// call in flight at the replica, which shows that another node calls it too. Pauses the replica
+  /// for a random time after which the call of the other node may have ended, so that several
+  /// callers do not collide again.
+  /// @param usual usual duration of a call.
   void note_occupied(const base::replica_id& id, base::duration usual, base::time_point now);
-  /// Records that another process answers at the replica's address. The replica accepts no more
+  /// Records that another process answers at the replica's address. The replica is sent no more
   /// work in its current incarnation.
   void note_replaced(const base::replica_id& id);
 
@@ -260,7 +275,8 @@
   [[nodiscard]] const replica_index::state_list& of_service(const std::string& service) const {
     return index_.of_service(service);
   }
-  /// @return the number of published records that updates have compared with the table.
+  /// @return the number of published records that updates have compared with the table since its
+  ///         construction.
   [[nodiscard]] std::uint64_t records_compared() const { return records_compared_; }
 
  private:
@@ -270,9 +286,12 @@
   void forget_self_reports(const base::replica_id& id);
   void note_backoff(replica_state& state, const self_report_received& received,
                     base::time_point now);
-  /// @return whether a replica is neither excluded from a request nor outside its permitted
-  ///         regions.
+  /// @return whether a replica is neither excluded from a request nor outside the permitted regions
+  ///         of the request.
   [[nodiscard]] bool could_serve(const replica_demand& demand, const replica_state& state) const;
+  /// @param ignore_pauses whether to include replicas that are paused, wait for a probe or are in
+  ///        an unreachable zone.
+  /// @return the replicas that could serve a request and may be sent it now.
   [[nodiscard]] std::vector<const replica_state*>
   usable(const replica_demand& demand, base::time_point now, bool ignore_pauses) const;
   /// Removes limited replicas on which a request should not depend: those outside the zone of its
@@ -287,14 +306,14 @@
   /// @return whether a replica accepts work, is neither paused nor in an unreachable zone, and may
   ///         be called while it is cold. Does not check its backoff and limit.
   [[nodiscard]] bool accepts_calls(const replica_state& state, base::time_point now) const;
-  /// @return the higher of the own share of failed calls and the excess share that other nodes
-  ///         reported, which decays with time.
+  /// @return the higher of this node's share of failed calls and the excess share from reports of
+  ///         other nodes, which decays with time.
   [[nodiscard]] static double known_failure_share(const replica_state& state, base::time_point now);
-  /// @return whether a replica is to get a trial call whatever its failure share, because it has
-  ///         had no calls and no failure reports for some time.
+  /// @return whether a replica is to get a trial call in spite of its failures, because it has had
+  ///         no calls and no reports for a time proportional to its failure share.
   [[nodiscard]] static bool is_due_for_trial(const replica_state& state, base::time_point now);
-  /// @return whether a replica may get calls at all: it neither drains nor is replaced or
-  ///         evacuated.
+  /// @return whether a replica may get calls at all: it neither drains nor is replaced or in an
+  ///         evacuated zone.
   [[nodiscard]] bool accepts_work(const replica_state& state) const;
   /// @return the service of a replica if it bounds the requests to cold replicas; null if the
   ///         replica is warm or its service has no such bound.
@@ -302,12 +321,13 @@
                                                       base::time_point now) const;
   /// @return the quota of each caller of a cold replica of the service.
   [[nodiscard]] cold_call_quota cold_call_quota_of(const model::service& service) const;
-  /// @return whether a replica is warm, or cold and this node has a token for a request to it.
+  /// @return whether a replica is warm, or is cold and this node is one of its callers and has a
+  ///         token for a request.
   [[nodiscard]] bool cold_limit_permits(const replica_state& state, base::time_point now) const;
   static void mark_cold(replica_state& state, base::duration cold_for, base::time_point now);
   /// @return whether a replica's service is configured, or the table already holds the replica with
-  ///         that service, because requests in progress may still need it. Always true before the
-  ///         first configuration.
+  ///         the same service: requests in progress may still need the replica. Always true before
+  ///         the first configuration.
   [[nodiscard]] bool has_known_service(const model::replica& record) const;
   /// Applies a record that is published for the first time or has changed.
   void apply_record(const std::shared_ptr<const model::replica>& record, base::time_point now);
@@ -316,9 +336,9 @@
   /// Resets all observations of the earlier incarnation except the calls in flight.
   void begin_incarnation(const base::replica_id& id, replica_state& state, base::time_point now);
   replica_state* mutable_find(const base::replica_id& id);
-  /// @return the part of a reported share that remains now.
+  /// @return the part of a reported failure share that remains now.
   static double decayed_share(double reported, const replica_state& state, base::time_point now);
-  /// Recomputes the load that is added for the backoffs that a replica requested of other nodes.
+  /// Recomputes the load that is added for the backoffs that a replica requested from other nodes.
   void update_reported_backoffs(replica_state& state, base::time_point now) const;
   /// Recomputes from reports how much more often calls to a replica fail than calls to the other
   /// replicas of its service.
@@ -347,7 +367,7 @@
   std::vector<replica_restart> restarts_;
   std::map<base::replica_id, std::string> replicas_of_unknown_services_;
   replica_evidence evidence_;
-  /// Replicas with health reports of other nodes, by service.
+  /// Replicas on which other nodes sent health reports, by service.
   std::unordered_map<std::string, std::set<base::replica_id>> reported_replicas_;
   std::set<base::replica_id> changed_;
   std::uint64_t ejections_ = 0;
--- a/src/replicas/replica_table_reports.cc
+++ b/src/replicas/replica_table_reports.cc
@@ -8,29 +8,32 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time after which a replica that failed gets a trial call, multiplied by its failure share. The
-/// failure share keeps calls away from the replica, and only a call can show that it has recovered.
+/// Time without calls after which a replica that failed all calls gets a trial call. At a lower
+/// failure share the time is shorter in proportion. The failure share keeps calls away from the
+/// replica, and only a call can show that the replica has recovered.
 constexpr base::duration trial_interval = std::chrono::seconds(2);
-/// Nodes that must have found a replica down before it is declared down: a single caller's own link
-/// may be at fault.
+/// Minimum number of nodes that must have found a replica down before it is declared down: the
+/// fault may be in the network link of a single node.
 constexpr std::size_t min_down_reporters = 2;
-/// Divisor for the number of replicas of a service that may be ejected at the same time: a third of
-/// them, but at least one if the service has two or more. Under an overload all replicas seem
-/// unresponsive, and ejecting many makes the overload worse.
+/// Divisor of the number of replicas of a service that gives the maximum number of replicas ejected
+/// at the same time: a third, but at least one if the service has two or more. Under an overload
+/// all replicas seem unresponsive, and ejecting many of them makes the overload worse.
 constexpr std::size_t ejected_divisor = 3;
-/// Excess of a replica's failure share over that of the other replicas of its service from which it
-/// counts: requests that fail equally at all replicas show no fault of a replica, and chance alone
-/// makes a difference of a tenth.
+/// Minimum excess of a replica's failure share over the mean share of the other replicas of its
+/// service that counts as a fault of the replica: requests that fail equally at all replicas show
+/// no fault of a replica, and chance alone makes a difference of a tenth.
 constexpr double min_failure_excess = 0.2;
 /// Maximum number of other reported replicas from which the usual failure share is computed.
 constexpr std::size_t max_compared = 64;
-/// Load per node of which a replica requested a backoff, relative to its slots: the requests that
-/// those nodes keep from the replica must not all go to the next replica that rejects requests.
+/// Load added for each node from which a replica requested a backoff, relative to its slots. Small,
+/// because the requests that are kept from the replica must not all go to another replica that then
+/// rejects requests too.
 constexpr double load_per_reported_backoff = 0.1;
-/// Maximum of that load for all nodes together: a backoff requested of other nodes does not show
-/// that the replica would reject requests of this node.
+/// Maximum load added for all nodes together from which a replica requested backoffs, relative to
+/// its slots: a backoff requested from other nodes does not show that the replica would reject
+/// requests of this node.
 constexpr double max_reported_backoff_load = 0.5;
-/// Half-life of reported failure shares; equal to that of the counts of this node's calls.
+/// Half-life of reported failure shares; equal to the half-life of the counts of this node's calls.
 constexpr base::duration reported_failures_half_life = std::chrono::seconds(5);
 
 } // namespace
--- a/src/replicas/replica_table_self_reports.cc
+++ b/src/replicas/replica_table_self_reports.cc
@@ -80,7 +80,7 @@
     state.backoff.note_answer(received.call_started_at, state.record->slots);
     return;
   }
-  // The answered call no longer counts as in flight.
+  // The answered call is not counted as a call in flight.
   const auto other_calls = state.in_flight - std::min(state.in_flight, 1U);
   if (state.backoff.note_requested(*span, other_calls, now)) {
     ++backoffs_;
