--- a/src/fleet_view/peer_directory.cc
+++ b/src/fleet_view/peer_directory.cc
@@ -9,32 +9,36 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time without a message after which a peer that reports in every round is unresponsive: four
-/// missed reports.
+/// Time without a message after which a peer that reports in every round is marked as unresponsive:
+/// four missed reports.
 constexpr base::duration unresponsive_timeout = std::chrono::milliseconds(900);
-/// Time after the first check during which a peer counts as responsive before its first message.
+/// Time from the first check of a peer until the peer is marked as unresponsive if it has sent no
+/// message.
 constexpr base::duration first_contact_timeout = std::chrono::seconds(2);
-/// Time after which an unresponsive peer from which no reports are expected is tried again. If the
-/// peer is dead, membership has detected that within this time.
+/// Time after which an unresponsive peer from which no reports are expected is tried again. Within
+/// this time membership detects whether the peer is dead.
 constexpr base::duration retry_delay = std::chrono::seconds(10);
-/// Maximum number of peers of a small fleet, whose nodes all report to each other: 60 messages per
-/// second and node.
+/// Maximum number of peers in a small fleet, in which all nodes report to all other nodes in every
+/// round: at most 60 messages per second and node.
 constexpr std::size_t max_peers_of_small_fleet = 12;
-/// Rounds of reports in which every receiver of another zone gets one report: about a second.
+/// Number of rounds in which every receiver in another zone gets one report; they take about a
+/// second.
 constexpr std::size_t rounds_per_remote_report = 5;
-/// Batchers of one zone whose load a node of another zone of the region gets. Two are enough to
-/// send a piece to the better one. When all batchers reported to each of 225 nodes once per second,
-/// at 300 nodes, these reports were most of the bytes between zones.
+/// Maximum number of batchers of one zone whose load reports a node of another zone of the region
+/// gets. Two batchers are enough to send a piece to the better one. In a fleet of 300 nodes in
+/// which every batcher reported to all 225 nodes of other zones once per second, these reports were
+/// most of the bytes between zones.
 constexpr std::size_t batchers_reported_per_zone = 2;
-/// Batchers of each other region whose load a node gets; they belong to one zone of that region,
-/// which differs from node to node. Work leaves its region only if it must, and then one batcher
-/// that accepts it is enough. At 300 nodes in 6 zones of 3 regions this is 65 kB per second between
-/// regions; two batchers of each zone were 243 kB (control_traffic test).
+/// Maximum number of batchers of another region whose load reports a node gets. The batcher is in
+/// one zone of the other region; the zone differs from node to node. Work leaves its region only if
+/// it must, and then one batcher that accepts the work is enough. At 300 nodes in 6 zones of 3
+/// regions, these reports take 65 kB per second between regions; with two batchers of each zone
+/// they took 243 kB (control_traffic test).
 constexpr std::size_t batchers_reported_per_region = 1;
-/// `unresponsive_timeout` for peers of other regions, which report once per second and not five
+/// `unresponsive_timeout` for peers of other regions, which report once per second instead of five
 /// times.
 constexpr base::duration unresponsive_timeout_other_region = std::chrono::milliseconds(2500);
-/// Lifetime of a load report: two and a half times the interval of reports to other zones.
+/// Lifetime of a load report: two and a half times the interval between reports to other zones.
 constexpr base::duration load_lifetime = std::chrono::milliseconds(2500);
 
 } // namespace
