--- a/tests/fleet_view/peer_directory_test.cc
+++ b/tests/fleet_view/peer_directory_test.cc
@@ -1,4 +1,5 @@
-/// Receivers of load reports: messages between zones and regions as the batchers grow in number.
+/// Receivers of load reports: number of messages between zones and regions for different numbers of
+/// batchers.
 #include "fleet_view/peer_directory.h"
 
 #include <boost/test/unit_test.hpp>
@@ -26,7 +27,8 @@
   return {base::node_id(name), base::zone_id("far"), base::network_address(name + ":1"), 1};
 }
 
-/// @return the directory of one near node in a fleet whose first `count` near nodes are batchers.
+/// @return the directory of node `self` of zone `near`, in a fleet in which the first `count` nodes
+///         of that zone are batchers.
 peer_directory directory_of(int self, int count) {
   peer_directory subject(near_peer(self));
   std::vector<fleet_peer> peers;
@@ -47,7 +49,7 @@
   return subject;
 }
 
-/// A region of several zones, whose nodes are all batchers, beside another region.
+/// A region of several zones, all of whose nodes are batchers, and another region of one zone.
 class region_of_zones {
  public:
   explicit region_of_zones(int zones) : zones_(zones) {
@@ -61,7 +63,7 @@
 
   [[nodiscard]] int nodes() const { return zones_ * nodes_per_zone; }
 
-  /// @return the nodes of the other region that get reports of one node within a second.
+  /// @return the nodes of the other region that get reports of node `self` within a second.
   [[nodiscard]] std::vector<base::node_id> receivers_of(int self, report_audience audience) const {
     peer_directory subject(peer(self), regions_);
     std::vector<fleet_peer> peers;
@@ -133,7 +135,8 @@
     for (const auto& [node, count] : reporters_of) {
       BOOST_TEST(count == std::min(batchers, 2));
     }
-    // Each round sends a whole number of messages: up to four more per second for each batcher.
+    // Each round sends a whole number of messages, which adds up to four messages per second for
+    // each batcher.
     BOOST_TEST(messages <= static_cast<std::size_t>(2 * far_nodes + 4 * batchers));
   }
 }
--- a/tests/replicas/cold_limit_test.cc
+++ b/tests/replicas/cold_limit_test.cc
@@ -167,8 +167,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(quotas_for_every_node_exceed_the_bound_in_a_large_fleet) {
-  // Alternative policy for comparison: all nodes call, each at its part of the rate. Full buckets
-  // are spent at once when all nodes have a request for the same replica.
+  // Alternative policy for comparison: all nodes call the replica, each at its part of the rate.
+  // When all nodes have a request for the same replica, all full buckets are spent at once.
   const auto requests_at_once_of = [](std::size_t size) {
     const cold_call_quota quota{size, cold_requests_per_second / static_cast<double>(size)};
     base::time_point now{std::chrono::hours(1)};
--- a/tests/replicas/distance_test.cc
+++ b/tests/replicas/distance_test.cc
@@ -1,4 +1,4 @@
-/// Locality of zones and choices between replicas near and far.
+/// Locality of zones, and choices between replicas in this node's zone, region and other regions.
 #include "replicas/distance.h"
 
 #include "base/hashing.h"
@@ -40,7 +40,8 @@
   return model::zone_regions(std::move(regions));
 }
 
-/// A node in zone `a` with replicas in four zones and both policies.
+/// Replica table of a node in zone `a`, with replicas in the four zones `a` to `d`, and the two
+/// policies under test: `plain` (least_loaded_chooser) and `engines` (engine_chooser).
 struct chooser_fixture {
   explicit chooser_fixture(const model::zone_regions& regions, std::size_t per_zone = 3)
       : random(1), replicas(base::node_id("n"), base::zone_id("a"), settings_of(regions), random),
@@ -214,7 +215,8 @@
   BOOST_TEST(two_regions().region_of(preferred->record->zone)->text() == "south");
 }
 
-/// Expected choices in a fleet of one region, where only the own zone and other zones differ.
+/// Expected choices in a fleet of one region, in which only this node's zone differs from all other
+/// zones.
 struct single_region_rule {
   static double cost_of(const replica_state& state) {
     constexpr double other_zone = 0.5;
@@ -232,7 +234,8 @@
     return least;
   }
 
-  /// @return the preferred engine of a shared prefix; null if all engines are loaded.
+  /// @return the preferred engine of a shared prefix; null if the load of all engines is at or
+  ///         above the bound.
   static const replica_state* preferred_engine_of(const chooser_fixture& fixture,
                                                   const std::string& prefix) {
     constexpr double load_bound = 0.6;
--- a/tests/replicas/region_spill_test.cc
+++ b/tests/replicas/region_spill_test.cc
@@ -1,5 +1,6 @@
-/// Spillover between three regions whose callers have stale and different views of the replicas:
-/// how many calls leave a region, and whether they overload one place or alternate between places.
+/// Spillover between three regions. The callers know the loads of the replicas late and differ in
+/// what they know. Checks how many calls leave a region, and whether these calls overload one
+/// region or come in bursts.
 #include "replicas/distance.h"
 #include "replicas/least_loaded_chooser.h"
 
@@ -61,7 +62,7 @@
   return milliseconds(12);
 }
 
-/// A node that sends calls, with its own observations.
+/// A node that sends calls, with its observations of the replicas.
 struct caller {
   caller(int number, const serving_settings& settings)
       : zone(number % zone_count), random(static_cast<std::uint64_t>(number) + 1),
@@ -75,7 +76,7 @@
   least_loaded_chooser chooser;
 };
 
-/// A call from its sender to a replica.
+/// A call that a caller sent to a replica.
 struct sent_call {
   std::size_t caller = 0;
   base::replica_id replica;
@@ -306,7 +307,8 @@
 
 BOOST_AUTO_TEST_CASE(an_overloaded_region_spills_over_its_excess_without_bursts) {
   // A third of the calls that arrive in the first region exceed its capacity: 0.22 of all calls.
-  // They must leave neither all at once nor to one place, whatever each caller has observed.
+  // These calls must leave the region neither all at once nor to the same replica, whatever each
+  // caller has observed.
   constexpr double min_elsewhere = 0.15;
   constexpr double max_elsewhere = 0.3;
   constexpr double max_mean_wait = 0.12;
@@ -323,7 +325,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(no_region_is_overloaded_if_little_capacity_is_free_elsewhere) {
-  // Load of 0.97 of the capacity of all regions.
+  // The load of all regions together is 0.97 of their capacity.
   constexpr double max_mean_wait = 0.25;
   constexpr double max_window_ratio = 2.5;
   for (const auto callers : fleet_sizes) {
@@ -334,7 +336,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(few_calls_spill_over_if_all_regions_are_overloaded) {
-  // Spillover gains nothing here; the few calls that leave only sample the load elsewhere.
+  // Spillover gains nothing here; the few calls that leave a region only sample the load elsewhere.
   constexpr double max_elsewhere = 0.1;
   for (const auto callers : fleet_sizes) {
     BOOST_TEST(simulate(callers, {1.2, 1.2, 1.2}).elsewhere_share() < max_elsewhere);
--- a/tests/replicas/replica_failures_test.cc
+++ b/tests/replicas/replica_failures_test.cc
@@ -1,8 +1,8 @@
 /// Replicas that have recovered from failures.
 ///
-/// Guards against a recovered replica that gets no more calls from a node that saw one call fail:
-/// under a light load the failure share decayed with calls only, and the replica got no calls
-/// because of its failure share.
+/// Guards against a recovered replica that gets no more calls from a node at which one call to the
+/// replica failed: under a light load, the replica got no calls because of its failure share, and
+/// the failure share decayed only with calls.
 #include "serving_fixture.h"
 
 using namespace spurrack;
@@ -37,7 +37,7 @@
 
 BOOST_AUTO_TEST_CASE(a_recovered_replica_gets_calls_again_under_light_load) {
   dispatcher_driver driver;
-  // Both replicas are in the zone of the node, so that they differ only in their failures.
+  // Both replicas are in the zone of the node, so that the replicas differ only in their failures.
   driver.world.remove_replica("plain-b");
   driver.world.add_replica("plain-c", "plain", "a");
   driver.subject.update(driver.world.content, driver.now);
--- a/tests/replicas/replica_incarnations_test.cc
+++ b/tests/replicas/replica_incarnations_test.cc
@@ -1,5 +1,5 @@
-/// Observations on a replica end with its incarnation; entries that name no usable replica are
-/// ignored.
+/// Detection of restarts; a restart resets the observations on a replica. Published entries that
+/// name no usable replica are ignored.
 #include "replicas/replica_incarnations.h"
 
 #include "base/random.h"
@@ -189,7 +189,7 @@
   BOOST_TEST(!table.is_declared_down(r0, now));
   BOOST_TEST(is_candidate(r0));
   BOOST_TEST(replica_table::failure_share_of(state(), now) == 0);
-  // One reporter alone, after two on the earlier incarnation.
+  // A single report on the new incarnation, after two reports on the earlier incarnation.
   table.record_report(r0, base::node_id("x"), {replica_health::unresponsive, 0, 0, now}, now);
   BOOST_TEST(!table.is_declared_down(r0, now));
 }
@@ -296,7 +296,7 @@
   update();
   BOOST_TEST(table.find(base::replica_id("x")) == nullptr);
   BOOST_TEST(table.accepting_calls("unknown", now).empty());
-  // Its address is that of r0, which `find_at` still returns.
+  // The ignored replica has the address of r0; `find_at` still returns r0.
   BOOST_TEST(table.find_at(base::network_address("10.0.0.0:80"))->record->id == r0);
   // A replica that changes to an unknown service is removed.
   auto moved = record_of("r1", 1000, "10.0.0.1:80");
