--- a/src/replicas/replica_backoff.cc
+++ b/src/replicas/replica_backoff.cc
@@ -5,16 +5,18 @@
 namespace spurrack::serving {
 namespace {
 
-/// No request waits for longer than this; a longer backoff would only leave the replica unused.
+/// Maximum length of a backoff. No request waits longer, so that a longer backoff would only leave
+/// the replica unused.
 constexpr base::duration max_backoff = std::chrono::minutes(2);
-/// Further calls in flight that each answer allows. With long calls this doubles the calls in
-/// flight, because the answered call itself may still be in flight.
+/// Number of further calls in flight that the head of an answer allows. If calls last long, the
+/// calls in flight about double each time all of them are answered, because an answered call may
+/// itself still be in flight.
 constexpr std::uint32_t allowed_per_answer = 2;
 
 } // namespace
 
-bool replica_backoff::note_request(base::duration span, std::uint32_t in_flight,
-                                   base::time_point now) {
+bool replica_backoff::note_requested(base::duration span, std::uint32_t in_flight,
+                                     base::time_point now) {
   const base::time_point new_ends_at = now + std::min(span, max_backoff);
   if (new_ends_at <= now || new_ends_at <= ends_at_) {
     return false;
