--- a/tests/platform_fleet/single_daemon.h
+++ b/tests/platform_fleet/single_daemon.h
@@ -40,7 +40,7 @@
                 ("spurrack-" + name + "-" + std::to_string(::getpid()))) {
     std::filesystem::create_directories(folder_);
     std::ofstream(settings_path())
-        << "node: n\nzone: z\npeer_listen: " << fleet::free_address()
+        << "node: n\nzone: z\npeer_listen: " << fleet::find_free_address()
         << "\noperator_listen: " << operator_address << "\nserving:\n  listen: " << client_address
         << "\n  readiness_listen: " << readiness_address << "\n  store: " << store << "\n"
         << serving_settings;
@@ -65,9 +65,9 @@
   }
   [[nodiscard]] std::string settings_path() const { return (folder_ / "node.yaml").string(); }
 
-  const std::string client_address = fleet::free_address();
-  const std::string readiness_address = fleet::free_address();
-  const std::string operator_address = fleet::free_address();
+  const std::string client_address = fleet::find_free_address();
+  const std::string readiness_address = fleet::find_free_address();
+  const std::string operator_address = fleet::find_free_address();
 
  private:
   std::filesystem::path folder_;
--- a/tests/platform_fleet/soak_fleet.cc
+++ b/tests/platform_fleet/soak_fleet.cc
@@ -59,10 +59,10 @@
     auto node = std::make_unique<soak_node>();
     node->name = "node-" + std::to_string(number);
     node->zone = number % 2 == 0 ? "east" : "west";
-    node->client_address = fleet::free_address();
-    node->readiness_address = fleet::free_address();
-    node->peer_address = fleet::free_address();
-    node->advertised_peer_address = fleet::free_address();
+    node->client_address = fleet::find_free_address();
+    node->readiness_address = fleet::find_free_address();
+    node->peer_address = fleet::find_free_address();
+    node->advertised_peer_address = fleet::find_free_address();
     nodes.push_back(std::move(node));
   }
   start_proxies();
@@ -89,7 +89,7 @@
 void soak_fleet::add_replica(const std::string& service, std::size_t number) {
   const auto id = "i-" + service + std::to_string(number);
   replicas.push_back(std::make_unique<soak_replica>(id, service, number % 2 == 0 ? "east" : "west",
-                                                    fleet::free_address(), incarnations_,
+                                                    fleet::find_free_address(), incarnations_,
                                                     *recorder_));
 }
 
@@ -119,7 +119,7 @@
 }
 
 void soak_fleet::start_proxy(const std::vector<proxied_link>& links) {
-  const auto address = fleet::free_address();
+  const auto address = fleet::find_free_address();
   std::ostringstream list;
   for (const auto& link : links) {
     list << link.name << "," << link.listen << "," << link.target << ";";
@@ -145,7 +145,7 @@
   }
   text << "node: " << node.name << "\nzone: " << node.zone << "\npeer_listen: " << node.peer_address
        << "\npeer_advertise: " << node.advertised_peer_address
-       << "\noperator_listen: " << fleet::free_address() << "\nseeds:\n";
+       << "\noperator_listen: " << fleet::find_free_address() << "\nseeds:\n";
   for (const auto& other : nodes) {
     if (other->name != node.name) {
       text << "  - " << other->advertised_peer_address << "\n";
--- a/tools/fleet/child_process.cc
+++ b/tools/fleet/child_process.cc
@@ -147,7 +147,7 @@
   return (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-unsigned free_port() {
+unsigned find_free_port() {
   while (true) {
     const unsigned port = first_port + next_port_index() % port_count;
     if (can_bind(port)) {
@@ -156,8 +156,8 @@
   }
 }
 
-std::string free_address() {
-  return "127.0.0.1:" + std::to_string(free_port());
+std::string find_free_address() {
+  return "127.0.0.1:" + std::to_string(find_free_port());
 }
 
 } // namespace spurrack::fleet
--- a/tools/fleet/child_process.h
+++ b/tools/fleet/child_process.h
@@ -39,8 +39,8 @@
 
 /// @return a TCP port on 127.0.0.1 that was free a moment ago, below the range the kernel hands
 /// out.
-unsigned free_port();
+unsigned find_free_port();
 /// @return `127.0.0.1:PORT` of a free port.
-std::string free_address();
+std::string find_free_address();
 
 } // namespace spurrack::fleet
--- a/tools/fleet/local_fleet.cc
+++ b/tools/fleet/local_fleet.cc
@@ -37,13 +37,13 @@
     : binaries_(std::move(binaries)), description_(std::move(description)), folder_(make_folder()) {
   for (const auto& wanted : description_.nodes) {
     auto& addresses = node_addresses_[wanted.name];
-    addresses = {free_address(), free_address(), free_address(), ""};
-    addresses.peers_advertised = description_.proxied ? free_address() : addresses.peers;
+    addresses = {find_free_address(), find_free_address(), find_free_address(), ""};
+    addresses.peers_advertised = description_.proxied ? find_free_address() : addresses.peers;
   }
   for (const auto& wanted : description_.backends) {
-    backend_addresses_[wanted.name] = free_address();
+    backend_addresses_[wanted.name] = find_free_address();
     backend_advertised_[wanted.name] =
-        description_.proxied ? free_address() : backend_addresses_[wanted.name];
+        description_.proxied ? find_free_address() : backend_addresses_[wanted.name];
   }
   start_platform();
   start_backends();
@@ -62,7 +62,7 @@
 }
 
 void local_fleet::start_platform() {
-  platform_address_ = free_address();
+  platform_address_ = find_free_address();
   platform_ = std::make_unique<child_process>(
       binaries_ / "platform_stand_in", std::vector<std::string>{"--listen", platform_address_},
       folder_ / "platform.log");
@@ -127,7 +127,7 @@
 }
 
 void local_fleet::start_proxy() {
-  proxy_address_ = free_address();
+  proxy_address_ = find_free_address();
   std::ostringstream links;
   for (const auto& [name, addresses] : node_addresses_) {
     links << name << "," << addresses.peers_advertised << "," << addresses.peers << ";";
