--- a/tests/fleet/answers_test.cc
+++ b/tests/fleet/answers_test.cc
@@ -156,7 +156,7 @@
     }
   }
   BOOST_TEST(text(ask("well"), "outcome") == "completed");
-  BOOST_TEST(fleet.node("entry-north1").running());
+  BOOST_TEST(fleet.node("entry-north1").is_running());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform_fleet/serving_process_test.cc
+++ b/tests/platform_fleet/serving_process_test.cc
@@ -239,7 +239,7 @@
   std::ofstream(daemon->settings_path()) << "node: 1\nodd: true\n";
   daemon->process().signal(SIGHUP);
   BOOST_TEST(send("/safe/x", "after").status == 200);
-  BOOST_TEST(daemon->process().running());
+  BOOST_TEST(daemon->process().is_running());
 }
 
 /// Guards against a process that exits if SIGHUP arrives a few milliseconds after its start. A
@@ -254,7 +254,7 @@
   pthread_sigmask(SIG_UNBLOCK, &reload, nullptr);
   started.process().signal(SIGHUP);
   wait_for([&] { return started.log().find("settings reloaded") != std::string::npos; });
-  BOOST_TEST(started.process().running());
+  BOOST_TEST(started.process().is_running());
 }
 
 BOOST_AUTO_TEST_CASE(a_planned_stop_ends_what_is_under_way) {
--- a/tests/platform_fleet/slow_readers_test.cc
+++ b/tests/platform_fleet/slow_readers_test.cc
@@ -260,8 +260,8 @@
   slow_clients.start_slow(slow_clients_per_pattern());
   slow_clients.run_until_pausing_end(timeout);
   mixed_load_outcome outcome{
-      fleet.daemon->process().running(), fleet.peak_resident_mb(), fast_clients.take_result(),
-      fast_clients_alone.take_result(),  slow_clients.pausing,     slow_clients.trickling,
+      fleet.daemon->process().is_running(), fleet.peak_resident_mb(), fast_clients.take_result(),
+      fast_clients_alone.take_result(),     slow_clients.pausing,     slow_clients.trickling,
       fleet.replica.aborted_streams()};
   BOOST_TEST_MESSAGE(
       "resident " << undisturbed.peak_resident_mb() << " MB alone, " << outcome.resident_mb
--- a/tests/platform_fleet/soak_fleet.cc
+++ b/tests/platform_fleet/soak_fleet.cc
@@ -176,7 +176,7 @@
 
 bool soak_fleet::is_running(soak_node& node) {
   const std::lock_guard lock(node.process_mutex);
-  return node.process->running();
+  return node.process->is_running();
 }
 
 soak_exit soak_fleet::wait_for_exit(soak_node& node, milliseconds timeout) {
--- a/tools/fleet/child_process.cc
+++ b/tools/fleet/child_process.cc
@@ -112,7 +112,7 @@
   return exit_code_;
 }
 
-bool child_process::running() {
+bool child_process::is_running() {
   if (ended_) {
     return false;
   }
--- a/tools/fleet/child_process.h
+++ b/tools/fleet/child_process.h
@@ -24,7 +24,7 @@
   void signal(int number) const;
   /// Waits for the end. @return the exit code; 128 + signal where a signal ended it.
   int wait();
-  [[nodiscard]] bool running();
+  [[nodiscard]] bool is_running();
   [[nodiscard]] int id() const { return id_; }
   /// @return resident memory in bytes.
   [[nodiscard]] std::size_t resident_bytes() const;
--- a/tools/fleet/local_fleet.cc
+++ b/tools/fleet/local_fleet.cc
@@ -139,9 +139,10 @@
       binaries_ / "fault_proxy",
       std::vector<std::string>{"--admin", proxy_address_, "--link", links.str()},
       folder_ / "proxy.log");
-  require(wait_until([&] { return get(proxy_address_, "/").status != 0 || !proxy_->running(); }) &&
-              proxy_->running(),
-          "the fault proxy did not start");
+  require(
+      wait_until([&] { return get(proxy_address_, "/").status != 0 || !proxy_->is_running(); }) &&
+          proxy_->is_running(),
+      "the fault proxy did not start");
 }
 
 std::string local_fleet::settings_text(const node_description& wanted) const {
