--- a/tests/fleet/answers_test.cc
+++ b/tests/fleet/answers_test.cc
@@ -9,17 +9,18 @@
 using std::chrono::milliseconds;
 
 struct answering_fleet {
-  answering_fleet() : fleet(binaries(), describe()) { fleet.start_all(); }
+  answering_fleet() : fleet(binaries(), describe()) { fleet.start_all_nodes(); }
   static fleet_description describe() {
     auto wanted = small_fleet();
     wanted.extra_settings = "callers: {receive_timeout_ms: 300, max_body_bytes: 2000}\n";
     return wanted;
   }
 
-  [[nodiscard]] boost::json::object ask(const std::string& input, bool stream = false) const {
+  [[nodiscard]] boost::json::object send_request(const std::string& input,
+                                                 bool stream = false) const {
     return fleet
-        .ask("entry-north1", "client-answer", agents_token,
-             {{"input", input}, {"stream", stream}, {"deadline_ms", 2'000}})
+        .send_request("entry-north1", "client-answer", agents_token,
+                      {{"input", input}, {"stream", stream}, {"deadline_ms", 2'000}})
         .json();
   }
 
@@ -58,7 +59,7 @@
     for (const auto* fault : {"truncate", "reset", "reset_early", "crossed", "duplicate"}) {
       fleet.set_backend_fault(backend, fault, 1);
       const auto input = "s" + std::to_string(++number);
-      const auto body = ask(input);
+      const auto body = send_request(input);
       BOOST_TEST_CONTEXT(backend << " " << fault) {
         BOOST_TEST(text(body, "outcome") == "completed");
         BOOST_TEST(text(body.at("outputs").as_object(), "generate") ==
@@ -73,8 +74,8 @@
   post(fleet.backend_address("encoder-north1"), "/admin/fault",
        {{"fault", "none"}, {"service_us", 400'000}});
   const auto late = fleet
-                        .ask("entry-north1", "client-answer", agents_token,
-                             {{"input", "late"}, {"deadline_ms", 100}})
+                        .send_request("entry-north1", "client-answer", agents_token,
+                                      {{"input", "late"}, {"deadline_ms", 100}})
                         .json();
   BOOST_TEST(text(late, "outcome") == "failed");
   BOOST_TEST(text(late, "code") == "deadline_passed");
@@ -82,7 +83,7 @@
        {{"fault", "none"}, {"service_us", 1'000}});
   for (int number = 0; number < 5; ++number) {
     const auto input = "next" + std::to_string(number);
-    const auto body = ask(input);
+    const auto body = send_request(input);
     BOOST_TEST(text(body.at("outputs").as_object(), "generate") == expected_client_answer(input));
   }
 }
@@ -127,7 +128,7 @@
   wanted.timeout = milliseconds(200);
   BOOST_TEST(call(wanted).status == 0U);
   BOOST_TEST(local_fleet::wait_until([&] { return metric("spurrack_active_requests") == 0; }));
-  BOOST_TEST(text(ask("after"), "outcome") == "completed");
+  BOOST_TEST(text(send_request("after"), "outcome") == "completed");
 }
 
 BOOST_AUTO_TEST_CASE(bad_input_gets_a_typed_error_and_harms_nobody) {
@@ -147,15 +148,15 @@
        "404", "unknown_template"},
       {head("Connection: close\r\nContent-Length: 29\r\n") + R"({"input":"x","deadline_ms":0})",
        "400", "invalid_deadline"}};
-  for (const auto& wrong : cases) {
-    const auto answer = door(wrong.bytes);
-    BOOST_TEST_CONTEXT(wrong.code << ": " << answer) {
-      BOOST_TEST(answer.find("HTTP/1.1 " + wrong.status) == 0U);
-      BOOST_TEST(answer.find("\"code\":\"" + wrong.code + "\"") != std::string::npos);
+  for (const auto& malformed : cases) {
+    const auto answer = door(malformed.bytes);
+    BOOST_TEST_CONTEXT(malformed.code << ": " << answer) {
+      BOOST_TEST(answer.find("HTTP/1.1 " + malformed.status) == 0U);
+      BOOST_TEST(answer.find("\"code\":\"" + malformed.code + "\"") != std::string::npos);
       BOOST_TEST(answer.find("\"outcome\":\"not_run\"") != std::string::npos);
     }
   }
-  BOOST_TEST(text(ask("well"), "outcome") == "completed");
+  BOOST_TEST(text(send_request("well"), "outcome") == "completed");
   BOOST_TEST(fleet.node("entry-north1").is_running());
 }
 
--- a/tests/fleet/disturbance_test.cc
+++ b/tests/fleet/disturbance_test.cc
@@ -9,11 +9,13 @@
 using namespace spurrack::fleet;
 
 struct loaded_fleet {
-  loaded_fleet() : fleet(binaries(), example_fleet({"north", "south"}, 2)) { fleet.start_all(); }
+  loaded_fleet() : fleet(binaries(), example_fleet({"north", "south"}, 2)) {
+    fleet.start_all_nodes();
+  }
 
   [[nodiscard]] bool sees(const std::string& node, const std::string& subject,
                           const std::string& state) const {
-    const auto document = fleet.document(node, "/v1/nodes");
+    const auto document = fleet.get_document(node, "/v1/nodes");
     const auto* nodes = document.if_contains("nodes");
     if (nodes == nullptr) {
       return false;
@@ -28,7 +30,7 @@
   }
 
   [[nodiscard]] std::string configuration_hash(const std::string& node) const {
-    return text(fleet.document(node, "/v1/status"), "configuration_hash");
+    return text(fleet.get_document(node, "/v1/status"), "configuration_hash");
   }
 
   [[nodiscard]] bool all_agree() const {
@@ -48,7 +50,7 @@
   }
 
   [[nodiscard]] bool in_force(const std::string& node, int deadline_ms) const {
-    const auto document = fleet.document(node, "/v1/templates");
+    const auto document = fleet.get_document(node, "/v1/templates");
     const auto* templates = document.if_contains("templates");
     if (templates == nullptr) {
       return false;
@@ -66,7 +68,7 @@
 };
 
 void require_clean(const load_totals& totals) {
-  BOOST_TEST(totals.wrong == 0U);
+  BOOST_TEST(totals.wrong_answers == 0U);
   BOOST_TEST(totals.count("completed") > 0U);
   BOOST_TEST(totals.count("unknown") == 0U);
 }
@@ -77,18 +79,18 @@
 
 BOOST_AUTO_TEST_CASE(a_killed_node_is_noticed_and_the_others_serve_on) {
   background_load load(fleet, {"entry-north2", "entry-south1"}, 4);
-  BOOST_TEST(load.wait_completed(50));
+  BOOST_TEST(load.wait_for_completed(50));
   fleet.node("entry-north1").signal(SIGKILL);
   BOOST_TEST(local_fleet::wait_until([&] { return sees("entry-north2", "entry-north1", "dead"); }));
-  BOOST_TEST(load.wait_completed(50));
+  BOOST_TEST(load.wait_for_completed(50));
   fleet.node("entry-north1").wait();
   fleet.start_node("entry-north1");
-  fleet.wait_ready("entry-north1");
+  fleet.wait_until_ready("entry-north1");
   BOOST_TEST(
       local_fleet::wait_until([&] { return sees("entry-north2", "entry-north1", "alive"); }));
   const auto totals = load.stop();
   require_clean(totals);
-  BOOST_TEST(totals.cut == 0U);
+  BOOST_TEST(totals.broken_connections == 0U);
   BOOST_TEST(totals.count("failed") == 0U);
 }
 
@@ -101,41 +103,43 @@
   BOOST_TEST(local_fleet::wait_until([&] { return in_force("entry-north1", 2'500); }));
   BOOST_TEST(
       local_fleet::wait_until([&] { return sees("entry-north2", "entry-north1", "alive"); }));
-  const auto answer = fleet.ask("entry-north1", "client-answer", agents_token, {{"input", "x"}});
+  const auto answer =
+      fleet.send_request("entry-north1", "client-answer", agents_token, {{"input", "x"}});
   BOOST_TEST(answer.status == 200U);
 }
 
 BOOST_AUTO_TEST_CASE(a_cut_zone_serves_alone_and_rejoins) {
   const std::vector<std::string> south{"entry-south1", "entry-south2"};
   background_load load(fleet, south, 2);
-  BOOST_TEST(load.wait_completed(20));
-  fleet.set_links(south, {{"cut", true}});
-  fleet.platform_mode("down");
-  BOOST_TEST(load.wait_completed(50));
-  fleet.platform_mode("up");
+  BOOST_TEST(load.wait_for_completed(20));
+  fleet.set_link_fault(south, {{"cut", true}});
+  fleet.set_platform_mode("down");
+  BOOST_TEST(load.wait_for_completed(50));
+  fleet.set_platform_mode("up");
   publish_deadline(2'600);
-  fleet.set_links(south, {{"cut", false}});
+  fleet.set_link_fault(south, {{"cut", false}});
   BOOST_TEST(local_fleet::wait_until([&] { return in_force("entry-south2", 2'600); }));
   BOOST_TEST(local_fleet::wait_until([&] { return all_agree(); }));
-  BOOST_TEST(load.wait_completed(20));
+  BOOST_TEST(load.wait_for_completed(20));
   const auto totals = load.stop();
   require_clean(totals);
-  BOOST_TEST(totals.cut == 0U);
+  BOOST_TEST(totals.broken_connections == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(with_the_platform_down_the_last_accepted_configuration_carries_on) {
   publish_deadline(2'700);
   BOOST_TEST(
       local_fleet::wait_until([&] { return in_force("entry-south1", 2'700) && all_agree(); }));
-  fleet.platform_mode("down");
+  fleet.set_platform_mode("down");
   fleet.node("entry-south1").signal(SIGKILL);
   fleet.node("entry-south1").wait();
   // A node that starts while the platform is down takes the configuration from its peers.
   fleet.start_node("entry-south1");
-  fleet.wait_ready("entry-south1");
+  fleet.wait_until_ready("entry-south1");
   BOOST_TEST(in_force("entry-south1", 2'700));
-  BOOST_TEST(fleet.ask("entry-south1", "client-answer", agents_token, {{"input", "x"}}).status ==
-             200U);
+  BOOST_TEST(
+      fleet.send_request("entry-south1", "client-answer", agents_token, {{"input", "x"}}).status ==
+      200U);
 }
 
 BOOST_AUTO_TEST_CASE(a_restored_service_reverts_nothing) {
@@ -148,7 +152,7 @@
   fleet.node("entry-north1").signal(SIGKILL);
   fleet.node("entry-north1").wait();
   fleet.start_node("entry-north1");
-  fleet.wait_ready("entry-north1");
+  fleet.wait_until_ready("entry-north1");
   BOOST_TEST(in_force("entry-north1", 2'800));
   BOOST_TEST(all_agree());
 }
@@ -159,38 +163,39 @@
                                      "encode, pool: encoders}]}"}});
   for (const auto& node : fleet.description().nodes) {
     BOOST_TEST(local_fleet::wait_until([&] {
-      const auto status = fleet.document(node.name, "/v1/status");
+      const auto status = fleet.get_document(node.name, "/v1/status");
       return !status.at("rejected").as_array().empty();
     }));
   }
   BOOST_TEST(local_fleet::wait_until([&] { return all_agree(); }));
-  const auto rejected = fleet.document("entry-south2", "/v1/status").at("rejected");
+  const auto rejected = fleet.get_document("entry-south2", "/v1/status").at("rejected");
   BOOST_TEST(text(rejected.as_array().front().as_object(), "reason").find("deadline_ms") !=
              std::string::npos);
-  BOOST_TEST(fleet.ask("entry-south2", "client-answer", agents_token, {{"input", "x"}}).status ==
-             200U);
+  BOOST_TEST(
+      fleet.send_request("entry-south2", "client-answer", agents_token, {{"input", "x"}}).status ==
+      200U);
 }
 
 BOOST_AUTO_TEST_CASE(a_planned_stop_cuts_no_request) {
   background_load load(fleet, {"entry-north1", "entry-north2"}, 6);
-  BOOST_TEST(load.wait_completed(100));
+  BOOST_TEST(load.wait_for_completed(100));
   fleet.node("entry-north1").signal(SIGTERM);
   BOOST_TEST(fleet.node("entry-north1").wait() == 0);
-  BOOST_TEST(load.wait_completed(50));
+  BOOST_TEST(load.wait_for_completed(50));
   const auto totals = load.stop();
   require_clean(totals);
-  BOOST_TEST(totals.cut == 0U, totals.last_cut);
+  BOOST_TEST(totals.broken_connections == 0U, totals.last_broken_connection);
   BOOST_TEST(totals.count("failed") == 0U);
-  for (const auto& [code, count] : totals.codes) {
+  for (const auto& [code, count] : totals.error_codes) {
     BOOST_TEST(code == "node_stopping");
   }
 }
 
 BOOST_AUTO_TEST_CASE(a_back_end_that_hangs_costs_no_request) {
   background_load load(fleet, {"entry-north1"}, 4);
-  BOOST_TEST(load.wait_completed(300));
+  BOOST_TEST(load.wait_for_completed(300));
   fleet.backend("retriever-north1").signal(SIGSTOP);
-  BOOST_TEST(load.wait_completed(300));
+  BOOST_TEST(load.wait_for_completed(300));
   const auto totals = load.stop();
   fleet.backend("retriever-north1").signal(SIGCONT);
   require_clean(totals);
@@ -199,10 +204,10 @@
 
 BOOST_AUTO_TEST_CASE(a_leaving_back_end_gets_no_new_work_and_ends_what_it_has) {
   background_load load(fleet, {"entry-north1", "entry-north2"}, 6);
-  BOOST_TEST(load.wait_completed(100));
+  BOOST_TEST(load.wait_for_completed(100));
   fleet.publish_backend("engine-north1", "leaving", 1);
   const auto left_alone = [&] {
-    const auto document = fleet.document("entry-north2", "/v1/backends");
+    const auto document = fleet.get_document("entry-north2", "/v1/backends");
     for (const auto& row : document.at("backends").as_array()) {
       const auto& entry = row.as_object();
       if (text(entry, "backend") == "engine-north1") {
@@ -212,9 +217,9 @@
     return false;
   };
   BOOST_TEST(local_fleet::wait_until(left_alone));
-  BOOST_TEST(load.wait_completed(20));
+  BOOST_TEST(load.wait_for_completed(20));
   const auto settled = fleet.executions("engine-north1");
-  BOOST_TEST(load.wait_completed(200));
+  BOOST_TEST(load.wait_for_completed(200));
   BOOST_TEST(fleet.executions("engine-north1") == settled);
   const auto totals = load.stop();
   require_clean(totals);
@@ -224,9 +229,9 @@
 BOOST_AUTO_TEST_CASE(a_back_ends_own_refusal_spreads_before_the_list_says_it) {
   fleet.set_backend_fault("engine-north1", "leaving");
   background_load load(fleet, {"entry-north1"}, 2);
-  BOOST_TEST(load.wait_completed(50));
+  BOOST_TEST(load.wait_for_completed(50));
   const auto known = [&] {
-    const auto document = fleet.document("entry-south2", "/v1/backends");
+    const auto document = fleet.get_document("entry-south2", "/v1/backends");
     for (const auto& row : document.at("backends").as_array()) {
       const auto& entry = row.as_object();
       if (text(entry, "backend") == "engine-north1") {
@@ -254,9 +259,9 @@
   const std::string first_public = "rq:rM>}U?@Lns47E1%kR.o@n%FcmmsL/@{H8]yf7";
   const std::string first_secret = "JTKVSB%%)wK0E.X)V>+}o?pNmC{O&4W4b!Ni{Lh6";
   local_fleet fleet(binaries(), with_keys(first_public, first_secret));
-  fleet.start_all();
+  fleet.start_all_nodes();
   const auto alive = [&](const std::string& node, const std::string& other) {
-    const auto document = fleet.document(node, "/v1/nodes");
+    const auto document = fleet.get_document(node, "/v1/nodes");
     for (const auto& row : document.at("nodes").as_array()) {
       if (text(row.as_object(), "node") == other) {
         return text(row.as_object(), "state") == "alive";
@@ -268,11 +273,11 @@
   fleet.node("entry-north2").signal(SIGKILL);
   fleet.node("entry-north2").wait();
   BOOST_TEST(local_fleet::wait_until([&] { return !alive("entry-north1", "entry-north2"); }));
-  fleet.change_extra_settings(with_keys("Yne@$w-vo<fVvi]a<NY6T1ed:M$fCG*[IaLV{hID",
-                                        "D:)Q[IlAW!ahhC2ac:9*A}h:p?([4%wOTJ%JR%cs")
-                                  .extra_settings);
+  fleet.set_extra_settings(with_keys("Yne@$w-vo<fVvi]a<NY6T1ed:M$fCG*[IaLV{hID",
+                                     "D:)Q[IlAW!ahhC2ac:9*A}h:p?([4%wOTJ%JR%cs")
+                               .extra_settings);
   fleet.start_node("entry-north2");
-  fleet.wait_ready("entry-north2");
+  fleet.wait_until_ready("entry-north2");
   const auto sent_bytes = [&] {
     const auto body = get(fleet.addresses("entry-north2").operators, "/metrics").body;
     const std::string name = "\nspurrack_control_sent_bytes_total ";
@@ -294,18 +299,20 @@
 
 BOOST_AUTO_TEST_CASE(a_fleet_that_starts_without_the_platform_waits_and_then_serves) {
   local_fleet fleet(binaries(), small_fleet());
-  fleet.platform_mode("down");
+  fleet.set_platform_mode("down");
   fleet.start_node("entry-north1");
   const auto& callers = fleet.addresses("entry-north1").callers;
   BOOST_TEST(local_fleet::wait_until([&] { return get(callers, "/healthz").status == 200; }));
-  const auto refused = fleet.ask("entry-north1", "client-answer", agents_token, {{"input", "x"}});
+  const auto refused =
+      fleet.send_request("entry-north1", "client-answer", agents_token, {{"input", "x"}});
   BOOST_TEST(refused.status == 503U);
   BOOST_TEST(text(refused.json(), "outcome") == "not_run");
   BOOST_TEST(text(refused.json(), "code") == "node_not_ready");
-  fleet.platform_mode("up");
-  fleet.wait_ready("entry-north1");
-  BOOST_TEST(fleet.ask("entry-north1", "client-answer", agents_token, {{"input", "x"}}).status ==
-             200U);
+  fleet.set_platform_mode("up");
+  fleet.wait_until_ready("entry-north1");
+  BOOST_TEST(
+      fleet.send_request("entry-north1", "client-answer", agents_token, {{"input", "x"}}).status ==
+      200U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/fleet/effects_test.cc
+++ b/tests/fleet/effects_test.cc
@@ -11,8 +11,8 @@
 /// A fleet of three zones, one node each: a majority of witnesses remains when one node is gone.
 struct payout_fleet {
   payout_fleet() : fleet(binaries(), describe()) {
-    fleet.start_all();
-    fleet.wait_witnesses();
+    fleet.start_all_nodes();
+    fleet.wait_until_all_may_witness();
   }
   static fleet_description describe() {
     auto wanted = example_fleet({"north", "south", "west"}, 1);
@@ -113,10 +113,10 @@
 BOOST_AUTO_TEST_CASE(a_refused_connection_was_not_run_and_goes_elsewhere) {
   auto wanted = describe();
   // The proxy would accept the connection; without it the kernel refuses it.
-  wanted.proxied = false;
+  wanted.uses_proxy = false;
   local_fleet direct(binaries(), wanted);
-  direct.start_all();
-  direct.wait_witnesses();
+  direct.start_all_nodes();
+  direct.wait_until_all_may_witness();
   direct.backend("payout-north").signal(SIGKILL);
   direct.backend("payout-north").wait();
   BOOST_TEST(text(pay(direct, "entry-north1", "k6"), "outcome") == "completed");
@@ -124,18 +124,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(across_a_cut_a_key_runs_once_and_a_ticket_serves_the_cut_zone) {
-  fleet.set_links({"entry-north1"}, {{"black_hole", true}});
-  fleet.set_links({"entry-south1", "entry-west1"}, {{"delay_ms", 1}});
+  fleet.set_link_fault({"entry-north1"}, {{"black_hole", true}});
+  fleet.set_link_fault({"entry-south1", "entry-west1"}, {{"delay_ms", 1}});
   const auto majority = pay(fleet, "entry-south1", "k7", 2'000);
   BOOST_TEST(text(majority, "outcome") == "completed");
   const auto minority = pay(fleet, "entry-north1", "k7", 2'000);
   BOOST_TEST(text(minority, "outcome") == "unknown");
   BOOST_TEST(payouts() == 1);
-  const auto ticket = fleet.take_ticket("entry-north1", agents_token);
+  const auto ticket = fleet.request_ticket("entry-north1", agents_token);
   const auto redeem = [&] {
     return fleet
-        .ask("entry-north1", "transfer-confirmation", agents_token, {{"input", "by ticket"}},
-             {{"Spurrack-Ticket", ticket}})
+        .send_request("entry-north1", "transfer-confirmation", agents_token,
+                      {{"input", "by ticket"}}, {{"Spurrack-Ticket", ticket}})
         .json();
   };
   BOOST_TEST(text(redeem(), "outcome") == "completed");
@@ -144,18 +144,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_restarted_node_grants_nothing_and_redeems_no_old_ticket) {
-  const auto ticket = fleet.take_ticket("entry-north1", agents_token);
+  const auto ticket = fleet.request_ticket("entry-north1", agents_token);
   BOOST_TEST(!ticket.empty());
   fleet.node("entry-north1").signal(SIGKILL);
   fleet.node("entry-north1").wait();
   fleet.start_node("entry-north1");
-  fleet.wait_ready("entry-north1");
+  fleet.wait_until_ready("entry-north1");
   for (const auto* node : {"entry-north1", "entry-south1"}) {
-    const auto answer =
-        fleet
-            .ask(node, "transfer-confirmation", agents_token,
-                 {{"input", "old ticket"}, {"deadline_ms", 800}}, {{"Spurrack-Ticket", ticket}})
-            .json();
+    const auto answer = fleet
+                            .send_request(node, "transfer-confirmation", agents_token,
+                                          {{"input", "old ticket"}, {"deadline_ms", 800}},
+                                          {{"Spurrack-Ticket", ticket}})
+                            .json();
     BOOST_TEST(text(answer, "outcome") == "unknown");
   }
   BOOST_TEST(payouts() == 0);
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -36,8 +36,9 @@
 inline boost::json::object pay(const local_fleet& fleet, const std::string& node,
                                const std::string& key, int deadline_ms = 3'000) {
   return fleet
-      .ask(node, "transfer-confirmation", agents_token,
-           {{"input", "giro " + key}, {"deadline_ms", deadline_ms}}, {{"Idempotency-Key", key}})
+      .send_request(node, "transfer-confirmation", agents_token,
+                    {{"input", "giro " + key}, {"deadline_ms", deadline_ms}},
+                    {{"Idempotency-Key", key}})
       .json();
 }
 
--- a/tests/fleet/golden_test.cc
+++ b/tests/fleet/golden_test.cc
@@ -49,7 +49,7 @@
 
 std::string timeline_of(const local_fleet& fleet) {
   std::ostringstream lines;
-  const auto document = fleet.document("entry-north1", "/v1/timeline");
+  const auto document = fleet.get_document("entry-north1", "/v1/timeline");
   for (const auto& item : document.at("events").as_array()) {
     const auto& event = item.as_object();
     if (!text(event, "request_id").empty()) {
@@ -63,7 +63,7 @@
 void check_session(const std::string& name, const std::string& token,
                    const std::vector<session_step>& steps) {
   local_fleet fleet(binaries(), example_fleet({"north"}, 1));
-  fleet.start_all();
+  fleet.start_all_nodes();
   std::ostringstream session;
   for (const auto& step : steps) {
     std::string extra;
@@ -115,7 +115,7 @@
 
 BOOST_AUTO_TEST_CASE(exit_codes_say_what_is_the_matter) {
   local_fleet fleet(binaries(), example_fleet({"north"}, 1));
-  fleet.start_all();
+  fleet.start_all_nodes();
   const auto& operators = fleet.addresses("entry-north1").operators;
   const auto folder = fleet.folder() / "templates";
   std::filesystem::create_directories(folder);
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -31,10 +31,10 @@
 std::string run_request(const local_fleet& fleet, const demo_request& request) {
   std::map<std::string, std::string> headers;
   if (request.once) {
-    headers["Spurrack-Ticket"] = fleet.take_ticket(request.node, request.token);
+    headers["Spurrack-Ticket"] = fleet.request_ticket(request.node, request.token);
   }
-  const auto answer =
-      fleet.ask(request.node, request.pipeline, request.token, {{"input", request.input}}, headers);
+  const auto answer = fleet.send_request(request.node, request.pipeline, request.token,
+                                         {{"input", request.input}}, headers);
   const auto body = answer.json();
   std::cout << "\n== " << request.pipeline << " through " << request.node << ": "
             << member(body, "outcome") << "\n";
@@ -81,7 +81,7 @@
   const auto binaries = std::filesystem::absolute(argv[0]).parent_path();
   std::cout << "starting: platform, 2 zones, 4 nodes, 18 back ends\n";
   local_fleet fleet(binaries, spurrack::fleet::example_fleet({"north", "south"}, 2));
-  fleet.start_all();
+  fleet.start_all_nodes();
   std::cout << "all nodes are ready\n";
   const std::vector<demo_request> requests{
       {"entry-north1", "client-answer", spurrack::fleet::agents_token, "donde esta mi giro",
--- a/tools/fleet/background_load.cc
+++ b/tools/fleet/background_load.cc
@@ -45,7 +45,7 @@
   return totals_;
 }
 
-bool background_load::wait_completed(std::uint64_t more) const {
+bool background_load::wait_for_completed(std::uint64_t more) const {
   const auto goal = totals().count("completed") + more;
   return local_fleet::wait_until([&] { return totals().count("completed") >= goal; });
 }
@@ -54,17 +54,18 @@
   for (unsigned number = 0; !stopping_; ++number) {
     const auto input = "q" + std::to_string(index) + "-" + std::to_string(number);
     const auto& node = nodes_[(index + number) % nodes_.size()];
-    account(input, fleet_->ask(node, "client-answer", agents_token, {{"input", input}}));
+    record_answer(input,
+                  fleet_->send_request(node, "client-answer", agents_token, {{"input", input}}));
   }
 }
 
-void background_load::account(const std::string& input, const http_answer& answer) {
+void background_load::record_answer(const std::string& input, const http_answer& answer) {
   const std::lock_guard lock(mutex_);
   if (answer.status == 0) {
     // A refused connection was never taken: nothing was cut.
     if (answer.error != "Connection refused") {
-      ++totals_.cut;
-      totals_.last_cut = input + ": " + answer.error;
+      ++totals_.broken_connections;
+      totals_.last_broken_connection = input + ": " + answer.error;
     }
     return;
   }
@@ -73,11 +74,12 @@
   ++totals_.sent;
   ++totals_.outcomes[outcome];
   if (outcome != "completed") {
-    ++totals_.codes[text_member(body, "code")];
+    ++totals_.error_codes[text_member(body, "code")];
     return;
   }
   const auto& outputs = body.at("outputs").as_object();
-  totals_.wrong += text_member(outputs, "generate") == expected_client_answer(input) ? 0 : 1;
+  totals_.wrong_answers +=
+      text_member(outputs, "generate") == expected_client_answer(input) ? 0 : 1;
 }
 
 } // namespace spurrack::fleet
--- a/tools/fleet/background_load.h
+++ b/tools/fleet/background_load.h
@@ -16,13 +16,13 @@
 /// What became of the requests so far.
 struct load_totals {
   std::map<std::string, std::uint64_t> outcomes;
-  std::map<std::string, std::uint64_t> codes;
+  std::map<std::string, std::uint64_t> error_codes;
   /// Completed answers that are not the right one for their request.
-  std::uint64_t wrong = 0;
+  std::uint64_t wrong_answers = 0;
   /// Connections that ended after the request was sent, without an answer.
-  std::uint64_t cut = 0;
+  std::uint64_t broken_connections = 0;
   /// Input of the last cut request and the error of its connection.
-  std::string last_cut;
+  std::string last_broken_connection;
   std::uint64_t sent = 0;
 
   [[nodiscard]] std::uint64_t count(const std::string& outcome) const {
@@ -44,11 +44,11 @@
   load_totals stop();
   [[nodiscard]] load_totals totals() const;
   /// Waits until that many more requests were completed.
-  bool wait_completed(std::uint64_t more) const;
+  bool wait_for_completed(std::uint64_t more) const;
 
  private:
   void run(unsigned index);
-  void account(const std::string& input, const http_answer& answer);
+  void record_answer(const std::string& input, const http_answer& answer);
 
   const local_fleet* fleet_;
   std::vector<std::string> nodes_;
--- a/tools/fleet/local_fleet.cc
+++ b/tools/fleet/local_fleet.cc
@@ -38,16 +38,16 @@
   for (const auto& wanted : description_.nodes) {
     auto& addresses = node_addresses_[wanted.name];
     addresses = {find_free_address(), find_free_address(), find_free_address(), ""};
-    addresses.peers_advertised = description_.proxied ? find_free_address() : addresses.peers;
+    addresses.peers_advertised = description_.uses_proxy ? find_free_address() : addresses.peers;
   }
   for (const auto& wanted : description_.backends) {
     backend_addresses_[wanted.name] = find_free_address();
     backend_advertised_[wanted.name] =
-        description_.proxied ? find_free_address() : backend_addresses_[wanted.name];
+        description_.uses_proxy ? find_free_address() : backend_addresses_[wanted.name];
   }
   start_platform();
   start_backends();
-  if (description_.proxied) {
+  if (description_.uses_proxy) {
     start_proxy();
   }
 }
@@ -78,13 +78,13 @@
                                          node_addresses_[wanted.name].peers_advertised + "'}";
   }
   for (const auto& wanted : description_.backends) {
-    records["machines/" + wanted.name] = machine_record(wanted, "live", 1);
+    records["machines/" + wanted.name] = make_machine_record(wanted, "live", 1);
   }
   publish(records);
 }
 
-std::string local_fleet::machine_record(const backend_description& wanted, const std::string& state,
-                                        int generation) const {
+std::string local_fleet::make_machine_record(const backend_description& wanted,
+                                             const std::string& state, int generation) const {
   std::ostringstream text;
   text << "{name: " << wanted.name << ", role: backend, zone: " << wanted.zone << ", address: '"
        << backend_advertised_.at(wanted.name) << "', pool: " << wanted.pool
@@ -93,7 +93,7 @@
   return text.str();
 }
 
-const backend_description& local_fleet::describe_backend(const std::string& name) const {
+const backend_description& local_fleet::find_backend(const std::string& name) const {
   const auto found = std::find_if(description_.backends.begin(), description_.backends.end(),
                                   [&](const auto& wanted) { return wanted.name == name; });
   require(found != description_.backends.end(), "no back end " + name);
@@ -102,7 +102,7 @@
 
 void local_fleet::publish_backend(const std::string& name, const std::string& state,
                                   int generation) const {
-  publish({{"machines/" + name, machine_record(describe_backend(name), state, generation)}});
+  publish({{"machines/" + name, make_machine_record(find_backend(name), state, generation)}});
 }
 
 void local_fleet::start_backends() {
@@ -116,7 +116,7 @@
                                              "--token-us",
                                              std::to_string(wanted.token_microseconds),
                                              "--most-in-flight",
-                                             std::to_string(wanted.most_in_flight)};
+                                             std::to_string(wanted.max_in_flight)};
     backends_[wanted.name] = std::make_unique<child_process>(
         binaries_ / "backend_stand_in", arguments, folder_ / (wanted.name + ".log"));
   }
@@ -145,7 +145,7 @@
       "the fault proxy did not start");
 }
 
-std::string local_fleet::settings_text(const node_description& wanted) const {
+std::string local_fleet::make_settings_text(const node_description& wanted) const {
   const auto& own = node_addresses_.at(wanted.name);
   std::ostringstream text;
   text << "node: " << wanted.name << "\nzone: " << wanted.zone << "\npeer_listen: " << own.peers
@@ -169,31 +169,31 @@
                                   [&](const auto& wanted) { return wanted.name == name; });
   require(found != description_.nodes.end(), "no node " + name);
   const auto settings = folder_ / (name + ".yaml");
-  std::ofstream(settings) << settings_text(*found);
+  std::ofstream(settings) << make_settings_text(*found);
   nodes_[name] = std::make_unique<child_process>(
       binaries_ / "spurrackd", std::vector<std::string>{"--settings", settings.string()},
       folder_ / (name + ".log"));
 }
 
-void local_fleet::start_all() {
+void local_fleet::start_all_nodes() {
   for (const auto& wanted : description_.nodes) {
     start_node(wanted.name);
   }
   for (const auto& wanted : description_.nodes) {
-    wait_ready(wanted.name);
+    wait_until_ready(wanted.name);
   }
 }
 
-void local_fleet::wait_ready(const std::string& name) {
+void local_fleet::wait_until_ready(const std::string& name) {
   const auto& where = node_addresses_.at(name).callers;
   require(wait_until([&] { return get(where, "/readyz").status == 200; }),
           name + " did not become ready");
 }
 
-void local_fleet::wait_witnesses() {
+void local_fleet::wait_until_all_may_witness() {
   for (const auto& wanted : description_.nodes) {
     require(wait_until([&] {
-              const auto status = document(wanted.name, "/v1/status");
+              const auto status = get_document(wanted.name, "/v1/status");
               return status.contains("may_witness") && status.at("may_witness").as_bool();
             }),
             wanted.name + " may not witness");
@@ -201,7 +201,7 @@
 }
 
 bool local_fleet::wait_until(const std::function<bool()>& condition) {
-  const auto limit = std::chrono::steady_clock::now() + patience;
+  const auto limit = std::chrono::steady_clock::now() + wait_timeout;
   while (std::chrono::steady_clock::now() < limit) {
     if (condition()) {
       return true;
@@ -223,12 +223,12 @@
   post(platform_address_, "/admin/publish", {{"entries", std::move(entries)}});
 }
 
-void local_fleet::platform_mode(const std::string& mode) const {
+void local_fleet::set_platform_mode(const std::string& mode) const {
   post(platform_address_, "/admin/mode", {{"mode", mode}});
 }
 
-void local_fleet::set_links(const std::vector<std::string>& links,
-                            const json::object& fault) const {
+void local_fleet::set_link_fault(const std::vector<std::string>& links,
+                                 const json::object& fault) const {
   auto body = fault;
   body["links"] = json::value_from(links);
   post(proxy_address_, "/admin/fault", body);
@@ -243,7 +243,7 @@
   post(backend_addresses_.at(name), "/admin/fault", body);
 }
 
-json::object local_fleet::document(const std::string& node, const std::string& path) const {
+json::object local_fleet::get_document(const std::string& node, const std::string& path) const {
   return get(node_addresses_.at(node).operators, path).json();
 }
 
@@ -264,7 +264,7 @@
   return total;
 }
 
-std::string local_fleet::take_ticket(const std::string& node, const std::string& token) const {
+std::string local_fleet::request_ticket(const std::string& node, const std::string& token) const {
   http_call wanted;
   wanted.address = node_addresses_.at(node).callers;
   wanted.method = "POST";
@@ -275,9 +275,9 @@
   return ticket != nullptr && ticket->is_string() ? std::string(ticket->as_string()) : "";
 }
 
-http_answer local_fleet::ask(const std::string& node, const std::string& pipeline,
-                             const std::string& token, const json::object& body,
-                             const std::map<std::string, std::string>& headers) const {
+http_answer local_fleet::send_request(const std::string& node, const std::string& pipeline,
+                                      const std::string& token, const json::object& body,
+                                      const std::map<std::string, std::string>& headers) const {
   http_call wanted;
   wanted.address = node_addresses_.at(node).callers;
   wanted.method = "POST";
--- a/tools/fleet/local_fleet.h
+++ b/tools/fleet/local_fleet.h
@@ -30,7 +30,7 @@
   int concurrency = 8;
   int service_microseconds = 1'000;
   int token_microseconds = 500;
-  int most_in_flight = 64;
+  int max_in_flight = 64;
 };
 
 struct fleet_description {
@@ -43,7 +43,7 @@
   int list_window_ms = 3'600'000;
   /// Further lines of every node's settings.
   std::string extra_settings;
-  bool proxied = true;
+  bool uses_proxy = true;
 };
 
 /// Where a running node listens.
@@ -54,24 +54,24 @@
   std::string peers_advertised;
 };
 
-/// Owns all processes. Waits are on events, bounded by `patience`.
+/// Owns all processes. Waits are on events, bounded by `wait_timeout`.
 class local_fleet {
  public:
-  static constexpr std::chrono::seconds patience{30};
+  static constexpr std::chrono::seconds wait_timeout{30};
 
-  /// Starts the stand-ins and publishes; nodes are started by `start_node` or `start_all`.
+  /// Starts the stand-ins and publishes; nodes are started by `start_node` or `start_all_nodes`.
   /// @param binaries folder with the programs.
   local_fleet(std::filesystem::path binaries, fleet_description description);
   ~local_fleet();
 
-  void start_all();
+  void start_all_nodes();
   void start_node(const std::string& name);
   /// Further settings lines for nodes started from now on.
-  void change_extra_settings(const std::string& lines) { description_.extra_settings = lines; }
+  void set_extra_settings(const std::string& lines) { description_.extra_settings = lines; }
   /// Waits until a node takes requests.
-  void wait_ready(const std::string& name);
+  void wait_until_ready(const std::string& name);
   /// Waits until all nodes may witness keys.
-  void wait_witnesses();
+  void wait_until_all_may_witness();
   /// Waits for a condition. @return whether it came in time.
   static bool wait_until(const std::function<bool()>& condition);
 
@@ -90,14 +90,15 @@
   void publish(const std::map<std::string, std::optional<std::string>>& records) const;
   /// Publishes a back end's machine record with a state and generation.
   void publish_backend(const std::string& name, const std::string& state, int generation) const;
-  void platform_mode(const std::string& mode) const;
+  void set_platform_mode(const std::string& mode) const;
   /// Sets a fault of links of the proxy: node or back-end names.
-  void set_links(const std::vector<std::string>& links, const boost::json::object& fault) const;
+  void set_link_fault(const std::vector<std::string>& links,
+                      const boost::json::object& fault) const;
   void set_backend_fault(const std::string& name, const std::string& fault,
                          std::optional<int> times = std::nullopt) const;
   /// @return a document of a node's operator listener, such as `/v1/status`.
-  [[nodiscard]] boost::json::object document(const std::string& node,
-                                             const std::string& path) const;
+  [[nodiscard]] boost::json::object get_document(const std::string& node,
+                                                 const std::string& path) const;
   /// @return calls that a back end ran, for all requests together.
   [[nodiscard]] std::int64_t executions(const std::string& backend) const;
   [[nodiscard]] std::int64_t executions_in_pool(const std::string& pool) const;
@@ -105,20 +106,21 @@
   [[nodiscard]] const std::filesystem::path& folder() const { return folder_; }
 
   /// @return a ticket issued by a node; empty where it gives none.
-  [[nodiscard]] std::string take_ticket(const std::string& node, const std::string& token) const;
+  [[nodiscard]] std::string request_ticket(const std::string& node, const std::string& token) const;
   /// Sends a pipeline request.
-  [[nodiscard]] http_answer ask(const std::string& node, const std::string& pipeline,
-                                const std::string& token, const boost::json::object& body,
-                                const std::map<std::string, std::string>& headers = {}) const;
+  [[nodiscard]] http_answer
+  send_request(const std::string& node, const std::string& pipeline, const std::string& token,
+               const boost::json::object& body,
+               const std::map<std::string, std::string>& headers = {}) const;
 
  private:
   void start_platform();
   void start_backends();
   void start_proxy();
-  [[nodiscard]] std::string settings_text(const node_description& wanted) const;
-  [[nodiscard]] std::string machine_record(const backend_description& wanted,
-                                           const std::string& state, int generation) const;
-  [[nodiscard]] const backend_description& describe_backend(const std::string& name) const;
+  [[nodiscard]] std::string make_settings_text(const node_description& wanted) const;
+  [[nodiscard]] std::string make_machine_record(const backend_description& wanted,
+                                                const std::string& state, int generation) const;
+  [[nodiscard]] const backend_description& find_backend(const std::string& name) const;
 
   std::filesystem::path binaries_;
   fleet_description description_;
--- a/tools/speed.cc
+++ b/tools/speed.cc
@@ -105,12 +105,12 @@
 
 void measure_latency(const std::filesystem::path& binaries) {
   auto wanted = fleet::example_fleet({"north"}, 1);
-  wanted.proxied = false;
+  wanted.uses_proxy = false;
   for (auto& backend : wanted.backends) {
     backend.service_microseconds = backend.pool == "engines" ? 1'000 : 5'000;
   }
   fleet::local_fleet fleet(binaries, wanted);
-  fleet.start_all();
+  fleet.start_all_nodes();
   constexpr int rounds = 300;
   time_through(fleet, rounds / 10);
   time_direct(fleet, rounds / 10);
@@ -125,15 +125,15 @@
   auto& pipeline = wanted.records.at("templates/client-answer");
   const std::string given = "max_tokens: 8";
   pipeline.replace(pipeline.find(given), given.size(), "max_tokens: " + std::to_string(tokens));
-  wanted.proxied = false;
+  wanted.uses_proxy = false;
   for (auto& backend : wanted.backends) {
     backend.concurrency = 64;
     backend.service_microseconds = 2'000;
     backend.token_microseconds = 200;
-    backend.most_in_flight = 1'000;
+    backend.max_in_flight = 1'000;
   }
   fleet::local_fleet fleet(binaries, wanted);
-  fleet.start_all();
+  fleet.start_all_nodes();
   auto& node = fleet.node("entry-north1");
   std::cout << "memory when idle: " << static_cast<double>(node.resident_bytes()) / 1e6 << " MB\n";
   constexpr unsigned callers = 24;
