--- a/tests/fleet/disturbance_test.cc
+++ b/tests/fleet/disturbance_test.cc
@@ -184,7 +184,7 @@
   BOOST_TEST(load.wait_for_completed(50));
   const auto totals = load.stop();
   require_clean(totals);
-  BOOST_TEST(totals.broken_connections == 0U, totals.last_broken_connection);
+  BOOST_TEST(totals.broken_connections == 0U, totals.last_connection_error);
   BOOST_TEST(totals.count("failed") == 0U);
   for (const auto& [code, count] : totals.error_codes) {
     BOOST_TEST(code == "node_stopping");
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -22,7 +22,7 @@
   bool once = false;
 };
 
-std::string member(const json::object& body, const char* name) {
+std::string string_field(const json::object& body, const char* name) {
   const auto* value = body.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : "";
 }
@@ -37,15 +37,15 @@
                                          {{"input", request.input}}, headers);
   const auto body = answer.json();
   std::cout << "\n== " << request.pipeline << " through " << request.node << ": "
-            << member(body, "outcome") << "\n";
+            << string_field(body, "outcome") << "\n";
   const auto* outputs = body.if_contains("outputs");
   const auto output =
-      outputs == nullptr ? "" : member(outputs->as_object(), request.expected_stage.c_str());
+      outputs == nullptr ? "" : string_field(outputs->as_object(), request.expected_stage.c_str());
   std::cout << "   " << request.expected_stage << ": " << output << "\n";
   if (const auto* costs = body.if_contains("cost")) {
     for (const auto& cost : costs->as_array()) {
       const auto& entry = cost.as_object();
-      std::cout << "   cost " << member(entry, "stage") << ": "
+      std::cout << "   cost " << string_field(entry, "stage") << ": "
                 << entry.at("backend_ms").to_number<double>() << " ms, "
                 << entry.at("tokens").as_int64() << " tokens, " << entry.at("attempts").as_int64()
                 << " attempt(s)\n";
@@ -56,7 +56,7 @@
               << "\n";
     return "";
   }
-  return member(body, "request_id");
+  return string_field(body, "request_id");
 }
 
 int show_timeline(const local_fleet& fleet, const std::filesystem::path& binaries,
@@ -74,8 +74,8 @@
 int run_program(int argc, char** argv) {
   cxxopts::Options options("spurrack_demo", "A fleet of real processes that serves some requests.");
   spurrack::logging::add_usual_options(options);
-  const auto given = options.parse(argc, argv);
-  if (spurrack::logging::handle_usual_options(options, given)) {
+  const auto arguments = options.parse(argc, argv);
+  if (spurrack::logging::handle_usual_options(options, arguments)) {
     return 0;
   }
   const auto binaries = std::filesystem::absolute(argv[0]).parent_path();
@@ -93,14 +93,14 @@
        "generate(rerank(retrieve(encode(probe 12)))) w1 w2 w3 w4 w5 w6 w7 w8 w9 w10 w11", false},
       {"entry-south2", "officer-alert", spurrack::fleet::members_token, "store 3 at 11 C",
        "officer-alert", "call(generate(store 3 at 11 C) w1 w2 w3)", true}};
-  std::string last;
+  std::string last_request_id;
   for (const auto& request : requests) {
-    last = run_request(fleet, request);
-    if (last.empty()) {
+    last_request_id = run_request(fleet, request);
+    if (last_request_id.empty()) {
       return 1;
     }
   }
-  if (show_timeline(fleet, binaries, last) != 0) {
+  if (show_timeline(fleet, binaries, last_request_id) != 0) {
     return 1;
   }
   for (const auto& node : fleet.description().nodes) {
--- a/tools/fleet/background_load.cc
+++ b/tools/fleet/background_load.cc
@@ -7,7 +7,7 @@
 namespace spurrack::fleet {
 namespace {
 
-std::string text_member(const boost::json::object& body, const char* name) {
+std::string string_field(const boost::json::object& body, const char* name) {
   const auto* value = body.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : "";
 }
@@ -22,7 +22,7 @@
                                  unsigned threads)
     : fleet_(&fleet), nodes_(std::move(nodes)) {
   for (unsigned index = 0; index < threads; ++index) {
-    threads_.emplace_back([this, index] { run(index); });
+    threads_.emplace_back([this, index] { send_requests(index); });
   }
 }
 
@@ -31,7 +31,7 @@
 }
 
 load_totals background_load::stop() {
-  stopping_ = true;
+  is_stopping_ = true;
   for (auto& thread : threads_) {
     if (thread.joinable()) {
       thread.join();
@@ -45,15 +45,15 @@
   return totals_;
 }
 
-bool background_load::wait_for_completed(std::uint64_t more) const {
-  const auto goal = totals().count("completed") + more;
-  return local_fleet::wait_until([&] { return totals().count("completed") >= goal; });
+bool background_load::wait_for_completed(std::uint64_t additional) const {
+  const auto target_count = totals().count("completed") + additional;
+  return local_fleet::wait_until([&] { return totals().count("completed") >= target_count; });
 }
 
-void background_load::run(unsigned index) {
-  for (unsigned number = 0; !stopping_; ++number) {
-    const auto input = "q" + std::to_string(index) + "-" + std::to_string(number);
-    const auto& node = nodes_[(index + number) % nodes_.size()];
+void background_load::send_requests(unsigned index) {
+  for (unsigned sequence_number = 0; !is_stopping_; ++sequence_number) {
+    const auto input = "q" + std::to_string(index) + "-" + std::to_string(sequence_number);
+    const auto& node = nodes_[(index + sequence_number) % nodes_.size()];
     record_answer(input,
                   fleet_->send_request(node, "client-answer", agents_token, {{"input", input}}));
   }
@@ -65,21 +65,21 @@
     // A refused connection was never taken: nothing was cut.
     if (answer.error != "Connection refused") {
       ++totals_.broken_connections;
-      totals_.last_broken_connection = input + ": " + answer.error;
+      totals_.last_connection_error = input + ": " + answer.error;
     }
     return;
   }
   const auto body = answer.json();
-  const auto outcome = text_member(body, "outcome");
-  ++totals_.sent;
+  const auto outcome = string_field(body, "outcome");
+  ++totals_.answered;
   ++totals_.outcomes[outcome];
   if (outcome != "completed") {
-    ++totals_.error_codes[text_member(body, "code")];
+    ++totals_.error_codes[string_field(body, "code")];
     return;
   }
   const auto& outputs = body.at("outputs").as_object();
   totals_.wrong_answers +=
-      text_member(outputs, "generate") == expected_client_answer(input) ? 0 : 1;
+      string_field(outputs, "generate") == expected_client_answer(input) ? 0 : 1;
 }
 
 } // namespace spurrack::fleet
--- a/tools/fleet/background_load.h
+++ b/tools/fleet/background_load.h
@@ -22,8 +22,8 @@
   /// Connections that ended after the request was sent, without an answer.
   std::uint64_t broken_connections = 0;
   /// Input of the last cut request and the error of its connection.
-  std::string last_broken_connection;
-  std::uint64_t sent = 0;
+  std::string last_connection_error;
+  std::uint64_t answered = 0;
 
   [[nodiscard]] std::uint64_t count(const std::string& outcome) const {
     const auto found = outcomes.find(outcome);
@@ -44,15 +44,15 @@
   load_totals stop();
   [[nodiscard]] load_totals totals() const;
   /// Waits until that many more requests were completed.
-  bool wait_for_completed(std::uint64_t more) const;
+  bool wait_for_completed(std::uint64_t additional) const;
 
  private:
-  void run(unsigned index);
+  void send_requests(unsigned index);
   void record_answer(const std::string& input, const http_answer& answer);
 
   const local_fleet* fleet_;
   std::vector<std::string> nodes_;
-  std::atomic<bool> stopping_{false};
+  std::atomic<bool> is_stopping_{false};
   mutable std::mutex mutex_;
   load_totals totals_;
   std::vector<std::thread> threads_;
--- a/tools/fleet/child_process.cc
+++ b/tools/fleet/child_process.cc
@@ -22,7 +22,7 @@
 constexpr unsigned port_count = 12'000;
 constexpr int signal_exit_base = 128;
 
-int decode(int status) {
+int exit_code_of(int status) {
   return WIFEXITED(status) ? WEXITSTATUS(status) : signal_exit_base + WTERMSIG(status);
 }
 
@@ -30,19 +30,20 @@
 /// started again must find its ports free, also while another test chooses some.
 unsigned next_port_index() {
   const auto path = std::filesystem::temp_directory_path() / "spurrack-next-port";
-  constexpr int mode = 0666;
-  const int file = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, mode);
-  if (file < 0 || ::flock(file, LOCK_EX) != 0) {
+  constexpr int file_mode = 0666;
+  const int descriptor = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, file_mode);
+  if (descriptor < 0 || ::flock(descriptor, LOCK_EX) != 0) {
     throw std::system_error(errno, std::generic_category(), path.string());
   }
   unsigned index = 0;
-  if (::pread(file, &index, sizeof(index), 0) != sizeof(index)) {
+  if (::pread(descriptor, &index, sizeof(index), 0) != sizeof(index)) {
     index = 0;
   }
-  const unsigned next = (index + 1) % port_count;
-  const bool written = ::pwrite(file, &next, sizeof(next), 0) == sizeof(next);
-  ::close(file);
-  if (!written) {
+  const unsigned next_index = (index + 1) % port_count;
+  const bool is_written =
+      ::pwrite(descriptor, &next_index, sizeof(next_index), 0) == sizeof(next_index);
+  ::close(descriptor);
+  if (!is_written) {
     throw std::system_error(errno, std::generic_category(), path.string());
   }
   return index;
@@ -54,34 +55,35 @@
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   address.sin_port = htons(static_cast<std::uint16_t>(port));
-  const bool bound =
+  const bool is_bound =
       ::bind(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0;
   ::close(descriptor);
-  return bound;
+  return is_bound;
 }
 
 } // namespace
 
 child_process::child_process(const std::filesystem::path& program,
                              const std::vector<std::string>& arguments,
-                             const std::filesystem::path& log, output where) {
-  std::vector<std::string> words{program.string()};
-  words.insert(words.end(), arguments.begin(), arguments.end());
-  std::vector<char*> pointers;
-  pointers.reserve(words.size() + 1);
-  for (auto& word : words) {
-    pointers.push_back(word.data());
+                             const std::filesystem::path& log, output stdout_target) {
+  std::vector<std::string> argument_values{program.string()};
+  argument_values.insert(argument_values.end(), arguments.begin(), arguments.end());
+  std::vector<char*> argument_pointers;
+  argument_pointers.reserve(argument_values.size() + 1);
+  for (auto& word : argument_values) {
+    argument_pointers.push_back(word.data());
   }
-  pointers.push_back(nullptr);
+  argument_pointers.push_back(nullptr);
   constexpr int log_mode = 0644;
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
   posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, log_mode);
-  if (where == output::to_log) {
+  if (stdout_target == output::to_log) {
     posix_spawn_file_actions_adddup2(&actions, STDERR_FILENO, STDOUT_FILENO);
   }
-  const int error = posix_spawn(&id_, program.c_str(), &actions, nullptr, pointers.data(), environ);
+  const int error =
+      posix_spawn(&id_, program.c_str(), &actions, nullptr, argument_pointers.data(), environ);
   posix_spawn_file_actions_destroy(&actions);
   if (error != 0) {
     throw std::system_error(error, std::generic_category(), program.string());
@@ -89,39 +91,39 @@
 }
 
 child_process::~child_process() {
-  if (!ended_) {
+  if (!has_exited_) {
     ::kill(id_, SIGKILL);
     wait();
   }
 }
 
-void child_process::signal(int number) const {
-  if (!ended_) {
-    ::kill(id_, number);
+void child_process::signal(int signal_number) const {
+  if (!has_exited_) {
+    ::kill(id_, signal_number);
   }
 }
 
 int child_process::wait() {
-  if (!ended_) {
+  if (!has_exited_) {
     int status = 0;
     while (::waitpid(id_, &status, 0) < 0 && errno == EINTR) {
     }
-    ended_ = true;
-    exit_code_ = decode(status);
+    has_exited_ = true;
+    exit_code_ = exit_code_of(status);
   }
   return exit_code_;
 }
 
 bool child_process::is_running() {
-  if (ended_) {
+  if (has_exited_) {
     return false;
   }
   int status = 0;
   if (::waitpid(id_, &status, WNOHANG) == id_) {
-    ended_ = true;
-    exit_code_ = decode(status);
+    has_exited_ = true;
+    exit_code_ = exit_code_of(status);
   }
-  return !ended_;
+  return !has_exited_;
 }
 
 std::size_t child_process::resident_bytes() const {
--- a/tools/fleet/child_process.h
+++ b/tools/fleet/child_process.h
@@ -16,12 +16,12 @@
  public:
   /// @throws std::system_error where it cannot be started.
   child_process(const std::filesystem::path& program, const std::vector<std::string>& arguments,
-                const std::filesystem::path& log, output where = output::inherited);
+                const std::filesystem::path& log, output stdout_target = output::inherited);
   ~child_process();
   child_process(const child_process&) = delete;
   child_process& operator=(const child_process&) = delete;
 
-  void signal(int number) const;
+  void signal(int signal_number) const;
   /// Waits for the end. @return the exit code; 128 + signal where a signal ended it.
   int wait();
   [[nodiscard]] bool is_running();
@@ -33,7 +33,7 @@
 
  private:
   int id_ = -1;
-  bool ended_ = false;
+  bool has_exited_ = false;
   int exit_code_ = 0;
 };
 
--- a/tools/fleet/http_client.cc
+++ b/tools/fleet/http_client.cc
@@ -34,25 +34,25 @@
   return error || !value.is_object() ? boost::json::object() : std::move(value.get_object());
 }
 
-http_answer call(const http_call& wanted) {
+http_answer call(const http_call& parameters) {
   http_answer answer;
-  const auto endpoint = http::parse_endpoint(wanted.address);
+  const auto endpoint = http::parse_endpoint(parameters.address);
   if (!endpoint) {
-    answer.error = "not an address: " + wanted.address;
+    answer.error = "not an address: " + parameters.address;
     return answer;
   }
   asio::io_context io;
   beast::tcp_stream stream(io);
-  stream.expires_after(wanted.timeout);
+  stream.expires_after(parameters.timeout);
   auto error = run_step(io, [&](auto done) { stream.async_connect(*endpoint, done); });
-  beast_http::request<beast_http::string_body> request(beast_http::string_to_verb(wanted.method),
-                                                       wanted.target, 11);
-  request.set(beast_http::field::host, wanted.address);
+  beast_http::request<beast_http::string_body> request(
+      beast_http::string_to_verb(parameters.method), parameters.target, 11);
+  request.set(beast_http::field::host, parameters.address);
   request.set(beast_http::field::connection, "close");
-  for (const auto& [name, value] : wanted.headers) {
+  for (const auto& [name, value] : parameters.headers) {
     request.set(name, value);
   }
-  request.body() = wanted.body;
+  request.body() = parameters.body;
   request.prepare_payload();
   if (!error) {
     error = run_step(io, [&](auto done) { beast_http::async_write(stream, request, done); });
@@ -76,20 +76,20 @@
 }
 
 http_answer get(const std::string& address, const std::string& target) {
-  http_call wanted;
-  wanted.address = address;
-  wanted.target = target;
-  return call(wanted);
+  http_call parameters;
+  parameters.address = address;
+  parameters.target = target;
+  return call(parameters);
 }
 
 http_answer post(const std::string& address, const std::string& target,
                  const boost::json::object& body) {
-  http_call wanted;
-  wanted.address = address;
-  wanted.method = "POST";
-  wanted.target = target;
-  wanted.body = boost::json::serialize(body);
-  return call(wanted);
+  http_call parameters;
+  parameters.address = address;
+  parameters.method = "POST";
+  parameters.target = target;
+  parameters.body = boost::json::serialize(body);
+  return call(parameters);
 }
 
 std::string exchange_raw(const std::string& address, const std::string& bytes,
--- a/tools/fleet/http_client.h
+++ b/tools/fleet/http_client.h
@@ -31,7 +31,7 @@
 };
 
 /// Makes one call on a connection of its own.
-http_answer call(const http_call& wanted);
+http_answer call(const http_call& parameters);
 /// GET with the default timeout.
 http_answer get(const std::string& address, const std::string& target);
 /// POST of a JSON document with the default timeout.
--- a/tools/fleet/local_fleet.cc
+++ b/tools/fleet/local_fleet.cc
@@ -35,15 +35,15 @@
 
 local_fleet::local_fleet(std::filesystem::path binaries, fleet_description description)
     : binaries_(std::move(binaries)), description_(std::move(description)), folder_(make_folder()) {
-  for (const auto& wanted : description_.nodes) {
-    auto& addresses = node_addresses_[wanted.name];
+  for (const auto& node : description_.nodes) {
+    auto& addresses = node_addresses_[node.name];
     addresses = {find_free_address(), find_free_address(), find_free_address(), ""};
     addresses.peers_advertised = description_.uses_proxy ? find_free_address() : addresses.peers;
   }
-  for (const auto& wanted : description_.backends) {
-    backend_addresses_[wanted.name] = find_free_address();
-    backend_advertised_[wanted.name] =
-        description_.uses_proxy ? find_free_address() : backend_addresses_[wanted.name];
+  for (const auto& backend : description_.backends) {
+    backend_addresses_[backend.name] = find_free_address();
+    backend_advertised_[backend.name] =
+        description_.uses_proxy ? find_free_address() : backend_addresses_[backend.name];
   }
   start_platform();
   start_backends();
@@ -72,30 +72,30 @@
   for (const auto& [key, value] : description_.records) {
     records[key] = value;
   }
-  for (const auto& wanted : description_.nodes) {
-    records["machines/" + wanted.name] = "{name: " + wanted.name +
-                                         ", role: node, zone: " + wanted.zone + ", address: '" +
-                                         node_addresses_[wanted.name].peers_advertised + "'}";
+  for (const auto& node : description_.nodes) {
+    records["machines/" + node.name] = "{name: " + node.name + ", role: node, zone: " + node.zone +
+                                       ", address: '" +
+                                       node_addresses_[node.name].peers_advertised + "'}";
   }
-  for (const auto& wanted : description_.backends) {
-    records["machines/" + wanted.name] = make_machine_record(wanted, "live", 1);
+  for (const auto& backend : description_.backends) {
+    records["machines/" + backend.name] = make_machine_record(backend, "live", 1);
   }
   publish(records);
 }
 
-std::string local_fleet::make_machine_record(const backend_description& wanted,
+std::string local_fleet::make_machine_record(const backend_description& backend,
                                              const std::string& state, int generation) const {
   std::ostringstream text;
-  text << "{name: " << wanted.name << ", role: backend, zone: " << wanted.zone << ", address: '"
-       << backend_advertised_.at(wanted.name) << "', pool: " << wanted.pool
-       << ", concurrency: " << wanted.concurrency << ", state: " << state
+  text << "{name: " << backend.name << ", role: backend, zone: " << backend.zone << ", address: '"
+       << backend_advertised_.at(backend.name) << "', pool: " << backend.pool
+       << ", concurrency: " << backend.concurrency << ", state: " << state
        << ", generation: " << generation << "}";
   return text.str();
 }
 
 const backend_description& local_fleet::find_backend(const std::string& name) const {
   const auto found = std::find_if(description_.backends.begin(), description_.backends.end(),
-                                  [&](const auto& wanted) { return wanted.name == name; });
+                                  [&](const auto& backend) { return backend.name == name; });
   require(found != description_.backends.end(), "no back end " + name);
   return *found;
 }
@@ -106,22 +106,23 @@
 }
 
 void local_fleet::start_backends() {
-  for (const auto& wanted : description_.backends) {
+  for (const auto& backend : description_.backends) {
     const std::vector<std::string> arguments{"--listen",
-                                             backend_addresses_[wanted.name],
+                                             backend_addresses_[backend.name],
                                              "--id",
-                                             wanted.name,
+                                             backend.name,
                                              "--service-us",
-                                             std::to_string(wanted.service_microseconds),
+                                             std::to_string(backend.service_microseconds),
                                              "--token-us",
-                                             std::to_string(wanted.token_microseconds),
+                                             std::to_string(backend.token_microseconds),
                                              "--most-in-flight",
-                                             std::to_string(wanted.max_in_flight)};
-    backends_[wanted.name] = std::make_unique<child_process>(
-        binaries_ / "backend_stand_in", arguments, folder_ / (wanted.name + ".log"));
+                                             std::to_string(backend.max_in_flight)};
+    backends_[backend.name] = std::make_unique<child_process>(
+        binaries_ / "backend_stand_in", arguments, folder_ / (backend.name + ".log"));
   }
   for (const auto& [name, address] : backend_addresses_) {
-    require(wait_until([&, where = address] { return get(where, "/admin/counts").status == 200; }),
+    require(wait_until(
+                [&, listener = address] { return get(listener, "/admin/counts").status == 200; }),
             "back end " + name + " did not start");
   }
 }
@@ -145,18 +146,20 @@
       "the fault proxy did not start");
 }
 
-std::string local_fleet::make_settings_text(const node_description& wanted) const {
-  const auto& own = node_addresses_.at(wanted.name);
+std::string local_fleet::make_settings_text(const node_description& node) const {
+  const auto& own_addresses = node_addresses_.at(node.name);
   std::ostringstream text;
-  text << "node: " << wanted.name << "\nzone: " << wanted.zone << "\npeer_listen: " << own.peers
-       << "\npeer_advertise: " << own.peers_advertised << "\ncaller_listen: " << own.callers
-       << "\noperator_listen: " << own.operators
+  text << "node: " << node.name << "\nzone: " << node.zone
+       << "\npeer_listen: " << own_addresses.peers
+       << "\npeer_advertise: " << own_addresses.peers_advertised
+       << "\ncaller_listen: " << own_addresses.callers
+       << "\noperator_listen: " << own_addresses.operators
        << "\nplatform:\n  configuration: " << platform_address_
        << "\n  machine_list: " << platform_address_
        << "\nidempotency:\n  key_lifetime_ms: " << description_.key_lifetime_ms
        << "\n  list_window_ms: " << description_.list_window_ms << "\nseeds:\n";
   for (const auto& [name, addresses] : node_addresses_) {
-    if (name != wanted.name) {
+    if (name != node.name) {
       text << "  - " << addresses.peers_advertised << "\n";
     }
   }
@@ -166,7 +169,7 @@
 
 void local_fleet::start_node(const std::string& name) {
   const auto found = std::find_if(description_.nodes.begin(), description_.nodes.end(),
-                                  [&](const auto& wanted) { return wanted.name == name; });
+                                  [&](const auto& node) { return node.name == name; });
   require(found != description_.nodes.end(), "no node " + name);
   const auto settings = folder_ / (name + ".yaml");
   std::ofstream(settings) << make_settings_text(*found);
@@ -176,33 +179,33 @@
 }
 
 void local_fleet::start_all_nodes() {
-  for (const auto& wanted : description_.nodes) {
-    start_node(wanted.name);
+  for (const auto& node : description_.nodes) {
+    start_node(node.name);
   }
-  for (const auto& wanted : description_.nodes) {
-    wait_until_ready(wanted.name);
+  for (const auto& node : description_.nodes) {
+    wait_until_ready(node.name);
   }
 }
 
 void local_fleet::wait_until_ready(const std::string& name) {
-  const auto& where = node_addresses_.at(name).callers;
-  require(wait_until([&] { return get(where, "/readyz").status == 200; }),
+  const auto& callers_address = node_addresses_.at(name).callers;
+  require(wait_until([&] { return get(callers_address, "/readyz").status == 200; }),
           name + " did not become ready");
 }
 
 void local_fleet::wait_until_all_may_witness() {
-  for (const auto& wanted : description_.nodes) {
+  for (const auto& node : description_.nodes) {
     require(wait_until([&] {
-              const auto status = get_document(wanted.name, "/v1/status");
+              const auto status = get_document(node.name, "/v1/status");
               return status.contains("may_witness") && status.at("may_witness").as_bool();
             }),
-            wanted.name + " may not witness");
+            node.name + " may not witness");
   }
 }
 
 bool local_fleet::wait_until(const std::function<bool()>& condition) {
-  const auto limit = std::chrono::steady_clock::now() + wait_timeout;
-  while (std::chrono::steady_clock::now() < limit) {
+  const auto deadline = std::chrono::steady_clock::now() + wait_timeout;
+  while (std::chrono::steady_clock::now() < deadline) {
     if (condition()) {
       return true;
     }
@@ -258,19 +261,19 @@
 
 std::int64_t local_fleet::executions_in_pool(const std::string& pool) const {
   std::int64_t total = 0;
-  for (const auto& wanted : description_.backends) {
-    total += wanted.pool == pool ? executions(wanted.name) : 0;
+  for (const auto& backend : description_.backends) {
+    total += backend.pool == pool ? executions(backend.name) : 0;
   }
   return total;
 }
 
 std::string local_fleet::request_ticket(const std::string& node, const std::string& token) const {
-  http_call wanted;
-  wanted.address = node_addresses_.at(node).callers;
-  wanted.method = "POST";
-  wanted.target = "/v1/tickets";
-  wanted.headers["Authorization"] = "Bearer " + token;
-  const auto body = call(wanted).json();
+  http_call parameters;
+  parameters.address = node_addresses_.at(node).callers;
+  parameters.method = "POST";
+  parameters.target = "/v1/tickets";
+  parameters.headers["Authorization"] = "Bearer " + token;
+  const auto body = call(parameters).json();
   const auto* ticket = body.if_contains("ticket");
   return ticket != nullptr && ticket->is_string() ? std::string(ticket->as_string()) : "";
 }
@@ -278,14 +281,14 @@
 http_answer local_fleet::send_request(const std::string& node, const std::string& pipeline,
                                       const std::string& token, const json::object& body,
                                       const std::map<std::string, std::string>& headers) const {
-  http_call wanted;
-  wanted.address = node_addresses_.at(node).callers;
-  wanted.method = "POST";
-  wanted.target = "/v1/pipelines/" + pipeline;
-  wanted.headers = headers;
-  wanted.headers["Authorization"] = "Bearer " + token;
-  wanted.body = json::serialize(body);
-  return call(wanted);
+  http_call parameters;
+  parameters.address = node_addresses_.at(node).callers;
+  parameters.method = "POST";
+  parameters.target = "/v1/pipelines/" + pipeline;
+  parameters.headers = headers;
+  parameters.headers["Authorization"] = "Bearer " + token;
+  parameters.body = json::serialize(body);
+  return call(parameters);
 }
 
 } // namespace spurrack::fleet
--- a/tools/fleet/local_fleet.h
+++ b/tools/fleet/local_fleet.h
@@ -117,8 +117,8 @@
   void start_platform();
   void start_backends();
   void start_proxy();
-  [[nodiscard]] std::string make_settings_text(const node_description& wanted) const;
-  [[nodiscard]] std::string make_machine_record(const backend_description& wanted,
+  [[nodiscard]] std::string make_settings_text(const node_description& node) const;
+  [[nodiscard]] std::string make_machine_record(const backend_description& backend,
                                                 const std::string& state, int generation) const;
   [[nodiscard]] const backend_description& find_backend(const std::string& name) const;
 
