--- a/tools/experiment.cc
+++ b/tools/experiment.cc
@@ -19,16 +19,16 @@
 
 using namespace spurrack::experiment;
 
-struct job {
+struct experiment_case {
   user_profile user;
-  scenario load;
-  variant tried;
+  scenario load_scenario;
+  policy_variant variant;
   std::vector<measurement> runs;
 };
 
 /// Mean and largest distance from it over the runs.
-std::string spread(const std::vector<measurement>& runs, double measurement::*field, double scale,
-                   int digits) {
+std::string format_mean_and_deviation(const std::vector<measurement>& runs,
+                                      double measurement::*field, double scale, int digits) {
   double mean = 0;
   for (const auto& run : runs) {
     mean += run.*field / static_cast<double>(runs.size());
@@ -42,43 +42,44 @@
   return text.str();
 }
 
-void write_report(const std::vector<job>& jobs, std::ostream& out) {
+void write_report(const std::vector<experiment_case>& cases, std::ostream& out) {
   out << "| user | scenario | policy | attainment % | goodput % | smallest tenant % | wasted % | "
          "refusal p99 ms | p50 ms | p95 ms | p99 ms | first token p95 ms |\n"
          "|---|---|---|---|---|---|---|---|---|---|---|---|\n";
   constexpr double percent = 100;
   constexpr double milli = 1000;
-  for (const auto& entry : jobs) {
+  for (const auto& entry : cases) {
     const auto& runs = entry.runs;
-    out << "| " << entry.user.name << " | " << entry.load.name << " | " << entry.tried.name << " | "
-        << spread(runs, &measurement::attainment, percent, 2) << " | "
-        << spread(runs, &measurement::goodput, percent, 1) << " | "
-        << spread(runs, &measurement::smallest_tenant_attainment, percent, 1) << " | "
-        << spread(runs, &measurement::wasted, percent, 1) << " | "
-        << spread(runs, &measurement::refusal_p99, milli, 1) << " | "
-        << spread(runs, &measurement::p50, milli, 0) << " | "
-        << spread(runs, &measurement::p95, milli, 0) << " | "
-        << spread(runs, &measurement::p99, milli, 0) << " | "
-        << spread(runs, &measurement::first_token_p95, milli, 0) << " |\n";
+    out << "| " << entry.user.name << " | " << entry.load_scenario.name << " | "
+        << entry.variant.name << " | "
+        << format_mean_and_deviation(runs, &measurement::attainment, percent, 2) << " | "
+        << format_mean_and_deviation(runs, &measurement::goodput, percent, 1) << " | "
+        << format_mean_and_deviation(runs, &measurement::smallest_tenant_attainment, percent, 1)
+        << " | " << format_mean_and_deviation(runs, &measurement::wasted_share, percent, 1) << " | "
+        << format_mean_and_deviation(runs, &measurement::refusal_p99, milli, 1) << " | "
+        << format_mean_and_deviation(runs, &measurement::p50, milli, 0) << " | "
+        << format_mean_and_deviation(runs, &measurement::p95, milli, 0) << " | "
+        << format_mean_and_deviation(runs, &measurement::p99, milli, 0) << " | "
+        << format_mean_and_deviation(runs, &measurement::first_token_p95, milli, 0) << " |\n";
   }
 }
 
 /// One plot a user: goodput by scenario and policy, drawn by gnuplot where the caller runs it.
-void write_plot(const std::vector<job>& jobs, const std::string& user,
+void write_plot(const std::vector<experiment_case>& cases, const std::string& user,
                 const std::filesystem::path& folder) {
   std::ofstream data(folder / (user + ".dat"));
-  std::string last;
+  std::string last_scenario;
   data << "scenario";
-  for (const auto& tried : all_variants()) {
-    data << " \"" << tried.name << "\"";
+  for (const auto& variant : all_variants()) {
+    data << " \"" << variant.name << "\"";
   }
-  for (const auto& entry : jobs) {
+  for (const auto& entry : cases) {
     if (entry.user.name != user) {
       continue;
     }
-    if (entry.load.name != last) {
-      data << "\n\"" << entry.load.name << "\"";
-      last = entry.load.name;
+    if (entry.load_scenario.name != last_scenario) {
+      data << "\n\"" << entry.load_scenario.name << "\"";
+      last_scenario = entry.load_scenario.name;
     }
     double mean = 0;
     for (const auto& run : entry.runs) {
@@ -103,43 +104,43 @@
       "only", "scenarios whose name holds this", cxxopts::value<std::string>()->default_value(""))(
       "threads", "at the same time", cxxopts::value<unsigned>()->default_value("6"));
   spurrack::logging::add_usual_options(options);
-  const auto given = options.parse(argc, argv);
-  if (spurrack::logging::handle_usual_options(options, given)) {
+  const auto arguments = options.parse(argc, argv);
+  if (spurrack::logging::handle_usual_options(options, arguments)) {
     return 0;
   }
-  const auto seeds = given["seeds"].as<unsigned>();
-  std::vector<job> jobs;
+  const auto seeds = arguments["seeds"].as<unsigned>();
+  std::vector<experiment_case> cases;
   for (const auto& user : {remittance_house(), cold_chain_association()}) {
-    for (const auto& load : all_scenarios()) {
-      if (load.name.find(given["only"].as<std::string>()) == std::string::npos) {
+    for (const auto& load_scenario : all_scenarios()) {
+      if (load_scenario.name.find(arguments["only"].as<std::string>()) == std::string::npos) {
         continue;
       }
-      for (const auto& tried : all_variants()) {
-        jobs.push_back({user, load, tried, std::vector<measurement>(seeds)});
+      for (const auto& variant : all_variants()) {
+        cases.push_back({user, load_scenario, variant, std::vector<measurement>(seeds)});
       }
     }
   }
   std::atomic<std::size_t> next{0};
   std::vector<std::thread> workers;
-  for (unsigned index = 0; index < given["threads"].as<unsigned>(); ++index) {
+  for (unsigned index = 0; index < arguments["threads"].as<unsigned>(); ++index) {
     workers.emplace_back([&] {
-      for (auto turn = next++; turn < jobs.size() * seeds; turn = next++) {
-        auto& entry = jobs[turn / seeds];
-        const auto seed = turn % seeds;
-        entry.runs[seed] = run_scenario(entry.user, entry.load, entry.tried, seed + 1);
+      for (auto run_index = next++; run_index < cases.size() * seeds; run_index = next++) {
+        auto& entry = cases[run_index / seeds];
+        const auto seed = run_index % seeds;
+        entry.runs[seed] = run_scenario(entry.user, entry.load_scenario, entry.variant, seed + 1);
       }
     });
   }
   for (auto& worker : workers) {
     worker.join();
   }
-  const std::filesystem::path folder(given["out"].as<std::string>());
+  const std::filesystem::path folder(arguments["out"].as<std::string>());
   std::filesystem::create_directories(folder);
   std::ofstream report(folder / "report.md");
-  write_report(jobs, report);
-  write_report(jobs, std::cout);
-  write_plot(jobs, "remittance_house", folder);
-  write_plot(jobs, "cold_chain_association", folder);
+  write_report(cases, report);
+  write_report(cases, std::cout);
+  write_plot(cases, "remittance_house", folder);
+  write_plot(cases, "cold_chain_association", folder);
   return 0;
 }
 
--- a/tools/load_scenario.cc
+++ b/tools/load_scenario.cc
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr base::duration warm_up = seconds(4);
+constexpr base::duration warm_up_time = seconds(4);
 constexpr base::duration measured_time = seconds(15);
 constexpr base::duration deadline = milliseconds(1500);
 
@@ -76,11 +76,11 @@
   add_pool(user, "rerankers", 4, 8, milliseconds(25), {});
   add_pool(user, "engines", engines, 6, milliseconds(40), milliseconds(9));
   user.records = {{"templates/answer", answer_template}, {"templates/review", review_template}};
-  user.tenants = {{"t1", 0.55}, {"t2", 0.2}, {"t3", 0.15}, {"t4", 0.07}, {"t5", 0.03}};
-  for (const auto& [tenant, share] : user.tenants) {
+  user.tenant_shares = {{"t1", 0.55}, {"t2", 0.2}, {"t3", 0.15}, {"t4", 0.07}, {"t5", 0.03}};
+  for (const auto& [tenant, share] : user.tenant_shares) {
     user.records["tenants/" + tenant] = tenant_record(tenant);
   }
-  user.templates = {{"answer", answer_share}, {"review", 1 - answer_share}};
+  user.template_shares = {{"answer", answer_share}, {"review", 1 - answer_share}};
   const double answer_seconds = 0.040 + 20 * 0.009;
   const double review_seconds = 0.040 + 2 * 0.009;
   const double mean = answer_share * answer_seconds + (1 - answer_share) * review_seconds;
@@ -97,7 +97,7 @@
   return values[index];
 }
 
-std::string pick(const std::vector<std::pair<std::string, double>>& shares, double point) {
+std::string pick_by_share(const std::vector<std::pair<std::string, double>>& shares, double point) {
   for (const auto& [name, share] : shares) {
     if (point < share) {
       return name;
@@ -109,49 +109,51 @@
 
 class scenario_run {
  public:
-  scenario_run(const user_profile& user, const scenario& load, const variant& tried,
-               std::uint64_t seed)
-      : user_(&user), load_(&load), random_(seed), fleet_(make_settings(user, tried, seed)) {}
+  scenario_run(const user_profile& user, const scenario& load_scenario,
+               const policy_variant& variant, std::uint64_t seed)
+      : user_(&user), scenario_(&load_scenario), random_(seed),
+        fleet_(make_settings(user, variant, seed)) {}
 
   measurement run() {
     fleet_.start_all_nodes();
     fleet_.run_until([&] { return fleet_.all_ready(); }, seconds(20));
-    begin_ = fleet_.now() + warm_up;
-    end_ = begin_ + measured_time;
+    measurement_begins_at_ = fleet_.now() + warm_up_time;
+    measurement_ends_at_ = measurement_begins_at_ + measured_time;
     schedule_next();
-    fleet_.run_for(warm_up);
-    disturb();
+    fleet_.run_for(warm_up_time);
+    apply_fault();
     fleet_.run_for(measured_time + deadline + milliseconds(200));
     return evaluate();
   }
 
  private:
-  static simulation::simulation_settings make_settings(const user_profile& user,
-                                                       const variant& tried, std::uint64_t seed) {
+  static simulation::simulation_settings
+  make_settings(const user_profile& user, const policy_variant& variant, std::uint64_t seed) {
     simulation::simulation_settings settings;
     settings.seed = seed;
     settings.nodes = user.nodes;
     settings.backends = user.backends;
     settings.records = user.records;
-    settings.node.scheduling.policy = tried.policy;
-    settings.node.scheduling.predict = tried.predict;
+    settings.node.scheduling.policy = variant.policy;
+    settings.node.scheduling.predict = variant.predict;
     settings.node.event_log_capacity = 16;
     return settings;
   }
 
   [[nodiscard]] bool in_burst() const {
     const auto third = measured_time / 3;
-    return load_->burst > 0 && fleet_.now() >= begin_ + third && fleet_.now() < begin_ + third * 2;
+    return scenario_->burst_load > 0 && fleet_.now() >= measurement_begins_at_ + third &&
+           fleet_.now() < measurement_begins_at_ + third * 2;
   }
 
   [[nodiscard]] double rate() const {
-    return user_->capacity * (in_burst() ? load_->burst : load_->load);
+    return user_->capacity * (in_burst() ? scenario_->burst_load : scenario_->offered_load);
   }
 
   void schedule_next() {
-    const double gap = -std::log(1.0 - random_.unit()) / rate();
-    fleet_.events().schedule_after(base::from_seconds(gap), [this] {
-      if (fleet_.now() < end_) {
+    const double interarrival_time = -std::log(1.0 - random_.unit()) / rate();
+    fleet_.events().schedule_after(base::from_seconds(interarrival_time), [this] {
+      if (fleet_.now() < measurement_ends_at_) {
         send();
         schedule_next();
       }
@@ -160,32 +162,33 @@
 
   void send() {
     execution::caller_request request;
-    const auto tenant = pick(user_->tenants, random_.unit());
+    const auto tenant = pick_by_share(user_->tenant_shares, random_.unit());
     request.token_sha256 = token_of(tenant);
-    request.pipeline = base::template_id(in_burst() && !load_->burst_template.empty()
-                                             ? load_->burst_template
-                                             : pick(user_->templates, random_.unit()));
+    request.pipeline =
+        base::template_id(in_burst() && !scenario_->burst_template.empty()
+                              ? scenario_->burst_template
+                              : pick_by_share(user_->template_shares, random_.unit()));
     request.input = "q" + std::to_string(++sent_);
     request.stream = true;
     const auto& node = user_->nodes[random_.below(user_->nodes.size())].name;
     tenant_of_[fleet_.send(node, request)] = tenant;
   }
 
-  void disturb() {
-    switch (load_->what) {
-    case disturbance::slow_replica:
+  void apply_fault() {
+    switch (scenario_->fault) {
+    case scenario_fault::slow_replica:
       fleet_.backend("engines-a0").faults().slowdown = 5;
       break;
-    case disturbance::hanging_replica:
+    case scenario_fault::hanging_replica:
       fleet_.backend("engines-a0").faults().is_hanging = true;
       break;
-    case disturbance::failing_replica:
+    case scenario_fault::crashed_replica:
       fleet_.crash_backend("engines-a0");
       break;
-    case disturbance::zone_cut:
+    case scenario_fault::zone_partition:
       fleet_.partition_zone("d", true);
       break;
-    case disturbance::none:
+    case scenario_fault::none:
       break;
     }
   }
@@ -196,11 +199,11 @@
     std::vector<double> refusals;
     std::vector<double> first_tokens;
     std::map<std::string, std::pair<double, double>> by_tenant;
-    double used = 0;
-    double lost = 0;
-    double in_time = 0;
+    double used_time = 0;
+    double wasted_time = 0;
+    double completed_in_time = 0;
     for (const auto& [id, record] : fleet_.callers()) {
-      if (record.sent_at < begin_) {
+      if (record.sent_at < measurement_begins_at_) {
         continue;
       }
       ++result.requests;
@@ -214,25 +217,25 @@
       }
       const bool completed = record.answer->outcome == model::outcome::completed;
       for (const auto& cost : record.answer->costs) {
-        (completed ? used : lost) += base::to_seconds(cost.backend_time);
-        lost += base::to_seconds(cost.wasted_time);
+        (completed ? used_time : wasted_time) += base::to_seconds(cost.backend_time);
+        wasted_time += base::to_seconds(cost.wasted_time);
       }
-      const double took = base::to_seconds(record.answered_at - record.sent_at);
+      const double latency = base::to_seconds(record.answered_at - record.sent_at);
       if (completed) {
-        in_time += 1;
+        completed_in_time += 1;
         tenant.first += 1;
-        latencies.push_back(took);
+        latencies.push_back(latency);
       } else if (record.answer->outcome == model::outcome::not_run) {
-        refusals.push_back(took);
+        refusals.push_back(latency);
       }
     }
     const double sent = static_cast<double>(result.requests);
-    const double allowed = user_->capacity * base::to_seconds(measured_time);
-    result.offered = sent / base::to_seconds(measured_time);
-    result.attainment = in_time / sent;
-    result.goodput = in_time / std::min(sent, allowed);
+    const double capacity_requests = user_->capacity * base::to_seconds(measured_time);
+    result.offered_rate = sent / base::to_seconds(measured_time);
+    result.attainment = completed_in_time / sent;
+    result.goodput = completed_in_time / std::min(sent, capacity_requests);
     result.smallest_tenant_attainment = by_tenant["t5"].first / by_tenant["t5"].second;
-    result.wasted = lost / (used + lost);
+    result.wasted_share = wasted_time / (used_time + wasted_time);
     result.refusal_p99 = quantile(refusals, 0.99);
     result.p50 = quantile(latencies, 0.5);
     result.p95 = quantile(latencies, 0.95);
@@ -242,12 +245,12 @@
   }
 
   const user_profile* user_;
-  const scenario* load_;
+  const scenario* scenario_;
   base::seeded_random random_;
   simulation::fleet_simulation fleet_;
   std::map<base::caller_id, std::string> tenant_of_;
-  base::time_point begin_;
-  base::time_point end_;
+  base::time_point measurement_begins_at_;
+  base::time_point measurement_ends_at_;
   std::uint64_t sent_ = 0;
 };
 
@@ -261,17 +264,17 @@
 }
 
 std::vector<scenario> all_scenarios() {
-  return {{"steady at 70%", 0.7, 0, "", disturbance::none},
-          {"twice the capacity", 2.0, 0, "", disturbance::none},
-          {"burst on retrieval and reranking", 0.5, 2.2, "review", disturbance::none},
-          {"burst on generation", 0.5, 1.6, "answer", disturbance::none},
-          {"one slow engine", 0.6, 0, "", disturbance::slow_replica},
-          {"one engine hanging", 0.6, 0, "", disturbance::hanging_replica},
-          {"one engine dead", 0.6, 0, "", disturbance::failing_replica},
-          {"one zone cut off", 0.6, 0, "", disturbance::zone_cut}};
+  return {{"steady at 70%", 0.7, 0, "", scenario_fault::none},
+          {"twice the capacity", 2.0, 0, "", scenario_fault::none},
+          {"burst on retrieval and reranking", 0.5, 2.2, "review", scenario_fault::none},
+          {"burst on generation", 0.5, 1.6, "answer", scenario_fault::none},
+          {"one slow engine", 0.6, 0, "", scenario_fault::slow_replica},
+          {"one engine hanging", 0.6, 0, "", scenario_fault::hanging_replica},
+          {"one engine dead", 0.6, 0, "", scenario_fault::crashed_replica},
+          {"one zone cut off", 0.6, 0, "", scenario_fault::zone_partition}};
 }
 
-std::vector<variant> all_variants() {
+std::vector<policy_variant> all_variants() {
   using routing::policy_kind;
   return {{"round robin", policy_kind::round_robin, false},
           {"least in flight", policy_kind::least_in_flight, false},
@@ -280,9 +283,9 @@
           {"adaptive", policy_kind::adaptive, true}};
 }
 
-measurement run_scenario(const user_profile& user, const scenario& load, const variant& tried,
-                         std::uint64_t seed) {
-  return scenario_run(user, load, tried, seed).run();
+measurement run_scenario(const user_profile& user, const scenario& load_scenario,
+                         const policy_variant& variant, std::uint64_t seed) {
+  return scenario_run(user, load_scenario, variant, seed).run();
 }
 
 } // namespace spurrack::experiment
--- a/tools/load_scenario.h
+++ b/tools/load_scenario.h
@@ -11,30 +11,30 @@
 namespace spurrack::experiment {
 
 /// What is tried: a policy, with or without prediction at admission.
-struct variant {
+struct policy_variant {
   std::string name;
   routing::policy_kind policy = routing::policy_kind::adaptive;
   bool predict = true;
 };
 
-enum class disturbance : std::uint8_t {
+enum class scenario_fault : std::uint8_t {
   none,
   slow_replica,
   hanging_replica,
-  failing_replica,
-  zone_cut
+  crashed_replica,
+  zone_partition
 };
 
 /// One load on one user's fleet.
 struct scenario {
   std::string name;
   /// Offered load as a multiple of the capacity of the busiest pool.
-  double load = 0.7;
+  double offered_load = 0.7;
   /// Load in the middle third of the run, as a multiple of the capacity of the stage hit.
-  double burst = 0;
+  double burst_load = 0;
   /// Template that the burst uses; empty: the usual mix.
   std::string burst_template;
-  disturbance what = disturbance::none;
+  scenario_fault fault = scenario_fault::none;
 };
 
 /// A user's fleet: places, pools, templates with their share of the requests.
@@ -44,15 +44,15 @@
   std::vector<simulation::backend_profile> backends;
   std::map<std::string, std::string> records;
   /// Template and tenant shares, each adding up to 1.
-  std::vector<std::pair<std::string, double>> templates;
-  std::vector<std::pair<std::string, double>> tenants;
+  std::vector<std::pair<std::string, double>> template_shares;
+  std::vector<std::pair<std::string, double>> tenant_shares;
   /// Requests a second at which the busiest pool is full, for the usual mix.
   double capacity = 0;
 };
 
 /// What one run gave. Times in seconds.
 struct measurement {
-  double offered = 0;
+  double offered_rate = 0;
   /// Completed within the deadline, of all sent.
   double attainment = 0;
   /// Completed within the deadline, as a share of what the capacity allows.
@@ -60,7 +60,7 @@
   double smallest_tenant_attainment = 0;
   /// Back-end time whose result no completed request used, as a share of all; a given-up call
   /// counts from its dispatch, the network and the back end's queue included.
-  double wasted = 0;
+  double wasted_share = 0;
   double refusal_p99 = 0;
   double p50 = 0;
   double p95 = 0;
@@ -73,9 +73,9 @@
 user_profile remittance_house();
 user_profile cold_chain_association();
 std::vector<scenario> all_scenarios();
-std::vector<variant> all_variants();
+std::vector<policy_variant> all_variants();
 
-measurement run_scenario(const user_profile& user, const scenario& load, const variant& tried,
-                         std::uint64_t seed);
+measurement run_scenario(const user_profile& user, const scenario& load_scenario,
+                         const policy_variant& variant, std::uint64_t seed);
 
 } // namespace spurrack::experiment
