--- a/tools/capacity.cc
+++ b/tools/capacity.cc
@@ -20,10 +20,10 @@
 using std::chrono::seconds;
 
 double processor_seconds() {
-  timespec used{};
-  clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used);
+  timespec cpu_time{};
+  clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &cpu_time);
   constexpr double nano = 1e-9;
-  return static_cast<double>(used.tv_sec) + static_cast<double>(used.tv_nsec) * nano;
+  return static_cast<double>(cpu_time.tv_sec) + static_cast<double>(cpu_time.tv_nsec) * nano;
 }
 
 double resident_megabytes() {
@@ -35,7 +35,7 @@
   return resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / megabyte;
 }
 
-struct size_options {
+struct fleet_size {
   int nodes = 8;
   int other_zones = 0;
   int other_nodes = 0;
@@ -44,7 +44,7 @@
   int changes = 20;
 };
 
-simulation::simulation_settings make_settings(const size_options& size) {
+simulation::simulation_settings make_settings(const fleet_size& size) {
   simulation::simulation_settings settings;
   for (int index = 0; index < size.nodes; ++index) {
     settings.nodes.push_back({"node-" + std::to_string(index), "z0"});
@@ -82,8 +82,8 @@
   return settings;
 }
 
-bool all_hold(const simulation::fleet_simulation& fleet, const std::string& key,
-              base::revision revision) {
+bool all_nodes_have(const simulation::fleet_simulation& fleet, const std::string& key,
+                    base::revision revision) {
   for (const auto& name : fleet.node_names()) {
     if (fleet.node(name).content().revision_of(key) != revision) {
       return false;
@@ -92,70 +92,73 @@
   return true;
 }
 
-void measure(const size_options& size) {
+void measure(const fleet_size& size) {
   simulation::fleet_simulation fleet(make_settings(size));
-  const auto memory_platform = resident_megabytes();
-  const auto start_before = processor_seconds();
+  const auto memory_before_mb = resident_megabytes();
+  const auto cpu_before_start = processor_seconds();
   fleet.start_all_nodes();
   const bool ready = fleet.run_until([&] { return fleet.all_ready(); }, seconds(60));
   fleet.run_for(seconds(10));
-  const auto start_seconds = processor_seconds() - start_before;
+  const auto start_cpu_seconds = processor_seconds() - cpu_before_start;
 
-  const auto bytes_before = fleet.control_totals();
-  const auto used_before = processor_seconds();
+  const auto totals_before_idle = fleet.control_totals();
+  const auto cpu_before_idle = processor_seconds();
   constexpr double idle_seconds = 30;
   fleet.run_for(base::from_seconds(idle_seconds));
-  const auto used = processor_seconds() - used_before;
-  const auto bytes = fleet.control_totals().bytes_sent - bytes_before.bytes_sent;
-  const auto messages = fleet.control_totals().messages_sent - bytes_before.messages_sent;
+  const auto idle_cpu_used = processor_seconds() - cpu_before_idle;
+  const auto idle_bytes_sent = fleet.control_totals().bytes_sent - totals_before_idle.bytes_sent;
+  const auto idle_messages_sent =
+      fleet.control_totals().messages_sent - totals_before_idle.messages_sent;
 
-  double slowest = 0;
-  const auto change_bytes_before = fleet.control_totals().bytes_sent;
-  const auto change_used_before = processor_seconds();
-  const auto change_begin = fleet.now();
+  double slowest_change = 0;
+  const auto bytes_before_changes = fleet.control_totals().bytes_sent;
+  const auto cpu_before_changes = processor_seconds();
+  const auto changes_started_at = fleet.now();
   for (int change = 0; change < size.changes; ++change) {
     const auto revision = fleet.platform().publish(
         "tenants/t0", "{name: t0, token_sha256: '" + std::string(64, 'f') +
                           "', weight: " + std::to_string(change + 1) + ", templates: {p0: {}}}");
-    const auto begin = fleet.now();
-    fleet.run_until([&] { return all_hold(fleet, "tenants/t0", revision); }, seconds(30));
-    slowest = std::max(slowest, base::to_seconds(fleet.now() - begin));
+    const auto published_at = fleet.now();
+    fleet.run_until([&] { return all_nodes_have(fleet, "tenants/t0", revision); }, seconds(30));
+    slowest_change = std::max(slowest_change, base::to_seconds(fleet.now() - published_at));
   }
-  const double change_time = base::to_seconds(fleet.now() - change_begin);
+  const double changes_duration = base::to_seconds(fleet.now() - changes_started_at);
   const auto node_count = static_cast<double>(size.nodes);
-  const double idle_bytes = static_cast<double>(bytes) / idle_seconds / node_count;
+  const double idle_bytes_per_second =
+      static_cast<double>(idle_bytes_sent) / idle_seconds / node_count;
   const double change_bytes =
-      static_cast<double>(fleet.control_totals().bytes_sent - change_bytes_before) / node_count -
-      idle_bytes * change_time;
-  const double idle_cpu = used / idle_seconds / node_count;
+      static_cast<double>(fleet.control_totals().bytes_sent - bytes_before_changes) / node_count -
+      idle_bytes_per_second * changes_duration;
+  const double idle_cpu_rate = idle_cpu_used / idle_seconds / node_count;
   const double change_cpu =
-      (processor_seconds() - change_used_before) / node_count - idle_cpu * change_time;
+      (processor_seconds() - cpu_before_changes) / node_count - idle_cpu_rate * changes_duration;
   std::cout << std::fixed << "| " << size.nodes << " | " << size.other_nodes << " | "
             << size.replicas << " | " << size.tenants << " | " << (ready ? "yes" : "NO") << " | "
-            << std::setprecision(1) << static_cast<double>(messages) / idle_seconds / node_count
-            << " | " << std::setprecision(0) << idle_bytes << " | " << std::setprecision(3)
-            << idle_cpu * 100 << " | " << std::setprecision(2)
-            << (resident_megabytes() - memory_platform) / node_count << " | "
+            << std::setprecision(1)
+            << static_cast<double>(idle_messages_sent) / idle_seconds / node_count << " | "
+            << std::setprecision(0) << idle_bytes_per_second << " | " << std::setprecision(3)
+            << idle_cpu_rate * 100 << " | " << std::setprecision(2)
+            << (resident_megabytes() - memory_before_mb) / node_count << " | "
             << std::setprecision(0) << change_bytes / size.changes << " | " << std::setprecision(2)
-            << change_cpu / size.changes * 1000 << " | " << std::setprecision(2) << slowest << " | "
-            << std::setprecision(2) << start_seconds / node_count << " |\n"
+            << change_cpu / size.changes * 1000 << " | " << std::setprecision(2) << slowest_change
+            << " | " << std::setprecision(2) << start_cpu_seconds / node_count << " |\n"
             << std::flush;
 }
 
 int run_program(int argc, char** argv) {
   cxxopts::Options options("capacity", "Costs of control, measured on hollow nodes.");
-  size_options size;
+  fleet_size size;
   options.add_options()("nodes", "nodes of the zone", cxxopts::value<int>(size.nodes))(
       "other-zones", "zones beside it", cxxopts::value<int>(size.other_zones))(
       "other-nodes", "listed nodes of the other zones", cxxopts::value<int>(size.other_nodes))(
       "replicas", "listed back ends", cxxopts::value<int>(size.replicas))(
       "tenants", "tenants", cxxopts::value<int>(size.tenants))("header", "print the table's head");
   spurrack::logging::add_usual_options(options);
-  const auto given = options.parse(argc, argv);
-  if (spurrack::logging::handle_usual_options(options, given)) {
+  const auto arguments = options.parse(argc, argv);
+  if (spurrack::logging::handle_usual_options(options, arguments)) {
     return 0;
   }
-  if (given.count("header") > 0) {
+  if (arguments.count("header") > 0) {
     std::cout
         << "| nodes | far nodes | replicas | tenants | ready | messages/s a node | bytes/s a "
            "node | % of a core | MB a node | bytes a change | ms CPU a change | slowest "
--- a/tools/fleet_soak.cc
+++ b/tools/fleet_soak.cc
@@ -24,8 +24,9 @@
     std::cout << " " << spurrack::simulation::name_of(kind);
   }
   std::cout << "\n";
-  for (const auto& broken : report.violations) {
-    std::cout << "  " << broken.invariant << ": " << broken.detail << " " << broken.request << "\n";
+  for (const auto& violation : report.violations) {
+    std::cout << "  " << violation.invariant << ": " << violation.detail << " " << violation.request
+              << "\n";
   }
   std::cout << report.timeline << std::flush;
 }
@@ -37,21 +38,21 @@
       "first", "first seed", cxxopts::value<std::uint64_t>()->default_value("1"))(
       "threads", "runs at the same time", cxxopts::value<unsigned>()->default_value("4"));
   spurrack::logging::add_usual_options(options);
-  const auto given = options.parse(argc, argv);
-  if (spurrack::logging::handle_usual_options(options, given)) {
+  const auto arguments = options.parse(argc, argv);
+  if (spurrack::logging::handle_usual_options(options, arguments)) {
     return 0;
   }
-  const auto first = given["first"].as<std::uint64_t>();
-  const auto count = given["seeds"].as<std::uint64_t>();
-  std::atomic<std::uint64_t> next{first};
+  const auto first_seed = arguments["first"].as<std::uint64_t>();
+  const auto seed_count = arguments["seeds"].as<std::uint64_t>();
+  std::atomic<std::uint64_t> next_seed{first_seed};
   std::atomic<std::uint64_t> failed{0};
   std::atomic<std::uint64_t> requests{0};
   std::atomic<std::uint64_t> completed{0};
   std::atomic<std::uint64_t> effects{0};
   std::vector<std::thread> workers;
-  for (unsigned index = 0; index < given["threads"].as<unsigned>(); ++index) {
+  for (unsigned index = 0; index < arguments["threads"].as<unsigned>(); ++index) {
     workers.emplace_back([&] {
-      for (auto seed = next++; seed < first + count; seed = next++) {
+      for (auto seed = next_seed++; seed < first_seed + seed_count; seed = next_seed++) {
         spurrack::simulation::run_options run;
         run.seed = seed;
         const auto report = spurrack::simulation::run_with_faults(run);
@@ -68,8 +69,8 @@
   for (auto& worker : workers) {
     worker.join();
   }
-  std::cout << count << " seeds, " << failed << " with violations; " << requests << " requests, "
-            << completed << " completed, " << effects << " effects run\n";
+  std::cout << seed_count << " seeds, " << failed << " with violations; " << requests
+            << " requests, " << completed << " completed, " << effects << " effects run\n";
   return failed == 0 ? 0 : 1;
 }
 
--- a/tools/speed.cc
+++ b/tools/speed.cc
@@ -25,9 +25,9 @@
 using clock_type = std::chrono::steady_clock;
 
 /// A connection that is kept open between calls.
-class kept_connection {
+class persistent_connection {
  public:
-  explicit kept_connection(const std::string& address) : stream_(io_) {
+  explicit persistent_connection(const std::string& address) : stream_(io_) {
     stream_.connect(*http::parse_endpoint(address));
     stream_.socket().set_option(boost::asio::ip::tcp::no_delay(true));
   }
@@ -53,7 +53,7 @@
   beast::flat_buffer buffer_;
 };
 
-json::object stage_body(const std::string& stage, const std::string& input) {
+json::object make_stage_body(const std::string& stage, const std::string& input) {
   return {{"request_id", "direct"}, {"stage", stage},     {"attempt", 1},
           {"tenant", "agents"},     {"model", ""},        {"adapter", ""},
           {"input", input},         {"max_tokens", 8},    {"resume_offset", 0},
@@ -65,104 +65,106 @@
   return values[values.size() / 2];
 }
 
-double seconds_since(clock_type::time_point begin) {
-  return std::chrono::duration<double>(clock_type::now() - begin).count();
+double seconds_since(clock_type::time_point started_at) {
+  return std::chrono::duration<double>(clock_type::now() - started_at).count();
 }
 
-std::vector<double> time_direct(const fleet::local_fleet& fleet, int count) {
+std::vector<double> measure_direct_latencies(const fleet::local_fleet& fleet, int count) {
   const std::vector<std::pair<std::string, std::string>> stages{{"encode", "encoder"},
                                                                 {"retrieve", "retriever"},
                                                                 {"rerank", "reranker"},
                                                                 {"generate", "engine"}};
-  std::vector<std::unique_ptr<kept_connection>> connections;
+  std::vector<std::unique_ptr<persistent_connection>> connections;
   connections.reserve(stages.size());
   for (const auto& [stage, backend] : stages) {
     connections.push_back(
-        std::make_unique<kept_connection>(fleet.backend_address(backend + "-north1")));
+        std::make_unique<persistent_connection>(fleet.backend_address(backend + "-north1")));
   }
-  std::vector<double> times;
+  std::vector<double> latencies;
   for (int index = 0; index < count; ++index) {
-    const auto begin = clock_type::now();
+    const auto started_at = clock_type::now();
     for (std::size_t stage = 0; stage < stages.size(); ++stage) {
       connections[stage]->post("/v1/stages/" + stages[stage].first,
-                               stage_body(stages[stage].first, "x"));
+                               make_stage_body(stages[stage].first, "x"));
     }
-    times.push_back(seconds_since(begin));
+    latencies.push_back(seconds_since(started_at));
   }
-  return times;
+  return latencies;
 }
 
-std::vector<double> time_through(const fleet::local_fleet& fleet, int count) {
-  kept_connection connection(fleet.addresses("entry-north1").callers);
-  std::vector<double> times;
+std::vector<double> measure_node_latencies(const fleet::local_fleet& fleet, int count) {
+  persistent_connection connection(fleet.addresses("entry-north1").callers);
+  std::vector<double> latencies;
   for (int index = 0; index < count; ++index) {
-    const auto begin = clock_type::now();
+    const auto started_at = clock_type::now();
     connection.post("/v1/pipelines/client-answer", {{"input", "x"}}, fleet::agents_token);
-    times.push_back(seconds_since(begin));
+    latencies.push_back(seconds_since(started_at));
   }
-  return times;
+  return latencies;
 }
 
 void measure_latency(const std::filesystem::path& binaries) {
-  auto wanted = fleet::example_fleet({"north"}, 1);
-  wanted.uses_proxy = false;
-  for (auto& backend : wanted.backends) {
+  auto description = fleet::example_fleet({"north"}, 1);
+  description.uses_proxy = false;
+  for (auto& backend : description.backends) {
     backend.service_microseconds = backend.pool == "engines" ? 1'000 : 5'000;
   }
-  fleet::local_fleet fleet(binaries, wanted);
+  fleet::local_fleet fleet(binaries, description);
   fleet.start_all_nodes();
-  constexpr int rounds = 300;
-  time_through(fleet, rounds / 10);
-  time_direct(fleet, rounds / 10);
-  const auto direct = median(time_direct(fleet, rounds));
-  const auto through = median(time_through(fleet, rounds));
-  std::cout << "latency, median of " << rounds << ": direct " << direct * 1e3 << " ms, through "
-            << through * 1e3 << " ms, added " << (through / direct - 1) * 100 << " %\n";
+  constexpr int request_count = 300;
+  measure_node_latencies(fleet, request_count / 10);
+  measure_direct_latencies(fleet, request_count / 10);
+  const auto direct = median(measure_direct_latencies(fleet, request_count));
+  const auto through_node = median(measure_node_latencies(fleet, request_count));
+  std::cout << "latency, median of " << request_count << ": direct " << direct * 1e3
+            << " ms, through " << through_node * 1e3 << " ms, added "
+            << (through_node / direct - 1) * 100 << " %\n";
 }
 
 void measure_throughput(const std::filesystem::path& binaries, int tokens) {
-  auto wanted = fleet::example_fleet({"north"}, 1);
-  auto& pipeline = wanted.records.at("templates/client-answer");
-  const std::string given = "max_tokens: 8";
-  pipeline.replace(pipeline.find(given), given.size(), "max_tokens: " + std::to_string(tokens));
-  wanted.uses_proxy = false;
-  for (auto& backend : wanted.backends) {
+  auto description = fleet::example_fleet({"north"}, 1);
+  auto& pipeline = description.records.at("templates/client-answer");
+  const std::string old_limit = "max_tokens: 8";
+  pipeline.replace(pipeline.find(old_limit), old_limit.size(),
+                   "max_tokens: " + std::to_string(tokens));
+  description.uses_proxy = false;
+  for (auto& backend : description.backends) {
     backend.concurrency = 64;
     backend.service_microseconds = 2'000;
     backend.token_microseconds = 200;
     backend.max_in_flight = 1'000;
   }
-  fleet::local_fleet fleet(binaries, wanted);
+  fleet::local_fleet fleet(binaries, description);
   fleet.start_all_nodes();
   auto& node = fleet.node("entry-north1");
   std::cout << "memory when idle: " << static_cast<double>(node.resident_bytes()) / 1e6 << " MB\n";
-  constexpr unsigned callers = 24;
-  constexpr int requests_each = 400;
-  const auto used_before = node.processor_seconds();
-  const auto begin = clock_type::now();
+  constexpr unsigned caller_count = 24;
+  constexpr int requests_per_caller = 400;
+  const auto cpu_before = node.processor_seconds();
+  const auto started_at = clock_type::now();
   std::vector<std::thread> threads;
-  for (unsigned index = 0; index < callers; ++index) {
-    threads.emplace_back([&] { time_through(fleet, requests_each); });
+  for (unsigned index = 0; index < caller_count; ++index) {
+    threads.emplace_back([&] { measure_node_latencies(fleet, requests_per_caller); });
   }
   for (auto& thread : threads) {
     thread.join();
   }
-  const double elapsed = seconds_since(begin);
-  const double used = node.processor_seconds() - used_before;
-  constexpr double total = static_cast<double>(callers) * requests_each;
-  std::cout << "throughput: " << total / elapsed << " requests/s with " << callers
-            << " callers; processor time " << used / total * 1e6
+  const double elapsed = seconds_since(started_at);
+  const double cpu_used = node.processor_seconds() - cpu_before;
+  constexpr double total_requests = static_cast<double>(caller_count) * requests_per_caller;
+  std::cout << "throughput: " << total_requests / elapsed << " requests/s with " << caller_count
+            << " callers; processor time " << cpu_used / total_requests * 1e6
             << " us a request of four stages and " << tokens << " tokens; one core carries "
-            << total / used << " requests/s\n"
-            << "memory after " << total
+            << total_requests / cpu_used << " requests/s\n"
+            << "memory after " << total_requests
             << " requests: " << static_cast<double>(node.resident_bytes()) / 1e6 << " MB\n";
 }
 
 int run_program(int argc, char** argv) {
   cxxopts::Options options("speed", "Latency and throughput of real processes on this machine.");
   spurrack::logging::add_usual_options(options);
-  const auto given = options.parse(argc, argv);
-  if (spurrack::logging::handle_usual_options(options, given)) {
+  const auto arguments = options.parse(argc, argv);
+  if (spurrack::logging::handle_usual_options(options, arguments)) {
     return 0;
   }
   const auto binaries = std::filesystem::absolute(argv[0]).parent_path();
