--- a/standins/backend_stand_in.cc
+++ b/standins/backend_stand_in.cc
@@ -51,12 +51,12 @@
   std::chrono::microseconds token_time{0};
   std::int64_t concurrency = 8;
   /// Calls in flight beyond which further ones are refused.
-  std::int64_t most_in_flight = 16;
+  std::int64_t max_in_flight = 16;
 };
 
-class backend_stand_in {
+class emulated_backend_service {
  public:
-  explicit backend_stand_in(backend_settings settings) : settings_(std::move(settings)) {}
+  explicit emulated_backend_service(backend_settings settings) : settings_(std::move(settings)) {}
 
   asio::awaitable<void> handle(service_exchange& exchange) {
     const auto target = exchange.target();
@@ -66,8 +66,8 @@
       --in_flight_;
     } else if (target == "/admin/fault") {
       const auto body = exchange.body();
-      fault_ = fault_names.at(std::string(body.at("fault").as_string()));
-      fault_times_ = body.contains("times") ? body.at("times").as_int64() : INT64_MAX;
+      current_fault_ = fault_names.at(std::string(body.at("fault").as_string()));
+      remaining_faulty_calls_ = body.contains("times") ? body.at("times").as_int64() : INT64_MAX;
       if (body.contains("service_us")) {
         settings_.service_time = std::chrono::microseconds(body.at("service_us").as_int64());
       }
@@ -89,62 +89,63 @@
   }
 
  private:
-  static json::object refusal(const char* code) {
+  static json::object make_refusal(const char* code) {
     json::object body;
     body["code"] = code;
     return body;
   }
 
-  fault take_fault() {
-    if (fault_ == fault::none || fault_times_ <= 0) {
+  fault take_next_fault() {
+    if (current_fault_ == fault::none || remaining_faulty_calls_ <= 0) {
       return fault::none;
     }
-    --fault_times_;
-    return fault_;
+    --remaining_faulty_calls_;
+    return current_fault_;
   }
 
-  asio::awaitable<void> run_call(service_exchange& exchange, std::string kind) {
+  asio::awaitable<void> run_call(service_exchange& exchange, std::string stage_kind) {
     ++calls_;
-    const auto spoiled = take_fault();
-    if (spoiled == fault::leaving) {
-      co_await exchange.reply(503, refusal("leaving"));
+    const auto call_fault = take_next_fault();
+    if (call_fault == fault::leaving) {
+      co_await exchange.reply(503, make_refusal("leaving"));
       co_return;
     }
-    if (spoiled == fault::overloaded || in_flight_ > settings_.most_in_flight) {
-      co_await exchange.reply(429, refusal("overloaded"));
+    if (call_fault == fault::overloaded || in_flight_ > settings_.max_in_flight) {
+      co_await exchange.reply(429, make_refusal("overloaded"));
       co_return;
     }
-    if (spoiled == fault::reset_early) {
+    if (call_fault == fault::reset_early) {
       exchange.close(true);
       co_return;
     }
     const auto call = exchange.body();
     ++executions_[std::string(call.at("request_id").as_string())];
-    const auto started = std::chrono::steady_clock::now();
-    if (kind == "generate") {
-      co_await generate(exchange, call, spoiled, started);
+    const auto started_at = std::chrono::steady_clock::now();
+    if (stage_kind == "generate") {
+      co_await generate(exchange, call, call_fault, started_at);
       co_return;
     }
     co_await wait_for(settings_.service_time);
-    const auto text = kind + "(" + std::string(call.at("input").as_string()) + ")";
-    co_await answer(exchange, make_answer(call, text, 0, started), spoiled);
+    const auto text = stage_kind + "(" + std::string(call.at("input").as_string()) + ")";
+    co_await write_answer(exchange, make_answer(call, text, 0, started_at), call_fault);
   }
 
   json::object make_answer(const json::object& call, const std::string& output, std::int64_t tokens,
-                           std::chrono::steady_clock::time_point started) {
-    const auto worked = std::chrono::duration_cast<std::chrono::microseconds>(
-        std::chrono::steady_clock::now() - started);
+                           std::chrono::steady_clock::time_point started_at) {
+    const auto service_duration = std::chrono::duration_cast<std::chrono::microseconds>(
+        std::chrono::steady_clock::now() - started_at);
     return {{"request_id", call.at("request_id")},
             {"stage", call.at("stage")},
             {"attempt", call.at("attempt")},
             {"output", output},
             {"tokens", tokens},
-            {"backend_us", worked.count()},
+            {"backend_us", service_duration.count()},
             {"in_flight", in_flight_}};
   }
 
-  asio::awaitable<void> answer(service_exchange& exchange, json::object body, fault spoiled) {
-    switch (spoiled) {
+  asio::awaitable<void> write_answer(service_exchange& exchange, json::object body,
+                                     fault call_fault) {
+    switch (call_fault) {
     case fault::truncate: {
       const auto text = json::serialize(body);
       co_await exchange.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
@@ -174,7 +175,7 @@
     }
   }
 
-  static std::string chunk(const json::object& data) {
+  static std::string make_chunk(const json::object& data) {
     const auto text = "data: " + json::serialize(data) + "\n\n";
     std::array<char, 32> size{};
     const auto length = std::snprintf(size.data(), size.size(), "%zx\r\n", text.size());
@@ -182,50 +183,51 @@
   }
 
   asio::awaitable<void> generate(service_exchange& exchange, const json::object& call,
-                                 fault spoiled, std::chrono::steady_clock::time_point started) {
+                                 fault call_fault,
+                                 std::chrono::steady_clock::time_point started_at) {
     co_await wait_for(settings_.service_time);
-    const auto count = call.at("max_tokens").as_int64();
-    const auto first = call.at("resume_offset").as_int64();
+    const auto token_count = call.at("max_tokens").as_int64();
+    const auto first_offset = call.at("resume_offset").as_int64();
     const auto prompt = std::string(call.at("input").as_string());
     co_await exchange.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                             "Transfer-Encoding: chunked\r\n\r\n");
-    for (auto offset = first; offset < count; ++offset) {
+    for (auto offset = first_offset; offset < token_count; ++offset) {
       co_await wait_for(settings_.token_time);
       // The first token carries the prompt, so that tests can tell whose answer it is.
       const auto text = offset == 0 ? "generate(" + prompt + ")" : " w" + std::to_string(offset);
       json::object token;
       token["offset"] = offset;
       token["token"] = text;
-      if (!co_await exchange.write(chunk(token))) {
+      if (!co_await exchange.write(make_chunk(token))) {
         ++cancelled_;
         exchange.close(true);
         co_return;
       }
-      if (spoiled == fault::break_stream && offset >= count / 2) {
+      if (call_fault == fault::break_stream && offset >= token_count / 2) {
         exchange.close(true);
         co_return;
       }
     }
-    if (spoiled == fault::hang) {
+    if (call_fault == fault::hang) {
       co_await wait_for(std::chrono::hours(1));
     }
-    auto last = make_answer(call, "", count, started);
-    if (spoiled == fault::crossed) {
-      last["request_id"] = "another-request";
+    auto final_event = make_answer(call, "", token_count, started_at);
+    if (call_fault == fault::crossed) {
+      final_event["request_id"] = "another-request";
     }
-    co_await exchange.write(chunk(last) + "0\r\n\r\n");
+    co_await exchange.write(make_chunk(final_event) + "0\r\n\r\n");
   }
 
   backend_settings settings_;
-  fault fault_ = fault::none;
-  std::int64_t fault_times_ = 0;
+  fault current_fault_ = fault::none;
+  std::int64_t remaining_faulty_calls_ = 0;
   std::int64_t calls_ = 0;
   std::int64_t in_flight_ = 0;
   std::int64_t cancelled_ = 0;
   std::map<std::string, std::int64_t> executions_;
 };
 
-int run(int argc, char** argv) {
+int run_program(int argc, char** argv) {
   cxxopts::Options options("backend_stand_in", "Stand-in of a back end, for tests.");
   options.add_options()("listen", "IP:port", cxxopts::value<std::string>())(
       "id", "name", cxxopts::value<std::string>()->default_value("backend"))(
@@ -234,18 +236,18 @@
       "most-in-flight", "calls beyond are refused",
       cxxopts::value<std::int64_t>()->default_value("64"));
   spurrack::logging::add_usual_options(options);
-  const auto given = options.parse(argc, argv);
-  if (spurrack::logging::handle_usual_options(options, given)) {
+  const auto arguments = options.parse(argc, argv);
+  if (spurrack::logging::handle_usual_options(options, arguments)) {
     return 0;
   }
   backend_settings settings;
-  settings.id = given["id"].as<std::string>();
-  settings.service_time = std::chrono::microseconds(given["service-us"].as<std::int64_t>());
-  settings.token_time = std::chrono::microseconds(given["token-us"].as<std::int64_t>());
-  settings.most_in_flight = given["most-in-flight"].as<std::int64_t>();
+  settings.id = arguments["id"].as<std::string>();
+  settings.service_time = std::chrono::microseconds(arguments["service-us"].as<std::int64_t>());
+  settings.token_time = std::chrono::microseconds(arguments["token-us"].as<std::int64_t>());
+  settings.max_in_flight = arguments["most-in-flight"].as<std::int64_t>();
   asio::io_context io(1);
-  backend_stand_in backend(std::move(settings));
-  spurrack::standins::serve(io, given["listen"].as<std::string>(),
+  emulated_backend_service backend(std::move(settings));
+  spurrack::standins::serve(io, arguments["listen"].as<std::string>(),
                             [&](service_exchange& exchange) { return backend.handle(exchange); });
   io.run();
   return 0;
@@ -255,5 +257,5 @@
 
 int main(int argc, char** argv) {
   constexpr int exit_exception = 2;
-  return spurrack::logging::guarded_main(run, argc, argv, exit_exception);
+  return spurrack::logging::guarded_main(run_program, argc, argv, exit_exception);
 }
--- a/standins/fault_proxy.cc
+++ b/standins/fault_proxy.cc
@@ -30,16 +30,16 @@
 using spurrack::standins::wait_for;
 
 /// A link is looked at this often whether it is there again.
-constexpr std::chrono::milliseconds black_hole_look{20};
+constexpr std::chrono::milliseconds black_hole_poll_interval{20};
 
 /// State of one link; shared by its connections.
-struct link {
+struct proxy_link {
   tcp::endpoint target;
   /// No new connections; those there are reset.
-  bool cut = false;
+  bool is_cut = false;
   /// Connections stay open and nothing arrives. Bytes are held back and follow when the link is
   /// there again, as the sender's system would send them anew: none are missing in the middle.
-  bool black_hole = false;
+  bool is_black_hole = false;
   std::chrono::milliseconds delay{0};
   std::list<std::weak_ptr<tcp::socket>> sockets;
 
@@ -55,61 +55,64 @@
   }
 };
 
-asio::awaitable<void> pump(std::shared_ptr<link> path, std::shared_ptr<tcp::socket> from,
-                           std::shared_ptr<tcp::socket> to) {
+asio::awaitable<void> forward_bytes(std::shared_ptr<proxy_link> link,
+                                    std::shared_ptr<tcp::socket> source,
+                                    std::shared_ptr<tcp::socket> destination) {
   std::array<char, 65'536> buffer{};
   boost::system::error_code error;
   while (!error) {
-    const auto got = co_await from->async_read_some(asio::buffer(buffer), await_into(error));
+    const auto received_bytes =
+        co_await source->async_read_some(asio::buffer(buffer), await_into(error));
     if (error) {
       continue;
     }
-    while (path->black_hole) {
-      co_await wait_for(black_hole_look);
+    while (link->is_black_hole) {
+      co_await wait_for(black_hole_poll_interval);
     }
-    if (path->delay.count() > 0) {
-      co_await wait_for(path->delay);
+    if (link->delay.count() > 0) {
+      co_await wait_for(link->delay);
     }
-    co_await asio::async_write(*to, asio::buffer(buffer.data(), got), await_into(error));
+    co_await asio::async_write(*destination, asio::buffer(buffer.data(), received_bytes),
+                               await_into(error));
   }
   boost::system::error_code ignored;
   if (error == asio::error::eof) {
-    to->shutdown(tcp::socket::shutdown_send, ignored);
+    destination->shutdown(tcp::socket::shutdown_send, ignored);
   } else {
-    to->set_option(asio::socket_base::linger(true, 0), ignored);
-    to->close(ignored);
-    from->close(ignored);
+    destination->set_option(asio::socket_base::linger(true, 0), ignored);
+    destination->close(ignored);
+    source->close(ignored);
   }
 }
 
-asio::awaitable<void> accept_all(std::shared_ptr<link> path, tcp::endpoint listen) {
+asio::awaitable<void> accept_connections(std::shared_ptr<proxy_link> link, tcp::endpoint listen) {
   const auto executor = co_await asio::this_coro::executor;
   tcp::acceptor acceptor(executor, listen);
   while (true) {
     boost::system::error_code error;
-    auto inner = std::make_shared<tcp::socket>(executor);
-    co_await acceptor.async_accept(*inner, await_into(error));
-    if (error || path->cut) {
-      inner->set_option(asio::socket_base::linger(true, 0), error);
-      inner->close(error);
+    auto client_socket = std::make_shared<tcp::socket>(executor);
+    co_await acceptor.async_accept(*client_socket, await_into(error));
+    if (error || link->is_cut) {
+      client_socket->set_option(asio::socket_base::linger(true, 0), error);
+      client_socket->close(error);
       continue;
     }
-    auto outer = std::make_shared<tcp::socket>(executor);
-    co_await outer->async_connect(path->target, await_into(error));
+    auto target_socket = std::make_shared<tcp::socket>(executor);
+    co_await target_socket->async_connect(link->target, await_into(error));
     if (error) {
       continue;
     }
-    inner->set_option(tcp::no_delay(true), error);
-    outer->set_option(tcp::no_delay(true), error);
-    path->sockets.remove_if([](const auto& weak) { return weak.expired(); });
-    path->sockets.push_back(inner);
-    path->sockets.push_back(outer);
-    asio::co_spawn(executor, pump(path, inner, outer), asio::detached);
-    asio::co_spawn(executor, pump(path, outer, inner), asio::detached);
+    client_socket->set_option(tcp::no_delay(true), error);
+    target_socket->set_option(tcp::no_delay(true), error);
+    link->sockets.remove_if([](const auto& weak) { return weak.expired(); });
+    link->sockets.push_back(client_socket);
+    link->sockets.push_back(target_socket);
+    asio::co_spawn(executor, forward_bytes(link, client_socket, target_socket), asio::detached);
+    asio::co_spawn(executor, forward_bytes(link, target_socket, client_socket), asio::detached);
   }
 }
 
-using link_map = std::map<std::string, std::shared_ptr<link>>;
+using link_map = std::map<std::string, std::shared_ptr<proxy_link>>;
 
 asio::awaitable<void> handle_admin(link_map& links, service_exchange& exchange) {
   const auto body = exchange.body();
@@ -118,56 +121,56 @@
     co_return;
   }
   for (const auto& name : body.at("links").as_array()) {
-    const auto& path = links.at(std::string(name.as_string()));
-    const auto flag = [&](const char* field) {
+    const auto& link = links.at(std::string(name.as_string()));
+    const auto read_flag = [&](const char* field) {
       const auto* value = body.if_contains(field);
       return value != nullptr && value->as_bool();
     };
-    path->cut = flag("cut");
-    path->black_hole = flag("black_hole");
+    link->is_cut = read_flag("cut");
+    link->is_black_hole = read_flag("black_hole");
     const auto* delay = body.if_contains("delay_ms");
-    path->delay = std::chrono::milliseconds(delay == nullptr ? 0 : delay->as_int64());
-    if (path->cut) {
-      path->reset_all();
+    link->delay = std::chrono::milliseconds(delay == nullptr ? 0 : delay->as_int64());
+    if (link->is_cut) {
+      link->reset_all();
     }
   }
   co_await exchange.reply(200, boost::json::object());
 }
 
 /// Reads `name,listen,target`.
-void add_link(asio::io_context& io, link_map& links, const std::string& text) {
-  std::istringstream parts(text);
+void add_link(asio::io_context& io, link_map& links, const std::string& definition) {
+  std::istringstream parts(definition);
   std::string name;
   std::string listen;
   std::string target;
   std::getline(parts, name, ',');
   std::getline(parts, listen, ',');
   std::getline(parts, target, ',');
-  auto path = std::make_shared<link>();
-  path->target = spurrack::http::parse_endpoint(target).value();
-  links[name] = path;
-  asio::co_spawn(io, accept_all(path, spurrack::http::parse_endpoint(listen).value()),
+  auto link = std::make_shared<proxy_link>();
+  link->target = spurrack::http::parse_endpoint(target).value();
+  links[name] = link;
+  asio::co_spawn(io, accept_connections(link, spurrack::http::parse_endpoint(listen).value()),
                  asio::detached);
 }
 
-int run(int argc, char** argv) {
+int run_program(int argc, char** argv) {
   cxxopts::Options options("fault_proxy", "TCP proxy with faults, for tests.");
   options.add_options()("admin", "IP:port", cxxopts::value<std::string>())(
       "link", "name,listen,target (semicolons between several)", cxxopts::value<std::string>());
   spurrack::logging::add_usual_options(options);
-  const auto given = options.parse(argc, argv);
-  if (spurrack::logging::handle_usual_options(options, given)) {
+  const auto arguments = options.parse(argc, argv);
+  if (spurrack::logging::handle_usual_options(options, arguments)) {
     return 0;
   }
   asio::io_context io(1);
   link_map links;
-  std::istringstream list(given["link"].as<std::string>());
-  for (std::string text; std::getline(list, text, ';');) {
-    add_link(io, links, text);
+  std::istringstream definitions(arguments["link"].as<std::string>());
+  for (std::string definition; std::getline(definitions, definition, ';');) {
+    add_link(io, links, definition);
   }
-  spurrack::standins::serve(io, given["admin"].as<std::string>(), [&](service_exchange& exchange) {
-    return handle_admin(links, exchange);
-  });
+  spurrack::standins::serve(
+      io, arguments["admin"].as<std::string>(),
+      [&](service_exchange& exchange) { return handle_admin(links, exchange); });
   io.run();
   return 0;
 }
@@ -176,5 +179,5 @@
 
 int main(int argc, char** argv) {
   constexpr int exit_exception = 2;
-  return spurrack::logging::guarded_main(run, argc, argv, exit_exception);
+  return spurrack::logging::guarded_main(run_program, argc, argv, exit_exception);
 }
--- a/standins/http_service.cc
+++ b/standins/http_service.cc
@@ -47,8 +47,8 @@
   }
 }
 
-asio::awaitable<void> accept_all(std::shared_ptr<asio::ip::tcp::acceptor> acceptor,
-                                 std::shared_ptr<service_handler> handler) {
+asio::awaitable<void> accept_connections(std::shared_ptr<asio::ip::tcp::acceptor> acceptor,
+                                         std::shared_ptr<service_handler> handler) {
   while (acceptor->is_open()) {
     boost::system::error_code error;
     auto socket = co_await acceptor->async_accept(await_into(error));
@@ -63,50 +63,51 @@
 
 boost::json::object service_exchange::body() const {
   boost::system::error_code error;
-  auto value = boost::json::parse(content_.body(), error);
+  auto value = boost::json::parse(request_.body(), error);
   return error || !value.is_object() ? boost::json::object() : std::move(value.get_object());
 }
 
-asio::awaitable<void> service_exchange::reply(unsigned status, boost::json::object content) {
+asio::awaitable<void> service_exchange::reply(unsigned status, boost::json::object body) {
   beast_http::response<beast_http::string_body> response(static_cast<beast_http::status>(status),
                                                          11);
   response.set(beast_http::field::content_type, "application/json");
-  response.keep_alive(content_.keep_alive());
-  response.body() = boost::json::serialize(content);
+  response.keep_alive(request_.keep_alive());
+  response.body() = boost::json::serialize(body);
   response.prepare_payload();
   boost::system::error_code error;
   co_await beast_http::async_write(*stream_, response, await_into(error));
-  closed_ = closed_ || error;
+  is_closed_ = is_closed_ || error;
 }
 
 asio::awaitable<bool> service_exchange::write(std::string text) {
   boost::system::error_code error;
   co_await asio::async_write(*stream_, asio::buffer(text), await_into(error));
-  closed_ = closed_ || error;
+  is_closed_ = is_closed_ || error;
   co_return !error;
 }
 
-void service_exchange::close(bool reset) {
+void service_exchange::close(bool with_reset) {
   boost::system::error_code error;
-  if (reset) {
+  if (with_reset) {
     stream_->socket().set_option(asio::socket_base::linger(true, 0), error);
   }
   stream_->close();
-  closed_ = true;
+  is_closed_ = true;
 }
 
-void serve(asio::io_context& io, const std::string& listen, service_handler handler) {
-  const auto endpoint = spurrack::http::parse_endpoint(listen);
+void serve(asio::io_context& io, const std::string& listen_address, service_handler handler) {
+  const auto endpoint = spurrack::http::parse_endpoint(listen_address);
   if (!endpoint) {
-    throw boost::system::system_error(asio::error::invalid_argument, listen);
+    throw boost::system::system_error(asio::error::invalid_argument, listen_address);
   }
   auto acceptor = std::make_shared<asio::ip::tcp::acceptor>(io, *endpoint);
-  asio::co_spawn(io, accept_all(acceptor, std::make_shared<service_handler>(std::move(handler))),
-                 asio::detached);
+  asio::co_spawn(
+      io, accept_connections(acceptor, std::make_shared<service_handler>(std::move(handler))),
+      asio::detached);
 }
 
-asio::awaitable<void> wait_for(std::chrono::nanoseconds span) {
-  asio::steady_timer timer(co_await asio::this_coro::executor, span);
+asio::awaitable<void> wait_for(std::chrono::nanoseconds duration) {
+  asio::steady_timer timer(co_await asio::this_coro::executor, duration);
   boost::system::error_code error;
   co_await timer.async_wait(await_into(error));
 }
--- a/standins/platform_stand_in.cc
+++ b/standins/platform_stand_in.cc
@@ -32,23 +32,25 @@
   std::optional<std::string> value;
 };
 
-std::uint64_t query_number(const std::string& target, const std::string& name) {
-  const auto place = target.find(name + "=");
+std::uint64_t parse_query_number(const std::string& target, const std::string& name) {
+  const auto position = target.find(name + "=");
   std::uint64_t value = 0;
-  if (place != std::string::npos) {
-    std::from_chars(target.data() + place + name.size() + 1, target.data() + target.size(), value);
+  if (position != std::string::npos) {
+    std::from_chars(target.data() + position + name.size() + 1, target.data() + target.size(),
+                    value);
   }
   return value;
 }
 
-class platform_stand_in {
+class emulated_platform_service {
  public:
-  explicit platform_stand_in(asio::io_context& io) : io_(&io) {}
+  explicit emulated_platform_service(asio::io_context& io) : io_(&io) {}
 
   asio::awaitable<void> handle(service_exchange& exchange) {
     const auto target = exchange.target();
     if (target.starts_with("/v1/entries")) {
-      co_await read(exchange, query_number(target, "after"), query_number(target, "wait_ms"));
+      co_await reply_with_entries(exchange, parse_query_number(target, "after"),
+                                  parse_query_number(target, "wait_ms"));
     } else if (target == "/admin/publish") {
       co_await publish(exchange);
     } else if (target == "/admin/mode") {
@@ -70,31 +72,32 @@
     return body;
   }
 
-  asio::awaitable<void> read(service_exchange& exchange, std::uint64_t after,
-                             std::uint64_t wait_ms) {
+  asio::awaitable<void> reply_with_entries(service_exchange& exchange, std::uint64_t after_revision,
+                                           std::uint64_t wait_ms) {
     ++calls_;
     if (mode_ == mode::down) {
       exchange.close(true);
       co_return;
     }
     if (mode_ == mode::slow) {
-      co_await wait_for(slow_by_);
+      co_await wait_for(slow_delay_);
     }
-    if (after == revision_ || mode_ == mode::stale) {
+    if (after_revision == revision_ || mode_ == mode::stale) {
       co_await wait_for_change(std::chrono::milliseconds(wait_ms));
     }
     if (mode_ == mode::down) {
       exchange.close(true);
       co_return;
     }
-    co_await exchange.reply(200, entries_after(mode_ == mode::stale ? stale_at_ : after));
+    co_await exchange.reply(200,
+                            entries_after(mode_ == mode::stale ? stale_revision_ : after_revision));
   }
 
-  json::object entries_after(std::uint64_t after) const {
-    const auto newest = mode_ == mode::stale ? stale_at_ : revision_;
+  json::object entries_after(std::uint64_t after_revision) const {
+    const auto latest_revision = mode_ == mode::stale ? stale_revision_ : revision_;
     json::array items;
     for (const auto& [key, entry] : entries_) {
-      if (entry.revision <= after || entry.revision > newest) {
+      if (entry.revision <= after_revision || entry.revision > latest_revision) {
         continue;
       }
       json::object item{{"key", key}, {"revision", entry.revision}};
@@ -103,19 +106,19 @@
       }
       items.push_back(std::move(item));
     }
-    return {{"revision", newest}, {"entries", std::move(items)}};
+    return {{"revision", latest_revision}, {"entries", std::move(items)}};
   }
 
-  asio::awaitable<void> wait_for_change(std::chrono::milliseconds longest) {
-    auto timer = std::make_shared<asio::steady_timer>(*io_, longest);
-    watches_.insert(timer);
-    boost::system::error_code cancelled;
-    co_await timer->async_wait(spurrack::http::await_into(cancelled));
-    watches_.erase(timer);
+  asio::awaitable<void> wait_for_change(std::chrono::milliseconds timeout) {
+    auto timer = std::make_shared<asio::steady_timer>(*io_, timeout);
+    waiting_reads_.insert(timer);
+    boost::system::error_code ignored;
+    co_await timer->async_wait(spurrack::http::await_into(ignored));
+    waiting_reads_.erase(timer);
   }
 
-  void wake_watches() {
-    for (const auto& timer : std::set<std::shared_ptr<asio::steady_timer>>(watches_)) {
+  void wake_waiting_reads() {
+    for (const auto& timer : std::set<std::shared_ptr<asio::steady_timer>>(waiting_reads_)) {
       timer->cancel();
     }
   }
@@ -126,13 +129,13 @@
       const auto& object = item.as_object();
       const auto key = std::string(object.at("key").as_string());
       const auto* value = object.if_contains("value");
-      std::optional<std::string> text;
+      std::optional<std::string> record_value;
       if (value != nullptr && value->is_string()) {
-        text = std::string(value->as_string());
+        record_value = std::string(value->as_string());
       }
-      entries_[key] = {++revision_, text};
+      entries_[key] = {++revision_, record_value};
     }
-    wake_watches();
+    wake_waiting_reads();
     co_await exchange.reply(200, counts());
   }
 
@@ -142,10 +145,10 @@
     const auto body = exchange.body();
     mode_ = modes.at(std::string(body.at("mode").as_string()));
     if (const auto* delay = body.if_contains("delay_ms")) {
-      slow_by_ = std::chrono::milliseconds(delay->as_int64());
+      slow_delay_ = std::chrono::milliseconds(delay->as_int64());
     }
-    stale_at_ = revision_;
-    wake_watches();
+    stale_revision_ = revision_;
+    wake_waiting_reads();
     co_await exchange.reply(200, json::object());
   }
 
@@ -154,7 +157,7 @@
     const auto body = exchange.body();
     revision_ = static_cast<std::uint64_t>(body.at("revision").as_int64());
     std::erase_if(entries_, [&](const auto& item) { return item.second.revision > revision_; });
-    wake_watches();
+    wake_waiting_reads();
     co_await exchange.reply(200, counts());
   }
 
@@ -163,22 +166,22 @@
   std::uint64_t revision_ = 0;
   std::uint64_t calls_ = 0;
   mode mode_ = mode::up;
-  std::uint64_t stale_at_ = 0;
-  std::chrono::milliseconds slow_by_{0};
-  std::set<std::shared_ptr<asio::steady_timer>> watches_;
+  std::uint64_t stale_revision_ = 0;
+  std::chrono::milliseconds slow_delay_{0};
+  std::set<std::shared_ptr<asio::steady_timer>> waiting_reads_;
 };
 
-int run(int argc, char** argv) {
+int run_program(int argc, char** argv) {
   cxxopts::Options options("platform_stand_in", "Stand-in of a platform service, for tests.");
   options.add_options()("listen", "IP:port", cxxopts::value<std::string>());
   spurrack::logging::add_usual_options(options);
-  const auto given = options.parse(argc, argv);
-  if (spurrack::logging::handle_usual_options(options, given)) {
+  const auto arguments = options.parse(argc, argv);
+  if (spurrack::logging::handle_usual_options(options, arguments)) {
     return 0;
   }
   asio::io_context io(1);
-  platform_stand_in platform(io);
-  spurrack::standins::serve(io, given["listen"].as<std::string>(),
+  emulated_platform_service platform(io);
+  spurrack::standins::serve(io, arguments["listen"].as<std::string>(),
                             [&](service_exchange& exchange) { return platform.handle(exchange); });
   io.run();
   return 0;
@@ -188,5 +191,5 @@
 
 int main(int argc, char** argv) {
   constexpr int exit_exception = 2;
-  return spurrack::logging::guarded_main(run, argc, argv, exit_exception);
+  return spurrack::logging::guarded_main(run_program, argc, argv, exit_exception);
 }
