--- a/tests/fleet/disturbance_test.cc
+++ b/tests/fleet/disturbance_test.cc
@@ -8,13 +8,13 @@
 
 using namespace spurrack::fleet;
 
-struct loaded_fleet {
-  loaded_fleet() : fleet(binaries(), example_fleet({"north", "south"}, 2)) {
+struct two_zone_fleet {
+  two_zone_fleet() : fleet(binaries(), example_fleet({"north", "south"}, 2)) {
     fleet.start_all_nodes();
   }
 
-  [[nodiscard]] bool sees(const std::string& node, const std::string& subject,
-                          const std::string& state) const {
+  [[nodiscard]] bool reports_state(const std::string& node, const std::string& subject,
+                                   const std::string& state) const {
     const auto document = fleet.get_document(node, "/v1/nodes");
     const auto* nodes = document.if_contains("nodes");
     if (nodes == nullptr) {
@@ -22,7 +22,7 @@
     }
     for (const auto& row : nodes->as_array()) {
       const auto& other = row.as_object();
-      if (text(other, "node") == subject && text(other, "state") == state) {
+      if (string_field(other, "node") == subject && string_field(other, "state") == state) {
         return true;
       }
     }
@@ -30,10 +30,10 @@
   }
 
   [[nodiscard]] std::string configuration_hash(const std::string& node) const {
-    return text(fleet.get_document(node, "/v1/status"), "configuration_hash");
+    return string_field(fleet.get_document(node, "/v1/status"), "configuration_hash");
   }
 
-  [[nodiscard]] bool all_agree() const {
+  [[nodiscard]] bool all_configurations_match() const {
     std::set<std::string> hashes;
     for (const auto& node : fleet.description().nodes) {
       hashes.insert(configuration_hash(node.name));
@@ -43,13 +43,14 @@
 
   /// Publishes a new deadline of the client-answer template.
   void publish_deadline(int deadline_ms) const {
-    auto text = fleet.description().records.at("templates/client-answer");
+    auto template_text = fleet.description().records.at("templates/client-answer");
     const std::string old = "deadline_ms: 3000";
-    text.replace(text.find(old), old.size(), "deadline_ms: " + std::to_string(deadline_ms));
-    fleet.publish({{"templates/client-answer", text}});
+    template_text.replace(template_text.find(old), old.size(),
+                          "deadline_ms: " + std::to_string(deadline_ms));
+    fleet.publish({{"templates/client-answer", template_text}});
   }
 
-  [[nodiscard]] bool in_force(const std::string& node, int deadline_ms) const {
+  [[nodiscard]] bool is_in_effect(const std::string& node, int deadline_ms) const {
     const auto document = fleet.get_document(node, "/v1/templates");
     const auto* templates = document.if_contains("templates");
     if (templates == nullptr) {
@@ -57,7 +58,7 @@
     }
     for (const auto& row : templates->as_array()) {
       const auto& entry = row.as_object();
-      if (text(entry, "template") == "client-answer") {
+      if (string_field(entry, "template") == "client-answer") {
         return entry.at("deadline_ms").as_int64() == deadline_ms;
       }
     }
@@ -67,7 +68,7 @@
   local_fleet fleet;
 };
 
-void require_clean(const load_totals& totals) {
+void check_no_wrong_or_unknown_outcome(const load_totals& totals) {
   BOOST_TEST(totals.wrong_answers == 0U);
   BOOST_TEST(totals.count("completed") > 0U);
   BOOST_TEST(totals.count("unknown") == 0U);
@@ -75,21 +76,22 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(disturbances, loaded_fleet)
+BOOST_FIXTURE_TEST_SUITE(disturbances, two_zone_fleet)
 
 BOOST_AUTO_TEST_CASE(a_killed_node_is_noticed_and_the_others_serve_on) {
   background_load load(fleet, {"entry-north2", "entry-south1"}, 4);
   BOOST_TEST(load.wait_for_completed(50));
   fleet.node("entry-north1").signal(SIGKILL);
-  BOOST_TEST(local_fleet::wait_until([&] { return sees("entry-north2", "entry-north1", "dead"); }));
+  BOOST_TEST(local_fleet::wait_until(
+      [&] { return reports_state("entry-north2", "entry-north1", "dead"); }));
   BOOST_TEST(load.wait_for_completed(50));
   fleet.node("entry-north1").wait();
   fleet.start_node("entry-north1");
   fleet.wait_until_ready("entry-north1");
-  BOOST_TEST(
-      local_fleet::wait_until([&] { return sees("entry-north2", "entry-north1", "alive"); }));
+  BOOST_TEST(local_fleet::wait_until(
+      [&] { return reports_state("entry-north2", "entry-north1", "alive"); }));
   const auto totals = load.stop();
-  require_clean(totals);
+  check_no_wrong_or_unknown_outcome(totals);
   BOOST_TEST(totals.broken_connections == 0U);
   BOOST_TEST(totals.count("failed") == 0U);
 }
@@ -97,12 +99,13 @@
 BOOST_AUTO_TEST_CASE(a_paused_node_wakes_up_to_date) {
   fleet.node("entry-north1").signal(SIGSTOP);
   publish_deadline(2'500);
-  BOOST_TEST(local_fleet::wait_until([&] { return in_force("entry-north2", 2'500); }));
-  BOOST_TEST(local_fleet::wait_until([&] { return sees("entry-north2", "entry-north1", "dead"); }));
+  BOOST_TEST(local_fleet::wait_until([&] { return is_in_effect("entry-north2", 2'500); }));
+  BOOST_TEST(local_fleet::wait_until(
+      [&] { return reports_state("entry-north2", "entry-north1", "dead"); }));
   fleet.node("entry-north1").signal(SIGCONT);
-  BOOST_TEST(local_fleet::wait_until([&] { return in_force("entry-north1", 2'500); }));
-  BOOST_TEST(
-      local_fleet::wait_until([&] { return sees("entry-north2", "entry-north1", "alive"); }));
+  BOOST_TEST(local_fleet::wait_until([&] { return is_in_effect("entry-north1", 2'500); }));
+  BOOST_TEST(local_fleet::wait_until(
+      [&] { return reports_state("entry-north2", "entry-north1", "alive"); }));
   const auto answer =
       fleet.send_request("entry-north1", "client-answer", agents_token, {{"input", "x"}});
   BOOST_TEST(answer.status == 200U);
@@ -118,25 +121,25 @@
   fleet.set_platform_mode("up");
   publish_deadline(2'600);
   fleet.set_link_fault(south, {{"cut", false}});
-  BOOST_TEST(local_fleet::wait_until([&] { return in_force("entry-south2", 2'600); }));
-  BOOST_TEST(local_fleet::wait_until([&] { return all_agree(); }));
+  BOOST_TEST(local_fleet::wait_until([&] { return is_in_effect("entry-south2", 2'600); }));
+  BOOST_TEST(local_fleet::wait_until([&] { return all_configurations_match(); }));
   BOOST_TEST(load.wait_for_completed(20));
   const auto totals = load.stop();
-  require_clean(totals);
+  check_no_wrong_or_unknown_outcome(totals);
   BOOST_TEST(totals.broken_connections == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(with_the_platform_down_the_last_accepted_configuration_carries_on) {
   publish_deadline(2'700);
-  BOOST_TEST(
-      local_fleet::wait_until([&] { return in_force("entry-south1", 2'700) && all_agree(); }));
+  BOOST_TEST(local_fleet::wait_until(
+      [&] { return is_in_effect("entry-south1", 2'700) && all_configurations_match(); }));
   fleet.set_platform_mode("down");
   fleet.node("entry-south1").signal(SIGKILL);
   fleet.node("entry-south1").wait();
   // A node that starts while the platform is down takes the configuration from its peers.
   fleet.start_node("entry-south1");
   fleet.wait_until_ready("entry-south1");
-  BOOST_TEST(in_force("entry-south1", 2'700));
+  BOOST_TEST(is_in_effect("entry-south1", 2'700));
   BOOST_TEST(
       fleet.send_request("entry-south1", "client-answer", agents_token, {{"input", "x"}}).status ==
       200U);
@@ -144,8 +147,8 @@
 
 BOOST_AUTO_TEST_CASE(a_restored_service_reverts_nothing) {
   publish_deadline(2'800);
-  BOOST_TEST(
-      local_fleet::wait_until([&] { return in_force("entry-north1", 2'800) && all_agree(); }));
+  BOOST_TEST(local_fleet::wait_until(
+      [&] { return is_in_effect("entry-north1", 2'800) && all_configurations_match(); }));
   const auto revision = get(fleet.platform_address(), "/admin/counts").json().at("revision");
   post(fleet.platform_address(), "/admin/restore",
        {{"revision", revision.to_number<std::int64_t>() - 1}});
@@ -153,8 +156,8 @@
   fleet.node("entry-north1").wait();
   fleet.start_node("entry-north1");
   fleet.wait_until_ready("entry-north1");
-  BOOST_TEST(in_force("entry-north1", 2'800));
-  BOOST_TEST(all_agree());
+  BOOST_TEST(is_in_effect("entry-north1", 2'800));
+  BOOST_TEST(all_configurations_match());
 }
 
 BOOST_AUTO_TEST_CASE(an_invalid_record_is_refused_alone_and_shown) {
@@ -167,9 +170,9 @@
       return !status.at("rejected").as_array().empty();
     }));
   }
-  BOOST_TEST(local_fleet::wait_until([&] { return all_agree(); }));
+  BOOST_TEST(local_fleet::wait_until([&] { return all_configurations_match(); }));
   const auto rejected = fleet.get_document("entry-south2", "/v1/status").at("rejected");
-  BOOST_TEST(text(rejected.as_array().front().as_object(), "reason").find("deadline_ms") !=
+  BOOST_TEST(string_field(rejected.as_array().front().as_object(), "reason").find("deadline_ms") !=
              std::string::npos);
   BOOST_TEST(
       fleet.send_request("entry-south2", "client-answer", agents_token, {{"input", "x"}}).status ==
@@ -183,7 +186,7 @@
   BOOST_TEST(fleet.node("entry-north1").wait() == 0);
   BOOST_TEST(load.wait_for_completed(50));
   const auto totals = load.stop();
-  require_clean(totals);
+  check_no_wrong_or_unknown_outcome(totals);
   BOOST_TEST(totals.broken_connections == 0U, totals.last_connection_error);
   BOOST_TEST(totals.count("failed") == 0U);
   for (const auto& [code, count] : totals.error_codes) {
@@ -198,7 +201,7 @@
   BOOST_TEST(load.wait_for_completed(300));
   const auto totals = load.stop();
   fleet.backend("retriever-north1").signal(SIGCONT);
-  require_clean(totals);
+  check_no_wrong_or_unknown_outcome(totals);
   BOOST_TEST(totals.count("failed") == 0U);
 }
 
@@ -206,23 +209,23 @@
   background_load load(fleet, {"entry-north1", "entry-north2"}, 6);
   BOOST_TEST(load.wait_for_completed(100));
   fleet.publish_backend("engine-north1", "leaving", 1);
-  const auto left_alone = [&] {
+  const auto has_drained = [&] {
     const auto document = fleet.get_document("entry-north2", "/v1/backends");
     for (const auto& row : document.at("backends").as_array()) {
       const auto& entry = row.as_object();
-      if (text(entry, "backend") == "engine-north1") {
+      if (string_field(entry, "backend") == "engine-north1") {
         return entry.at("leaving").as_bool() && entry.at("in_flight").as_int64() == 0;
       }
     }
     return false;
   };
-  BOOST_TEST(local_fleet::wait_until(left_alone));
+  BOOST_TEST(local_fleet::wait_until(has_drained));
   BOOST_TEST(load.wait_for_completed(20));
-  const auto settled = fleet.executions("engine-north1");
+  const auto executions_after_drain = fleet.executions("engine-north1");
   BOOST_TEST(load.wait_for_completed(200));
-  BOOST_TEST(fleet.executions("engine-north1") == settled);
+  BOOST_TEST(fleet.executions("engine-north1") == executions_after_drain);
   const auto totals = load.stop();
-  require_clean(totals);
+  check_no_wrong_or_unknown_outcome(totals);
   BOOST_TEST(totals.count("failed") == 0U);
 }
 
@@ -230,30 +233,30 @@
   fleet.set_backend_fault("engine-north1", "leaving");
   background_load load(fleet, {"entry-north1"}, 2);
   BOOST_TEST(load.wait_for_completed(50));
-  const auto known = [&] {
+  const auto is_reported_leaving = [&] {
     const auto document = fleet.get_document("entry-south2", "/v1/backends");
     for (const auto& row : document.at("backends").as_array()) {
       const auto& entry = row.as_object();
-      if (text(entry, "backend") == "engine-north1") {
+      if (string_field(entry, "backend") == "engine-north1") {
         return entry.at("leaving").as_bool();
       }
     }
     return false;
   };
-  BOOST_TEST(local_fleet::wait_until(known));
-  require_clean(load.stop());
+  BOOST_TEST(local_fleet::wait_until(is_reported_leaving));
+  check_no_wrong_or_unknown_outcome(load.stop());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(peer_keys)
 
-BOOST_AUTO_TEST_CASE(nodes_with_another_key_are_not_heard) {
+BOOST_AUTO_TEST_CASE(nodes_with_different_keys_do_not_see_each_other_alive) {
   const auto with_keys = [](const std::string& public_key, const std::string& secret_key) {
-    auto wanted = small_fleet();
-    wanted.extra_settings =
+    auto description = small_fleet();
+    description.extra_settings =
         "curve:\n  public_key: '" + public_key + "'\n  secret_key: '" + secret_key + "'\n";
-    return wanted;
+    return description;
   };
   // The key pairs of ZeroMQ's own examples; never used outside tests.
   const std::string first_public = "rq:rM>}U?@Lns47E1%kR.o@n%FcmmsL/@{H8]yf7";
@@ -263,8 +266,8 @@
   const auto alive = [&](const std::string& node, const std::string& other) {
     const auto document = fleet.get_document(node, "/v1/nodes");
     for (const auto& row : document.at("nodes").as_array()) {
-      if (text(row.as_object(), "node") == other) {
-        return text(row.as_object(), "state") == "alive";
+      if (string_field(row.as_object(), "node") == other) {
+        return string_field(row.as_object(), "state") == "alive";
       }
     }
     return false;
@@ -284,20 +287,21 @@
     return std::stod(body.substr(body.find(name) + name.size()));
   };
   // Several probes have been sent; none was heard.
-  constexpr double several_probes = 600;
-  bool heard = false;
+  constexpr double several_probes_bytes = 600;
+  bool seen_alive = false;
   BOOST_TEST(local_fleet::wait_until([&] {
-    heard = heard || alive("entry-north1", "entry-north2") || alive("entry-north2", "entry-north1");
-    return sent_bytes() >= several_probes;
+    seen_alive = seen_alive || alive("entry-north1", "entry-north2") ||
+                 alive("entry-north2", "entry-north1");
+    return sent_bytes() >= several_probes_bytes;
   }));
-  BOOST_TEST(!heard);
+  BOOST_TEST(!seen_alive);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(platform_at_start)
 
-BOOST_AUTO_TEST_CASE(a_fleet_that_starts_without_the_platform_waits_and_then_serves) {
+BOOST_AUTO_TEST_CASE(node_started_without_platform_serves_after_the_platform_recovers) {
   local_fleet fleet(binaries(), small_fleet());
   fleet.set_platform_mode("down");
   fleet.start_node("entry-north1");
@@ -306,8 +310,8 @@
   const auto refused =
       fleet.send_request("entry-north1", "client-answer", agents_token, {{"input", "x"}});
   BOOST_TEST(refused.status == 503U);
-  BOOST_TEST(text(refused.json(), "outcome") == "not_run");
-  BOOST_TEST(text(refused.json(), "code") == "node_not_ready");
+  BOOST_TEST(string_field(refused.json(), "outcome") == "not_run");
+  BOOST_TEST(string_field(refused.json(), "code") == "node_not_ready");
   fleet.set_platform_mode("up");
   fleet.wait_until_ready("entry-north1");
   BOOST_TEST(
--- a/tests/fleet/effects_test.cc
+++ b/tests/fleet/effects_test.cc
@@ -15,9 +15,9 @@
     fleet.wait_until_all_may_witness();
   }
   static fleet_description describe() {
-    auto wanted = example_fleet({"north", "south", "west"}, 1);
-    wanted.key_lifetime_ms = 3'000;
-    return wanted;
+    auto description = example_fleet({"north", "south", "west"}, 1);
+    description.key_lifetime_ms = 3'000;
+    return description;
   }
   [[nodiscard]] std::int64_t payouts() const { return fleet.executions_in_pool("payouts"); }
 
@@ -28,18 +28,18 @@
 
 BOOST_FIXTURE_TEST_SUITE(effects, payout_fleet)
 
-BOOST_AUTO_TEST_CASE(same_key_to_the_same_and_to_another_node_runs_once) {
+BOOST_AUTO_TEST_CASE(same_key_sent_to_several_nodes_runs_once) {
   const auto first = pay(fleet, "entry-north1", "k1");
-  BOOST_TEST(text(first, "outcome") == "completed");
+  BOOST_TEST(string_field(first, "outcome") == "completed");
   for (const auto* node : {"entry-north1", "entry-south1", "entry-west1"}) {
-    const auto again = pay(fleet, node, "k1");
-    BOOST_TEST(text(again, "outcome") == "completed");
-    BOOST_TEST(text(again, "request_id") == text(first, "request_id"));
+    const auto repeated = pay(fleet, node, "k1");
+    BOOST_TEST(string_field(repeated, "outcome") == "completed");
+    BOOST_TEST(string_field(repeated, "request_id") == string_field(first, "request_id"));
   }
   BOOST_TEST(payouts() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(same_key_at_the_same_time_runs_once) {
+BOOST_AUTO_TEST_CASE(same_key_sent_concurrently_runs_once) {
   std::vector<std::future<boost::json::object>> answers;
   for (int round = 0; round < 3; ++round) {
     for (const auto* node : {"entry-north1", "entry-south1", "entry-west1"}) {
@@ -49,47 +49,47 @@
   }
   int completed = 0;
   for (auto& answer : answers) {
-    completed += text(answer.get(), "outcome") == "completed" ? 1 : 0;
+    completed += string_field(answer.get(), "outcome") == "completed" ? 1 : 0;
   }
   BOOST_TEST(payouts() <= 1);
   BOOST_TEST((payouts() == 1 || completed == 0));
 }
 
 BOOST_AUTO_TEST_CASE(after_the_death_of_the_owner_the_answer_is_unknown) {
-  BOOST_TEST(text(pay(fleet, "entry-north1", "k3"), "outcome") == "completed");
+  BOOST_TEST(string_field(pay(fleet, "entry-north1", "k3"), "outcome") == "completed");
   fleet.node("entry-north1").signal(SIGKILL);
-  const auto again = pay(fleet, "entry-south1", "k3", 500);
-  BOOST_TEST(text(again, "outcome") == "unknown");
+  const auto repeated = pay(fleet, "entry-south1", "k3", 500);
+  BOOST_TEST(string_field(repeated, "outcome") == "unknown");
   BOOST_TEST(payouts() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_node_paused_with_a_waiting_request_does_not_run_it_late) {
   fleet.node("entry-north1").signal(SIGSTOP);
-  auto stuck =
+  auto paused_answer =
       std::async(std::launch::async, [this] { return pay(fleet, "entry-north1", "k4", 300); });
-  const auto elsewhere = pay(fleet, "entry-south1", "k4");
-  BOOST_TEST(text(elsewhere, "outcome") == "completed");
+  const auto other_answer = pay(fleet, "entry-south1", "k4");
+  BOOST_TEST(string_field(other_answer, "outcome") == "completed");
   // The record of the key ends; only the age of the waiting request can stop the paused node now.
   BOOST_TEST(local_fleet::wait_until(
       [&, until = std::chrono::steady_clock::now() + std::chrono::milliseconds(3'500)] {
         return std::chrono::steady_clock::now() >= until;
       }));
   fleet.node("entry-north1").signal(SIGCONT);
-  const auto late = stuck.get();
-  BOOST_TEST(text(late, "outcome") == "unknown");
-  BOOST_TEST(text(late, "code") == "deadline_passed");
+  const auto late = paused_answer.get();
+  BOOST_TEST(string_field(late, "outcome") == "unknown");
+  BOOST_TEST(string_field(late, "code") == "deadline_passed");
   BOOST_TEST(payouts() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(connections_lost_around_the_send) {
+BOOST_AUTO_TEST_CASE(payout_outcome_for_each_back_end_fault) {
   struct row {
     const char* fault;
     const char* outcome;
-    std::int64_t runs;
+    std::int64_t executions;
   };
   // Before the send nothing is lost: the call goes elsewhere. During and after it, nobody knows.
   int number = 0;
-  for (const auto& [fault, outcome, runs] :
+  for (const auto& [fault, outcome, executions] :
        {row{"reset_early", "unknown", 0}, row{"reset", "unknown", 1}, row{"truncate", "unknown", 1},
         row{"crossed", "unknown", 1}, row{"hang", "unknown", 1}, row{"leaving", "completed", 1}}) {
     const auto before = payouts();
@@ -101,25 +101,25 @@
     const auto key = "lost" + std::to_string(++number);
     const auto answer = pay(fleet, "entry-north1", key, 600);
     BOOST_TEST_CONTEXT(fault) {
-      BOOST_TEST(text(answer, "outcome") == outcome);
-      BOOST_TEST(payouts() - before == runs);
-      const auto again = pay(fleet, "entry-south1", key, 600);
-      BOOST_TEST(text(again, "outcome") == outcome);
-      BOOST_TEST(payouts() - before == runs);
+      BOOST_TEST(string_field(answer, "outcome") == outcome);
+      BOOST_TEST(payouts() - before == executions);
+      const auto repeated = pay(fleet, "entry-south1", key, 600);
+      BOOST_TEST(string_field(repeated, "outcome") == outcome);
+      BOOST_TEST(payouts() - before == executions);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_connection_was_not_run_and_goes_elsewhere) {
-  auto wanted = describe();
+BOOST_AUTO_TEST_CASE(refused_connection_is_retried_at_another_back_end) {
+  auto description = describe();
   // The proxy would accept the connection; without it the kernel refuses it.
-  wanted.uses_proxy = false;
-  local_fleet direct(binaries(), wanted);
+  description.uses_proxy = false;
+  local_fleet direct(binaries(), description);
   direct.start_all_nodes();
   direct.wait_until_all_may_witness();
   direct.backend("payout-north").signal(SIGKILL);
   direct.backend("payout-north").wait();
-  BOOST_TEST(text(pay(direct, "entry-north1", "k6"), "outcome") == "completed");
+  BOOST_TEST(string_field(pay(direct, "entry-north1", "k6"), "outcome") == "completed");
   BOOST_TEST(direct.executions("payout-south") + direct.executions("payout-west") == 1);
 }
 
@@ -127,9 +127,9 @@
   fleet.set_link_fault({"entry-north1"}, {{"black_hole", true}});
   fleet.set_link_fault({"entry-south1", "entry-west1"}, {{"delay_ms", 1}});
   const auto majority = pay(fleet, "entry-south1", "k7", 2'000);
-  BOOST_TEST(text(majority, "outcome") == "completed");
+  BOOST_TEST(string_field(majority, "outcome") == "completed");
   const auto minority = pay(fleet, "entry-north1", "k7", 2'000);
-  BOOST_TEST(text(minority, "outcome") == "unknown");
+  BOOST_TEST(string_field(minority, "outcome") == "unknown");
   BOOST_TEST(payouts() == 1);
   const auto ticket = fleet.request_ticket("entry-north1", agents_token);
   const auto redeem = [&] {
@@ -138,8 +138,8 @@
                       {{"input", "by ticket"}}, {{"Spurrack-Ticket", ticket}})
         .json();
   };
-  BOOST_TEST(text(redeem(), "outcome") == "completed");
-  BOOST_TEST(text(redeem(), "outcome") == "completed");
+  BOOST_TEST(string_field(redeem(), "outcome") == "completed");
+  BOOST_TEST(string_field(redeem(), "outcome") == "completed");
   BOOST_TEST(payouts() == 2);
 }
 
@@ -156,7 +156,7 @@
                                           {{"input", "old ticket"}, {"deadline_ms", 800}},
                                           {{"Spurrack-Ticket", ticket}})
                             .json();
-    BOOST_TEST(text(answer, "outcome") == "unknown");
+    BOOST_TEST(string_field(answer, "outcome") == "unknown");
   }
   BOOST_TEST(payouts() == 0);
 }
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -15,7 +15,7 @@
   return SPURRACK_BINARIES;
 }
 
-inline std::string text(const boost::json::object& body, const char* name) {
+inline std::string string_field(const boost::json::object& body, const char* name) {
   const auto* value = body.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : "";
 }
@@ -23,7 +23,7 @@
 /// One zone with two nodes and a single back end of each pool, so that faults hit for sure.
 inline fleet_description small_fleet() {
   auto fleet = example_fleet({"north"}, 2);
-  std::erase_if(fleet.backends, [](const auto& wanted) { return wanted.name.ends_with("2"); });
+  std::erase_if(fleet.backends, [](const auto& backend) { return backend.name.ends_with("2"); });
   return fleet;
 }
 
--- a/tests/fleet/golden_test.cc
+++ b/tests/fleet/golden_test.cc
@@ -40,21 +40,22 @@
 }
 
 /// Sends bytes, and notes both directions.
-std::string transact(const local_fleet& fleet, const std::string& bytes, std::ostream& session) {
+std::string exchange_and_log(const local_fleet& fleet, const std::string& bytes,
+                             std::ostream& session) {
   auto answer = exchange_raw(fleet.addresses("entry-north1").callers, bytes,
                              std::chrono::milliseconds(10'000));
   session << ">>> caller\n" << bytes << "\n<<< spurrackd\n" << answer << "\n";
   return answer;
 }
 
-std::string timeline_of(const local_fleet& fleet) {
+std::string format_timeline(const local_fleet& fleet) {
   std::ostringstream lines;
   const auto document = fleet.get_document("entry-north1", "/v1/timeline");
   for (const auto& item : document.at("events").as_array()) {
     const auto& event = item.as_object();
-    if (!text(event, "request_id").empty()) {
-      lines << text(event, "event") << " " << text(event, "request_id") << " "
-            << text(event, "subject") << " " << text(event, "detail") << "\n";
+    if (!string_field(event, "request_id").empty()) {
+      lines << string_field(event, "event") << " " << string_field(event, "request_id") << " "
+            << string_field(event, "subject") << " " << string_field(event, "detail") << "\n";
     }
   }
   return lines.str();
@@ -68,17 +69,18 @@
   for (const auto& step : steps) {
     std::string extra;
     if (step.once) {
-      const auto issued = transact(fleet, request_bytes("/v1/tickets", token, "", ""), session);
+      const auto issued =
+          exchange_and_log(fleet, request_bytes("/v1/tickets", token, "", ""), session);
       const auto body = boost::json::parse(issued.substr(issued.find("\r\n\r\n") + 4)).as_object();
-      extra = "Spurrack-Ticket: " + text(body, "ticket") + "\r\n";
+      extra = "Spurrack-Ticket: " + string_field(body, "ticket") + "\r\n";
     }
     const boost::json::object body{{"input", step.input}, {"stream", step.stream}};
-    transact(
+    exchange_and_log(
         fleet,
         request_bytes("/v1/pipelines/" + step.pipeline, token, extra, boost::json::serialize(body)),
         session);
   }
-  session << "--- time line\n" << timeline_of(fleet);
+  session << "--- time line\n" << format_timeline(fleet);
   const auto path = std::string(SPURRACK_SOURCE) + "/tests/fleet/" + name + ".golden.txt";
   const auto actual = normalise(session.str());
   if (std::getenv("SPURRACK_UPDATE_GOLDEN") != nullptr) {
@@ -113,7 +115,7 @@
 
 BOOST_AUTO_TEST_SUITE(command_line_tool)
 
-BOOST_AUTO_TEST_CASE(exit_codes_say_what_is_the_matter) {
+BOOST_AUTO_TEST_CASE(exit_codes_distinguish_failures) {
   local_fleet fleet(binaries(), example_fleet({"north"}, 1));
   fleet.start_all_nodes();
   const auto& operators = fleet.addresses("entry-north1").operators;
