--- a/tools/capacity.cc
+++ b/tools/capacity.cc
@@ -1,5 +1,6 @@
-/// Measures what control costs a node: fleets of hollow nodes in one process, in virtual time. Each
-/// measurement runs in a process of its own, so that memory can be told apart.
+/// Measures the cost of the control plane per node, on simulated nodes without requests that run in
+/// one process and in virtual time. Each measurement runs in a separate process, so that the memory
+/// of one measurement does not count towards another.
 #include "logging/guarded_main.h"
 #include "logging/usual_options.h"
 #include "simulation/fleet_simulation.h"
@@ -19,6 +20,7 @@
 using namespace spurrack;
 using std::chrono::seconds;
 
+/// @return processor time that this process has used, in seconds.
 double processor_seconds() {
   timespec cpu_time{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &cpu_time);
@@ -26,6 +28,7 @@
   return static_cast<double>(cpu_time.tv_sec) + static_cast<double>(cpu_time.tv_nsec) * nano;
 }
 
+/// @return resident memory of this process in MB.
 double resident_megabytes() {
   std::ifstream file("/proc/self/statm");
   double total = 0;
@@ -35,12 +38,14 @@
   return resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / megabyte;
 }
 
+/// Size of the simulated fleet. Nodes of other zones are listed but not simulated.
 struct fleet_size {
   int nodes = 8;
   int other_zones = 0;
   int other_nodes = 0;
   int replicas = 0;
   int tenants = 5;
+  /// Number of published configuration changes over which the cost of a change is averaged.
   int changes = 20;
 };
 
@@ -82,6 +87,7 @@
   return settings;
 }
 
+/// @return whether all nodes have applied `revision` of the record `key`.
 bool all_nodes_have(const simulation::fleet_simulation& fleet, const std::string& key,
                     base::revision revision) {
   for (const auto& name : fleet.node_names()) {
@@ -92,6 +98,7 @@
   return true;
 }
 
+/// Measures start, idle operation and configuration changes, and prints the results as a table row.
 void measure(const fleet_size& size) {
   simulation::fleet_simulation fleet(make_settings(size));
   const auto memory_before_mb = resident_megabytes();
@@ -146,13 +153,13 @@
 }
 
 int run_program(int argc, char** argv) {
-  cxxopts::Options options("capacity", "Costs of control, measured on hollow nodes.");
+  cxxopts::Options options("capacity", "Control-plane cost of simulated nodes without requests.");
   fleet_size size;
-  options.add_options()("nodes", "nodes of the zone", cxxopts::value<int>(size.nodes))(
-      "other-zones", "zones beside it", cxxopts::value<int>(size.other_zones))(
-      "other-nodes", "listed nodes of the other zones", cxxopts::value<int>(size.other_nodes))(
+  options.add_options()("nodes", "simulated nodes of one zone", cxxopts::value<int>(size.nodes))(
+      "other-zones", "further zones", cxxopts::value<int>(size.other_zones))(
+      "other-nodes", "listed nodes of the further zones", cxxopts::value<int>(size.other_nodes))(
       "replicas", "listed back ends", cxxopts::value<int>(size.replicas))(
-      "tenants", "tenants", cxxopts::value<int>(size.tenants))("header", "print the table's head");
+      "tenants", "tenants", cxxopts::value<int>(size.tenants))("header", "print the table header");
   spurrack::logging::add_usual_options(options);
   const auto arguments = options.parse(argc, argv);
   if (spurrack::logging::handle_usual_options(options, arguments)) {
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -1,5 +1,6 @@
-/// The demo: a small fleet of both users on this machine, real requests, the answers, the cost by
-/// stage and the time line of one request. Exits non-zero if any answer is wrong.
+/// Demo: starts a small fleet of real processes on this machine, sends requests of both users of
+/// the project, and prints the answers, the cost by stage and the timeline of one request. Exits
+/// with a non-zero code if an answer is wrong or a node does not stop with code 0.
 #include "fleet/example_records.h"
 #include "logging/guarded_main.h"
 #include "logging/usual_options.h"
@@ -19,6 +20,7 @@
   std::string input;
   std::string expected_stage;
   std::string expected_output;
+  /// Whether the request is sent with a ticket, so that it runs at most once.
   bool once = false;
 };
 
@@ -27,7 +29,8 @@
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : "";
 }
 
-/// @return the request's id where the answer is right; empty otherwise.
+/// Sends a request and prints its answer.
+/// @return the request's id if the answer is right; empty otherwise.
 std::string run_request(const local_fleet& fleet, const demo_request& request) {
   std::map<std::string, std::string> headers;
   if (request.once) {
@@ -59,6 +62,8 @@
   return string_field(body, "request_id");
 }
 
+/// Prints the timeline of a request by `spurrackctl explain`.
+/// @return the exit code of spurrackctl.
 int show_timeline(const local_fleet& fleet, const std::filesystem::path& binaries,
                   const std::string& request) {
   std::string nodes;
--- a/tools/experiment.cc
+++ b/tools/experiment.cc
@@ -1,4 +1,5 @@
-/// Runs all load scenarios with all policies and writes a report with plots.
+/// Runs each load scenario with each policy on simulated fleets, and writes a report and the input
+/// of plots.
 #include "load_scenario.h"
 
 #include "logging/guarded_main.h"
@@ -19,6 +20,7 @@
 
 using namespace spurrack::experiment;
 
+/// Scenario and policy for a user's fleet, with the result of each seed.
 struct experiment_case {
   user_profile user;
   scenario load_scenario;
@@ -26,7 +28,10 @@
   std::vector<measurement> runs;
 };
 
-/// Mean and largest distance from it over the runs.
+/// Formats a field of the measurements as `mean ±deviation`, with the largest deviation of a run
+/// from the mean.
+/// @param scale factor applied to both values, such as 100 for percent.
+/// @param digits number of decimal places.
 std::string format_mean_and_deviation(const std::vector<measurement>& runs,
                                       double measurement::*field, double scale, int digits) {
   double mean = 0;
@@ -64,7 +69,8 @@
   }
 }
 
-/// One plot a user: goodput by scenario and policy, drawn by gnuplot where the caller runs it.
+/// Writes the data and the gnuplot script of a user's plot: goodput by scenario and policy. The
+/// caller runs gnuplot in `folder`.
 void write_plot(const std::vector<experiment_case>& cases, const std::string& user,
                 const std::filesystem::path& folder) {
   std::ofstream data(folder / (user + ".dat"));
@@ -98,11 +104,13 @@
 
 int run_program(int argc, char** argv) {
   cxxopts::Options options("experiment", "Compares policies on simulated fleets.");
-  options.add_options()("out", "folder of the report",
+  options.add_options()("out", "folder that the report is written to",
                         cxxopts::value<std::string>()->default_value("report"))(
-      "seeds", "runs of each", cxxopts::value<unsigned>()->default_value("3"))(
-      "only", "scenarios whose name holds this", cxxopts::value<std::string>()->default_value(""))(
-      "threads", "at the same time", cxxopts::value<unsigned>()->default_value("6"));
+      "seeds", "number of runs of each case, with different seeds",
+      cxxopts::value<unsigned>()->default_value("3"))(
+      "only", "run only the scenarios whose name contains this text",
+      cxxopts::value<std::string>()->default_value(""))(
+      "threads", "number of runs in parallel", cxxopts::value<unsigned>()->default_value("6"));
   spurrack::logging::add_usual_options(options);
   const auto arguments = options.parse(argc, argv);
   if (spurrack::logging::handle_usual_options(options, arguments)) {
--- a/tools/fleet/background_load.h
+++ b/tools/fleet/background_load.h
@@ -1,5 +1,5 @@
-/// Callers that send requests over and over from threads of their own while a test disturbs the
-/// fleet.
+/// Load generator that keeps sending requests from background threads while a test injects faults
+/// into the fleet.
 #pragma once
 
 #include "local_fleet.h"
@@ -13,16 +13,20 @@
 
 namespace spurrack::fleet {
 
-/// What became of the requests so far.
+/// Counts of the requests sent by a `background_load`, by result.
 struct load_totals {
+  /// Number of answers by `outcome` field.
   std::map<std::string, std::uint64_t> outcomes;
+  /// Number of answers that are not completed, by `code` field.
   std::map<std::string, std::uint64_t> error_codes;
-  /// Completed answers that are not the right one for their request.
+  /// Number of completed answers whose output does not match their request.
   std::uint64_t wrong_answers = 0;
-  /// Connections that ended after the request was sent, without an answer.
+  /// Number of requests whose connection failed before the answer was received, without refused
+  /// connections.
   std::uint64_t broken_connections = 0;
-  /// Input of the last cut request and the error of its connection.
+  /// Input of the last request without an answer, and the error of its connection.
   std::string last_connection_error;
+  /// Number of answers received.
   std::uint64_t answered = 0;
 
   [[nodiscard]] std::uint64_t count(const std::string& outcome) const {
@@ -31,19 +35,24 @@
   }
 };
 
-/// Sends `client-answer` requests with inputs of their own and checks each answer.
+/// Sends `client-answer` requests with distinct inputs and checks each answer. Sending starts at
+/// construction and ends with `stop` or destruction. Public members are thread-safe, except `stop`.
 class background_load {
  public:
-  /// @param nodes where to send, in turn; a refused connection goes to the next one.
+  /// @param nodes names of the nodes to which each thread sends in turn. A refused connection is
+  /// not
+  ///        counted; the thread continues with its next request at the next node.
+  /// @param threads number of concurrent callers.
   background_load(const local_fleet& fleet, std::vector<std::string> nodes, unsigned threads);
   ~background_load();
   background_load(const background_load&) = delete;
   background_load& operator=(const background_load&) = delete;
 
-  /// Stops sending and waits for the last answers.
+  /// Stops sending and waits for the answers that are pending.
   load_totals stop();
   [[nodiscard]] load_totals totals() const;
-  /// Waits until that many more requests were completed.
+  /// Waits until `additional` further requests have completed.
+  /// @return false on timeout.
   bool wait_for_completed(std::uint64_t additional) const;
 
  private:
@@ -58,7 +67,7 @@
   std::vector<std::thread> threads_;
 };
 
-/// @return what `client-answer` must give for an input.
+/// @return output that the `generate` stage of `client-answer` must have for an input.
 std::string expected_client_answer(const std::string& input);
 
 } // namespace spurrack::fleet
--- a/tools/fleet/child_process.h
+++ b/tools/fleet/child_process.h
@@ -1,4 +1,4 @@
-/// Processes started by tests and the demo; each is ended by its id when its object goes.
+/// Child processes of tests and of the demo. The destructor of a `child_process` kills its process.
 #pragma once
 
 #include <filesystem>
@@ -8,27 +8,30 @@
 
 namespace spurrack::fleet {
 
-/// Where a child's standard output goes.
+/// Destination of a child's standard output: that of the parent, or the child's log file.
 enum class output { inherited, to_log };
 
-/// One child process. Its standard error goes to a file.
+/// Child process whose standard error is appended to a log file. Not thread-safe.
 class child_process {
  public:
-  /// @throws std::system_error where it cannot be started.
+  /// @throws std::system_error if the process cannot be started.
   child_process(const std::filesystem::path& program, const std::vector<std::string>& arguments,
                 const std::filesystem::path& log, output stdout_target = output::inherited);
+  /// Kills the process if it has not exited, and reaps it.
   ~child_process();
   child_process(const child_process&) = delete;
   child_process& operator=(const child_process&) = delete;
 
+  /// Sends a signal. Does nothing if the process has been reaped.
   void signal(int signal_number) const;
-  /// Waits for the end. @return the exit code; 128 + signal where a signal ended it.
+  /// Waits for the process to exit.
+  /// @return the exit code; 128 + signal number if a signal terminated the process.
   int wait();
   [[nodiscard]] bool is_running();
   [[nodiscard]] int id() const { return id_; }
   /// @return resident memory in bytes.
   [[nodiscard]] std::size_t resident_bytes() const;
-  /// @return processor seconds used so far.
+  /// @return processor time that the process has used, in seconds.
   [[nodiscard]] double processor_seconds() const;
 
  private:
@@ -37,10 +40,10 @@
   int exit_code_ = 0;
 };
 
-/// @return a TCP port on 127.0.0.1 that was free a moment ago, below the range the kernel hands
-/// out.
+/// Finds a free TCP port on 127.0.0.1, below the range from which the kernel assigns ports. The
+/// port is not reserved.
 unsigned find_free_port();
-/// @return `127.0.0.1:PORT` of a free port.
+/// @return `127.0.0.1:PORT` with a port of `find_free_port`.
 std::string find_free_address();
 
 } // namespace spurrack::fleet
--- a/tools/fleet/example_records.h
+++ b/tools/fleet/example_records.h
@@ -1,15 +1,19 @@
-/// Example templates, tenants and back ends of the two users, for the demo, tests and measurements.
+/// Example templates, tenants and back ends of the two users of the project, a remittance house and
+/// a cold-chain association, for the demo, tests and measurements.
 #pragma once
 
 #include "local_fleet.h"
 
 namespace spurrack::fleet {
 
-/// Tokens of the example tenants.
+/// Access tokens of the example tenants: the agents of the remittance house and the members of the
+/// cold-chain association.
 inline constexpr const char* agents_token = "agents-secret";
 inline constexpr const char* members_token = "members-secret";
 
-/// @return a fleet with the given zones, nodes a zone and two back ends of each pool a zone.
+/// @return a fleet whose zones each have `nodes_per_zone` nodes, two back ends of each stage pool
+/// and
+///         one payout service.
 fleet_description example_fleet(const std::vector<std::string>& zones, int nodes_per_zone);
 
 } // namespace spurrack::fleet
--- a/tools/fleet/http_client.cc
+++ b/tools/fleet/http_client.cc
@@ -16,7 +16,8 @@
 namespace beast = boost::beast;
 namespace beast_http = boost::beast::http;
 
-/// Runs one asynchronous step to its end; the stream's own timer bounds it.
+/// Runs an asynchronous operation until it completes; the timeout of the stream limits its
+/// duration.
 template <typename start_function>
 boost::system::error_code run_step(asio::io_context& io, start_function start) {
   boost::system::error_code result;
--- a/tools/fleet/http_client.h
+++ b/tools/fleet/http_client.h
@@ -1,4 +1,4 @@
-/// Blocking HTTP client for tests, the demo and the command-line tool.
+/// Blocking HTTP client of the tests, the demo and the command-line tool.
 #pragma once
 
 #include <boost/json.hpp>
@@ -10,34 +10,38 @@
 
 namespace spurrack::fleet {
 
-/// Answer of a server. `status` 0 means there was none: `error` says why.
+/// Answer of a server. `status` is 0 if no answer was received; `error` then holds the reason.
 struct http_answer {
   unsigned status = 0;
   std::string body;
   std::string error;
   std::map<std::string, std::string> headers;
 
-  /// @return the body as an object; empty where it is not one.
+  /// @return the body as a JSON object; empty if the body is not a JSON object.
   [[nodiscard]] boost::json::object json() const;
 };
 
+/// Parameters of an HTTP call.
 struct http_call {
+  /// `IP:port` of the server.
   std::string address;
   std::string method = "GET";
   std::string target;
   std::map<std::string, std::string> headers;
   std::string body;
+  /// Limit of the whole call, from the connect to the end of the answer.
   std::chrono::milliseconds timeout{10'000};
 };
 
-/// Makes one call on a connection of its own.
+/// Makes a call on a new connection, which is closed after the call.
 http_answer call(const http_call& parameters);
-/// GET with the default timeout.
+/// Makes a GET call with the default timeout.
 http_answer get(const std::string& address, const std::string& target);
-/// POST of a JSON document with the default timeout.
+/// Makes a POST call with a JSON document as its body and the default timeout.
 http_answer post(const std::string& address, const std::string& target,
                  const boost::json::object& body);
-/// Sends bytes as they are and returns all that comes back until the other side closes.
+/// Sends bytes unchanged on a new connection.
+/// @return all bytes received until the server closes the connection or the timeout ends.
 std::string exchange_raw(const std::string& address, const std::string& bytes,
                          std::chrono::milliseconds timeout);
 
--- a/tools/fleet/local_fleet.h
+++ b/tools/fleet/local_fleet.h
@@ -1,5 +1,5 @@
-/// A fleet of real processes on this machine: platform, back ends, nodes, and a fault proxy before
-/// every node's peer listener and every back end.
+/// Fleet of real processes on this machine: an emulated platform, emulated back ends, nodes, and a
+/// fault proxy in front of the peer listener of each node and in front of each back end.
 #pragma once
 
 #include "child_process.h"
@@ -16,67 +16,81 @@
 
 namespace spurrack::fleet {
 
-/// One node to start.
+/// Node to start.
 struct node_description {
   std::string name;
   std::string zone;
 };
 
-/// One back end to start.
+/// Emulated back end to start.
 struct backend_description {
   std::string name;
   std::string zone;
   std::string pool;
   int concurrency = 8;
+  /// Time of a call, without the time for generated tokens.
   int service_microseconds = 1'000;
+  /// Time of a generated token.
   int token_microseconds = 500;
+  /// Maximum number of calls in flight; the back end refuses further calls.
   int max_in_flight = 64;
 };
 
 struct fleet_description {
   std::vector<node_description> nodes;
   std::vector<backend_description> backends;
-  /// Key and YAML value of each record published at the start.
+  /// Key and YAML value of each record that is published at the start.
   std::map<std::string, std::string> records;
-  /// Life of idempotency keys; witnesses grant only after it.
+  /// Lifetime of idempotency keys. A witness grants keys only after it has been up for this time.
   int key_lifetime_ms = 1'000;
+  /// Setting `list_window_ms` of the nodes.
   int list_window_ms = 3'600'000;
-  /// Further lines of every node's settings.
+  /// YAML lines that are appended to the settings of each node.
   std::string extra_settings;
+  /// Whether connections to nodes' peer listeners and to back ends pass through the fault proxy.
   bool uses_proxy = true;
 };
 
-/// Where a running node listens.
+/// Addresses (`IP:port`) of a node's listeners.
 struct node_addresses {
   std::string callers;
   std::string operators;
   std::string peers;
+  /// Address at which peers connect: that of the fault proxy, or `peers` without the proxy.
   std::string peers_advertised;
 };
 
-/// Owns all processes. Waits are on events, bounded by `wait_timeout`.
+/// Starts and owns the processes of the fleet. Waits end as soon as their condition holds, at the
+/// latest after `wait_timeout`. Members that wait for a condition throw std::runtime_error on
+/// timeout, except `wait_until`.
 class local_fleet {
  public:
   static constexpr std::chrono::seconds wait_timeout{30};
 
-  /// Starts the stand-ins and publishes; nodes are started by `start_node` or `start_all_nodes`.
-  /// @param binaries folder with the programs.
+  /// Starts the emulated platform, the back ends and the fault proxy, and publishes the records.
+  /// Nodes are started by `start_node` or `start_all_nodes`.
+  /// @param binaries folder that contains the programs.
   local_fleet(std::filesystem::path binaries, fleet_description description);
   ~local_fleet();
 
+  /// Starts all nodes and waits until they are ready.
   void start_all_nodes();
+  /// Starts a node, or restarts a node that has been stopped, without waiting for it.
   void start_node(const std::string& name);
-  /// Further settings lines for nodes started from now on.
+  /// Sets the YAML lines that are appended to the settings of nodes that are started after this
+  /// call.
   void set_extra_settings(const std::string& lines) { description_.extra_settings = lines; }
-  /// Waits until a node takes requests.
+  /// Waits until a node is ready to accept requests.
   void wait_until_ready(const std::string& name);
-  /// Waits until all nodes may witness keys.
+  /// Waits until all nodes may grant idempotency keys as witnesses.
   void wait_until_all_may_witness();
-  /// Waits for a condition. @return whether it came in time.
+  /// Polls a condition until it holds.
+  /// @return false on timeout.
   static bool wait_until(const std::function<bool()>& condition);
 
   [[nodiscard]] child_process& node(const std::string& name) { return *nodes_.at(name); }
   [[nodiscard]] child_process& backend(const std::string& name) { return *backends_.at(name); }
+  /// Kills a node's process and drops it.
   void remove_node(const std::string& name) { nodes_.erase(name); }
   [[nodiscard]] const node_addresses& addresses(const std::string& name) const {
     return node_addresses_.at(name);
@@ -86,28 +100,35 @@
   }
   [[nodiscard]] const std::string& platform_address() const { return platform_address_; }
 
-  /// Publishes records; an absent value deletes.
+  /// Publishes records at the emulated platform; std::nullopt deletes a record.
   void publish(const std::map<std::string, std::optional<std::string>>& records) const;
-  /// Publishes a back end's machine record with a state and generation.
+  /// Publishes the machine record of a back end with a state and a generation.
   void publish_backend(const std::string& name, const std::string& state, int generation) const;
+  /// Sets the mode of the emulated platform: `up`, `down`, `slow` or `stale`.
   void set_platform_mode(const std::string& mode) const;
-  /// Sets a fault of links of the proxy: node or back-end names.
+  /// Sets the fault of links of the fault proxy.
+  /// @param links names of nodes or back ends.
+  /// @param fault fields of the proxy's `/admin/fault`; absent fields are cleared.
   void set_link_fault(const std::vector<std::string>& links,
                       const boost::json::object& fault) const;
+  /// Sets the fault that a back end injects.
+  /// @param times number of calls that the fault applies to; std::nullopt for all further calls.
   void set_backend_fault(const std::string& name, const std::string& fault,
                          std::optional<int> times = std::nullopt) const;
-  /// @return a document of a node's operator listener, such as `/v1/status`.
+  /// @return a document of a node's operator listener, such as `/v1/status`; empty on failure.
   [[nodiscard]] boost::json::object get_document(const std::string& node,
                                                  const std::string& path) const;
-  /// @return calls that a back end ran, for all requests together.
+  /// @return number of calls that a back end has executed, over all requests.
   [[nodiscard]] std::int64_t executions(const std::string& backend) const;
   [[nodiscard]] std::int64_t executions_in_pool(const std::string& pool) const;
   [[nodiscard]] const fleet_description& description() const { return description_; }
+  /// Folder of the settings and logs of the processes; deleted with the fleet.
   [[nodiscard]] const std::filesystem::path& folder() const { return folder_; }
 
-  /// @return a ticket issued by a node; empty where it gives none.
+  /// Requests a ticket from a node.
+  /// @return the ticket; empty if the node issues none.
   [[nodiscard]] std::string request_ticket(const std::string& node, const std::string& token) const;
-  /// Sends a pipeline request.
+  /// Sends a pipeline request to a node's caller listener and waits for its answer.
   [[nodiscard]] http_answer
   send_request(const std::string& node, const std::string& pipeline, const std::string& token,
                const boost::json::object& body,
--- a/tools/fleet_soak.cc
+++ b/tools/fleet_soak.cc
@@ -1,4 +1,5 @@
-/// Runs many seeds of the simulated fleet under faults and reports the violations.
+/// Runs simulated fleets under random faults, one run per seed, and prints the violated invariants.
+/// Exits with code 1 if an invariant was violated.
 #include "logging/guarded_main.h"
 #include "logging/usual_options.h"
 #include "simulation/random_faults.h"
@@ -32,11 +33,11 @@
 }
 
 int run_program(int argc, char** argv) {
-  cxxopts::Options options("fleet_soak", "Simulated fleets under faults.");
-  options.add_options()("seeds", "how many seeds",
+  cxxopts::Options options("fleet_soak", "Runs simulated fleets under random faults.");
+  options.add_options()("seeds", "number of seeds",
                         cxxopts::value<std::uint64_t>()->default_value("1000"))(
       "first", "first seed", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "threads", "runs at the same time", cxxopts::value<unsigned>()->default_value("4"));
+      "threads", "number of runs in parallel", cxxopts::value<unsigned>()->default_value("4"));
   spurrack::logging::add_usual_options(options);
   const auto arguments = options.parse(argc, argv);
   if (spurrack::logging::handle_usual_options(options, arguments)) {
--- a/tools/load_scenario.cc
+++ b/tools/load_scenario.cc
@@ -33,7 +33,7 @@
   - {name: rerank, kind: rerank, pool: rerankers}
   - {name: generate, kind: generate, pool: engines, max_tokens: 20}
 )";
-/// Heavy on retrieval and reranking: two rounds of each, a short text.
+/// Template that mainly loads retrieval and reranking: two stages of each and few generated tokens.
 constexpr const char* review_template = R"(name: review
 deadline_ms: 1500
 stages:
@@ -54,7 +54,8 @@
     profile.name = pool + "-" + profile.zone + std::to_string(index);
     profile.pool = pool;
     profile.concurrency = concurrency;
-    // Engines queue what they are sent; only a very long queue is refused.
+    // Back ends queue the calls that they receive, as engines do; only calls beyond a very long
+    // queue are refused.
     profile.max_calls = concurrency * 40;
     profile.service_time = service;
     profile.time_per_token = token;
--- a/tools/speed.cc
+++ b/tools/speed.cc
@@ -1,5 +1,6 @@
-/// Measures spurrackd against calling the four stand-ins directly: latency added, processor time a
-/// request, requests a second on one core, resident memory.
+/// Measures spurrackd with real processes: the latency that it adds to direct calls of the four
+/// emulated back ends of a pipeline, the processor time per request, the requests per second of one
+/// core, and the resident memory.
 #include "fleet/example_records.h"
 
 #include "http/endpoint.h"
@@ -24,7 +25,7 @@
 namespace json = boost::json;
 using clock_type = std::chrono::steady_clock;
 
-/// A connection that is kept open between calls.
+/// HTTP connection that stays open between requests.
 class persistent_connection {
  public:
   explicit persistent_connection(const std::string& address) : stream_(io_) {
@@ -69,6 +70,9 @@
   return std::chrono::duration<double>(clock_type::now() - started_at).count();
 }
 
+/// @return latency in seconds of `count` sequences of calls to the four stages' back ends, without
+/// a
+///         node.
 std::vector<double> measure_direct_latencies(const fleet::local_fleet& fleet, int count) {
   const std::vector<std::pair<std::string, std::string>> stages{{"encode", "encoder"},
                                                                 {"retrieve", "retriever"},
@@ -92,6 +96,7 @@
   return latencies;
 }
 
+/// @return latency in seconds of `count` pipeline requests that are sent to a node in sequence.
 std::vector<double> measure_node_latencies(const fleet::local_fleet& fleet, int count) {
   persistent_connection connection(fleet.addresses("entry-north1").callers);
   std::vector<double> latencies;
@@ -121,6 +126,7 @@
             << (through_node / direct - 1) * 100 << " %\n";
 }
 
+/// @param tokens number of tokens that each request generates.
 void measure_throughput(const std::filesystem::path& binaries, int tokens) {
   auto description = fleet::example_fleet({"north"}, 1);
   auto& pipeline = description.records.at("templates/client-answer");
@@ -161,7 +167,8 @@
 }
 
 int run_program(int argc, char** argv) {
-  cxxopts::Options options("speed", "Latency and throughput of real processes on this machine.");
+  cxxopts::Options options("speed",
+                           "Measures latency and throughput of real processes on this machine.");
   spurrack::logging::add_usual_options(options);
   const auto arguments = options.parse(argc, argv);
   if (spurrack::logging::handle_usual_options(options, arguments)) {
