--- a/standins/backend_stand_in.cc
+++ b/standins/backend_stand_in.cc
@@ -1,5 +1,5 @@
-/// Stand-in of a back end: engine, stage pool or plain service. It works for a set time, counts
-/// each execution by request, and misbehaves on demand.
+/// Emulated back end: an engine, a back end of a stage pool or a plain service. Each call takes a
+/// configured time. Executions are counted by request, and faults are injected by `/admin/fault`.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -20,18 +20,20 @@
 using spurrack::standins::service_exchange;
 using spurrack::standins::wait_for;
 
-/// How answers are spoiled. Each is applied to the next `times` calls.
+/// Fault of a call. `/admin/fault` sets a fault for the next `times` calls, or for all further
+/// calls without `times`. `truncate`, `reset` and `duplicate` have no effect on calls of kind
+/// `generate`, `break_stream` has no effect on other calls.
 enum class fault {
   none,
-  leaving,      ///< Refuses: the back end is leaving.
-  overloaded,   ///< Refuses: no room.
-  truncate,     ///< Runs, then closes in the middle of the answer.
-  reset,        ///< Runs, then resets the connection without an answer.
-  reset_early,  ///< Resets before running.
-  hang,         ///< Runs, never answers.
-  crossed,      ///< Runs, answers with another request's identity.
-  duplicate,    ///< Runs, answers twice on the same connection.
-  break_stream, ///< Sends half of the tokens, then resets.
+  leaving,      ///< Refuses the call because the back end is leaving.
+  overloaded,   ///< Refuses the call because the back end is overloaded.
+  truncate,     ///< Executes the call, then closes the connection in the middle of the answer.
+  reset,        ///< Executes the call, then resets the connection without an answer.
+  reset_early,  ///< Resets the connection before the call is executed.
+  hang,         ///< Executes the call, but does not complete the answer within an hour.
+  crossed,      ///< Executes the call, then answers with the id of another request.
+  duplicate,    ///< Executes the call, then answers twice on the same connection.
+  break_stream, ///< Sends half of the tokens, then resets the connection.
 };
 
 const std::map<std::string, fault> fault_names{{"none", fault::none},
@@ -47,10 +49,12 @@
 
 struct backend_settings {
   std::string id;
+  /// Time of a call, without the time for generated tokens.
   std::chrono::microseconds service_time{0};
+  /// Time of a generated token.
   std::chrono::microseconds token_time{0};
   std::int64_t concurrency = 8;
-  /// Calls in flight beyond which further ones are refused.
+  /// Maximum number of calls in flight; further calls are refused.
   std::int64_t max_in_flight = 16;
 };
 
@@ -95,6 +99,8 @@
     return body;
   }
 
+  /// Counts a call against the current fault.
+  /// @return the fault of the call.
   fault take_next_fault() {
     if (current_fault_ == fault::none || remaining_faulty_calls_ <= 0) {
       return fault::none;
@@ -193,7 +199,8 @@
                             "Transfer-Encoding: chunked\r\n\r\n");
     for (auto offset = first_offset; offset < token_count; ++offset) {
       co_await wait_for(settings_.token_time);
-      // The first token carries the prompt, so that tests can tell whose answer it is.
+      // The first token contains the prompt, so that tests can check to which request the answer
+      // belongs.
       const auto text = offset == 0 ? "generate(" + prompt + ")" : " w" + std::to_string(offset);
       json::object token;
       token["offset"] = offset;
@@ -220,20 +227,25 @@
 
   backend_settings settings_;
   fault current_fault_ = fault::none;
+  /// Number of calls that `current_fault_` still applies to.
   std::int64_t remaining_faulty_calls_ = 0;
   std::int64_t calls_ = 0;
   std::int64_t in_flight_ = 0;
+  /// Number of generating calls whose caller closed the connection before the last token.
   std::int64_t cancelled_ = 0;
+  /// Number of executed calls by request id.
   std::map<std::string, std::int64_t> executions_;
 };
 
 int run_program(int argc, char** argv) {
-  cxxopts::Options options("backend_stand_in", "Stand-in of a back end, for tests.");
+  cxxopts::Options options("backend_stand_in", "Emulated back end for tests.");
   options.add_options()("listen", "IP:port", cxxopts::value<std::string>())(
       "id", "name", cxxopts::value<std::string>()->default_value("backend"))(
-      "service-us", "time of one call", cxxopts::value<std::int64_t>()->default_value("1000"))(
-      "token-us", "time of one token", cxxopts::value<std::int64_t>()->default_value("500"))(
-      "most-in-flight", "calls beyond are refused",
+      "service-us", "time of a call without tokens, in microseconds",
+      cxxopts::value<std::int64_t>()->default_value("1000"))(
+      "token-us", "time of a token, in microseconds",
+      cxxopts::value<std::int64_t>()->default_value("500"))(
+      "most-in-flight", "maximum number of calls in flight",
       cxxopts::value<std::int64_t>()->default_value("64"));
   spurrack::logging::add_usual_options(options);
   const auto arguments = options.parse(argc, argv);
--- a/standins/fault_proxy.cc
+++ b/standins/fault_proxy.cc
@@ -1,5 +1,5 @@
-/// TCP proxy with faults: forwards each link's connections to its target and can cut, delay,
-/// black-hole or reset them. Links and faults are set over `/admin/fault`.
+/// TCP proxy that injects faults. Forwards the connections of each link to the link's target, and
+/// can cut, delay or black-hole the link. Links are set by `--link`, faults by `/admin/fault`.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -29,17 +29,18 @@
 using spurrack::standins::service_exchange;
 using spurrack::standins::wait_for;
 
-/// A link is looked at this often whether it is there again.
+/// Interval at which a connection checks whether its link is still a black hole.
 constexpr std::chrono::milliseconds black_hole_poll_interval{20};
 
-/// State of one link; shared by its connections.
+/// State of a link; shared by the connections of the link.
 struct proxy_link {
   tcp::endpoint target;
-  /// No new connections; those there are reset.
+  /// Whether new connections are reset. Existing connections are reset when the link is cut.
   bool is_cut = false;
-  /// Connections stay open and nothing arrives. Bytes are held back and follow when the link is
-  /// there again, as the sender's system would send them anew: none are missing in the middle.
+  /// Whether bytes are held back while connections stay open. When the link works again, the bytes
+  /// are forwarded, as the sender's kernel would retransmit them: no byte of the stream is missing.
   bool is_black_hole = false;
+  /// Delay of each block of bytes that is read from a socket.
   std::chrono::milliseconds delay{0};
   std::list<std::weak_ptr<tcp::socket>> sockets;
 
@@ -55,6 +56,8 @@
   }
 };
 
+/// Forwards bytes in one direction until the source ends its stream or a socket fails. Passes on
+/// the end of the stream; resets both connections after a failure.
 asio::awaitable<void> forward_bytes(std::shared_ptr<proxy_link> link,
                                     std::shared_ptr<tcp::socket> source,
                                     std::shared_ptr<tcp::socket> destination) {
@@ -137,7 +140,8 @@
   co_await exchange.reply(200, boost::json::object());
 }
 
-/// Reads `name,listen,target`.
+/// Adds a link and accepts its connections.
+/// @param definition `name,listen,target`; `listen` and `target` are `IP:port`.
 void add_link(asio::io_context& io, link_map& links, const std::string& definition) {
   std::istringstream parts(definition);
   std::string name;
@@ -154,9 +158,10 @@
 }
 
 int run_program(int argc, char** argv) {
-  cxxopts::Options options("fault_proxy", "TCP proxy with faults, for tests.");
+  cxxopts::Options options("fault_proxy", "TCP proxy that injects faults, for tests.");
   options.add_options()("admin", "IP:port", cxxopts::value<std::string>())(
-      "link", "name,listen,target (semicolons between several)", cxxopts::value<std::string>());
+      "link", "name,listen,target; several links are separated by semicolons",
+      cxxopts::value<std::string>());
   spurrack::logging::add_usual_options(options);
   const auto arguments = options.parse(argc, argv);
   if (spurrack::logging::handle_usual_options(options, arguments)) {
--- a/standins/http_service.h
+++ b/standins/http_service.h
@@ -1,4 +1,5 @@
-/// A small HTTP server shared by the stand-ins: one coroutine a connection, one handler a request.
+/// Small HTTP server of the emulated services: a coroutine serves each connection, a handler
+/// answers each request.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,7 +16,7 @@
 
 using service_request = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// One request with the means to answer it.
+/// Request, and the means to answer it. Refers to the stream, which must outlive it.
 class service_exchange {
  public:
   service_exchange(boost::beast::tcp_stream& stream, service_request request)
@@ -23,13 +24,15 @@
 
   [[nodiscard]] const service_request& request() const { return request_; }
   [[nodiscard]] std::string target() const { return std::string(request_.target()); }
-  /// @return the body as an object; empty where it is not one.
+  /// @return the body as a JSON object; empty if the body is not a JSON object.
   [[nodiscard]] boost::json::object body() const;
-  /// Writes a whole answer.
+  /// Writes an answer with a JSON body.
   boost::asio::awaitable<void> reply(unsigned status, boost::json::object body);
-  /// Writes bytes as they are.
+  /// Writes bytes unchanged.
+  /// @return whether all bytes were written.
   boost::asio::awaitable<bool> write(std::string text);
-  /// Closes the connection; with a reset where wanted.
+  /// Closes the connection.
+  /// @param with_reset whether the connection is reset instead of closed in order.
   void close(bool with_reset);
   [[nodiscard]] boost::beast::tcp_stream& stream() { return *stream_; }
   [[nodiscard]] bool is_closed() const { return is_closed_; }
@@ -42,11 +45,11 @@
 
 using service_handler = std::function<boost::asio::awaitable<void>(service_exchange&)>;
 
-/// Accepts on `listen_address` (`IP:port`) until the io_context stops.
-/// @throws boost::system::system_error where the address cannot be bound.
+/// Accepts connections at `listen_address` (`IP:port`) until `io` stops.
+/// @throws boost::system::system_error if the address is invalid or cannot be bound.
 void serve(boost::asio::io_context& io, const std::string& listen_address, service_handler handler);
 
-/// Waits without blocking the thread.
+/// Suspends the coroutine without blocking the thread.
 boost::asio::awaitable<void> wait_for(std::chrono::nanoseconds duration);
 
 } // namespace spurrack::standins
--- a/standins/platform_stand_in.cc
+++ b/standins/platform_stand_in.cc
@@ -1,5 +1,6 @@
-/// Stand-in of the platform's configuration service and machine list: `GET /v1/entries` for nodes,
-/// `/admin/...` for tests. It counts its calls and can be slow, stale, down or restored.
+/// Emulates the platform's configuration service and machine list: `GET /v1/entries` for nodes,
+/// `/admin/...` for tests. Counts the calls of nodes, and can be slow, stale, down or restored to
+/// an earlier revision.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -24,14 +25,17 @@
 using spurrack::standins::service_exchange;
 using spurrack::standins::wait_for;
 
-/// How the service behaves towards nodes.
+/// Behaviour towards nodes. `down` resets connections and `slow` delays answers. `stale` answers
+/// without entries and with the revision at which the mode was set.
 enum class mode { up, down, slow, stale };
 
+/// Latest revision of a record; the value is std::nullopt if the record is deleted.
 struct published_entry {
   std::uint64_t revision = 0;
   std::optional<std::string> value;
 };
 
+/// @return the parameter `name` of a target's query; 0 if it is absent.
 std::uint64_t parse_query_number(const std::string& target, const std::string& name) {
   const auto position = target.find(name + "=");
   std::uint64_t value = 0;
@@ -72,6 +76,8 @@
     return body;
   }
 
+  /// Answers with the entries after a revision. If there are none, waits for a change for at most
+  /// `wait_ms` milliseconds.
   asio::awaitable<void> reply_with_entries(service_exchange& exchange, std::uint64_t after_revision,
                                            std::uint64_t wait_ms) {
     ++calls_;
@@ -152,7 +158,7 @@
     co_await exchange.reply(200, json::object());
   }
 
-  /// Goes back to an earlier revision, as a service restored from a backup does.
+  /// Restores an earlier revision, as a service that is restored from a backup does.
   asio::awaitable<void> restore(service_exchange& exchange) {
     const auto body = exchange.body();
     revision_ = static_cast<std::uint64_t>(body.at("revision").as_int64());
@@ -166,13 +172,15 @@
   std::uint64_t revision_ = 0;
   std::uint64_t calls_ = 0;
   mode mode_ = mode::up;
+  /// Revision at which the mode was last set.
   std::uint64_t stale_revision_ = 0;
   std::chrono::milliseconds slow_delay_{0};
+  /// Timers of the reads that wait for a change.
   std::set<std::shared_ptr<asio::steady_timer>> waiting_reads_;
 };
 
 int run_program(int argc, char** argv) {
-  cxxopts::Options options("platform_stand_in", "Stand-in of a platform service, for tests.");
+  cxxopts::Options options("platform_stand_in", "Emulated platform service for tests.");
   options.add_options()("listen", "IP:port", cxxopts::value<std::string>());
   spurrack::logging::add_usual_options(options);
   const auto arguments = options.parse(argc, argv);
--- a/tools/fleet/local_fleet.h
+++ b/tools/fleet/local_fleet.h
@@ -43,7 +43,8 @@
   std::map<std::string, std::string> records;
   /// Lifetime of idempotency keys. A witness grants keys only after it has been up for this time.
   int key_lifetime_ms = 1'000;
-  /// Setting `list_window_ms` of the nodes.
+  /// Time after the replacement of a node list during which the witnesses of the replaced list must
+  /// grant keys too.
   int list_window_ms = 3'600'000;
   /// YAML lines that are appended to the settings of each node.
   std::string extra_settings;
@@ -56,7 +57,7 @@
   std::string callers;
   std::string operators;
   std::string peers;
-  /// Address at which peers connect: that of the fault proxy, or `peers` without the proxy.
+  /// Address to which peers connect: the fault proxy's listener, or `peers` without the proxy.
   std::string peers_advertised;
 };
 
