--- a/tests/fleet/answers_test.cc
+++ b/tests/fleet/answers_test.cc
@@ -1,4 +1,5 @@
-/// Late, crossed, duplicated, truncated answers; broken streams; bad input at the door.
+/// Tests with real processes: late, misdirected, duplicated and truncated answers of back ends,
+/// broken streams, disconnecting callers and malformed requests.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -8,6 +9,7 @@
 using namespace spurrack::fleet;
 using std::chrono::milliseconds;
 
+/// Small fleet whose nodes have short limits on the time and size of received requests.
 struct small_fleet_fixture {
   small_fleet_fixture() : fleet(binaries(), describe()) { fleet.start_all_nodes(); }
   static fleet_description describe() {
@@ -24,12 +26,15 @@
         .json();
   }
 
+  /// @return value of a metric of entry-north1; -1 if it is absent.
   [[nodiscard]] double read_metric(const std::string& name) const {
     const auto body = get(fleet.addresses("entry-north1").operators, "/metrics").body;
     const auto position = body.find("\n" + name + " ");
     return position == std::string::npos ? -1 : std::stod(body.substr(position + name.size() + 2));
   }
 
+  /// Sends bytes to the caller listener of entry-north1.
+  /// @return all bytes received.
   [[nodiscard]] std::string send_raw(const std::string& bytes) const {
     return exchange_raw(fleet.addresses("entry-north1").callers, bytes, milliseconds(5'000));
   }
@@ -43,6 +48,7 @@
          extra + "\r\n";
 }
 
+/// Bytes of a request, with the status and error code of the expected answer.
 struct malformed_request {
   std::string bytes;
   std::string status;
--- a/tests/fleet/disturbance_test.cc
+++ b/tests/fleet/disturbance_test.cc
@@ -1,4 +1,5 @@
-/// Kills, pauses, cuts, stops, outages and leaving back ends under load, with real processes.
+/// Tests with real processes: killed, suspended, partitioned and stopped nodes, platform outages,
+/// and back ends that hang or leave, most of them under load.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -13,6 +14,7 @@
     fleet.start_all_nodes();
   }
 
+  /// @return whether `node` reports that the node `subject` is in `state`.
   [[nodiscard]] bool reports_state(const std::string& node, const std::string& subject,
                                    const std::string& state) const {
     const auto document = fleet.get_document(node, "/v1/nodes");
@@ -41,7 +43,7 @@
     return hashes.size() == 1;
   }
 
-  /// Publishes a new deadline of the client-answer template.
+  /// Publishes the client-answer template with a new deadline.
   void publish_deadline(int deadline_ms) const {
     auto template_text = fleet.description().records.at("templates/client-answer");
     const std::string old = "deadline_ms: 3000";
@@ -50,6 +52,7 @@
     fleet.publish({{"templates/client-answer", template_text}});
   }
 
+  /// @return whether the client-answer template of `node` has this deadline.
   [[nodiscard]] bool is_in_effect(const std::string& node, int deadline_ms) const {
     const auto document = fleet.get_document(node, "/v1/templates");
     const auto* templates = document.if_contains("templates");
@@ -136,7 +139,7 @@
   fleet.set_platform_mode("down");
   fleet.node("entry-south1").signal(SIGKILL);
   fleet.node("entry-south1").wait();
-  // A node that starts while the platform is down takes the configuration from its peers.
+  // A node that starts while the platform is down receives the configuration from its peers.
   fleet.start_node("entry-south1");
   fleet.wait_until_ready("entry-south1");
   BOOST_TEST(is_in_effect("entry-south1", 2'700));
@@ -258,7 +261,7 @@
         "curve:\n  public_key: '" + public_key + "'\n  secret_key: '" + secret_key + "'\n";
     return description;
   };
-  // The key pairs of ZeroMQ's own examples; never used outside tests.
+  // Key pairs of the ZeroMQ examples; not used outside tests.
   const std::string first_public = "rq:rM>}U?@Lns47E1%kR.o@n%FcmmsL/@{H8]yf7";
   const std::string first_secret = "JTKVSB%%)wK0E.X)V>+}o?pNmC{O&4W4b!Ni{Lh6";
   local_fleet fleet(binaries(), with_keys(first_public, first_secret));
@@ -286,7 +289,8 @@
     const std::string name = "\nspurrack_control_sent_bytes_total ";
     return std::stod(body.substr(body.find(name) + name.size()));
   };
-  // Several probes have been sent; none was heard.
+  // Number of bytes after which the restarted node has sent several probes. None of them may have
+  // been accepted.
   constexpr double several_probes_bytes = 600;
   bool seen_alive = false;
   BOOST_TEST(local_fleet::wait_until([&] {
--- a/tests/fleet/effects_test.cc
+++ b/tests/fleet/effects_test.cc
@@ -1,4 +1,5 @@
-/// Calls that may not be repeated, with real processes; the back end's own count is the judge.
+/// Tests with real processes that calls which must not be repeated run at most once, according to
+/// the execution counts of the back ends.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -8,7 +9,8 @@
 
 using namespace spurrack::fleet;
 
-/// A fleet of three zones, one node each: a majority of witnesses remains when one node is gone.
+/// Fleet of three zones with one node each, so that a majority of witnesses remains if one node
+/// fails.
 struct payout_fleet {
   payout_fleet() : fleet(binaries(), describe()) {
     fleet.start_all_nodes();
@@ -69,7 +71,8 @@
       std::async(std::launch::async, [this] { return pay(fleet, "entry-north1", "k4", 300); });
   const auto other_answer = pay(fleet, "entry-south1", "k4");
   BOOST_TEST(string_field(other_answer, "outcome") == "completed");
-  // The record of the key ends; only the age of the waiting request can stop the paused node now.
+  // Waits until the record of the key has expired. After that, only the age of the waiting request
+  // can keep the resumed node from running the call a second time.
   BOOST_TEST(local_fleet::wait_until(
       [&, until = std::chrono::steady_clock::now() + std::chrono::milliseconds(3'500)] {
         return std::chrono::steady_clock::now() >= until;
@@ -87,7 +90,8 @@
     const char* outcome;
     std::int64_t executions;
   };
-  // Before the send nothing is lost: the call goes elsewhere. During and after it, nobody knows.
+  // A refusal shows that the call did not run, so it is sent to another back end. After a failure
+  // during or after the send, the node cannot know whether the call ran.
   int number = 0;
   for (const auto& [fault, outcome, executions] :
        {row{"reset_early", "unknown", 0}, row{"reset", "unknown", 1}, row{"truncate", "unknown", 1},
@@ -112,7 +116,7 @@
 
 BOOST_AUTO_TEST_CASE(refused_connection_is_retried_at_another_back_end) {
   auto description = describe();
-  // The proxy would accept the connection; without it the kernel refuses it.
+  // The proxy would accept the connection. Without the proxy, the kernel refuses the connection.
   description.uses_proxy = false;
   local_fleet direct(binaries(), description);
   direct.start_all_nodes();
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -1,4 +1,4 @@
-/// Shared by the tests with real processes.
+/// Helpers of the tests with real processes.
 #pragma once
 
 #include "fleet/background_load.h"
@@ -10,17 +10,19 @@
 
 namespace spurrack::fleet {
 
-/// @return folder of the programs under test, given by the build.
+/// @return folder of the programs under test; the build sets it.
 inline std::filesystem::path binaries() {
   return SPURRACK_BINARIES;
 }
 
+/// @return the string field `name`; empty if it is absent or not a string.
 inline std::string string_field(const boost::json::object& body, const char* name) {
   const auto* value = body.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : "";
 }
 
-/// One zone with two nodes and a single back end of each pool, so that faults hit for sure.
+/// @return a fleet of one zone with two nodes and a single back end of each pool, so that every
+///         request uses the back end in which a test injects a fault.
 inline fleet_description small_fleet() {
   auto fleet = example_fleet({"north"}, 2);
   std::erase_if(fleet.backends, [](const auto& backend) { return backend.name.ends_with("2"); });
@@ -33,6 +35,7 @@
 }
 
 /// Sends a payout request with an idempotency key.
+/// @return the body of the answer.
 inline boost::json::object pay(const local_fleet& fleet, const std::string& node,
                                const std::string& key, int deadline_ms = 3'000) {
   return fleet
--- a/tests/fleet/golden_test.cc
+++ b/tests/fleet/golden_test.cc
@@ -1,5 +1,6 @@
-/// One whole session of each user against a golden file: the caller's bytes and the time line, with
-/// times, ids and ports normalised. `SPURRACK_UPDATE_GOLDEN=1` writes the files anew.
+/// Compares a session of each user with a golden file: the bytes that the caller sends and
+/// receives, and the timeline. Ids, tickets, times, lengths and names of back ends are normalised.
+/// `SPURRACK_UPDATE_GOLDEN=1` rewrites the files. Also tests the exit codes of spurrackctl.
 #include "fleet_fixture.h"
 
 #include <fstream>
@@ -14,16 +15,18 @@
   std::string pipeline;
   std::string input;
   bool stream = false;
+  /// Whether the request is sent with a ticket, so that it runs at most once.
   bool once = false;
 };
 
+/// Replaces the parts of a session that differ between runs.
 std::string normalise(std::string text) {
   static const std::vector<std::pair<std::regex, std::string>> rules{
       {std::regex("entry-north1-[0-9a-f]+-([0-9]+)"), "REQUEST-$1"},
       {std::regex("entry-north1~[0-9a-f]+~[0-9a-f]+"), "TICKET"},
       {std::regex("\"(backend_ms|wasted_ms)\":[-+.0-9E]+"), "\"$1\":TIME"},
       {std::regex("(engine|encoder|retriever|reranker)-north[0-9]"), "$1-ANY"},
-      // The length of an answer varies with the digits of its times.
+      // The length of an answer depends on the number of digits of its times.
       {std::regex("Content-Length: [0-9]+"), "Content-Length: LENGTH"},
       {std::regex("\r"), ""}};
   for (const auto& [pattern, replacement] : rules) {
@@ -39,7 +42,8 @@
          "\r\n\r\n" + body;
 }
 
-/// Sends bytes, and notes both directions.
+/// Sends bytes to the node and appends the bytes of both directions to `session`.
+/// @return the bytes received.
 std::string exchange_and_log(const local_fleet& fleet, const std::string& bytes,
                              std::ostream& session) {
   auto answer = exchange_raw(fleet.addresses("entry-north1").callers, bytes,
@@ -48,6 +52,7 @@
   return answer;
 }
 
+/// @return the events of the node's timeline that belong to a request, one per line.
 std::string format_timeline(const local_fleet& fleet) {
   std::ostringstream lines;
   const auto document = fleet.get_document("entry-north1", "/v1/timeline");
@@ -61,6 +66,7 @@
   return lines.str();
 }
 
+/// Runs a session on a new fleet and compares it with the golden file `name`.
 void check_session(const std::string& name, const std::string& token,
                    const std::vector<session_step>& steps) {
   local_fleet fleet(binaries(), example_fleet({"north"}, 1));
