--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands for a newcomer: `make demo` and `make test`. Both install what they need.
+# The two main targets are `make demo` and `make test`. Both install the packages that are missing.
 BUILD := build
 PACKAGES := g++ cmake ninja-build ccache clang-format clang-tidy libboost1.81-dev \
   libboost-json1.81-dev libboost-test1.81-dev libboost-url1.81-dev libzmq3-dev cppzmq-dev \
@@ -18,7 +18,7 @@
 	cmake -S . -B $(BUILD) -G Ninja
 	cmake --build $(BUILD)
 
-# Installs only what is missing.
+# Installs only the packages that are missing.
 deps:
 	@missing=""; for package in $(PACKAGES); do \
 	  dpkg-query -W -f='$${Status}' $$package 2>/dev/null | grep -q 'ok installed' || missing="$$missing $$package"; \
@@ -27,7 +27,7 @@
 	  apt-get update -qq && DEBIAN_FRONTEND=noninteractive apt-get install -y -qq --no-install-recommends $$missing; \
 	fi
 
-# Only needed after a change to peer.proto; the result is committed.
+# Needed only after a change to peer.proto or published.proto; the generated code is committed.
 proto:
 	protoc --cpp_out=src/wire --proto_path=src/wire src/wire/peer.proto src/wire/published.proto
 
@@ -40,13 +40,14 @@
 soak: build
 	$(BUILD)/fleet_soak --seeds $(SEEDS)
 
-# Real daemons before stand-ins of the users' platform under random faults.
+# Runs real daemons with an emulated platform of the users under random faults.
 .PHONY: fault_soak
 FIRST_SEED ?= 1
 fault_soak: build
 	$(BUILD)/platform_fault_soak --first-seed $(FIRST_SEED) --seeds $(SEEDS)
 
-# Load experiment with plots, capacity slopes and speed; see docs/MEASUREMENTS.md and docs/CAPACITY.md.
+# Measurements: load experiment with plots, control-plane cost by fleet size, and speed of real processes; see
+# docs/MEASUREMENTS.md and docs/CAPACITY.md.
 .PHONY: experiment capacity speed
 experiment: build
 	$(BUILD)/experiment --out report
--- a/tools/check_layers.sh
+++ b/tools/check_layers.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Includes may only point down: each folder lists the folders it may include from.
+# Checks the layers of src: `allowed` holds, for each folder, the folders that it may include from.
 set -euo pipefail
 cd "$(dirname "$0")/../src"
 
@@ -54,14 +54,14 @@
     esac
   done < <(grep -nE '^#include "[a-z_]+/' "$folder"/*.h "$folder"/*.cc 2>/dev/null | grep -v '\.pb\.')
 done
-# Decision logic does no I/O.
+# The decision logic may not include headers for I/O or threads.
 if grep -nE '#include <(boost/asio|boost/beast|zmq|sys/socket|fstream|iostream|thread)' \
   base/*.h base/*.cc model/*.h model/*.cc catalog/* membership/* routing/* admission/* \
   idempotency/* execution/* serving/* flow/* fleet_view/* self_reports/* rate_limits/* replicas/* engines/* stage_work/* quarantine/* dispatch/* node/* simulation/* 2>/dev/null; then
   echo "decision logic may not do I/O"
   bad=1
 fi
-# Names of the users' platform stay in platform/ and deploy/.
+# Names of the users' platform may appear in platform/ and deploy/, but not in src, tools or standins.
 if git grep -nE -f "$PWD/../platform/reserved_names.txt" -- . ../tools ../standins; then
   echo "names of the platform outside platform/"
   bad=1
--- a/tools/check_promises.sh
+++ b/tools/check_promises.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Every test that docs/PROMISES.md names exists, as a case or a file: a name may be cut short by an ellipsis, and is then
-# the beginning of a test's name.
+# Checks that every test named in docs/PROMISES.md exists as a test case or a test file. A name that ends with an ellipsis
+# is a prefix of the test's name.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 missing=0
-# Names of tests are at least three words; shorter ones are suites, files and faults of the simulation.
+# Only names of at least three words are checked: shorter names are suites, files and faults of the simulation.
 while read -r name; do
   if ! git grep -qE -- "\b$name" tests src/base/safety_switches.h src/simulation &&
     ! git ls-files tests | grep -qE "/$name\.cc$"; then
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Formatting, layering and clang-tidy. Files whose content and headers did not change since the last
-# clean run are not looked at again.
+# Checks formatting, layers, the tests named in docs/PROMISES.md, and clang-tidy. clang-tidy skips a file that passed
+# before if the file, the project headers it includes and .clang-tidy are unchanged.
 set -euo pipefail
 build=$1
 cd "$(dirname "$0")/.."
