--- a/tools/fleet/http_client.cc
+++ b/tools/fleet/http_client.cc
@@ -39,7 +39,7 @@
   http_answer answer;
   const auto endpoint = http::parse_endpoint(parameters.address);
   if (!endpoint) {
-    answer.error = "not an address: " + parameters.address;
+    answer.error = "invalid address: " + parameters.address;
     return answer;
   }
   asio::io_context io;
--- a/tools/fleet/local_fleet.cc
+++ b/tools/fleet/local_fleet.cc
@@ -67,7 +67,7 @@
       binaries_ / "platform_stand_in", std::vector<std::string>{"--listen", platform_address_},
       folder_ / "platform.log");
   require(wait_until([&] { return get(platform_address_, "/admin/counts").status == 200; }),
-          "the platform stand-in did not start");
+          "the emulated platform did not start");
   std::map<std::string, std::optional<std::string>> records;
   for (const auto& [key, value] : description_.records) {
     records[key] = value;
@@ -96,7 +96,7 @@
 const backend_description& local_fleet::find_backend(const std::string& name) const {
   const auto found = std::find_if(description_.backends.begin(), description_.backends.end(),
                                   [&](const auto& backend) { return backend.name == name; });
-  require(found != description_.backends.end(), "no back end " + name);
+  require(found != description_.backends.end(), "unknown back end " + name);
   return *found;
 }
 
@@ -170,7 +170,7 @@
 void local_fleet::start_node(const std::string& name) {
   const auto found = std::find_if(description_.nodes.begin(), description_.nodes.end(),
                                   [&](const auto& node) { return node.name == name; });
-  require(found != description_.nodes.end(), "no node " + name);
+  require(found != description_.nodes.end(), "unknown node " + name);
   const auto settings = folder_ / (name + ".yaml");
   std::ofstream(settings) << make_settings_text(*found);
   nodes_[name] = std::make_unique<child_process>(
@@ -199,7 +199,7 @@
               const auto status = get_document(node.name, "/v1/status");
               return status.contains("may_witness") && status.at("may_witness").as_bool();
             }),
-            node.name + " may not witness");
+            node.name + " may not grant keys as a witness");
   }
 }
 
