--- a/tests/fleet/disturbance_test.cc
+++ b/tests/fleet/disturbance_test.cc
@@ -266,7 +266,7 @@
   const std::string first_secret = "JTKVSB%%)wK0E.X)V>+}o?pNmC{O&4W4b!Ni{Lh6";
   local_fleet fleet(binaries(), with_keys(first_public, first_secret));
   fleet.start_all_nodes();
-  const auto alive = [&](const std::string& node, const std::string& other) {
+  const auto is_alive = [&](const std::string& node, const std::string& other) {
     const auto document = fleet.get_document(node, "/v1/nodes");
     for (const auto& row : document.at("nodes").as_array()) {
       if (string_field(row.as_object(), "node") == other) {
@@ -275,10 +275,10 @@
     }
     return false;
   };
-  BOOST_TEST(local_fleet::wait_until([&] { return alive("entry-north1", "entry-north2"); }));
+  BOOST_TEST(local_fleet::wait_until([&] { return is_alive("entry-north1", "entry-north2"); }));
   fleet.node("entry-north2").signal(SIGKILL);
   fleet.node("entry-north2").wait();
-  BOOST_TEST(local_fleet::wait_until([&] { return !alive("entry-north1", "entry-north2"); }));
+  BOOST_TEST(local_fleet::wait_until([&] { return !is_alive("entry-north1", "entry-north2"); }));
   fleet.set_extra_settings(with_keys("Yne@$w-vo<fVvi]a<NY6T1ed:M$fCG*[IaLV{hID",
                                      "D:)Q[IlAW!ahhC2ac:9*A}h:p?([4%wOTJ%JR%cs")
                                .extra_settings);
@@ -292,13 +292,13 @@
   // Number of bytes after which the restarted node has sent several probes. None of them may have
   // been accepted.
   constexpr double several_probes_bytes = 600;
-  bool seen_alive = false;
+  bool was_seen_alive = false;
   BOOST_TEST(local_fleet::wait_until([&] {
-    seen_alive = seen_alive || alive("entry-north1", "entry-north2") ||
-                 alive("entry-north2", "entry-north1");
+    was_seen_alive = was_seen_alive || is_alive("entry-north1", "entry-north2") ||
+                     is_alive("entry-north2", "entry-north1");
     return sent_bytes() >= several_probes_bytes;
   }));
-  BOOST_TEST(!seen_alive);
+  BOOST_TEST(!was_seen_alive);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
