--- a/standins/http_service.h
+++ b/standins/http_service.h
@@ -1,4 +1,5 @@
-/// A small HTTP server shared by the stand-ins: one coroutine a connection, one handler a request.
+/// Small HTTP server of the emulated services: a coroutine serves each connection, a handler
+/// answers each request.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,38 +16,40 @@
 
 using service_request = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// One request with the means to answer it.
+/// Request, and the means to answer it. Refers to the stream, which must outlive it.
 class service_exchange {
  public:
-  service_exchange(boost::beast::tcp_stream& stream, service_request content)
-      : stream_(&stream), content_(std::move(content)) {}
+  service_exchange(boost::beast::tcp_stream& stream, service_request request)
+      : stream_(&stream), request_(std::move(request)) {}
 
-  [[nodiscard]] const service_request& request() const { return content_; }
-  [[nodiscard]] std::string target() const { return std::string(content_.target()); }
-  /// @return the body as an object; empty where it is not one.
+  [[nodiscard]] const service_request& request() const { return request_; }
+  [[nodiscard]] std::string target() const { return std::string(request_.target()); }
+  /// @return the body as a JSON object; empty if the body is not a JSON object.
   [[nodiscard]] boost::json::object body() const;
-  /// Writes a whole answer.
-  boost::asio::awaitable<void> reply(unsigned status, boost::json::object content);
-  /// Writes bytes as they are.
+  /// Writes an answer with a JSON body.
+  boost::asio::awaitable<void> reply(unsigned status, boost::json::object body);
+  /// Writes bytes unchanged.
+  /// @return whether all bytes were written.
   boost::asio::awaitable<bool> write(std::string text);
-  /// Closes the connection; with a reset where wanted.
-  void close(bool reset);
+  /// Closes the connection.
+  /// @param with_reset whether the connection is reset instead of closed in order.
+  void close(bool with_reset);
   [[nodiscard]] boost::beast::tcp_stream& stream() { return *stream_; }
-  [[nodiscard]] bool is_closed() const { return closed_; }
+  [[nodiscard]] bool is_closed() const { return is_closed_; }
 
  private:
   boost::beast::tcp_stream* stream_;
-  service_request content_;
-  bool closed_ = false;
+  service_request request_;
+  bool is_closed_ = false;
 };
 
 using service_handler = std::function<boost::asio::awaitable<void>(service_exchange&)>;
 
-/// Accepts on `listen` (`IP:port`) until the io_context stops.
-/// @throws boost::system::system_error where the address cannot be bound.
-void serve(boost::asio::io_context& io, const std::string& listen, service_handler handler);
+/// Accepts connections at `listen_address` (`IP:port`) until `io` stops.
+/// @throws boost::system::system_error if the address is invalid or cannot be bound.
+void serve(boost::asio::io_context& io, const std::string& listen_address, service_handler handler);
 
-/// Waits without blocking the thread.
-boost::asio::awaitable<void> wait_for(std::chrono::nanoseconds span);
+/// Suspends the coroutine without blocking the thread.
+boost::asio::awaitable<void> wait_for(std::chrono::nanoseconds duration);
 
 } // namespace spurrack::standins
--- a/tests/fleet/golden_test.cc
+++ b/tests/fleet/golden_test.cc
@@ -1,5 +1,6 @@
-/// One whole session of each user against a golden file: the caller's bytes and the time line, with
-/// times, ids and ports normalised. `SPURRACK_UPDATE_GOLDEN=1` writes the files anew.
+/// Compares a session of each user with a golden file: the bytes that the caller sends and
+/// receives, and the timeline. Ids, tickets, times, lengths and names of back ends are normalised.
+/// `SPURRACK_UPDATE_GOLDEN=1` rewrites the files. Also tests the exit codes of spurrackctl.
 #include "fleet_fixture.h"
 
 #include <fstream>
@@ -14,16 +15,18 @@
   std::string pipeline;
   std::string input;
   bool stream = false;
+  /// Whether the request is sent with a ticket, so that it runs at most once.
   bool once = false;
 };
 
+/// Replaces the parts of a session that differ between runs.
 std::string normalise(std::string text) {
   static const std::vector<std::pair<std::regex, std::string>> rules{
       {std::regex("entry-north1-[0-9a-f]+-([0-9]+)"), "REQUEST-$1"},
       {std::regex("entry-north1~[0-9a-f]+~[0-9a-f]+"), "TICKET"},
       {std::regex("\"(backend_ms|wasted_ms)\":[-+.0-9E]+"), "\"$1\":TIME"},
       {std::regex("(engine|encoder|retriever|reranker)-north[0-9]"), "$1-ANY"},
-      // The length of an answer varies with the digits of its times.
+      // The length of an answer depends on the number of digits of its times.
       {std::regex("Content-Length: [0-9]+"), "Content-Length: LENGTH"},
       {std::regex("\r"), ""}};
   for (const auto& [pattern, replacement] : rules) {
@@ -39,46 +42,51 @@
          "\r\n\r\n" + body;
 }
 
-/// Sends bytes, and notes both directions.
-std::string transact(const local_fleet& fleet, const std::string& bytes, std::ostream& session) {
+/// Sends bytes to the node and appends the bytes of both directions to `session`.
+/// @return the bytes received.
+std::string exchange_and_log(const local_fleet& fleet, const std::string& bytes,
+                             std::ostream& session) {
   auto answer = exchange_raw(fleet.addresses("entry-north1").callers, bytes,
                              std::chrono::milliseconds(10'000));
   session << ">>> caller\n" << bytes << "\n<<< spurrackd\n" << answer << "\n";
   return answer;
 }
 
-std::string timeline_of(const local_fleet& fleet) {
+/// @return the events of the node's timeline that belong to a request, one per line.
+std::string format_timeline(const local_fleet& fleet) {
   std::ostringstream lines;
-  const auto document = fleet.document("entry-north1", "/v1/timeline");
+  const auto document = fleet.get_document("entry-north1", "/v1/timeline");
   for (const auto& item : document.at("events").as_array()) {
     const auto& event = item.as_object();
-    if (!text(event, "request_id").empty()) {
-      lines << text(event, "event") << " " << text(event, "request_id") << " "
-            << text(event, "subject") << " " << text(event, "detail") << "\n";
+    if (!string_field(event, "request_id").empty()) {
+      lines << string_field(event, "event") << " " << string_field(event, "request_id") << " "
+            << string_field(event, "subject") << " " << string_field(event, "detail") << "\n";
     }
   }
   return lines.str();
 }
 
+/// Runs a session on a new fleet and compares it with the golden file `name`.
 void check_session(const std::string& name, const std::string& token,
                    const std::vector<session_step>& steps) {
   local_fleet fleet(binaries(), example_fleet({"north"}, 1));
-  fleet.start_all();
+  fleet.start_all_nodes();
   std::ostringstream session;
   for (const auto& step : steps) {
     std::string extra;
     if (step.once) {
-      const auto issued = transact(fleet, request_bytes("/v1/tickets", token, "", ""), session);
+      const auto issued =
+          exchange_and_log(fleet, request_bytes("/v1/tickets", token, "", ""), session);
       const auto body = boost::json::parse(issued.substr(issued.find("\r\n\r\n") + 4)).as_object();
-      extra = "Spurrack-Ticket: " + text(body, "ticket") + "\r\n";
+      extra = "Spurrack-Ticket: " + string_field(body, "ticket") + "\r\n";
     }
     const boost::json::object body{{"input", step.input}, {"stream", step.stream}};
-    transact(
+    exchange_and_log(
         fleet,
         request_bytes("/v1/pipelines/" + step.pipeline, token, extra, boost::json::serialize(body)),
         session);
   }
-  session << "--- time line\n" << timeline_of(fleet);
+  session << "--- time line\n" << format_timeline(fleet);
   const auto path = std::string(SPURRACK_SOURCE) + "/tests/fleet/" + name + ".golden.txt";
   const auto actual = normalise(session.str());
   if (std::getenv("SPURRACK_UPDATE_GOLDEN") != nullptr) {
@@ -113,9 +121,9 @@
 
 BOOST_AUTO_TEST_SUITE(command_line_tool)
 
-BOOST_AUTO_TEST_CASE(exit_codes_say_what_is_the_matter) {
+BOOST_AUTO_TEST_CASE(exit_codes_distinguish_failures) {
   local_fleet fleet(binaries(), example_fleet({"north"}, 1));
-  fleet.start_all();
+  fleet.start_all_nodes();
   const auto& operators = fleet.addresses("entry-north1").operators;
   const auto folder = fleet.folder() / "templates";
   std::filesystem::create_directories(folder);
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -1,5 +1,6 @@
-/// The demo: a small fleet of both users on this machine, real requests, the answers, the cost by
-/// stage and the time line of one request. Exits non-zero if any answer is wrong.
+/// Demo: starts a small fleet of real processes on this machine, sends requests of both users of
+/// the project, and prints the answers, the cost by stage and the timeline of one request. Exits
+/// with a non-zero code if an answer is wrong or a node does not stop with code 0.
 #include "fleet/example_records.h"
 #include "logging/guarded_main.h"
 #include "logging/usual_options.h"
@@ -19,33 +20,35 @@
   std::string input;
   std::string expected_stage;
   std::string expected_output;
+  /// Whether the request is sent with a ticket, so that it runs at most once.
   bool once = false;
 };
 
-std::string member(const json::object& body, const char* name) {
+std::string string_field(const json::object& body, const char* name) {
   const auto* value = body.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : "";
 }
 
-/// @return the request's id where the answer is right; empty otherwise.
+/// Sends a request and prints its answer.
+/// @return the request's id if the answer is right; empty otherwise.
 std::string run_request(const local_fleet& fleet, const demo_request& request) {
   std::map<std::string, std::string> headers;
   if (request.once) {
-    headers["Spurrack-Ticket"] = fleet.take_ticket(request.node, request.token);
+    headers["Spurrack-Ticket"] = fleet.request_ticket(request.node, request.token);
   }
-  const auto answer =
-      fleet.ask(request.node, request.pipeline, request.token, {{"input", request.input}}, headers);
+  const auto answer = fleet.send_request(request.node, request.pipeline, request.token,
+                                         {{"input", request.input}}, headers);
   const auto body = answer.json();
   std::cout << "\n== " << request.pipeline << " through " << request.node << ": "
-            << member(body, "outcome") << "\n";
+            << string_field(body, "outcome") << "\n";
   const auto* outputs = body.if_contains("outputs");
   const auto output =
-      outputs == nullptr ? "" : member(outputs->as_object(), request.expected_stage.c_str());
+      outputs == nullptr ? "" : string_field(outputs->as_object(), request.expected_stage.c_str());
   std::cout << "   " << request.expected_stage << ": " << output << "\n";
   if (const auto* costs = body.if_contains("cost")) {
     for (const auto& cost : costs->as_array()) {
       const auto& entry = cost.as_object();
-      std::cout << "   cost " << member(entry, "stage") << ": "
+      std::cout << "   cost " << string_field(entry, "stage") << ": "
                 << entry.at("backend_ms").to_number<double>() << " ms, "
                 << entry.at("tokens").as_int64() << " tokens, " << entry.at("attempts").as_int64()
                 << " attempt(s)\n";
@@ -56,9 +59,11 @@
               << "\n";
     return "";
   }
-  return member(body, "request_id");
+  return string_field(body, "request_id");
 }
 
+/// Prints the timeline of a request by `spurrackctl explain`.
+/// @return the exit code of spurrackctl.
 int show_timeline(const local_fleet& fleet, const std::filesystem::path& binaries,
                   const std::string& request) {
   std::string nodes;
@@ -74,14 +79,14 @@
 int run_program(int argc, char** argv) {
   cxxopts::Options options("spurrack_demo", "A fleet of real processes that serves some requests.");
   spurrack::logging::add_usual_options(options);
-  const auto given = options.parse(argc, argv);
-  if (spurrack::logging::handle_usual_options(options, given)) {
+  const auto arguments = options.parse(argc, argv);
+  if (spurrack::logging::handle_usual_options(options, arguments)) {
     return 0;
   }
   const auto binaries = std::filesystem::absolute(argv[0]).parent_path();
   std::cout << "starting: platform, 2 zones, 4 nodes, 18 back ends\n";
   local_fleet fleet(binaries, spurrack::fleet::example_fleet({"north", "south"}, 2));
-  fleet.start_all();
+  fleet.start_all_nodes();
   std::cout << "all nodes are ready\n";
   const std::vector<demo_request> requests{
       {"entry-north1", "client-answer", spurrack::fleet::agents_token, "donde esta mi giro",
@@ -93,14 +98,14 @@
        "generate(rerank(retrieve(encode(probe 12)))) w1 w2 w3 w4 w5 w6 w7 w8 w9 w10 w11", false},
       {"entry-south2", "officer-alert", spurrack::fleet::members_token, "store 3 at 11 C",
        "officer-alert", "call(generate(store 3 at 11 C) w1 w2 w3)", true}};
-  std::string last;
+  std::string last_request_id;
   for (const auto& request : requests) {
-    last = run_request(fleet, request);
-    if (last.empty()) {
+    last_request_id = run_request(fleet, request);
+    if (last_request_id.empty()) {
       return 1;
     }
   }
-  if (show_timeline(fleet, binaries, last) != 0) {
+  if (show_timeline(fleet, binaries, last_request_id) != 0) {
     return 1;
   }
   for (const auto& node : fleet.description().nodes) {
