--- a/tests/engines/engine_fleet.h
+++ b/tests/engines/engine_fleet.h
@@ -268,11 +268,11 @@
   }
 
   double standard_normal() {
-    double total_busy = 0;
+    double sum = 0;
     for (int sample = 0; sample < 12; ++sample) {
-      total_busy += random_.unit();
+      sum += random_.unit();
     }
-    return total_busy - 6;
+    return sum - 6;
   }
   std::uint32_t tokens_of(double mean, double spread) {
     const double factor = std::exp(spread * standard_normal() - spread * spread / 2);
