--- a/src/quarantine/crash_registry.cc
+++ b/src/quarantine/crash_registry.cc
@@ -18,7 +18,7 @@
 /// Exits kept for one request; more would not change its quarantine state.
 constexpr std::size_t max_exits_per_record = 12;
 /// Withdrawn exits that are kept; the oldest one is evicted.
-constexpr std::size_t max_refuted_exits = 64;
+constexpr std::size_t max_withdrawn_exits = 64;
 
 /// Exits older than this are not compared with the exits under one request: a request that is sent
 /// repeatedly has shown its effect within this time.
@@ -28,13 +28,13 @@
 constexpr std::size_t max_indexed_exits = 1024;
 
 /// Exits that were withdrawn, with the time at which the replica was found to be running.
-using refuted_exit_times = std::map<replica_exit, base::time_point>;
+using withdrawn_exit_times = std::map<replica_exit, base::time_point>;
 
 /// @return whether the replica was in contact after the observed exit. A later exit of the same
 ///         incarnation is not refuted.
-bool is_refuted_exit(const refuted_exit_times& refuted, const exit_observation& observation) {
-  const auto found = refuted.find(observation.exit);
-  return found != refuted.end() && observation.at <= found->second;
+bool is_withdrawn_exit(const withdrawn_exit_times& withdrawn, const exit_observation& observation) {
+  const auto found = withdrawn.find(observation.exit);
+  return found != withdrawn.end() && observation.at <= found->second;
 }
 
 bool knows(const crash_record& record, replica_exit exit) {
@@ -84,7 +84,7 @@
                                  base::time_point now) {
   for (const auto& observation : received) {
     const bool is_recent = now - observation.at < comparison_window;
-    if (is_recent && !is_refuted_exit(refuted_exits_, observation) &&
+    if (is_recent && !is_withdrawn_exit(withdrawn_exits_, observation) &&
         exits_.size() < max_indexed_exits) {
       exits_.try_emplace(observation.exit, observation.at);
     }
@@ -115,7 +115,7 @@
     const bool is_refuted = record.survived_at && observation.at <= *record.survived_at;
     change.is_refuted = change.is_refuted && is_refuted;
     if (is_refuted || knows(record, observation.exit) ||
-        is_refuted_exit(refuted_exits_, observation)) {
+        is_withdrawn_exit(withdrawn_exits_, observation)) {
       continue;
     }
     if (record.exits.size() == max_exits_per_record) {
@@ -179,12 +179,12 @@
   if (exits_.erase(exit) == 0) {
     return false;
   }
-  if (refuted_exits_.size() == max_refuted_exits) {
-    refuted_exits_.erase(std::min_element(
-        refuted_exits_.begin(), refuted_exits_.end(),
+  if (withdrawn_exits_.size() == max_withdrawn_exits) {
+    withdrawn_exits_.erase(std::min_element(
+        withdrawn_exits_.begin(), withdrawn_exits_.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; }));
   }
-  refuted_exits_[exit] = now;
+  withdrawn_exits_[exit] = now;
   explanations_are_stale_ = true;
   for (auto& [digest, record] : records_) {
     std::erase_if(record.exits,
@@ -310,7 +310,7 @@
   explanations_are_stale_ = explanations_are_stale_ || forgotten > 0;
   std::erase_if(exits_,
                 [&](const auto& entry) { return now - entry.second >= suspicion_lifetime; });
-  std::erase_if(refuted_exits_,
+  std::erase_if(withdrawn_exits_,
                 [&](const auto& entry) { return now - entry.second >= suspicion_lifetime; });
 }
 
--- a/src/quarantine/crash_registry.h
+++ b/src/quarantine/crash_registry.h
@@ -148,7 +148,7 @@
   mutable std::map<replica_exit, std::size_t> explaining_exit_counts_;
   mutable bool explanations_are_stale_ = false;
   /// Exits that were withdrawn, with the time at which the replica was found to be running.
-  std::map<replica_exit, base::time_point> refuted_exits_;
+  std::map<replica_exit, base::time_point> withdrawn_exits_;
 };
 
 } // namespace spurrack::quarantine
--- a/src/quarantine/crash_report_exchange.cc
+++ b/src/quarantine/crash_report_exchange.cc
@@ -150,12 +150,13 @@
   }
   next_changes_at_ = now + change_interval;
   std::map<base::network_address, wire::crash_news> reports;
-  const auto to_all = random_peers(fanout);
+  const auto gossip_receivers = random_peers(fanout);
   for (std::size_t taken = 0; taken < max_records_per_message && !changed_digests_.empty();
        ++taken) {
     const auto* record = registry_->find(*changed_digests_.begin());
     if (record != nullptr) {
-      for (const auto& to : record->was_broadcast ? to_all : aggregators_of(record->digest)) {
+      for (const auto& to :
+           record->was_broadcast ? gossip_receivers : aggregators_of(record->digest)) {
         add_to(reports[to], *record, now);
       }
     }
