--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -42,12 +42,12 @@
   /// Refused because the request is quarantined.
   std::size_t quarantined = 0;
   /// Refused because the request is quarantined, with a Retry-After header.
-  std::size_t told_retry_after = 0;
+  std::size_t quarantined_with_retry_after = 0;
 };
 
 struct crash_fleet : virtual_time {
-  explicit crash_fleet(const crash_fleet_settings& wanted = {})
-      : settings(wanted), random(wanted.seed) {
+  explicit crash_fleet(const crash_fleet_settings& initial = {})
+      : settings(initial), random(initial.seed) {
     for (const std::string id : {"llm-a", "llm-b", "pool-a", "pool-b"}) {
       world.remove_replica(id);
     }
@@ -285,7 +285,7 @@
     auto& node = nodes[index];
     node.subject->advance(now);
     for (auto& command : node.subject->take_commands()) {
-      std::visit([&](const auto& wanted) { execute(index, wanted); }, command);
+      std::visit([&](const auto& typed_command) { execute(index, typed_command); }, command);
     }
     for (auto& message : node.subject->take_messages()) {
       later(milliseconds(2), [this, index, message] { deliver(index, message); });
@@ -295,46 +295,46 @@
   template <typename other_command>
   void execute(std::size_t /*node*/, const other_command& /*wanted*/) {}
 
-  void execute(std::size_t node, const start_call& wanted) {
+  void execute(std::size_t node, const start_call& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, wanted] {
+    later(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation == incarnation) {
-        reach_replica(node, wanted);
+        reach_replica(node, command);
       }
     });
-    nodes[node].calls[wanted.call] = false;
+    nodes[node].calls[command.call] = false;
   }
 
-  void execute(std::size_t node, const start_stage_call& wanted) {
+  void execute(std::size_t node, const start_stage_call& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, wanted] {
+    later(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation == incarnation) {
-        reach_stage_replica(node, wanted);
+        reach_stage_replica(node, command);
       }
     });
-    nodes[node].stage_calls.insert(wanted.call);
+    nodes[node].stage_calls.insert(command.call);
   }
 
-  void reach_stage_replica(std::size_t node, const start_stage_call& wanted) {
-    auto* replica = replica_at(wanted.target.address);
-    if (replica == nullptr || !replica->is_up || replica->id != wanted.target.replica) {
-      end_stage_call({node, wanted.call}, stage_call_ended::result::not_sent, 0);
+  void reach_stage_replica(std::size_t node, const start_stage_call& command) {
+    auto* replica = replica_at(command.target.address);
+    if (replica == nullptr || !replica->is_up || replica->id != command.target.replica) {
+      end_stage_call({node, command.call}, stage_call_ended::result::not_sent, 0);
       return;
     }
-    const std::pair key{node, wanted.call};
+    const std::pair key{node, command.call};
     const auto index = static_cast<unsigned>(replica - replicas.data());
     replica->calls.insert(key);
-    std::set<std::string> called;
-    for (const auto& item : wanted.items) {
-      called.insert(bodies_by_id.at(item.request));
+    std::set<std::string> called_bodies;
+    for (const auto& item : command.items) {
+      called_bodies.insert(bodies_by_id.at(item.request));
     }
-    for (const auto& body : called) {
+    for (const auto& body : called_bodies) {
       reached[body].push_back(now);
       if (bodies_crashing_in_stages.contains(body)) {
         schedule_crash(index, body);
       }
     }
-    later(milliseconds(200), [this, index, key, count = wanted.items.size()] {
+    later(milliseconds(200), [this, index, key, count = command.items.size()] {
       if (replicas[index].calls.erase(key) > 0) {
         end_stage_call(key, stage_call_ended::result::answered, count);
       }
@@ -342,13 +342,13 @@
   }
 
   void end_stage_call(std::pair<std::size_t, base::call_id> key, stage_call_ended::result how,
-                      std::size_t made) {
+                      std::size_t piece_count) {
     auto& node = nodes[key.first];
     if (node.stage_calls.erase(key.second) == 0) {
       return;
     }
     stage_call_ended ended{key.second, how, {}};
-    for (std::size_t piece = 0; piece < made; ++piece) {
+    for (std::size_t piece = 0; piece < piece_count; ++piece) {
       ended.pieces.push_back({piece_fault::none, "10.1.0.99:80/" + std::to_string(++handles)});
     }
     node.subject->handle(ended, now);
@@ -365,24 +365,24 @@
     });
   }
 
-  void execute(std::size_t node, const cancel_call& wanted) {
-    nodes[node].calls.erase(wanted.call);
-    nodes[node].stage_calls.erase(wanted.call);
+  void execute(std::size_t node, const cancel_call& command) {
+    nodes[node].calls.erase(command.call);
+    nodes[node].stage_calls.erase(command.call);
     for (auto& replica : replicas) {
-      replica.calls.erase({node, wanted.call});
+      replica.calls.erase({node, command.call});
     }
   }
 
-  void execute(std::size_t node, const probe_replica& wanted) {
+  void execute(std::size_t node, const probe_replica& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, wanted] {
+    later(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation != incarnation) {
         return;
       }
-      const auto* replica = replica_at(wanted.target.address);
+      const auto* replica = replica_at(command.target.address);
       const bool is_up = replica != nullptr && replica->is_up;
       nodes[node].subject->handle(
-          replica_probed{wanted.target.replica,
+          replica_probed{command.target.replica,
                          is_up ? probe_result::connected : probe_result::refused},
           now);
     });
@@ -400,7 +400,7 @@
     ++count.refused;
     if (answer.body.find("held back") != std::string::npos) {
       ++count.quarantined;
-      count.told_retry_after +=
+      count.quarantined_with_retry_after +=
           std::any_of(answer.headers.begin(), answer.headers.end(),
                       [](const auto& field) { return field.name == "Retry-After"; });
     }
@@ -434,26 +434,26 @@
     return nullptr;
   }
 
-  void reach_replica(std::size_t node, const start_call& wanted) {
-    if (!nodes[node].calls.contains(wanted.call)) {
+  void reach_replica(std::size_t node, const start_call& command) {
+    if (!nodes[node].calls.contains(command.call)) {
       return;
     }
-    auto* replica = replica_at(wanted.target.address);
+    auto* replica = replica_at(command.target.address);
     if (replica == nullptr || !replica->is_up) {
-      nodes[node].calls.erase(wanted.call);
-      nodes[node].subject->handle(call_failed{wanted.call, call_failure::not_sent}, now);
+      nodes[node].calls.erase(command.call);
+      nodes[node].subject->handle(call_failed{command.call, call_failure::not_sent}, now);
       return;
     }
-    if (replica->id != wanted.target.replica) {
+    if (replica->id != command.target.replica) {
       answer_head head = dispatcher_driver::good_head(421);
       head.misdirected = true;
-      nodes[node].calls.erase(wanted.call);
-      nodes[node].subject->handle(call_answered{wanted.call, head, ""}, now);
+      nodes[node].calls.erase(command.call);
+      nodes[node].subject->handle(call_answered{command.call, head, ""}, now);
       return;
     }
-    const auto& body = wanted.content->body;
+    const auto& body = command.content->body;
     reached[body].push_back(now);
-    const std::pair key{node, wanted.call};
+    const std::pair key{node, command.call};
     replica->calls.insert(key);
     const auto index = static_cast<unsigned>(replica - replicas.data());
     later(milliseconds(50 + random.below(100)),
--- a/tests/quarantine/crash_news_test.cc
+++ b/tests/quarantine/crash_news_test.cc
@@ -36,13 +36,13 @@
       nodes.push_back(std::make_unique<crash_exchange_node>(index));
     }
     for (auto& node : nodes) {
-      introduce(*node);
+      update_peers(*node);
     }
     run(seconds(1));
     bytes = 0;
   }
 
-  void introduce(crash_exchange_node& node) {
+  void update_peers(crash_exchange_node& node) {
     std::vector<serving::fleet_peer> others;
     for (const auto& other : nodes) {
       if (other->name != node.name) {
@@ -149,7 +149,7 @@
   }
   fleet.run(seconds(2));
   fleet.nodes[7] = std::make_unique<crash_exchange_node>(7);
-  fleet.introduce(*fleet.nodes[7]);
+  fleet.update_peers(*fleet.nodes[7]);
   fleet.run(seconds(1));
   BOOST_TEST(fleet.nodes_knowing(1, 4) == 30U);
 }
--- a/tests/quarantine/crashing_request_test.cc
+++ b/tests/quarantine/crashing_request_test.cc
@@ -70,7 +70,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(the_client_is_refused_at_once_without_a_time_to_return) {
+BOOST_AUTO_TEST_CASE(a_quarantined_request_is_refused_at_once_without_retry_after) {
   crash_fleet fleet;
   fleet.crashing_bodies = {"guilty"};
   fleet.send_repeatedly("/stream/", "guilty", seconds(10));
@@ -79,7 +79,7 @@
   fleet.run(milliseconds(1));
   const auto& after = fleet.counts["guilty"];
   BOOST_TEST(after.quarantined == before.quarantined + 1);
-  BOOST_TEST(after.told_retry_after == 0U);
+  BOOST_TEST(after.quarantined_with_retry_after == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_whose_pieces_crash_replicas_is_quarantined) {
--- a/tests/quarantine/quarantine_policies_test.cc
+++ b/tests/quarantine/quarantine_policies_test.cc
@@ -23,10 +23,10 @@
   double seconds_to_last_exit = 0;
   /// Harmless requests that were refused by quarantine or by a route pause in runs with a crashing
   /// request.
-  std::size_t refused_beside = 0;
+  std::size_t refused_beside_crashing_request = 0;
   /// The same in runs in which replicas crash for other reasons.
-  std::size_t refused_without = 0;
-  std::size_t harmless = 0;
+  std::size_t refused_without_crashing_request = 0;
+  std::size_t harmless_requests = 0;
 };
 
 std::size_t count_refused_harmless(const crash_fleet& fleet) {
@@ -40,8 +40,8 @@
   return refused;
 }
 
-void add_day_with_crashing_request(crash_fleet_settings settings, bool shares_reports,
-                                   policy_outcome& totals) {
+void add_fleet_with_crashing_request(crash_fleet_settings settings, bool shares_reports,
+                                     policy_outcome& totals) {
   crash_fleet fleet(settings);
   if (!shares_reports) {
     fleet.nodes_of_older_build = {0, 1, 2, 3, 4, 5};
@@ -56,12 +56,12 @@
   totals.late_sends =
       std::max(totals.late_sends, fleet.sends_after_third_exit("guilty", seconds(3)));
   totals.seconds_to_last_exit += exits.empty() ? 0 : base::to_seconds(exits.back() - exits.front());
-  totals.refused_beside += count_refused_harmless(fleet);
-  totals.harmless += fleet.counts.size() - 1;
+  totals.refused_beside_crashing_request += count_refused_harmless(fleet);
+  totals.harmless_requests += fleet.counts.size() - 1;
 }
 
-void add_day_with_unrelated_crashes(crash_fleet_settings settings, bool shares_reports,
-                                    policy_outcome& totals) {
+void add_fleet_with_unrelated_crashes(crash_fleet_settings settings, bool shares_reports,
+                                      policy_outcome& totals) {
   crash_fleet fleet(settings);
   if (!shares_reports) {
     fleet.nodes_of_older_build = {0, 1, 2, 3, 4, 5};
@@ -72,7 +72,7 @@
     fleet.crash(fleet.random_replica());
     fleet.run(seconds(1));
   }
-  totals.refused_without += count_refused_harmless(fleet);
+  totals.refused_without_crashing_request += count_refused_harmless(fleet);
 }
 
 policy_outcome run_policy(const std::string& name, crash_fleet_settings settings,
@@ -80,16 +80,16 @@
   policy_outcome totals;
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     settings.seed = seed;
-    add_day_with_crashing_request(settings, shares_reports, totals);
-    add_day_with_unrelated_crashes(settings, shares_reports, totals);
+    add_fleet_with_crashing_request(settings, shares_reports, totals);
+    add_fleet_with_unrelated_crashes(settings, shares_reports, totals);
   }
   std::ostringstream row;
   row << std::setw(28) << std::left << name << " ends " << std::fixed << std::setprecision(1)
       << static_cast<double>(totals.exits) / seed_count << " (most " << totals.max_exits
       << "), late sends at most " << totals.late_sends << ", last end after "
       << totals.seconds_to_last_exit / seed_count << " s, harmless refused beside it "
-      << totals.refused_beside << " of " << totals.harmless << ", without one "
-      << totals.refused_without;
+      << totals.refused_beside_crashing_request << " of " << totals.harmless_requests
+      << ", without one " << totals.refused_without_crashing_request;
   BOOST_TEST_MESSAGE(row.str());
   return totals;
 }
@@ -121,9 +121,12 @@
   for (const auto& other : {no_policy, single_attempt_only, per_node_count}) {
     BOOST_TEST(current_policy.exits < other.exits);
   }
-  BOOST_TEST(current_policy.refused_beside + current_policy.refused_without <
-             route_pause_only.refused_beside + route_pause_only.refused_without);
-  BOOST_TEST(current_policy.refused_without <= limit_of_three.refused_without);
+  BOOST_TEST(current_policy.refused_beside_crashing_request +
+                 current_policy.refused_without_crashing_request <
+             route_pause_only.refused_beside_crashing_request +
+                 route_pause_only.refused_without_crashing_request);
+  BOOST_TEST(current_policy.refused_without_crashing_request <=
+             limit_of_three.refused_without_crashing_request);
   BOOST_TEST(current_policy.max_exits <= 5U);
 }
 
