--- a/src/self_reports/self_report_exchange.cc
+++ b/src/self_reports/self_report_exchange.cc
@@ -77,7 +77,7 @@
 /// Visits up to `most` pending entries, decrements their remaining sends, and erases entries
 /// without remaining sends.
 template <typename map, typename visitor>
-void take_pending(map& pending, std::size_t most, const visitor& visit) {
+void visit_pending(map& pending, std::size_t most, const visitor& visit) {
   std::size_t visited = 0;
   for (auto next = pending.begin(); next != pending.end() && visited < most; ++visited) {
     visit(next->first);
@@ -234,13 +234,13 @@
   }
   next_changes_at_ = now + change_interval;
   wire::rate_limits message;
-  take_pending(pending_drains_, max_records_per_message, [&](const drain_registry::key& draining) {
+  visit_pending(pending_drains_, max_records_per_message, [&](const drain_registry::key& draining) {
     const auto known = drains_.all().find(draining);
     if (known != drains_.all().end()) {
       *message.add_departures() = to_wire(draining, known->second, now);
     }
   });
-  take_pending(pending_limits_, max_records_per_message, [&](const base::replica_id& replica) {
+  visit_pending(pending_limits_, max_records_per_message, [&](const base::replica_id& replica) {
     if (const auto* record = limits_.find(replica)) {
       *message.add_limits() = to_wire(replica, *record, now);
     }
