--- a/tests/replica_statements/leaving_replica_test.cc
+++ b/tests/replica_statements/leaving_replica_test.cc
@@ -45,26 +45,26 @@
 BOOST_AUTO_TEST_CASE(all_nodes_stop_soon_after_one_node_received_a_drain_announcement) {
   struct scenario {
     std::size_t nodes;
-    double lost_share;
+    double loss_rate;
     base::duration bound;
   };
   const std::vector<scenario> scenarios{
       {2, 0, bound_on_healthy_links},   {6, 0, bound_on_healthy_links},
       {86, 0, bound_on_healthy_links},  {6, 0.33, bound_on_lossy_links},
       {86, 0.33, bound_on_lossy_links}, {300, 0.33, bound_on_lossy_links}};
-  for (const auto& [nodes, lost_share, bound] : scenarios) {
+  for (const auto& [nodes, loss_rate, bound] : scenarios) {
     for (std::uint64_t seed = 1; seed <= (nodes > 86 ? 1U : 5U); ++seed) {
       limited_fleet fleet({.seed = seed,
                            .nodes = nodes,
                            .zones = 4,
                            .replicas = 4,
-                           .message_loss_rate = lost_share,
+                           .message_loss_rate = loss_rate,
                            .step = milliseconds(2)});
       fleet.load(100, seconds(2));
       fleet.begin_draining(0);
       fleet.load(100, seconds(6));
       BOOST_TEST(sends_after_bound(fleet, 0, bound) == 0U,
-                 nodes << " nodes, loss " << lost_share << ", seed " << seed);
+                 nodes << " nodes, loss " << loss_rate << ", seed " << seed);
     }
   }
 }
@@ -106,9 +106,9 @@
   fleet.begin_draining(0);
   fleet.load(40, seconds(3));
   fleet.restart_replica(0);
-  const auto restarted = fleet.now;
+  const auto restarted_at = fleet.now;
   fleet.load(40, seconds(10));
-  BOOST_TEST(fleet.arrived_since(0, restarted) > 10U);
+  BOOST_TEST(fleet.arrived_since(0, restarted_at) > 10U);
   fleet.begin_draining(0);
   fleet.load(40, seconds(3));
   auto& moved = fleet.replicas[0];
@@ -117,9 +117,9 @@
   moved.drain_announced_at.clear();
   fleet.publish(0);
   fleet.update_nodes();
-  const auto published = fleet.now;
+  const auto published_at = fleet.now;
   fleet.load(40, seconds(10));
-  BOOST_TEST(fleet.arrived_since(0, published) > 10U);
+  BOOST_TEST(fleet.arrived_since(0, published_at) > 10U);
 }
 
 BOOST_AUTO_TEST_CASE(a_started_node_learns_of_the_drain) {
@@ -129,9 +129,9 @@
   fleet.load(40, seconds(3));
   fleet.start_node(2);
   fleet.load(40, seconds(3));
-  const auto known = fleet.now;
+  const auto known_at = fleet.now;
   fleet.load(40, seconds(10));
-  BOOST_TEST(fleet.arrived_since(0, known + seconds(1)) == 0U);
+  BOOST_TEST(fleet.arrived_since(0, known_at + seconds(1)) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(all_replicas_of_a_zone_drain_in_turn_without_failed_requests) {
--- a/tests/replica_statements/limit_book_test.cc
+++ b/tests/replica_statements/limit_book_test.cc
@@ -52,9 +52,9 @@
 
 BOOST_AUTO_TEST_CASE(records_in_any_order_merge_to_the_same_limit) {
   std::vector<limit_record> records;
-  const std::vector<std::optional<double>> named{3.0, 1.0, std::nullopt, 6.0, 2.0};
-  for (std::size_t index = 0; index < named.size(); ++index) {
-    records.push_back({incarnation, named[index], index + 1, start + seconds(index)});
+  const std::vector<std::optional<double>> limits{3.0, 1.0, std::nullopt, 6.0, 2.0};
+  for (std::size_t index = 0; index < limits.size(); ++index) {
+    records.push_back({incarnation, limits[index], index + 1, start + seconds(index)});
   }
   base::seeded_random random(3);
   for (int round = 0; round < 200; ++round) {
@@ -72,11 +72,11 @@
 BOOST_AUTO_TEST_CASE(of_two_changes_at_the_same_version_the_stricter_limit_wins) {
   for (const bool lifted_first : {true, false}) {
     const limit_record lifted{incarnation, std::nullopt, 2, start};
-    const limit_record named{incarnation, 5.0, 2, start};
+    const limit_record announced{incarnation, 5.0, 2, start};
     limit_registry registry;
     registry.merge(replica, {incarnation, 1.0, 1, start});
-    registry.merge(replica, lifted_first ? lifted : named);
-    registry.merge(replica, lifted_first ? named : lifted);
+    registry.merge(replica, lifted_first ? lifted : announced);
+    registry.merge(replica, lifted_first ? announced : lifted);
     BOOST_TEST(registry.limit_of(replica).value_or(0) == 5.0);
   }
 }
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -51,16 +51,16 @@
     fleet.load(100, seconds(2));
     fleet.refuse_requests(0, milliseconds(50), seconds(1));
     fleet.load(100, milliseconds(900));
-    const auto begun = fleet.now;
+    const auto begun_at = fleet.now;
     fleet.load(100, seconds(1));
     // Two nodes, each of which starts with one request; answers take 20 to 80 ms.
-    const auto within = fleet.max_arrivals_within(0, milliseconds(20), begun, false);
+    const auto within = fleet.max_arrivals_within(0, milliseconds(20), begun_at, false);
     BOOST_TEST(within <= 8U, within << " in 20 ms, seed " << seed);
-    BOOST_TEST(fleet.arrived_since(0, begun) > 40U, "seed " << seed);
+    BOOST_TEST(fleet.arrived_since(0, begun_at) > 40U, "seed " << seed);
   }
 }
 
-BOOST_AUTO_TEST_CASE(refused_clients_are_told_when_backoffs_end) {
+BOOST_AUTO_TEST_CASE(refusals_during_backoffs_carry_a_longer_retry_after) {
   limited_fleet fleet({.replicas = 2});
   fleet.load(20, seconds(2));
   for (const unsigned replica : {0U, 1U}) {
@@ -91,9 +91,9 @@
   BOOST_TEST(learned >= 4U);
   // The other nodes keep sending, and drop the reported backoffs when they have ended.
   fleet.load(40, seconds(8));
-  const auto begun = fleet.now;
+  const auto begun_at = fleet.now;
   fleet.load(40, seconds(10));
-  BOOST_TEST(fleet.arrived_since(0, begun) > 15U);
+  BOOST_TEST(fleet.arrived_since(0, begun_at) > 15U);
 }
 
 BOOST_AUTO_TEST_CASE(a_backoff_ends_with_the_incarnation_or_address_that_requested_it) {
@@ -102,17 +102,17 @@
   fleet.refuse_requests(0, seconds(1), seconds(60));
   fleet.load(20, seconds(2));
   fleet.restart_replica(0);
-  auto begun = fleet.now;
+  auto begun_at = fleet.now;
   fleet.load(20, seconds(5));
-  BOOST_TEST(fleet.arrived_since(0, begun) > 10U);
+  BOOST_TEST(fleet.arrived_since(0, begun_at) > 10U);
   fleet.refuse_requests(0, seconds(1), seconds(60));
   fleet.load(20, seconds(2));
   fleet.replicas[0].address = "10.1.9.9:80";
   fleet.publish(0);
   fleet.update_nodes();
-  begun = fleet.now;
+  begun_at = fleet.now;
   fleet.load(20, seconds(5));
-  BOOST_TEST(fleet.arrived_since(0, begun) > 10U);
+  BOOST_TEST(fleet.arrived_since(0, begun_at) > 10U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -300,11 +300,12 @@
   BOOST_REQUIRE(node.all<respond>().size() == before + 1);
   const auto refused = node.last<respond>();
   BOOST_TEST(refused.status == 503U);
-  const auto named = std::find_if(refused.headers.begin(), refused.headers.end(),
-                                  [](const header& field) { return field.name == "Retry-After"; });
-  BOOST_REQUIRE((named != refused.headers.end()));
+  const auto retry_after =
+      std::find_if(refused.headers.begin(), refused.headers.end(),
+                   [](const header& field) { return field.name == "Retry-After"; });
+  BOOST_REQUIRE((retry_after != refused.headers.end()));
   // A third of the five seconds that the client waits, the longest time to return that is sent.
-  BOOST_TEST(std::stod(named->value) >= 1.0);
+  BOOST_TEST(std::stod(retry_after->value) >= 1.0);
 }
 
 BOOST_AUTO_TEST_CASE(stages_are_not_started_if_all_replicas_back_off_beyond_the_deadline) {
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -24,14 +24,14 @@
   double last_send_after = 0;
 };
 
-drain_figures run_drain(std::size_t nodes, double lost_share) {
+drain_figures run_drain(std::size_t nodes, double loss_rate) {
   drain_figures figures;
   for (std::uint64_t seed = 1; seed <= random_fleets; ++seed) {
     limited_fleet fleet({.seed = seed,
                          .nodes = nodes,
                          .zones = 4,
                          .replicas = 12,
-                         .message_loss_rate = lost_share,
+                         .message_loss_rate = loss_rate,
                          .step = milliseconds(2)});
     fleet.load(60, seconds(2));
     fleet.begin_draining(0);
@@ -56,7 +56,7 @@
   double max_load_elsewhere = 0;
 };
 
-backoff_figures run_backoffs(std::size_t nodes, double lost_share) {
+backoff_figures run_backoffs(std::size_t nodes, double loss_rate) {
   constexpr double per_second = 120;
   constexpr unsigned replicas = 12;
   backoff_figures figures;
@@ -65,20 +65,20 @@
                          .nodes = nodes,
                          .zones = 1,
                          .replicas = replicas,
-                         .message_loss_rate = lost_share,
+                         .message_loss_rate = loss_rate,
                          .step = milliseconds(2)});
     fleet.load(per_second, seconds(2));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
       fleet.refuse_requests(replica, seconds(8), seconds(3));
     }
-    const auto begun = fleet.now;
+    const auto begun_at = fleet.now;
     fleet.load(per_second, seconds(8));
     for (unsigned replica = 0; replica < replicas; ++replica) {
       if (replica < 4) {
         figures.refused_by_replicas +=
-            static_cast<double>(fleet.arrived_since(replica, begun)) / random_fleets;
+            static_cast<double>(fleet.arrived_since(replica, begun_at)) / random_fleets;
       } else {
-        const auto most = fleet.max_arrivals_within(replica, seconds(1), begun, false);
+        const auto most = fleet.max_arrivals_within(replica, seconds(1), begun_at, false);
         figures.max_load_elsewhere =
             std::max(figures.max_load_elsewhere, static_cast<double>(most) * replicas / per_second);
       }
