--- a/src/quarantine/crash_detector.cc
+++ b/src/quarantine/crash_detector.cc
@@ -5,14 +5,14 @@
 namespace spurrack::quarantine {
 namespace {
 
-/// Minimum time between a successful probe of a replica and the next probe: if replicas reset some
-/// of their connections, probes cost one new connection per second at most.
+/// Minimum time between a successful probe of a replica and the next probe of it: a replica that
+/// resets some of its connections is probed with at most one new connection per second.
 constexpr base::duration probe_interval = std::chrono::seconds(1);
-/// Time for which lost calls are kept. A replica that exited is removed from the published list, or
-/// listed in another incarnation, within about four seconds; two and a half times that, since the
-/// list may lag.
+/// Time after the last lost call of a replica after which its lost calls are dropped. A replica
+/// that exited disappears from the published list of replicas, or is listed in another incarnation,
+/// within about four seconds; this is two and a half times as long, since the list may lag.
 constexpr base::duration watch_duration = std::chrono::seconds(10);
-/// Lost calls kept for one replica: the maximum number that a replica runs at once.
+/// Maximum number of lost calls kept for one replica: no replica runs more calls at once.
 constexpr std::size_t max_calls_per_replica = 128;
 
 } // namespace
--- a/src/quarantine/crash_detector.h
+++ b/src/quarantine/crash_detector.h
@@ -1,6 +1,8 @@
-/// Keeps calls that ended without a complete answer until it is known whether their replica exited.
-/// A partitioned link, a connection reset and a replica that aborts answers look the same at first,
-/// so the replica is probed with a connection and its published record is watched. No I/O.
+/// Detects whether a replica exited while it ran a request. A call that ended without a complete
+/// answer is called a lost call: a partitioned link, a connection reset, a replica that aborts
+/// answers and a replica that exited look the same at first. So the replica is probed with a
+/// connection and its published record is watched, and its lost calls are kept until it is known
+/// whether the replica exited. No I/O.
 #pragma once
 
 #include "base/ids.h"
@@ -16,34 +18,37 @@
 
 namespace spurrack::quarantine {
 
-/// A call that ended without a complete answer, with the exit of its replica that may explain it.
+/// A call that ended without a complete answer, and the exit of its replica that may have ended it.
 struct lost_call {
+  /// Digest of the request.
   request_digest digest;
+  /// Exit of the incarnation that was called, at the time at which the call ended.
   exit_observation exit;
 };
 
-/// Not thread-safe.
+/// Lost calls of the replicas whose exit is neither confirmed nor ruled out. Not thread-safe.
 class crash_detector {
  public:
-  /// Records a call that ended without a complete answer at a replica that was not draining.
+  /// Records a lost call. Precondition: the replica was not draining.
   /// @return whether the caller must probe the replica now.
   bool note_lost_call(const base::replica_id& replica, const lost_call& call, base::time_point now);
-  /// Returns and clears the lost calls of a replica that exited: it refuses connections, has
-  /// restarted, or is no longer published.
+  /// Returns and clears the lost calls of a replica. Called when the replica is known to have
+  /// exited: it refuses connections, has restarted, or is no longer published.
   std::vector<lost_call> take_lost_calls(const base::replica_id& replica);
-  /// Records that the replica accepted a connection: it runs, or has restarted, which its published
-  /// record shows soon.
+  /// Records that the replica accepted the connection of a probe: it still runs, or it has
+  /// restarted, which its published record will show.
   void note_connected(const base::replica_id& replica, base::time_point now);
-  /// Records that a probe failed without a result.
+  /// Records that a probe failed without showing whether the replica runs.
   void note_probe_failed(const base::replica_id& replica);
-  /// Drops lost calls that can no longer be explained by an exit.
+  /// Drops lost calls that are so old that an exit would have been detected by now.
   void drop_expired(base::time_point now);
-  /// @return replicas with lost calls that are not explained yet.
+  /// @return replicas with lost calls.
   [[nodiscard]] std::vector<base::replica_id> watched_replicas() const;
 
  private:
   struct watched_replica {
     std::vector<lost_call> calls;
+    /// Whether a probe has been requested and its result is not known yet.
     bool is_probe_pending = false;
     /// Time at which the replica last accepted a probe.
     std::optional<base::time_point> connected_at;
--- a/src/quarantine/crash_registry.cc
+++ b/src/quarantine/crash_registry.cc
@@ -6,32 +6,35 @@
 namespace spurrack::quarantine {
 namespace {
 
-/// Time without another exit after which a request with too few exits for quarantine is no longer
-/// suspected: clients retry within seconds, scheduled jobs within minutes.
+/// Time after its last update after which the record of a request with too few exits for quarantine
+/// is dropped: clients send a request again within seconds, scheduled jobs within minutes. Indexed
+/// exits and withdrawn exits are dropped at the same age.
 constexpr base::duration suspicion_lifetime = std::chrono::minutes(10);
-/// Time without an arrival after which a quarantined request may be tried once more: the operators
-/// of the replicas may have repaired them in this time.
+/// Time without an arrival of a quarantined request after which the request may be tried once more:
+/// the operators of the replicas may have repaired them in this time.
 constexpr base::duration first_quarantine_duration = std::chrono::hours(1);
-/// Time after the last exit, surviving run or refusal after which the record of a request that was
-/// quarantined is dropped.
+/// Time after the last exit, surviving run or refusal after which the record of a request with
+/// enough exits for quarantine is dropped.
 constexpr base::duration quarantine_record_lifetime = std::chrono::hours(24);
-/// Exits kept for one request; more would not change its quarantine state.
+/// Maximum number of exits in one record; more exits would not change the quarantine state.
 constexpr std::size_t max_exits_per_record = 12;
-/// Withdrawn exits that are kept; the oldest one is evicted.
+/// Maximum number of withdrawn exits that are remembered; a further withdrawal evicts the exit that
+/// was withdrawn first.
 constexpr std::size_t max_withdrawn_exits = 64;
 
-/// Exits older than this are not compared with the exits under one request: a request that is sent
-/// repeatedly has shown its effect within this time.
+/// Age after which the exits of replicas that did not run a request no longer raise the number of
+/// exits required for its quarantine: a request that is sent repeatedly has shown its effect within
+/// this time. Nodes neither send nor merge older exits outside of records.
 constexpr base::duration comparison_window = std::chrono::seconds(30);
 
-/// Exits indexed over all records, a bound on memory: 30 per second for 30 s.
+/// Maximum number of indexed exits, a limit on memory: 30 exits per second for 30 s.
 constexpr std::size_t max_indexed_exits = 1024;
 
-/// Exits that were withdrawn, with the time at which the replica was found to be running.
+/// Withdrawn exits, with the times at which their replicas were found to be running.
 using withdrawn_exit_times = std::map<replica_exit, base::time_point>;
 
-/// @return whether the replica was in contact after the observed exit. A later exit of the same
-///         incarnation is not refuted.
+/// @return whether the observed exit was withdrawn. An exit of the same incarnation after the
+///         withdrawal is another exit, which counts.
 bool is_withdrawn_exit(const withdrawn_exit_times& withdrawn, const exit_observation& observation) {
   const auto found = withdrawn.find(observation.exit);
   return found != withdrawn.end() && observation.at <= found->second;
@@ -230,9 +233,10 @@
   return found != explaining_exit_counts_.end() && found->second > record.exits.size();
 }
 
-/// Up to 128 requests share a replica, and requests that are retried after an exit may share the
-/// next replica with the request that caused it. Exits explained by a request with more exits do
-/// not count, unless two unexplained exits remain: then this request is likely a cause as well.
+/// Up to 128 requests run at a replica at the same time, and requests that are retried after an
+/// exit may reach the next replica together with the request that caused the exit. So exits that
+/// are explained by a request with more exits do not count, unless two or more exits remain
+/// unexplained: then this request probably causes exits as well, and all of its exits count.
 std::size_t crash_registry::counted_exits(const crash_record& record) const {
   const auto all = record.exits.size();
   if (all < limits_.single_attempt) {
@@ -291,8 +295,8 @@
   }
 }
 
-/// A request with more exits than any quarantine limit has been tried again after its quarantine
-/// and crashed its replica again, so that it stays quarantined for longer.
+/// A request with more exits than `quarantine_with_unrelated_exits` was tried again after its first
+/// quarantine and crashed a replica again, so its next quarantine lasts longer.
 base::duration crash_registry::quarantine_duration(std::size_t exits) const {
   return exits > limits_.quarantine_with_unrelated_exits ? quarantine_record_lifetime
                                                          : first_quarantine_duration;
--- a/src/quarantine/crash_report_exchange.cc
+++ b/src/quarantine/crash_report_exchange.cc
@@ -7,29 +7,32 @@
 namespace spurrack::quarantine {
 namespace {
 
-/// Nodes that a first exit is reported to: a node may be down or partitioned, and views of the
-/// fleet differ.
+/// Number of aggregators of a request. More than one, since an aggregator may be down or
+/// partitioned, and nodes with different views of the fleet choose different aggregators.
 constexpr std::size_t aggregator_count = 3;
-/// Random nodes to which each node forwards a change. In a large fleet one node in 400 misses the
-/// change and receives it with a reminder.
+/// Number of random nodes to which each node forwards a change. In a large fleet one node in 400
+/// misses the change and receives it with a reminder.
 constexpr std::size_t fanout = 6;
-/// Minimum time between two batches of changes; the first batch is sent at once. With the bounds on
-/// nodes and records this limits the traffic to 15 kB per second, while replicas continue to exit.
+/// Minimum time between two batches of changes; the first batch is sent at once. With the limits on
+/// receivers and records, a node sends at most 15 kB per second, and only while replicas continue
+/// to exit.
 constexpr base::duration change_interval = std::chrono::milliseconds(200);
-/// Records in one message, 50 to 100 bytes each.
+/// Maximum number of records in one message with changes or in one reminder, 50 to 100 bytes each.
 constexpr std::size_t max_records_per_message = 8;
-/// Interval between reminders, each to one random node: a third of the time within which nodes in
-/// contact learn of each other's reports.
+/// Interval between reminders, each to one random node: a third of the three seconds within which
+/// nodes in contact are to learn of each other's reports.
 constexpr base::duration reminder_interval = std::chrono::milliseconds(1000);
-/// Nodes that a node queries for missed records after its start or a suspension, number of rounds
-/// of queries, and time between two rounds.
+/// Number of random nodes that a node queries for missed records in each round of queries, after
+/// its start or a suspension.
 constexpr std::size_t query_fanout = 2;
+/// Number of rounds of queries.
 constexpr std::size_t query_count = 3;
+/// Time between two rounds of queries.
 constexpr base::duration query_interval = std::chrono::milliseconds(300);
-/// Exits in one message beside the records, 15 bytes each: the exits of some seconds if two
-/// replicas exit per second.
+/// Maximum number of exits that a message carries in addition to its records, 15 bytes each: the
+/// exits of the last six seconds if two replicas exit per second.
 constexpr std::size_t max_exits_per_message = 12;
-/// Records in the reply to a query.
+/// Maximum number of records in the reply to a query.
 constexpr std::size_t max_records_per_reply = 32;
 
 std::uint32_t age_of(base::time_point when, base::time_point now) {
--- a/src/quarantine/crash_report_exchange.h
+++ b/src/quarantine/crash_report_exchange.h
@@ -1,11 +1,11 @@
 /// Exchanges crash records with other nodes. No I/O.
 ///
-/// The first exit under a request is reported to three nodes, the aggregators of this request,
-/// chosen by rendezvous hashing over all nodes: exits that different nodes observed meet there.
-/// Once two exits are known, the record spreads to all nodes by gossip, so the traffic of a node
-/// does not grow with the fleet. Nodes send only changed records, and one reminder per second while
-/// any request has had two exits: reminders reach nodes that missed a message, were partitioned or
-/// restarted.
+/// The first exit under a request is reported to three nodes, the aggregators of the request, which
+/// are chosen by rendezvous hashing over all nodes: the aggregators combine exits that different
+/// nodes observed. Once two exits under the request are known, its record spreads to all nodes by
+/// gossip, so the traffic of a node does not grow with the fleet. Nodes send only changed records,
+/// and one reminder per second while they know any request that has had two exits. Reminders reach
+/// nodes that missed a message, were partitioned or restarted.
 #pragma once
 
 #include "base/ids.h"
@@ -28,27 +28,32 @@
 /// Counters of the exchange, for metrics.
 struct crash_report_counts {
   std::uint64_t sent_messages = 0;
+  /// Records received from other nodes that could be parsed.
   std::uint64_t received_records = 0;
-  /// Records that could not be parsed and were skipped.
+  /// Records received from other nodes that could not be parsed and were skipped.
   std::uint64_t malformed_records = 0;
 };
 
 /// A request whose record changed because of a message from another node.
 struct learned_record {
   request_digest digest;
+  /// Whether the change has put the request into quarantine.
   bool begins_quarantine = false;
 };
 
-/// Not thread-safe. Messages are queued until `take_messages`.
+/// Sends the crash records of this node to other nodes, and merges the records that it receives
+/// into the registry. Outgoing messages are queued until `take_messages`. Not thread-safe.
 class crash_report_exchange {
  public:
-  /// @param registry source of sent records and target of received records; must outlive this
-  ///        object.
+  /// @param registry holds the records that are sent, and receives those of other nodes; must
+  ///        outlive this object.
+  /// @param self this node.
   /// @param random must outlive this object.
   crash_report_exchange(crash_registry& registry, base::node_id self, base::random_source& random);
 
-  /// Replaces the peers with all live nodes of all regions, since a request may be sent again to
-  /// any node.
+  /// Replaces the peers.
+  /// @param alive all live nodes of all regions, without this node: a client may send a request
+  ///        again to any node.
   void set_peers(const std::vector<serving::fleet_peer>& alive);
   /// Schedules the record of a request for sending because it changed at this node.
   void note_changed(const request_digest& digest) { changed_digests_.insert(digest); }
@@ -58,8 +63,8 @@
   void advance(base::time_point now);
   /// @return time at which `advance` is due; std::nullopt if nothing is scheduled.
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
-  /// Merges the records of a message. Queues a reply if the sender asks for all records or holds
-  /// exits that a later surviving run refutes.
+  /// Merges the records of a message. Queues a reply if the sender queries all records, or if this
+  /// node knows of a surviving run that is later than the exits in a record of the sender.
   /// @return the requests whose records changed.
   std::vector<learned_record> handle(const base::network_address& sender,
                                      const wire::crash_news& message, base::time_point now);
@@ -82,14 +87,19 @@
   crash_registry* registry_;
   base::node_id self_;
   base::random_source* random_;
+  /// This node and its peers, from which aggregators are chosen.
   std::vector<base::node_id> nodes_;
+  /// Addresses of the peers.
   std::map<base::node_id, base::network_address> addresses_;
+  /// Requests whose records are scheduled for sending.
   std::set<request_digest> changed_digests_;
   base::time_point next_changes_at_;
   base::time_point next_reminder_at_;
-  /// Time of the next query for missed records; std::nullopt once all queries are sent.
+  /// Time of the next round of queries for missed records; std::nullopt if none is scheduled.
   std::optional<base::time_point> next_query_at_;
+  /// Number of rounds of queries that are still to be sent.
   std::size_t queries_left_ = 0;
+  /// Whether queries have begun since the start of this process.
   bool has_queried_ = false;
   wire::outbox outgoing_messages_;
   crash_report_counts counts_;
--- a/src/quarantine/request_digest.h
+++ b/src/quarantine/request_digest.h
@@ -26,8 +26,10 @@
 
   request_digest() = default;
   explicit request_digest(const std::array<std::uint8_t, byte_count>& bytes) : bytes_(bytes) {}
+  /// Decodes a digest from a message of another node.
   /// @return std::nullopt if the bytes do not have the length of a digest.
   static std::optional<request_digest> from_bytes(std::string_view bytes);
+  /// Parses the form that `text` returns.
   /// @return std::nullopt if the text is not 32 hexadecimal digits.
   static std::optional<request_digest> from_text(std::string_view text);
 
@@ -42,7 +44,7 @@
 };
 
 /// Computes the digest of a request, in about 2 microseconds per 1,000 bytes of its body.
-/// @param tenant owner of the request's API key; empty if the route is public.
+/// @param tenant tenant to which the API key of the request belongs; empty if the route is public.
 [[nodiscard]] request_digest digest_of(const serving::request_content& content,
                                        std::string_view tenant);
 
