--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -1,6 +1,6 @@
-/// A fleet of dispatchers in front of replicas that crash when they run certain requests, in
-/// virtual time. Messages between nodes take 2 ms; crashed replicas refuse connections, are removed
-/// from the published list later and restart after 1.5 to 2 s.
+/// Simulated fleet of dispatchers and replicas in virtual time; the replicas crash when they run
+/// certain requests. Messages between nodes take 2 ms. A crashed replica refuses connections, is
+/// removed from the published list of replicas later, and restarts after 1.5 to 2 s.
 #pragma once
 
 #include "serving_fixture.h"
@@ -18,26 +18,30 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Parameters of a random fleet.
+/// Parameters of a simulated fleet.
 struct crash_fleet_settings {
+  /// Seed of all random choices.
   std::uint64_t seed = 1;
   std::size_t nodes = 6;
   unsigned replicas = 12;
   /// Additional replicas that compute the pieces of the two stages of `/staged/`.
   unsigned stage_replicas = 0;
-  /// A crashed replica restarts under its id with a new start time; otherwise under a new id.
+  /// Whether a crashed replica restarts under its id, with a new start time; otherwise it restarts
+  /// under a new id.
   bool keeps_ids_on_restart = false;
   quarantine_limits limits = {};
-  /// Nodes refuse all requests while the second latest crash is younger than this; 0 for never.
+  /// Emulates a policy without quarantine: nodes refuse all requests for this time after two
+  /// replicas have crashed within it; 0 to disable the policy.
   base::duration route_pause{};
 };
 
-/// Outcomes of the attempts of one request.
+/// Outcomes of the attempts of a client to send one request.
 struct attempt_counts {
   std::size_t attempts = 0;
   std::size_t served = 0;
-  /// Answered with 503: not run.
+  /// Answered with 503, so that the request was not run.
   std::size_t refused = 0;
+  /// Answered with another status, or with a stream that was cut.
   std::size_t failed = 0;
   /// Refused because the request is quarantined.
   std::size_t quarantined = 0;
@@ -62,7 +66,7 @@
     }
   }
 
-  /// Starts or restarts a node, with empty state.
+  /// Starts or restarts a node, without any state.
   void start_node(std::size_t index) {
     auto& node = nodes[index];
     ++node.incarnation;
@@ -82,7 +86,7 @@
     }
   }
 
-  /// Sends one attempt of a request to a node.
+  /// Sends a request to a node. @return id of the client.
   base::caller_id arrive(std::size_t node, const std::string& path, const std::string& body) {
     auto content = std::make_shared<request_content>();
     content->method = "POST";
@@ -111,7 +115,7 @@
     return requests;
   }
 
-  /// Sends a request to random nodes every 100 to 500 ms.
+  /// Sends the same request to random nodes every 100 to 500 ms, for `span`.
   void send_repeatedly(const std::string& path, const std::string& body, base::duration span) {
     const auto end = now + span;
     while (now < end) {
@@ -161,7 +165,7 @@
     }
   }
 
-  /// @return index of a random replica.
+  /// @return the index of a random replica.
   unsigned random_replica() { return static_cast<unsigned>(random.below(replicas.size())); }
 
   /// @return bodies of the requests that any node refused because they were quarantined.
@@ -177,8 +181,9 @@
 
   [[nodiscard]] dispatcher& node(std::size_t index) { return *nodes[index].subject; }
 
-  /// @return number of sends of a request that reached a replica later than `span` after the third
-  ///         exit under this request.
+  /// @return number of times that a request reached a replica later than `span` after the third
+  /// exit
+  ///         under this request.
   [[nodiscard]] std::size_t sends_after_third_exit(const std::string& body,
                                                    base::duration span) const {
     const auto exits = exits_under.find(body);
@@ -198,17 +203,20 @@
   std::set<std::string> crashing_bodies;
   /// Bodies of requests whose pieces crash each replica which computes them.
   std::set<std::string> bodies_crashing_in_stages;
-  /// Harmless requests per second at random nodes, each with a different body.
+  /// Harmless requests per second that arrive at random nodes, each with a different body.
   std::size_t harmless_per_second = 0;
   std::string harmless_path = "/stream/";
-  /// Whether clients retry harmless requests that failed or were refused, up to three times.
+  /// Whether clients send harmless requests that failed or were refused again, up to three times.
   bool clients_retry = false;
+  /// Number of crashes of replicas, for any reason.
   std::size_t crashes = 0;
+  /// Requests refused by the policy of `crash_fleet_settings::route_pause`.
   std::size_t refused_by_route_pause = 0;
   /// Times at which replicas crashed under a request, by its body.
   std::map<std::string, std::vector<base::time_point>> exits_under;
   /// Times at which a request reached replicas, by its body.
   std::map<std::string, std::vector<base::time_point>> reached;
+  /// Outcomes by body of the request.
   std::map<std::string, attempt_counts> counts;
   /// Nodes that neither send nor receive messages.
   std::set<std::size_t> partitioned;
@@ -354,7 +362,7 @@
     node.subject->handle(ended, now);
   }
 
-  /// Crashes a replica after 20 to 120 ms unless it has exited before.
+  /// Crashes a replica after 20 to 120 ms, unless its current incarnation exits earlier.
   void schedule_crash(unsigned index, const std::string& body) {
     const auto incarnation = replicas[index].incarnation;
     later(milliseconds(20 + random.below(100)), [this, index, incarnation, body] {
--- a/tests/quarantine/crash_ledger_test.cc
+++ b/tests/quarantine/crash_ledger_test.cc
@@ -1,4 +1,5 @@
-/// Registry of requests under which replicas crashed: quarantine states, merging, expiry, eviction.
+/// Tests of the registry of requests under which replicas crashed: quarantine states, merging,
+/// expiry and eviction.
 #include "quarantine/crash_registry.h"
 
 #include <boost/test/unit_test.hpp>
@@ -24,8 +25,8 @@
   return request_digest(bytes);
 }
 
-/// Records exits with the given ids under a request; the id is also the time of the exit in
-/// seconds.
+/// Records exits with the given ids under a request. The id of an exit is also its time, in seconds
+/// after `start`.
 void note(crash_registry& registry, unsigned request, std::initializer_list<replica_exit> exits) {
   for (const auto exit : exits) {
     const base::time_point at = start + seconds(exit);
@@ -33,6 +34,7 @@
   }
 }
 
+/// @return a record of another node with the given exits, at the times that `note` gives them.
 crash_record record_of(unsigned request, const std::vector<replica_exit>& exits) {
   crash_record record;
   record.digest = digest(request);
@@ -142,8 +144,9 @@
 }
 
 /// Guards against a withdrawal that hides later exits: a replica was missing from the published
-/// list for some time and in contact again in the same incarnation. When it exited later, the exit
-/// was attributed to no request, and a sixth replica exited under a crashing request.
+/// list of replicas for some time, and was then in contact again in the same incarnation. When it
+/// exited later, the exit was attributed to no request, and a sixth replica exited under a crashing
+/// request.
 BOOST_AUTO_TEST_CASE(a_later_exit_of_a_withdrawn_incarnation_counts) {
   crash_registry registry;
   note(registry, 1, {1, 2, 3});
--- a/tests/quarantine/crash_news_test.cc
+++ b/tests/quarantine/crash_news_test.cc
@@ -1,5 +1,5 @@
-/// Exchange of crash records between nodes: who receives them, how fast, and how many bytes it
-/// costs.
+/// Tests of the exchange of crash records between nodes: which nodes receive a record, how soon,
+/// and how many bytes are sent.
 #include "quarantine/crash_report_exchange.h"
 
 #include <boost/test/unit_test.hpp>
@@ -18,6 +18,7 @@
   return request_digest(std::array<std::uint8_t, request_digest::byte_count>{number});
 }
 
+/// One node: its registry and its exchange.
 struct crash_exchange_node {
   explicit crash_exchange_node(std::size_t number)
       : name("n" + std::to_string(number)), random(number + 1),
@@ -53,6 +54,7 @@
     node.exchange.set_peers(others);
   }
 
+  /// Records an exit under a request at one node.
   void note(std::size_t index, std::uint8_t request, replica_exit exit) {
     auto& node = *nodes[index];
     node.registry.note_exit(some_digest(request), {exit, now}, now);
@@ -92,6 +94,7 @@
 
   base::time_point now{std::chrono::hours(1)};
   std::vector<std::unique_ptr<crash_exchange_node>> nodes;
+  /// Bytes of all messages.
   std::size_t bytes = 0;
 };
 
@@ -133,12 +136,12 @@
     const auto bytes_per_second_and_node =
         static_cast<double>(fleet.bytes) / static_cast<double>(count) / 4;
     BOOST_TEST_MESSAGE(count << " nodes: " << bytes_per_second_and_node
-                             << " bytes a second and node");
+                             << " bytes per second and node");
     least = std::min(least, bytes_per_second_and_node);
     most = std::max(most, bytes_per_second_and_node);
   }
   BOOST_TEST(most < 2 * least);
-  // Two exits per second under one request take no more than a third of a node's control traffic.
+  // Two exits per second under one request cause no more than a third of a node's control traffic.
   BOOST_TEST(most < 3'000);
 }
 
--- a/tests/quarantine/crashing_request_test.cc
+++ b/tests/quarantine/crashing_request_test.cc
@@ -1,8 +1,9 @@
-/// Guards against a request that crashes every replica which runs it and is sent repeatedly, to any
-/// node and under new ids. 45 replicas exited under one such request, two per second, and each exit
-/// broke up to ten other requests: every node kept crashes only per replica, so each attempt was
-/// new to the node that received it and was sent as often as its route allows. In these fleets
-/// nothing else crashes replicas; without the crash registry 60 to 90 replicas exit in 20 seconds.
+/// Guards against a request that crashes every replica which runs it, and that is sent repeatedly,
+/// to any node and under new ids. 45 replicas exited under one request of this kind, two per
+/// second, and each exit broke up to ten other requests: nodes recorded exits only per replica and
+/// not per request, so each node sent each attempt to as many replicas as its route allows. Unless
+/// a test says otherwise, nothing else crashes replicas in these fleets; without the crash registry
+/// 60 to 90 replicas exit in 20 seconds.
 #include "crash_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,13 +15,14 @@
 
 /// Time within which nodes in contact learn of each other's reports.
 constexpr base::duration contact_time = seconds(3);
-/// Maximum number of sends later than `contact_time` after the third exit.
+/// Maximum number of times that a crashing request may reach a replica later than `contact_time`
+/// after the third exit under it.
 constexpr std::size_t max_late_sends = 3;
-/// Maximum number of replicas that one crashing request may crash: three, and those to which the
-/// request is on its way when the third replica exits.
+/// Maximum number of replicas that one crashing request may crash: three, and the replicas to which
+/// the request is on its way when the third replica exits.
 constexpr std::size_t max_exits = 5;
 
-/// Each seed gives other nodes, times and replicas.
+/// Number of fleets in each test: each seed gives other nodes, times and replicas.
 constexpr std::uint64_t seed_count = 20;
 
 void check_bounded(const crash_fleet& fleet, const std::string& body, std::size_t allowed_exits) {
@@ -110,7 +112,8 @@
     const auto first_round = fleet.reached["guilty"].size();
     fleet.send_repeatedly("/stream/", "guilty", seconds(10));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      // Both attempts of each node, if all exits occur at the same time.
+      // Two attempts per node: if all exits occur at the same time, no node knows of the exits
+      // that other nodes observed.
       BOOST_TEST(first_round <= 2 * fleet.settings.nodes);
       BOOST_TEST(fleet.reached["guilty"].size() == first_round);
     }
@@ -241,7 +244,7 @@
   for (std::size_t node = 0; node < fleet.settings.nodes; ++node) {
     fleet.arrive(node, "/stream/", "guilty");
   }
-  // Longer than a run that is resumed once at another replica.
+  // Longer than a stream that is resumed once at another replica.
   fleet.run(seconds(5));
   BOOST_TEST(fleet.counts["guilty"].quarantined == quarantined);
   BOOST_TEST(fleet.counts["guilty"].served == fleet.settings.nodes);
--- a/tests/quarantine/quarantine_policies_test.cc
+++ b/tests/quarantine/quarantine_policies_test.cc
@@ -1,6 +1,6 @@
-/// Compares policies against a request that crashes replicas on the same random fleets: exits of
-/// replicas, time to the last exit, and refused harmless requests. docs/design/quarantine.md
-/// discusses the results.
+/// Compares policies that stop a request which crashes replicas. All policies run on the same
+/// random fleets; compared are the exits of replicas, the time to the last exit, and the number of
+/// harmless requests that are refused. docs/design/quarantine.md discusses the results.
 #include "crash_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -15,20 +15,27 @@
 
 constexpr std::uint64_t seed_count = 20;
 
-/// Sums over all seeds.
+/// Results of one policy: sums over all seeds, except for the maxima.
 struct policy_outcome {
   std::size_t exits = 0;
+  /// Maximum number of exits with one seed.
   std::size_t max_exits = 0;
+  /// Maximum number of times, with one seed, that the crashing request reached a replica later than
+  /// 3 s after the third exit.
   std::size_t late_sends = 0;
+  /// Time from the first to the last exit.
   double seconds_to_last_exit = 0;
-  /// Harmless requests that were refused by quarantine or by a route pause in runs with a crashing
-  /// request.
+  /// Harmless requests that the policy refused in fleets with a crashing request.
   std::size_t refused_beside_crashing_request = 0;
-  /// The same in runs in which replicas crash for other reasons.
+  /// Requests that the policy refused in fleets in which replicas crash for other reasons.
   std::size_t refused_without_crashing_request = 0;
+  /// Harmless requests sent in fleets with a crashing request.
   std::size_t harmless_requests = 0;
 };
 
+/// @return number of harmless requests that the policy of the fleet refused: by quarantine, or by
+/// the
+///         pause of the route.
 std::size_t count_refused_harmless(const crash_fleet& fleet) {
   std::size_t refused = 0;
   for (const auto& [body, count] : fleet.counts) {
@@ -84,12 +91,13 @@
     add_fleet_with_unrelated_crashes(settings, shares_reports, totals);
   }
   std::ostringstream row;
-  row << std::setw(28) << std::left << name << " ends " << std::fixed << std::setprecision(1)
+  row << std::setw(28) << std::left << name << " exits " << std::fixed << std::setprecision(1)
       << static_cast<double>(totals.exits) / seed_count << " (most " << totals.max_exits
-      << "), late sends at most " << totals.late_sends << ", last end after "
-      << totals.seconds_to_last_exit / seed_count << " s, harmless refused beside it "
+      << "), late sends at most " << totals.late_sends << ", last exit after "
+      << totals.seconds_to_last_exit / seed_count
+      << " s, harmless requests refused with a crashing request "
       << totals.refused_beside_crashing_request << " of " << totals.harmless_requests
-      << ", without one " << totals.refused_without_crashing_request;
+      << ", without it " << totals.refused_without_crashing_request;
   BOOST_TEST_MESSAGE(row.str());
   return totals;
 }
@@ -104,7 +112,7 @@
   settings.limits = {never, never, never};
   const auto no_policy = run_policy("nothing", settings);
   settings.limits = {1, never, never};
-  const auto single_attempt_only = run_policy("one replica a try, no count", settings);
+  const auto single_attempt_only = run_policy("single attempts, no count", settings);
   settings.limits = {};
   settings.limits.single_attempt = never;
   settings.route_pause = seconds(10);
@@ -112,11 +120,11 @@
   const auto route_pause_only = run_policy("pause of the route, 10 s", settings);
   settings.route_pause = {};
   settings.limits = {};
-  const auto per_node_count = run_policy("count, each node alone", settings, false);
+  const auto per_node_count = run_policy("count of each node alone", settings, false);
   settings.limits = {2, 3, 3};
-  const auto limit_of_three = run_policy("count of all, 3 ends", settings);
+  const auto limit_of_three = run_policy("count of all, 3 exits", settings);
   settings.limits = {};
-  const auto current_policy = run_policy("count of all, 4 or 5 ends", settings);
+  const auto current_policy = run_policy("count of all, 4 or 5 exits", settings);
 
   for (const auto& other : {no_policy, single_attempt_only, per_node_count}) {
     BOOST_TEST(current_policy.exits < other.exits);
--- a/tests/quarantine/request_digest_test.cc
+++ b/tests/quarantine/request_digest_test.cc
@@ -1,4 +1,5 @@
-/// Which parts of a request its digest covers, and the text and byte forms of the digest.
+/// Tests of the parts of a request that its digest covers, and of the text and byte forms of a
+/// digest.
 #include "quarantine/request_digest.h"
 
 #include <boost/test/unit_test.hpp>
