--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -182,8 +182,7 @@
   [[nodiscard]] dispatcher& node(std::size_t index) { return *nodes[index].subject; }
 
   /// @return number of times that a request reached a replica later than `span` after the third
-  /// exit
-  ///         under this request.
+  ///         exit under this request.
   [[nodiscard]] std::size_t sends_after_third_exit(const std::string& body,
                                                    base::duration span) const {
     const auto exits = exits_under.find(body);
@@ -206,7 +205,7 @@
   /// Harmless requests per second that arrive at random nodes, each with a different body.
   std::size_t harmless_per_second = 0;
   std::string harmless_path = "/stream/";
-  /// Whether clients send harmless requests that failed or were refused again, up to three times.
+  /// Whether clients retry harmless requests that failed or were refused, up to three times.
   bool clients_retry = false;
   /// Number of crashes of replicas, for any reason.
   std::size_t crashes = 0;
--- a/tests/quarantine/quarantine_policies_test.cc
+++ b/tests/quarantine/quarantine_policies_test.cc
@@ -34,8 +34,7 @@
 };
 
 /// @return number of harmless requests that the policy of the fleet refused: by quarantine, or by
-/// the
-///         pause of the route.
+///         the pause of the route.
 std::size_t count_refused_harmless(const crash_fleet& fleet) {
   std::size_t refused = 0;
   for (const auto& [body, count] : fleet.counts) {
