--- a/src/self_reports/drain_registry.cc
+++ b/src/self_reports/drain_registry.cc
@@ -5,8 +5,8 @@
 namespace spurrack::self_reports {
 namespace {
 
-/// Time for which a draining process is remembered after it was last published: longer than an
-/// outage of the store and longer than the age of a restored copy.
+/// Time after which the announcement of a process that is no longer published is dropped: longer
+/// than an outage of the store, and longer than the age of a copy from which the store is restored.
 constexpr base::duration retention_time = std::chrono::minutes(5);
 
 } // namespace
--- a/src/self_reports/drain_registry.h
+++ b/src/self_reports/drain_registry.h
@@ -1,9 +1,9 @@
 /// Registry of replica processes that announced in an answer that they drain. No I/O.
 ///
 /// A process that drains does not accept requests again: its announcement stays in effect even if
-/// the published list shows the process as ready. It is kept for some time after the list no longer
-/// contains the process, because a store that recovers from an outage or is restored from an older
-/// copy may publish the process again.
+/// the published list of replicas shows the process as ready. The announcement is kept for five
+/// minutes after the list last contained the process, because a store that recovers from an outage
+/// or is restored from an older copy may publish the process again.
 #pragma once
 
 #include "base/ids.h"
@@ -18,11 +18,11 @@
 
 namespace spurrack::self_reports {
 
-/// Distinguishes the processes of a replica: a hash of its id, its start time and its address,
-/// never 0.
+/// Distinguishes the processes of a replica: a hash of the replica's id, the start time of the
+/// process and its address; never 0.
 using process_fingerprint = std::uint32_t;
 
-/// Drain announcement of one process of a replica.
+/// Announcement by one process of a replica that it drains.
 struct drain_announcement {
   /// Earliest known time at which a node received the announcement from the replica.
   base::time_point announced_at;
@@ -33,25 +33,30 @@
   base::time_point last_seen_at;
 };
 
-/// Not thread-safe.
+/// Drain announcements by replica and process. Not thread-safe.
 class drain_registry {
  public:
+  /// One process of a replica.
   struct key {
     base::replica_id replica;
     process_fingerprint process = 0;
     auto operator<=>(const key&) const = default;
   };
 
-  /// Records that a process drains. @return whether the announcement is new to this node.
+  /// Records that a process drains.
+  /// @param announced_at time at which a node received the announcement from the replica.
+  /// @param source sender of the announcement, for logs.
+  /// @return whether the announcement is new to this node.
   bool note_drain(const key& draining, base::time_point announced_at, const std::string& source,
                   base::time_point now);
-  /// Prolongs the announcement of a process that is still published.
+  /// Records that a process is published, which prolongs the lifetime of its announcement.
   void note_published(const key& published, base::time_point now);
-  /// Drops announcements of processes that have not been published for 5 minutes.
+  /// Drops the announcements of processes that have not been published for five minutes.
   void drop_expired(base::time_point now);
 
-  /// Called for each replica of a service at each choice of a replica: the lookup of the
-  /// fingerprint rejects nearly all processes without a search by replica id.
+  /// @return whether the process has announced that it drains. Called for each replica of a service
+  ///         at each choice of a replica: the lookup of the fingerprint rejects nearly all
+  ///         processes without a search by replica id.
   [[nodiscard]] bool includes(const key& process) const {
     return fingerprints_.contains(process.process) && known_.contains(process);
   }
--- a/src/self_reports/limit_registry.cc
+++ b/src/self_reports/limit_registry.cc
@@ -6,10 +6,12 @@
 namespace spurrack::self_reports {
 namespace {
 
-/// Time for which a lifted limit is remembered, so that a late report does not restore the limit.
+/// Time after which the record of a lifted limit is dropped. Until then a late message of another
+/// node cannot restore the limit.
 constexpr base::duration lifted_limit_lifetime = std::chrono::seconds(10);
-/// Maximum delay of a message. The ages in messages do not include this delay, so a report that
-/// this node has is newer than a received one only if it is newer by more than this.
+/// Maximum delay of a message between nodes. Messages carry ages, which do not include the delay of
+/// the message, so a time that is computed from an age is too late by up to this delay. The known
+/// limit counts as newer than a received limit only if its time is later by more than this.
 constexpr base::duration message_delay = std::chrono::milliseconds(250);
 
 bool is_stricter(const std::optional<double>& left, const std::optional<double>& right) {
--- a/src/self_reports/limit_registry.h
+++ b/src/self_reports/limit_registry.h
@@ -1,10 +1,10 @@
 /// Rate limits that replicas announce for the requests of all nodes together, as this node knows
 /// them. No I/O.
 ///
-/// Nodes exchange the limits that they receive; messages may arrive late, twice or out of order. A
-/// record carries a version that increases with each change that a node receives from the replica
-/// itself, so that an older record never replaces a newer one. If two nodes receive different
-/// changes at the same version, the stricter limit wins.
+/// Nodes send each other the limits that they receive; these messages may arrive late, twice or out
+/// of order. A record carries a version that increases with each change that a node receives from
+/// the replica itself, so that an older record never replaces a newer record. If two nodes receive
+/// different changes at the same version, the stricter limit wins.
 #pragma once
 
 #include "base/ids.h"
@@ -16,7 +16,7 @@
 
 namespace spurrack::self_reports {
 
-/// Distinguishes the incarnations of a replica; 0 if the incarnation is unknown.
+/// Distinguishes the incarnations (processes) of a replica; 0 if the incarnation is unknown.
 using incarnation_fingerprint = std::uint32_t;
 
 /// Limit of one incarnation of a replica.
@@ -24,8 +24,9 @@
   incarnation_fingerprint incarnation = 0;
   /// Requests per second from all nodes together; std::nullopt if the replica lifted its limit.
   std::optional<double> per_second;
+  /// Increases with each change of the limit; see the head of this file.
   std::uint64_t version = 0;
-  /// Time of the latest answer with this limit, at any node.
+  /// Time at which any node received the latest answer with this limit.
   base::time_point last_reported_at;
 };
 
@@ -37,20 +38,22 @@
   base::time_point call_started_at;
 };
 
-/// Not thread-safe.
+/// The latest limit record of each replica. Not thread-safe.
 class limit_registry {
  public:
-  /// Records the limit of an answer. An answer loosens a limit only if its call began after the
-  /// limit was last reported: otherwise the replica may have set the limit after it wrote the
-  /// answer.
+  /// Records the limit that an answer announces, or that it announces none. An answer loosens or
+  /// lifts the known limit only if its call began after the known limit was last reported:
+  /// otherwise the replica may have set the known limit after it wrote the answer.
   /// @return whether the record changed.
   bool record_answer(const base::replica_id& replica, incarnation_fingerprint incarnation,
                      const limit_announcement& announcement, base::time_point now);
   /// Merges the record of another node.
-  /// @return whether other nodes may not know the result yet.
+  /// @return whether other nodes may not know the merged record yet, so that it must be sent.
   bool merge(const base::replica_id& replica, const limit_record& received);
+  /// Removes the record of a replica.
   void forget(const base::replica_id& replica) { records_.erase(replica); }
-  /// Drops limits that were lifted so long ago that all nodes know it.
+  /// Drops the records of lifted limits that were last reported so long ago that all nodes know
+  /// that the limit is lifted.
   void drop_lifted(base::time_point now);
 
   /// @return null if the replica has announced no limit, or lifted its limit long ago.
--- a/src/self_reports/self_report_exchange.cc
+++ b/src/self_reports/self_report_exchange.cc
@@ -6,20 +6,23 @@
 namespace spurrack::self_reports {
 namespace {
 
-/// Number of random nodes to which each node sends a change, number of times, and time between two
-/// sends: of 300 nodes one in some thousands misses a change, and messages may be lost.
+/// Number of random nodes to which each node sends a change at a time. With `sends_per_change`
+/// sends, one node in some thousands misses a change in a fleet of 300 nodes if no message is lost.
 constexpr std::size_t fanout = 4;
+/// Number of times that each node sends a change: more than once, since messages may be lost.
 constexpr std::size_t sends_per_change = 2;
+/// Minimum time between two messages with changes.
 constexpr base::duration change_interval = std::chrono::milliseconds(100);
-/// Interval between reminders and number of random nodes that receive each: a node that started or
-/// missed a message receives a report within the three seconds in which nodes in contact learn of
-/// each other's reports.
+/// Interval between reminders. With `reminder_fanout` receivers, a node that started or missed a
+/// message receives each report within the three seconds within which nodes in contact are to learn
+/// of each other's reports.
 constexpr base::duration reminder_interval = std::chrono::milliseconds(1000);
+/// Number of random nodes that receive each reminder.
 constexpr std::size_t reminder_fanout = 3;
 /// Minimum time between two log records on self-reports of one replica and topic that cannot be
 /// parsed.
 constexpr base::duration unreadable_report_interval = std::chrono::minutes(1);
-/// Limits and drain announcements in one message, maximum of each; about 30 bytes each.
+/// Maximum number of limits, and of drain announcements, in one message; about 30 bytes each.
 constexpr std::size_t max_records_per_message = 16;
 
 std::uint32_t age_in_milliseconds(base::time_point earlier, base::time_point now) {
@@ -59,8 +62,8 @@
   return wire_record;
 }
 
-/// Visits up to `most` entries of a map after `last`, continuing at its beginning after its end,
-/// and sets `last` to the key of the last visited entry.
+/// Visits up to `most` entries of a map, from the entry after the key `last` on and from the
+/// beginning of the map after its end, and sets `last` to the key of the last visited entry.
 template <typename map, typename key, typename visitor>
 void visit_round_robin(const map& entries, key& last, std::size_t most, const visitor& visit) {
   auto next = entries.upper_bound(last);
@@ -113,7 +116,8 @@
   if (report.backoff.is_unreadable) {
     note_unreadable(replica, topic::backoff, counts_.unreadable_backoffs, now);
   }
-  // Most answers report nothing that concerns other nodes.
+  // Most answers report nothing that concerns other nodes and skip the lookup below. An answer
+  // without a limit concerns them if a limit is known, since it may lift the limit.
   const bool concerns_limit =
       !report.limit.is_unreadable && (report.limit.per_second || limits_.find(replica) != nullptr);
   if (!concerns_limit && !report.is_draining) {
@@ -191,8 +195,8 @@
   }
 }
 
-/// Announcements of processes that this node does not know are recorded as well: its published list
-/// may be older than the list of the sender.
+/// Announcements of processes that this node does not know are recorded as well: the published list
+/// of replicas that this node has received may be older than the list of the sender.
 void self_report_exchange::merge(const base::node_id& sender,
                                  const wire::replica_departure& received, base::time_point now) {
   if (received.process_mark() != 0) {
@@ -279,7 +283,8 @@
                                                   base::time_point now) {
   visit_round_robin(drains_.all(), last_reminded_drain_, max_records_per_message,
                     [&](const auto& entry) {
-                      // No node needs the announcement of a process that is no longer published.
+                      // Other nodes do not need the announcement of a process that is not
+                      // published.
                       if (is_published(entry.first)) {
                         *message.add_departures() = to_wire(entry.first, entry.second, now);
                       }
--- a/src/self_reports/self_report_exchange.h
+++ b/src/self_reports/self_report_exchange.h
@@ -1,8 +1,9 @@
 /// Keeps the self-reports of replicas that concern all nodes (rate limits and drain announcements)
 /// and distributes them to all nodes. No I/O: messages are queued.
 ///
-/// Self-reports spread by gossip: a node sends each change, and one reminder per second, so that
-/// nodes that missed a message or have just started receive the reports as well.
+/// Self-reports spread by gossip: a node sends each change to a few random nodes, which do the
+/// same. It also sends one reminder per second, so that nodes that missed a message or have just
+/// started receive the reports as well.
 #pragma once
 
 #include "base/ids.h"
@@ -26,22 +27,25 @@
 
 namespace spurrack::self_reports {
 
-/// The published attributes of a replica that the exchange needs.
+/// Attributes of a replica in the published list of replicas, as far as the exchange needs them.
 struct published_replica {
   base::zone_id zone;
   incarnation_fingerprint incarnation = 0;
   process_fingerprint process = 0;
 };
-/// @return std::nullopt if the replica is not published.
+/// Looks a replica up in the published list. @return std::nullopt if the replica is not published.
 using replica_lookup = std::function<std::optional<published_replica>(const base::replica_id&)>;
 
-/// A change of what this node knows of a replica, or a self-report that cannot be parsed.
+/// A change of a limit or drain announcement that this node knows, or a self-report that cannot be
+/// parsed. Queued until `take_changes`.
 struct self_report_change {
+  /// Kind of self-report.
   enum class topic : std::uint8_t { limit, drain, backoff };
   topic about = topic::limit;
   base::replica_id replica;
   /// The limit in effect; meaningful only if `about` is `topic::limit`.
   std::optional<double> per_second;
+  /// Whether the self-report cannot be parsed, so that it changes nothing.
   bool is_unreadable = false;
   /// Sender of the report, for logs: the replica, or the node that forwarded it.
   std::string source;
@@ -50,19 +54,24 @@
 /// Counters of the exchange, for metrics.
 struct self_report_counts {
   std::uint64_t sent_messages = 0;
-  /// Answers with a limit, a drain announcement or a requested backoff that cannot be parsed.
+  /// Answers with a limit that cannot be parsed.
   std::uint64_t unreadable_limits = 0;
+  /// Answers with a drain announcement that cannot be parsed.
   std::uint64_t unreadable_drain_announcements = 0;
+  /// Answers with a requested backoff that cannot be parsed.
   std::uint64_t unreadable_backoffs = 0;
-  /// Reports on another incarnation of a replica than the one this node knows; they are ignored.
+  /// Limits received from other nodes for a replica that is not published, or for another
+  /// incarnation than the published incarnation; they are ignored.
   std::uint64_t of_other_incarnations = 0;
-  /// Drain announcements that were new to this node.
+  /// Drain announcements that were new to this node, from replicas or from other nodes.
   std::uint64_t drain_announcements = 0;
-  /// Drain announcements that this node received from the replica before any other node sent them.
+  /// Drain announcements that this node received in an answer of the replica before it received
+  /// them from another node.
   std::uint64_t drain_announcements_from_replicas = 0;
 };
 
-/// Not thread-safe.
+/// Records self-reports from answers and from messages of other nodes, and queues messages to other
+/// nodes. Not thread-safe.
 class self_report_exchange {
  public:
   /// @param random must outlive this object.
@@ -73,12 +82,13 @@
   [[nodiscard]] const limit_registry& limits() const { return limits_; }
   [[nodiscard]] const drain_registry& drain_announcements() const { return drains_; }
 
-  /// Records what an answer reports of its replica. @param call_started_at when the call was made.
+  /// Records what an answer reports of its replica.
+  /// @param call_started_at time at which the call was made; the replica wrote the report later.
   void record_self_report(const base::replica_id& replica,
                           const serving::replica_self_report& report,
                           base::time_point call_started_at, base::time_point now);
-  /// Drops the limit and the log intervals of a replica that is no longer published or has
-  /// restarted. Its drain announcements are kept for longer.
+  /// Drops the limit of a replica that is no longer published or has restarted, and the times of
+  /// its latest log records. The drain announcements of its processes are kept.
   void forget(const base::replica_id& replica);
 
   /// Merges the reports of another node.
@@ -87,18 +97,21 @@
   void advance(base::time_point now);
   /// @return time at which `advance` is due; std::nullopt if nothing is scheduled.
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
-  /// @return the limit record of a replica in its wire format, for messages about this replica.
+  /// @return the limit record of a replica in its wire format, for other messages about this
+  ///         replica; empty if there is no record.
   [[nodiscard]] wire::named_limit limit_message(const base::replica_id& replica,
                                                 base::time_point now) const;
 
   [[nodiscard]] wire::outbox take_messages() { return std::exchange(outgoing_messages_, {}); }
+  /// Returns and clears the changes since the last call.
   [[nodiscard]] std::vector<self_report_change> take_changes() {
     return std::exchange(unreported_changes_, {});
   }
   [[nodiscard]] const self_report_counts& counts() const { return counts_; }
 
  private:
-  /// Changes that other nodes may not know yet, with the number of times they are still to be sent.
+  /// Changes that other nodes may not know yet, with the number of times that each is still to be
+  /// sent.
   using pending_limits = std::map<base::replica_id, std::size_t>;
   using pending_drains = std::map<drain_registry::key, std::size_t>;
 
@@ -107,17 +120,20 @@
                     base::time_point now);
   void record_drain(const base::replica_id& replica, const published_replica& published,
                     base::time_point now);
-  /// Counts a self-report that cannot be parsed, and queues it for the log at most once a minute
+  /// Counts a self-report that cannot be parsed, and queues it for the log at most once per minute
   /// for each replica and topic.
+  /// @param count counter to increment.
   void note_unreadable(const base::replica_id& replica, self_report_change::topic about,
                        std::uint64_t& count, base::time_point now);
+  /// Merges a limit or a drain announcement of another node.
   void merge(const base::node_id& sender, const wire::named_limit& received, base::time_point now);
   void merge(const base::node_id& sender, const wire::replica_departure& received,
              base::time_point now);
   void add_drain_announcement(const drain_registry::key& draining, base::time_point announced_at,
                               const std::string& source, base::time_point now);
-  /// Sends pending changes to random peers.
+  /// Queues messages with pending changes to random peers.
   void send_changes(base::time_point now);
+  /// Queues the reminder if it is due, and drops expired records.
   void send_reminder(base::time_point now);
   void add_limits_to_reminder(wire::rate_limits& message, base::time_point now);
   void add_drains_to_reminder(wire::rate_limits& message, base::time_point now);
@@ -133,12 +149,14 @@
   std::vector<base::network_address> peers_;
   pending_limits pending_limits_;
   pending_drains pending_drains_;
-  /// Time at which a self-report that cannot be parsed was last queued for the log.
+  /// Times at which a self-report that cannot be parsed was last queued for the log, by replica and
+  /// topic.
   std::map<std::pair<base::replica_id, self_report_change::topic>, base::time_point>
       unreadable_reported_at_;
   base::time_point next_changes_at_;
   base::time_point next_reminder_at_;
-  /// Keys after which the next reminder continues.
+  /// Keys of the last records in the latest reminder; the next reminder begins with the records
+  /// that follow them, since a reminder may not hold all records.
   base::replica_id last_reminded_limit_;
   drain_registry::key last_reminded_drain_;
   std::vector<self_report_change> unreported_changes_;
