--- a/tests/replica_statements/leaving_replica_test.cc
+++ b/tests/replica_statements/leaving_replica_test.cc
@@ -1,8 +1,10 @@
-/// Replicas that announce in their answers that they drain, whatever the published list shows.
+/// Replicas that announce in their answers that they drain, whether or not the published list of
+/// replicas shows it.
 ///
-/// Guards against requests to a draining replica: a model replica announced its drain while the
-/// list could not be changed, and nodes that had forwarded such answers sent it requests 3 and 4 s
-/// later; two of six nodes did not react at all.
+/// Guards against requests to a draining replica: a model replica announced that it drained while
+/// the published list could not be updated. Nodes that had forwarded answers with the announcement
+/// to clients sent the replica further requests 3 and 4 s later; two of six nodes did not react to
+/// the announcement at all.
 #include "limited_fleet.h"
 
 using namespace spurrack;
@@ -12,11 +14,11 @@
 
 /// Time within which all nodes stop sending to a draining replica if no message is lost.
 constexpr base::duration bound_on_healthy_links = milliseconds(500);
-/// The same if every third message is lost.
+/// Time within which all nodes stop sending to a draining replica if every third message is lost.
 constexpr base::duration bound_on_lossy_links = seconds(2);
 
-/// @return number of requests that any node sent to a replica later than `bound` after a node
-///         received its drain announcement.
+/// @return number of requests that all nodes sent to a replica later than `bound` after the first
+///         node received its drain announcement.
 std::size_t sends_after_bound(const limited_fleet& fleet, unsigned replica, base::duration bound) {
   const auto& arrivals = fleet.replicas[replica].arrivals;
   const auto since = fleet.first_drain_announcement_at(replica) + bound;
@@ -29,7 +31,8 @@
 
 BOOST_AUTO_TEST_SUITE(leaving_replica_test)
 
-// Guards against requests to a draining replica from a node that forwarded its announcement.
+// Guards against requests to a draining replica from a node that had forwarded an answer with the
+// replica's drain announcement to a client.
 BOOST_AUTO_TEST_CASE(a_node_sends_nothing_after_it_received_a_drain_announcement) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
@@ -74,8 +77,8 @@
   fleet.load(40, seconds(3));
   fleet.begin_draining(0);
   fleet.load(40, seconds(3));
-  // The list shows the replica as ready, then not at all, then again as the same process: a store
-  // that recovered from an outage or was restored from an older copy.
+  // The published list shows the replica as ready, then not at all, then again as the same process,
+  // as after an outage of the store or its restore from an older copy.
   fleet.publish(0);
   fleet.update_nodes();
   fleet.load(40, seconds(3));
--- a/tests/replica_statements/limit_book_test.cc
+++ b/tests/replica_statements/limit_book_test.cc
@@ -1,4 +1,4 @@
-/// Merging of announced limits, in any order of answers and messages.
+/// Tests of the registry of announced limits: answers and messages may arrive in any order.
 #include "self_reports/limit_registry.h"
 
 #include "base/random.h"
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -1,8 +1,8 @@
 /// Replicas that refuse requests and request a backoff from the node.
 ///
-/// Guards against requests during a requested backoff: four of twelve model replicas requested 3 s
-/// and received 3 to 5 requests in that time from nodes that had forwarded their answers; one
-/// received more requests than any replica that served.
+/// Guards against requests during a requested backoff: four of twelve model replicas requested a
+/// backoff of 3 s, and received 3 to 5 requests within it from nodes that had forwarded their
+/// answers; one of them received more requests than any replica that served requests.
 #include "limited_fleet.h"
 
 using namespace spurrack;
@@ -10,7 +10,8 @@
 
 BOOST_AUTO_TEST_SUITE(replica_pauses_test)
 
-// Guards against requests to a replica during a backoff that it requested from the node.
+// Guards against requests of a node to a replica during a backoff that the replica requested of
+// this node.
 BOOST_AUTO_TEST_CASE(a_node_sends_nothing_during_a_requested_backoff) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
@@ -53,7 +54,8 @@
     fleet.load(100, milliseconds(900));
     const auto begun_at = fleet.now;
     fleet.load(100, seconds(1));
-    // Two nodes, each of which starts with one request; answers take 20 to 80 ms.
+    // After the backoff, each of the two nodes begins with one call in flight at the replica, and
+    // each answer allows the node two more calls in flight; answers take 20 to 80 ms.
     const auto within = fleet.max_arrivals_within(0, milliseconds(20), begun_at, false);
     BOOST_TEST(within <= 8U, within << " in 20 ms, seed " << seed);
     BOOST_TEST(fleet.arrived_since(0, begun_at) > 40U, "seed " << seed);
@@ -78,7 +80,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(other_nodes_learn_of_a_backoff_as_load) {
-  // Reports on replicas are sent only within a region, or within a zone if there are no regions.
+  // Nodes send reports on replicas only to nodes of their region, or of their zone if the zones
+  // have no regions.
   limited_fleet fleet({.zones = 1});
   fleet.load(40, seconds(3));
   fleet.refuse_requests(0, seconds(4), seconds(3));
@@ -89,7 +92,7 @@
     learned += state.reported_backoff_until > fleet.now && state.reported_backoff_load > 0;
   }
   BOOST_TEST(learned >= 4U);
-  // The other nodes keep sending, and drop the reported backoffs when they have ended.
+  // The other nodes keep sending to the replica, and drop its reported backoff when it has ended.
   fleet.load(40, seconds(8));
   const auto begun_at = fleet.now;
   fleet.load(40, seconds(10));
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -1,5 +1,6 @@
-/// Self-reports of a replica apply to calls of every kind (first sends, retries, resumed streams,
-/// calls with pieces of stages, freed results), and are read from answers of every kind.
+/// A self-report of a replica affects calls of every kind to the replica (first sends, retries,
+/// resumed streams, calls with pieces of stages, freed results), and is read from answers of every
+/// kind.
 #include "serving_fixture.h"
 
 using namespace spurrack;
@@ -129,7 +130,7 @@
   }
   BOOST_TEST(node.sent_to(maker, before) == 0U);
   BOOST_TEST(node.all<start_stage_call>().size() > 8U);
-  // The results of the draining replica are still used: none is recomputed.
+  // The results that the draining replica computed are still used: no result is recomputed.
   const auto calls = node.all<start_call>();
   BOOST_REQUIRE(!calls.empty());
   BOOST_TEST(calls.front().content->id.text() == "r1");
@@ -151,7 +152,7 @@
     node.pass(milliseconds(20));
     node.answer_stage_calls();
   }
-  // The second stage runs after the backoff, and the results that it has fetched are freed.
+  // The second stage runs after the backoff, and then the results that it has fetched are freed.
   BOOST_REQUIRE(!node.all<start_call>().empty());
   BOOST_TEST(node.sent_to(maker, before) > 0U);
   node.serve_stream();
@@ -304,7 +305,7 @@
       std::find_if(refused.headers.begin(), refused.headers.end(),
                    [](const header& field) { return field.name == "Retry-After"; });
   BOOST_REQUIRE((retry_after != refused.headers.end()));
-  // A third of the five seconds that the client waits, the longest time to return that is sent.
+  // The longest Retry-After that is sent: a third of the five seconds that the client waits.
   BOOST_TEST(std::stod(retry_after->value) >= 1.0);
 }
 
@@ -340,7 +341,7 @@
   auto calls = node.all<start_call>();
   BOOST_REQUIRE(calls.size() == seen + 1);
   BOOST_TEST(calls.back().content->id.text() == "r20");
-  // A request that arrives now is queued behind the waiting requests.
+  // A request that arrives at this time is queued behind the waiting requests.
   node.arrive(30, "/usual/");
   node.answer(calls.back().call, {}, dispatcher_driver::good_head());
   node.pass(milliseconds(30));
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -1,6 +1,6 @@
-/// Compares two policies for self-reports of replicas on the same random fleets: each node acts
-/// only on the answers that it receives itself (all messages between nodes are lost), or nodes
-/// forward the reports to each other.
+/// Compares two policies for self-reports of replicas on the same random fleets. Without messages
+/// (all messages between nodes are lost), each node acts only on the answers that it receives
+/// itself; with messages, nodes send the reports to each other.
 #include "limited_fleet.h"
 
 #include <iomanip>
@@ -17,10 +17,10 @@
 
 /// Results for a draining replica over all random fleets.
 struct drain_figures {
-  /// Requests that any node sent to the replica after one node received its drain announcement, per
-  /// fleet.
+  /// Requests that all nodes sent to the replica after the first node received its drain
+  /// announcement, per fleet.
   double sent_after = 0;
-  /// Maximum time from the announcement to the last of these requests, in seconds.
+  /// Maximum time from the announcement to the last request, in seconds.
   double last_send_after = 0;
 };
 
@@ -48,11 +48,14 @@
   return figures;
 }
 
-/// Results while a third of the replicas refuse all requests and request a backoff, per fleet.
+/// Results per fleet while a third of the replicas refuse all requests and request a backoff.
 struct backoff_figures {
+  /// Requests that arrived at replicas that refuse all requests.
   double refused_by_replicas = 0;
+  /// Requests that nodes refused instead of sending them to a replica.
   double refused_by_nodes = 0;
-  /// Maximum load of any other replica over one second, relative to the average load of a replica.
+  /// Maximum number of requests that a replica which serves requests received within one second,
+  /// relative to the average over all replicas.
   double max_load_elsewhere = 0;
 };
 
@@ -97,10 +100,11 @@
     const auto without_messages = run_drain(nodes, all_messages_lost);
     const auto with_messages = run_drain(nodes, no_messages_lost);
     std::ostringstream table;
-    table << std::fixed << std::setprecision(2) << nodes << " nodes: sent after the announcement "
-          << without_messages.sent_after << " alone, " << with_messages.sent_after
-          << " told; the last after " << without_messages.last_send_after << " s alone, "
-          << with_messages.last_send_after << " s told";
+    table << std::fixed << std::setprecision(2) << nodes
+          << " nodes: requests sent after the announcement: " << without_messages.sent_after
+          << " without messages, " << with_messages.sent_after << " with messages; the last after "
+          << without_messages.last_send_after << " s without, " << with_messages.last_send_after
+          << " s with";
     BOOST_TEST_MESSAGE(table.str());
     BOOST_TEST(with_messages.sent_after <= without_messages.sent_after);
     BOOST_TEST(with_messages.last_send_after <= 0.5);
@@ -112,12 +116,13 @@
     const auto without_messages = run_backoffs(nodes, all_messages_lost);
     const auto with_messages = run_backoffs(nodes, no_messages_lost);
     std::ostringstream table;
-    table << std::fixed << std::setprecision(2) << nodes << " nodes: turned away "
-          << without_messages.refused_by_replicas << " alone, " << with_messages.refused_by_replicas
-          << " told; refused " << without_messages.refused_by_nodes << " and "
-          << with_messages.refused_by_nodes << "; most at another replica "
-          << without_messages.max_load_elsewhere << " and " << with_messages.max_load_elsewhere
-          << " times the average";
+    table << std::fixed << std::setprecision(2) << nodes
+          << " nodes: refused by replicas: " << without_messages.refused_by_replicas
+          << " without messages, " << with_messages.refused_by_replicas
+          << " with messages; refused by nodes: " << without_messages.refused_by_nodes << " and "
+          << with_messages.refused_by_nodes
+          << "; maximum at another replica: " << without_messages.max_load_elsewhere << " and "
+          << with_messages.max_load_elsewhere << " times the average";
     BOOST_TEST_MESSAGE(table.str());
     BOOST_TEST(with_messages.refused_by_replicas <= without_messages.refused_by_replicas);
   }
