--- a/src/serving/counters.h
+++ b/src/serving/counters.h
@@ -12,7 +12,7 @@
 
 namespace spurrack::serving {
 
-/// Histogram of times to first byte in fixed buckets.
+/// Histogram of the times to the first byte of answers, in fixed buckets.
 class latency_histogram {
  public:
   /// Upper bounds of the buckets, in seconds; the last bucket is unbounded.
@@ -38,10 +38,15 @@
   double sum_seconds_ = 0;
 };
 
+/// Counters of the requests of this node since its start.
 struct serving_counters {
-  /// Answers by status; 0 counts disconnected clients and aborted streams.
+  /// Requests that ended, by the status of the answer; 0 if the client disconnected before the
+  /// answer was complete. Not counted are streams that this node breaks off after a failure, and
+  /// requests that end with a replica's answer with status 502, 503 or 504.
   std::map<unsigned, std::uint64_t> answers;
+  /// Times from the arrival of a request to the first byte of a replica's answer for its client.
   latency_histogram first_byte;
+  /// Calls that send a request to a replica; calls with pieces of stages are not included.
   std::uint64_t calls = 0;
   /// Calls by locality of their replica, indexed by `model::locality`.
   std::array<std::uint64_t, model::locality_count> calls_by_locality{};
@@ -50,16 +55,19 @@
   /// Requests sent to a more distant replica although a nearer one was available outside their
   /// permitted regions.
   std::uint64_t confined_by_residency = 0;
+  /// Retries that the retry budget allowed, including those for streams of slow clients that are
+  /// suspended and resumed.
   std::uint64_t retries = 0;
-  /// Retries that exceeded the retry budget.
+  /// Times that a retry was denied because the retry budget was used up.
   std::uint64_t retries_denied = 0;
   /// Retries that waited for retry budget transferred by other nodes.
   std::uint64_t retries_on_transferred_budget = 0;
-  /// Requests ended before their deadline because their replica was declared down or had restarted.
+  /// Requests that failed before their deadline because their replica was declared down or had
+  /// restarted.
   std::uint64_t ended_at_down_replicas = 0;
   /// Replicas that restarted under the same id.
   std::uint64_t replica_restarts = 0;
-  /// Calls in flight at the earlier incarnation of a replica that restarted.
+  /// Calls that were in flight at the earlier incarnation of a replica when the replica restarted.
   std::uint64_t calls_at_earlier_incarnations = 0;
   /// Replicas published with a service that is not configured.
   std::uint64_t replicas_of_unknown_services = 0;
@@ -67,31 +75,38 @@
   std::uint64_t accepted_while_stopping = 0;
   /// Requests refused after a graceful stop began.
   std::uint64_t refused_while_stopping = 0;
-  /// Requests ended during a graceful stop before they were sent to a replica.
+  /// Accepted requests that a stopping node ended instead of sending them to a replica, since they
+  /// were not expected to end before the node exits.
   std::uint64_t ended_while_stopping = 0;
-  /// Requests aborted when the grace period of a stop was over.
+  /// Requests that had not ended at the end of a graceful stop and were aborted.
   std::uint64_t aborted_at_stop = 0;
-  /// Exits of replicas attributed to requests; an exit counts once for each request that ran there.
+  /// Exits of replicas under requests of this node; an exit counts once for each request that the
+  /// replica ran. `quarantine/crash_registry.h` defines an exit.
   std::uint64_t crashes_under_requests = 0;
-  /// Requests refused because they were quarantined.
+  /// Requests refused or aborted because they were quarantined.
   std::uint64_t refused_in_quarantine = 0;
-  /// Times a request entered quarantine.
+  /// Number of times that a request was put into quarantine at this node.
   std::uint64_t quarantines = 0;
-  /// Requests that are no longer suspected because a run of them ended without an exit.
+  /// Number of times that the exits under a request were cleared because a run of the request
+  /// ended without an exit of its replica.
   std::uint64_t requests_cleared = 0;
   /// Requests that waited for a slot at replicas that announce a limit or requested a backoff.
   std::uint64_t slot_waits = 0;
-  /// Requests refused because no slot at such replicas could be free before their deadline.
+  /// Requests refused because no slot at replicas that announce a limit or requested a backoff was
+  /// expected in time.
   std::uint64_t refused_without_slot = 0;
+  /// Pieces of stages that were submitted.
   std::uint64_t stage_pieces = 0;
+  /// Stage results that were freed because they are no longer needed.
   std::uint64_t results_freed = 0;
-  /// Streams resumed at another replica after their replica broke off.
+  /// Streams resumed at another replica after their replica broke them off.
   std::uint64_t streams_resumed = 0;
-  /// Streams whose client read too slowly for some time.
+  /// Streams whose client read too slowly for so long that the stream was suspended or buffered.
   std::uint64_t slow_clients = 0;
-  /// Streams whose upstream call was cancelled until their client reads on.
+  /// Streams that were suspended: their call to the replica was cancelled until their client reads
+  /// on.
   std::uint64_t streams_suspended = 0;
-  /// Suspended streams whose client read on, so that they were resumed.
+  /// Suspended streams that were resumed because their client read on.
   std::uint64_t suspended_streams_resumed = 0;
 };
 
--- a/src/serving/decision_recorder.h
+++ b/src/serving/decision_recorder.h
@@ -9,8 +9,8 @@
 
 namespace spurrack::serving {
 
-/// Called at each decision. `subject` names the replica, route or status concerned; `detail` names
-/// the inputs of the decision with their age or version.
+/// Called at each decision. `subject` names the replica, route or status that the decision
+/// concerns; `detail` names the inputs of the decision with their age or version.
 using decision_recorder =
     std::function<void(base::event_kind, const base::request_id&, const std::string& subject,
                        const std::string& detail)>;
--- a/src/serving/events.h
+++ b/src/serving/events.h
@@ -1,5 +1,5 @@
-/// Events that the serving path receives from the connections to clients and replicas, and commands
-/// that it gives them.
+/// Interface between the decisions of the serving path and the connections to clients and replicas:
+/// events that the serving path receives from the connections, and commands that it gives them.
 #pragma once
 
 #include "base/ids.h"
@@ -22,7 +22,8 @@
 struct request_arrived {
   base::caller_id client = 0;
   std::shared_ptr<const request_content> content;
-  /// Time at which the head of the request reached this machine; its deadline counts from here.
+  /// Time at which the head of the request reached this machine; its deadline counts from this
+  /// time.
   base::time_point arrived_at;
 };
 /// Why a client's connection ended before its answer was complete.
@@ -39,7 +40,7 @@
 /// The client of a stream reads more slowly than its replica sends, or has caught up.
 struct client_window {
   base::caller_id client = 0;
-  /// Whether the serving path may read on from the replica.
+  /// Whether reading the stream from the replica may continue.
   bool open = true;
 };
 
@@ -54,7 +55,8 @@
   base::call_id call = 0;
   call_failure failure = call_failure::may_have_run;
 };
-/// Counts the bytes of an answer against the memory budget of this process until it is destroyed.
+/// Memory reservation for an answer. Its bytes count against the memory budget of this process
+/// until this object is destroyed.
 class held_memory {
  public:
   held_memory() = default;
@@ -62,12 +64,12 @@
   held_memory& operator=(const held_memory&) = delete;
   virtual ~held_memory() = default;
 };
-/// Reading an answer is paused because there is no memory for it: the missing progress is no
-/// evidence against the replica.
+/// Reading an answer was paused because there is no memory for it. The missing progress is no
+/// evidence that the replica is unresponsive.
 struct answer_paused {
   base::call_id call = 0;
 };
-/// Reading a paused answer goes on because there is memory for it again.
+/// Reading a paused answer was resumed because there is memory for it again.
 struct answer_resumed {
   base::call_id call = 0;
 };
@@ -84,6 +86,7 @@
   base::call_id call = 0;
   answer_head head;
 };
+/// Bytes of a streamed answer arrived.
 struct stream_bytes {
   base::call_id call = 0;
   std::string bytes;
@@ -98,7 +101,7 @@
 /// Why a piece has no result.
 enum class piece_fault : std::uint8_t {
   none,
-  late,          ///< Its deadline had passed when the replica came to run it.
+  late,          ///< Its deadline had passed when the replica was about to run it.
   input_gone,    ///< A result that it needs no longer exists.
   out_of_memory, ///< The replica has no free memory for the result.
   error,         ///< The replica failed to compute it.
@@ -165,8 +168,9 @@
   std::string tenant;
   /// Whether the answer is forwarded as it arrives; otherwise it is buffered until complete.
   bool streaming = false;
-  /// Whether the request may run only once: then it is sent on a connection that was idle only
-  /// briefly, since a close by the replica would leave unknown whether the request ran.
+  /// Whether the request may run only once. It is then sent only on a connection that was idle
+  /// briefly or not at all: if the replica closed the connection, it would be unknown whether the
+  /// request ran.
   bool runs_at_most_once = false;
   /// Identifier of the last event that the client has received, if the call resumes a stream.
   std::optional<std::uint64_t> resume_after;
@@ -179,10 +183,11 @@
 struct cancel_call {
   base::call_id call = 0;
 };
-/// Stops reading a streamed answer until `resume_call`.
+/// Pauses reading a streamed answer until `resume_call`.
 struct pause_call {
   base::call_id call = 0;
 };
+/// Resumes reading a streamed answer.
 struct resume_call {
   base::call_id call = 0;
 };
@@ -191,20 +196,24 @@
   base::request_id request;
   std::uint32_t stage = 0;
   std::uint32_t piece = 0;
+  /// Time until the deadline of the piece.
   base::duration time_left{};
   /// Set for stages that need no results of other stages; empty otherwise.
   std::string piece_key;
+  /// Handles of the results of other stages that the piece needs.
   std::vector<std::string> inputs;
 };
+/// Sends a call with pieces to a replica.
 struct start_stage_call {
   base::call_id call = 0;
   call_target target;
   std::vector<piece_item> items;
 };
-/// Frees results of stages that are no longer needed.
+/// Frees stage results that are no longer needed.
 struct free_results {
-  /// Replica that computed the results.
+  /// Replica that computed the results and holds them.
   call_target maker;
+  /// Handles of the results.
   std::vector<std::string> handles;
 };
 
@@ -236,18 +245,21 @@
   unsigned status = 0;
   header_list headers;
 };
+/// Sends further bytes of a streamed answer.
 struct stream_data {
   base::caller_id client = 0;
   std::string bytes;
 };
-/// Reads on from the replica and buffers the stream although the client does not read, as far as
-/// memory allows.
+/// Continues to read a stream from the replica although the client does not read it, and buffers
+/// the stream as far as memory allows.
 struct read_ahead {
   base::caller_id client = 0;
 };
+/// Ends a streamed answer.
 struct end_stream {
   base::caller_id client = 0;
-  /// If false, the connection is reset so that the client cannot take the answer for complete.
+  /// Whether the answer is complete. If not, the connection is reset so that the client cannot take
+  /// the answer for complete.
   bool complete = false;
 };
 
--- a/src/serving/request.h
+++ b/src/serving/request.h
@@ -26,7 +26,7 @@
   std::uint32_t tokens = 0;
 };
 
-/// Content of a request that was read completely. Immutable after that.
+/// Content of a request that was read completely; not changed afterwards.
 struct request_content {
   std::string method;
   /// Path with the query, byte for byte as the client sent it.
@@ -41,22 +41,23 @@
   bool has_body = false;
 
   base::request_id id;
-  /// Time that the client waits for the answer, counted from the arrival of the request.
+  /// Time for which the client waits for the answer, counted from the arrival of the request;
+  /// std::nullopt if the client did not send it.
   std::optional<base::duration> time_allowed;
   /// Empty if the client sent no key.
   std::string api_key;
-  /// Identifier of the last event that the client has received, if it resumes a stream.
+  /// Identifier of the last event that the client has received, if the request resumes a stream.
   std::optional<std::uint64_t> resume_after;
   std::string model;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t output_tokens = 0;
-  /// Parts of the prompt, in order; no other request or session shares the last part.
+  /// Parts of the prompt, in order; the last part belongs to this request or its session alone.
   std::vector<prompt_part> prompt_parts;
-  /// Number of pieces of each stage of the route.
+  /// Number of pieces of each stage of the route, in the order of the stages.
   std::vector<std::uint32_t> pieces;
   std::string piece_key;
 
-  /// @return number of prompt tokens that no other request shares.
+  /// @return number of prompt tokens that are not shared with requests of other sessions.
   [[nodiscard]] std::uint32_t own_tokens() const {
     return prompt_parts.empty() ? prompt_tokens : prompt_parts.back().tokens;
   }
@@ -67,13 +68,14 @@
   unsigned status = 0;
   /// Header fields that are forwarded to the client.
   header_list headers;
-  /// The replica marked the answer with its seal.
+  /// Whether the replica marked the answer with its seal: an answer that reports success without a
+  /// seal is not valid.
   bool sealed = false;
-  /// The replica did not run the request and will not run it later.
+  /// Whether the replica did not run the request and will not run it later.
   bool not_executed = false;
-  /// Another replica has this address.
+  /// Whether another replica than the called one has the address.
   bool misdirected = false;
-  /// The body has a content encoding, although the call did not ask for one.
+  /// Whether the body has a content encoding, although the call did not ask for an encoding.
   bool encoded = false;
 };
 
--- a/src/serving/request_codec.h
+++ b/src/serving/request_codec.h
@@ -1,5 +1,5 @@
-/// Codec for the wire format of clients and replicas. Only its implementation knows the names of
-/// header fields, the paths and the format of bodies.
+/// Interface of the codec for the wire format of clients and replicas. Only the implementation of
+/// the codec knows the names of header fields, the paths and the format of bodies.
 #pragma once
 
 #include "serving/events.h"
@@ -38,11 +38,12 @@
 
 /// A request that does not follow the wire format.
 struct bad_request {
-  /// Sent to the client.
+  /// Reason that is sent to the client.
   std::string reason;
 };
 
-/// Implementations are stateless: equal input gives equal output.
+/// Translates requests and answers from and to the wire format. Implementations must be stateless:
+/// equal input gives equal output.
 class request_codec {
  public:
   request_codec() = default;
@@ -56,6 +57,7 @@
   /// @return the header fields of an answer that spurrack itself gives to a request.
   [[nodiscard]] virtual header_list own_answer_headers(const base::request_id& id) const = 0;
 
+  /// Encodes a call to a replica.
   [[nodiscard]] virtual encoded_call encode(const start_call& call) const = 0;
   [[nodiscard]] virtual encoded_call encode(const start_stage_call& call) const = 0;
   [[nodiscard]] virtual encoded_call encode(const free_results& results) const = 0;
@@ -63,14 +65,15 @@
   /// Decodes the head of an answer of a replica.
   [[nodiscard]] virtual answer_head read_answer(raw_answer raw) const = 0;
   /// Decodes what an answer reports of its replica.
-  /// @return std::nullopt if another process than the addressed replica gave the answer.
+  /// @return std::nullopt if another process than the called replica gave the answer.
   [[nodiscard]] virtual std::optional<replica_self_report>
   read_self_report(const raw_answer& raw) const = 0;
-  /// @return id of the request that the answer names; std::nullopt if it names none.
+  /// @return id of the request that an answer names; std::nullopt if the answer names no request.
   [[nodiscard]] virtual std::optional<std::string>
   answered_request(const header_list& headers) const = 0;
   /// Decodes the answer to a call with pieces.
-  /// @return one outcome for each piece of the call; std::nullopt if the body does not match it.
+  /// @return one outcome for each piece of the call; std::nullopt if the body does not match the
+  ///         call.
   [[nodiscard]] virtual std::optional<std::vector<piece_outcome>>
   read_pieces(const start_stage_call& call, const std::string& body) const = 0;
 };
--- a/src/serving/settings.h
+++ b/src/serving/settings.h
@@ -9,20 +9,22 @@
 
 namespace spurrack::serving {
 
-/// Retry budget of a service: bounds how often requests are sent to a second replica. All nodes of
-/// the fleet share it.
+/// Retry budget of a service: limits how often requests are sent to a second replica. All nodes of
+/// the fleet share the budget.
 struct retry_limits {
   /// Retries allowed, as a fraction of the requests of the service.
   double ratio = 0.1;
   /// Retries allowed in addition to that fraction, for all nodes together.
   double allowance = 10;
-  /// Window over which requests and retries are counted.
+  /// Length of the window over which requests and retries are counted.
   base::duration window = std::chrono::seconds(10);
 };
 
-/// Adjusts the request rate that a service publishes for its cold replicas.
+/// Limit on the requests that all nodes together send to a cold replica (one that has just started
+/// or lost its warm caches): the rate that the replica's service is configured to sustain while
+/// cold, adjusted by these values.
 struct cold_bounds {
-  /// Multiplier of the published rate.
+  /// Multiplier of the configured rate.
   double factor = 1;
   /// Requests per second added to the multiplied rate.
   double allowance = 0;
@@ -36,59 +38,61 @@
   std::size_t descriptors = 4'100;
 };
 
-/// Time after the start of a graceful stop in which a node accepts new requests that are expected
-/// to end before the node exits.
+/// Times after the start of a graceful stop during which a node accepts new requests that are
+/// expected to end before the node exits.
 struct stop_admission_windows {
-  /// For streams: the time in which load balancers lead clients to other nodes, which is two
-  /// readiness checks, one second apart, and half a second for their answers. The duration of a
-  /// stream is the least predictable, and a stream that is cut cannot be repaired, so streams are
-  /// refused after this time.
+  /// Time during which streams are accepted: the time in which load balancers direct clients to
+  /// other nodes, which is two readiness checks, one second apart, and half a second for their
+  /// answers. Streams are refused after this time, since their duration is the least predictable
+  /// and a stream that is cut off cannot be repaired.
   base::duration streams = std::chrono::milliseconds(2'500);
-  /// For all other requests: one second more, for clients that were not led to another node.
-  /// Without this bound, overlapping requests would delay the exit, and a node that exits sooner
-  /// restores its capacity sooner: in a fleet restarted six nodes at a time every two seconds under
-  /// 1.8 times its load, 2,000 to 2,300 requests were refused with a time to return instead of
-  /// 2,500 to 2,900.
+  /// Time during which all other requests are accepted: one second more, for clients that were not
+  /// directed to another node. Without this limit, requests that overlap each other would delay the
+  /// exit of the node, and a node that exits sooner restores its capacity sooner: in a fleet that
+  /// was restarted six nodes at a time, every two seconds and under 1.8 times its load, 2,000 to
+  /// 2,300 requests were refused with a Retry-After instead of 2,500 to 2,900.
   base::duration requests = std::chrono::milliseconds(3'500);
 };
 
-/// Number of replica exits under one request that change its quarantine state; see
-/// `quarantine/crash_registry`.
+/// Numbers of replica exits under one request at which the quarantine state of the request changes.
+/// `quarantine/crash_registry.h` defines exits and quarantine states.
 struct quarantine_limits {
-  /// From this number on the request is sent to only one replica each time it arrives: each arrival
-  /// then tests one replica, and two nodes that do not know of each other's exits yet lose two
-  /// replicas instead of four.
+  /// Number of exits from which the request is sent to only one replica each time it arrives: each
+  /// arrival then shows whether the request crashes a replica, and two nodes that have not yet
+  /// learned of each other's exits lose two replicas instead of four.
   std::size_t single_attempt = 2;
-  /// From this number on the request is quarantined if few replicas exit without it. If a sixth of
-  /// all runs end with an exit of their replica for other causes, this many exits hit one harmless
-  /// request in 1,300 by chance; a limit of three would quarantine one in 200.
+  /// Number of exits from which the request is quarantined if fewer than half as many replicas exit
+  /// without running it. If a sixth of all runs end with an exit of their replica for other causes,
+  /// one harmless request in 1,300 has this number of exits by chance; a limit of three exits would
+  /// quarantine one harmless request in 200.
   std::size_t quarantine = 4;
-  /// From this number on the request is quarantined if half as many replicas or more exit without
-  /// it: by chance this hits one harmless request in 8,000.
+  /// Number of exits from which the request is quarantined if half as many replicas or more exit
+  /// without running it: one harmless request in 8,000 has this number of exits by chance.
   std::size_t quarantine_with_unrelated_exits = 5;
 };
 
+/// All settings of the serving path.
 struct serving_settings {
   resource_limits resources;
   /// Region of each zone. Work that is confined to regions runs in no zone without an entry here.
   model::zone_regions regions;
   retry_limits retry;
-  /// Bounds on requests to replicas that have just started or lost their warm caches.
   cold_bounds cold;
-  /// Time for which replicas of a zone count as cold after its evacuation ends: two of their usual
-  /// report intervals of 1.2 s and the delay until a report arrives.
+  /// Time for which the replicas of a zone count as cold after an evacuation of the zone ends: two
+  /// usual report intervals of the replicas, of 1.2 s each, and the delay until a report arrives.
   base::duration cold_time_after_evacuation = std::chrono::milliseconds(3000);
-  /// Retry-After of a request that found no replica.
+  /// Retry-After in the refusal of a request for which no replica is available.
   base::duration retry_after = std::chrono::milliseconds(300);
-  /// Time after which a replica is expected to have fetched the stage results that a request needs;
-  /// 0 to wait for the first bytes of its answer instead.
+  /// Time after which a replica that was sent a request is expected to have fetched the stage
+  /// results that the request needs; 0 to wait for the first bytes of the replica's answer instead.
   base::duration input_fetch_time = std::chrono::milliseconds(80);
-  /// Whether requests that are not expected to meet their deadline are refused on arrival, with a
-  /// time to return.
+  /// Whether requests that are not expected to be served in time are refused on arrival, with a
+  /// Retry-After.
   bool refuse_early = true;
-  /// Time for which the first piece of a batch waits for further pieces.
+  /// Maximum time for which the first piece of a batch waits for further pieces.
   base::duration batch_wait = std::chrono::milliseconds(10);
-  /// Backoff for a replica that could not be reached; doubles up to `max_unreachable_backoff`.
+  /// First backoff for a replica that could not be reached; each further backoff is twice as long,
+  /// up to `max_unreachable_backoff`.
   base::duration unreachable_backoff = std::chrono::milliseconds(400);
   base::duration max_unreachable_backoff = std::chrono::seconds(4);
   /// Backoff for a replica that answered that it is full.
