--- a/src/serving/request.h
+++ b/src/serving/request.h
@@ -73,7 +73,7 @@
   bool sealed = false;
   /// Whether the replica did not run the request and will not run it later.
   bool not_executed = false;
-  /// Whether another replica than the called one has the address.
+  /// Whether the called address belongs to another replica than the call was meant for.
   bool misdirected = false;
   /// Whether the body has a content encoding, although the call did not ask for an encoding.
   bool encoded = false;
