--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -1,6 +1,6 @@
-/// A fleet of dispatchers in front of replicas that crash when they run certain requests, in
-/// virtual time. Messages between nodes take 2 ms; crashed replicas refuse connections, are removed
-/// from the published list later and restart after 1.5 to 2 s.
+/// Simulated fleet of dispatchers and replicas in virtual time; the replicas crash when they run
+/// certain requests. Messages between nodes take 2 ms. A crashed replica refuses connections, is
+/// removed from the published list of replicas later, and restarts after 1.5 to 2 s.
 #pragma once
 
 #include "serving_fixture.h"
@@ -18,36 +18,40 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Parameters of a random fleet.
+/// Parameters of a simulated fleet.
 struct crash_fleet_settings {
+  /// Seed of all random choices.
   std::uint64_t seed = 1;
   std::size_t nodes = 6;
   unsigned replicas = 12;
   /// Additional replicas that compute the pieces of the two stages of `/staged/`.
   unsigned stage_replicas = 0;
-  /// A crashed replica restarts under its id with a new start time; otherwise under a new id.
+  /// Whether a crashed replica restarts under its id, with a new start time; otherwise it restarts
+  /// under a new id.
   bool keeps_ids_on_restart = false;
   quarantine_limits limits = {};
-  /// Nodes refuse all requests while the second latest crash is younger than this; 0 for never.
+  /// Emulates a policy without quarantine: nodes refuse all requests for this time after two
+  /// replicas have crashed within it; 0 to disable the policy.
   base::duration route_pause{};
 };
 
-/// Outcomes of the attempts of one request.
+/// Outcomes of the attempts of a client to send one request.
 struct attempt_counts {
   std::size_t attempts = 0;
   std::size_t served = 0;
-  /// Answered with 503: not run.
+  /// Answered with 503, so that the request was not run.
   std::size_t refused = 0;
+  /// Answered with another status, or with a stream that was cut.
   std::size_t failed = 0;
   /// Refused because the request is quarantined.
   std::size_t quarantined = 0;
   /// Refused because the request is quarantined, with a Retry-After header.
-  std::size_t told_retry_after = 0;
+  std::size_t quarantined_with_retry_after = 0;
 };
 
 struct crash_fleet : virtual_time {
-  explicit crash_fleet(const crash_fleet_settings& wanted = {})
-      : settings(wanted), random(wanted.seed) {
+  explicit crash_fleet(const crash_fleet_settings& initial = {})
+      : settings(initial), random(initial.seed) {
     for (const std::string id : {"llm-a", "llm-b", "pool-a", "pool-b"}) {
       world.remove_replica(id);
     }
@@ -62,7 +66,7 @@
     }
   }
 
-  /// Starts or restarts a node, with empty state.
+  /// Starts or restarts a node, without any state.
   void start_node(std::size_t index) {
     auto& node = nodes[index];
     ++node.incarnation;
@@ -82,7 +86,7 @@
     }
   }
 
-  /// Sends one attempt of a request to a node.
+  /// Sends a request to a node. @return id of the client.
   base::caller_id arrive(std::size_t node, const std::string& path, const std::string& body) {
     auto content = std::make_shared<request_content>();
     content->method = "POST";
@@ -111,7 +115,7 @@
     return requests;
   }
 
-  /// Sends a request to random nodes every 100 to 500 ms.
+  /// Sends the same request to random nodes every 100 to 500 ms, for `span`.
   void send_repeatedly(const std::string& path, const std::string& body, base::duration span) {
     const auto end = now + span;
     while (now < end) {
@@ -161,7 +165,7 @@
     }
   }
 
-  /// @return index of a random replica.
+  /// @return the index of a random replica.
   unsigned random_replica() { return static_cast<unsigned>(random.below(replicas.size())); }
 
   /// @return bodies of the requests that any node refused because they were quarantined.
@@ -177,7 +181,7 @@
 
   [[nodiscard]] dispatcher& node(std::size_t index) { return *nodes[index].subject; }
 
-  /// @return number of sends of a request that reached a replica later than `span` after the third
+  /// @return number of times that a request reached a replica later than `span` after the third
   ///         exit under this request.
   [[nodiscard]] std::size_t sends_after_third_exit(const std::string& body,
                                                    base::duration span) const {
@@ -198,17 +202,20 @@
   std::set<std::string> crashing_bodies;
   /// Bodies of requests whose pieces crash each replica which computes them.
   std::set<std::string> bodies_crashing_in_stages;
-  /// Harmless requests per second at random nodes, each with a different body.
+  /// Harmless requests per second that arrive at random nodes, each with a different body.
   std::size_t harmless_per_second = 0;
   std::string harmless_path = "/stream/";
   /// Whether clients retry harmless requests that failed or were refused, up to three times.
   bool clients_retry = false;
+  /// Number of crashes of replicas, for any reason.
   std::size_t crashes = 0;
+  /// Requests refused by the policy of `crash_fleet_settings::route_pause`.
   std::size_t refused_by_route_pause = 0;
   /// Times at which replicas crashed under a request, by its body.
   std::map<std::string, std::vector<base::time_point>> exits_under;
   /// Times at which a request reached replicas, by its body.
   std::map<std::string, std::vector<base::time_point>> reached;
+  /// Outcomes by body of the request.
   std::map<std::string, attempt_counts> counts;
   /// Nodes that neither send nor receive messages.
   std::set<std::size_t> partitioned;
@@ -285,7 +292,7 @@
     auto& node = nodes[index];
     node.subject->advance(now);
     for (auto& command : node.subject->take_commands()) {
-      std::visit([&](const auto& wanted) { execute(index, wanted); }, command);
+      std::visit([&](const auto& typed_command) { execute(index, typed_command); }, command);
     }
     for (auto& message : node.subject->take_messages()) {
       later(milliseconds(2), [this, index, message] { deliver(index, message); });
@@ -295,46 +302,46 @@
   template <typename other_command>
   void execute(std::size_t /*node*/, const other_command& /*wanted*/) {}
 
-  void execute(std::size_t node, const start_call& wanted) {
+  void execute(std::size_t node, const start_call& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, wanted] {
+    later(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation == incarnation) {
-        reach_replica(node, wanted);
+        reach_replica(node, command);
       }
     });
-    nodes[node].calls[wanted.call] = false;
+    nodes[node].calls[command.call] = false;
   }
 
-  void execute(std::size_t node, const start_stage_call& wanted) {
+  void execute(std::size_t node, const start_stage_call& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, wanted] {
+    later(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation == incarnation) {
-        reach_stage_replica(node, wanted);
+        reach_stage_replica(node, command);
       }
     });
-    nodes[node].stage_calls.insert(wanted.call);
+    nodes[node].stage_calls.insert(command.call);
   }
 
-  void reach_stage_replica(std::size_t node, const start_stage_call& wanted) {
-    auto* replica = replica_at(wanted.target.address);
-    if (replica == nullptr || !replica->is_up || replica->id != wanted.target.replica) {
-      end_stage_call({node, wanted.call}, stage_call_ended::result::not_sent, 0);
+  void reach_stage_replica(std::size_t node, const start_stage_call& command) {
+    auto* replica = replica_at(command.target.address);
+    if (replica == nullptr || !replica->is_up || replica->id != command.target.replica) {
+      end_stage_call({node, command.call}, stage_call_ended::result::not_sent, 0);
       return;
     }
-    const std::pair key{node, wanted.call};
+    const std::pair key{node, command.call};
     const auto index = static_cast<unsigned>(replica - replicas.data());
     replica->calls.insert(key);
-    std::set<std::string> called;
-    for (const auto& item : wanted.items) {
-      called.insert(bodies_by_id.at(item.request));
+    std::set<std::string> called_bodies;
+    for (const auto& item : command.items) {
+      called_bodies.insert(bodies_by_id.at(item.request));
     }
-    for (const auto& body : called) {
+    for (const auto& body : called_bodies) {
       reached[body].push_back(now);
       if (bodies_crashing_in_stages.contains(body)) {
         schedule_crash(index, body);
       }
     }
-    later(milliseconds(200), [this, index, key, count = wanted.items.size()] {
+    later(milliseconds(200), [this, index, key, count = command.items.size()] {
       if (replicas[index].calls.erase(key) > 0) {
         end_stage_call(key, stage_call_ended::result::answered, count);
       }
@@ -342,19 +349,19 @@
   }
 
   void end_stage_call(std::pair<std::size_t, base::call_id> key, stage_call_ended::result how,
-                      std::size_t made) {
+                      std::size_t piece_count) {
     auto& node = nodes[key.first];
     if (node.stage_calls.erase(key.second) == 0) {
       return;
     }
     stage_call_ended ended{key.second, how, {}};
-    for (std::size_t piece = 0; piece < made; ++piece) {
+    for (std::size_t piece = 0; piece < piece_count; ++piece) {
       ended.pieces.push_back({piece_fault::none, "10.1.0.99:80/" + std::to_string(++handles)});
     }
     node.subject->handle(ended, now);
   }
 
-  /// Crashes a replica after 20 to 120 ms unless it has exited before.
+  /// Crashes a replica after 20 to 120 ms, unless its current incarnation exits earlier.
   void schedule_crash(unsigned index, const std::string& body) {
     const auto incarnation = replicas[index].incarnation;
     later(milliseconds(20 + random.below(100)), [this, index, incarnation, body] {
@@ -365,24 +372,24 @@
     });
   }
 
-  void execute(std::size_t node, const cancel_call& wanted) {
-    nodes[node].calls.erase(wanted.call);
-    nodes[node].stage_calls.erase(wanted.call);
+  void execute(std::size_t node, const cancel_call& command) {
+    nodes[node].calls.erase(command.call);
+    nodes[node].stage_calls.erase(command.call);
     for (auto& replica : replicas) {
-      replica.calls.erase({node, wanted.call});
+      replica.calls.erase({node, command.call});
     }
   }
 
-  void execute(std::size_t node, const probe_replica& wanted) {
+  void execute(std::size_t node, const probe_replica& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, wanted] {
+    later(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation != incarnation) {
         return;
       }
-      const auto* replica = replica_at(wanted.target.address);
+      const auto* replica = replica_at(command.target.address);
       const bool is_up = replica != nullptr && replica->is_up;
       nodes[node].subject->handle(
-          replica_probed{wanted.target.replica,
+          replica_probed{command.target.replica,
                          is_up ? probe_result::connected : probe_result::refused},
           now);
     });
@@ -400,7 +407,7 @@
     ++count.refused;
     if (answer.body.find("held back") != std::string::npos) {
       ++count.quarantined;
-      count.told_retry_after +=
+      count.quarantined_with_retry_after +=
           std::any_of(answer.headers.begin(), answer.headers.end(),
                       [](const auto& field) { return field.name == "Retry-After"; });
     }
@@ -434,26 +441,26 @@
     return nullptr;
   }
 
-  void reach_replica(std::size_t node, const start_call& wanted) {
-    if (!nodes[node].calls.contains(wanted.call)) {
+  void reach_replica(std::size_t node, const start_call& command) {
+    if (!nodes[node].calls.contains(command.call)) {
       return;
     }
-    auto* replica = replica_at(wanted.target.address);
+    auto* replica = replica_at(command.target.address);
     if (replica == nullptr || !replica->is_up) {
-      nodes[node].calls.erase(wanted.call);
-      nodes[node].subject->handle(call_failed{wanted.call, call_failure::not_sent}, now);
+      nodes[node].calls.erase(command.call);
+      nodes[node].subject->handle(call_failed{command.call, call_failure::not_sent}, now);
       return;
     }
-    if (replica->id != wanted.target.replica) {
+    if (replica->id != command.target.replica) {
       answer_head head = dispatcher_driver::good_head(421);
       head.misdirected = true;
-      nodes[node].calls.erase(wanted.call);
-      nodes[node].subject->handle(call_answered{wanted.call, head, ""}, now);
+      nodes[node].calls.erase(command.call);
+      nodes[node].subject->handle(call_answered{command.call, head, ""}, now);
       return;
     }
-    const auto& body = wanted.content->body;
+    const auto& body = command.content->body;
     reached[body].push_back(now);
-    const std::pair key{node, wanted.call};
+    const std::pair key{node, command.call};
     replica->calls.insert(key);
     const auto index = static_cast<unsigned>(replica - replicas.data());
     later(milliseconds(50 + random.below(100)),
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -1,6 +1,6 @@
-/// Compares two policies for self-reports of replicas on the same random fleets: each node acts
-/// only on the answers that it receives itself (all messages between nodes are lost), or nodes
-/// forward the reports to each other.
+/// Compares two policies for self-reports of replicas on the same random fleets. Without messages
+/// (all messages between nodes are lost), each node acts only on the answers that it receives
+/// itself; with messages, nodes send the reports to each other.
 #include "limited_fleet.h"
 
 #include <iomanip>
@@ -17,21 +17,21 @@
 
 /// Results for a draining replica over all random fleets.
 struct drain_figures {
-  /// Requests that any node sent to the replica after one node received its drain announcement, per
-  /// fleet.
+  /// Requests that all nodes sent to the replica after the first node received its drain
+  /// announcement, per fleet.
   double sent_after = 0;
-  /// Maximum time from the announcement to the last of these requests, in seconds.
+  /// Maximum time from the announcement to the last request, in seconds.
   double last_send_after = 0;
 };
 
-drain_figures run_drain(std::size_t nodes, double lost_share) {
+drain_figures run_drain(std::size_t nodes, double loss_rate) {
   drain_figures figures;
   for (std::uint64_t seed = 1; seed <= random_fleets; ++seed) {
     limited_fleet fleet({.seed = seed,
                          .nodes = nodes,
                          .zones = 4,
                          .replicas = 12,
-                         .message_loss_rate = lost_share,
+                         .message_loss_rate = loss_rate,
                          .step = milliseconds(2)});
     fleet.load(60, seconds(2));
     fleet.begin_draining(0);
@@ -48,15 +48,18 @@
   return figures;
 }
 
-/// Results while a third of the replicas refuse all requests and request a backoff, per fleet.
+/// Results per fleet while a third of the replicas refuse all requests and request a backoff.
 struct backoff_figures {
+  /// Requests that arrived at replicas that refuse all requests.
   double refused_by_replicas = 0;
+  /// Requests that nodes refused instead of sending them to a replica.
   double refused_by_nodes = 0;
-  /// Maximum load of any other replica over one second, relative to the average load of a replica.
+  /// Maximum number of requests that a replica which serves requests received within one second,
+  /// relative to the average over all replicas.
   double max_load_elsewhere = 0;
 };
 
-backoff_figures run_backoffs(std::size_t nodes, double lost_share) {
+backoff_figures run_backoffs(std::size_t nodes, double loss_rate) {
   constexpr double per_second = 120;
   constexpr unsigned replicas = 12;
   backoff_figures figures;
@@ -65,20 +68,20 @@
                          .nodes = nodes,
                          .zones = 1,
                          .replicas = replicas,
-                         .message_loss_rate = lost_share,
+                         .message_loss_rate = loss_rate,
                          .step = milliseconds(2)});
     fleet.load(per_second, seconds(2));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
       fleet.refuse_requests(replica, seconds(8), seconds(3));
     }
-    const auto begun = fleet.now;
+    const auto begun_at = fleet.now;
     fleet.load(per_second, seconds(8));
     for (unsigned replica = 0; replica < replicas; ++replica) {
       if (replica < 4) {
         figures.refused_by_replicas +=
-            static_cast<double>(fleet.arrived_since(replica, begun)) / random_fleets;
+            static_cast<double>(fleet.arrived_since(replica, begun_at)) / random_fleets;
       } else {
-        const auto most = fleet.max_arrivals_within(replica, seconds(1), begun, false);
+        const auto most = fleet.max_arrivals_within(replica, seconds(1), begun_at, false);
         figures.max_load_elsewhere =
             std::max(figures.max_load_elsewhere, static_cast<double>(most) * replicas / per_second);
       }
@@ -97,10 +100,11 @@
     const auto without_messages = run_drain(nodes, all_messages_lost);
     const auto with_messages = run_drain(nodes, no_messages_lost);
     std::ostringstream table;
-    table << std::fixed << std::setprecision(2) << nodes << " nodes: sent after the announcement "
-          << without_messages.sent_after << " alone, " << with_messages.sent_after
-          << " told; the last after " << without_messages.last_send_after << " s alone, "
-          << with_messages.last_send_after << " s told";
+    table << std::fixed << std::setprecision(2) << nodes
+          << " nodes: requests sent after the announcement: " << without_messages.sent_after
+          << " without messages, " << with_messages.sent_after << " with messages; the last after "
+          << without_messages.last_send_after << " s without, " << with_messages.last_send_after
+          << " s with";
     BOOST_TEST_MESSAGE(table.str());
     BOOST_TEST(with_messages.sent_after <= without_messages.sent_after);
     BOOST_TEST(with_messages.last_send_after <= 0.5);
@@ -112,12 +116,13 @@
     const auto without_messages = run_backoffs(nodes, all_messages_lost);
     const auto with_messages = run_backoffs(nodes, no_messages_lost);
     std::ostringstream table;
-    table << std::fixed << std::setprecision(2) << nodes << " nodes: turned away "
-          << without_messages.refused_by_replicas << " alone, " << with_messages.refused_by_replicas
-          << " told; refused " << without_messages.refused_by_nodes << " and "
-          << with_messages.refused_by_nodes << "; most at another replica "
-          << without_messages.max_load_elsewhere << " and " << with_messages.max_load_elsewhere
-          << " times the average";
+    table << std::fixed << std::setprecision(2) << nodes
+          << " nodes: refused by replicas: " << without_messages.refused_by_replicas
+          << " without messages, " << with_messages.refused_by_replicas
+          << " with messages; refused by nodes: " << without_messages.refused_by_nodes << " and "
+          << with_messages.refused_by_nodes
+          << "; maximum at another replica: " << without_messages.max_load_elsewhere << " and "
+          << with_messages.max_load_elsewhere << " times the average";
     BOOST_TEST_MESSAGE(table.str());
     BOOST_TEST(with_messages.refused_by_replicas <= without_messages.refused_by_replicas);
   }
