--- a/src/http/caller_request_parser.h
+++ b/src/http/caller_request_parser.h
@@ -1,4 +1,4 @@
-/// Parses HTTP requests of callers.
+/// Parses HTTP requests of callers; caller_server.h defines the term.
 #pragma once
 
 #include "execution/answer.h"
@@ -23,7 +23,7 @@
   /// Whether readiness for new requests is checked, instead of liveness.
   bool readiness = false;
 };
-/// Invalid request, refused before the decision logic sees it.
+/// Invalid request that is refused before it reaches the node.
 struct refused_request {
   request_fault fault = request_fault::malformed_http;
   std::string detail;
--- a/src/http/caller_server.cc
+++ b/src/http/caller_server.cc
@@ -43,9 +43,9 @@
 };
 using outgoing_item = std::variant<execution::answer, token_item, ticket_item>;
 
-/// @return time at which the last bytes of the request reached this machine. The kernel records it,
-///         so that the age of a request that waited in the socket while this process was suspended
-///         is known. The current time if the kernel does not report it.
+/// @return time at which the last bytes of the request reached this machine; the current time if
+///         the kernel does not report it. The kernel records the arrival, so that the age of a
+///         request that waited in the socket while this process was suspended is known.
 base::time_point arrival_time(beast::tcp_stream& stream) {
   const auto now = base::boot_clock::now();
   tcp_info info{};
@@ -64,6 +64,7 @@
   /// Cancelled to wake the coroutine that waits for a change of this exchange.
   asio::steady_timer wake;
   bool is_disconnected = false;
+  /// Whether `watch_for_disconnect` has ended for this exchange.
   bool has_watch_ended = false;
 };
 
@@ -241,7 +242,7 @@
     co_return keep_serving;
   }
 
-  /// Detects that a caller closes its connection while it waits for the answer.
+  /// Detects that a caller closes its connection before it has received the answer.
   static asio::awaitable<void> watch_for_disconnect(beast::tcp_stream& stream,
                                                     std::shared_ptr<caller_exchange> exchange) {
     boost::system::error_code error;
@@ -338,7 +339,8 @@
   caller_observer observer_;
   bool is_stopping_ = false;
   std::size_t connections_ = 0;
-  /// Number of connections between the first byte of a request and the last byte of its answer.
+  /// Number of connections on which a request has begun to arrive and the last byte of its answer
+  /// is not written yet.
   std::size_t busy_connections_ = 0;
   base::caller_id next_caller_ = 1;
   std::unordered_map<base::caller_id, std::shared_ptr<caller_exchange>> exchanges_;
--- a/src/http/caller_server.h
+++ b/src/http/caller_server.h
@@ -1,5 +1,8 @@
 /// HTTP listener for callers: limits and parses requests, passes them to the node, and writes
 /// answers and token streams. docs/API.md describes the interface.
+///
+/// A caller uses spurrack's own pipelines interface (`/v1/pipelines/`). A client of a published
+/// route uses the listener in ingress_server.h instead.
 #pragma once
 
 #include "execution/answer.h"
@@ -23,7 +26,8 @@
   std::function<bool()> is_ready;
 };
 
-/// Not thread-safe. Answers, tokens and tickets for callers that have disconnected are dropped.
+/// HTTP listener for callers. Answers, tokens and tickets for callers that have disconnected are
+/// dropped. Not thread-safe.
 class caller_server {
  public:
   caller_server() = default;
@@ -38,7 +42,7 @@
   /// are closed after their next answer.
   virtual void stop_accepting() = 0;
   /// @return number of connections on which a request has begun to arrive and is not answered yet;
-  ///         during a stop also connections whose first request may still arrive.
+  ///         during a graceful stop also connections whose first request may still arrive.
   [[nodiscard]] virtual std::size_t busy_connections() const = 0;
 };
 
--- a/src/http/connection_acceptor.cc
+++ b/src/http/connection_acceptor.cc
@@ -14,11 +14,11 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-/// Time in which handshakes complete that began before new handshakes were dropped: a hundred times
-/// the round trip within a site.
+/// Time for which a stopping acceptor waits for the handshakes that began before new handshakes
+/// were dropped: a hundred times the round trip within a site.
 constexpr std::chrono::milliseconds handshake_time{50};
-/// Time for which a stop waits for the first request of a connection: twice the time for which
-/// clients wait for a new connection to be established.
+/// Time after the start of a graceful stop for which the stop waits for the first requests of new
+/// connections: twice the time for which clients wait for a new connection to be established.
 constexpr base::duration first_request_timeout = std::chrono::seconds(2);
 
 /// Attaches a packet filter to a listening socket that drops the packets that begin a handshake.
--- a/src/http/connection_acceptor.h
+++ b/src/http/connection_acceptor.h
@@ -1,4 +1,5 @@
 /// Accepts connections, and stops without resetting connections that clients consider established.
+/// In this file, a client is the process that connects to the listening socket.
 ///
 /// Closing a listening socket resets every connection whose handshake is complete but which was not
 /// accepted yet, including connections that arrive between the last accept and the close. Therefore
@@ -19,7 +20,7 @@
 
 namespace spurrack::http {
 
-/// Not thread-safe.
+/// Listening socket that passes each accepted connection to a handler. Not thread-safe.
 class connection_acceptor {
  public:
   using connection_handler = std::function<void(boost::asio::ip::tcp::socket)>;
@@ -30,7 +31,7 @@
                       connection_handler on_connection);
 
   /// Stops accepting new connections. Passes the connections that are already established to the
-  /// handler and closes the socket after the handshakes in progress have completed.
+  /// handler, and closes the socket once the handshakes in progress have had time to complete.
   void stop();
 
  private:
@@ -44,9 +45,9 @@
   connection_handler on_connection_;
 };
 
-/// Counts connections that have not carried a request yet. They delay a planned stop for a limited
-/// time, since the client may have been delayed in sending its request, or this process in reading
-/// it.
+/// Counts new connections: connections on which no request has arrived yet. A graceful stop waits
+/// for a limited time for the first request of a new connection, since the client may have been
+/// delayed in sending the request, or this process in reading it. Not thread-safe.
 class new_connections {
  public:
   /// Counts a connection until its first request arrives or the connection ends.
@@ -56,7 +57,8 @@
   };
 
   void begin_stop(base::time_point now) { stop_began_at_ = now; }
-  /// @return number of connections whose first request a stop waits for; 0 outside a stop.
+  /// @return number of connections whose first request a graceful stop waits for; 0 before the
+  ///         stop, and after the time for which it waits.
   [[nodiscard]] std::size_t awaiting_first_request(base::time_point now) const;
 
  private:
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -41,8 +41,8 @@
 /// which clients are known to stop reading.
 constexpr std::chrono::seconds unread_timeout{15};
 /// Time after which the kernel closes the connection to a client that acknowledges no data or keeps
-/// its receive window closed; longer than `unread_timeout`, so that the latter applies to clients
-/// that are reachable.
+/// its receive window closed; longer than `unread_timeout`, so that `unread_timeout` decides for
+/// clients that are reachable.
 constexpr std::chrono::milliseconds tcp_user_timeout{16'000};
 /// Size of the kernel's send buffer of a connection (the kernel doubles it, for its bookkeeping):
 /// 50 ms of a link of 10 Mbit/s, so that one client that does not read fills neither the memory nor
@@ -50,44 +50,49 @@
 constexpr int send_buffer_bytes = 65'536;
 /// Maximum number of bytes of one write; other connections are served between two writes.
 constexpr std::size_t max_write_bytes = 16'384;
-/// Maximum time for which the rest of a body is read and discarded after a refusal: the time that
-/// 4 MB take on a link of 10 Mbit/s, and less during a stop.
+/// Maximum time for which the rest of a body is read and discarded after a refusal: the time in
+/// which a link of 10 Mbit/s transfers 4 MB.
 constexpr std::chrono::seconds discard_timeout{4};
+/// Value that replaces `discard_timeout` during a graceful stop.
 constexpr std::chrono::seconds discard_timeout_at_stop{1};
 /// Maximum number of bytes of headers and framing that are discarded after a refusal, in addition
 /// to the body.
 constexpr std::size_t max_discarded_framing_bytes = 65'536;
-/// Larger bodies are refused first when memory is short.
+/// Maximum number of bytes of a small body; larger bodies are refused first when memory is short.
 constexpr std::size_t large_body_bytes = 65'536;
-/// Copies of a body that are held at the same time: one for a retry and one that is written to a
-/// replica.
+/// Number of copies of a body that are held at the same time: a copy for a retry and a copy that is
+/// written to a replica.
 constexpr std::size_t body_copies = 2;
 /// Time for which a client must have read nothing before its answer may be aborted to free memory:
 /// longer than the pauses of links that lose packets.
 constexpr base::duration min_stall_duration = std::chrono::seconds(2);
 /// Minimum interval between two searches for the slowest clients, each of which checks all clients.
 constexpr base::duration min_relief_interval = std::chrono::milliseconds(100);
-/// A search for the slowest clients frees at least the fraction 1 / `relief_divisor` of the budget,
-/// if their answers hold as much.
+/// Divisor of the byte budget: a search for the slowest clients frees at least the fraction 1 /
+/// `relief_divisor` of the budget, if the answers of slow clients hold as much.
 constexpr std::size_t relief_divisor = 20;
 /// Retry-After of requests that are refused for lack of memory or connections.
 constexpr const char* retry_after_seconds = "0.500";
 
-/// Bytes of an answer that have not been written completely, and their memory reservation.
+/// Bytes of an answer to write to a client (a head, a body or a chunk), and their memory
+/// reservation.
 struct unwritten_bytes {
   std::string bytes;
-  /// Reservation of the bytes of a complete answer; null otherwise.
+  /// Memory reservation of the body of a complete answer; null for all other bytes.
   std::shared_ptr<const serving::held_memory> held;
-  /// Number of the bytes that are counted in the reservation of the exchange.
+  /// Number of bytes reserved in `client_exchange::reservation`: the size of `bytes` if they are
+  /// stream events, 0 otherwise.
   std::size_t reserved_bytes = 0;
-  /// Number of the bytes that were written to the client before they were queued.
+  /// Number of bytes at the start of `bytes` that the socket already accepted, without blocking,
+  /// before the rest was queued.
   std::size_t written_bytes = 0;
+  /// @return the bytes that are still to be written.
   [[nodiscard]] std::string_view remaining() const {
     return std::string_view(bytes).substr(written_bytes);
   }
 };
 
-/// State of a request that the serving path is processing.
+/// State of a request that the serving path is processing, and of its answer.
 struct client_exchange {
   client_exchange(asio::io_context& io, base::caller_id client,
                   asio::ip::tcp::socket& connection_socket,
@@ -96,27 +101,28 @@
         reservation(std::move(budget), flow::byte_holder::unwritten_streams),
         window(base::boot_clock::now()), wake(io, asio::steady_timer::time_point::max()) {}
   base::caller_id id;
-  /// Outlives the exchange.
+  /// Socket of the client's connection; outlives the exchange.
   asio::ip::tcp::socket* socket;
   /// Bytes to write to the client, in order.
   std::deque<unwritten_bytes> unwritten;
-  /// Memory of the events of a stream that are not written yet.
+  /// Memory reservation of the stream events that are not written to the client yet.
   flow::byte_reservation reservation;
   flow::stream_window window;
   /// Cancelled to wake the coroutine that waits for a change of this exchange.
   asio::steady_timer wake;
-  /// The answer ends with the bytes in `unwritten`.
+  /// Whether the answer ends with the bytes in `unwritten`.
   bool is_final = false;
-  /// The answer ends incomplete: the connection is closed after the bytes in `unwritten`.
+  /// Whether the answer ends incomplete: the connection is closed after the bytes in `unwritten`.
   bool is_incomplete = false;
   bool is_disconnected = false;
   /// Set if the answer was aborted: no more bytes are written.
   std::optional<serving::disconnect_reason> abort_reason;
+  /// Whether `watch_for_disconnect` has ended for this exchange.
   bool has_watch_ended = false;
-  /// A write is in progress; later bytes must wait for it.
+  /// Whether an asynchronous write is in progress; later bytes must wait until it ends.
   bool is_writing = false;
   bool head_only = false;
-  /// The answer is a stream, and its head was queued.
+  /// Whether the answer is a stream, and its head was queued.
   bool is_streaming = false;
   after_answer connection = after_answer::keep_open;
 };
@@ -127,11 +133,11 @@
   flow::byte_reservation body;
 };
 
-/// A request that is refused before it reaches the serving path.
+/// Answer to a request that is refused before it reaches the serving path.
 struct refusal {
   unsigned status = 400;
   std::string reason;
-  /// Adds a Retry-After header.
+  /// Whether the answer has a Retry-After header.
   bool is_retryable = false;
 };
 
@@ -288,8 +294,8 @@
                                                     reported_by_next_write);
   }
 
-  /// Queues bytes of a stream and reserves memory for them. Complete answers have a reservation
-  /// since they were buffered.
+  /// Queues events of a stream and reserves memory for them. Complete answers are not reserved
+  /// here: they have had a reservation since they were buffered.
   void push_events(client_exchange& client, std::string bytes) {
     const auto size = bytes.size();
     if (client.window.is_reading_ahead() &&
@@ -303,7 +309,8 @@
     push(client, {std::move(bytes), nullptr, size});
   }
 
-  /// Reports that the window of a stream closed or opened, unless the stream has ended already.
+  /// Reports that the flow control window of a stream closed or opened. Does nothing if reading
+  /// from a replica does not depend on the window: for complete answers and for ended streams.
   void report_window_change(const client_exchange& client, flow::window_change change) {
     if (!client.is_streaming || client.is_final || change == flow::window_change::none) {
       return;
@@ -329,10 +336,12 @@
     client.wake.cancel();
   }
 
-  /// Aborts the answers of clients that have read nothing for `min_stall_duration`, in descending
-  /// order of unread bytes times stall duration. A client with no more unread bytes than two window
-  /// sizes is aborted only for events that were already read from a replica, not for complete
-  /// answers.
+  /// Aborts answers of clients that have read nothing for `min_stall_duration`, in descending order
+  /// of unread bytes times stall duration, until enough memory is freed.
+  /// @param use that lacks memory. For a stream event, which was already read from a replica, the
+  ///        answer of any stalled client may be aborted. For a complete answer, only answers with
+  ///        more unread bytes than two maximum windows are aborted.
+  /// @param bytes that `use` requests.
   void abort_slowest_readers(flow::byte_use use, std::size_t bytes) {
     const auto now = base::boot_clock::now();
     if (now < next_relief_at_) {
@@ -445,7 +454,8 @@
       co_return false;
     }
     if (error) {
-      // A named object: GCC 12 destroys an aggregate temporary of a co_await twice.
+      // The refusal is a named object because GCC 12 destroys an aggregate temporary in a co_await
+      // expression twice.
       const auto response = refusal_of(error);
       co_await refuse(stream, response);
       co_return false;
@@ -456,8 +466,9 @@
     co_return co_await answer(stream, parser, arrived_at, std::move(body));
   }
 
-  /// Reserves memory for a body and its copies.
-  /// @param size bytes of the body received so far, or announced.
+  /// Reserves memory for all copies of a body.
+  /// @param size number of bytes of the body that were received so far, or that Content-Length
+  ///        announces.
   /// @return whether there is enough memory.
   static bool reserve_body(flow::byte_reservation& reservation, std::size_t size) {
     const auto required = size * body_copies;
@@ -468,6 +479,7 @@
 
   /// Reads a body as far as memory allows.
   /// @param has_memory set to false if memory ran out.
+  /// @return the error, if any.
   static asio::awaitable<boost::system::error_code>
   read_body(beast::tcp_stream& stream, beast::flat_buffer& buffer,
             beast_http::request_parser<beast_http::string_body>& parser,
@@ -504,7 +516,7 @@
     body.move_to(flow::byte_holder::kept_bodies);
     auto shared_content = std::make_shared<content_with_memory>(content_with_memory{
         std::get<serving::request_content>(std::move(parsed)), std::move(body)});
-    // The reservation lives as long as any reference to the content.
+    // The memory stays reserved as long as any reference to the content exists.
     observer_.on_request(
         {client,
          std::shared_ptr<const serving::request_content>(shared_content, &shared_content->content),
@@ -547,7 +559,7 @@
     return raw;
   }
 
-  /// Detects that a client closes its connection while it waits for the answer.
+  /// Detects that a client closes its connection before it has received the answer.
   static asio::awaitable<void> watch_for_disconnect(beast::tcp_stream& stream,
                                                     std::shared_ptr<client_exchange> exchange) {
     boost::system::error_code error;
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -1,5 +1,6 @@
-/// HTTP listener of the serving path for clients: limits and reads requests, passes them to the
-/// serving path, and writes answers and streams as they arrive.
+/// HTTP listener for clients of published routes: limits and reads requests, passes them to the
+/// serving path, and writes answers and streams as they arrive from the replicas. Callers of
+/// spurrack's own pipelines interface use the listener in caller_server.h instead.
 #pragma once
 
 #include "flow/byte_budget.h"
@@ -24,8 +25,9 @@
 
 /// Resources that the listener may use.
 struct ingress_resources {
+  /// Memory that this process may use for bytes of requests and answers.
   std::shared_ptr<flow::byte_budget> budget;
-  /// Further connections are refused.
+  /// Maximum number of open connections; further connections are refused.
   std::size_t max_connections = 0;
 };
 
@@ -33,20 +35,22 @@
 struct ingress_counters {
   /// Number of times that reading from a replica was paused for a slow client.
   std::uint64_t windows_closed = 0;
-  /// Total time for which the windows of answers that have ended were closed.
+  /// Total time for which the flow control windows (`flow::stream_window`) of ended answers were
+  /// closed.
   base::duration closed_window_time{};
-  /// Answers aborted because the client read nothing for too long.
+  /// Number of answers aborted because the client read nothing for too long.
   std::uint64_t aborted_unread = 0;
-  /// Answers aborted because the client was the slowest reader when memory for answers ran out, or
-  /// because there was no memory for an event.
+  /// Number of answers aborted because the client was the slowest reader when memory for answers
+  /// ran out, or because there was no memory for an event.
   std::uint64_t aborted_for_memory = 0;
-  /// Requests refused because there was no memory for their body.
+  /// Number of requests refused because there was no memory for their body.
   std::uint64_t refused_for_memory = 0;
-  /// Connections refused because `max_connections` were open.
+  /// Number of connections refused because `max_connections` were open.
   std::uint64_t refused_connections = 0;
 };
 
-/// Not thread-safe. Commands for clients that have disconnected are dropped.
+/// HTTP listener for clients. Commands for clients that have disconnected are dropped. Not
+/// thread-safe.
 class ingress_server {
  public:
   ingress_server() = default;
@@ -62,12 +66,12 @@
 
   /// Sets the limits for requests that begin from now on.
   virtual void set_limits(const model::client_limits& limits) = 0;
-  /// Begins a planned stop: answers announce from now on that their connection closes.
+  /// Begins a graceful stop: from now on, answers announce that their connection closes.
   virtual void begin_stop() = 0;
   /// Accepts the connections that are already established, then stops accepting.
   virtual void stop_accepting() = 0;
   /// @return number of connections on which a request has begun to arrive and is not answered yet;
-  ///         during a stop also connections whose first request may still arrive.
+  ///         during a graceful stop also connections whose first request may still arrive.
   [[nodiscard]] virtual std::size_t busy_connections() const = 0;
   /// @return number of open connections.
   [[nodiscard]] virtual std::size_t connections() const = 0;
--- a/src/http/operator_server.h
+++ b/src/http/operator_server.h
@@ -18,13 +18,14 @@
   std::string body;
 };
 
-/// @return the document at a path, such as `/v1/status`; std::nullopt if there is none.
+/// Looks up the document at a path, such as `/v1/status`.
+/// @return std::nullopt if there is no document at the path.
 using document_source = std::function<std::optional<operator_document>(const std::string& path)>;
 /// Performs the action of a path.
 /// @return the result; std::nullopt if the path has no action.
 using action_handler = std::function<std::optional<operator_document>(const std::string& path)>;
 
-/// Not thread-safe.
+/// HTTP listener for operators. Not thread-safe.
 class operator_server {
  public:
   operator_server() = default;
--- a/src/http/socket_options.h
+++ b/src/http/socket_options.h
@@ -13,8 +13,9 @@
 void set_tcp_options(boost::asio::ip::tcp::socket& socket,
                      std::chrono::milliseconds tcp_user_timeout);
 
-/// @return whether the peer has closed the connection or it has failed: no bytes are left to read.
-/// Does not block.
+/// Checks without blocking whether a connection has ended.
+/// @return whether the peer has closed the connection, or the connection has failed, and no bytes
+///         are left to read.
 bool peer_has_closed(boost::asio::ip::tcp::socket& socket);
 
 } // namespace spurrack::http
--- a/tests/http/callers_interface_test.cc
+++ b/tests/http/callers_interface_test.cc
@@ -1,4 +1,4 @@
-/// Parsing of caller requests: valid requests, and the error codes of invalid requests.
+/// Parsing of requests of callers: valid requests, and the error codes of invalid requests.
 #include "http/caller_request_parser.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/http/planned_stop_test.cc
+++ b/tests/http/planned_stop_test.cc
@@ -1,4 +1,4 @@
-/// Planned stop of the listener for callers: closing the listening socket must not reset
+/// Graceful stop of the listener for callers: closing the listening socket must not reset
 /// connections that clients consider established.
 #include "http/caller_server.h"
 
@@ -28,7 +28,7 @@
 
 const std::string health_request = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 
-/// A listener on a free port that runs on a thread of its own.
+/// A listener on a free port, with a thread that runs it.
 class server_on_own_thread {
  public:
   server_on_own_thread() : work_(asio::make_work_guard(io_)) {
