--- a/src/upstream/body_reader.cc
+++ b/src/upstream/body_reader.cc
@@ -11,7 +11,8 @@
 namespace beast_http = boost::beast::http;
 using boost::system::error_code;
 
-/// Passes the end of the connection to the parser: it ends bodies without framing.
+/// Passes the end of the connection to the parser, since the end of the connection completes a body
+/// without framing.
 /// @return `end_of_stream` if the body is incomplete.
 error_code parse_end(response_parser& parser) {
   error_code error;
--- a/src/upstream/body_reader.h
+++ b/src/upstream/body_reader.h
@@ -1,5 +1,6 @@
-/// Reads the body of an answer as it arrives. A connection holds no buffer while no bytes have
-/// arrived, so that connections that wait for a slow client or replica need no memory for one.
+/// Reads the body of an answer as it arrives. A connection has no buffer while no bytes have
+/// arrived, so that connections that wait for a slow client or replica use neither memory nor
+/// processor time.
 #pragma once
 
 #include "upstream/connection_pool.h"
@@ -17,17 +18,20 @@
 using response_parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
 /// Parses the received bytes of a body as far as possible.
-/// @param received the parsed bytes are removed from it; incomplete framing stays.
+/// @param received bytes read from the connection; the parsed bytes are removed, incomplete framing
+///        stays.
 /// @param parser must have parsed the head.
-/// @param body the bytes of the body are appended to it.
+/// @param body text to which the parsed bytes of the body are appended.
 /// @return the error if the bytes are not a valid body; no error if more bytes are needed.
 boost::system::error_code parse_received_body(boost::beast::flat_buffer& received,
                                               response_parser& parser, std::string& body);
 
-/// Waits until bytes of a body arrive and parses them. Reads at most once from the connection.
+/// Parses the bytes of a body that were already received. If they hold no bytes of the body, waits
+/// until bytes arrive, reads at most once from the connection, and parses what was read.
 /// @param source its socket must be non-blocking.
 /// @param max_bytes maximum number of bytes to read.
-/// @param body the bytes of the body are appended to it; there may be none if only framing arrived.
+/// @param body text to which the parsed bytes of the body are appended; unchanged if only framing
+///        arrived.
 /// @return the error, if any: `end_of_stream` if the connection ended before the body was complete.
 boost::asio::awaitable<boost::system::error_code> read_some_body(connection& source,
                                                                  response_parser& parser,
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -1,5 +1,5 @@
-/// Pool of idle connections to replicas, by address. An idle connection is closed if anything
-/// arrives on it, since the bytes belong to no call.
+/// Pool of idle connections to replicas, by address. An idle connection is closed if bytes arrive
+/// on it, since they belong to no call.
 #pragma once
 
 #include "base/ids.h"
@@ -24,10 +24,10 @@
   boost::beast::flat_buffer buffer;
   /// Time at which the connection was last returned to the pool.
   base::time_point idle_since;
-  /// Time from which an idle connection is not used again.
+  /// Time from which the connection, if it is still idle, is not used again.
   base::time_point idle_deadline;
-  /// Number of times that the connection was returned to the pool. Lets the watch of an earlier
-  /// idle period end without closing the connection.
+  /// Number of times that the connection was returned to the pool. `connection_pool::watch_idle`
+  /// compares it, so that the watch of an earlier idle period ends without closing the connection.
   std::uint64_t idle_periods = 0;
   bool is_idle = false;
 };
@@ -38,7 +38,7 @@
   base::duration max{};
 };
 
-/// Not thread-safe.
+/// Idle connections to all replicas. Not thread-safe.
 class connection_pool {
  public:
   static constexpr std::size_t max_idle_per_address = 16;
@@ -60,7 +60,7 @@
   /// Closes the connection if it becomes readable while it is idle.
   void watch_idle(const base::network_address& address,
                   const std::shared_ptr<connection>& returned);
-  /// Closes and removes connections that are past their deadline or no longer usable.
+  /// Closes and removes connections that are past their `idle_deadline` or no longer usable.
   void close_expired(idle_connections& idle, base::time_point now);
 
   std::unordered_map<base::network_address, idle_connections> idle_;
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -31,10 +31,10 @@
 /// between two reads. Equals the maximum write to a client (`max_write_bytes` in
 /// http/ingress_server.cc).
 constexpr std::size_t read_bytes = 16'384;
-/// Maximum number of bytes of one read of a stream from `plentiful_utilization` on: the smallest
+/// Maximum number of bytes of one read of a stream while memory is not plentiful: the smallest
 /// window of a stream.
 constexpr std::size_t low_memory_read_bytes = flow::stream_window::min_window_bytes;
-/// Fraction of the byte budget below which memory is plentiful.
+/// Fraction of the byte budget; memory is plentiful while less than this fraction is held.
 constexpr double plentiful_utilization = 0.5;
 /// Interval at which an answer that lacks memory retries the reservation: a tenth of the minimum
 /// stall duration after which the answer of a slow reader is aborted.
@@ -42,23 +42,26 @@
 constexpr std::uint32_t max_answer_header_bytes = 65'536;
 /// Maximum size of the body of an answer that is buffered until complete.
 constexpr std::size_t max_whole_answer_bytes = 8'000'000;
-/// Number of surplus answers that are discarded before a connection is closed.
+/// Maximum number of surplus answers that arrive during one call before its own answer; at the next
+/// surplus answer, the call fails and its connection is closed.
 constexpr unsigned max_surplus_answers = 4;
-/// Idle timeout of a connection if the replica does not announce one.
+/// Idle timeout of a connection to a replica that announces no timeout.
 constexpr std::chrono::seconds default_idle_timeout{4};
-/// A connection is not used during this time before the replica closes it.
+/// Time before the end of a replica's idle timeout in which a connection to it is not used any
+/// longer: the replica may close the connection at the same time as a call is sent.
 constexpr std::chrono::milliseconds idle_timeout_margin{700};
 /// Time after which the kernel closes the connection to a replica that acknowledges neither bytes
 /// nor keep-alive probes: three retransmissions, after 0.2, 0.4 and 0.8 s, have failed by then.
 constexpr std::chrono::milliseconds tcp_user_timeout{1'500};
 /// Minimum idle time of a connection for a call that may run only once, or that cannot recognize a
-/// surplus answer: bytes that a replica sends after a complete answer have arrived by then.
+/// surplus answer: bytes that a replica sends after a complete answer have arrived by the end of
+/// this time, so that the connection was closed.
 constexpr std::chrono::milliseconds surplus_settle_time{5};
 constexpr std::chrono::seconds free_results_timeout{2};
 
 /// State of an active call.
 struct call_state {
-  /// 0 if the call has no final event.
+  /// Id of the call; 0 if the call has no final event.
   base::call_id id = 0;
   explicit call_state(asio::io_context& io) : wake(io, asio::steady_timer::time_point::max()) {}
   std::shared_ptr<connection> replica_connection;
@@ -67,9 +70,9 @@
   bool is_paused = false;
   bool is_cancelled = false;
   bool has_sent_bytes = false;
-  /// The answer was aborted for lack of memory.
+  /// Whether the answer was aborted for lack of memory.
   bool lacked_memory = false;
-  /// The whole call was written.
+  /// Whether the complete call was written.
   bool is_written = false;
   bool write_failed = false;
 };
@@ -79,14 +82,17 @@
   base::call_id id = 0;
   serving::call_target target;
   serving::encoded_call content;
-  /// Id that the answer must name; set for client requests only.
+  /// Id of the client's request, which the answer must name; std::nullopt for calls that carry no
+  /// request of a client.
   std::optional<std::string> request_id;
   bool is_streaming = false;
+  /// Idle time that a pooled connection must have for this call.
   idle_time_bounds idle_time;
   base::time_point started_at = base::boot_clock::now();
 };
 
-/// Memory reservation of an answer, shared with the holders of its body and released by the last.
+/// Memory reservation of an answer. All holders of the answer's body share it; the memory is
+/// released when the last holder is destroyed.
 class answer_reservation final : public serving::held_memory {
  public:
   explicit answer_reservation(std::shared_ptr<flow::answer_queue> queue)
@@ -125,8 +131,8 @@
   return raw;
 }
 
-/// @return the idle timeout that the replica announces in Keep-Alive, or the default if it
-/// announces none, minus `idle_timeout_margin`.
+/// @return the idle timeout that the replica announces in Keep-Alive, or `default_idle_timeout` if
+///         it announces no timeout, minus `idle_timeout_margin`.
 base::duration idle_timeout_of(const response_parser& parser) {
   const auto text = parser.get()[beast_http::field::keep_alive];
   const auto position = text.find("timeout=");
@@ -238,9 +244,11 @@
     }
   }
 
-  /// Waits for memory. Unread bytes stay with the replica meanwhile; reports the pause so that it
-  /// does not count as evidence against the replica.
-  /// @return false if the call was cancelled or the answer must be aborted in favor of another.
+  /// Waits until `bytes` more are reserved for an answer. Meanwhile nothing is read from the
+  /// replica; reports this pause, so that the missing progress does not count as evidence against
+  /// the replica.
+  /// @return false if the call was cancelled, or if the answer must be aborted in favor of another
+  ///         answer.
   asio::awaitable<bool> wait_for_memory(const std::shared_ptr<call_state>& state,
                                         answer_reservation& reservation, std::size_t bytes) {
     boost::system::error_code ignored;
@@ -275,7 +283,8 @@
     }
   }
 
-  /// Takes an idle connection or opens a new one. @return whether the call has a connection.
+  /// Takes an idle connection from the pool or opens a new connection. @return whether the call has
+  /// a connection.
   asio::awaitable<bool> connect(const std::shared_ptr<call_state>& state,
                                 const outgoing_call& call) {
     state->replica_connection =
@@ -305,7 +314,7 @@
     }
     replica_connection.stream.expires_never();
     http::set_tcp_options(replica_connection.stream.socket(), tcp_user_timeout);
-    // Bodies are read after the kernel reports that bytes have arrived.
+    // Bodies are read after the kernel reports that bytes have arrived, without blocking.
     replica_connection.stream.socket().non_blocking(true, error);
     co_return error;
   }
@@ -324,8 +333,8 @@
     handler_(serving::replica_probed{target.replica, result});
   }
 
-  /// Writes a call concurrently with the reads: a replica may answer before it has read the
-  /// complete call.
+  /// Writes a call while its answer is already being read: a replica may answer before it has read
+  /// the complete call.
   static asio::awaitable<void> write(std::shared_ptr<call_state> state, std::string head,
                                      std::string body) {
     boost::system::error_code error;
@@ -391,7 +400,8 @@
     return budget_->utilization() < plentiful_utilization ? read_bytes : low_memory_read_bytes;
   }
 
-  /// Reads the rest of the body, waiting for memory as needed. @return whether it is complete.
+  /// Reads the rest of the body, waiting for memory as needed. @return whether the body is
+  /// complete.
   asio::awaitable<bool> read_body(const std::shared_ptr<call_state>& state, response_parser& parser,
                                   buffered_answer& answer) {
     auto& body = answer.body;
@@ -438,7 +448,8 @@
     }
   }
 
-  /// Decodes the head of an answer and reports the self-report of its replica.
+  /// Decodes the head of an answer, and passes what the answer reports of its replica to the event
+  /// handler.
   serving::answer_head head_of(const response_parser& parser, const outgoing_call& call) {
     auto raw = raw_answer_of(parser);
     auto self_report = codec_->read_self_report(raw);
--- a/src/upstream/replica_client.h
+++ b/src/upstream/replica_client.h
@@ -1,5 +1,9 @@
 /// Calls replicas over pooled connections. A connection carries one call at a time; a connection on
 /// which unexpected bytes arrived is not used again.
+///
+/// A replica may send a surplus answer: an answer that belongs to no call, for example a second
+/// answer to an earlier call. If it arrives while its connection is idle, the connection is closed.
+/// If it arrives during a call, it is recognized by its request id, discarded, and counted.
 #pragma once
 
 #include "flow/byte_budget.h"
@@ -16,21 +20,24 @@
 
 namespace spurrack::upstream {
 
-/// Receives the events of calls, on the thread of the io_context. Each call that is not cancelled
-/// has exactly one final event.
+/// Receives the events of calls, on the thread of the io_context. Each call with a `base::call_id`
+/// that is not cancelled has exactly one final event: `call_answered`, `call_failed`,
+/// `stream_closed` or `stage_call_ended`.
 using event_handler = std::function<void(serving::event)>;
 
 /// Counters of connections and their answers, for metrics.
 struct connection_counters {
+  /// Number of new connections, including attempts that failed.
   std::uint64_t opened = 0;
+  /// Number of calls that were sent on a pooled connection.
   std::uint64_t reused = 0;
-  /// Answers that did not belong to the call on their connection.
+  /// Number of surplus answers that arrived during a call to which they did not belong.
   std::uint64_t surplus_answers = 0;
-  /// Answers that reported a load in an invalid format.
+  /// Number of answers that reported a load in an invalid format.
   std::uint64_t unreadable_loads = 0;
 };
 
-/// Not thread-safe.
+/// Client that calls replicas. Not thread-safe.
 class replica_client {
  public:
   replica_client() = default;
@@ -40,11 +47,11 @@
 
   virtual void start(serving::start_call command) = 0;
   virtual void start(serving::start_stage_call command) = 0;
-  /// Sends the call without a final event.
+  /// Sends the call. It has no final event: its outcome is not reported.
   virtual void start(serving::free_results command) = 0;
   /// Opens a connection, keeps it for later calls, and reports `replica_probed`.
   virtual void probe(serving::call_target target) = 0;
-  /// Stops reading a streamed answer until `resume`.
+  /// Stops reading the streamed answer of a call until `resume`.
   virtual void pause(base::call_id call) = 0;
   virtual void resume(base::call_id call) = 0;
   /// Cancels a call: closes its connection and reports no further events of the call.
@@ -55,7 +62,7 @@
 };
 
 /// @param codec must outlive the client.
-/// @param budget accounts for the memory of complete answers.
+/// @param budget limits and accounts for the memory of answers that are buffered until complete.
 std::unique_ptr<replica_client> make_replica_client(boost::asio::io_context& io,
                                                     const serving::request_codec& codec,
                                                     const serving::serving_settings& settings,
--- a/tests/upstream/body_reader_test.cc
+++ b/tests/upstream/body_reader_test.cc
@@ -32,7 +32,7 @@
   std::size_t unparsed_bytes = 0;
 };
 
-/// Parses an answer of which `step` bytes arrive at a time.
+/// Parses an answer whose body arrives in parts of `step` bytes.
 parsed_answer parse_in_steps(const std::string& text, std::size_t step) {
   boost::beast::flat_buffer received;
   upstream::response_parser parser;
--- a/tests/upstream/connection_pool_test.cc
+++ b/tests/upstream/connection_pool_test.cc
@@ -1,4 +1,5 @@
-/// Idle connections in the pool; the test does not connect their sockets.
+/// Reuse and removal of idle connections. The connections to an address are closed when its replica
+/// has restarted, so that calls use new connections. The sockets are not connected.
 #include "upstream/connection_pool.h"
 
 #include <boost/test/unit_test.hpp>
