--- a/src/backends/backend_client.h
+++ b/src/backends/backend_client.h
@@ -1,5 +1,6 @@
-/// Calls to back ends. The interface is narrow so that the protocol of the real engines can replace
-/// the protocol of the emulated ones with changes to this folder only.
+/// Calls to back ends, the engines that run the stages of callers' pipelines. The interface is
+/// narrow so that the protocol of the real engines can replace the protocol of the emulated engines
+/// with changes to this folder only.
 #pragma once
 
 #include "execution/stage_call.h"
@@ -9,13 +10,14 @@
 namespace spurrack::backends {
 
 /// Callbacks, called on the thread of the io_context. `on_result` is called exactly once for each
-/// call that is not cancelled. The tokens of a generating call precede it, in order.
+/// call that is not cancelled. For a call that generates text, `on_token` is called before
+/// `on_result`, once for each token, in order.
 struct call_observer {
   std::function<void(execution::call_result)> on_result;
   std::function<void(execution::call_token)> on_token;
 };
 
-/// Not thread-safe.
+/// Client that calls back ends. Not thread-safe.
 class backend_client {
  public:
   backend_client() = default;
--- a/src/backends/call_codec.h
+++ b/src/backends/call_codec.h
@@ -19,13 +19,14 @@
 /// @return std::nullopt if the body is not a well-formed answer.
 std::optional<execution::call_result> decode_result(base::call_id call, std::string_view body);
 
-/// Content of one server-sent event of a generating call: either a token or the final result.
+/// Content of one server-sent event of a call that generates text: either a token or the final
+/// result.
 struct stream_item {
   std::optional<execution::call_token> token;
   std::optional<execution::call_result> result;
 };
 
-/// Incremental decoder for a stream of server-sent events.
+/// Incremental decoder for the server-sent events of one call.
 class event_stream_decoder {
  public:
   explicit event_stream_decoder(base::call_id call) : call_(call) {}
--- a/src/backends/http_backend_client.cc
+++ b/src/backends/http_backend_client.cc
@@ -123,8 +123,8 @@
     const auto now = base::boot_clock::now();
     request.body() = encode_call(state.call, now);
     request.prepare_payload();
-    // Last check of the clock before bytes are sent: a process that was suspended past the expiry
-    // of the call must not send it.
+    // Last check of the clock before bytes are sent: after a suspension of the process, the call
+    // may have expired and must not be sent.
     if (now >= state.call.not_after) {
       co_return result;
     }
--- a/src/peers/peer_transport.h
+++ b/src/peers/peer_transport.h
@@ -1,5 +1,5 @@
-/// Transport of messages between nodes. Delivery is best effort: messages may be lost or arrive
-/// late.
+/// Transport of messages between this node and other nodes, its peers. Delivery is best effort:
+/// messages may be lost or arrive late.
 #pragma once
 
 #include "base/ids.h"
@@ -12,7 +12,7 @@
 /// Called with each message of an authenticated peer, on the thread of the io_context.
 using message_handler = std::function<void(wire::envelope)>;
 
-/// Not thread-safe.
+/// Sends messages to peers and receives their messages. Not thread-safe.
 class peer_transport {
  public:
   peer_transport() = default;
--- a/src/peers/zmq_transport.cc
+++ b/src/peers/zmq_transport.cc
@@ -14,17 +14,17 @@
 namespace spurrack::peers {
 namespace {
 
-/// Maximum number of queued messages per peer; further messages are dropped.
+/// Maximum number of messages queued for one peer; further messages are dropped.
 constexpr int max_send_queue_messages = 1'000;
 constexpr int max_receive_queue_messages = 10'000;
-/// Maximum size of a received message: a published value may have 1 MB, and a bucket holds several
-/// values.
+/// Maximum size of a received message: a published value may have 1 MB, and a hash bucket of the
+/// catalog holds several values.
 constexpr std::int64_t max_message_bytes = 64'000'000;
 constexpr int connect_retry_interval_milliseconds = 100;
-/// Time after which connecting is retried: five times the longest round trip between regions. The
-/// kernel retransmits a lost SYN only after a second, and the first SYNs of nodes that restart
-/// together reach machines that are not up yet: after a power loss of all machines, 86 nodes knew
-/// no other node for 1.5 s, and each formed stage calls on its own.
+/// Time after which an attempt to connect is abandoned and retried: five times the longest round
+/// trip between regions. The kernel retransmits a lost SYN only after a second, and the first SYNs
+/// of nodes that restart together reach machines that are not up yet: after a power loss of all
+/// machines, 86 nodes knew no other node for 1.5 s, and each node batched stage calls on its own.
 constexpr int connect_timeout_milliseconds = 200;
 constexpr int max_connect_retry_interval_milliseconds = 1'000;
 /// TCP closes a connection whose peer does not respond: an idle connection after a second and two
@@ -163,7 +163,8 @@
     }
   }
 
-  /// Accepts only peers that have the key of the fleet (ZAP, ZeroMQ RFC 27).
+  /// Starts the authentication of peers (ZAP, ZeroMQ RFC 27): accepts only peers that have the key
+  /// of the fleet.
   void start_authentication() {
     zmq::socket_t replier(context_, zmq::socket_type::rep);
     replier.bind(authentication_endpoint);
--- a/src/publication/http_publication_client.cc
+++ b/src/publication/http_publication_client.cc
@@ -22,10 +22,12 @@
 namespace json = boost::json;
 
 constexpr std::chrono::milliseconds connect_timeout{1'000};
-/// Maximum time for which the service may delay an answer until it has newer entries.
+/// Maximum time for which the service may hold a read until it has changes after the requested
+/// revision.
 constexpr std::chrono::milliseconds long_poll_timeout{8'000};
 constexpr std::chrono::milliseconds read_timeout{12'000};
-/// Maximum size of an answer. A complete listing at the target size has about 15,000 entries.
+/// Maximum size of an answer. At the target size of the platform, a complete listing has about
+/// 15,000 entries.
 constexpr std::uint64_t max_answer_bytes = 256'000'000;
 
 std::optional<wire::catalog_entry> parse_entry(const json::value& value) {
@@ -84,7 +86,7 @@
   void read(const node::read_service& command) override {
     asio::co_spawn(*io_, run_read(command), asio::detached);
   }
-  /// Does nothing: the service delays its answers too briefly for a probe to be useful.
+  /// Does nothing: the service holds a read too briefly for a probe to be useful.
   void probe(const node::probe_service& /*command*/) override {}
 
  private:
--- a/src/publication/publication_client.h
+++ b/src/publication/publication_client.h
@@ -1,5 +1,6 @@
-/// Reads from the two services of the platform. The interface is narrow so that the protocol of the
-/// real services can replace the protocol of the emulated service with changes to this folder only.
+/// Reads from the two read-only services of the platform: the configuration and the machine list
+/// (`node::source_kind`). The interface is narrow so that the protocol of the real services can
+/// replace the protocol of the emulated service with changes to this folder only.
 #pragma once
 
 #include "node/events.h"
@@ -8,13 +9,14 @@
 
 namespace spurrack::publication {
 
-/// Callbacks, called on the thread of the io_context; exactly one of the two for each read.
+/// Callbacks, called on the thread of the io_context: exactly one of the two for each read, unless
+/// a later read of the same service cancels the read; `on_failure` also for a failed probe.
 struct read_observer {
   std::function<void(node::service_answered)> on_answer;
   std::function<void(node::service_failed)> on_failure;
 };
 
-/// Not thread-safe.
+/// Client that reads the services. Not thread-safe.
 class publication_client {
  public:
   publication_client() = default;
@@ -22,10 +24,11 @@
   publication_client& operator=(const publication_client&) = delete;
   virtual ~publication_client() = default;
 
-  /// Begins a read. The service may delay its answer until it has a revision later than
-  /// `command.after`.
+  /// Begins a read. The service may hold the read, that is, delay its answer until it has a
+  /// revision later than `command.after` (long polling).
   virtual void read(const node::read_service& command) = 0;
-  /// Sends a small query to the service; reports only a failure, like the failure of a read.
+  /// Sends a small query to the service, to check that it still answers. Reports only a failure,
+  /// with `on_failure`.
   virtual void probe(const node::probe_service& command) = 0;
 };
 
