--- a/tests/platform/http_codec_test.cc
+++ b/tests/platform/http_codec_test.cc
@@ -1,3 +1,4 @@
+/// Codec for the platform's HTTP messages: decodes requests and answers, encodes calls.
 #include "http_codec.h"
 
 #include <boost/test/unit_test.hpp>
@@ -275,7 +276,7 @@
     BOOST_TEST(!backoff_of(status, {{"Retry-After", "3"}}).span, status);
     BOOST_TEST(!backoff_of(status, {{"Retry-After", "soon"}}).is_unreadable, status);
   }
-  // Also in an answer that reports the request as not executed.
+  // A backoff is also read from an answer that reports the request as not executed.
   BOOST_TEST(backoff_of(503, {{"Retry-After", "3"}, {"X-Not-Executed", "1"}}).span.has_value());
   // The field is forwarded to the client.
   const auto head = codec->read_answer({503, {{"Retry-After", "3"}}});
--- a/tests/platform/record_translator_test.cc
+++ b/tests/platform/record_translator_test.cc
@@ -1,3 +1,4 @@
+/// Translation of the platform's documents into published records; invalid documents are rejected.
 #include "model/serving_record_parser.h"
 #include "record_translator.h"
 
--- a/tests/platform/stated_words_test.cc
+++ b/tests/platform/stated_words_test.cc
@@ -1,6 +1,7 @@
-/// Every header field that the adapter of the platform names, and every field of a replica's entry,
-/// must be in the table of docs/design/replica-statements.md, with the decision that uses it or the
-/// reason why none does. The tests guard against a new field that is silently ignored.
+/// Every header field that platform/names.h declares, and every field of a replica's entry in the
+/// store, must be in the table of docs/design/replica-statements.md, with the decision that uses
+/// the field or the reason why no decision uses it. The tests guard against a new field that is
+/// silently ignored.
 #include <boost/test/unit_test.hpp>
 
 #include <filesystem>
