--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -136,22 +136,25 @@
   section->finish();
 }
 
-/// Time before it is killed at which a stopping node aborts the requests that are left: half a
-/// second to write the last answers and 0.2 s for a delayed process.
+/// Time between the end of a graceful stop, at which the remaining requests are aborted, and the
+/// time at which the process is killed: half a second to write the last answers and 0.2 s for a
+/// delayed process.
 constexpr double stop_margin_seconds = 0.7;
 
-/// Time after which a change that one node has read is known to all nodes.
+/// Time within which a change that one node has read reaches all other nodes.
 constexpr base::duration propagation_time = std::chrono::milliseconds(1'000);
-/// Time after the end of its hold at which a read without an answer is cancelled.
+/// Time after the end of the hold time at which a watch that has no answer is cancelled.
 constexpr base::duration read_timeout_after_hold = std::chrono::milliseconds(1'000);
 
-/// Maximum interval between two reads of a watching node, as a fraction of the time in which a
+/// Maximum interval between two reads of a watching node, as a fraction of the time within which a
 /// change must be in effect.
 constexpr double read_interval_fraction = 0.2;
 
-/// Reads the time limits for changes and derives the timing of watches from them. A watch that is
-/// lost when a disturbance begins is detected only after its hold, and a change published after the
-/// disturbance must still be in effect within its limit.
+/// Reads the time limits within which changes must be in effect, and derives the timing of watches
+/// from them. A watch is a long poll: the store holds it, that is, delays its answer, until there
+/// is a change or the hold time has passed. If a watch is lost when a disturbance such as a
+/// partition begins, the loss is detected only after the hold time; a change that is published
+/// after the disturbance must be in effect within its limit nevertheless.
 catalog::watch_timing read_watch_timing(mapping_reader& section) {
   constexpr std::int64_t max_milliseconds = 60'000;
   constexpr std::int64_t default_milliseconds = 2'000;
