--- a/src/http/answer_json.cc
+++ b/src/http/answer_json.cc
@@ -18,8 +18,8 @@
   return base::to_seconds(span) * thousand;
 }
 
-status status_of_reason(reason why) {
-  switch (why) {
+status status_of_reason(reason failure_reason) {
+  switch (failure_reason) {
   case reason::unknown_token:
     return status::unauthorized;
   case reason::unknown_template:
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -189,8 +189,8 @@
     }
     auto& client = *found->second;
     if (command.own_answer_to) {
-      auto own = codec_->own_answer_headers(*command.own_answer_to);
-      std::move(own.begin(), own.end(), std::back_inserter(command.headers));
+      auto own_headers = codec_->own_answer_headers(*command.own_answer_to);
+      std::move(own_headers.begin(), own_headers.end(), std::back_inserter(command.headers));
     }
     client.connection = is_stopping_ ? after_answer::close : client.connection;
     client.is_final = true;
@@ -322,11 +322,11 @@
 
   /// Aborts an answer and returns its memory, except for the memory of bytes that are being
   /// written, which is returned when the write ends.
-  void abort_answer(client_exchange& client, serving::disconnect_reason why) {
+  void abort_answer(client_exchange& client, serving::disconnect_reason reason) {
     if (client.abort_reason) {
       return;
     }
-    client.abort_reason = why;
+    client.abort_reason = reason;
     for (const auto& unwritten : client.unwritten) {
       client.reservation.shrink(unwritten.reserved_bytes);
     }
--- a/src/http/socket_options.cc
+++ b/src/http/socket_options.cc
@@ -26,8 +26,8 @@
 
 bool peer_has_closed(boost::asio::ip::tcp::socket& socket) {
   char byte = 0;
-  const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+  const auto received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
 } // namespace spurrack::http
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -30,10 +30,10 @@
 /// Maximum number of bytes of one read while memory is plentiful; other connections are served
 /// between two reads. Equals the maximum write to a client (`max_write_bytes` in
 /// http/ingress_server.cc).
-constexpr std::size_t read_bytes = 16'384;
+constexpr std::size_t max_read_bytes = 16'384;
 /// Maximum number of bytes of one read of a stream while memory is not plentiful: the smallest
 /// window of a stream.
-constexpr std::size_t low_memory_read_bytes = flow::stream_window::min_window_bytes;
+constexpr std::size_t max_low_memory_read_bytes = flow::stream_window::min_window_bytes;
 /// Fraction of the byte budget; memory is plentiful while less than this fraction is held.
 constexpr double plentiful_utilization = 0.5;
 /// Interval at which an answer that lacks memory retries the reservation: a tenth of the minimum
@@ -397,7 +397,8 @@
 
   /// @return maximum number of bytes of one read of a stream.
   [[nodiscard]] std::size_t stream_read_bytes() const {
-    return budget_->utilization() < plentiful_utilization ? read_bytes : low_memory_read_bytes;
+    return budget_->utilization() < plentiful_utilization ? max_read_bytes
+                                                          : max_low_memory_read_bytes;
   }
 
   /// Reads the rest of the body, waiting for memory as needed. @return whether the body is
@@ -414,10 +415,10 @@
     if (!has_memory) {
       co_return false;
     }
-    body.reserve(length + read_bytes);
+    body.reserve(length + max_read_bytes);
     while (!parser.is_done()) {
       const auto error =
-          co_await read_some_body(*state->replica_connection, parser, read_bytes, body);
+          co_await read_some_body(*state->replica_connection, parser, max_read_bytes, body);
       if (error || state->is_cancelled || body.size() > max_whole_answer_bytes) {
         co_return false;
       }
