--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -241,7 +241,7 @@
   if (const auto* pipeline = std::get_if<std::shared_ptr<const model::pipeline_template>>(&value)) {
     templates_[(*pipeline)->name] = *pipeline;
   } else if (const auto* tenant = std::get_if<std::shared_ptr<const model::tenant>>(&value)) {
-    tenants_[(*tenant)->name] = *owner;
+    tenants_[(*tenant)->name] = *tenant;
     tenants_by_token_[(*tenant)->token_sha256].insert((*tenant)->name);
   } else {
     machines_[name_in_key(key)] = std::get<std::shared_ptr<const model::machine>>(value);
