--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -10,9 +10,11 @@
 namespace spurrack::membership {
 namespace {
 
+/// Number of members that are requested to probe a member that did not acknowledge a direct probe.
 constexpr std::size_t indirect_probe_count = 2;
+/// Maximum number of member updates up to which `piggyback` fills a message.
 constexpr std::size_t max_gossip_per_message = 6;
-/// Factor of log2(members) in the number of times that a member update is sent (SWIM).
+/// Number of messages with which a member update is sent, divided by log2(members) (SWIM).
 constexpr unsigned gossip_multiplier = 3;
 /// Returns the precedence of a state: at equal incarnations, the state with the higher precedence
 /// replaces the other.
@@ -318,7 +320,7 @@
     if (found->second.state == wire::ALIVE) {
       set_state(found->second, wire::SUSPECT, found->second.incarnation, now);
     }
-    // The connection may be dead although the peer is alive.
+    // The peer may be alive and only the connection to it dead: ping it on a new connection.
     out.push_back({found->second.address, ping_message(next_sequence_++, &found->second), true});
     probe_.reset();
   } else if (!probe_->indirect_sent && elapsed >= settings_.acknowledgement_timeout) {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,9 +1,15 @@
-/// Membership of the nodes of one zone. The published list of nodes determines which nodes may be
-/// members; SWIM-style probing (Das et al., 2002) with suspicion and incarnations determines which
-/// members are alive. Two relays per zone, chosen by rendezvous hashing among its strong nodes,
-/// send digests to the relays of the other zones of their region, and report the contacts with
-/// these zones to their own zone. Two of the relays of a region do the same for the relays of the
-/// other regions, so that the bytes between regions grow with the pairs of regions, not of zones.
+/// Members of the fleet as one node knows them. The published list of nodes, which consists of the
+/// machine entries of the catalog with the role `node`, determines which nodes may be members. If
+/// no list has been published, nodes become members when a message reports them as alive. Within
+/// each zone, SWIM-style probing (Das et al., 2002) with suspicion and incarnations determines
+/// which members are alive.
+///
+/// Two relays per zone, chosen by rendezvous hashing among its strong nodes, send digests to the
+/// relays of the other zones of their region, and report the contacts with these zones to the nodes
+/// of their own zone. A digest lists members of the sender's zone and the ages of the sender's
+/// contacts with zones (zone_contact.h). Two of the relays of a region exchange digests with the
+/// relays of the other regions, so that the bytes between regions grow with the pairs of regions,
+/// not of zones.
 #pragma once
 
 #include "base/event_log.h"
@@ -32,7 +38,7 @@
   base::duration probe_period = std::chrono::milliseconds(500);
   /// Time to wait for a direct acknowledgement before other members are requested to probe.
   base::duration acknowledgement_timeout = std::chrono::milliseconds(200);
-  /// Time in which a suspect can refute the suspicion before it is declared dead.
+  /// Time in which a suspected member can refute the suspicion before it is declared dead.
   base::duration suspicion_timeout = std::chrono::milliseconds(2000);
   /// Interval at which a random dead member is probed, to detect the end of a partition.
   base::duration dead_probe_period = std::chrono::milliseconds(1000);
@@ -45,7 +51,9 @@
   base::node_id node;
   base::zone_id zone;
   base::network_address address;
-  /// Start of this process, the first incarnation of the node; constant while the process runs.
+  /// Start time of this process by the wall clock, in microseconds. It is the initial incarnation
+  /// of the node, which the node increases to refute a report that it is suspected or dead; the
+  /// start time itself does not change.
   base::incarnation process_start = 0;
   /// Number of cores that this node may use.
   float processor_share = 1;
@@ -67,24 +75,27 @@
 /// Called whenever the state of a member changes.
 using state_observer = std::function<void(const member&)>;
 
-/// Failure detector of one node. Not thread-safe; driven by `tick` and `handle`.
+/// Members that one node knows, and its failure detector. Not thread-safe; driven by `tick` and
+/// `handle`. A member counts as live unless it has been declared dead, also while it is suspected.
 class membership {
  public:
   /// @param random must outlive this object.
-  /// @param regions regions of the zones; a zone that is not named there is a region of its own.
+  /// @param regions regions of the zones; a zone without an entry is a region of its own.
   membership(identity self, timing settings, base::random_source& random, state_observer observer,
              model::zone_regions regions = {});
 
-  /// Replaces the published list of nodes. Members that are not listed are dropped, unless no list
-  /// with machines has been published yet.
+  /// Replaces the published list of nodes. Members that are not on the list are dropped, unless no
+  /// machine has ever been published.
   void set_published(const catalog::machine_map& machines, base::time_point now);
-  /// Adds a seed: an address at which this node requests members. The own address is ignored.
+  /// Adds a seed: an address from which this node requests members. The address of this node is
+  /// ignored.
   void add_seed(const base::network_address& address);
 
   /// Replaces all seeds.
   void set_seeds(const std::vector<base::network_address>& addresses);
 
-  /// Records the sender and the member updates in a message of a peer, whatever its body.
+  /// Records that the sender of a message is alive, and applies the member updates and the zone
+  /// contacts in the message. Call for messages with any body.
   void observe(const wire::envelope& message, base::time_point now);
   /// Handles the messages ping, ping request and acknowledgement; ignores other bodies.
   void handle(const wire::envelope& message, base::time_point now, wire::outbox& out);
@@ -92,28 +103,31 @@
   /// about every 100 ms.
   void tick(base::time_point now, wire::outbox& out);
   /// Drops pending probes and restarts suspicion timeouts after a suspension of this process, so
-  /// that no member is declared dead because of it.
+  /// that no member is declared dead because this process did not run.
   void resume_after_suspension(base::time_point now);
   /// Adds member updates from the gossip queue to an outgoing message.
   void piggyback(wire::envelope& message);
 
-  /// @return whether a node may be contacted as a member: it is published, or no list is known yet.
+  /// @return whether a node may be contacted as a member: it is on the published list of nodes, or
+  ///         no list has been published yet.
   [[nodiscard]] bool may_be_member(const base::node_id& node) const;
-  /// @return live members of the own zone, without this node.
+  /// @return live members of this node's zone, without this node.
   [[nodiscard]] const std::vector<member>& live_peers() const;
-  /// @return live members of the own zone, including this node, sorted.
+  /// @return live members of this node's zone, including this node, sorted.
   [[nodiscard]] const std::vector<base::node_id>& live_zone_nodes() const;
   [[nodiscard]] const std::map<base::node_id, member>& members() const { return members_; }
   [[nodiscard]] const std::vector<base::network_address>& seeds() const { return seeds_; }
-  /// @return whether this node is one of the `count` nodes that have a job in its zone.
+  /// A job is work that a few nodes of a zone do for the others, such as watching a platform
+  /// service. Hashing of its name `job` chooses these nodes among the live nodes of the zone.
+  /// @return whether this node is one of the `count` nodes that have the job in its zone.
   [[nodiscard]] bool has_zone_job(std::string_view job, std::size_t count) const;
   /// @return whether this node sends digests about its zone to other zones.
   [[nodiscard]] bool is_relay() const;
   /// A few zones of a region do a job for the whole region. They are chosen by hashing among the
   /// zones that this node can reach, so that a partitioned zone does the job for itself.
   /// @param zones number of zones that do the job.
-  /// @param count number of nodes that do it in each of these zones.
-  /// @return whether this node is one of them.
+  /// @param count number of nodes that do the job in each of these zones.
+  /// @return whether this node is one of the nodes that do the job.
   [[nodiscard]] bool has_region_job(std::string_view job, std::size_t zones, std::size_t count,
                                     base::time_point now) const;
   [[nodiscard]] base::incarnation incarnation() const { return incarnation_; }
@@ -129,18 +143,21 @@
   /// @return zone of the member at an address; null if no member with this address is known.
   [[nodiscard]] const base::zone_id* zone_at(const base::network_address& address) const;
 
-  /// @return the time in which a dead member is detected on average: until some member probes it,
-  ///         then the probe's timeout and the suspicion timeout.
+  /// @return mean time from the failure of a member until it is declared dead: the time until a
+  ///         member probes it, the timeout of the probe and the suspicion timeout.
   [[nodiscard]] base::duration expected_detection_time() const;
 
  private:
   /// Data that is derived from `members_` and read for each message; recomputed after a change.
   struct live_view {
+    /// Result of `live_peers()`.
     std::vector<member> peers;
+    /// Result of `live_zone_nodes()`.
     std::vector<base::node_id> zone_nodes;
     /// Members of each other zone, including dead members, because the members of a partitioned
     /// zone appear dead.
     std::map<base::zone_id, std::vector<base::node_id>> remote;
+    /// Relays of each zone, including this node's zone.
     std::map<base::zone_id, std::vector<base::node_id>> relays;
   };
   struct probe {
@@ -173,37 +190,41 @@
   void request_indirect_probes(const member& target, wire::outbox& out);
   void expire_suspects(base::time_point now);
   void probe_dead_member(wire::outbox& out);
-  /// Requests members that this node does not know: from all seeds while it knows no member, then
-  /// from known members, so that a start of all nodes does not overload the seeds.
+  /// Requests members that this node does not know if a request is due. Sends the request to all
+  /// seeds while this node knows no member, then to a known member, so that a start of all nodes
+  /// does not overload the seeds.
   void request_members(base::time_point now, wire::outbox& out);
   void send_member_request(const base::network_address& address, wire::outbox& out);
   [[nodiscard]] base::network_address choose_member_source() const;
-  /// Records a reply. If it answers the last request for members and added members, schedules the
-  /// next request at once.
+  /// Schedules the next request for members at once if a message with this sequence answers the
+  /// last request and has added members.
   void note_member_reply(std::uint64_t sequence, base::time_point now);
   /// Invalidates the data derived from `members_` and increases the version.
   void note_change();
   /// Adds to a reply live members that the requester does not know.
   void add_missing_members(const wire::envelope& request, wire::envelope& reply) const;
-  /// Sends the digests that this node sends as a relay of its zone or its region.
+  /// Sends the digests that are due if this node is a relay of its zone or of its region.
   void send_digests(base::time_point now, wire::outbox& out);
-  /// Sends digests about the own zone to the other zones of the region.
+  /// Sends digests about this node's zone to the other zones of the region.
   void send_to_other_zones(base::time_point now, wire::outbox& out);
-  /// Sends a digest to another zone of the region, with the contacts to other regions. The digest
-  /// is itself a contact with the own zone.
+  /// Sends digests to another zone of the region: the ages of the contacts with other regions to
+  /// the relays of the zone, and `members` to a random node of the zone. The receiver of a digest
+  /// also records a contact with this node's zone.
   void send_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
                     base::time_point now, wire::outbox& out);
-  /// Sends the contacts with zones of the own region to the relays of other regions.
+  /// Sends digests about this node's region to the relays and to a random node of each other
+  /// region. They hold the ages of the contacts with the zones of this node's region.
   void send_to_other_regions(base::time_point now, wire::outbox& out);
-  /// Sends the contacts with other zones to all nodes of the own zone.
+  /// Sends the ages of the contacts with other zones to all nodes of this node's zone.
   void send_to_own_zone(base::time_point now, wire::outbox& out) const;
-  /// @return the relays of a region: one relay of each of two reachable zones, or both relays of a
-  ///         single zone.
+  /// @return the relays of a region: one relay of each of two zones, or both relays of the zone if
+  ///         there is only one. The zones are chosen among the reachable zones of the region, or
+  ///         among all its zones if none is reachable.
   [[nodiscard]] std::vector<base::node_id> region_relays(const base::region_id& region,
                                                          base::time_point now) const;
   /// @return whether this node is a relay of its region.
   [[nodiscard]] bool is_region_relay(base::time_point now) const;
-  /// @return live members of the zones of one region.
+  /// @return live members of all zones of a region.
   [[nodiscard]] std::vector<base::node_id> nodes_of_region(const base::region_id& region) const;
   /// @return other regions in which members are known.
   [[nodiscard]] std::set<base::region_id> other_regions() const;
@@ -241,10 +262,11 @@
   base::time_point next_probe_at_;
   base::time_point next_dead_probe_at_;
   base::time_point next_relay_at_;
+  /// Number of times that this node sent digests to other zones, and to other regions.
   std::uint64_t relay_rounds_ = 0;
   std::uint64_t region_rounds_ = 0;
   base::time_point next_member_request_at_;
-  /// Sequence of the last request for members.
+  /// Sequence number of the last request for members.
   std::uint64_t last_member_request_ = 0;
   std::optional<base::time_point> first_member_added_at_;
   /// Time at which a message last added a member.
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -1,5 +1,5 @@
-/// How nodes learn of members and of other zones: requests for members, first at seed addresses,
-/// and digests sent by relays.
+/// Exchange of members and of contacts with zones: requests for members, first to seeds, and
+/// digests sent by relays.
 #include "membership/membership.h"
 
 #include "base/hashing.h"
@@ -11,39 +11,44 @@
 namespace spurrack::membership {
 namespace {
 
-/// Maximum number of members in the reply to a request, of the members that the requester lacks:
-/// 300 nodes that start together all know each other after 1.7 s (control_traffic test).
+/// Maximum number of members in the reply to a request for members. With this number, 300 nodes
+/// that start together all know each other after 1.7 s (control_traffic test).
 constexpr std::size_t max_members_per_reply = 64;
-/// Maximum number of members in the reply to a node that knows no member; they use the capacity
-/// that gossip would take. A seed of 300 nodes that start together sends 106 kB until all nodes
-/// know each other (member_discovery test). With 96 members per reply its link of 10 Mbit/s was
-/// saturated for ten seconds (control_traffic test).
+/// Maximum number of members in the reply to a node that knows no member. It equals
+/// `max_gossip_per_message`: a reply with this number of members carries no gossip. If 300 nodes
+/// start together, a seed sends 106 kB until all nodes know each other (member_discovery test).
+/// With 96 members per reply, the seed's link of 10 Mbit/s was saturated for ten seconds
+/// (control_traffic test).
 constexpr std::size_t max_members_per_first_reply = 6;
-/// Number of relays that send digests to each other zone; if one of them fails, the zone stays
-/// reachable.
+/// Number of relays of a zone, which send digests to each other zone. If one of the relays fails,
+/// other zones still have contact with its zone.
 constexpr std::size_t relays_per_zone = 2;
-/// Number of relays that send digests to each other region.
+/// Number of relays of a region, which send digests to each other region.
 constexpr std::size_t relays_per_region = 2;
-/// Minimum processor share of a relay, as a fraction of that of the strongest node of its zone.
+/// Minimum number of cores of a relay, as a fraction of the cores of the strongest node of its
+/// zone.
 constexpr float min_relay_processor_share = 0.5F;
-/// A zone of n members lists them once every n / `members_per_round` rounds of digests, a small
-/// zone in each round, so that the bytes between zones do not grow.
+/// Mean number of members that a relay lists per round of digests: a zone or region of n members is
+/// listed completely once in n / `members_per_round` rounds, a smaller one in each round, so that
+/// the bytes between zones do not grow with the number of members.
 constexpr std::size_t members_per_round = 8;
-/// While a member was added within this time, more members are requested at
-/// `member_request_interval`, and at once after a reply that added members. Later they are
-/// requested at `idle_member_request_interval`, so that parts of the fleet that do not know each
-/// other meet in the end.
+/// Time after the addition of a member for which further members are requested at
+/// `member_request_interval`, and at once after a reply that added members. After this time members
+/// are requested at `idle_member_request_interval`, so that parts of the fleet that do not know
+/// each other find each other in the end.
 constexpr base::duration member_growth_timeout = std::chrono::seconds(3);
 constexpr base::duration member_request_interval = std::chrono::milliseconds(500);
-/// Interval of the requests of a node that knows no member. It is shorter, because the node is not
-/// notified when a seed becomes reachable.
+/// Interval between requests of a node that knows no member. It is shorter than
+/// `member_request_interval`, because the node is not notified when a seed becomes reachable.
 constexpr base::duration first_member_request_interval = std::chrono::milliseconds(100);
 constexpr base::duration idle_member_request_interval = std::chrono::seconds(10);
-/// Number of members for which `idle_member_request_interval` is added once more: a request holds
-/// two bytes per member, and a seed of 2,700 nodes would receive 0.5 MB of requests per second.
+/// Number of members per additional `idle_member_request_interval`: a node that knows n members
+/// multiplies the interval by 1 + n / `members_per_idle_interval`. A request holds two bytes per
+/// member; at a constant interval a seed of 2,700 nodes would receive 0.5 MB of requests per
+/// second.
 constexpr std::size_t members_per_idle_interval = 300;
-/// One of this number of requests for members goes to a member of any region, the others to members
-/// of the own region.
+/// Mean number of requests for members of which one goes to a member of any region; the other
+/// requests go to members of this node's region.
 constexpr std::uint64_t requests_per_remote_request = 8;
 
 } // namespace
@@ -113,8 +118,9 @@
       (other.zone.text() == request.sender_zone() ? same_zone : other_zones).push_back(&other);
     }
   }
-  // Members of the requester's zone first: the requester probes them, and they know the other
-  // members. In random order, so that requesters do not all turn to the same nodes.
+  // Members of the requester's zone are added first, because the requester probes them and they
+  // know the other members. The order is random, so that requesters do not all send their next
+  // requests to the same nodes.
   std::size_t added = 0;
   for (auto* group : {&same_zone, &other_zones}) {
     while (!group->empty() && added < limit) {
@@ -164,7 +170,8 @@
   for (const auto& relay : live().relays.at(zone)) {
     send_digest(relay, ages, out);
   }
-  // Also to a random node that may not be a relay, because views of other zones are often outdated.
+  // A digest also goes to a random node of the zone, because this node's choice of the relays of
+  // another zone is often outdated.
   const auto& nodes = live().remote.at(zone);
   send_digest(nodes[random_->below(nodes.size())], members, out);
 }
@@ -182,7 +189,7 @@
       }
     }
   }
-  // Relays of a partitioned region are chosen too, so that the end of the partition is noticed.
+  // Relays are also chosen for a partitioned region, so that the end of the partition is detected.
   const auto zones =
       base::rendezvous_top("region relay", reachable.empty() ? all : reachable, relays_per_region);
   std::vector<base::node_id> chosen;
@@ -190,7 +197,7 @@
   for (const auto& zone : zones) {
     chosen.push_back(live().relays.at(zone).front());
   }
-  // If only one zone is chosen, both of its relays are.
+  // If only one zone is chosen, both of its relays are relays of the region.
   if (zones.size() == 1 && live().relays.at(zones.front()).size() > 1) {
     chosen.push_back(live().relays.at(zones.front()).back());
   }
@@ -243,8 +250,8 @@
     for (const auto& relay : region_relays(region, now)) {
       send_digest(relay, ages, out);
     }
-    // Also to a random node that may not be a relay, because views of other regions are often
-    // outdated.
+    // A digest also goes to a random node of the region, because this node's choice of the relays
+    // of another region is often outdated.
     if (const auto nodes = nodes_of_region(region); !nodes.empty()) {
       send_digest(nodes[random_->below(nodes.size())], members, out);
     }
--- a/src/membership/name_filter.h
+++ b/src/membership/name_filter.h
@@ -1,7 +1,8 @@
-/// Filter of the node names that a node knows, as a set of hashes of two bytes per name, short
-/// enough for a request for members. The receiver of the request answers only with names that are
-/// missing. For each known name, a missing name is taken for known with a probability of one in
-/// 65,536; each request has a different salt, so a later request finds the name.
+/// Filter in a request for members: hashes of two bytes for the names of all nodes that the
+/// requester knows, so that the request stays short. The receiver replies only with members whose
+/// names do not match the filter. For each name in the filter, a name that the requester does not
+/// know matches with a probability of one in 65,536; since each request has a different salt, the
+/// reply to a later request contains the name.
 #pragma once
 
 #include "base/ids.h"
@@ -12,9 +13,10 @@
 
 namespace spurrack::membership {
 
-/// Builds the filter at the requesting node.
+/// Builds the filter at the requester.
 class name_filter_writer {
  public:
+  /// @param salt sequence number of the request.
   explicit name_filter_writer(std::uint64_t salt) : salt_(salt) {}
 
   void add(const base::node_id& node);
@@ -26,12 +28,14 @@
   std::string bytes_;
 };
 
-/// Filter as read by the node that answers.
+/// Filter as read by the receiver of the request.
 class name_filter {
  public:
   /// @param bytes the filter as sent; an incomplete pair of bytes at the end is ignored.
+  /// @param salt sequence number of the request.
   name_filter(const std::string& bytes, std::uint64_t salt);
 
+  /// @return false only if the requester does not know the node.
   [[nodiscard]] bool may_contain(const base::node_id& node) const;
   [[nodiscard]] bool is_empty() const { return slots_.none(); }
 
--- a/src/membership/zone_contact.cc
+++ b/src/membership/zone_contact.cc
@@ -5,18 +5,17 @@
 namespace spurrack::membership {
 namespace {
 
-/// A shorter time without contact never makes a zone unreachable: a few messages may have been
-/// lost, or a node may be busy.
+/// Minimum contact timeout: in a shorter time without contact a few messages may have been lost, or
+/// a node may be busy.
 constexpr base::duration min_contact_timeout = std::chrono::milliseconds(900);
-/// Number of mean gaps and of mean deviations in the contact timeout. The deviations are counted as
-/// in TCP's retransmission timeout (RFC 6298); two mean gaps allow for the failure of one of two
-/// relays.
+/// Number of mean gaps in the contact timeout: two allow for the failure of one of two relays.
 constexpr int mean_gap_factor = 2;
+/// Number of mean deviations in the contact timeout, as in TCP's retransmission timeout (RFC 6298).
 constexpr int gap_deviation_factor = 4;
-/// Gap and deviation before the first measurement: a contact timeout of 1.2 s.
+/// Mean gap and mean deviation before the first measurement; the contact timeout is then 1.2 s.
 constexpr base::duration initial_mean_gap = std::chrono::milliseconds(200);
 constexpr base::duration initial_gap_deviation = std::chrono::milliseconds(200);
-/// The weight of the latest measurement is one over this value (RFC 6298).
+/// Reciprocal of the weight of the latest measurement in the means (RFC 6298).
 constexpr int smoothing_divisor = 8;
 
 } // namespace
@@ -73,7 +72,8 @@
 void zone_contact::add_age(wire::zone_digest& digest, const base::zone_id& zone,
                            const std::optional<base::time_point>& contact_at,
                            base::time_point now) {
-  // An older contact would change nothing at the receiver.
+  // An older contact would change nothing at the receiver: after this time without contact, a zone
+  // always counts as unreachable.
   if (contact_at && now - *contact_at < max_contact_timeout) {
     auto& reported = *digest.add_heard();
     reported.set_zone(zone.text());
@@ -83,7 +83,7 @@
 
 void zone_contact::add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const {
   for (const auto& [zone, state] : zone_states_) {
-    // std::nullopt is less than any time.
+    // std::nullopt compares less than any time.
     const auto latest = std::max({state.direct_contact_at, state.region_reported_contact_at,
                                   state.relay_reported_contact_at});
     add_age(digest, zone, latest, now);
--- a/src/membership/zone_contact.h
+++ b/src/membership/zone_contact.h
@@ -1,10 +1,15 @@
 /// Tracks the last contact with each other zone: the time at which this node or a relay last
 /// received a message from the zone. Messages from other zones reach few nodes; the relays report
 /// their contacts to their zone, so that each node detects an unreachable zone within a time that
-/// does not grow with the fleet. Reports of contacts are forwarded only downwards through these
-/// levels: received from the zone itself, reported to another region, reported there to the relays
-/// of its zones, reported to the nodes of these zones. If reports were forwarded back up, they
-/// would circulate and still arrive long after a zone became unreachable.
+/// does not grow with the fleet.
+///
+/// A contact with a zone is forwarded in these steps only:
+/// 1. A relay receives a message from the zone.
+/// 2. If the zone is in the relay's region, the relay reports the contact to other regions.
+/// 3. The relays of these regions report the contact to the other zones of their region.
+/// 4. The relays of each zone report the contact to the nodes of their zone.
+/// No step is followed by an earlier step: reports would then circulate and still arrive long after
+/// the zone became unreachable.
 #pragma once
 
 #include "base/ids.h"
@@ -18,11 +23,11 @@
 
 namespace spurrack::membership {
 
-/// Not thread-safe.
+/// Contacts of one node with the other zones. Not thread-safe.
 class zone_contact {
  public:
-  /// Upper limit of the contact timeout, which is the time without contact after which a zone
-  /// counts as unreachable.
+  /// Maximum contact timeout, which is the time without contact after which a zone counts as
+  /// unreachable.
   static constexpr base::duration max_contact_timeout = std::chrono::milliseconds(1400);
 
   explicit zone_contact(base::zone_id own_zone, model::zone_regions regions = {})
@@ -31,12 +36,13 @@
   /// Records the contact with the zone of a message's sender, and the contacts that a relay reports
   /// in the message.
   void observe(const wire::envelope& message, base::time_point now);
-  /// Adds to a digest for the own zone the contacts of this node with zones, and those that other
-  /// regions and other relays reported to it.
+  /// Adds to a digest for this node's zone the ages of the contacts of this node, and of the
+  /// contacts that other regions and relays of other zones reported to this node.
   void add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const;
-  /// Adds to a digest for other zones of the region the contacts with zones of other regions.
+  /// Adds to a digest for other zones of this node's region the ages of the contacts with zones of
+  /// other regions.
   void add_ages_for_region(wire::zone_digest& digest, base::time_point now) const;
-  /// Adds to a digest for other regions the contacts of this node with zones of its own region.
+  /// Adds to a digest for other regions the ages of this node's contacts with zones of its region.
   void add_ages_for_other_regions(wire::zone_digest& digest, base::time_point now) const;
   /// Moves the last contacts forward after a suspension of this process, so that each zone has time
   /// for a new contact before it counts as unreachable.
@@ -57,21 +63,23 @@
     std::optional<base::time_point> direct_contact_at;
     /// Time of the latest contact that a node of another region reported.
     std::optional<base::time_point> region_reported_contact_at;
-    /// Time of the latest contact that a relay of another zone of the own region reported.
+    /// Time of the latest contact that a relay of another zone of this node's region reported.
     std::optional<base::time_point> relay_reported_contact_at;
-    /// Mean time between contacts, and its mean deviation.
+    /// Mean time between two contacts.
     base::duration mean_gap;
+    /// Mean deviation of the time between two contacts from `mean_gap`.
     base::duration gap_deviation;
   };
 
-  /// Records a contact with a zone, and updates the mean gap if the contact is the latest.
+  /// Records a contact with a zone, and updates the mean gap and its deviation if the contact is
+  /// the latest.
   /// @return the state of the zone.
   zone_state& note_contact(const base::zone_id& zone, base::time_point contact_at,
                            base::time_point now);
   /// @return the time without contact after which the zone counts as unreachable.
   [[nodiscard]] static base::duration contact_timeout(const zone_state& state);
 
-  /// Adds the age of a contact to a digest if the contact is recent.
+  /// Adds the age of a contact to a digest if it is less than `max_contact_timeout`.
   static void add_age(wire::zone_digest& digest, const base::zone_id& zone,
                       const std::optional<base::time_point>& contact_at, base::time_point now);
   /// Records the contacts that the sender of a digest reports.
--- a/tests/membership/hollow_fleet.h
+++ b/tests/membership/hollow_fleet.h
@@ -1,5 +1,5 @@
-/// A fleet of hollow nodes, which run membership only. The fleet delivers their messages after the
-/// latency of a link.
+/// Fleet of hollow nodes, which run only membership, in virtual time. Messages between the nodes
+/// are delivered one step of the clock (20 ms) after they are sent.
 #pragma once
 
 #include "membership/membership.h"
@@ -14,7 +14,7 @@
 
 namespace spurrack::membership {
 
-/// Timing in the settings of the platform.
+/// Timing of the failure detector as in deploy/settings.yaml.template.
 inline timing platform_timing() {
   timing timing;
   timing.probe_period = std::chrono::milliseconds(300);
@@ -24,6 +24,7 @@
   return timing;
 }
 
+/// Node that runs only membership.
 struct hollow_node {
   hollow_node(const identity& self, std::uint64_t seed, const model::zone_regions& regions)
       : random(seed), members(
@@ -33,10 +34,10 @@
 };
 
 struct hollow_fleet {
-  /// @param region_count number of regions over which the zones are spread; 0 if no region is
-  /// named.
-  /// @param all_known whether every node knows every other node, as in a fleet that has run for
-  /// long.
+  /// @param region_count number of regions over which the zones are spread; 0 if the zones have no
+  ///        regions.
+  /// @param all_known whether every node knows every other node from the start, as in a fleet that
+  ///        has run for a long time.
   hollow_fleet(std::size_t nodes_per_zone, std::size_t zones, std::size_t region_count = 0,
                bool all_known = true) {
     for (std::size_t zone = 0; zone < zones && region_count > 0; ++zone) {
@@ -70,7 +71,8 @@
       *message.add_updates() = update_of(known);
     }
     for (auto& node : nodes) {
-      // The node itself is the sender, so that the message is no contact with another zone.
+      // The sender of the message is the node itself, so that the node records no contact with
+      // another zone.
       message.set_sender(node->members.self().node.text());
       message.set_sender_zone(node->members.self().zone.text());
       node->members.observe(message, now);
@@ -143,7 +145,7 @@
     return found == region_by_zone.end() ? base::region_id() : found->second;
   }
 
-  /// @return number of pairs of a running node and a zone that it regards as unreachable.
+  /// @return number of pairs of a running node and a zone that the node regards as unreachable.
   [[nodiscard]] std::size_t unreachable_views() const {
     std::size_t views = 0;
     for (std::size_t index = 0; index < nodes.size(); ++index) {
@@ -164,6 +166,7 @@
   std::size_t messages = 0;
   std::size_t messages_between_regions = 0;
   std::size_t bytes_between_regions = 0;
+  /// By index of the sender in `nodes`.
   std::map<std::size_t, std::size_t> bytes_sent;
   std::map<base::zone_id, base::region_id> region_by_zone;
 };
--- a/tests/membership/member_discovery_test.cc
+++ b/tests/membership/member_discovery_test.cc
@@ -1,5 +1,6 @@
-/// All nodes of a fleet start at once and know only three seeds: the time until all nodes know each
-/// other, and the bytes that the seeds send, whose links may be slow.
+/// Start of all nodes of a fleet at once, each with three seeds as the only addresses that it
+/// knows. Limits the time until all nodes know each other, and the bytes that the seeds send,
+/// because the link of a seed may be slow.
 #include "hollow_fleet.h"
 
 #include "membership/name_filter.h"
@@ -20,6 +21,7 @@
 constexpr std::size_t region_count = 3;
 constexpr std::size_t seed_count = 3;
 
+/// Fleet whose nodes know only the seeds, which are its first nodes.
 struct starting_fleet : hollow_fleet {
   explicit starting_fleet(std::size_t size)
       : hollow_fleet(size / zone_count, zone_count, region_count, false) {
@@ -68,8 +70,8 @@
                             << fleet.bytes_between_regions << " in all");
     BOOST_TEST(fleet.unknown_members() == 0U);
     BOOST_TEST(base::to_milliseconds(fleet.now - started_at) <= 3'000);
-    // A seed answers each other node once or twice with 1 kB, and sends gossip and requests as a
-    // member.
+    // A seed sends each other node one or two replies of 1 kB. As any member, it also sends gossip
+    // and requests of its own.
     constexpr std::size_t bytes_per_node = 2'500;
     constexpr std::size_t own_bytes = 150'000;
     BOOST_TEST(fleet.max_bytes_sent(0, seed_count) <= own_bytes + size * bytes_per_node);
--- a/tests/membership/seed_contact_test.cc
+++ b/tests/membership/seed_contact_test.cc
@@ -17,6 +17,7 @@
   return {base::node_id(name), base::zone_id("a"), base::network_address(name + ":1"), 1, 1};
 }
 
+/// Node that knows three seeds and no member.
 struct isolated_node {
   isolated_node() : subject(identity_of("n"), {}, random, [](const auto&) {}) {
     for (const char* seed : {"s1:1", "s2:1", "s3:1"}) {
--- a/tests/membership/zone_contact_test.cc
+++ b/tests/membership/zone_contact_test.cc
@@ -1,6 +1,6 @@
-/// Every node detects the failure of another zone in a time that does not grow with the fleet, and
-/// with a number of messages per node that does not grow either. Uses hollow nodes, which run
-/// membership only.
+/// Detection of the failure of a zone by all nodes of the other zones. Neither the time until the
+/// detection nor the number of messages per node grows with the fleet. Uses hollow nodes, which run
+/// only membership.
 #include "hollow_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -38,17 +38,17 @@
       fleet.run(milliseconds(100));
       false_views += fleet.unreachable_views();
     }
-    // At most one false detection in 10,000 node-seconds.
+    // No zone has failed yet: allows at most one false detection in 10,000 node-seconds.
     constexpr std::size_t node_seconds_per_false_view = 10'000;
     const auto node_seconds = observed_seconds * fleet.nodes.size();
     BOOST_TEST(false_views / checks_per_second * node_seconds_per_false_view <= node_seconds);
-    // Per second: 14 probes and their answers, 7 digests of two relays; the others are digests
-    // between zones.
+    // Messages of a node per second: 14 probes and acknowledgements, 7 digests from the two relays
+    // of its zone, and digests between zones.
     constexpr std::size_t max_messages_per_node = 25;
     BOOST_TEST(fleet.messages / observed_seconds / fleet.nodes.size() <= max_messages_per_node);
     if (shape.regions > 0) {
-      // For each ordered pair of regions two relays send three messages every 0.3 s; a tenth is
-      // added for rounds that begin within the observed time.
+      // For each ordered pair of regions, two relays send three messages each every 0.3 s. A tenth
+      // is added because more rounds than the mean may begin within the observed time.
       const auto pairs = shape.regions * (shape.regions - 1);
       const auto max_messages = pairs * 2 * 3 * observed_seconds * 11 / 3;
       BOOST_TEST(fleet.messages_between_regions <= max_messages);
@@ -73,7 +73,7 @@
     fleet.partitioned_region = base::region_id("r1");
     fleet.run(seconds(2));
     BOOST_TEST(fleet.unreachable_views() == expected_views);
-    // Long enough for all learned gaps to come from the time of the partition.
+    // Long enough that the measured gaps between contacts are those during the partition.
     fleet.run(seconds(20));
     BOOST_TEST(fleet.unreachable_views() == expected_views);
     fleet.partitioned_region = {};
