--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -409,8 +409,8 @@
 }
 
 bool membership::has_zone_job(std::string_view job, std::size_t count) const {
-  const auto holders = base::rendezvous_top(job, live_zone_nodes(), count);
-  return std::find(holders.begin(), holders.end(), self_.node) != holders.end();
+  const auto job_nodes = base::rendezvous_top(job, live_zone_nodes(), count);
+  return std::find(job_nodes.begin(), job_nodes.end(), self_.node) != job_nodes.end();
 }
 
 bool membership::has_region_job(std::string_view job, std::size_t zones, std::size_t count,
--- a/tests/membership/member_discovery_test.cc
+++ b/tests/membership/member_discovery_test.cc
@@ -73,8 +73,8 @@
     // A seed sends each other node one or two replies of 1 kB. As any member, it also sends gossip
     // and requests of its own.
     constexpr std::size_t bytes_per_node = 2'500;
-    constexpr std::size_t own_bytes = 150'000;
-    BOOST_TEST(fleet.max_bytes_sent(0, seed_count) <= own_bytes + size * bytes_per_node);
+    constexpr std::size_t member_bytes = 150'000;
+    BOOST_TEST(fleet.max_bytes_sent(0, seed_count) <= member_bytes + size * bytes_per_node);
   }
 }
 
