--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -27,7 +27,7 @@
   return key.substr(key.find('/') + 1);
 }
 
-/// The part of an entry's version that its hash covers.
+/// The part of an entry's version that the hash of the entry covers.
 struct hashed_version {
   base::revision revision = 0;
   std::uint64_t value_hash = 0;
@@ -76,7 +76,8 @@
   if (is_duplicate(current, offered.at)) {
     return {apply_verdict::duplicate, {}};
   }
-  // A configuration is ordered by its own version first, which is known only after parsing.
+  // Configurations are ordered by the version number in the record first, which is known only after
+  // parsing.
   const bool is_configuration = entry.key() == model::configuration_key && !entry.deleted();
   if (!is_configuration && is_older(entry.key(), current, offered.at)) {
     return {apply_verdict::older, {}};
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -1,12 +1,16 @@
-/// Replicated set of published records. An entry is replaced only by an entry of the same key with
-/// a higher (era, revision, value hash); deletions are entries with a revision too. Nodes that
-/// merge the same entries in any order converge to the same content.
+/// Replicated set of published records. The platform keeps each record in its store under a key; an
+/// entry is the value of a key, or its deletion, at one revision of the store. A few nodes read the
+/// entries from the platform services (node/events.h); all nodes replicate them to each other.
 ///
-/// A store that is restored from an older copy begins a new era and assigns revisions again that it
-/// had assigned before. Its content then replaces the known content, with two exceptions, because
-/// callers and replicas have acted on the lost writes: a configuration is replaced only by one with
-/// a higher version of its own, or by the same version written later; and a replica that was known
-/// to drain or was deleted is not restored to normal by its record in the older copy.
+/// An entry is replaced only by an entry of the same key with a higher (era, revision, value hash).
+/// Nodes that apply the same entries in any order converge to the same content.
+///
+/// A store that is restored from an older backup begins a new era and assigns revisions again that
+/// it had assigned before. The entries of the new era replace the known entries, with two
+/// exceptions, because callers and replicas have acted on the lost writes: a configuration is
+/// replaced only by a configuration with a higher version number in its record, or with the same
+/// version number and a later entry; and a replica that was known to drain or was deleted does not
+/// return to normal because of its record in the backup.
 #pragma once
 
 #include "base/safety_switches.h"
@@ -32,13 +36,14 @@
 /// Result of applying an entry.
 enum class apply_verdict : std::uint8_t {
   accepted, ///< The entry is in effect now.
-  /// The entry is the latest of its key but invalid. The last accepted entry stays in effect,
-  /// except for a replica: a record that another writer has overwritten cannot be relied on.
+  /// The entry is the latest of its key, but its value is invalid. The last accepted entry stays in
+  /// effect, except if it is the entry of a replica: once another writer has overwritten it, it
+  /// cannot be relied on.
   rejected,
-  /// The entry is rejected and has the same value as the rejected entry before it.
+  /// The entry is rejected like the entry before it, and both have the same value.
   rejected_again,
-  duplicate, ///< The entry is already known.
-  older,     ///< The entry is older than the known entry of its key; ignored.
+  duplicate, ///< The entry was already known.
+  older,     ///< The entry was ignored: it is older than the known entry of its key.
 };
 
 struct apply_result {
@@ -47,7 +52,7 @@
   std::string reason;
 };
 
-/// A rejected entry, shown to operators.
+/// Rejected entry, as shown to operators.
 struct rejection {
   std::string key;
   base::revision revision = 0;
@@ -59,19 +64,21 @@
 using tenant_map = std::map<base::tenant_id, std::shared_ptr<const model::tenant>>;
 using replica_map = std::map<base::replica_id, std::shared_ptr<const model::replica>>;
 
-/// Position in the order of writes to the store.
+/// Position in the order of all writes to the store.
 struct store_position {
   base::store_era era = 0;
   base::revision revision = 0;
   auto operator<=>(const store_position&) const = default;
 };
 
-/// Not thread-safe. Records are shared: readers may use a record after it has been replaced.
+/// Entries that one node knows, and the records in effect. Not thread-safe. Records are shared: a
+/// reader may still use a record after it has been replaced.
 class catalog {
  public:
   explicit catalog(base::safety_switches switches = {}) : switches_(switches) {}
 
-  /// Number of hash buckets that anti-entropy compares.
+  /// Number of buckets into which keys are divided by their hash. Anti-entropy compares the hashes
+  /// of the buckets.
   static constexpr std::size_t bucket_count = 256;
   using bucket_set = std::bitset<bucket_count>;
 
@@ -79,22 +86,24 @@
   /// key.
   apply_result apply(const wire::catalog_entry& entry);
 
-  /// @return hash of the whole content; equal on nodes with equal content.
+  /// @return hash of all entries; equal on nodes with equal entries.
   [[nodiscard]] std::uint64_t content_hash() const;
   [[nodiscard]] const std::array<std::uint64_t, bucket_count>& bucket_hashes() const {
     return buckets_;
   }
-  /// @return copies of all entries in the buckets: accepted entries, and newer rejected entries.
+  /// @return copies of all entries in the buckets: the accepted entry of each key, and its rejected
+  ///         entry if that is later.
   [[nodiscard]] std::vector<wire::catalog_entry> entries_in(const bucket_set& buckets) const;
 
   /// @return number of entries that `entries_in` would copy.
   [[nodiscard]] std::size_t count_in(const bucket_set& buckets) const;
 
-  /// @return null if no such template is published.
+  /// @return the published template; null if there is none with this name.
   [[nodiscard]] std::shared_ptr<const model::pipeline_template>
   find_template(const base::template_id& name) const;
-  /// If several tenants share the token, returns the tenant with the least name, so that all nodes
-  /// return the same tenant.
+  /// @param token_sha256 lower-case hexadecimal SHA-256 of the token.
+  /// @return the tenant with this token; null if there is none. If several tenants share the token,
+  ///         the tenant whose name sorts first, so that all nodes return the same tenant.
   [[nodiscard]] std::shared_ptr<const model::tenant>
   find_tenant_by_token(const std::string& token_sha256) const;
   [[nodiscard]] std::shared_ptr<const model::tenant> find_tenant(const base::tenant_id& name) const;
@@ -103,38 +112,39 @@
   [[nodiscard]] const template_map& templates() const { return templates_; }
   [[nodiscard]] const tenant_map& tenants() const { return tenants_; }
 
-  /// Configuration of the serving path; null if none is known.
+  /// @return the configuration in effect for the serving path; null if none is known.
   [[nodiscard]] std::shared_ptr<const model::serving_configuration> serving() const {
     return serving_;
   }
   [[nodiscard]] const replica_map& replicas() const { return replicas_; }
-  /// Zones under evacuation: no requests are to be sent to their replicas.
+  /// @return the zones under evacuation: no requests are to be sent to their replicas.
   [[nodiscard]] const std::set<base::zone_id>& evacuated_zones() const { return evacuated_zones_; }
   /// Increases whenever the configuration of the serving path, a replica or an evacuation changes.
   [[nodiscard]] std::uint64_t serving_changes() const { return changes_.count(); }
-  /// @param seen value of `serving_changes()` when the caller last checked.
-  /// @return the replicas that changed since then; std::nullopt if the caller has to check all
-  ///         replicas.
+  /// @param seen value of `serving_changes()` at the caller's last check.
+  /// @return the replicas that changed since that check; std::nullopt if the caller has to check
+  ///         all replicas.
   [[nodiscard]] std::optional<std::vector<base::replica_id>>
   replicas_changed_since(std::uint64_t seen) const {
     return changes_.since(seen);
   }
-  /// @param listed keys in a complete listing of the store.
-  /// @param at position of the store at the listing.
-  /// @return deletions of the known replicas that the listing lacks and that were written before
-  ///         it.
+  /// @param listed keys of all entries of a listing, which is a complete read of a platform
+  ///        service.
+  /// @param at position of the store that the listing reflects.
+  /// @return deletions of the known replicas that were written before the position and whose keys
+  ///         are not listed.
   [[nodiscard]] std::vector<wire::catalog_entry>
   deletions_of_unlisted_replicas(const std::set<std::string>& listed, store_position at) const;
-  /// Returns deletions of evacuations that have ended, by the rule of
-  /// `deletions_of_unlisted_replicas`.
+  /// @return deletions of the known evacuations that were written before the position and whose
+  ///         keys are not listed. The parameters are those of `deletions_of_unlisted_replicas`.
   [[nodiscard]] std::vector<wire::catalog_entry>
   deletions_of_unlisted_evacuations(const std::set<std::string>& listed, store_position at) const;
 
   /// @return revision of the accepted entry of `key`; 0 if there is none.
   [[nodiscard]] base::revision revision_of(const std::string& key) const;
-  /// @return the highest revision seen in the latest era.
+  /// @return the highest revision of an entry of the latest known era.
   [[nodiscard]] base::revision highest_revision() const { return highest_.revision; }
-  /// @return the latest era seen.
+  /// @return the latest known era.
   [[nodiscard]] base::store_era era() const { return highest_.era; }
   /// @return position of the latest entry of a replica.
   [[nodiscard]] store_position latest_replica_position() const { return latest_replica_position_; }
@@ -142,18 +152,18 @@
   [[nodiscard]] store_position latest_operator_position() const {
     return latest_operator_position_;
   }
-  /// Increases whenever a machine entry changes, so that readers know when to recompute data that
-  /// they derive from the machine list.
+  /// Increases whenever an entry of a machine changes, so that readers know when to recompute data
+  /// that they derive from `machines()`.
   [[nodiscard]] std::uint64_t machine_changes() const { return machine_changes_; }
   [[nodiscard]] std::vector<rejection> rejections() const;
-  /// @return number of rejected entries of replicas. An invalid entry that is written again
-  ///         unchanged counts once.
+  /// @return number of rejected entries of replicas. An invalid value that is written several times
+  ///         in a row counts once.
   [[nodiscard]] std::uint64_t rejected_replica_entries() const { return rejected_replica_entries_; }
   /// @return number of keys ever seen, including deleted keys.
   [[nodiscard]] std::size_t size() const { return slots_.size(); }
 
  private:
-  /// Position of an entry in the order in which entries of a key replace each other.
+  /// Position of an entry in the order in which the entries of one key replace each other.
   struct version {
     base::store_era era = 0;
     base::revision revision = 0;
@@ -164,6 +174,7 @@
     version at;
     wire::catalog_entry entry;
   };
+  /// State of one key.
   struct slot {
     std::optional<stored_entry> accepted;
     /// Set while the latest entry of the key is invalid.
@@ -189,23 +200,27 @@
   apply_result reject(slot& current, stored_entry offered, std::string reason);
   /// @return position of the latest entry of `key`, accepted or rejected; zeros if there is none.
   [[nodiscard]] store_position latest_position_of(const std::string& key) const;
-  /// @return whether a valid configuration is older than the configuration in effect: by its own
-  ///         version, or by its position in the store if the versions are equal.
+  /// @return whether a valid configuration is older than the configuration in effect: by the
+  ///         version number in its record, or by the position of its entry if the version numbers
+  ///         are equal.
   [[nodiscard]] bool is_older_configuration(const slot& current, const version& offered,
                                             const any_record& value) const;
-  /// Merges known state of a replica into its record if the store was restored from an older copy
-  /// and may have lost writes. Records of other kinds are returned unchanged.
-  /// @return the record: draining if the same incarnation was known to drain, marked as
-  ///         `may_be_deleted` if the replica was deleted.
+  /// Merges the known state of a replica into its record if the record is of a later era than the
+  /// known state, because the restored store may have lost writes. Records of other kinds are
+  /// returned unchanged.
+  /// @return the record: draining if the same incarnation of the replica was known to drain, marked
+  ///         as `may_be_deleted` if the replica was deleted.
   static any_record merge_known_state(const slot& current, const version& offered,
                                       any_record value);
+  /// Updates the hash of a key and of its bucket after the entries of the key changed.
   void rehash(const std::string& key, slot& current);
+  /// Puts a record into effect: adds it to the maps of its kind.
   void index(const std::string& key, const any_record& value);
   void index(const std::string& key, const model::record& value);
   void remove_from_index(const std::string& key);
   void remove_tenant(const base::tenant_id& name);
-  /// Appends the deletion of `key` if a listing lacks it and all its entries were written before
-  /// the listing.
+  /// Appends the deletion of `key` if the key is not listed and all its entries were written before
+  /// the position of the listing.
   void add_deletion_if_unlisted(const std::string& key, const std::set<std::string>& listed,
                                 store_position at,
                                 std::vector<wire::catalog_entry>& deletions) const;
--- a/src/catalog/change_log.h
+++ b/src/catalog/change_log.h
@@ -13,12 +13,13 @@
 
 namespace spurrack::catalog {
 
-/// The latest few thousand changes of the serving path, in their order. Not thread-safe.
+/// The latest few thousand changes of the records that the serving path uses (replicas, its
+/// configuration, evacuations), in the order in which they occurred. Not thread-safe.
 class change_log {
  public:
-  /// Number of changes that are kept: more than a listing of a large fleet brings between two
-  /// checks of a reader that checks ten times per second. A reader that missed more changes has to
-  /// check all replicas.
+  /// Maximum number of changes that are kept: more than a listing of a large fleet brings between
+  /// two checks of a reader that checks ten times per second. A reader that missed more changes has
+  /// to check all replicas.
   static constexpr std::size_t max_kept_changes = 4'096;
 
   /// @param replica empty if something other than a replica changed.
@@ -28,8 +29,8 @@
   }
   /// @return number of changes ever added.
   [[nodiscard]] std::uint64_t count() const { return count_; }
-  /// @param seen value of `count()` when the reader last checked.
-  /// @return the replicas of all changes since then; a replica that changed several times may
+  /// @param seen value of `count()` at the reader's last check.
+  /// @return the replicas of all changes since that check; a replica that changed several times may
   ///         appear several times. std::nullopt if not all of these changes are kept.
   [[nodiscard]] std::optional<std::vector<base::replica_id>> since(std::uint64_t seen) const {
     if (seen > count_ || count_ - seen > changes_.size()) {
--- a/src/catalog/entry_packing.cc
+++ b/src/catalog/entry_packing.cc
@@ -12,11 +12,14 @@
 
 namespace io = google::protobuf::io;
 
-/// Fewer bytes are sent uncompressed: compression would save less than a packet.
+/// Minimum size of entries that are compressed, in bytes: with fewer bytes, compression would save
+/// less than a network packet.
 constexpr std::size_t min_packed_bytes = 1'000;
-/// The fastest level: the next levels save a tenth more bytes for twice the time.
+/// Compression level of zlib: the fastest level, because the next levels save only a tenth more
+/// bytes and take twice the time.
 constexpr int compression_level = 1;
-/// Larger contents are rejected; six times the catalog of the largest planned fleet.
+/// Maximum size of the decompressed entries of a message, in bytes: six times the catalog of the
+/// largest planned fleet. Messages with more are rejected.
 constexpr int max_unpacked_bytes = 64'000'000;
 
 std::string compress(const wire::catalog_entries& content) {
--- a/src/catalog/entry_packing.h
+++ b/src/catalog/entry_packing.h
@@ -1,6 +1,6 @@
-/// Packing of catalog entries into messages. Large numbers of entries are compressed: the records
-/// of replicas resemble each other, 3,000 of them take 245 kB uncompressed and 50 kB compressed,
-/// and the links of the smallest nodes limit how fast a large fleet starts
+/// Packing of catalog entries into messages. Large numbers of entries are compressed, because the
+/// links of the smallest nodes limit how fast a large fleet starts. The records of replicas
+/// resemble each other: 3,000 of them take 245 kB uncompressed and 50 kB compressed
 /// (tests/catalog/entry_packing_test.cc).
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace spurrack::catalog {
 
-/// Adds entries to a message, compressed if they are large.
+/// Adds entries to a message; compresses them if their total size is large.
 void pack_entries(const std::vector<wire::catalog_entry>& entries, wire::catalog_push& message);
 
 /// @return all entries of a message; std::nullopt if its compressed entries cannot be read.
--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -8,7 +8,7 @@
 namespace spurrack::catalog {
 namespace {
 
-/// Time after which a content hash that no peer has sent is dropped.
+/// Time after the last message with a foreign content hash after which the hash is dropped.
 constexpr base::duration foreign_hash_lifetime = std::chrono::seconds(3);
 /// Hash of an empty bucket.
 constexpr std::uint64_t empty_bucket_hash = 0;
@@ -173,12 +173,13 @@
   auto& answer = *push.message.mutable_catalog_push();
   answer.set_answers_comparison(true);
   // The entries are counted before they are copied, because while a fleet starts most requesters
-  // are referred to another node.
+  // get an answer without entries and query another node.
   const bool has_answer = may_answer(content_->count_in(differing), now);
   if (has_answer) {
     pack_entries(content_->entries_in(differing), answer);
   }
-  // The pull is sent first: after the push, the peer would send all pushed entries back.
+  // The pull is sent before the push: a peer that has applied the push would answer the pull with
+  // the pushed entries too.
   if (has_answer && body.buckets_size() > 0) {
     out.push_back(std::move(pull));
   }
--- a/src/catalog/replicator.h
+++ b/src/catalog/replicator.h
@@ -1,10 +1,15 @@
 /// Spreads catalog entries between nodes: new entries by gossip, missed entries by anti-entropy.
 ///
-/// The bytes per node stay limited as the catalog grows with the fleet. A starting node fetches the
-/// catalog once, from one peer at a time; a first listing is not gossiped, because nodes that lack
-/// its entries request them. A node gives only a few large answers at once and refers other
-/// requesters to another node. Comparisons that find no new entries, as they do while changes
-/// continue, become less frequent.
+/// Anti-entropy works by comparisons: a node sends the hashes of its catalog's buckets to a peer.
+/// The peer answers with its entries of the buckets that differ, and requests the node's entries of
+/// these buckets.
+///
+/// The bytes that a node sends and receives stay limited as the catalog grows with the fleet. A
+/// starting node fetches the catalog once, from one peer at a time; the first listing (complete
+/// read) of a platform service is not gossiped, because nodes that lack its entries request them.
+/// A node gives only a few large answers within a short time; it answers other requesters without
+/// entries, on which they query another node. Comparisons that find no new entries, as they do
+/// while changes continue, become less frequent.
 #pragma once
 
 #include "base/ids.h"
@@ -22,56 +27,61 @@
 namespace spurrack::catalog {
 
 /// @return the addresses to which new entries may be forwarded. Called only if there are new
-/// entries, because listing the addresses is expensive in a large fleet.
+/// entries, because collecting the addresses is expensive in a large fleet.
 using peer_lister = std::function<std::vector<base::network_address>()>;
 
-/// Called for each applied entry, except duplicates and repeated rejections. Called with an empty
-/// entry for a message whose entries cannot be read.
+/// Called with each entry and the result of applying it, except for duplicates and repeated
+/// rejections. Called with an empty entry for a message whose entries cannot be read.
 using apply_observer = std::function<void(const wire::catalog_entry&, const apply_result&)>;
 
-/// Not thread-safe. References given must outlive the object.
+/// Replicates the catalog of one node. Not thread-safe.
 class replicator {
  public:
-  /// Number of peers to which a node forwards entries that it read from the service: all nodes of a
-  /// zone of usual size, so that the nodes that do not read the service miss no entry.
+  /// Number of peers to which a node forwards entries that it read from a platform service: all
+  /// nodes of a zone of usual size, so that the nodes that do not read the service miss no entry.
   static constexpr std::size_t reader_fanout = 20;
-  /// Number of peers to which each other node forwards a new entry.
+  /// Number of peers to which a node forwards new entries that it received from a peer.
   static constexpr std::size_t gossip_fanout = 3;
   /// Maximum number of times that an entry is forwarded; 3^6 exceeds the number of nodes of any
   /// zone.
   static constexpr std::uint32_t gossip_hops = 6;
-  /// Time for which a difference must last before buckets are compared, so that gossip in flight
-  /// can arrive: peers have had the same different content for this time, or no peer has had this
-  /// node's content.
+  /// Time for which the content of peers must differ from this node's content before a comparison
+  /// starts, so that gossip in flight can arrive. The content differs for this time if peers have
+  /// sent the same other content hash throughout it, or if no peer has sent this node's content
+  /// hash in it.
   static constexpr base::duration settle_time = std::chrono::milliseconds(500);
-  /// Minimum interval between two comparisons started by this node; doubled up to
-  /// `max_exchange_interval` while they find no new entries. With `settle_time`, a change whose
-  /// push was lost is found within 1.5 s, inside the shortest limit of 2 s for a configuration
-  /// change.
+  /// Minimum interval between two comparisons that this node starts; doubled up to
+  /// `max_exchange_interval` while they find no new entries. Together with `settle_time`, a change
+  /// whose push was lost is found within 1.5 s, less than the shortest limit of 2 s for the time
+  /// until a configuration change is in effect.
   static constexpr base::duration min_exchange_interval = std::chrono::milliseconds(250);
   static constexpr base::duration max_exchange_interval = std::chrono::milliseconds(1000);
-  /// Time after which an unanswered comparison is dropped: a catalog of 3,000 replicas takes 0.06 s
-  /// on a link of 10 Mbit/s, and a few catalogs are sent at once.
+  /// Time after which an unanswered comparison no longer delays the next one: a catalog of 3,000
+  /// replicas takes 0.06 s on a link of 10 Mbit/s, and a peer may send a few catalogs at once.
   static constexpr base::duration exchange_timeout = std::chrono::milliseconds(1000);
-  /// Minimum number of new entries of a first listing, which is not gossiped. They must also be at
-  /// least half of all known entries.
+  /// Minimum number of new entries for which the entries read from a platform service count as a
+  /// first listing, which is not gossiped. The new entries must also be at least half of all known
+  /// entries.
   static constexpr std::size_t min_first_listing_entries = 100;
-  /// Minimum number of entries of a large answer. At most `max_large_answers` are given in each
-  /// `large_answer_period`.
+  /// Minimum number of entries for which the answer to a comparison counts as large. A node gives
+  /// at most `max_large_answers` large answers in each `large_answer_period`.
   static constexpr std::size_t large_answer_entries = 200;
   static constexpr std::size_t max_large_answers = 4;
   static constexpr base::duration large_answer_period = std::chrono::milliseconds(250);
 
+  /// @param content catalog of the node; must outlive this object.
+  /// @param random must outlive this object.
   replicator(catalog& content, base::random_source& random, apply_observer observer);
 
-  /// Applies entries that were read from the service, and gossips the new entries.
+  /// Applies entries that were read from a platform service, and gossips the new entries to peers.
   void offer(const std::vector<wire::catalog_entry>& entries,
              const std::vector<base::network_address>& peers, wire::outbox& out);
 
-  /// Compares the content hash that a peer sent in a message with the own hash, and starts an
-  /// exchange if they differ.
-  /// @param eager whether to start without waiting for `settle_time`, as a node does that is
-  ///              starting or was suspended.
+  /// Starts a comparison with a peer if its content hash differs from this node's hash and the
+  /// difference has lasted for `settle_time`.
+  /// @param peer_hash content hash that the peer sent in a message.
+  /// @param eager whether to start without waiting for `settle_time`. Set while this node is
+  ///              starting or is resuming after a suspension.
   void compare(const base::network_address& peer, std::uint64_t peer_hash, bool eager,
                base::time_point now, wire::outbox& out);
 
@@ -83,20 +93,21 @@
   /// Applies an entry and calls the observer.
   /// @return whether the entry was new: accepted or rejected, neither a duplicate nor older.
   bool apply_entry(const wire::catalog_entry& entry);
-  /// Sends new entries to `fanout` random peers, if any hops are left.
+  /// Sends new entries to `fanout` random peers, unless `hops` is 0.
   void forward(const std::vector<wire::catalog_entry>& new_entries, std::uint32_t hops,
                std::size_t fanout, const std::vector<base::network_address>& peers,
                wire::outbox& out);
   void apply_push(const wire::envelope& message, const peer_lister& peers, wire::outbox& out);
   void answer_buckets(const wire::envelope& message, base::time_point now, wire::outbox& out);
   void answer_pull(const wire::envelope& message, wire::outbox& out);
-  /// Counts large answers.
-  /// @return whether an answer with this number of entries may be given now.
+  /// Decides whether to answer a comparison with this number of entries, and counts the answer if
+  /// it is large.
+  /// @return whether the answer may be given now.
   bool may_answer(std::size_t entries, base::time_point now);
   /// @return whether the answer to a comparison that this node started is pending.
   [[nodiscard]] bool is_answer_pending(base::time_point now) const;
-  /// Records that a comparison was answered, and adapts the interval to the next comparison.
-  /// @param had_new_entries whether the answer held entries that were not known.
+  /// Records that a peer answered a comparison, and adapts the interval to the next comparison.
+  /// @param had_new_entries whether the answer held entries that this node did not know.
   void note_answer(const base::network_address& peer, bool had_new_entries);
   using bucket_set = catalog::bucket_set;
 
@@ -108,14 +119,14 @@
     base::time_point first_seen;
     base::time_point last_seen;
   };
-  /// Records the content hash of a peer that differs.
+  /// Records that the content hash of a peer differs from this node's hash.
   /// @return whether the difference has lasted for `settle_time`.
   bool has_settled(std::uint64_t peer_hash, base::time_point now);
 
-  /// By content hash.
+  /// Content hashes of peers that differ from this node's hash.
   std::map<std::uint64_t, foreign_hash> foreign_hashes_;
-  /// Time since which no compared peer has had this node's content; std::nullopt if the last
-  /// compared peer had it.
+  /// Time since which every content hash that a peer sent has differed from this node's hash;
+  /// std::nullopt if the last hash was equal.
   std::optional<base::time_point> differs_since_;
   base::time_point last_exchange_at_;
   base::duration exchange_interval_ = min_exchange_interval;
--- a/tests/catalog/evacuation_entries_test.cc
+++ b/tests/catalog/evacuation_entries_test.cc
@@ -1,4 +1,5 @@
-/// Catalog entries of evacuations: published, ended, and ended without a received deletion.
+/// Catalog entries of evacuations: an evacuation that is published, that is deleted, or whose
+/// deletion the node missed.
 #include "catalog/catalog.h"
 #include "model/serving_record_parser.h"
 #include "wire/published.pb.h"
@@ -53,7 +54,7 @@
   BOOST_REQUIRE(deletions.size() == 1U);
   BOOST_TEST(deletions.front().key() == "evacuations/a");
   BOOST_TEST(deletions.front().deleted());
-  // The evacuation of `c` was written after the listing was read.
+  // The evacuation of `c` was written after the position of the listing and stays.
   content.apply(deletions.front());
   BOOST_TEST(content.evacuated_zones().size() == 2U);
 }
--- a/tests/catalog/replicator_test.cc
+++ b/tests/catalog/replicator_test.cc
@@ -1,5 +1,5 @@
-/// Exchange of catalog entries between nodes: a missed entry is fetched soon, also while other
-/// entries change.
+/// Exchange of catalog entries between nodes: gossip of new entries, and comparisons by which a
+/// node fetches an entry that it missed, also while other entries change.
 #include "catalog/replicator.h"
 
 #include <boost/test/unit_test.hpp>
@@ -17,6 +17,7 @@
   return result;
 }
 
+/// Catalog of one node with its replicator.
 struct catalog_node {
   explicit catalog_node(std::uint64_t seed)
       : random(seed), subject(content, random, [](const auto&, const auto&) {}) {}
@@ -120,7 +121,7 @@
   empty_answer.mutable_catalog_push()->set_answers_comparison(true);
   std::size_t compared = 0;
   for (int round = 0; round < 200; ++round) {
-    // The content of the peer differs each time, as it does while changes continue.
+    // The peer sends another content hash each time, as it does while its catalog keeps changing.
     node.subject.compare(base::network_address("a:1"), static_cast<std::uint64_t>(round) + 1, false,
                          now, out);
     if (out.size() > compared) {
@@ -129,8 +130,8 @@
     }
     now += std::chrono::milliseconds(100);
   }
-  // One comparison per second after the first few; it would be four per second at a constant
-  // interval.
+  // In 20 s: one comparison per second after the first few. At the minimum interval there would be
+  // four per second.
   BOOST_TEST(compared >= 18U);
   BOOST_TEST(compared <= 24U);
 }
--- a/tests/catalog/service_watch_test.cc
+++ b/tests/catalog/service_watch_test.cc
@@ -1,3 +1,4 @@
+/// Schedule of the reads of a platform service: intervals, restarts of watches, new eras.
 #include "catalog/service_watch.h"
 
 #include <boost/test/unit_test.hpp>
@@ -18,7 +19,7 @@
   auto now = start;
   std::size_t calls = 0;
   base::revision revision = 1;
-  // The service has a change every 10 ms and answers each read at once.
+  // An entry changes every 10 ms, so the service answers each read at once.
   for (; now < start + std::chrono::seconds(1); now += std::chrono::milliseconds(10)) {
     if (subject.next_read(true, now)) {
       ++calls;
@@ -43,7 +44,8 @@
   }
   // Intervals of 0.2 s and 0.4 s, then of 0.8 s.
   BOOST_TEST(calls <= 10U);
-  // After a quiet time the next read follows a change after `min_read_interval` again.
+  // After a time without changes, the interval from a change to the next read is
+  // `min_read_interval` again.
   now += std::chrono::seconds(5);
   BOOST_TEST(subject.next_read(true, now).has_value());
   now += std::chrono::seconds(1);
@@ -80,7 +82,7 @@
   subject.on_answer({1, 100, true}, true, now);
   now += std::chrono::seconds(1);
   BOOST_TEST((subject.next_read(true, now) == 100U));
-  // Peers often report a change shortly before the answer of the service arrives.
+  // A peer often sends a changed entry shortly before the answer of the service arrives.
   subject.note_latest_revision(1, 101, now);
   now += service_watch::lost_answer_timeout / 2;
   subject.note_latest_revision(1, 101, now);
--- a/tests/catalog/store_era_test.cc
+++ b/tests/catalog/store_era_test.cc
@@ -1,5 +1,5 @@
-/// A store that is restored from an older copy: its revision goes back, and revisions are assigned
-/// again.
+/// A store that is restored from an older backup: its revision goes back, and it assigns revisions
+/// again that it had assigned before.
 #include "catalog/catalog.h"
 #include "model/serving_record_parser.h"
 #include "wire/published.pb.h"
