--- a/tests/catalog/store_era_test.cc
+++ b/tests/catalog/store_era_test.cc
@@ -130,7 +130,7 @@
   BOOST_TEST(!known_replica(content).draining);
 }
 
-BOOST_AUTO_TEST_CASE(deleted_replica_may_be_gone_in_a_new_era) {
+BOOST_AUTO_TEST_CASE(deleted_replica_is_marked_as_possibly_deleted_in_a_new_era) {
   catalog::catalog content;
   content.apply(entry(1, 100, replica_key, replica(false)));
   content.apply(entry(1, 110, replica_key, ""));
@@ -160,7 +160,7 @@
               apply_verdict::accepted);
 }
 
-BOOST_AUTO_TEST_CASE(replica_deleted_without_an_era_is_not_marked_as_gone) {
+BOOST_AUTO_TEST_CASE(replica_deleted_without_an_era_is_not_marked_as_possibly_deleted) {
   catalog::catalog content;
   content.apply(entry(0, 100, replica_key, replica(false)));
   content.apply(entry(0, 110, replica_key, ""));
