--- a/src/node/events.h
+++ b/src/node/events.h
@@ -1,6 +1,6 @@
-/// Events that a node processes and commands that it returns. The interface between the decision
-/// logic and its environment: the daemon, the simulation and the tests drive the same objects
-/// through it.
+/// Events that a node processes and commands that it returns. They are the interface between the
+/// decision logic and its environment: the daemon, the simulation and the tests drive the same
+/// logic through them.
 #pragma once
 
 #include "base/event_log.h"
@@ -20,7 +20,8 @@
 
 namespace spurrack::node {
 
-/// The two read-only services of the platform.
+/// The two platform services, from which nodes read the published entries of the platform's store:
+/// one publishes the configuration, the other one the machines and replicas.
 enum class source_kind : std::uint8_t { configuration, machine_list };
 inline constexpr std::size_t source_count = 2;
 
@@ -39,7 +40,7 @@
   /// suspension is not run late.
   base::time_point arrived_at;
 };
-/// The connection of a caller ended.
+/// The connection of a caller was closed.
 struct caller_disconnected {
   base::caller_id caller = 0;
 };
@@ -49,22 +50,22 @@
   /// Lower-case hexadecimal SHA-256 of the caller's token.
   std::string token_sha256;
 };
-/// A service of the platform answered a read.
+/// A platform service answered a read.
 struct service_answered {
   source_kind source = source_kind::configuration;
   std::vector<wire::catalog_entry> entries;
   /// Revision of the service that the answer reflects.
   base::revision service_revision = 0;
-  /// Era of the service, which increases by one each time the service is restored from an older
-  /// copy; std::nullopt if the answer names no readable era.
+  /// Era of the service, which increases by one each time the store is restored from an older
+  /// backup; std::nullopt if the answer names no readable era.
   std::optional<base::store_era> era;
   /// Whether the answer names an era that cannot be read.
   bool is_era_unreadable = false;
-  /// Whether `entries` holds everything that the service held at `service_revision`, instead of
-  /// only the changes after the requested revision.
+  /// Whether the answer is a listing: `entries` are all entries of the service at
+  /// `service_revision`, not only the changes after the requested revision.
   bool is_listing = false;
 };
-/// A read or a probe of a service of the platform failed.
+/// A read or a probe of a platform service failed.
 struct service_failed {
   source_kind source = source_kind::configuration;
 };
@@ -85,19 +86,19 @@
                  execution::call_result, execution::call_token, service_answered, service_failed,
                  stop_requested, seeds_changed, release_requested, serving::event>;
 
-/// Reads the changes of a service after a revision. The service may hold the answer back until
-/// there is a change (long polling).
+/// Reads the entries of a platform service that changed after a revision. The service may delay the
+/// answer until an entry changes (long polling).
 struct read_service {
   source_kind source = source_kind::configuration;
   /// Revision after which changes are returned; 0 for a listing of all entries.
   base::revision after = 0;
-  /// Whether a listing that is some seconds old is accepted.
+  /// Whether the answer may be a listing that is some seconds old.
   bool allow_stale = false;
-  /// Maximum time for which the service may hold the answer back.
+  /// Maximum time for which the service may delay the answer.
   base::duration hold{};
 };
-/// Sends a small query to a service while it holds the answer to a read, to check that it still
-/// answers. Only a failure is reported, as `service_failed`.
+/// Sends a small query to a platform service while the answer to a read is pending, to check that
+/// the service still answers. Only a failure is reported, as `service_failed`.
 struct probe_service {
   source_kind source = source_kind::configuration;
 };
@@ -111,8 +112,8 @@
 struct log_decision {
   base::event what;
 };
-/// All requests have ended after `stop_requested`, or the maximum duration of the stop has passed;
-/// the process may exit.
+/// The graceful stop is complete and the process may exit: no requests are active, or the maximum
+/// duration of the stop has passed.
 struct stop_completed {};
 
 using command =
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -7,19 +7,19 @@
 namespace {
 
 constexpr base::duration periodic_interval = std::chrono::milliseconds(100);
-/// Longest interval between two events that does not count as a gap: a running node processes an
+/// Maximum interval between two events that does not count as a gap: a running node processes an
 /// event at least every `periodic_interval`.
 constexpr base::duration max_regular_event_interval = 2 * periodic_interval;
-/// Maximum number of members of other zones with which published records are exchanged at a time:
-/// in the own region, and in other regions, to which traffic is expensive.
+/// Maximum number of members of other zones that this node uses as replication peers at a time: in
+/// its region, and in other regions, to which traffic is expensive.
 constexpr std::size_t max_near_replication_peers = 2;
 constexpr std::size_t max_far_replication_peers = 1;
-/// Maximum number of peers that are requested at once to send the changes that this node missed:
-/// with 10 of them one answers even if half of the fleet is starting, and a fleet that starts as a
-/// whole is not flooded.
+/// Maximum number of peers to which a resync request is sent at once: with 10 peers, one of them
+/// answers even if half of the fleet is starting, and a fleet that starts as a whole is not
+/// overloaded with requests.
 constexpr std::size_t max_resync_peers = 10;
-/// Maximum number of rounds of messages from a node to itself within one event, against endless
-/// loops.
+/// Maximum number of rounds in which messages from this node to itself are processed within one
+/// event; prevents endless loops.
 constexpr std::size_t max_loopback_rounds = 8;
 
 /// Copies the safety switches to the settings of the parts that use them.
@@ -146,8 +146,8 @@
 // --- suspension and readiness --------------------------------------------------------------------
 
 void node::detect_suspension(base::time_point now) {
-  // Requests may have waited in sockets during any gap, even if it is too short to count as a
-  // suspension, so the time before a gap does not count as time without requests.
+  // Requests may have waited in sockets during any gap, even if the gap is too short to count as a
+  // suspension. Therefore the time without requests starts again after each gap.
   if (now - last_event_at_ > max_regular_event_interval) {
     quiet_since_ = now;
   }
@@ -320,7 +320,7 @@
   serving_->handle(input_event, now);
 }
 
-// --- stop ----------------------------------------------------------------------------------------
+// --- graceful stop -------------------------------------------------------------------------------
 
 void node::on(const stop_requested& /*input_event*/, base::time_point now) {
   if (!is_stopping_) {
@@ -366,7 +366,8 @@
   if (!is_stopping_) {
     return;
   }
-  // Also after the end of the stop was reported: requests may still arrive on open connections.
+  // Requests are also aborted after the end of the stop was reported, because requests may still
+  // arrive on open connections.
   abort_overdue_requests(now);
   if (is_stop_reported_) {
     return;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
 /// Decision logic of one spurrackd: membership, configuration, routing and execution behind one
-/// function. No I/O, no clock, no threads.
+/// function that processes events. Uses no I/O, no clock and no threads.
 #pragma once
 
 #include "admission/stage_scheduler.h"
@@ -35,18 +35,20 @@
   execution::guard_settings guard;
   admission::scheduling_settings scheduling;
   routing::routing_limits routing;
-  /// The process counts as suspended if the interval between two events exceeds this.
+  /// Maximum interval between two events of a running process; after a longer interval the process
+  /// counts as having been suspended.
   base::duration suspension_threshold = std::chrono::milliseconds(1000);
   catalog::watch_timing service_timing;
-  /// Time for which a starting node waits for a peer with an equal catalog before it becomes ready
-  /// with only the answers of the services, and for which dispatch stays on hold after a suspension
-  /// if no such peer answers.
+  /// Time for which a starting node waits for a peer whose catalog equals its own before it becomes
+  /// ready with only the answers of the platform services. Also the time for which dispatch is
+  /// paused after a suspension if no peer with an equal catalog answers.
   base::duration resync_timeout = std::chrono::milliseconds(1000);
   /// Time without new requests after which a stopping node may exit: load balancers learn of the
-  /// stop late, and requests may have waited in sockets during a suspension of the process.
+  /// graceful stop late, and requests may have waited in sockets during a suspension of the
+  /// process.
   base::duration stop_linger_time = std::chrono::milliseconds(300);
-  /// Time after the start of a stop from which `stop_linger_time` no longer applies, so that
-  /// callers that keep sending cannot delay the exit further.
+  /// Time after the start of a graceful stop from which `stop_linger_time` no longer applies, so
+  /// that callers that keep sending requests cannot delay the exit further.
   base::duration max_stop_linger_time = std::chrono::seconds(10);
   /// Maximum number of events that the event log keeps.
   std::size_t event_log_capacity = 4096;
@@ -57,7 +59,7 @@
   std::optional<serving::serving_settings> serving;
 };
 
-/// Class of messages to peers: their kind and the locality of the receivers.
+/// Class of messages to peers, by their kind and the locality of their receivers.
 struct traffic_class {
   wire::envelope::BodyCase kind = wire::envelope::BODY_NOT_SET;
   model::locality locality = model::locality::elsewhere;
@@ -76,13 +78,14 @@
   std::uint64_t bytes_received = 0;
 };
 
-/// Counts of what the answers of the services showed about their eras.
+/// Counts of the answers of the platform services with an unusual era.
 struct store_counters {
-  /// Number of times that a source turned out to be restored from an older copy, over all sources.
+  /// Number of answers that showed that the store was restored from an older backup. Each platform
+  /// service that this node reads shows a restore once.
   std::uint64_t era_changes = 0;
-  /// Ignored answers of an era before the latest known era.
+  /// Number of ignored answers of an era before the latest known era.
   std::uint64_t outdated_answers = 0;
-  /// Answers that named an era that cannot be read or is implausible.
+  /// Number of answers that named an unreadable or implausible era.
   std::uint64_t unreadable_eras = 0;
 };
 
@@ -114,12 +117,12 @@
   [[nodiscard]] const base::event_log& events() const { return events_; }
   [[nodiscard]] const control_counters& control() const { return control_; }
   [[nodiscard]] const store_counters& store() const { return store_; }
-  /// @return whether this node should read a service of the platform now: as one of the nodes that
-  ///         watch the service for the others, because the node is starting, or in place of a node
-  ///         that cannot read the service.
+  /// @return whether this node should read a platform service now: because it is one of the nodes
+  ///         that watch the service for the nodes of their zone or region, because it is starting,
+  ///         or in place of a node that cannot read the service.
   [[nodiscard]] bool should_read_service(source_kind source, base::time_point now) const;
-  /// Sets the budget that the buffered bytes of incomplete events of the serving path count
-  /// against. Has no effect if the node serves no published routes.
+  /// Sets the memory budget for the buffered bytes of incomplete stream events of the serving path.
+  /// Has no effect if the node serves no published routes.
   void set_budget(std::shared_ptr<flow::byte_budget> budget) {
     if (serving_) {
       serving_->set_budget(std::move(budget));
@@ -150,44 +153,51 @@
 
   /// Counts and records an answer that shows a new, outdated or unreadable era.
   void note_era(const service_answered& answer, const catalog::answer_meaning& meaning);
-  /// Detects that the process or its machine was suspended, by the time since the last event. After
-  /// a suspension puts dispatch on hold and requests the missed changes from peers.
+  /// Detects by the time since the last event that the process or its machine was suspended. After
+  /// a suspension pauses dispatch and requests the missed changes from peers.
   void detect_suspension(base::time_point now);
-  /// Requests the changes of the catalog and the leave notices from several peers.
+  /// Sends a resync request to several peers: requests the catalog changes and the leave notices
+  /// that this node missed.
   void request_resync(base::time_point now);
-  /// Checks whether the sender of a message has an equal catalog; ends the hold of dispatch if the
-  /// message also answers a resync request.
+  /// Checks whether the catalog of a message's sender equals this node's catalog. If the message
+  /// also answers a resync request, ends the pause of dispatch.
   void check_resync(const wire::envelope& message, base::time_point now);
-  /// Makes the node ready once it has a catalog that is recent enough.
+  /// Makes the node ready if its catalog has the content that it needs, and either a peer has an
+  /// equal catalog or the platform services have answered and `resync_timeout` has passed.
   void update_readiness(base::time_point now);
   void run_periodic(base::time_point now);
-  /// @return whether this node is one of the nodes that watch a service for the others.
+  /// @return whether this node is one of the nodes that watch a platform service for the nodes of
+  ///         their zone or region.
   [[nodiscard]] bool has_watch_job(source_kind source, base::time_point now) const;
+  /// Starts the reads and probes of the platform services that are due.
   void read_services(base::time_point now);
-  /// Requests a peer to watch a service that this node failed to read.
+  /// Hands over to a peer the watch of a platform service that this node failed to read.
   void hand_over_watch(source_kind source, base::time_point now);
   void on_watch_handover(const wire::watch_handover& handover, base::time_point now);
   void apply_machine_changes(base::time_point now);
   void apply_serving_changes(base::time_point now);
   void update_serving_peers(base::time_point now);
-  /// @return time after the start of this node from which it reads the services itself if it is not
-  ///         ready.
+  /// @return how long this node waits after its start for peers to send it the catalog. A node that
+  ///         is not ready after this time reads the platform services itself.
   [[nodiscard]] base::duration peer_wait_time() const;
-  /// @return whether this node has at least `min_strong_node_fraction` times as many cores as the
-  ///         known node with the most.
+  /// @return whether this node has at least the fraction `min_strong_node_fraction` of the cores of
+  ///         the strongest known node.
   [[nodiscard]] bool is_strong() const;
-  /// @return whether a zone is not known to be in another region; true for every zone if the
-  ///         settings name no regions.
+  /// @return false if a zone is known to be in another region than this node; true for every zone
+  ///         if the settings name no regions.
   [[nodiscard]] bool is_near(const base::zone_id& zone) const;
   /// @return locality of a peer; `elsewhere` if the zone of the peer is not known.
   [[nodiscard]] model::locality peer_locality(const base::network_address& peer) const;
-  /// Updates the number of nodes that share the concurrency limits of the back ends of this zone.
+  /// Updates the number of nodes that share the concurrency limits of back ends, which are the live
+  /// nodes of this node's zone, and this node's position among them.
   void update_sharing();
   void dispatch_message(const wire::envelope& message, base::time_point now);
   void on_backend_notice(const wire::backend_notice& notice, bool from_zone, base::time_point now);
-  /// Sends a leave notice to all nodes of the own zone.
+  /// Sends a leave notice, which announces that a back end drains, to all nodes of this node's
+  /// zone.
   void broadcast_notice(const wire::backend_notice& notice);
-  /// Broadcasts the leave notices that this node has not sent to its zone yet.
+  /// Sends to the nodes of this node's zone the leave notices that were neither sent to them nor
+  /// received from them before.
   void announce_new_leave_notices();
   void on_forwarded_request(const wire::envelope& message, base::time_point now);
   void execute_guard_decisions(base::time_point now);
@@ -202,9 +212,11 @@
   /// Advances all parts and collects their commands and messages. Processes messages to this node
   /// itself at once, in a limited number of rounds.
   void flush(base::time_point now);
-  /// Completes a graceful stop if no request is active and none has arrived for long enough.
+  /// Reports the end of a graceful stop once no request is active and no new request has arrived
+  /// for `stop_linger_time`, or once the maximum duration of the stop has passed.
   void check_stop(base::time_point now);
-  /// Aborts the requests on published routes once the maximum duration of a stop has passed.
+  /// Aborts the requests on published routes once the maximum duration of a graceful stop has
+  /// passed.
   void abort_overdue_requests(base::time_point now);
   /// @return whether the maximum duration of a graceful stop has passed for requests on published
   ///         routes.
@@ -216,7 +228,8 @@
   }
   /// Adds the known leave notices to digests and to answers to resync requests.
   void add_leave_notices(wire::envelope& message) const;
-  /// Completes the queued messages and sends them; delivers those to this node itself at once.
+  /// Adds the sender fields to the queued messages and sends them; processes messages to this node
+  /// itself at once.
   void flush_messages(base::time_point now);
   void answer_peer(const execution::remote_caller& peer, const execution::answer& content,
                    bool is_owner);
@@ -224,8 +237,9 @@
               const std::string& detail);
   base::request_id next_request_id();
   [[nodiscard]] std::vector<base::network_address> zone_peer_addresses() const;
-  /// @return peers with which published records are exchanged: the peers of the zone and, if the
-  ///         node serves published routes, a few random members of other zones.
+  /// @return peers with which this node exchanges published records: the live peers of its zone
+  /// and,
+  ///         if the node serves published routes, a few random members of other zones.
   [[nodiscard]] std::vector<base::network_address> replication_peers();
   [[nodiscard]] std::optional<base::network_address> address_of(const base::node_id& node) const;
 
@@ -237,12 +251,14 @@
   catalog::catalog catalog_;
   catalog::replicator replicator_;
   std::array<catalog::service_watch, source_count> watches_;
-  /// State of watching a service in place of a node that cannot read it.
+  /// Substitutions of one platform service: the watch that this node does in place of a node that
+  /// cannot read the service, and the handover of this node's own watch.
   struct watch_substitution {
+    /// End of the time for which this node watches in place of another node.
     base::time_point ends_at;
-    /// Number of times that the watch may still be handed over to a further node.
+    /// Number of times that the watch of the other node may still be handed over.
     std::uint32_t handovers_left = 0;
-    /// Time from which this node may request another node to watch in its place.
+    /// Time from which this node may hand over its own watch again.
     base::time_point next_handover_at;
   };
   std::array<watch_substitution, source_count> substitutions_;
@@ -251,29 +267,33 @@
   admission::stage_scheduler scheduler_;
   execution::executor executor_;
   execution::effect_guard guard_;
-  /// Generation of the latest leave notice that was sent to the own zone or received from it, by
-  /// back end.
+  /// Generation of the latest leave notice that was sent to the nodes of this node's zone or
+  /// received from them, by back end.
   std::map<base::backend_id, std::uint64_t> announced_leave_generations_;
   std::optional<serving::dispatcher> serving_;
-  /// Change counts of the catalog that have been applied.
+  /// Value of `catalog_.machine_changes()` when the machines were last passed to the other parts.
   std::uint64_t seen_machine_changes_ = 0;
+  /// Value of `catalog_.serving_changes()` when the catalog was last passed to the serving path.
   std::uint64_t seen_serving_changes_ = 0;
-  /// Version of the membership that has been passed to the serving path.
+  /// Value of `membership_.version()` when the members were last passed to the serving path.
   std::uint64_t seen_membership_version_ = 0;
   base::random_source* random_;
   /// Whether a peer with an equal, non-empty catalog has been seen since the start.
   bool is_synced_with_peer_ = false;
   bool is_ready_ = false;
   bool is_stopping_ = false;
+  /// Whether `stop_completed` has been returned.
   bool is_stop_reported_ = false;
   base::time_point stop_started_at_;
-  /// Start of the current span without disturbance, which ends a stop if it is long enough. A
-  /// disturbance is a new request, a gap between events or the start of the stop.
+  /// Start of the current time without new requests: the latest of the arrival of a request, the
+  /// end of a gap between events, in which requests may have waited in sockets, and the start of
+  /// the graceful stop. A stopping node may exit when this time is long enough.
   base::time_point quiet_since_;
-  /// Random fraction of the maximum wait for peers, 0 to 1; drawn at the start.
+  /// Random fraction, 0 to 1, of the maximum time to wait for peers; chosen at the start of the
+  /// node.
   double peer_wait_fraction_ = 0;
-  /// Time at which the hold of dispatch after a suspension ends; std::nullopt if dispatch is not on
-  /// hold.
+  /// Time at which the pause of dispatch after a suspension ends; std::nullopt if dispatch is not
+  /// paused.
   std::optional<base::time_point> hold_ends_at_;
   base::time_point next_periodic_at_;
   std::uint64_t next_request_number_ = 1;
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -1,4 +1,5 @@
-/// Processing of callers' requests by a node: checks on arrival, execution, answers.
+/// Processing of requests by a node: checks on arrival, execution, answers. Requests come from
+/// callers, or are forwarded by peers.
 #include "node/node.h"
 
 #include "execution/plan_resolver.h"
@@ -9,7 +10,7 @@
 namespace spurrack::node {
 namespace {
 
-/// Retry-After of requests to a node that is starting or stopping.
+/// Time to retry in the answer to a request that a starting or stopping node refuses.
 constexpr base::duration not_ready_retry_after = std::chrono::milliseconds(500);
 
 } // namespace
--- a/src/node/node_peers.cc
+++ b/src/node/node_peers.cc
@@ -61,7 +61,8 @@
   const bool probe =
       message.has_ping() || message.has_acknowledgement() || message.has_zone_digest();
   if (probe) {
-    // The catalog is requested from another region only after a difference has lasted for a while.
+    // A comparison with a node of another region starts only after the difference has lasted for
+    // `settle_time`, because traffic between regions is expensive.
     const bool near = is_near(base::zone_id(message.sender_zone()));
     const bool wants_all = !is_ready_ || hold_ends_at_.has_value();
     const bool eager = wants_all && near && message.sender_is_ready();
@@ -97,7 +98,7 @@
 
 void node::broadcast_notice(const wire::backend_notice& notice) {
   for (const auto& [name, other] : membership_.members()) {
-    // Other zones receive the notice through the relays.
+    // Nodes of other zones receive the notice in the digests of relays.
     if (other.zone != settings_.self.zone || other.state == wire::DEAD) {
       continue;
     }
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -1,5 +1,5 @@
-/// Reads of the platform's services by a node: which node reads them at which time, and the
-/// processing of their answers.
+/// Reads of the platform services: which nodes read a service at which time, and how a node
+/// processes the answers.
 #include "node/node.h"
 
 #include <algorithm>
@@ -10,30 +10,33 @@
 namespace spurrack::node {
 namespace {
 
-/// Maximum wait of a starting node that serves published routes before it reads the services
-/// itself, for each member that it knows. The node waits for a random fraction of this time and
-/// does not read the services if peers have sent it everything before: in a large fleet that starts
-/// as a whole few nodes read, and a small fleet loses no time. Strong nodes read in the first half
-/// of the time, the other nodes after all of it: on a link of 10 Mbit/s 3,000 replicas take more
-/// than a second, and each node that reads them occupies the store's link for 12 ms, at the expense
-/// of all other nodes.
+/// Time per known member in the wait of a starting node that serves published routes: it waits for
+/// peers to send it the catalog before it reads the platform services itself. The sum over all
+/// known members is the base time. Strong nodes wait for a random time up to half of the base time,
+/// other nodes for the base time and a random fraction of it. A node that becomes ready while it
+/// waits does not read the services: in a large fleet that starts as a whole few nodes read, and a
+/// small fleet loses no time. Strong nodes read first, because 3,000 replicas take more than a
+/// second on a link of 10 Mbit/s; and few nodes should read, because each of them occupies the
+/// store's link for 12 ms, at the expense of all other nodes.
 constexpr base::duration peer_wait_time_per_member = std::chrono::milliseconds(12);
+/// Maximum base time.
 constexpr base::duration max_peer_wait_time = std::chrono::milliseconds(1200);
-/// Nodes with at least this fraction of the cores of the strongest known node are strong.
+/// Minimum number of cores of a strong node, as a fraction of the cores of the strongest known
+/// node.
 constexpr float min_strong_node_fraction = 0.5F;
-/// Time that a starting node needs, after it learned of the first other member, to learn the size
-/// of the fleet and whether it is a strong node: two rounds of queries for members. Without this
-/// time 178 of 300 nodes that returned together read the store (control_traffic_test).
+/// Time after the addition of the first member in which a starting node learns the size of the
+/// fleet and whether it is a strong node: two rounds of requests for members. Without this time,
+/// 178 of 300 nodes that restarted together read the store (control_traffic_test).
 constexpr base::duration discovery_time = std::chrono::milliseconds(200);
-/// Time for which a starting node that knows no other member waits for a seed to send it members.
+/// Time for which a starting node that knows no member waits for a seed to send it members.
 constexpr base::duration join_timeout = std::chrono::milliseconds(300);
-/// Maximum number of times that a watch is handed over from a node that cannot read the service to
-/// the next. While a third of the nodes cannot read a service, one of its watches in 27 is then
-/// held by no node; a service has several watches.
+/// Maximum number of times that a watch is handed over from node to node because a node cannot read
+/// the service. If a third of the nodes cannot read the service, one watch in 27 reaches no node
+/// that can; several nodes watch each service.
 constexpr std::uint32_t max_handovers = 2;
-/// Time for which a node watches in place of another; a further handover before its end extends it.
-/// While the store answers no node, it is queried no more often than by the nodes whose job it is
-/// to watch.
+/// Time for which a node watches a service in place of another node; another handover to it within
+/// this time extends it. While the store answers no node, it receives no more calls than from the
+/// nodes that have the job to watch.
 constexpr base::duration substitution_duration = std::chrono::seconds(10);
 constexpr base::duration handover_interval = substitution_duration / 2;
 
@@ -66,8 +69,8 @@
                                                             : catalog_.latest_operator_position();
     watch.note_latest_revision(latest.era, latest.revision, now);
     if (const auto after = watch.next_read(should_read_service(source, now), now)) {
-      // The first listing may be stale: the watch that continues from its revision returns the
-      // changes that it lacks at once.
+      // The first listing may be stale: the watch after its revision returns the missing changes at
+      // once.
       const bool allow_stale = *after == 0 && !watch.has_answered();
       commands_.emplace_back(read_service{source, *after, allow_stale, watch.max_hold_time()});
     }
--- a/tests/node/driven_node.h
+++ b/tests/node/driven_node.h
@@ -1,5 +1,5 @@
-/// Node that serves a published catalog. Tests drive its clock and its events and read its
-/// commands.
+/// Node whose events and clock a test controls, and whose commands the test reads. The node serves
+/// a published catalog.
 #pragma once
 
 #include "node/node.h"
@@ -11,8 +11,8 @@
 
 namespace spurrack {
 
-/// Holds the node, its clock and its commands so far. The node gets the published catalog at its
-/// start.
+/// The node, its clock and the commands that it has returned so far. The constructor delivers the
+/// published catalog to the node.
 struct driven_node {
   /// @param step interval between two events while time advances.
   explicit driven_node(const node::node_settings& settings = usual_settings(),
@@ -48,8 +48,8 @@
     }
   }
 
-  /// Delivers a request on a published route.
-  /// @param allowed time from the arrival to the deadline of the request.
+  /// Delivers a request on a published route to the node.
+  /// @param allowed time from the arrival of the request to its deadline.
   void deliver_request(base::caller_id client, const std::string& path, base::time_point arrived_at,
                        base::duration allowed) {
     auto content = std::make_shared<serving::request_content>();
@@ -62,7 +62,7 @@
     deliver(serving::event(serving::request_arrived{client, content, arrived_at}));
   }
 
-  /// @return the commands of one type from the serving path so far, oldest first.
+  /// @return the commands of one type that the serving path has returned so far, oldest first.
   template <typename command_type>
   [[nodiscard]] std::vector<command_type> all() const {
     std::vector<command_type> found;
--- a/tests/node/planned_stop_test.cc
+++ b/tests/node/planned_stop_test.cc
@@ -1,5 +1,5 @@
-/// Time at which a stopping node completes its stop, and the end of its active requests, if
-/// requests arrive until the last moment.
+/// Graceful stop of a node to which requests arrive until the last moment: the time at which it
+/// completes the stop, and the requests that are still active at the end.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Node with a maximum duration of its stop.
+/// Node with a maximum duration of its graceful stop.
 struct stopping_node : driven_node {
   explicit stopping_node(base::duration max_stop_duration = milliseconds(7'300))
       : driven_node(settings_with(max_stop_duration), milliseconds(10)) {}
@@ -59,7 +59,8 @@
   deliver(node::stop_requested{});
   advance_time(milliseconds(1'600));
   BOOST_REQUIRE(has_stopped());
-  // Arrives on a connection that is still open; its replica takes longer than for earlier requests.
+  // This request arrives on a connection that is still open, and its replica takes longer than it
+  // did for the earlier requests.
   const auto call = deliver_request(10, "/unsafe/x");
   BOOST_TEST(all<serving::start_call>().size() == 5U);
   advance_time(milliseconds(5'600));
--- a/tests/node/store_era_test.cc
+++ b/tests/node/store_era_test.cc
@@ -1,4 +1,4 @@
-/// Behaviour of a node if the store is restored from an older copy.
+/// Behaviour of a node if the store of the platform is restored from an older backup.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// Node that reads the services itself, after a listing of the replicas in era 1.
+/// Node that reads the platform services itself and has received a listing of the replicas in
+/// era 1.
 struct reading_node : driven_node {
   reading_node() { answer(1, 100, true, entries); }
 
@@ -27,8 +28,8 @@
     deliver(answered);
   }
 
-  /// @return the revision after which the node last read a service; std::nullopt if it has not read
-  ///         it.
+  /// @return the revision after which the node last read a platform service; std::nullopt if it has
+  ///         not read the service.
   [[nodiscard]] std::optional<base::revision> latest_read(node::source_kind source) const {
     std::optional<base::revision> latest;
     for (const auto& command : commands) {
--- a/tests/node/suspension_test.cc
+++ b/tests/node/suspension_test.cc
@@ -1,7 +1,7 @@
-/// Behaviour of a node after its machine was suspended. The steady clock, which drives the timers
-/// of the event loop, stops during the suspension, while the boot clock, which all decisions use,
-/// advances. No timer fires when the machine resumes: input that waits in sockets is processed
-/// first, at a time of the boot clock after the suspension.
+/// Behaviour of a node after its machine was suspended. During the suspension the steady clock,
+/// which drives the timers of the event loop, stops, while the boot clock, which all decisions use,
+/// advances. Therefore no timer fires when the machine resumes: the node first processes the input
+/// that waits in sockets, at a time of the boot clock after the suspension.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -37,8 +37,8 @@
     return all<serving::start_call>();
   }
 
-  /// @return whether the suspension is the first record in the event log after the given number of
-  ///         records.
+  /// @return whether the event log records the suspension immediately after its first
+  ///         `events_before` records.
   [[nodiscard]] bool recorded_suspension_first(std::size_t events_before) const {
     const auto& entries = subject.events().entries();
     return entries.size() > events_before &&
@@ -80,7 +80,7 @@
 BOOST_AUTO_TEST_CASE(replicas_are_not_unresponsive_after_a_suspension) {
   suspend();
   deliver(node::time_passed{});
-  // The call of the request whose deadline has not passed continues at its replica.
+  // The call of request 2, whose deadline has not passed, continues at its replica.
   BOOST_TEST(calls().empty());
   for (const auto& [id, state] : subject.serving()->replicas().all()) {
     BOOST_TEST((state.silent_at == base::time_point{}));
@@ -152,8 +152,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_next_wakeup_is_at_most_one_periodic_interval_away) {
-  // The event loop sleeps at most until the next wake-up, so timers that are due fire within this
-  // time after the steady clock continues, for any duration of the suspension.
+  // The event loop sleeps at most until the next wake-up. After a suspension of any duration,
+  // timers that are due therefore fire within this time after the steady clock continues.
   for (int step = 0; step < 100; ++step) {
     now += milliseconds(7);
     deliver(node::time_passed{});
--- a/tests/node/watch_handover_test.cc
+++ b/tests/node/watch_handover_test.cc
@@ -1,4 +1,5 @@
-/// Handover of the watch of a service to a node by another node.
+/// Handover of the watch of a platform service: another node, which cannot read the service,
+/// requests the node to watch it instead.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,7 +13,7 @@
 
 namespace {
 
-/// Ready node whose reads are not answered after its start.
+/// Ready node that gets no answers to its reads after its start.
 struct substitute_node : driven_node {
   substitute_node() {
     node::service_answered replicas;
