--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -61,7 +61,7 @@
   }
 }
 
-void replicator::compare(const base::network_address& peer, std::uint64_t peer_hash, bool eager,
+void replicator::compare(const base::network_address& peer, std::uint64_t peer_hash, bool is_eager,
                          base::time_point now, wire::outbox& out) {
   if (peer_hash == content_->content_hash()) {
     differs_since_.reset();
@@ -69,8 +69,8 @@
     return;
   }
   const bool is_settled = has_settled(peer_hash, now);
-  const auto interval = eager ? min_exchange_interval : exchange_interval_;
-  if ((!is_settled && !eager) || now - last_exchange_at_ < interval || is_answer_pending(now)) {
+  const auto interval = is_eager ? min_exchange_interval : exchange_interval_;
+  if ((!is_settled && !is_eager) || now - last_exchange_at_ < interval || is_answer_pending(now)) {
     return;
   }
   last_exchange_at_ = now;
--- a/src/catalog/replicator.h
+++ b/src/catalog/replicator.h
@@ -80,9 +80,9 @@
   /// Starts a comparison with a peer if its content hash differs from this node's hash and the
   /// difference has lasted for `settle_time`.
   /// @param peer_hash content hash that the peer sent in a message.
-  /// @param eager whether to start without waiting for `settle_time`. Set while this node is
+  /// @param is_eager whether to start without waiting for `settle_time`. Set while this node is
   ///              starting or is resuming after a suspension.
-  void compare(const base::network_address& peer, std::uint64_t peer_hash, bool eager,
+  void compare(const base::network_address& peer, std::uint64_t peer_hash, bool is_eager,
                base::time_point now, wire::outbox& out);
 
   /// Handles the bodies `catalog_push`, `catalog_buckets` and `catalog_pull`; ignores other bodies.
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -160,7 +160,7 @@
          std::to_string(base::to_milliseconds(gap)) + " ms");
   membership_.resume_after_suspension(now);
   executor_.set_dispatch_paused(true);
-  hold_ends_at_ = now + settings_.resync_timeout;
+  dispatch_pause_ends_at_ = now + settings_.resync_timeout;
   if (serving_) {
     serving_->resume_after_suspension(gap, now);
   }
@@ -182,8 +182,9 @@
     return;
   }
   is_synced_with_peer_ = true;
-  if (hold_ends_at_ && message.has_acknowledgement() && message.acknowledgement().resync()) {
-    hold_ends_at_.reset();
+  if (dispatch_pause_ends_at_ && message.has_acknowledgement() &&
+      message.acknowledgement().resync()) {
+    dispatch_pause_ends_at_.reset();
     executor_.set_dispatch_paused(false);
   }
   update_readiness(now);
@@ -221,16 +222,16 @@
   if (!is_ready_) {
     request_resync(now);
   }
-  if (hold_ends_at_ && now >= *hold_ends_at_) {
-    hold_ends_at_.reset();
+  if (dispatch_pause_ends_at_ && now >= *dispatch_pause_ends_at_) {
+    dispatch_pause_ends_at_.reset();
     executor_.set_dispatch_paused(false);
   }
   update_readiness(now);
 }
 
 bool node::is_near(const base::zone_id& zone) const {
-  const auto& own = settings_.self.zone;
-  return !serving_ || !settings_.serving->regions.are_in_different_regions(own, zone);
+  const auto& own_zone = settings_.self.zone;
+  return !serving_ || !settings_.serving->regions.are_in_different_regions(own_zone, zone);
 }
 
 model::locality node::peer_locality(const base::network_address& peer) const {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -192,7 +192,8 @@
   /// nodes of this node's zone, and this node's position among them.
   void update_sharing();
   void dispatch_message(const wire::envelope& message, base::time_point now);
-  void on_backend_notice(const wire::backend_notice& notice, bool from_zone, base::time_point now);
+  void on_backend_notice(const wire::backend_notice& notice, bool is_from_own_zone,
+                         base::time_point now);
   /// Sends a leave notice, which announces that a back end drains, to all nodes of this node's
   /// zone.
   void broadcast_notice(const wire::backend_notice& notice);
@@ -294,7 +295,7 @@
   double peer_wait_fraction_ = 0;
   /// Time at which the pause of dispatch after a suspension ends; std::nullopt if dispatch is not
   /// paused.
-  std::optional<base::time_point> hold_ends_at_;
+  std::optional<base::time_point> dispatch_pause_ends_at_;
   base::time_point next_periodic_at_;
   std::uint64_t next_request_number_ = 1;
   control_counters control_;
--- a/src/node/node_peers.cc
+++ b/src/node/node_peers.cc
@@ -20,7 +20,7 @@
 
 void node::dispatch_message(const wire::envelope& message, base::time_point now) {
   const base::network_address sender(message.sender_address());
-  const bool from_zone = message.sender_zone() == settings_.self.zone.text();
+  const bool is_from_own_zone = message.sender_zone() == settings_.self.zone.text();
   membership_.handle(message, now, outbox_);
   replicator_.handle(
       message, [this] { return replication_peers(); }, now, outbox_);
@@ -28,7 +28,7 @@
     on_backend_notice(notice, true, now);
   }
   if (message.has_backend_notice()) {
-    on_backend_notice(message.backend_notice(), from_zone, now);
+    on_backend_notice(message.backend_notice(), is_from_own_zone, now);
   }
   for (const auto& notice : message.zone_digest().leaving()) {
     on_backend_notice(notice, false, now);
@@ -58,27 +58,27 @@
   if (message.has_watch_handover()) {
     on_watch_handover(message.watch_handover(), now);
   }
-  const bool probe =
+  const bool is_membership_message =
       message.has_ping() || message.has_acknowledgement() || message.has_zone_digest();
-  if (probe) {
+  if (is_membership_message) {
     // A comparison with a node of another region starts only after the difference has lasted for
     // `settle_time`, because traffic between regions is expensive.
-    const bool near = is_near(base::zone_id(message.sender_zone()));
-    const bool wants_all = !is_ready_ || hold_ends_at_.has_value();
-    const bool eager = wants_all && near && message.sender_is_ready();
-    replicator_.compare(sender, message.catalog_hash(), eager, now, outbox_);
+    const bool is_near_sender = is_near(base::zone_id(message.sender_zone()));
+    const bool wants_all = !is_ready_ || dispatch_pause_ends_at_.has_value();
+    const bool is_eager = wants_all && is_near_sender && message.sender_is_ready();
+    replicator_.compare(sender, message.catalog_hash(), is_eager, now, outbox_);
   }
   apply_machine_changes(now);
 }
 
-void node::on_backend_notice(const wire::backend_notice& notice, bool from_zone,
+void node::on_backend_notice(const wire::backend_notice& notice, bool is_from_own_zone,
                              base::time_point /*now*/) {
   const base::backend_id backend(notice.backend());
   if (!backends_.mark_draining(backend, notice.generation())) {
     return;
   }
   record(base::event_kind::backend_leaving, {}, notice.backend(), "announced by a peer");
-  if (from_zone) {
+  if (is_from_own_zone) {
     announced_leave_generations_[backend] = notice.generation();
   }
 }
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -97,10 +97,10 @@
 }
 
 bool node::is_strong() const {
-  const auto own = settings_.self.processor_share;
+  const auto own_processor_share = settings_.self.processor_share;
   const auto& known = membership_.members();
   return std::none_of(known.begin(), known.end(), [&](const auto& entry) {
-    return own < entry.second.processor_share * min_strong_node_fraction;
+    return own_processor_share < entry.second.processor_share * min_strong_node_fraction;
   });
 }
 
