--- a/src/node/events.h
+++ b/src/node/events.h
@@ -95,7 +95,7 @@
   /// Whether the answer may be a listing that is some seconds old.
   bool allow_stale = false;
   /// Maximum time for which the service may delay the answer.
-  base::duration hold{};
+  base::duration max_hold_time{};
 };
 /// Sends a small query to a platform service while the answer to a read is pending, to check that
 /// the service still answers. Only a failure is reported, as `service_failed`.
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -346,7 +346,7 @@
   const auto started_at = now();
   events_.schedule_after(platform_delay, [=, this] {
     if (platform_hangs_until_ > started_at) {
-      fail_after(request.hold + connect_timeout);
+      fail_after(request.max_hold_time + connect_timeout);
       return;
     }
     if (!is_reachable()) {
@@ -359,7 +359,7 @@
       }
       if (platform_hangs_until_ > started_at) {
         const base::duration elapsed = now() - started_at;
-        fail_after(std::max<base::duration>(request.hold - elapsed, base::duration{}) +
+        fail_after(std::max<base::duration>(request.max_hold_time - elapsed, base::duration{}) +
                    connect_timeout);
         return;
       }
