--- a/src/catalog/service_watch.h
+++ b/src/catalog/service_watch.h
@@ -60,7 +60,7 @@
 
 /// Number of calls to a platform service, by cause.
 struct service_calls {
-  /// Includes the listings for which a stale answer was allowed
+  /// Number of listings, including those for which a stale answer was allowed
   /// (`node::read_service::allow_stale`).
   std::uint64_t listings = 0;
   std::uint64_t watches = 0;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -238,9 +238,8 @@
               const std::string& detail);
   base::request_id next_request_id();
   [[nodiscard]] std::vector<base::network_address> zone_peer_addresses() const;
-  /// @return peers with which this node exchanges published records: the live peers of its zone
-  /// and,
-  ///         if the node serves published routes, a few random members of other zones.
+  /// @return peers with which this node exchanges published records: the live peers of its zone,
+  ///         and a few random members of other zones if the node serves published routes.
   [[nodiscard]] std::vector<base::network_address> replication_peers();
   [[nodiscard]] std::optional<base::network_address> address_of(const base::node_id& node) const;
 
