--- a/tests/platform_fleet/crashing_request_check.cc
+++ b/tests/platform_fleet/crashing_request_check.cc
@@ -12,14 +12,17 @@
 
 using std::chrono::milliseconds;
 
+/// Number of times that the crashing request is sent.
 constexpr std::size_t max_sends = 16;
-/// Interval between two requests. Longer than the downtime of a replica: the fault proxy accepts
-/// connections for a replica that is down, so that nodes detect a crash only by the restart.
+/// Interval between two requests. Longer than the downtime of a crashed replica: the fault proxy
+/// accepts connections for a replica that is down, so that nodes detect a crash only by the
+/// restart.
 constexpr milliseconds send_interval{700};
 constexpr milliseconds downtime{400};
-/// Number of replicas that one request may crash.
+/// Maximum number of replicas that one request may crash.
 constexpr std::size_t max_exits = 5;
-/// Number of replicas that the request may crash after all nodes know of the first three crashes.
+/// Maximum number of replicas that the request may crash after all nodes know of the first three
+/// crashes (`known_exits`).
 constexpr std::size_t max_late_exits = 3;
 constexpr std::size_t known_exits = 3;
 constexpr unsigned not_executed_status = 503;
--- a/tests/platform_fleet/crashing_request_check.h
+++ b/tests/platform_fleet/crashing_request_check.h
@@ -1,5 +1,6 @@
-/// Check of the fault soak: sends a request that crashes every replica that starts it to random
-/// nodes repeatedly, and checks that few replicas crash and that the request is quarantined.
+/// Check of the fault soak (fault_soak.cc) with a crashing request: every replica that starts to
+/// run this request crashes. Clients send the request repeatedly to random nodes. Checks that few
+/// replicas crash and that the nodes quarantine the request.
 #pragma once
 
 #include "soak_fleet.h"
@@ -11,19 +12,21 @@
 
 namespace spurrack::platform_tests {
 
-/// Not thread-safe.
+/// Sends the crashing request and restarts the replicas that crashed. Not thread-safe.
 class crashing_request_check {
  public:
   crashing_request_check(soak_fleet& fleet, soak_recorder& recorder, base::random_source& random);
 
-  /// Sends the request repeatedly, restarts crashed replicas, records violations, and waits until
-  /// the fleet has settled.
+  /// Sends the crashing request repeatedly, restarts crashed replicas, records violations, and
+  /// waits until the fleet has settled.
   void check();
 
  private:
+  /// Sends the crashing request once to a random node.
   void send();
   /// Records new crashes and restarts replicas whose downtime is over.
   void restart_crashed();
+  /// Records a violation if too many replicas crashed or if the last request was not refused.
   void check_limits();
 
   soak_fleet* fleet_;
--- a/tests/platform_fleet/event_replica.h
+++ b/tests/platform_fleet/event_replica.h
@@ -20,16 +20,16 @@
 
 /// Answers of the replica; the path of a request selects one of three kinds.
 struct event_replica_options {
-  /// `/stream/` except `/stream/good/`: long streams, an event every interval while the client
-  /// reads.
+  /// Paths under `/stream/` except `/stream/good/`: long streams with an event every interval while
+  /// the client reads.
   std::size_t long_events = 200;
   std::size_t long_event_bytes = 10'000;
   std::chrono::milliseconds long_interval{25};
-  /// `/stream/good/`: short streams, an event every interval.
+  /// Paths under `/stream/good/`: short streams with an event every interval.
   std::size_t short_events = 20;
   std::size_t short_event_bytes = 100;
   std::chrono::milliseconds short_interval{20};
-  /// Any other path: answers of this size with Content-Length.
+  /// Other paths: size of an answer that is no stream and has a Content-Length header.
   std::size_t whole_bytes = 1'000'000;
   /// Time after which a blocked write aborts the answer.
   std::chrono::milliseconds write_timeout{4'000};
@@ -38,7 +38,8 @@
 /// @return event with the id `number` and `bytes` bytes of data.
 std::string event_text(std::size_t number, std::size_t bytes);
 
-/// Serves from construction to destruction. Its counters can be read from any thread.
+/// Replica that serves requests from construction to destruction. The counters can be read from any
+/// thread.
 class event_replica {
  public:
   explicit event_replica(const event_replica_options& options = {});
@@ -49,7 +50,8 @@
   [[nodiscard]] std::string address() const;
   /// @return number of streams aborted because the client did not read.
   [[nodiscard]] std::uint64_t aborted_streams() const { return aborted_streams_; }
-  /// @return number of other answers aborted because the client did not read.
+  /// @return number of answers other than streams that were aborted because the client did not
+  ///         read.
   [[nodiscard]] std::uint64_t aborted_whole_answers() const { return aborted_whole_answers_; }
   /// @return number of streams requested with a Last-Event-Id above 0.
   [[nodiscard]] std::uint64_t resumed_streams() const { return resumed_streams_; }
@@ -60,10 +62,10 @@
   using request = boost::beast::http::request<boost::beast::http::string_body>;
   boost::asio::awaitable<void> accept_all();
   boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
-  /// Answers one request with a stream. @return whether all of it was written.
+  /// Answers one request with a stream. @return whether the whole stream was written.
   boost::asio::awaitable<bool> answer_stream(boost::beast::tcp_stream& stream,
                                              const request& received);
-  /// Answers one request with `whole_bytes` bytes. @return whether all of them were written.
+  /// Answers one request with `whole_bytes` bytes. @return whether all bytes were written.
   boost::asio::awaitable<bool> answer_whole(boost::beast::tcp_stream& stream,
                                             const request& received);
   /// Writes bytes. Counts the answer in `aborted_answers` if the client does not read them within
--- a/tests/platform_fleet/fault_soak.cc
+++ b/tests/platform_fleet/fault_soak.cc
@@ -1,7 +1,7 @@
-/// Randomized soak test: real daemons under load while faults are injected from outside, in series
-/// and overlapping. Checks what clients and replicas observe against the invariants. Exits with 1
-/// if an invariant was violated. The seed determines the faults; the scheduling of processes and
-/// threads differs from run to run.
+/// Fault soak: a randomized soak test of real daemons under load. Faults are injected from outside
+/// the daemons, in series and overlapping. Checks what clients and replicas observe against the
+/// invariants, and exits with 1 if an invariant was violated. The seed determines the faults; the
+/// scheduling of processes and threads differs from run to run.
 #include "machine_limits.h"
 #include "soak_run.h"
 
--- a/tests/platform_fleet/foreign_entries.h
+++ b/tests/platform_fleet/foreign_entries.h
@@ -1,6 +1,6 @@
-/// Invalid store entries of another writer under the prefix of the replicas: fields that are
-/// missing or of another type, unknown names, bytes that cannot be parsed. Nodes must not call the
-/// addresses in them.
+/// Foreign entries: invalid store entries that another writer put under the key prefix of the
+/// replicas. They have missing fields, fields of another type, unknown names, or bytes that cannot
+/// be parsed. Nodes must not send requests to the addresses in foreign entries.
 #pragma once
 
 #include "soak_recorder.h"
@@ -12,8 +12,8 @@
 
 namespace spurrack::platform_tests {
 
-/// Owns the entries. Each entry with an address has its own server at that address, which records a
-/// violation if a node calls it.
+/// Owns the foreign entries. Each entry with an address has its own server at that address, which
+/// records a violation if a node sends it a request.
 class foreign_entries {
  public:
   foreign_entries(soak_store& store, soak_recorder& recorder);
@@ -25,7 +25,7 @@
   void put_all();
   /// Deletes all entries from the store.
   void remove_all();
-  /// Replaces the entry of a replica by bytes that cannot be parsed.
+  /// Replaces the store entry of a replica by bytes that cannot be parsed.
   void overwrite(const soak_replica& replica);
 
  private:
@@ -40,7 +40,7 @@
   void add_with_field(const std::string& field, const std::optional<boost::json::value>& value);
   /// Adds an entry with the given bytes as its value.
   void add_raw(const std::string& name, const std::string& value);
-  /// Returns a server that records a violation at its first call.
+  /// Returns a server that records a violation when it receives its first request.
   std::unique_ptr<scripted_server> make_call_detector(const std::string& description);
 
   soak_store* store_;
--- a/tests/platform_fleet/graceful_stops.cc
+++ b/tests/platform_fleet/graceful_stops.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/// Time after SIGTERM at which the platform kills a process, with slack for a busy machine.
+/// Time from SIGTERM until the platform kills a process, with slack for a busy machine.
 constexpr milliseconds stop_timeout{9'000};
 
 } // namespace
--- a/tests/platform_fleet/graceful_stops.h
+++ b/tests/platform_fleet/graceful_stops.h
@@ -1,4 +1,5 @@
-/// Graceful stops of real daemons. Several stops can run at the same time.
+/// Graceful stops of real daemons: a daemon that receives SIGTERM completes its requests and exits
+/// within the grace period. Several daemons can be stopping at the same time.
 #pragma once
 
 #include "soak_fleet.h"
@@ -8,7 +9,8 @@
 
 namespace spurrack::platform_tests {
 
-/// Not thread-safe.
+/// Stops nodes gracefully, checks that their processes exit in time with code 0, and starts the
+/// nodes again. The destructor waits for all stopping nodes. Not thread-safe.
 class graceful_stops {
  public:
   graceful_stops(soak_fleet& fleet, soak_recorder& recorder)
@@ -17,22 +19,26 @@
   graceful_stops(const graceful_stops&) = delete;
   graceful_stops& operator=(const graceful_stops&) = delete;
 
-  /// Begins a stop after which the node is started again. Does nothing if the node is stopping.
+  /// Sends SIGTERM to a node, and starts the node again after its process has exited. Returns
+  /// without waiting. Does nothing if the node is already stopping.
   void begin(soak_node& node) { begin(node, true); }
-  /// Begins a stop after which the node stays down. Does nothing if the node is stopping.
+  /// Sends SIGTERM to a node that is not started again. Returns without waiting. Does nothing if
+  /// the node is already stopping.
   void begin_final(soak_node& node) { begin(node, false); }
-  /// Waits until all stops have ended and their nodes were started again.
+  /// Waits until the processes of all stopping nodes have exited and the nodes that are to be
+  /// started again were started.
   void wait();
 
  private:
   void begin(soak_node& node, bool should_restart);
-  /// Waits for the exit of the process, records a violation if it exits late or with an error, and
-  /// starts the node again if `should_restart` is set. Runs on a thread of its own.
+  /// Waits for the exit of the process, records a violation if the process exits late or with an
+  /// error, and starts the node again if `should_restart` is true. Runs on a separate thread for
+  /// each stopping node.
   void finish(soak_node& node, bool should_restart);
 
   soak_fleet* fleet_;
   soak_recorder* recorder_;
-  /// One thread for each stop.
+  /// Threads that run `finish`, one for each node that was stopped since the last `wait`.
   std::list<std::thread> stop_threads_;
 };
 
--- a/tests/platform_fleet/http_text.h
+++ b/tests/platform_fleet/http_text.h
@@ -1,4 +1,4 @@
-/// HTTP/1.1 messages as text, for emulated services that write answers as raw bytes.
+/// HTTP/1.1 messages as text, for emulated servers that write answers as raw bytes.
 #pragma once
 
 #include <charconv>
@@ -9,7 +9,7 @@
 
 namespace spurrack::platform_tests {
 
-/// Returns a message with a Content-Length header.
+/// Returns an HTTP response with a Content-Length header.
 /// @param status such as `200 OK`. @param headers header lines, each with its CRLF.
 inline std::string http_message(const std::string& status, const std::string& headers,
                                 const std::string& body) {
@@ -17,8 +17,8 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// @return chunk of a chunked body; an empty string for empty bytes, since an empty chunk ends the
-///         body.
+/// @return `bytes` as one chunk of a chunked body; an empty string if `bytes` is empty, because an
+///         empty chunk would end the body.
 inline std::string http_chunk(const std::string& bytes) {
   if (bytes.empty()) {
     return "";
@@ -29,10 +29,10 @@
   return size + bytes + "\r\n";
 }
 
-/// Last chunk of a chunked body.
+/// Empty chunk that ends a chunked body.
 inline const std::string last_http_chunk = "0\r\n\r\n";
 
-/// @return decimal number at the start of the text; 0 if the text does not start with a number.
+/// @return decimal number at the start of `text`; 0 if `text` does not start with a number.
 inline std::uint64_t leading_number(const std::string& text) {
   std::uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
--- a/tests/platform_fleet/machine_limits.cc
+++ b/tests/platform_fleet/machine_limits.cc
@@ -10,11 +10,11 @@
 
 constexpr std::size_t daemon_limit = 150;
 constexpr std::size_t memory_limit_bytes = 16'000'000'000;
-/// Memory of one daemon under the load of a soak, including its clients and replicas in this
-/// process. A daemon beside 149 others used 27 MB.
+/// Memory for one daemon under the load of a soak, including the memory that this process uses for
+/// the clients and replicas of the daemon. A daemon beside 149 others used 27 MB.
 constexpr std::size_t bytes_per_daemon = 100'000'000;
-/// Descriptors and threads of this process for one daemon: for its client and its connections to
-/// replicas and store. A daemon used 11 descriptors and 8 threads.
+/// Descriptors and threads that this process uses for one daemon: for the client of the daemon and
+/// for its connections to replicas and store. Each daemon needed 11 descriptors and 8 threads.
 constexpr std::size_t descriptors_per_daemon = 60;
 constexpr std::size_t threads_per_daemon = 60;
 
--- a/tests/platform_fleet/planned_maintenance.h
+++ b/tests/platform_fleet/planned_maintenance.h
@@ -8,15 +8,15 @@
 
 namespace spurrack::platform_tests {
 
-/// Not thread-safe.
+/// Restarts all nodes and makes changes while the nodes restart. Not thread-safe.
 class planned_maintenance {
  public:
   planned_maintenance(soak_fleet& fleet, soak_recorder& recorder, base::random_source& random)
       : fleet_(&fleet), recorder_(&recorder), random_(&random), stops_(fleet, recorder) {}
 
-  /// Restarts every node once. Stops overlap: each begins while earlier stops are in progress.
-  /// Meanwhile reloads settings and changes the configuration. Returns when all nodes were started
-  /// again.
+  /// Restarts every node once. The restarts overlap: a node begins to stop while earlier nodes are
+  /// still stopping. Reloads settings and changes the configuration in the meantime. Returns when
+  /// all nodes were started again.
   void restart_all_nodes();
 
  private:
@@ -24,7 +24,7 @@
   void make_changes_until(soak_clock::time_point end);
   /// Publishes many configuration changes in quick succession.
   void publish_change_burst();
-  /// Reloads the settings of a random node unless it was started only recently.
+  /// Reloads the settings of a random node, unless the node was started only recently.
   void reload_random_node();
 
   soak_fleet* fleet_;
--- a/tests/platform_fleet/planned_stop_test.cc
+++ b/tests/platform_fleet/planned_stop_test.cc
@@ -1,12 +1,12 @@
-/// Graceful stop of a real daemon while clients keep sending requests for streams that last several
-/// seconds.
+/// Graceful stop of a real daemon (SIGTERM) while clients keep sending requests for streams that
+/// last several seconds.
 ///
 /// Guards against streams that a stopping node accepts and cannot complete. In a rolling restart
-/// under load a stopping node accepted every request for three seconds and aborted what was left at
-/// the end of its grace period. A client received the head of a stream and then a closed
-/// connection; it had sent the request three seconds after the stop began. In the logs of one run
-/// each of 92 truncated streams was accepted after the stop had begun, the earliest 0.6 s after it,
-/// and aborted at the end of the grace period.
+/// under load, stopping nodes accepted every request for three seconds after SIGTERM and aborted
+/// unfinished streams at the end of the grace period. A client that sent its request three seconds
+/// after SIGTERM received the head of a stream and then a closed connection. In the logs of one run
+/// all 92 truncated streams were accepted after SIGTERM, the earliest 0.6 s after it, and were
+/// aborted at the end of the grace period.
 #include "event_replica.h"
 #include "reading_client.h"
 #include "single_daemon.h"
@@ -36,14 +36,15 @@
 
 /// Grace period in the settings of the daemon: time between SIGTERM and SIGKILL.
 constexpr int short_grace_seconds = 5;
-/// Grace period that exceeds the time of all requests.
+/// Grace period that is longer than every request.
 constexpr int long_grace_seconds = 20;
-/// Long streams last three seconds: longer than the rest of the grace period for late requests.
+/// Long streams last three seconds: longer than what is left of the grace period when the last
+/// requests arrive.
 const event_replica_options replica_options{
     .long_events = 60, .long_event_bytes = 100, .long_interval = milliseconds(50)};
 /// Interval between the requests.
 constexpr milliseconds arrival_interval{100};
-/// A refusal that takes longer has kept its client waiting.
+/// Maximum time from sending a request to its refusal; a slower refusal keeps the client waiting.
 constexpr milliseconds max_refusal_time{500};
 
 std::string configuration() {
@@ -56,7 +57,7 @@
      "max_attempts":1,"target_latency_ms":5000,"gap_target_ms":1000}]})";
 }
 
-/// Store, replica that streams, and daemon.
+/// Daemon under test with its store and a replica that streams.
 struct stopping_daemon {
   explicit stopping_daemon(int grace) : grace_seconds(grace), replica(replica_options) {
     store.put("op/config", configuration());
@@ -73,19 +74,19 @@
   std::optional<single_daemon> daemon;
 };
 
-/// Outcomes of the requests during a stop.
+/// Outcomes of the requests that were sent while the daemon was stopping.
 struct stop_outcome {
   std::size_t completed = 0;
   std::size_t refused = 0;
-  /// Refusals that took longer than `max_refusal_time`.
+  /// Number of refusals that took longer than `max_refusal_time`.
   std::size_t refused_late = 0;
-  /// Requests on an accepted connection that received an incomplete answer or no answer.
+  /// Number of requests on an accepted connection that received an incomplete answer or no answer.
   std::size_t truncated = 0;
-  /// Requests whose connection was refused.
+  /// Number of requests whose connection was refused.
   std::size_t not_connected = 0;
-  /// Time from the start of the stop to the sending of the last request with a complete answer.
+  /// Time from SIGTERM to the sending of the last request that received a complete answer.
   std::chrono::steady_clock::duration latest_completed_offset{};
-  /// Time from the start of the stop for which the daemon accepted connections.
+  /// Time for which the daemon accepted connections after SIGTERM.
   std::chrono::steady_clock::duration listening_time{};
 };
 
@@ -94,7 +95,8 @@
  public:
   explicit periodic_clients(const stopping_daemon& subject) : subject_(&subject) {}
 
-  /// Completes streams before the stop, so that the daemon learns their duration.
+  /// Sends requests for streams before SIGTERM and waits until the streams are complete, so that
+  /// the daemon learns how long they last.
   void send_before_stop(const std::string& path, std::size_t streams) {
     for (std::size_t number = 0; number < streams; ++number) {
       start(path, "before" + std::to_string(number));
@@ -108,7 +110,7 @@
     return stop_started_at_;
   }
 
-  /// Sends SIGTERM and then requests until the daemon accepts no more connections.
+  /// Sends SIGTERM to the daemon and then requests until the daemon accepts no more connections.
   stop_outcome send_during_stop(const std::string& path) {
     subject_->daemon->process().signal(SIGTERM);
     stop_started_at_ = std::chrono::steady_clock::now();
@@ -184,7 +186,7 @@
   }
 }
 
-/// Stops a daemon gracefully while requests for `path` arrive.
+/// Stops a daemon by SIGTERM while requests for `path` arrive.
 stop_outcome stop_under_load(const std::string& path, int grace_seconds) {
   stopping_daemon subject(grace_seconds);
   periodic_clients clients(subject);
@@ -213,8 +215,8 @@
   const auto outcome = stop_under_load("/stream/good/", short_grace_seconds);
   BOOST_TEST(outcome.truncated == 0U);
   BOOST_TEST(outcome.refused_late == 0U);
-  // The node must serve short streams until two readiness checks have failed and clients are sent
-  // to other nodes.
+  // The node must serve short streams until two readiness checks have failed and clients are
+  // directed to other nodes.
   BOOST_TEST((outcome.latest_completed_offset >= std::chrono::seconds(2)));
 }
 
--- a/tests/platform_fleet/random_faults.h
+++ b/tests/platform_fleet/random_faults.h
@@ -1,4 +1,4 @@
-/// Random faults injected into a fleet from outside, in series and overlapping.
+/// Random faults that the fault soak injects into a fleet from outside, in series and overlapping.
 #pragma once
 
 #include "foreign_entries.h"
@@ -8,7 +8,7 @@
 
 namespace spurrack::platform_tests {
 
-/// Not thread-safe.
+/// Injects random faults into nodes, links, store and replicas, and ends them. Not thread-safe.
 class random_faults {
  public:
   random_faults(soak_fleet& fleet, foreign_entries& foreign, soak_recorder& recorder,
@@ -18,8 +18,9 @@
 
   /// Injects random faults at random intervals until `end`.
   void inject_until(soak_clock::time_point end);
-  /// Ends all faults, then crashes and restarts one replica. Waits for nodes that are stopping.
-  /// Records a violation for each node that exited unexpectedly and starts it again.
+  /// Ends all faults, then crashes and restarts one replica. Waits until stopping nodes were
+  /// started again. Records a violation for each node that exited unexpectedly and starts the node
+  /// again.
   /// @return the restarted replica.
   soak_replica& end_faults();
 
@@ -30,20 +31,20 @@
   }
 
   void inject_random_fault();
-  /// Kills a node and starts it again at once. Records a violation if it had already exited.
+  /// Kills a node and starts it again at once. Records a violation if the node had already exited.
   void kill(soak_node& node);
   /// Suspends the process of a node with SIGSTOP.
   void suspend(soak_node& node);
   void resume_suspended();
   /// Reloads the settings of a node, valid or invalid at random.
   void reload(soak_node& node);
-  /// Partitions the peer link of a node.
+  /// Cuts the peer link of a node or holds back all bytes on the link, at random.
   void inject_peer_link_fault(const soak_node& node);
-  /// Partitions or delays the link to a replica.
+  /// Cuts the link to a replica, or holds back or delays all bytes on the link, at random.
   void inject_replica_link_fault(const soak_replica& replica);
   /// Publishes a replica as draining or ready at random.
   void set_random_draining(soak_replica& replica);
-  /// Crashes a replica without an announcement and restarts it under the same id.
+  /// Crashes a replica without a drain announcement and restarts it under the same id.
   void restart(soak_replica& replica);
 
   soak_fleet* fleet_;
--- a/tests/platform_fleet/rate_limit_check.cc
+++ b/tests/platform_fleet/rate_limit_check.cc
@@ -7,12 +7,12 @@
 namespace spurrack::platform_tests {
 namespace {
 
-/// Window over which the limit is checked. In each window the replica may receive
-/// `max_limit_factor` times the requests that its limit allows, and `burst_allowance` more.
+/// Length of the time windows over which the limit is checked. In each window the replica may
+/// receive `max_limit_factor` times the requests that its limit allows, and `burst_allowance` more.
 constexpr std::chrono::seconds limit_window{4};
 constexpr double max_limit_factor = 1.5;
 constexpr double burst_allowance = 5;
-/// Observation after all nodes know the limit.
+/// Time for which the requests to the replica are observed after all nodes know the limit.
 constexpr std::chrono::seconds observation_time{6};
 
 std::size_t max_arrivals_within_window(const std::vector<soak_clock::time_point>& arrivals) {
--- a/tests/platform_fleet/rate_limit_check.h
+++ b/tests/platform_fleet/rate_limit_check.h
@@ -1,5 +1,6 @@
-/// Check of the fault soak: a replica announces a limit for the requests per second of all nodes
-/// together, and must not receive more once all nodes know the limit.
+/// Check of the fault soak: a replica announces a limit for the requests per second that all nodes
+/// together may send to it. The replica must not receive more requests after all nodes know the
+/// limit.
 #pragma once
 
 #include "soak_fleet.h"
@@ -9,14 +10,15 @@
 
 namespace spurrack::platform_tests {
 
-/// Not thread-safe.
+/// Checks the limit of one replica. Not thread-safe.
 class rate_limit_check {
  public:
   rate_limit_check(soak_replica& replica, soak_recorder& recorder, base::random_source& random)
       : replica_(&replica), recorder_(&recorder), random_(&random) {}
 
-  /// Announces a random limit, observes the requests of the clients for 6 s, and withdraws the
-  /// limit.
+  /// Lets the replica announce a random limit, observes the requests that reach the replica for
+  /// 6 s after all nodes know the limit, records a violation if there are too many, and withdraws
+  /// the limit.
   void check();
 
  private:
--- a/tests/platform_fleet/reading_client.cc
+++ b/tests/platform_fleet/reading_client.cc
@@ -25,8 +25,10 @@
 using asio::ip::tcp;
 using http::await_into;
 
-/// On loopback the sender's buffer size depends on the segment size, which is 64 KB by default.
+/// Size of the receive buffer of a slow client.
 constexpr int slow_receive_buffer_bytes = 8'192;
+/// Maximum segment size on the connection of a slow client. On loopback it determines the size of
+/// the sender's buffer; the default of 64 KB would make that buffer large.
 constexpr int slow_segment_bytes = 1'400;
 constexpr std::size_t read_bytes = 16'384;
 /// Number of bytes that a pausing client reads before its pause.
@@ -35,7 +37,7 @@
 /// Interval at which a client that never reads checks whether its connection was reset.
 constexpr std::chrono::milliseconds reset_poll_interval{200};
 
-/// Parses an answer incrementally and checks its events.
+/// Parses an answer incrementally and checks the ids of its events.
 class answer_reader {
  public:
   answer_reader() { parser_.body_limit(boost::none); }
@@ -60,6 +62,7 @@
     return !parser_.is_done() && (!error || error == beast_http::error::need_more);
   }
 
+  /// Fills in the fields of `result` that are known at the end of the answer.
   void finish(request_result& result) const {
     result.status = parser_.is_header_done() ? parser_.get().result_int() : 0;
     result.has_retry_after = parser_.get().count("Retry-After") > 0;
@@ -114,7 +117,7 @@
   }
 }
 
-/// Reads an answer as the plan says.
+/// Reads an answer by the pattern of the plan.
 asio::awaitable<void> read_answer(tcp::socket& socket, const request_plan& plan,
                                   request_result& result) {
   answer_reader reader;
--- a/tests/platform_fleet/reading_client.h
+++ b/tests/platform_fleet/reading_client.h
@@ -1,5 +1,5 @@
-/// Client coroutine that reads its answer fast, slowly, with a pause or not at all, and checks it.
-/// Many clients can run on one thread.
+/// Client coroutine that sends one request, reads the answer fast, slowly, with a pause or not at
+/// all, and checks the answer. Many clients can run on one thread.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -28,34 +28,34 @@
   std::string path;
   std::string id;
   std::string body;
-  /// Length of the pause of `pausing`.
+  /// Duration of the pause; only for the pattern `pausing`.
   std::chrono::milliseconds pause{10'000};
 };
 
 /// Result of one request.
 struct request_result {
   unsigned status = 0;
-  /// The connection was established.
+  /// Whether the connection was established.
   bool is_connected = false;
-  /// The answer is complete by its HTTP framing.
+  /// Whether the answer is complete according to its HTTP framing.
   bool is_complete = false;
-  /// The ids of the events are 1, 2, 3 and so on.
+  /// Whether the ids of the received events are 1, 2, 3 and so on.
   bool is_in_order = true;
   std::size_t events = 0;
   std::size_t body_bytes = 0;
-  /// Time from the connect to the end of the answer.
+  /// Time from the start of the connect to the end of the answer.
   std::chrono::steady_clock::duration duration{};
   bool has_retry_after = false;
-  /// The connection was reset instead of closed.
+  /// Whether the connection was reset instead of closed.
   bool was_reset = false;
 };
 
-/// Limits the kernel buffers of both sides of a connection, so that unread bytes stay in the
-/// daemon.
+/// Limits the kernel buffers of both sides of a connection, so that bytes that the client does not
+/// read stay in the daemon.
 /// @param socket open and not yet connected.
 void prepare_slow_socket(boost::asio::ip::tcp::socket& socket);
 
-/// Sends one request on a new connection and reads the answer as the plan says.
+/// Sends the request of a plan on a new connection and reads the answer by the pattern of the plan.
 /// @param address `IP:port` of the daemon's listener for clients.
 boost::asio::awaitable<request_result> send_and_read(std::string address, request_plan plan);
 
--- a/tests/platform_fleet/scripted_server.h
+++ b/tests/platform_fleet/scripted_server.h
@@ -22,21 +22,21 @@
 using http_request = boost::beast::http::request<boost::beast::http::string_body>;
 using boost::asio::ip::tcp;
 
-/// Answer of the server to one request.
+/// What the server does in response to one request.
 struct scripted_answer {
-  /// Bytes that are written unchanged.
+  /// Bytes that are written unchanged, with the head of the answer.
   std::string bytes;
   /// Whether the connection is closed after the answer.
   bool close = false;
   /// Whether the connection is closed with a reset after the answer.
   bool reset = false;
-  /// Parts that are written after `bytes`, each after `pause`.
+  /// Parts that are written after `bytes`, each after a wait of `pause`.
   std::vector<std::string> delayed_bytes{};
   std::chrono::milliseconds pause{0};
 };
 
-/// Server on 127.0.0.1 that answers each request with the result of a function. Thread-safe; the
-/// function is called by the threads of the connections.
+/// Server on 127.0.0.1 that answers each request with the result of a function. Thread-safe. The
+/// threads of the connections call the function, so it must be thread-safe too.
 class scripted_server {
  public:
   using script = std::function<scripted_answer(const http_request&)>;
@@ -49,7 +49,7 @@
   ~scripted_server() {
     is_stopping_ = true;
     boost::system::error_code ignored;
-    // Unblocks the accept.
+    // Unblocks the accept call of `accept_thread_`.
     tcp::socket wake(io_);
     wake.connect(acceptor_.local_endpoint(), ignored);
     accept_thread_.join();
@@ -87,7 +87,7 @@
   /// Connection and the thread that serves it.
   struct connection {
     std::shared_ptr<tcp::socket> socket;
-    /// Set by the thread as its last action.
+    /// Set by `thread` as its last action.
     std::shared_ptr<std::atomic<bool>> ended;
     std::thread thread;
   };
@@ -113,8 +113,8 @@
     }
   }
 
-  /// Joins threads that have ended: a thread keeps its stack until it is joined, and a long run
-  /// would accumulate too many stacks.
+  /// Joins threads that have ended and removes their connections. A thread keeps its stack until it
+  /// is joined, so a long run would otherwise accumulate too many stacks.
   void remove_ended_connections() {
     connections_.remove_if([](connection& candidate) {
       const bool ended = *candidate.ended;
@@ -147,7 +147,7 @@
         break;
       }
     }
-    // The lock excludes `shut_down_connections`, which uses the socket.
+    // Another thread may use the socket in `shut_down_connections`, which holds the same lock.
     const std::lock_guard lock(mutex_);
     socket.close(error);
   }
--- a/tests/platform_fleet/self_report_check.cc
+++ b/tests/platform_fleet/self_report_check.cc
@@ -9,15 +9,18 @@
 
 using std::chrono::milliseconds;
 
-/// Time within which the node that received the announcement informs the other nodes. Afterwards no
-/// node sends requests.
+/// Time within which the node that received a drain announcement informs the other nodes.
+/// Afterwards no node may send requests to the replica.
 constexpr milliseconds drain_timeout{2'000};
+/// Time for which the draining replica is observed.
 constexpr milliseconds observation_time{1'500};
-/// Time within which requests arrive that were in flight when the backoff was requested.
+/// Time within which requests arrive that were in flight when the replica first requested the
+/// backoff.
 constexpr milliseconds in_flight_time{500};
-/// Each node may learn of the backoff by a rejection of its own, and may send two more requests.
+/// Maximum number of requests that each node may send during the backoff: one request whose
+/// rejection tells the node of the backoff, and two more.
 constexpr std::size_t max_requests_per_node = 3;
-/// Time to wait for the first request, whose answer carries the self-report.
+/// Maximum wait for the first request to the replica; its answer carries the self-report.
 constexpr milliseconds first_request_timeout{5'000};
 constexpr milliseconds poll_interval{10};
 
@@ -28,7 +31,7 @@
                                                 [&](auto at) { return from <= at && at < until; }));
 }
 
-/// Waits until the replica receives a request. @return whether it received a request in time.
+/// Waits until the replica receives a request. @return whether a request arrived in time.
 bool wait_for_request(const soak_replica& replica) {
   const auto started_at = soak_clock::now();
   while (replica.last_arrival_at() < started_at &&
--- a/tests/platform_fleet/self_report_check.h
+++ b/tests/platform_fleet/self_report_check.h
@@ -1,5 +1,6 @@
-/// Check of the fault soak: a replica announces in its answers that it drains, or requests a
-/// backoff, and must receive no requests, or few requests, afterwards.
+/// Checks of the fault soak for self-reports: what a replica announces about itself in the headers
+/// of its answers. A replica that announces a drain must then receive no requests; a replica that
+/// requests a backoff must receive few requests during the backoff.
 #pragma once
 
 #include "soak_fleet.h"
@@ -9,17 +10,20 @@
 
 namespace spurrack::platform_tests {
 
-/// Not thread-safe.
+/// Checks the self-reports of one replica. Not thread-safe.
 class self_report_check {
  public:
   self_report_check(soak_replica& replica, soak_fleet& fleet, soak_recorder& recorder,
                     base::random_source& random)
       : replica_(&replica), fleet_(&fleet), recorder_(&recorder), random_(&random) {}
 
-  /// Announces a drain while the store is down, observes the replica for some seconds, then crashes
-  /// and restarts it under its id.
+  /// Lets the replica announce a drain while the store is down, and records a violation if nodes
+  /// send requests to the replica afterwards. Then crashes the replica and restarts it under the
+  /// same id.
   void check_drain_announcement();
-  /// Rejects requests and requests a backoff for one to three seconds, then accepts requests again.
+  /// Lets the replica reject requests and request a backoff of one to three seconds, and records a
+  /// violation if nodes send too many requests during the backoff. Then lets the replica accept
+  /// requests again.
   void check_requested_backoff();
 
  private:
--- a/tests/platform_fleet/serving_process_test.cc
+++ b/tests/platform_fleet/serving_process_test.cc
@@ -1,4 +1,5 @@
-/// A real spurrackd with an emulated platform: what clients and replicas receive.
+/// Requests through a real spurrackd with an emulated platform: checks what clients and replicas
+/// receive.
 #include "http_text.h"
 #include "scripted_server.h"
 #include "single_daemon.h"
@@ -36,7 +37,7 @@
          "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-/// Store, two replicas `one` and `two` of one service, and daemon.
+/// Daemon under test with its store and two replicas of one service.
 struct serving_process {
   serving_process()
       : one([this](const http_request& request) { return script_one(request); }),
--- a/tests/platform_fleet/single_daemon.h
+++ b/tests/platform_fleet/single_daemon.h
@@ -18,7 +18,7 @@
 
 namespace spurrack::platform_tests {
 
-/// Waits up to ten seconds until a condition is true; fails the test if it stays false.
+/// Waits up to ten seconds until a condition is true. Fails the test if the condition stays false.
 template <typename condition>
 void wait_for(condition is_true) {
   constexpr int max_attempts = 500;
@@ -28,12 +28,14 @@
   BOOST_REQUIRE(is_true());
 }
 
-/// Starts the daemon and waits until it is ready. The destructor ends it and removes its folder.
+/// Daemon process. The constructor starts the daemon and waits until it is ready; the destructor
+/// ends the daemon and removes its folder.
 class single_daemon {
  public:
-  /// @param name part of the name of the folder; unique within the test program.
+  /// @param name part of the name of the daemon's folder; unique within the test program.
   /// @param store `IP:port` of the metadata store.
-  /// @param serving_settings further lines of the section `serving`, each indented by two spaces.
+  /// @param serving_settings further lines of the section `serving` of the settings, each indented
+  ///        by two spaces.
   single_daemon(const std::string& name, const std::string& store,
                 const std::string& serving_settings)
       : folder_(std::filesystem::temp_directory_path() /
@@ -58,7 +60,7 @@
   single_daemon& operator=(const single_daemon&) = delete;
 
   [[nodiscard]] fleet::child_process& process() const { return *process_; }
-  /// @return output of the daemon so far.
+  /// @return everything that the daemon has logged so far.
   [[nodiscard]] std::string log() const {
     std::ifstream file(folder_ / "daemon.log");
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
--- a/tests/platform_fleet/slow_readers_test.cc
+++ b/tests/platform_fleet/slow_readers_test.cc
@@ -1,6 +1,6 @@
 /// A real spurrackd with hundreds of clients that read slowly, pause or never read, and some fast
-/// clients: limits its memory and the added latency of the fast clients, and checks that no events
-/// are lost.
+/// clients. Checks that the memory of the daemon and the added latency of the fast clients stay
+/// within limits, and that no events are lost.
 #include "event_replica.h"
 #include "reading_client.h"
 #include "single_daemon.h"
@@ -32,15 +32,15 @@
 using std::chrono::milliseconds;
 namespace asio = boost::asio;
 
-/// Number of slow clients with each read pattern. Manual runs may set SPURRACK_SLOW_READERS, such
-/// as to 466 for 1,400 clients in total.
+/// Number of slow clients with each read pattern. Manual runs may set another number in the
+/// environment variable SPURRACK_SLOW_READERS, such as 466 for 1,400 clients in total.
 constexpr std::size_t default_slow_clients_per_pattern = 150;
 constexpr std::size_t fast_client_count = 50;
-/// Limit for the resident memory of the daemon on a machine with 160 MB.
+/// Maximum resident memory of a daemon that may use the 160 MB of a small machine.
 constexpr double max_resident_mb = 110;
-/// Limit for the relative increase of the 99th percentile of the fast clients' latency, compared to
-/// fast clients of another daemon without slow clients. Both are measured at the same time because
-/// a busy machine delays both.
+/// Maximum relative increase of the 99th percentile of the fast clients' latency, compared to the
+/// same number of fast clients of another daemon that has no slow clients. Both daemons are
+/// measured at the same time because a busy machine delays both.
 constexpr double max_latency_increase = 0.1;
 constexpr milliseconds arrival_interval{20};
 
@@ -61,7 +61,7 @@
      "max_attempts":3,"stream_resume":true,"target_latency_ms":5000,"gap_target_ms":1000}]})";
 }
 
-/// Store, two replicas, and daemon with the limits of a small machine.
+/// Daemon with the resource limits of a small machine, its store, and two replicas.
 struct slow_reader_fixture {
   explicit slow_reader_fixture(const std::string& name = "main") {
     store.put("op/config", configuration());
@@ -90,7 +90,8 @@
     return 0;
   }
 
-  /// @param name of a metric with its labels. @return its value; -1 if the metric does not exist.
+  /// @param name name of a metric with its labels.
+  /// @return value of the metric; -1 if the metric does not exist.
   [[nodiscard]] double metric(const std::string& name) const {
     const auto text = fleet::get(daemon->operator_address, "/metrics").body;
     const auto position = text.find("\n" + name + " ");
@@ -110,8 +111,8 @@
 
   soak_store store;
   event_replica replica;
-  /// Replica of the fast clients only, so that work of the test for slow clients does not delay
-  /// them.
+  /// Replica that serves only the fast clients, so that its work for slow clients does not delay
+  /// the fast clients.
   event_replica fast_replica;
   std::optional<single_daemon> daemon;
 };
@@ -122,7 +123,8 @@
   std::size_t finished = 0;
   std::size_t completed = 0;
   std::size_t out_of_order = 0;
-  /// Answers that were complete by their framing although events were missing.
+  /// Number of answers that were complete according to their HTTP framing although events were
+  /// missing.
   std::size_t falsely_completed = 0;
   /// Duration of each request in seconds.
   std::vector<double> seconds;
@@ -187,7 +189,8 @@
   std::thread thread_;
 };
 
-/// Slow clients: trickling, pausing and never reading. They run on the thread of the caller.
+/// Slow clients with the read patterns trickle, pausing and never. They run on the thread of the
+/// caller.
 class slow_client_group {
  public:
   explicit slow_client_group(const slow_reader_fixture& fleet) : fleet_(&fleet) {}
@@ -315,7 +318,8 @@
 BOOST_FIXTURE_TEST_SUITE(slow_readers_test, slow_reader_fixture)
 
 BOOST_AUTO_TEST_CASE(large_body_without_memory_is_refused_while_small_body_is_served) {
-  // Two copies of such a body use most of the memory for large bodies on a machine with 160 MB.
+  // Two copies of a body of this size use most of the memory that the daemon grants to large bodies
+  // on a machine with 160 MB.
   constexpr std::size_t large_body_bytes = 3'500'000;
   asio::io_context io;
   asio::ip::tcp::socket first(io);
--- a/tests/platform_fleet/soak_client.cc
+++ b/tests/platform_fleet/soak_client.cc
@@ -17,15 +17,15 @@
 
 using std::chrono::milliseconds;
 
-/// Deadlines of requests.
+/// Time from sending a request to its deadline.
 constexpr milliseconds default_request_timeout{3'000};
 constexpr milliseconds long_request_timeout{8'000};
-/// Delay that a machine with many processes may add to each of them.
+/// Time by which a process may be delayed on a machine that runs many processes.
 constexpr milliseconds scheduling_slack{1'500};
 /// Time after sending within which a request can race the close of its connection. A request whose
 /// connection ends later had been read completely.
 constexpr milliseconds close_race_time{200};
-/// Upper limit of the time for which a client keeps its connection idle.
+/// Maximum time for which a client keeps its connection idle.
 constexpr std::size_t max_idle_milliseconds = 1'500;
 constexpr milliseconds failure_backoff{30};
 constexpr unsigned too_many_requests = 429;
@@ -57,7 +57,7 @@
   if (mode_ == client_mode::streaming) {
     return "long";
   }
-  // The last kind only if the fleet has two regions.
+  // The last kind is used only if the fleet has two regions.
   constexpr std::array<const char*, 5> all_kinds{"safe", "unsafe", "stream", "staged", "held"};
   return all_kinds[random_.below(all_kinds.size() - (fleet_->has_two_regions() ? 0 : 1))];
 }
@@ -124,7 +124,8 @@
     outcome.body = answer.get().body();
     outcome.is_complete = !error && answer.is_done();
   }
-  // Only after a complete answer: bytes left after an incomplete answer belong to that answer.
+  // Checked only after a complete answer: bytes that are left after an incomplete answer belong to
+  // that answer.
   if (outcome.is_complete && buffer.size() > 0) {
     recorder_->note_violation("MIXED", name_ + " received bytes that belong to no request");
   }
@@ -165,12 +166,12 @@
 
 void soak_client::check_incomplete_answer(const std::string& id, const soak_outcome& outcome,
                                           soak_clock::time_point sent_at) {
-  // A fault during the request or shortly before it may end the connection.
+  // A fault during the request or shortly before the request may end the connection.
   if (sent_at - fleet_->last_fault_at.load() < settle_time) {
     return;
   }
-  // The daemon may close an idle connection while the request is in transit; such a request was not
-  // read.
+  // The daemon may close an idle connection while the request is in transit; the daemon has not
+  // read that request.
   const auto waited = std::chrono::duration_cast<milliseconds>(soak_clock::now() - sent_at);
   const bool raced_close =
       outcome.status == 0 && waited < close_race_time && !recorder_->was_forwarded(id);
--- a/tests/platform_fleet/soak_client.h
+++ b/tests/platform_fleet/soak_client.h
@@ -1,5 +1,5 @@
-/// Client of the fault soak. Keeps its connection open until the daemon closes it, and checks every
-/// answer.
+/// Client of the fault soak. Keeps its connection open until the daemon closes the connection, and
+/// checks every answer.
 #pragma once
 
 #include "soak_fleet.h"
@@ -14,9 +14,9 @@
 
 /// Load pattern of a client.
 enum class client_mode : std::uint8_t {
-  busy,      ///< Short requests back to back.
-  idling,    ///< Keeps its connection idle before each request.
-  streaming, ///< Streams of three to six seconds back to back.
+  busy,      ///< Sends short requests back to back.
+  idling,    ///< Keeps its connection open and idle before each request.
+  streaming, ///< Requests streams of three to six seconds back to back.
 };
 
 /// Outcome of one request.
@@ -24,12 +24,13 @@
   /// HTTP status; 0 if the connection ended before the head of the answer was complete.
   unsigned status = 0;
   std::string body;
+  /// Whether the answer has the header X-Response-Seal.
   bool has_seal = false;
   bool is_complete = false;
   bool has_retry_after = false;
 };
 
-/// Uses one connection at a time. Not thread-safe.
+/// Sends requests to random nodes, on one connection at a time. Not thread-safe.
 class soak_client {
  public:
   soak_client(std::string name, client_mode mode, soak_fleet& fleet, soak_recorder& recorder,
@@ -39,7 +40,7 @@
   void run(const std::atomic<bool>& should_stop);
 
  private:
-  /// @return kind of the next request; random unless the client sends only streams.
+  /// @return kind of the next request; random unless the mode of the client is `streaming`.
   std::string random_kind();
   /// Sends a request, waits for the answer and checks it.
   void send(const std::string& kind);
@@ -48,11 +49,11 @@
   soak_outcome exchange(const std::string& bytes, std::chrono::milliseconds timeout);
   /// Connects to a node; `socket_` stays empty if that fails.
   void connect(soak_node& node);
-  /// Records the answer and its violations.
+  /// Counts an answer, and records a violation if the answer is wrong.
   void check_answer(const std::string& kind, const std::string& id, const soak_outcome& outcome,
                     soak_clock::time_point sent_at);
-  /// Records a violation unless a fault or the close of an idle connection explains that the answer
-  /// is missing or incomplete.
+  /// Records a violation for a missing or incomplete answer, unless a fault or the close of an idle
+  /// connection explains it.
   void check_incomplete_answer(const std::string& id, const soak_outcome& outcome,
                                soak_clock::time_point sent_at);
 
--- a/tests/platform_fleet/soak_fleet.cc
+++ b/tests/platform_fleet/soak_fleet.cc
@@ -19,9 +19,9 @@
 constexpr milliseconds proxy_start_timeout{5'000};
 constexpr milliseconds poll_interval{50};
 constexpr milliseconds exit_poll_interval{5};
-/// Each link holds two descriptors for every node that uses it. In a fleet of 150 nodes 32 links
-/// held 9,600 descriptors of the twenty thousand that a process may have. Proxies run out of
-/// descriptors before they run out of memory.
+/// Maximum number of links of one fault proxy. A link holds two descriptors for every node that
+/// uses the link. In a fleet of 150 nodes 32 links held 9,600 descriptors of the twenty thousand
+/// that a process may have. Proxies run out of descriptors before they run out of memory.
 constexpr std::size_t max_links_per_proxy = 32;
 constexpr const char* east_region = "north";
 
--- a/tests/platform_fleet/soak_fleet.h
+++ b/tests/platform_fleet/soak_fleet.h
@@ -1,4 +1,5 @@
-/// Real daemons, fault proxies and the emulated platform of the fault soak.
+/// Fleet of the fault soak: real daemons, fault proxies on the links between them, and the emulated
+/// platform (store and replicas).
 #pragma once
 
 #include "soak_replica.h"
@@ -18,11 +19,11 @@
 /// Prefix of the store keys of replicas.
 inline const std::string replica_key_prefix = "servers/";
 
-/// Zone that is evacuated. Every service has a replica in the other zone, even if one replica
-/// drains.
+/// Zone that the soak evacuates. Every service has a usable replica in the other zone, even if one
+/// replica drains.
 inline const std::string evacuated_zone = "west";
 
-/// One daemon. Only `soak_fleet` replaces and signals its process.
+/// One daemon of the fleet. Only `soak_fleet` replaces and signals the process of the daemon.
 struct soak_node {
   std::string name;
   std::string zone;
@@ -30,7 +31,7 @@
   std::string readiness_address;
   std::string peer_address;
   std::string advertised_peer_address;
-  /// A graceful stop is in progress.
+  /// Whether the process has received SIGTERM and the node was not started again.
   std::atomic<bool> is_stopping = false;
   std::atomic<soak_clock::time_point> started_at{soak_clock::time_point{}};
   /// Guards `process`.
@@ -38,8 +39,8 @@
   std::unique_ptr<fleet::child_process> process;
 };
 
-/// Time after the last fault after which the invariants with a time limit hold again, and no
-/// request may be lost. Planned maintenance is not a fault.
+/// Time after the last fault from which on the invariants with a time limit must hold and no
+/// request that is sent may be lost. Planned maintenance is not a fault.
 constexpr std::chrono::milliseconds settle_time{4'000};
 
 struct soak_fleet_options {
@@ -59,12 +60,13 @@
 struct soak_exit {
   /// Exit code; 128 + signal if a signal ended the process.
   int code = 0;
-  /// The process exited before the timeout and was not killed.
+  /// Whether the process exited before the timeout and was not killed.
   bool was_in_time = true;
 };
 
-/// Any thread may signal processes, start them and wait for them, and read addresses and
-/// `last_fault_at`. The store and the replicas are thread-safe; one thread uses everything else.
+/// Fleet of daemons with its proxies, store and replicas. Any thread may signal processes, start
+/// them and wait for them, and read addresses and `last_fault_at`. The store and the replicas are
+/// thread-safe. All other functions must be called by one thread.
 class soak_fleet {
  public:
   /// Starts proxies and daemons and publishes the configuration and the replicas.
@@ -79,7 +81,8 @@
   void start_node(soak_node& node);
   /// Sends a signal to the process of a node.
   void signal(soak_node& node, int number);
-  /// Waits for the exit of a process, and kills the process if it does not exit in time.
+  /// Waits for the exit of the process of a node, and kills the process if it does not exit in
+  /// time.
   soak_exit wait_for_exit(soak_node& node, std::chrono::milliseconds timeout);
   [[nodiscard]] bool is_running(soak_node& node);
   /// @return resident memory of all daemons in bytes.
@@ -93,15 +96,17 @@
   void publish(soak_replica& replica);
   /// Deletes the store entry of a replica.
   void unpublish(const soak_replica& replica);
-  /// Writes or deletes the evacuation of a zone. Nodes send no requests to replicas of an evacuated
-  /// zone.
+  /// Writes or deletes the store entry that evacuates a zone. Nodes send no requests to replicas of
+  /// an evacuated zone.
   void set_evacuated(const std::string& zone, bool evacuated);
-  /// Sets the fault of the peer link of a node or of the link to a replica.
-  /// @param fault `cut` or `black_hole`; empty for neither. Without fault and delay the
-  ///        link is healed.
+  /// Sets the fault and the delay of the peer link of a node or of the link to a replica. Ends the
+  /// fault of the link if `fault` is empty and the delay is 0.
+  /// @param name name of the node or id of the replica.
+  /// @param fault `cut`: no connection can be opened and open connections are reset; `black_hole`:
+  ///        connections stay open but bytes are held back; empty: no fault.
   void set_link_fault(const std::string& name, const std::string& fault,
                       int delay_milliseconds = 0) const;
-  /// Sends SIGHUP with valid or invalid settings. The settings file is valid afterwards.
+  /// Writes valid or invalid settings, sends SIGHUP to the node, and writes valid settings again.
   void reload(soak_node& node, bool valid);
   [[nodiscard]] bool has_two_regions() const { return two_regions_; }
   [[nodiscard]] bool mixes_builds() const { return !other_build_.empty(); }
@@ -115,8 +120,11 @@
  private:
   /// Link through a fault proxy.
   struct proxied_link {
+    /// Name of the node or id of the replica at the end of the link.
     std::string name;
+    /// Address at which the proxy listens.
     std::string listen;
+    /// Address to which the proxy forwards connections.
     std::string target;
   };
 
@@ -124,8 +132,8 @@
   void write_settings(const soak_node& node, bool valid) const;
   void start_proxies();
   void start_proxy(const std::vector<proxied_link>& links);
-  /// @return JSON of the route of confined requests, with a leading comma; empty without two
-  ///         regions.
+  /// @return JSON of the route of requests that are confined to a region, with a leading comma;
+  ///         empty unless the fleet has two regions.
   [[nodiscard]] std::string confined_route() const;
   [[nodiscard]] std::string settings_path(const soak_node& node) const;
 
--- a/tests/platform_fleet/soak_recorder.h
+++ b/tests/platform_fleet/soak_recorder.h
@@ -1,5 +1,5 @@
-/// Records observations of clients and emulated services of the fault soak, and violated
-/// invariants.
+/// Records what clients and emulated services of the fault soak observe, and the violations of
+/// invariants. Requests are identified by their X-Request-Id.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,7 @@
 
 using soak_clock = std::chrono::steady_clock;
 
-/// Thread-safe.
+/// Observations, counts and violations of one run of the soak. Thread-safe.
 class soak_recorder {
  public:
   /// Records that a replica started to run a request.
@@ -27,28 +27,32 @@
     const std::lock_guard lock(mutex_);
     forwarded_.insert(request);
   }
-  /// Records an answer which states that the request has not run and will not run.
+  /// Records that a client received an answer which states that the request has not run and will
+  /// not run.
   void note_not_run(const std::string& request) {
     const std::lock_guard lock(mutex_);
     not_run_.insert(request);
   }
-  /// Records that a client sent a request that may run at most once.
+  /// Records that a client sends a request that may run at most once.
   void note_single_run(const std::string& request) {
     const std::lock_guard lock(mutex_);
     single_run_requests_.insert(request);
   }
-  /// @param rule invariant that was violated, in capitals.
+  /// Records a violation.
+  /// @param rule name of the violated invariant, in capitals.
   void note_violation(const std::string& rule, const std::string& detail) {
     const std::lock_guard lock(mutex_);
     violations_.push_back(rule + ": " + detail);
   }
-  /// Counts an answer to a kind of request.
+  /// Counts an answer to a request.
+  /// @param kind kind of the request, such as `safe`.
   /// @param status HTTP status; `cut` if the answer was incomplete.
   void count_answer(const std::string& kind, const std::string& status) {
     count(answer_prefix + kind + " " + status);
   }
-  /// @return whether the label of a count belongs to `count_answer`.
+  /// @return whether a label from `counts` counts answers (see `count_answer`) and nothing else.
   static bool is_answer_count(const std::string& what) { return what.starts_with(answer_prefix); }
+  /// Increments the count with a label.
   void count(const std::string& what) {
     const std::lock_guard lock(mutex_);
     ++counts_[what];
@@ -67,8 +71,9 @@
     const std::lock_guard lock(mutex_);
     return counts_;
   }
-  /// @return recorded violations, and requests that ran more than once or ran although they were
-  ///         answered as not run. Complete after the load has ended.
+  /// @return recorded violations; in addition one violation for each request that may run at most
+  ///         once and ran several times, or ran although its client was told that it did not run.
+  ///         Complete after the load has ended.
   [[nodiscard]] std::vector<std::string> violations() const {
     const std::lock_guard lock(mutex_);
     auto all_violations = violations_;
@@ -93,7 +98,7 @@
   inline static const std::string answer_prefix = "answer ";
 
   mutable std::mutex mutex_;
-  /// Replicas that ran each request.
+  /// Ids of the replicas that ran each request, by request id.
   std::map<std::string, std::vector<std::string>> runs_;
   std::set<std::string> forwarded_;
   std::set<std::string> not_run_;
--- a/tests/platform_fleet/soak_replica.cc
+++ b/tests/platform_fleet/soak_replica.cc
@@ -19,8 +19,8 @@
 constexpr milliseconds slow_work_time{400};
 /// Interval between the events of a long stream.
 constexpr milliseconds long_event_interval{100};
-/// Time within which callers learn of the crash of a replica. Afterwards its lost results must not
-/// be used as inputs.
+/// Time within which callers must learn of the crash of a replica. Afterwards they must not pass
+/// handles of its lost results as inputs.
 constexpr milliseconds stale_result_timeout{3'000};
 
 std::string header_of(const http_request& request, const char* name) {
@@ -47,8 +47,8 @@
   return target.substr(1, target.find('/', 1) - 1);
 }
 
-/// Handle of a result: its request, stage and piece, and the incarnation of the replica that
-/// produced it.
+/// Parsed handle of a result: address and incarnation of the replica that produced the result, and
+/// the request, stage and piece of the result.
 struct result_handle {
   std::string address;
   std::string request;
@@ -62,7 +62,7 @@
   }
 };
 
-/// @return std::nullopt if the text is not a handle.
+/// @return handle that `text` contains; std::nullopt if `text` is not a handle.
 std::optional<result_handle> parse_handle(const std::string& text) {
   const auto slash = text.find('/');
   if (slash == std::string::npos) {
@@ -85,7 +85,7 @@
 }
 
 /// Returns an answer whose events are sent one by one.
-/// @param should_break whether the stream is broken off after half of the events.
+/// @param should_break whether the stream is truncated after half of the events.
 scripted_answer long_stream(const std::string& head, const std::vector<std::string>& events,
                             bool should_break) {
   scripted_answer answer;
--- a/tests/platform_fleet/soak_replica.h
+++ b/tests/platform_fleet/soak_replica.h
@@ -1,5 +1,8 @@
-/// Replicas of the fault soak on loopback. They misbehave on request, crash and restart under the
-/// same id, and check the requests that they receive.
+/// Replicas of the fault soak on loopback. The soak can let a replica misbehave, crash, and restart
+/// under the same id. Replicas check the requests that they receive.
+///
+/// The result of a piece stays at the replica that ran the piece. The replica answers with a
+/// handle: a text that identifies the result. Later stages receive handles as their inputs.
 #pragma once
 
 #include "scripted_server.h"
@@ -22,13 +25,13 @@
   normal,
   failing,        ///< Answers every second plain request with 500.
   shedding,       ///< Rejects every request without running it.
-  losing_answers, ///< Runs requests, but may reset the connection or break off the stream.
-  corrupting,     ///< Appends surplus bytes to answers or breaks answers off.
+  losing_answers, ///< Runs requests, but may reset the connection or truncate the stream.
+  corrupting,     ///< Appends surplus bytes to answers or truncates answers.
   slow            ///< Works longer on each request.
 };
 
-/// Current incarnation of each replica. Results are lost with the incarnation that produced them.
-/// Thread-safe.
+/// Current incarnation of each replica. A new incarnation begins when the replica crashes and again
+/// when it restarts. Results are lost when the incarnation that produced them ends. Thread-safe.
 class replica_incarnations {
  public:
   struct incarnation {
@@ -37,7 +40,7 @@
     soak_clock::time_point changed_at{};
   };
 
-  /// Begins the next incarnation: the replica at the address crashed or restarted.
+  /// Begins the next incarnation because the replica at an address crashed or restarted.
   void advance(const std::string& address);
   /// @return current incarnation of the replica at an address.
   [[nodiscard]] incarnation current(const std::string& address) const;
@@ -50,26 +53,29 @@
 /// Replica with its server. Thread-safe.
 class soak_replica {
  public:
-  /// @param published_address address at which callers reach the replica. Handles of results
-  ///        contain it.
+  /// @param published_address address at which callers reach the replica. It is a part of the
+  ///        handles of the replica's results.
   soak_replica(std::string id, std::string service, std::string zone, std::string published_address,
                replica_incarnations& incarnations, soak_recorder& recorder);
 
   void set_mode(replica_mode mode) { mode_ = mode; }
-  /// Announces a limit in the answers: requests per second of all callers together; 0: no limit.
+  /// Sets the limit that answers announce: requests per second that all callers together may send;
+  /// 0: answers announce no limit.
   void set_limit(unsigned per_second) { limit_ = per_second; }
   /// Sets whether answers announce that the replica drains.
   void set_drain_announced(bool is_announced) { is_drain_announced_ = is_announced; }
-  /// Rejects all requests and requests this backoff of the callers; 0: accepts requests.
+  /// Lets the replica reject all requests and request this backoff of the callers; 0: the replica
+  /// accepts requests.
   void set_backoff(std::chrono::milliseconds backoff) { backoff_ = backoff; }
   /// Sets whether the next store entry has the state `draining`.
   void set_draining(bool draining) { is_draining_ = draining; }
-  /// Crashes at once: running requests and all results are lost.
+  /// Crashes the replica at once: running requests and all results are lost.
   void crash();
-  /// Starts again after `crash` under the same id, without earlier state.
+  /// Starts the replica again after `crash`, under the same id and without earlier state.
   void restart();
 
-  /// @return whether the crashing request crashed the replica since the last call of this function.
+  /// @return whether the crashing request (`soak_request::crashing_path`) crashed the replica since
+  ///         the last call of this function.
   bool take_crashed_by_request() { return crashed_by_request_.exchange(false); }
 
   [[nodiscard]] std::string listen_address() const { return server_->address(); }
@@ -79,20 +85,22 @@
   [[nodiscard]] const std::string& zone() const { return zone_; }
   /// @return next store entry of the replica, with the next sequence number.
   [[nodiscard]] std::string next_record();
-  /// @return arrival times of the requests since the last call of this function, without requests
-  ///         that expected another replica.
+  /// @return arrival times of the requests since the last call of this function. Requests that were
+  ///         meant for another replica (X-Expect-Replica) are not included.
   std::vector<soak_clock::time_point> take_arrivals();
-  /// @return arrival time of the last request, including requests that expected another replica.
+  /// @return arrival time of the last request, including requests that were meant for another
+  ///         replica.
   [[nodiscard]] soak_clock::time_point last_arrival_at() const { return last_arrival_at_; }
 
  private:
   scripted_answer answer(const http_request& request);
   scripted_answer run(const http_request& request);
-  /// @return header lines with the limit and the drain announcement; empty if there are none.
+  /// @return header lines that announce the limit and the drain; empty if the replica announces
+  ///         neither.
   [[nodiscard]] std::string self_report_headers() const;
-  /// @return answer that the request was not executed, with the requested backoff.
+  /// @return answer which states that the request was not executed, with the requested backoff.
   [[nodiscard]] scripted_answer rejection(const std::string& id) const;
-  /// Runs the pieces of a call and returns their handles.
+  /// Runs the pieces of a call and answers with the handles of their results.
   scripted_answer run_pieces(const http_request& request);
   boost::json::object run_piece(const boost::json::object& item, std::uint64_t call);
   scripted_answer stream(const http_request& request, const std::string& id);
@@ -100,10 +108,12 @@
   void check(const http_request& request, const std::string& id);
   /// Records a violation if a confined request, or a piece of it, runs outside its region.
   void check_region(const std::string& id);
-  /// Checks that the inputs are the results of all pieces of a stage of the request.
+  /// Checks that the inputs are handles of the results of all pieces of a stage of the request.
+  /// @param stage stage that produced the inputs.
   void check_inputs(const std::vector<std::string>& inputs, const std::string& id,
                     std::size_t stage);
-  /// Records a violation for each result that was lost long ago.
+  /// Records a violation for each input whose result was lost so long ago that callers must know.
+  /// @param inputs handles of results.
   /// @return whether all results still exist.
   bool has_all_results(const std::vector<std::string>& inputs, const std::string& id);
 
--- a/tests/platform_fleet/soak_request.h
+++ b/tests/platform_fleet/soak_request.h
@@ -19,19 +19,20 @@
   }
   /// @return whether the events of the answer are sent one by one over three to six seconds.
   static bool is_long(const std::string& id) { return id.starts_with("long"); }
-  /// @return whether a request is confined to the region of the zone `east`.
+  /// @return whether a request may run only in the region of the zone `east`.
   static bool is_confined(const std::string& id) { return id.starts_with("held"); }
   static std::string path(const std::string& kind, const std::string& id) {
     return "/" + kind + "/" + id;
   }
   static std::string body(const std::string& id) { return "body of " + id; }
-  /// @return body of the answer to a request without stream.
+  /// @return body of the answer, if the answer is not an event stream.
   static std::string answer(const std::string& id);
-  /// @return number of events of the answer.
+  /// @return number of events of the answer, if the answer is an event stream.
   static std::size_t event_count(const std::string& id);
-  /// @param number of the event, starting at 1; also its id.
+  /// @return text of one event of the answer.
+  /// @param number position of the event in the stream, starting at 1; also the id of the event.
   static std::string event(const std::string& id, std::size_t number);
-  /// @return number of pieces of a stage. @param stage 0 or 1.
+  /// @return number of pieces of a stage of the request. @param stage 0 or 1.
   static std::size_t piece_count(const std::string& id, std::size_t stage);
 };
 
--- a/tests/platform_fleet/soak_run.cc
+++ b/tests/platform_fleet/soak_run.cc
@@ -16,13 +16,14 @@
 
 using std::chrono::milliseconds;
 
-/// Time limits of the platform, with slack for a busy machine.
+/// Times within which the platform requires that all nodes react to a drain, a configuration change
+/// and an evacuation, with slack for a busy machine.
 constexpr milliseconds drain_timeout{3'000};
 constexpr milliseconds convergence_timeout{3'000};
 constexpr milliseconds evacuation_timeout{3'000};
-/// Time for which replicas are observed that must not receive requests.
+/// Time for which replicas that must not receive requests are observed.
 constexpr milliseconds idle_observation_time{500};
-/// Time within which a replica receives requests again under load.
+/// Time within which a replica that is usable again must receive a request under load.
 constexpr milliseconds first_request_timeout{3'000};
 constexpr milliseconds poll_interval{20};
 /// Time between the rollback of the store and the rewriting of the lost entries.
--- a/tests/platform_fleet/soak_run.h
+++ b/tests/platform_fleet/soak_run.h
@@ -14,25 +14,26 @@
 
 struct soak_options {
   soak_fleet_options fleet;
-  /// Length of the faults of a phase.
+  /// Time for which faults are injected in each phase.
   std::chrono::milliseconds fault_duration{6'000};
-  /// Number of phases; each consists of faults, checks without faults and planned maintenance.
+  /// Number of phases. Each phase consists of faults, checks without faults, and planned
+  /// maintenance.
   std::size_t phases = 1;
   std::size_t clients_per_node = 6;
-  /// Time for all nodes to become ready.
+  /// Maximum time until all nodes are ready.
   std::chrono::milliseconds ready_timeout{10'000};
-  /// Rolling restarts of all nodes in each phase.
+  /// Number of rolling restarts of all nodes in each phase.
   std::size_t rolling_restarts = 1;
 };
 
-/// Owns the fleet and its clients. Not thread-safe.
+/// One run of the soak. Owns the fleet and its clients. Not thread-safe.
 class soak_run {
  public:
   soak_run(const std::filesystem::path& binaries, const soak_options& options, std::uint64_t seed);
 
-  /// Runs all phases. Call once. @return violations, each as rule and detail.
+  /// Runs all phases. Must be called only once. @return violations, each as rule and detail.
   std::vector<std::string> run();
-  /// @return counts of answers and faults by label.
+  /// @return counts of answers, faults and observations by label.
   [[nodiscard]] std::map<std::string, std::size_t> counts() const { return recorder_.counts(); }
   /// @return resident memory of all daemons in bytes at the end of the load.
   [[nodiscard]] std::size_t resident_bytes() const { return resident_bytes_; }
@@ -42,32 +43,36 @@
   void stop_clients();
   /// Ends all faults and waits until the invariants with a time limit hold.
   void recover();
-  /// Checks the reaction to four changes without faults: a replica drains, the entry of another
-  /// replica cannot be parsed, a zone is evacuated, and an API key is removed. Then reverts them
-  /// and checks that the replicas and the key are used again.
+  /// Checks how the fleet reacts to four changes while there are no faults: a replica drains, the
+  /// store entry of another replica cannot be parsed, a zone is evacuated, and an API key is
+  /// removed. Then reverts the changes and checks that the replicas receive requests again and that
+  /// the key is accepted again.
   void check_without_faults();
-  /// Checks a replica that announces a limit, and that it is used after the limit was withdrawn.
+  /// Checks that a replica that announces a limit does not receive too many requests, and that it
+  /// still receives requests after the limit was withdrawn.
   void check_rate_limited_replica();
-  /// Checks a replica that requests backoffs and a replica that announces a drain, and that both
-  /// are used again.
+  /// Checks that nodes react to a replica that requests a backoff and to a replica that announces a
+  /// drain, and that both replicas receive requests again afterwards.
   void check_self_reporting_replicas();
-  /// Restores a snapshot of the store from before an API key was removed and a replica began to
-  /// drain. Checks that both changes stay in effect and that entries written afterwards are
-  /// applied.
+  /// Rolls the store back to a snapshot that was taken before an API key was removed and a replica
+  /// began to drain. Checks that both changes stay in effect, and that nodes apply entries that are
+  /// written after the rollback.
   void check_store_rollback();
   /// Runs the rolling restarts and checks that all nodes become ready again.
   void check_planned_maintenance();
-  /// Stops all nodes gracefully.
+  /// Stops all nodes gracefully and checks that they exit in time.
   void check_final_stops();
   /// Sends a request with an API key to every node and checks the status of the answer.
   void check_api_key(const std::string& key, unsigned expected);
-  /// Checks that most requests since `counts_before` were answered with 200.
+  /// Checks that at least 90% of the requests since `counts_before` were answered with 200.
+  /// @param counts_before counts at the start of the observed time.
   void check_success_rate(const std::map<std::string, std::size_t>& counts_before);
   /// Checks that a replica received no request after `quiet_since`.
-  /// @param why reason for which it must not receive requests; part of the violation.
+  /// @param rule name of the invariant that a request violates.
+  /// @param why reason for which the replica must not receive requests; part of the violation.
   void check_no_request_since(const soak_replica& replica, soak_clock::time_point quiet_since,
                               const std::string& rule, const std::string& why);
-  /// Checks that a replica receives requests again.
+  /// Checks that a replica that is usable again receives requests.
   void check_used_again(const soak_replica& replica);
   soak_replica& random_replica_of(const std::string& service, base::random_source& random);
 
@@ -81,7 +86,7 @@
   std::atomic<bool> should_stop_clients_ = false;
   std::list<soak_client> clients_;
   std::vector<std::thread> client_threads_;
-  /// Number of requests sent by `check_api_key`.
+  /// Number of requests that `check_api_key` has sent; makes their ids unique.
   std::size_t probe_count_ = 0;
   std::size_t resident_bytes_ = 0;
 };
--- a/tests/platform_fleet/soak_store.h
+++ b/tests/platform_fleet/soak_store.h
@@ -1,4 +1,4 @@
-/// Emulated metadata store of the platform on loopback. Misbehaves on request.
+/// Emulated metadata store of the platform on loopback. Tests can let the store misbehave.
 #pragma once
 
 #include "scripted_server.h"
@@ -24,7 +24,8 @@
   expired_watches ///< Answers every watch with 410; the other requests are served.
 };
 
-/// Metadata store with keys, revisions, watches and an era. Thread-safe.
+/// Metadata store: items with a key, a value and a revision, and watches for changed items. The era
+/// is a number that changes when the store is restored from a snapshot. Thread-safe.
 class soak_store {
  public:
   soak_store();
@@ -35,7 +36,8 @@
   void remove(const std::string& key);
   /// Stores a snapshot of the items and of the revision.
   void take_snapshot();
-  /// Restores the snapshot in a new era. Revisions after the snapshot are assigned again.
+  /// Restores the snapshot and begins a new era. Later changes receive revisions that were already
+  /// assigned after the snapshot.
   void restore_snapshot();
 
  private:
@@ -51,7 +53,7 @@
                                 bool include_deleted) const;
 
   mutable std::mutex mutex_;
-  /// Notified after each change.
+  /// Notified after each change of the items.
   std::condition_variable changed_;
   std::map<std::string, item> items_;
   std::uint64_t revision_ = 1;
