--- a/tests/platform_fleet/crashing_request_check.cc
+++ b/tests/platform_fleet/crashing_request_check.cc
@@ -20,11 +20,11 @@
 constexpr milliseconds send_interval{700};
 constexpr milliseconds downtime{400};
 /// Maximum number of replicas that one request may crash.
-constexpr std::size_t max_exits = 5;
+constexpr std::size_t max_crashes = 5;
 /// Maximum number of replicas that the request may crash after all nodes know of the first three
-/// crashes (`known_exits`).
-constexpr std::size_t max_late_exits = 3;
-constexpr std::size_t known_exits = 3;
+/// crashes (`known_crashes`).
+constexpr std::size_t max_late_crashes = 3;
+constexpr std::size_t known_crashes = 3;
 constexpr unsigned not_executed_status = 503;
 
 } // namespace
@@ -66,7 +66,7 @@
   const auto now = soak_clock::now();
   for (const auto& replica : fleet_->replicas) {
     if (replica->take_crashed_by_request()) {
-      exit_times_.push_back(now);
+      crash_times_.push_back(now);
       crashed_at_[replica.get()] = now;
     }
   }
@@ -82,16 +82,16 @@
 }
 
 void crashing_request_check::check_limits() {
-  recorder_->count("exits under the crashing request " + std::to_string(exit_times_.size()));
-  if (exit_times_.size() > max_exits) {
-    recorder_->note_violation("BUDGET", "a request crashed " + std::to_string(exit_times_.size()) +
+  recorder_->count("exits under the crashing request " + std::to_string(crash_times_.size()));
+  if (crash_times_.size() > max_crashes) {
+    recorder_->note_violation("BUDGET", "a request crashed " + std::to_string(crash_times_.size()) +
                                             " replicas");
   }
-  if (exit_times_.size() > known_exits) {
-    const auto known_at = exit_times_[known_exits - 1] + settle_time;
-    const auto late = std::count_if(exit_times_.begin(), exit_times_.end(),
+  if (crash_times_.size() > known_crashes) {
+    const auto known_at = crash_times_[known_crashes - 1] + settle_time;
+    const auto late = std::count_if(crash_times_.begin(), crash_times_.end(),
                                     [&](auto at) { return at > known_at; });
-    if (static_cast<std::size_t>(late) > max_late_exits) {
+    if (static_cast<std::size_t>(late) > max_late_crashes) {
       recorder_->note_violation("BUDGET", "a request that had crashed three replicas crashed " +
                                               std::to_string(late) + " more after all nodes knew");
     }
--- a/tests/platform_fleet/crashing_request_check.h
+++ b/tests/platform_fleet/crashing_request_check.h
@@ -34,7 +34,7 @@
   base::random_source* random_;
   std::size_t send_number_ = 0;
   /// Time of each crash, in ascending order.
-  std::vector<soak_clock::time_point> exit_times_;
+  std::vector<soak_clock::time_point> crash_times_;
   /// Statuses of the answers, in the order of the requests.
   std::vector<unsigned> answer_statuses_;
   /// Replicas that are down, with the time of their crash.
--- a/tests/platform_fleet/serving_process_test.cc
+++ b/tests/platform_fleet/serving_process_test.cc
@@ -40,11 +40,11 @@
 /// Daemon under test with its store and two replicas of one service.
 struct serving_process {
   serving_process()
-      : one([this](const http_request& request) { return script_one(request); }),
-        two([this](const http_request& request) { return script_two(request); }) {
+      : replica_one([this](const http_request& request) { return script_one(request); }),
+        replica_two([this](const http_request& request) { return script_two(request); }) {
     store.put("op/config", configuration());
-    store.put("servers/i-one", replica(one.address()));
-    store.put("servers/i-two", replica(two.address()));
+    store.put("servers/i-one", replica(replica_one.address()));
+    store.put("servers/i-two", replica(replica_two.address()));
     daemon.emplace("serving", store.address(), "  retry_ratio: 1\n  retry_allowance: 100\n");
   }
 
@@ -85,8 +85,8 @@
     return scripted_answer{replica_answer(request, "hello")};
   };
   scripted_server::script script_two = script_one;
-  scripted_server one;
-  scripted_server two;
+  scripted_server replica_one;
+  scripted_server replica_two;
   soak_store store;
   std::optional<single_daemon> daemon;
 };
@@ -99,8 +99,8 @@
   const auto answer = send("/unsafe/x?y=1", "id1", "body");
   BOOST_TEST(answer.status == 200);
   BOOST_TEST(answer.body == "hello");
-  auto received = one.requests();
-  const auto received_by_two = two.requests();
+  auto received = replica_one.requests();
+  const auto received_by_two = replica_two.requests();
   received.insert(received.end(), received_by_two.begin(), received_by_two.end());
   BOOST_REQUIRE(received.size() == 1);
   const auto& request = received.front();
@@ -186,7 +186,7 @@
   const auto answer = send("/unsafe/x", "full");
   BOOST_TEST(answer.status == 503);
   BOOST_TEST(answer.headers.contains("Retry-After"));
-  BOOST_TEST(one.requests().size() + two.requests().size() == 1);
+  BOOST_TEST(replica_one.requests().size() + replica_two.requests().size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_broken_stream_goes_on_inside_the_same_answer) {
@@ -232,7 +232,7 @@
     const auto answer = send_raw(bytes);
     BOOST_TEST(answer.starts_with("HTTP/1.1 " + status), bytes.substr(0, 120) + " -> " + answer);
   }
-  BOOST_TEST(one.requests().size() + two.requests().size() == 0);
+  BOOST_TEST(replica_one.requests().size() + replica_two.requests().size() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(sighup_reloads_settings_and_rejects_invalid_settings) {
--- a/tests/platform_fleet/soak_recorder.h
+++ b/tests/platform_fleet/soak_recorder.h
@@ -51,11 +51,11 @@
     count(answer_prefix + kind + " " + status);
   }
   /// @return whether a label from `counts` counts answers (see `count_answer`) and nothing else.
-  static bool is_answer_count(const std::string& what) { return what.starts_with(answer_prefix); }
+  static bool is_answer_count(const std::string& label) { return label.starts_with(answer_prefix); }
   /// Increments the count with a label.
-  void count(const std::string& what) {
+  void count(const std::string& label) {
     const std::lock_guard lock(mutex_);
-    ++counts_[what];
+    ++counts_[label];
   }
 
   [[nodiscard]] bool was_forwarded(const std::string& request) const {
