--- a/src/simulation/emulated_backend.h
+++ b/src/simulation/emulated_backend.h
@@ -1,5 +1,5 @@
-/// Back end in virtual time with slots, a short queue, random service times and injected faults. It
-/// reports every execution, so that at-most-once execution can be verified.
+/// Emulated back end in virtual time with slots, a short queue, random service times and injected
+/// faults. It reports every execution of a call, so that at-most-once execution can be verified.
 #pragma once
 
 #include "base/random.h"
@@ -19,13 +19,15 @@
   std::string name;
   std::string zone;
   std::string pool;
+  /// Number of slots: calls that can run at the same time.
   std::uint32_t concurrency = 8;
-  /// Number of running and queued calls at which the back end refuses further calls.
+  /// Maximum number of running and queued calls; the back end refuses further calls.
   std::uint32_t max_calls = 16;
   /// Mean time of a call, without the time for generated tokens.
   base::duration service_time = std::chrono::milliseconds(5);
   base::duration time_per_token{};
-  /// Fraction of the call time that is exponentially distributed, 0 to 1; the rest is constant.
+  /// Fraction of the call time that is exponentially distributed, from 0 to 1. The other part is
+  /// constant.
   double variation = 0.5;
   /// Whether the first token of a generating call is sent as soon as the prompt is processed;
   /// otherwise all tokens are sent at the end of the call.
@@ -36,9 +38,9 @@
 struct backend_faults {
   /// Probability that an answer carries the identity of another request and a wrong output.
   double misdirected_answer_probability = 0;
-  /// Probability that a call breaks after half of its tokens.
+  /// Probability that the answer to a call breaks off after half of the tokens.
   double truncated_answer_probability = 0;
-  /// Factor of the call time.
+  /// Factor by which call times are multiplied.
   double slowdown = 1;
   /// Whether the back end refuses all calls because it drains.
   bool is_draining = false;
@@ -53,12 +55,12 @@
   std::vector<execution::call_token> tokens;
 };
 
-/// Not thread-safe.
+/// Executes, queues or refuses calls as the profile and the faults say. Not thread-safe.
 class emulated_backend {
  public:
   using reply_handler = std::function<void(backend_reply)>;
   using token_handler = std::function<void(const execution::call_token&)>;
-  /// Called when the execution of a call begins.
+  /// Function that is called when the execution of a call begins.
   using execution_observer =
       std::function<void(const emulated_backend&, const execution::stage_call&)>;
 
@@ -68,15 +70,15 @@
   /// Executes, queues or refuses a call.
   /// @param reply called when the call ends; never called if the back end crashes or hangs, or if
   ///        the call is cancelled.
-  /// @param first_token called with the first token, before `reply`, if the profile sends the first
-  ///        token early and the call generates from the beginning.
+  /// @param first_token called with the first token, before `reply`, if the profile has an early
+  ///        first token and the call does not resume an earlier attempt.
   void receive(const execution::stage_call& call, reply_handler reply, token_handler first_token);
   /// Cancels a call whose caller closed the connection: drops a queued call, frees the slot of a
   /// running call.
   void cancel(const execution::call_identity& identity);
   /// Crashes the back end; all its calls are lost.
   void crash();
-  /// Starts a crashed back end without calls.
+  /// Starts a crashed back end again. The back end has no calls then.
   void restart();
 
   [[nodiscard]] bool is_alive() const { return is_alive_; }
@@ -110,14 +112,15 @@
   backend_faults faults_;
   bool is_alive_ = true;
   std::uint64_t next_slot_id_ = 1;
+  /// Running calls by slot id. Each call has its own slot id.
   std::map<std::uint64_t, accepted_call> running_;
   std::deque<accepted_call> queued_;
   base::duration busy_time_{};
   std::uint64_t executions_ = 0;
 };
 
-/// @return output of a correct back end: `kind(input)` and, for generation, a word for each further
-///         token.
+/// @return output that a correct back end returns for an input: `kind(input)`, followed by one word
+///         for each token after the first if the kind is `generate`.
 std::string expected_output(model::stage_kind kind, const std::string& input,
                             std::uint32_t max_tokens);
 
--- a/src/simulation/emulated_platform.h
+++ b/src/simulation/emulated_platform.h
@@ -1,4 +1,4 @@
-/// Services of the platform in virtual time: published entries with revisions, watches and outages.
+/// Emulated platform in virtual time: published entries with revisions, watches and outages.
 #pragma once
 
 #include "node/events.h"
@@ -13,10 +13,12 @@
 
 namespace spurrack::simulation {
 
-/// In `stale` mode the platform answers as of the revision at which the mode was set.
+/// Behaviour of the platform. In `down` mode every read fails. In `stale` mode the platform answers
+/// as of the revision at which the mode was set.
 enum class platform_mode : std::uint8_t { up, down, stale };
 
-/// Serves the configuration and the machine list from one sequence of revisions. Not thread-safe.
+/// Serves the configuration and the machine list, whose entries share one sequence of revisions.
+/// Not thread-safe.
 class emulated_platform {
  public:
   using answer_handler = std::function<void(const std::optional<node::service_answered>&)>;
@@ -32,9 +34,10 @@
   void restore(base::revision revision);
   void set_mode(platform_mode mode);
 
-  /// Reads the entries that changed after `request.after`. Answers at once if the latest revision
-  /// differs from `request.after` or the platform is down, otherwise at the next change of entries
-  /// or of the mode, at the latest after `watch_timeout`.
+  /// Reads the entries that changed after revision `request.after`. Answers at once if the latest
+  /// revision differs from `request.after` or the platform is down. Otherwise the read becomes a
+  /// watch: it is answered at the next change of the entries or of the mode, at the latest after
+  /// `watch_timeout`.
   /// @param answer called with std::nullopt if the platform is down.
   void read(const node::read_service& request, answer_handler answer);
 
@@ -49,7 +52,7 @@
   [[nodiscard]] base::revision revision() const { return revision_; }
   /// @return number of reads, without probes.
   [[nodiscard]] std::uint64_t calls() const { return calls_; }
-  /// @return number of reads that list all entries.
+  /// @return number of reads from the beginning, which return all entries.
   [[nodiscard]] std::uint64_t listings() const { return listings_; }
 
  private:
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -12,14 +12,14 @@
 
 namespace spurrack::simulation {
 
-/// Not thread-safe.
+/// Virtual clock and queue of the scheduled actions. Not thread-safe.
 class event_queue {
  public:
   using action = std::function<void()>;
 
   [[nodiscard]] base::time_point now() const { return now_; }
 
-  /// Schedules an action; a time in the past counts as now.
+  /// Schedules an action. If `due_at` is in the past, the action is due now.
   void schedule_at(base::time_point due_at, action callback) {
     entries_.push({due_at < now_ ? now_ : due_at, next_sequence_number_++, std::move(callback)});
   }
@@ -43,7 +43,7 @@
     base::time_point due_at;
     std::uint64_t sequence_number = 0;
     action callback;
-    /// Inverted, because std::priority_queue returns the largest entry first.
+    /// Order is inverted because std::priority_queue returns the largest entry first.
     bool operator<(const entry& other) const {
       return due_at != other.due_at ? due_at > other.due_at
                                     : sequence_number > other.sequence_number;
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -10,7 +10,7 @@
 constexpr base::duration connect_timeout = std::chrono::milliseconds(400);
 constexpr base::duration platform_delay = std::chrono::milliseconds(3);
 constexpr base::duration poll_interval = std::chrono::milliseconds(10);
-/// Overhead of TCP and ZeroMQ per message.
+/// Number of bytes that TCP and ZeroMQ add to a message.
 constexpr double transport_overhead_bytes = 80;
 constexpr std::uint64_t seed_stride = 0x9E3779B97F4A7C15;
 
@@ -331,7 +331,8 @@
   const auto is_reachable = [this, name] { return can_reach_platform(nodes_.at(name)); };
   const auto source = static_cast<std::size_t>(request.source);
   const auto read_number = ++instance.reads[source];
-  // Only the latest read of a source counts, as in the platform's client.
+  // Answers to earlier reads of the source are ignored, as in the client of the store that the
+  // daemon uses.
   const auto is_latest = [this, name, source, read_number] {
     return nodes_.at(name).reads[source] == read_number;
   };
--- a/src/simulation/fleet_simulation.h
+++ b/src/simulation/fleet_simulation.h
@@ -24,33 +24,38 @@
 
 namespace spurrack::simulation {
 
+/// Delays and losses of messages.
 struct network_profile {
-  /// One-way delay between any two machines. The jitter, added at random, reorders messages.
+  /// One-way delay between any two machines. A random part of the jitter is added to the delay of
+  /// each message, which reorders messages.
   base::duration delay = std::chrono::microseconds(500);
   base::duration jitter = std::chrono::microseconds(500);
-  /// Additional delay between nodes of two regions, according to the serving settings.
+  /// Additional one-way delay between nodes of different regions. The serving settings determine
+  /// the region of each zone.
   base::duration region_delay{};
   /// Probability that a message between two nodes is lost.
   double loss_probability = 0;
 };
 
-/// Transfer of the platform store's answers to nodes. A listing is sent in pages; it fails as a
-/// whole if a page is late, as in the platform's client.
+/// Transfer of answers from the platform's store to nodes. An answer is sent in pages. If one page
+/// is late, the whole read fails, as it does in the client of the store that the daemon uses.
 struct store_profile {
   /// Rate of all answers together; 0 for an unlimited rate.
   double bytes_per_second = 0;
   std::size_t entries_per_page = 500;
   /// Number of bytes of an entry in an answer.
   double bytes_per_entry = 0;
+  /// Maximum time for the transfer of a page.
   base::duration page_timeout = std::chrono::milliseconds(1000);
 };
 
-/// Simulated node.
+/// Properties of a simulated node.
 struct node_profile {
   std::string name;
   std::string zone;
   /// Rate of the node's network link in each direction; 0 for an unlimited rate.
   double link_bytes_per_second = 0;
+  /// Number of cores that the node may use.
   double processor_share = 1;
 };
 
@@ -83,14 +88,14 @@
   /// Concatenated text of the received tokens, in order.
   std::string streamed_text;
   std::optional<base::time_point> first_token_at;
-  /// Number of received answers; more than one is a violation.
+  /// Number of received answers. More than one answer violates an invariant.
   unsigned answer_count = 0;
   /// Whether the node was not running when the request was sent, or was killed before it answered.
   bool is_connection_lost = false;
   /// Whether the request reached the node.
   bool has_arrived = false;
-  /// Whether the node completed its graceful stop without answering the request, which had reached
-  /// it.
+  /// Whether the request reached the node, and the node completed its graceful stop without
+  /// answering the request.
   bool is_dropped_by_stop = false;
 };
 
@@ -105,19 +110,19 @@
   base::time_point not_after;
 };
 
-/// Not thread-safe.
+/// Simulated fleet with its network, platform, back ends and callers. Not thread-safe.
 class fleet_simulation {
  public:
   explicit fleet_simulation(simulation_settings settings);
 
   event_queue& events() { return events_; }
   emulated_platform& platform() { return platform_; }
-  /// Messages between nodes since the counters were last cleared.
+  /// @return counters of the messages between nodes since the counters were last cleared.
   traffic_counters& traffic() { return traffic_; }
   base::random_source& random() { return random_; }
   [[nodiscard]] base::time_point now() const { return events_.now(); }
   void run_for(base::duration duration) { events_.run_until(events_.now() + duration); }
-  /// Runs until a condition holds; checks it every 10 ms.
+  /// Runs until a condition holds. Checks the condition every 10 ms of virtual time.
   /// @return whether the condition held within `timeout`.
   bool run_until(const std::function<bool()>& condition, base::duration timeout);
 
@@ -125,12 +130,13 @@
   void start_node(const std::string& name);
   void start_all_nodes();
   void kill_node(const std::string& name);
-  /// Suspends a node for `duration`. Events that occur during the suspension are delivered at its
-  /// end.
+  /// Freezes a node: suspends its process for `duration`. The node receives events that occur
+  /// meanwhile at the end of the suspension.
   void freeze_node(const std::string& name, base::duration duration);
-  /// Suspends a node for `duration` after its next decision to make a non-repeatable call, before
-  /// the call is sent.
+  /// Freezes a node for `duration` between its next decision to make a non-repeatable call (an
+  /// effect) and the sending of the call.
   void freeze_before_next_effect(const std::string& name, base::duration duration);
+  /// Cancels a `freeze_before_next_effect` that has not taken place.
   void cancel_freeze_before_effect(const std::string& name) {
     nodes_.at(name).freeze_before_effect.reset();
   }
@@ -156,7 +162,8 @@
   void block_platform_access(std::set<std::string> zones) {
     zones_without_platform_ = std::move(zones);
   }
-  /// Makes the platform unresponsive for `duration`, also to reads that it already holds.
+  /// Lets the platform answer no reads for `duration`, including reads that it has already
+  /// received.
   void hang_platform(base::duration duration) { platform_hangs_until_ = now() + duration; }
   void set_loss_probability(double loss_probability) {
     settings_.network.loss_probability = loss_probability;
@@ -165,18 +172,21 @@
   // --- back ends
   emulated_backend& backend(const std::string& name) { return *backends_.at(name); }
   [[nodiscard]] std::vector<std::string> backend_names() const;
-  /// Crashes a back end: its connections break, its calls are lost.
+  /// Crashes a back end: connections to the back end break, and its calls are lost.
   void crash_backend(const std::string& name);
-  /// Publishes the machine record of a back end.
+  /// Publishes the entry of a back end in the machine list.
+  /// @param state `live` or `leaving`.
+  /// @param generation number that increases each time the state of the back end changes.
   void publish_backend(const std::string& name, const std::string& state, int generation);
-  /// Publishes the machine record of a node, or deletes it if `is_listed` is false.
+  /// Publishes the entry of a node in the machine list, or deletes the entry if `is_listed` is
+  /// false.
   void publish_node(const std::string& name, bool is_listed);
 
   // --- callers
   /// Sends a request to a node. @return id of the caller, which is the key of its record.
   base::caller_id send(const std::string& node, execution::caller_request request);
   /// Requests a ticket from a node, and runs the simulation until it arrives.
-  /// @return ticket; empty if the node issues none within one second of virtual time.
+  /// @return ticket; empty if the node issues no ticket within one second of virtual time.
   std::string request_ticket(const std::string& node, const std::string& token_sha256);
   /// Closes the connection of a caller.
   void disconnect_caller(base::caller_id caller);
@@ -195,7 +205,7 @@
     node_profile profile;
     std::unique_ptr<base::seeded_random> random;
     std::unique_ptr<node::node> logic;
-    /// Number of starts; events of an earlier incarnation are dropped.
+    /// Number of times that the node was started. Events of an earlier incarnation are dropped.
     std::uint64_t incarnation = 0;
     bool is_alive = false;
     bool has_exited = false;
@@ -204,30 +214,32 @@
     std::optional<base::duration> freeze_before_effect;
     /// Time of the scheduled wakeup.
     base::time_point wakeup_at;
-    /// Number of started reads of each source.
+    /// Number of reads that the node has started, by source.
     std::array<std::uint64_t, node::source_count> reads{};
     link uplink;
     link downlink;
   };
-  /// Answer of the store whose pages are being sent to a node.
+  /// Answer of the store that is being transferred to a node in pages.
   struct store_transfer {
     std::string node;
     std::uint64_t incarnation = 0;
     node::service_answered answer;
+    /// Number of entries that have not been transferred.
     std::size_t entries_left = 0;
   };
-  /// Call of a node to a back end that has not ended.
+  /// Unfinished call from a node to a back end.
   struct open_call {
     execution::stage_call call;
     std::string node;
     std::uint64_t incarnation = 0;
     bool is_cancelled = false;
+    /// Whether the request was written to the connection.
     bool is_written = false;
   };
   using open_call_ref = std::shared_ptr<open_call>;
 
-  /// Runs an action at an incarnation of a node: after its suspension if it is frozen, not at all
-  /// if it has ended.
+  /// Runs an action at one incarnation of a node. If the node is frozen, runs the action at the end
+  /// of the suspension. Drops the action if the incarnation has ended.
   void run_at_node(const std::string& name, std::uint64_t incarnation,
                    std::function<void()> action);
   void deliver(const std::string& name, std::uint64_t incarnation, const node::event& event);
@@ -237,7 +249,7 @@
   [[nodiscard]] bool can_reach_platform(const node_instance& instance) const;
   void read_platform(node_instance& instance, const node::read_service& request);
   void probe_platform(const node_instance& instance, const node::probe_service& request);
-  /// Sends the remaining pages of an answer to the requesting node, one after the other.
+  /// Sends the remaining pages of an answer to the node that requested it, one after the other.
   void transfer_pages(const std::shared_ptr<store_transfer>& transfer);
   void start_call(node_instance& instance, const execution::stage_call& call);
   void write_call(const open_call_ref& open);
@@ -268,7 +280,7 @@
   std::map<base::caller_id, caller_record> callers_;
   std::map<base::caller_id, std::string> tickets_;
   std::vector<execution_record> executions_;
-  /// Sums over ended incarnations.
+  /// Sums of the counters of all incarnations that have ended.
   node::control_counters earlier_control_totals_;
   link store_link_;
   traffic_counters traffic_;
--- a/src/simulation/invariant_checker.cc
+++ b/src/simulation/invariant_checker.cc
@@ -203,8 +203,8 @@
                        record.answer->request);
     }
   }
-  // A request that is sent again under its key is the same request. If it was executed before the
-  // answer, 'not run' is false, regardless of the node that answered.
+  // All sends of a request under one key are the same request. If a send was executed before
+  // another send was answered, the answer 'not run' is false, regardless of the node that answered.
   for (const auto& [id, record] : fleet_->callers()) {
     const auto expected = expectations_.find(id);
     const bool is_refused = record.answer && record.answer->outcome == model::outcome::not_run &&
@@ -228,8 +228,8 @@
 }
 
 void invariant_checker::check_effects() {
-  // The input of a request is unique to the request or to its key, and the input of a
-  // non-repeatable call contains it.
+  // No two requests with different keys or without a key have the same input, and the input of a
+  // non-repeatable call contains the input of its request.
   std::map<std::string, unsigned> execution_counts;
   std::map<std::string, base::request_id> last_request;
   for (const auto& executed_call : fleet_->executions()) {
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -11,10 +11,12 @@
 
 namespace spurrack::simulation {
 
-/// Violated invariant.
+/// Violation of an invariant.
 struct violation {
+  /// Name of the invariant.
   std::string invariant;
   std::string detail;
+  /// Request concerned; empty if the violation concerns no single request.
   base::request_id request;
 };
 
@@ -22,19 +24,20 @@
 /// `check_final_state` at the end. Not thread-safe.
 class invariant_checker {
  public:
-  /// Time after the first node learned that a back end drains during which other nodes may still
-  /// call the back end.
+  /// Time for which nodes may still call a back end after the first node learned that the back end
+  /// drains.
   static constexpr base::duration drain_grace_period = std::chrono::milliseconds(2500);
-  /// Time by which an answer may exceed its deadline: one wakeup of the driver.
+  /// Maximum time by which an answer may exceed its deadline: one wakeup of the driver of the node.
   static constexpr base::duration answer_slack = std::chrono::milliseconds(50);
 
-  /// Time after its expiry at which a call may still reach a back end: one network delay.
+  /// Maximum time after the expiry of a call at which the call may still reach a back end: one
+  /// network delay.
   static constexpr base::duration send_slack = std::chrono::milliseconds(20);
 
   explicit invariant_checker(fleet_simulation& fleet) : fleet_(&fleet) {}
 
-  /// Records the outputs that a caller's request must have, computed from its input. Requests with
-  /// the same key have the same input.
+  /// Computes the outputs that a caller's request must have from the input of the request, and
+  /// records them. Requests with the same key have the same input.
   /// @param effect idempotency key or ticket under which the request may be executed at most once;
   ///        empty if the request has none.
   void add_expectation(base::caller_id caller, const model::pipeline_template& pipeline,
@@ -70,8 +73,9 @@
   void observe_draining();
   void check_calls_to_draining();
   void check_answers();
+  /// Checks that no request that was answered with `not_run` was executed.
   void check_not_run_answers();
-  /// Checks calls that must not be repeated.
+  /// Checks the executions of non-repeatable calls.
   void check_effects();
   void check_convergence();
   /// Records the nodes that are currently partitioned, frozen, not running or not ready.
@@ -86,6 +90,7 @@
   /// Last accepted revision by node and key, within the current incarnation of the node.
   std::map<std::string, std::map<std::string, base::revision>> seen_revisions_;
   std::map<std::string, base::incarnation> seen_incarnations_;
+  /// Number of executions that `check_calls_to_draining` has checked.
   std::size_t checked_executions_ = 0;
   std::vector<violation> violations_;
 };
--- a/src/simulation/link.h
+++ b/src/simulation/link.h
@@ -1,4 +1,4 @@
-/// Network link of limited rate in virtual time. Messages are transmitted one after the other.
+/// Network link with a limited rate in virtual time. Messages are transmitted one after the other.
 #pragma once
 
 #include "base/time.h"
@@ -8,19 +8,19 @@
 
 namespace spurrack::simulation {
 
-/// Not thread-safe.
+/// Computes when messages leave the link. Not thread-safe.
 class link {
  public:
-  /// Messages that would wait longer are lost: the transport closes a connection whose bytes stay
-  /// unacknowledged for this time.
+  /// Maximum time for which a message may wait for the link. A message that would wait longer is
+  /// lost, because the transport closes a connection whose bytes stay unacknowledged for this time.
   static constexpr base::duration max_queueing_delay = std::chrono::milliseconds(2000);
 
   /// @param bytes_per_second 0 for an unlimited rate.
   explicit link(double bytes_per_second = 0) : bytes_per_second_(bytes_per_second) {}
 
-  /// Occupies the link for the transmission of `bytes`, after all earlier transmissions.
+  /// Schedules the transmission of `bytes` after all earlier transmissions.
   /// @return time at which the last byte has left the link; std::nullopt if the transmission could
-  ///         not begin within `max_queueing_delay`, in which case the link is not occupied.
+  ///         not begin within `max_queueing_delay` and is not scheduled.
   std::optional<base::time_point> transmit(double bytes, base::time_point now) {
     if (bytes_per_second_ <= 0) {
       return now;
@@ -31,7 +31,7 @@
     }
     return free_at_ = begins_at + base::from_seconds(bytes / bytes_per_second_);
   }
-  /// @return time at which all accepted transmissions have left the link.
+  /// @return time at which the last byte of all scheduled transmissions has left the link.
   [[nodiscard]] base::time_point free_at() const { return free_at_; }
 
  private:
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -10,7 +10,7 @@
 
 constexpr base::duration step_duration = std::chrono::milliseconds(50);
 constexpr base::duration key_lifetime = std::chrono::seconds(4);
-/// Duration without faults and new requests at the end of a run.
+/// Duration of the last part of a run, in which there are no faults and no new requests.
 constexpr base::duration settle_duration = std::chrono::seconds(6);
 /// Time after its first send within which a request may be sent again.
 constexpr base::duration resend_window = std::chrono::milliseconds(2500);
@@ -35,12 +35,13 @@
 /// Request with an idempotency key or ticket, which may be sent again.
 struct resendable_request {
   execution::caller_request request;
+  /// Idempotency key or ticket of the request; empty if the request has neither.
   std::string effect;
   base::time_point first_sent_at;
   base::caller_id last_caller = 0;
 };
 
-/// One run: load with faults, then healing, then final checks.
+/// One run: load with faults, then the end of all faults, then the final checks.
 class fault_run {
  public:
   explicit fault_run(const run_options& options)
@@ -163,8 +164,8 @@
     }
   }
 
-  /// Sends requests without a certain answer again, to any node, and some others twice to inject
-  /// duplicates.
+  /// Sends requests that received no certain answer again, to a random node. Sends some other
+  /// requests twice to inject duplicates.
   void resend_due_requests() {
     auto pending = std::exchange(resendable_requests_, {});
     for (auto& resendable : pending) {
@@ -343,8 +344,8 @@
     }
   }
 
-  /// @return merged events of all nodes about `request`; if it is empty, the most recent events of
-  ///         the fleet without a request.
+  /// @return events of all nodes that concern `request`, merged by time; if `request` is empty, the
+  ///         most recent events of the fleet that concern no request.
   std::string timeline(const base::request_id& request) {
     std::vector<std::pair<base::hybrid_timestamp, std::string>> lines;
     for (const auto& name : fleet_.node_names()) {
--- a/src/simulation/random_faults.h
+++ b/src/simulation/random_faults.h
@@ -33,25 +33,31 @@
 
 std::string_view name_of(fault_kind kind);
 
+/// Options of one run.
 struct run_options {
   std::uint64_t seed = 1;
   base::safety_switches switches;
   /// Faults of the run; drawn at random from the seed if empty.
   std::vector<fault_kind> faults;
-  /// Duration of load and faults, without start and settling.
+  /// Time for which the fleet is under load and faults are injected, without the start of the fleet
+  /// and the settling at the end.
   base::duration load_duration = std::chrono::seconds(15);
 };
 
+/// Result of one run.
 struct run_report {
   std::uint64_t seed = 0;
   std::vector<fault_kind> faults;
   std::vector<violation> violations;
+  /// Number of requests that were sent.
   std::size_t requests = 0;
+  /// Number of requests whose outcome was `completed`.
   std::size_t completed = 0;
   /// Number of executions of non-repeatable calls.
   std::size_t effects = 0;
-  /// Events about the request of the first violation, or the most recent events of the fleet
-  /// without a request if the violation concerns none; empty without a violation.
+  /// Timeline of the events that concern the request of the first violation. If that violation
+  /// concerns no request: the most recent events of the fleet that concern no request. Empty if
+  /// there is no violation.
   std::string timeline;
 };
 
@@ -65,6 +71,7 @@
 ///         Idempotency keys and tickets expire within seconds.
 simulation_settings example_settings(const run_options& options);
 
+/// Runs one simulation with random faults and checks its invariants.
 run_report run_with_faults(const run_options& options);
 
 } // namespace spurrack::simulation
--- a/src/simulation/traffic_counters.h
+++ b/src/simulation/traffic_counters.h
@@ -1,5 +1,5 @@
-/// Number of bytes that nodes send to each other, by kind of message. Sizes are those of the
-/// serialized messages, without the overhead of the transport.
+/// Counts the bytes that nodes send to each other, by kind of message. The bytes of a message are
+/// its serialized size, without the overhead of the transport.
 #pragma once
 
 #include "wire/peer.pb.h"
@@ -12,7 +12,7 @@
 
 namespace spurrack::simulation {
 
-/// Direction between two nodes, and kind of message.
+/// Messages of one kind in one direction between two nodes.
 struct traffic_flow {
   wire::envelope::BodyCase kind = wire::envelope::BODY_NOT_SET;
   std::string sender;
@@ -20,7 +20,7 @@
   auto operator<=>(const traffic_flow&) const = default;
 };
 
-/// Not thread-safe.
+/// Number of bytes of each flow. Not thread-safe.
 class traffic_counters {
  public:
   void add(const traffic_flow& flow, std::uint64_t bytes) { flows_[flow] += bytes; }
@@ -28,8 +28,9 @@
 
   [[nodiscard]] const std::map<traffic_flow, std::uint64_t>& flows() const { return flows_; }
 
-  /// Sums the bytes of all flows with the same key.
-  /// @param key_of maps a flow to its key, for example the sender, the kind or a pair of zones.
+  /// Sums the bytes of the flows that have the same key.
+  /// @param key_of function that returns the key of a flow, such as its sender, its kind or a pair
+  ///        of zones.
   template <typename key_function>
   [[nodiscard]] auto sum_by(const key_function& key_of) const {
     std::map<std::invoke_result_t<key_function, const traffic_flow&>, std::uint64_t> sums;
--- a/tests/simulation/control_traffic_test.cc
+++ b/tests/simulation/control_traffic_test.cc
@@ -1,5 +1,6 @@
-/// Control traffic of a fleet in three regions, by kind of message, by node and between regions, in
-/// steady state and after all nodes were lost and started again at once.
+/// Control traffic (messages between nodes) of a fleet in three regions: by kind of message, by
+/// node and between regions. Measured in steady state, and after all nodes exited at once and were
+/// started again.
 #include "regional_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -20,7 +21,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Time within which all nodes of a fleet start.
+/// Maximum time between the starts of two nodes of a fleet.
 constexpr int start_spread_milliseconds = 300;
 constexpr double kilobyte = 1000;
 
@@ -36,7 +37,9 @@
       : fleet_(&fleet), measured_seconds_(measured_seconds),
         node_count_(fleet.node_names().size()) {}
 
-  /// @return kilobytes per second that each node sends and receives, in ascending order.
+  /// @return rate of each node in kilobytes per second, sent and received together, with the name
+  /// of
+  ///         the node; in ascending order.
   [[nodiscard]] std::vector<std::pair<double, std::string>> by_node() const {
     std::map<std::string, std::uint64_t> sums;
     for (const auto& [flow, bytes] : fleet_->traffic().flows()) {
@@ -98,11 +101,12 @@
   std::size_t node_count_;
 };
 
-/// State that each node of a starting fleet reaches, and the time at which each node reached it.
+/// State that every node of a starting fleet reaches, and the time at which each node reached the
+/// state.
 struct milestone {
   std::string label;
   std::function<bool(const node::node&)> is_reached;
-  /// Milliseconds after the start of the fleet, by node.
+  /// Time at which each node reached the state, in milliseconds after the start of the fleet.
   std::map<std::string, double> reached_at{};
 
   [[nodiscard]] std::vector<double> sorted_times() const {
@@ -171,7 +175,7 @@
   return timeline;
 }
 
-/// Checks that the bytes sent by class add up to the total of each node.
+/// Checks that the sent bytes that each node counts by class add up to the total of the node.
 void check_counters(const fleet_simulation& fleet) {
   for (const auto& name : fleet.node_names()) {
     const auto& control = fleet.node(name).control();
@@ -183,9 +187,9 @@
   }
 }
 
-/// Limit of the traffic between regions, in kilobytes per second of the whole fleet: messages
-/// between the relays of each pair of regions, and one report per second to each node from each
-/// other region.
+/// @return maximum traffic between regions, in kilobytes per second of the whole fleet: messages
+///         between the relays of each pair of regions, and one report per second to each node from
+///         each other region.
 double max_kilobytes_between_regions(int nodes) {
   return 20 + 0.4 * nodes;
 }
@@ -216,8 +220,8 @@
   }
   const auto listings = fleet.platform().listings() - listings_before;
   BOOST_TEST_MESSAGE("  listings read from the store: " << listings);
-  // Two sources. Most nodes receive the entries from the nodes that read the store, regardless of
-  // the size of the fleet.
+  // The store has two sources: configuration and machine list. At any size of the fleet most nodes
+  // receive the entries of a source from the nodes that read the store.
   constexpr std::uint64_t sources = 2;
   BOOST_TEST(listings <= sources * (20 + static_cast<std::uint64_t>(nodes) / 5));
   constexpr double max_restart_milliseconds = 3'000;
@@ -226,7 +230,7 @@
   BOOST_TEST(timeline.all_members_known.reached_at.size() == static_cast<std::size_t>(nodes));
   BOOST_TEST(timeline.all_members_known.last() <= max_restart_milliseconds);
   BOOST_TEST(report.between_regions() <= 2 * max_kilobytes_between_regions(nodes));
-  // A fifth of a 10 Mbit/s link, both directions together.
+  // A fifth of the rate of a 10 Mbit/s link; both directions of the node's traffic together.
   constexpr double max_kilobytes_per_node = 250;
   BOOST_TEST(report.by_node().back().first <= max_kilobytes_per_node);
 }
--- a/tests/simulation/evacuation_spread_test.cc
+++ b/tests/simulation/evacuation_spread_test.cc
@@ -1,5 +1,5 @@
-/// Time until an evacuation takes effect at all nodes of a fleet: with and without access to the
-/// store, at the start of a node and after a partition.
+/// Time from the publication of an evacuation until the evacuation takes effect at all nodes of a
+/// fleet: with and without access to the store, at the start of a node and after a partition.
 #include "regional_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Time after its publication within which an evacuation takes effect at all nodes.
+/// Maximum time from the publication of an evacuation until it takes effect at all nodes.
 constexpr base::duration max_spread_time = seconds(1);
 const std::string key = std::string(model::evacuation_prefix) + "z1";
 
@@ -23,8 +23,8 @@
   return record.SerializeAsString();
 }
 
-/// @return whether all nodes run and their catalogs have the zone as evacuated, or as not evacuated
-///         if `evacuated` is false.
+/// @return whether all nodes run and the catalog of each node shows the zone `z1` as evacuated; as
+///         not evacuated if `evacuated` is false.
 bool all_have_evacuation_state(const fleet_simulation& fleet, bool evacuated) {
   for (const auto& name : fleet.node_names()) {
     const bool has_expected_state =
@@ -84,7 +84,8 @@
   for (const int nodes : {30, 100}) {
     fleet_simulation fleet(simulation::regional_fleet_settings(nodes));
     start(fleet);
-    // Both zones of one region lose access, for longer than a node needs to detect it.
+    // Both zones of one region lose access to the store, for longer than a node needs to detect the
+    // loss.
     fleet.block_platform_access({"z1", "z4"});
     fleet.run_for(seconds(10));
     for (const bool evacuated : {true, false, true}) {
@@ -95,7 +96,7 @@
       BOOST_TEST_MESSAGE(nodes << " nodes, one region without store access: in effect after "
                                << base::to_milliseconds(fleet.now() - published_at) << " ms");
     }
-    // All nodes of the region restart; they learn the catalog from the other regions.
+    // All nodes of the region restart and receive the catalog from nodes of the other regions.
     for (const auto& name : fleet.node_names()) {
       const auto zone = fleet.node(name).settings().self.zone.text();
       if (simulation::region_of_zone(zone) == "r1") {
--- a/tests/simulation/large_catalog_test.cc
+++ b/tests/simulation/large_catalog_test.cc
@@ -1,5 +1,6 @@
-/// Bytes that the nodes of a fleet send to distribute a catalog of up to 1,000 replicas: after the
-/// start of the fleet, and after all nodes were lost and started again at once.
+/// Number of bytes that the nodes of a fleet send to each other to distribute a catalog of up to
+/// 1,000 replicas: after the start of the fleet, and after all nodes exited at once and were
+/// started again.
 #include "catalog/entry_packing.h"
 #include "serving_fleet.h"
 
@@ -38,7 +39,8 @@
   return settings;
 }
 
-/// Bytes of catalog messages that a node sent in its current incarnation.
+/// Number of bytes of catalog messages that each node sent in its current incarnation: mean and
+/// maximum over the nodes.
 struct catalog_traffic {
   double mean = 0;
   double max = 0;
@@ -79,12 +81,15 @@
   return static_cast<double>(message.ByteSizeLong());
 }
 
-/// Limit of the mean number of copies of the catalog that a node sends while the fleet learns it.
+/// Maximum number of bytes that a node sends to distribute the catalog, as a multiple of the size
+/// of the whole catalog; mean over all nodes.
 constexpr double max_mean_copies = 2.5;
-/// Limit of the number of copies for a single node: the nodes that have the catalog first receive
-/// the requests of all other nodes.
+/// Maximum number of bytes that a single node sends to distribute the catalog, as a multiple of the
+/// size of the whole catalog. Higher than the mean because all other nodes request the catalog from
+/// the nodes that received it first.
 constexpr double max_copies = 40;
-/// Bytes for comparisons of catalogs, two kilobytes each, in addition to the entries.
+/// Maximum number of bytes that a node sends to compare its catalog with the catalogs of other
+/// nodes, in addition to the bytes of entries. A comparison has two kilobytes.
 constexpr double comparison_bytes = 10'000;
 
 void check_traffic(const fleet_simulation& fleet, const std::string& label) {
--- a/tests/simulation/long_cut_test.cc
+++ b/tests/simulation/long_cut_test.cc
@@ -1,5 +1,6 @@
-/// Zone that is partitioned from the other zones and from the platform for hours of virtual time,
-/// and number of reads of the platform depending on the number of nodes.
+/// Two tests of long runs: a zone that is partitioned from the other zones and from the platform
+/// for hours of virtual time, and the number of reads that fleets of different sizes send to the
+/// platform.
 #include "simulation/random_faults.h"
 
 #include <boost/test/unit_test.hpp>
@@ -54,8 +55,9 @@
       const auto caller = fleet.send(node, make_request("answer", "q" + number + node));
       BOOST_CHECK(outcome_of(fleet, caller) == model::outcome::completed);
     }
-    // The partitioned zone executes non-repeatable calls under a ticket. Under an idempotency key
-    // it cannot know whether the request has run, and answers `unknown`.
+    // The partitioned zone executes a request with non-repeatable calls if the request has a
+    // ticket. For a request with an idempotency key the zone cannot know whether another node has
+    // run it, and answers `unknown`.
     auto by_ticket = make_request("payout", "t" + number);
     by_ticket.ticket = fleet.request_ticket("node-c1", simulation::example_token_hash);
     BOOST_CHECK(outcome_of(fleet, fleet.send("node-c2", by_ticket)) == model::outcome::completed);
--- a/tests/simulation/promises_test.cc
+++ b/tests/simulation/promises_test.cc
@@ -25,16 +25,16 @@
   BOOST_TEST(report.completed > 0U);
 }
 
-/// Seeds that found faults: a stale request was executed after a suspension (8, 10, 20, 37),
-/// requests were dropped by a stop during which the node was suspended (998, 1126, 1308, 20112),
-/// and several suspensions in a row (41).
+/// Seeds that once found a fault in the code: a stale request was executed after a suspension of
+/// its node (8, 10, 20, 37); a node that was suspended during its graceful stop exited without
+/// answering requests (998, 1126, 1308, 20112); several suspensions in a row (41).
 constexpr std::uint64_t regression_seeds[] = {8, 10, 20, 37, 41, 998, 1126, 1308, 20112};
 
 constexpr std::uint64_t first_ci_seed = 1;
 constexpr std::uint64_t ci_seed_count = 150;
 
-/// Safety mechanism, the fault under which it is needed, and the invariant that is violated without
-/// it.
+/// Safety mechanism, the fault for which the mechanism is needed, and the invariant that is
+/// violated if the mechanism is switched off.
 struct disabled_mechanism {
   const char* name;
   bool safety_switches::*safety_switch;
--- a/tests/simulation/regional_fleet.h
+++ b/tests/simulation/regional_fleet.h
@@ -12,12 +12,12 @@
 inline constexpr int regional_zone_count = 6;
 inline constexpr int regional_region_count = 3;
 inline constexpr int regional_replicas_per_node = 10;
-/// Number of nodes of a zone among which one node has a strong processor and a fast link.
+/// One of this number of nodes of a zone has a strong processor and a fast link.
 inline constexpr int nodes_per_strong_node = 8;
 inline constexpr double fast_link_bytes_per_second = 25e6;   // 200 Mbit/s
 inline constexpr double slow_link_bytes_per_second = 1.25e6; // 10 Mbit/s
 /// Number of bytes of a replica's entry in an answer of the store: a document of 300 bytes in
-/// base64, its key and numbers.
+/// base64, the key of the entry, and numbers such as the revision.
 inline constexpr double store_entry_bytes = 500;
 inline constexpr double store_link_bytes_per_second = 125e6; // 1,000 Mbit/s
 
@@ -29,9 +29,10 @@
   return "r" + std::to_string((zone.back() - '0') % regional_region_count);
 }
 
-/// Service, and the percentage of the replicas that belong to it.
+/// Service of the regional fleet.
 struct regional_service {
   const char* name;
+  /// Percentage of all replicas that belong to the service.
   int percentage;
   /// Whether the replicas execute pieces of stages instead of requests.
   bool has_pieces;
@@ -86,7 +87,8 @@
   return record.SerializeAsString();
 }
 
-/// @return settings of a fleet of `nodes` nodes; three nodes with slow links are the seeds.
+/// @return settings of a fleet of `nodes` nodes. Three nodes with slow links are the seeds, whose
+///         addresses every node knows at its start.
 inline simulation_settings regional_fleet_settings(int nodes) {
   auto settings = serving_fleet_settings(0);
   std::map<base::zone_id, base::region_id> regions;
--- a/tests/simulation/serving_fleet.h
+++ b/tests/simulation/serving_fleet.h
@@ -13,7 +13,8 @@
 /// Number of zones, which are named `z0`, `z1` and so on.
 inline constexpr int serving_zone_count = 4;
 
-/// @return settings of a fleet of `nodes` nodes that are spread over the zones; the published
+/// @return settings of a fleet of `nodes` nodes that are spread evenly over the zones. The
+/// published
 ///         configuration has no routes.
 inline simulation_settings serving_fleet_settings(int nodes) {
   simulation_settings settings;
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -1,5 +1,5 @@
-/// Number of reads that a fleet in one region sends to the platform's store, and propagation of
-/// changes while the store answers only some of the nodes.
+/// Number of reads that a fleet in one region sends to the platform's store, and time until changes
+/// reach all nodes while only some nodes have access to the store.
 #include "serving_fleet.h"
 
 #include "node/node_roles.h"
@@ -163,8 +163,8 @@
     calls[size] = fleet.platform().calls() - calls_before;
   }
   BOOST_TEST_MESSAGE("calls in 10 s: " << calls[0] << ", " << calls[1]);
-  // Each of eight watches tries six times, at intervals of 0.25 s to 8 s, and is handed over twice
-  // in two steps.
+  // In 10 s each of the eight watches is tried six times, at intervals that grow from 0.25 s to 8
+  // s, and is handed over to another node twice, in two steps each.
   constexpr std::uint64_t max_calls = 80;
   BOOST_TEST(calls[0] <= max_calls);
   BOOST_TEST(calls[1] <= max_calls);
