--- a/src/simulation/emulated_backend.cc
+++ b/src/simulation/emulated_backend.cc
@@ -11,7 +11,8 @@
   return offset == 0 ? "generate(" + input + ")" : " w" + std::to_string(offset);
 }
 
-execution::call_result refusal(const execution::stage_call& call, execution::call_status status) {
+execution::call_result make_result(const execution::stage_call& call,
+                                   execution::call_status status) {
   execution::call_result result;
   result.call = call.call;
   result.status = status;
@@ -44,11 +45,11 @@
     return;
   }
   if (faults_.is_draining) {
-    reply({refusal(call, execution::call_status::refused_leaving), {}});
+    reply({make_result(call, execution::call_status::refused_leaving), {}});
     return;
   }
   if (running_.size() + queued_.size() >= profile_.max_calls) {
-    reply({refusal(call, execution::call_status::refused_overloaded), {}});
+    reply({make_result(call, execution::call_status::refused_overloaded), {}});
     return;
   }
   accepted_call accepted{call, std::move(reply), std::move(first_token), {}};
@@ -104,7 +105,7 @@
 backend_reply emulated_backend::make_reply(const accepted_call& accepted) {
   const auto& call = accepted.call;
   backend_reply reply;
-  reply.result = refusal(call, execution::call_status::completed);
+  reply.result = make_result(call, execution::call_status::completed);
   reply.result.backend_time = events_->now() - accepted.started_at;
   reply.result.reported_in_flight =
       static_cast<std::uint32_t>(running_.size() + queued_.size()) + 1;
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -64,7 +64,7 @@
       run_step(true);
     }
     heal();
-    fleet_.run_until([&] { return are_no_nodes_frozen(); }, std::chrono::seconds(30));
+    fleet_.run_until([&] { return is_no_node_frozen(); }, std::chrono::seconds(30));
     const auto settle_end = fleet_.now() + settle_duration;
     while (fleet_.now() < settle_end) {
       run_step(false);
@@ -309,7 +309,7 @@
     restart_at_[name] = fleet_.now() + pick_duration(1500, 3000);
   }
 
-  bool are_no_nodes_frozen() {
+  bool is_no_node_frozen() {
     const auto names = fleet_.node_names();
     return std::none_of(names.begin(), names.end(),
                         [&](const std::string& name) { return fleet_.is_frozen(name); });
--- a/tests/simulation/large_catalog_test.cc
+++ b/tests/simulation/large_catalog_test.cc
@@ -83,20 +83,20 @@
 
 /// Maximum number of bytes that a node sends to distribute the catalog, as a multiple of the size
 /// of the whole catalog; mean over all nodes.
-constexpr double max_mean_copies = 2.5;
+constexpr double max_mean_catalogs_sent = 2.5;
 /// Maximum number of bytes that a single node sends to distribute the catalog, as a multiple of the
 /// size of the whole catalog. Higher than the mean because all other nodes request the catalog from
 /// the nodes that received it first.
-constexpr double max_copies = 40;
+constexpr double max_catalogs_sent = 40;
 /// Maximum number of bytes that a node sends to compare its catalog with the catalogs of other
 /// nodes, in addition to the bytes of entries. A comparison has two kilobytes.
 constexpr double comparison_bytes = 10'000;
 
 void check_traffic(const fleet_simulation& fleet, const std::string& label) {
   const auto sent = catalog_traffic_of(fleet, label);
-  const double copy_bytes = whole_catalog_bytes(fleet);
-  BOOST_TEST(sent.mean <= copy_bytes * max_mean_copies + comparison_bytes);
-  BOOST_TEST(sent.max <= copy_bytes * max_copies + comparison_bytes);
+  const double catalog_size = whole_catalog_bytes(fleet);
+  BOOST_TEST(sent.mean <= catalog_size * max_mean_catalogs_sent + comparison_bytes);
+  BOOST_TEST(sent.max <= catalog_size * max_catalogs_sent + comparison_bytes);
 }
 
 void check_catalog_traffic_at_starts(int nodes) {
