--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -9,9 +9,9 @@
 /// Token bucket of one pool: each success adds a fraction of a token, each retry takes one token.
 class retry_budget {
  public:
-  /// Number of retries that one success earns.
+  /// Number of tokens that one successful call adds.
   static constexpr double tokens_per_success = 0.1;
-  /// Capacity of the bucket, which is full at the start.
+  /// Maximum number of tokens in the bucket. The bucket is full at the start.
   static constexpr double max_tokens = 20.0;
 
   void add_success() { tokens_ = std::min(max_tokens, tokens_ + tokens_per_success); }
--- a/src/admission/stage_queue.h
+++ b/src/admission/stage_queue.h
@@ -12,7 +12,7 @@
 
 namespace spurrack::admission {
 
-/// Waiting request.
+/// Request that waits in the queue.
 struct queue_entry {
   base::request_id request;
   base::tenant_id tenant;
@@ -21,21 +21,21 @@
   base::time_point deadline;
 };
 
-/// Not thread-safe.
+/// Queue of one pool at this node. Not thread-safe.
 class stage_queue {
  public:
   void push(const queue_entry& entry);
   /// Removes the next request to dispatch. @return the request; std::nullopt if the queue is empty.
   std::optional<queue_entry> pop();
-  /// Removes a request from any position; tenant, deadline and id must match. @return whether it
-  /// was queued.
+  /// Removes a request from any position of the queue. Tenant, deadline and id must match.
+  /// @return whether the request was in the queue.
   bool remove(const queue_entry& entry);
 
   [[nodiscard]] std::size_t size() const { return size_; }
   [[nodiscard]] bool empty() const { return size_ == 0; }
-  /// @return estimated number of waiting requests that would be served before this one: requests of
-  ///         its tenant with an earlier deadline, and the requests of other tenants that fair
-  ///         queueing serves meanwhile.
+  /// @return estimated number of waiting requests that would be served before `entry`: the requests
+  ///         of the same tenant with an earlier deadline, and the requests of other tenants that
+  ///         fair queueing serves meanwhile.
   [[nodiscard]] double requests_ahead_of(const queue_entry& entry) const;
 
  private:
--- a/src/admission/stage_scheduler.cc
+++ b/src/admission/stage_scheduler.cc
@@ -6,7 +6,7 @@
 namespace spurrack::admission {
 namespace {
 
-/// Quantile of the service time that predictions use.
+/// Quantile of the service time from which predictions are computed.
 constexpr double predicted_quantile = 0.9;
 /// A call counts as stalled if it makes no progress for longer than almost all calls take:
 /// `stall_factor` times the `stall_quantile` of the service time.
@@ -50,8 +50,9 @@
   double ahead = own_count;
   for (const auto& [tenant, count] : state.admitted) {
     if (tenant != plan.tenant) {
-      // With fair queueing each other tenant is served at most as often as this tenant. Equal
-      // weights are assumed here; the queue applies the real weights.
+      // With fair queueing every other tenant is served at most as often as the tenant of the plan,
+      // if the weights are equal. Equal weights are assumed here; the queue applies the real
+      // weights.
       ahead += std::min<double>(count, own_count + 1);
     }
   }
--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -19,7 +19,7 @@
 
 namespace spurrack::admission {
 
-/// Settings of operators.
+/// Settings that operators choose.
 struct scheduling_settings {
   routing::policy_kind policy = routing::policy_kind::adaptive;
   /// Whether requests that are expected to miss their deadline are refused at once.
@@ -28,7 +28,8 @@
 
 /// Refusal of a request.
 struct refusal {
-  /// A pool of the plan has no back end; otherwise the request is expected to miss its deadline.
+  /// Whether the reason is that a pool of the plan has no back end. Otherwise the reason is that
+  /// the request is expected to miss its deadline.
   bool no_backend = false;
   /// Time after which the caller may send the request again.
   base::duration retry_after{};
@@ -48,8 +49,9 @@
   stage_scheduler(scheduling_settings settings, routing::backend_table& backends,
                   base::random_source& random);
 
-  /// Checks whether a new request can be admitted. The caller must report an admitted request with
-  /// `add_admitted`, and each stage that it completes with `note_stage_completed`.
+  /// Checks whether a new request can be admitted. The caller of this function must report an
+  /// admitted request with `add_admitted`, and each completed stage of the request with
+  /// `note_stage_completed`.
   /// @return std::nullopt if the request can be admitted.
   [[nodiscard]] std::optional<refusal> check_admission(const model::pipeline_plan& plan,
                                                        base::time_point deadline,
@@ -61,16 +63,18 @@
   /// Removes one completed stage from the admitted work.
   void note_stage_completed(const model::pipeline_plan& plan, std::size_t stage);
 
+  /// Adds a request that waits for a call of one stage.
   /// @param affinity see `routing::call_hint`.
   void enqueue(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
                base::time_point deadline, std::uint64_t affinity);
   void remove(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
               base::time_point deadline);
-  /// Removes from its queue the next request, of any pool, whose call can be started now.
+  /// Removes the next request whose call can be started now, of any pool, from its queue.
   /// @return the request and its back end; std::nullopt if no call can be started.
   std::optional<dispatch_choice> take_next(base::time_point now);
-  /// @return earliest time at which a backoff or ejection ends in a pool with waiting requests;
-  ///         std::nullopt if there is none.
+  /// @return earliest time at which the backoff or ejection of a back end ends in a pool with
+  /// waiting
+  ///         requests; std::nullopt if there is no such back end.
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   /// Records the service time of a completed call.
@@ -93,7 +97,7 @@
     stage_queue queue;
     retry_budget retries;
     std::map<base::request_id, std::uint64_t> affinities;
-    /// Number of admitted stages that have not completed in this pool, by tenant.
+    /// Number of stages of admitted requests that have not completed in this pool, by tenant.
     std::map<base::tenant_id, std::uint32_t> admitted;
     routing::latency_estimator service_time;
     std::unique_ptr<routing::balancing_policy> policy;
@@ -109,7 +113,7 @@
   pool_state& pool(const base::pool_id& name);
   static queue_entry make_entry(const model::pipeline_plan& plan, const base::request_id& request,
                                 base::time_point deadline);
-  /// @return estimated number of admitted stages that a pool serves before one of this plan.
+  /// @return estimated number of admitted stages that a pool serves before a stage of this plan.
   [[nodiscard]] double admitted_ahead(const pool_state& state,
                                       const model::pipeline_plan& plan) const;
   [[nodiscard]] base::duration expected_wait(const base::pool_id& name,
--- a/src/execution/answer.h
+++ b/src/execution/answer.h
@@ -37,7 +37,7 @@
   caller_gone,
 };
 
-/// @return the stable name, in lower case.
+/// @return the stable name of the reason, in lower case.
 std::string_view name_of(reason value);
 
 /// Request as a caller sent it: parsed and within the size limits, not yet checked against the
@@ -47,8 +47,8 @@
   std::string token_sha256;
   base::template_id pipeline;
   std::string input;
-  /// Time from the arrival of the request. The template's deadline applies if this one is absent or
-  /// longer.
+  /// Deadline that the caller sent, as the time from the arrival of the request. The template's
+  /// deadline applies if the caller sent no deadline or a longer deadline.
   std::optional<base::duration> deadline;
   std::string idempotency_key;
   std::string ticket;
@@ -60,7 +60,7 @@
   std::string stage;
   /// Time that back ends worked on calls whose result was used.
   base::duration backend_time{};
-  /// Time spent on calls whose result was not used.
+  /// Time that elapsed in calls whose result was not used.
   base::duration wasted_time{};
   std::uint32_t tokens = 0;
   std::uint32_t attempts = 0;
--- a/src/execution/commands.h
+++ b/src/execution/commands.h
@@ -1,4 +1,5 @@
-/// Commands that the execution of requests issues and adapters carry out.
+/// Commands that the execution of requests issues. Adapters (the code that does the I/O) carry the
+/// commands out.
 #pragma once
 
 #include "base/ids.h"
@@ -18,7 +19,7 @@
   auto operator<=>(const local_caller&) const = default;
 };
 
-/// Peer that forwarded a request of a caller of its own.
+/// Peer that forwarded a request from a caller that is connected to the peer.
 struct remote_caller {
   base::network_address peer;
   std::uint64_t forward_id = 0;
@@ -32,7 +33,8 @@
 struct start_call {
   stage_call call;
 };
-/// Cancels a call: the adapter closes its connection and ignores further data of the call.
+/// Cancels a call: the adapter closes the connection of the call and ignores further data of the
+/// call.
 struct cancel_call {
   base::call_id call = 0;
 };
--- a/src/execution/counters.h
+++ b/src/execution/counters.h
@@ -32,9 +32,9 @@
   /// Number of requests that were not completed, by reason.
   std::map<reason, std::uint64_t> refusals;
   std::uint64_t retries = 0;
-  /// Results of calls that had already ended or been cancelled.
+  /// Number of results that arrived for calls that had already ended or been cancelled.
   std::uint64_t late_answers = 0;
-  /// Completed results that echoed the identity of another call or lacked tokens.
+  /// Number of completed results that echoed the identity of another call or lacked tokens.
   std::uint64_t misdirected_answers = 0;
   std::uint64_t cancelled_calls = 0;
 };
--- a/src/execution/effect_guard.cc
+++ b/src/execution/effect_guard.cc
@@ -62,8 +62,9 @@
   } else if (!request.ticket.empty()) {
     submit_with_ticket(std::move(request), now);
   } else {
-    // A witness named this node as the holder, but this node's request released the key before it
-    // was dispatched. Another node may have run a request with the key earlier.
+    // A witness named this node as the holder of the key, but the request of this node released the
+    // key before the request was dispatched. Another node may have run a request with the key
+    // earlier.
     refuse(request, {}, model::outcome::unknown, reason::key_in_use, no_majority_retry_after);
   }
 }
@@ -107,8 +108,8 @@
   const bool is_outdated =
       parsed->process_start != self_.process_start || known == nullptr || known->expires_at <= now;
   if (is_outdated && settings_.switches.ticket_binds_process) {
-    // An earlier incarnation of this process, or this process before its record expired, may have
-    // run the request.
+    // An earlier incarnation of this node, or this incarnation before its record of the ticket
+    // expired, may have run the request.
     refuse(guarded, {}, model::outcome::unknown, reason::ticket_expired, {});
     return;
   }
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -1,7 +1,7 @@
-/// Permission to run requests that may run at most once. A request carries a ticket or an
-/// idempotency key. The node that issued the ticket, or whose request acquired the key from a
-/// majority of the key's witnesses, owns the effect and runs it; the other nodes forward their
-/// requests to the owner.
+/// Permission to run requests that may run at most once. The run of such a request is called an
+/// effect. The request carries a ticket or an idempotency key. The owner of the effect is the node
+/// that issued the ticket, or the node whose request acquired the key from a majority of the key's
+/// witnesses. Only the owner runs the effect; the other nodes forward their requests to the owner.
 #pragma once
 
 #include "base/event_log.h"
@@ -31,7 +31,7 @@
 struct guard_settings {
   /// Lifetime of an idempotency key, and time for which a witness grants no keys after its start.
   base::duration key_lifetime = std::chrono::minutes(10);
-  /// Time from its issue within which a ticket must be redeemed.
+  /// Time from the issue of a ticket within which the ticket must be redeemed.
   base::duration ticket_lifetime = std::chrono::minutes(1);
   /// Time after the replacement of a node list during which its witnesses must grant keys too.
   base::duration list_window = std::chrono::minutes(60);
@@ -40,8 +40,8 @@
   base::safety_switches switches;
 };
 
-/// Request that needs permission to run. Either the key or the ticket is set; if both are, the
-/// ticket counts.
+/// Request that needs permission to run. The key or the ticket is set; if both are set, the ticket
+/// counts.
 struct guarded_request {
   admitted_request request;
   std::string idempotency_key;
@@ -65,7 +65,8 @@
 };
 using guard_decision = std::variant<run_decision, attach_decision, answer_decision>;
 
-/// Returns the address of a published node; std::nullopt if the node is not listed.
+/// Function that returns the address of a node in the published node list; std::nullopt if the node
+/// is not listed.
 using address_lookup = std::function<std::optional<base::network_address>(const base::node_id&)>;
 
 /// Decides which requests may run at this node. Decisions and messages are collected until
@@ -75,17 +76,18 @@
   effect_guard(guard_settings settings, membership::identity self, base::random_source& random,
                address_lookup lookup_address, event_recorder record, base::time_point started_at);
 
-  /// Replaces the published node list, from which witnesses are chosen.
+  /// Replaces the node list that the platform publishes, from which witnesses are chosen.
   void update_node_list(const catalog::machine_map& machines, base::time_point now);
 
-  /// Issues a ticket of this node. @return its text.
+  /// Issues a ticket of this node. @return text of the ticket.
   std::string issue_ticket(base::time_point now);
   /// Requests permission to run. The decision is made during this call or later.
   void submit(guarded_request request, base::time_point now);
   /// Like `submit`, for a request that a peer forwarded because this node owns its ticket or key.
   /// Never queries witnesses; a request with a key is never forwarded again.
   void submit_forwarded(guarded_request request, base::time_point now);
-  /// Processes witness and forwarding messages; ignores all other bodies.
+  /// Processes messages of the witness protocol and replies to forwarded requests; ignores all
+  /// other messages.
   void handle(const wire::envelope& message, base::time_point now);
   /// Stores the answer for replay if this node owns the effect of the request.
   void on_answer(const answer& content);
@@ -96,7 +98,9 @@
   /// @return time at which `tick` next has to refuse a request or resend a message; std::nullopt if
   ///         no request is pending.
   [[nodiscard]] std::optional<base::time_point> next_deadline() const;
-  /// @return number of requests that wait for witnesses or for the owner they were forwarded to.
+  /// @return number of requests that wait for witnesses, or for the answer of the owner to which
+  /// they
+  ///         were forwarded.
   [[nodiscard]] std::size_t pending() const { return acquiring_.size() + forwarded_.size(); }
   /// @return whether this node has been up long enough to grant keys as a witness.
   [[nodiscard]] bool may_witness(base::time_point now) const {
@@ -118,7 +122,7 @@
     base::time_point acquisition_deadline;
     base::time_point resend_at;
   };
-  /// Request that waits for the answer of the node it was forwarded to.
+  /// Request that was forwarded to its owner and waits for the owner's answer.
   struct forwarded_entry {
     guarded_request guarded;
     std::vector<caller_ref> attached_callers;
@@ -129,16 +133,16 @@
 
   void submit_with_ticket(guarded_request guarded, base::time_point now);
   void submit_with_key(guarded_request guarded, base::time_point now);
-  /// Decides on a request whose effect this node already runs or has answered: attaches it to the
-  /// running request or replays the answer. If the answer was `not_run`, the request may run again
-  /// under the same record, which still prevents all other nodes from running it.
+  /// Decides on a request whose effect this node already runs or has answered: attaches the request
+  /// to the running request or replays the answer. If the answer was `not_run`, the request may run
+  /// again under the same record, which still prevents all other nodes from running it.
   /// @return whether a decision was made.
   bool join_known_effect(const std::string& key, const guarded_request& guarded);
   void query_witnesses(const acquiring_request& acquiring, const std::string& key);
   void on_record_reply(const wire::envelope& message, base::time_point now);
   /// Runs, forwards or refuses the request if its acquisition has a result.
   void resolve_acquisition(const std::string& key, base::time_point now);
-  /// Sends all witnesses of the key a message that drops this request's record.
+  /// Sends a message to all witnesses of the key that drops the record of the request.
   void release_key(const acquiring_request& acquiring);
   void forward_to_owner(guarded_request guarded, std::vector<caller_ref> attached_callers,
                         const base::network_address& owner, base::incarnation owner_incarnation,
--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -8,7 +8,7 @@
 namespace spurrack::execution {
 namespace {
 
-/// Number of broken calls of one stage at which the request is aborted.
+/// Number of broken calls of one stage after which the request is aborted.
 constexpr std::uint32_t max_failures_per_stage = 4;
 /// Length of the prompt prefix, in bytes, that determines the affinity to a back end.
 constexpr std::size_t affinity_prefix_bytes = 64;
@@ -266,8 +266,8 @@
     abort_request(active, reason::deadline_passed, now);
     return;
   }
-  // Only broken calls take from the retry budget: a refusal costs the back end almost nothing, so
-  // the request is queued again.
+  // Only broken calls count against the retry budget. A refusal costs the back end almost nothing,
+  // so the request is queued again without a token of the budget.
   if (status == call_status::broken) {
     ++active.failures;
     if (active.failures >= max_failures_per_stage ||
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -35,7 +35,7 @@
 /// Records an event in the event log of the node.
 using event_recorder = std::function<void(base::event_kind, const base::request_id&,
                                           const std::string& subject, const std::string& detail)>;
-/// Called once for each request that ends, before its callers are answered.
+/// Called once for each request that completes or is aborted, before its callers are answered.
 using completion_observer = std::function<void(const answer&)>;
 
 /// Runs requests stage by stage. Commands are collected until `take_commands` is called. Not
@@ -48,10 +48,10 @@
            event_recorder record, completion_observer report_completion,
            base::safety_switches switches);
 
-  /// Starts a request. Its first stage waits until the next `dispatch_waiting`.
+  /// Starts a request. The first stage waits until the next call of `dispatch_waiting`.
   void start(admitted_request request, base::time_point now);
   /// Adds a caller that waits for the answer of a running request.
-  /// @return false if the request has ended; the caller is not added then.
+  /// @return false if the request is no longer active; the caller is not added then.
   bool attach(const base::request_id& id, const caller_ref& caller);
 
   /// Completes, retries or aborts the stage whose call ended. If the call is no longer in flight,
@@ -72,8 +72,9 @@
   /// Starts calls for waiting requests while back ends have free slots; aborts the waiting requests
   /// that can no longer meet their deadline.
   void dispatch_waiting(base::time_point now);
-  /// Pauses or resumes `dispatch_waiting`. Dispatch is paused after a suspension of this process,
-  /// until the node is up to date again.
+  /// Pauses or resumes `dispatch_waiting`. The node pauses dispatch after a suspension of its
+  /// process until a peer has confirmed that the catalog of the node is up to date, or a timeout
+  /// has passed.
   void set_dispatch_paused(bool paused) { is_dispatch_paused_ = paused; }
 
   /// @return earliest deadline of an active request; std::nullopt if none is active.
@@ -129,7 +130,7 @@
   /// Cancels the call in flight or, if there is none, removes the request from its queue.
   void cancel_current_stage(active_request& active, base::time_point now);
   void abort_request(active_request& active, reason failure_reason, base::time_point now);
-  /// Answers all callers of a request and forgets it.
+  /// Answers all callers of a request and removes the request.
   void finish(active_request& active, model::outcome outcome, reason failure_reason,
               base::time_point now);
   void count(const active_request& active, const answer& content);
--- a/src/execution/plan_resolver.h
+++ b/src/execution/plan_resolver.h
@@ -16,10 +16,11 @@
   base::time_point deadline;
 };
 
-/// @param arrived_at time at which the request reached this machine; its deadline counts from this
-///        time.
-/// @return the plan and the deadline of the request, or the reason for its refusal. A caller's
-///         deadline can only shorten the published deadline.
+/// @param arrived_at time at which the request reached this machine. The deadline is counted from
+///        this time.
+/// @return the plan and the deadline of the request, or the reason for its refusal. The deadline
+/// that
+///         the caller sent can only shorten the published deadline of the template.
 std::variant<resolved_request, reason> resolve_request(const catalog::catalog& content,
                                                        const caller_request& request,
                                                        base::time_point arrived_at);
--- a/src/execution/stage_call.h
+++ b/src/execution/stage_call.h
@@ -10,8 +10,8 @@
 
 namespace spurrack::execution {
 
-/// Identity of a call. The back end echoes it; a completed result with another identity counts as
-/// `broken`.
+/// Identity of a call. The back end echoes the identity in its answer; a completed result with the
+/// identity of another call counts as `broken`.
 struct call_identity {
   base::request_id request;
   std::string stage;
@@ -19,8 +19,8 @@
   bool operator==(const call_identity&) const = default;
 };
 
-/// Call to start. The adapter must not begin to write at or after `not_after`; it checks the boot
-/// clock right before the write.
+/// Call to start. The adapter, which writes the call to the connection, must not begin to write at
+/// or after `not_after`. It checks the boot clock right before the write.
 struct stage_call {
   base::call_id call = 0;
   call_identity identity;
@@ -32,7 +32,8 @@
   std::string adapter;
   std::string input;
   std::uint32_t max_tokens = 0;
-  /// Number of tokens received from earlier attempts, which the back end need not send again.
+  /// Number of tokens received from earlier attempts. The back end need not send these tokens
+  /// again.
   std::uint32_t resume_offset = 0;
   int priority = 0;
   bool repeatable = true;
@@ -49,27 +50,27 @@
   broken, ///< Any other failure after the first byte: reset, truncation, malformed answer.
 };
 
-/// @return the stable name.
+/// @return the name of the status; it never changes between versions.
 std::string_view name_of(call_status value);
 
 /// Result of a call, completed or not.
 struct call_result {
   base::call_id call = 0;
   call_status status = call_status::broken;
-  /// Identity that the back end echoed; valid only if `status` is `completed`.
+  /// Call identity that the back end echoed; valid only if `status` is `completed`.
   call_identity identity;
   std::string output;
   std::uint32_t tokens = 0;
-  /// Time that the back end worked on the call, as it reported.
+  /// Time that the back end worked on the call, as reported by the back end.
   base::duration backend_time{};
-  /// Number of calls in flight at the back end, as it reported; 0 if it did not report it.
+  /// Number of calls in flight at the back end, as reported by the back end; 0 if not reported.
   std::uint32_t reported_in_flight = 0;
 };
 
 /// One token of a generating call.
 struct call_token {
   base::call_id call = 0;
-  /// Position in the generated text, in tokens from 0 over all attempts.
+  /// Position of the token in the generated text, in tokens from 0, counted over all attempts.
   std::uint32_t offset = 0;
   std::string text;
 };
--- a/src/idempotency/effect_registry.h
+++ b/src/idempotency/effect_registry.h
@@ -1,5 +1,6 @@
-/// State of the requests that this node owns by a ticket or an idempotency key. Kept in memory
-/// until the lifetime of the ticket or key ends.
+/// State of the effects that this node owns by a ticket or an idempotency key. An effect is the run
+/// of a request that may run at most once. Its state is kept in memory until the lifetime of the
+/// ticket or key ends.
 #pragma once
 
 #include "base/ids.h"
@@ -16,8 +17,8 @@
 /// State of an effect at its owner.
 enum class effect_state : std::uint8_t {
   issued,  ///< The ticket was issued and has not been redeemed.
-  running, ///< A request runs the effect.
-  answered ///< The request was answered.
+  running, ///< A request of this node runs the effect.
+  answered ///< The request that ran the effect was answered.
 };
 
 /// Registry of the effects that this node owns. Not thread-safe.
--- a/src/idempotency/key_acquisition.h
+++ b/src/idempotency/key_acquisition.h
@@ -1,5 +1,5 @@
 /// Requester side of at-most-once execution: acquisition of one idempotency key from a majority of
-/// its witnesses.
+/// the key's witnesses.
 #pragma once
 
 #include "base/ids.h"
@@ -23,12 +23,12 @@
   refused,  ///< A majority can no longer be reached.
 };
 
-/// Counts the replies of witnesses. The state does not change once it is no longer `pending`. Not
-/// thread-safe.
+/// Counts the replies of the witnesses of one key. The state does not change after it is no longer
+/// `pending`. Not thread-safe.
 class key_acquisition {
  public:
-  /// @param sets witnesses of the key under each node list that counts; without any, the key is
-  ///        refused.
+  /// @param sets witnesses of the key under each node list that counts. If empty, the key is
+  /// refused.
   key_acquisition(std::string key, std::vector<witness_set> sets);
 
   /// @return the witnesses of all sets, each once.
@@ -43,13 +43,14 @@
   ///         named a holder.
   [[nodiscard]] const std::optional<wire::key_owner>& holder() const { return holder_; }
   [[nodiscard]] const std::string& key() const { return key_; }
-  /// @return whether a witness refused because it started too recently; a later attempt may succeed
-  ///         then.
+  /// @return whether a witness refused the key because the witness started too recently. In this
+  /// case
+  ///         a later attempt may succeed.
   [[nodiscard]] bool has_young_witness() const { return has_young_witness_; }
 
  private:
   [[nodiscard]] bool has_all_majorities() const;
-  /// @return whether the refusals leave some set without a possible majority.
+  /// @return whether so many witnesses of a set refused that the set cannot reach a majority.
   [[nodiscard]] bool is_any_majority_lost() const;
   static std::size_t count_members_in(const witness_set& group,
                                       const std::set<base::node_id>& nodes);
--- a/src/idempotency/ticket.h
+++ b/src/idempotency/ticket.h
@@ -1,6 +1,7 @@
-/// Tickets: permission to run one request once, bound to one incarnation of one node. Separate
-/// issue and redemption follow brokered leases (Irwin et al., USENIX 2006): only the issuer redeems
-/// a ticket, so that nodes need not agree and the guarantee holds under every partition.
+/// Tickets: permission to run one request once, bound to one incarnation of one node. A caller
+/// obtains a ticket first and redeems it later with its request, as in brokered leases (Irwin et
+/// al., USENIX 2006). Only the issuer redeems a ticket, so that nodes need not agree and the
+/// guarantee holds under every partition.
 #pragma once
 
 #include "base/ids.h"
@@ -17,17 +18,17 @@
 struct ticket {
   /// Node that issued the ticket.
   base::node_id node;
-  /// Incarnation of that node.
+  /// Incarnation of the node that issued the ticket.
   base::incarnation process_start = 0;
   std::uint64_t nonce = 0;
 
   /// @return `node~process_start~nonce`, with the numbers in hexadecimal.
   [[nodiscard]] std::string text() const;
-  /// @return the ticket; std::nullopt if the text is not a ticket.
+  /// @return ticket in its text form; std::nullopt if the text is not a ticket.
   static std::optional<ticket> parse(const std::string& text);
 };
 
-/// @return a new ticket of the given node, with a random nonce.
+/// @return a new ticket of a node, with a random nonce.
 ticket issue_ticket(const base::node_id& node, base::incarnation process_start,
                     base::random_source& random);
 
--- a/src/idempotency/witness_lists.h
+++ b/src/idempotency/witness_lists.h
@@ -1,5 +1,6 @@
-/// Published node lists from which witnesses are chosen: the current list, and the lists that were
-/// replaced within the reconfiguration window, because their witnesses may still hold records.
+/// Lists of the nodes that the platform publishes. Witnesses are chosen from the current list, and
+/// from the lists that were replaced within the reconfiguration window, because witnesses from a
+/// replaced list may still hold records.
 #pragma once
 
 #include "base/ids.h"
@@ -26,16 +27,18 @@
   /// Number of witnesses of one key under one list; a majority of them must grant the key.
   static constexpr std::size_t witnesses_per_key = 5;
 
-  /// @param window time after its replacement during which a list still counts.
+  /// @param window time after the replacement of a list during which the list still counts.
   explicit witness_lists(base::duration window) : window_(window) {}
 
-  /// Replaces the current list if the published list differs from it and is not empty.
+  /// Replaces the current list by the nodes in `machines` if they differ from the list and there is
+  /// at least one node.
   void update(const catalog::machine_map& machines, base::time_point now);
 
   /// @return hash of the current list; 0 if there is none.
   [[nodiscard]] std::uint64_t current_hash() const { return current_.hash; }
 
-  /// @return the witnesses of a key under each list that counts, equal sets only once; empty if no
+  /// @return the witnesses of a key under each list that counts, without duplicate sets; empty if
+  /// no
   ///         list is known.
   [[nodiscard]] std::vector<witness_set> sets_for(const std::string& key, base::time_point now);
 
--- a/src/routing/backend_table.cc
+++ b/src/routing/backend_table.cc
@@ -9,7 +9,7 @@
 
 /// Weight of the latest sample in the moving average of the latency.
 constexpr double latency_smoothing = 0.2;
-/// Number of calls that one node may have in flight at each back end of another zone.
+/// Maximum number of calls that one node may have in flight at a back end of another zone.
 constexpr std::uint32_t other_zone_call_quota = 1;
 
 base::duration blend(base::duration old_value, base::duration sample) {
@@ -79,7 +79,7 @@
   if (now - target.reported_at > limits_.load_report_lifetime) {
     return fair_quota;
   }
-  // This node may also use the part of the limit that the other nodes leave unused.
+  // This node may also use the part of the back end's limit that the other nodes leave unused.
   const auto in_flight_from_other_nodes = target.reported_in_flight > target.in_flight
                                               ? target.reported_in_flight - target.in_flight
                                               : 0;
--- a/src/routing/backend_table.h
+++ b/src/routing/backend_table.h
@@ -1,5 +1,6 @@
-/// Back ends as one node sees them: the published list, drain notices, the node's own calls in
-/// flight, failures and latencies. Determines which back ends can be sent a call now.
+/// Back ends in the view of this node: the machine list that the platform publishes, drain notices,
+/// and the calls of this node in flight, their failures and their latencies. Determines to which
+/// back ends this node can send a call now.
 #pragma once
 
 #include "base/ids.h"
@@ -21,14 +22,15 @@
   base::zone_id zone;
   base::network_address address;
   base::pool_id pool;
-  /// Largest number of calls in flight, over all nodes.
+  /// Maximum number of calls in flight at the back end, over all nodes.
   std::uint32_t concurrency = 1;
   std::uint64_t generation = 0;
-  /// The published state is `leaving`.
+  /// Whether the state in the machine list is `leaving`.
   bool is_listed_as_draining = false;
-  /// Number of calls of this node in flight.
+  /// Number of calls in flight that this node sent.
   std::uint32_t in_flight = 0;
-  /// Time before which no calls are sent, because of failed calls, overload answers or ejection.
+  /// Time before which this node sends no calls to the back end, because of failed calls, overload
+  /// answers or ejection.
   base::time_point avoid_until;
   /// Latest backoff after a failed call; zero after a completed call.
   base::duration failure_backoff{};
@@ -36,16 +38,16 @@
   base::duration average_latency{};
   /// Number of samples since the last ejection.
   std::uint64_t samples = 0;
-  /// Number of calls in flight from all nodes, as the back end last reported, and time of the
+  /// Number of calls in flight from all nodes that the back end last reported, and time of the
   /// report.
   std::uint32_t reported_in_flight = 0;
   base::time_point reported_at;
 };
 
-/// Back end that can be sent a call, with the number of calls that this node may have in flight at
-/// it.
+/// Back end to which this node can send a call.
 struct candidate {
   const backend* target = nullptr;
+  /// Maximum number of calls that this node may have in flight at the back end.
   std::uint32_t call_quota = 1;
 };
 
@@ -55,15 +57,17 @@
   base::duration min_failure_backoff = std::chrono::milliseconds(100);
   base::duration max_failure_backoff = std::chrono::seconds(5);
   base::duration ejection_duration = std::chrono::seconds(3);
-  /// A back end is ejected if its latency is at least this multiple of the mean of the other back
-  /// ends of its pool.
+  /// Ratio of a back end's latency to the mean latency of the other back ends of its pool at which
+  /// the back end is ejected.
   double ejection_latency_ratio = 3.0;
-  /// Number of samples that a back end needs to be ejected, or compared with.
+  /// Minimum number of samples of a back end before it can be ejected or other back ends are
+  /// compared with it.
   std::uint64_t min_ejection_samples = 8;
-  /// Largest fraction of a pool that may be ejected or backing off; at this fraction no further
-  /// back end is ejected.
+  /// Maximum fraction of the back ends of a pool that may be ejected or backing off. No further
+  /// back end is ejected beyond this fraction.
   double max_ejected_fraction = 0.34;
-  /// Age up to which a load report lets this node exceed its fair part of a back end's limit.
+  /// Maximum age of a load report. A newer report lets this node exceed its fair part of a back
+  /// end's limit.
   base::duration load_report_lifetime = std::chrono::milliseconds(200);
   base::safety_switches switches;
 };
@@ -75,8 +79,8 @@
   explicit backend_table(base::zone_id own_zone, routing_limits limits = {})
       : own_zone_(std::move(own_zone)), limits_(limits) {}
 
-  /// Applies the published list. Calls in flight at a back end that is no longer listed are still
-  /// counted.
+  /// Applies the machine list that the platform publishes. Calls in flight at a back end that is no
+  /// longer listed are still counted.
   void update(const catalog::machine_map& machines);
 
   /// Records that a back end drains at every published generation up to `generation`.
@@ -84,31 +88,34 @@
   bool mark_draining(const base::backend_id& id, std::uint64_t generation);
   [[nodiscard]] bool is_draining(const backend& target) const;
   /// @return the drain notices: for each back end the latest generation at which it drains. States
-  ///         of the published list are not included.
+  /// in
+  ///         the machine list are not included.
   [[nodiscard]] const std::map<base::backend_id, std::uint64_t>& drain_notices() const {
     return draining_generations_;
   }
 
   /// Divides the limits of this zone's back ends among the nodes of the zone.
   /// @param sharing_nodes number of nodes that share the limits, including this node.
-  /// @param own_rank rank of this node among them; the first ranks get the remainder of the
-  ///        division.
+  /// @param own_rank rank of this node among these nodes, from 0; the first ranks get the remainder
+  ///        of the division.
   void set_sharing_nodes(std::uint32_t sharing_nodes, std::uint32_t own_rank);
 
   /// @param ignore_limits includes back ends whose call quota is used up (policies without
   ///        admission).
-  /// @return back ends of this zone with a free slot; if there are none, those of other zones.
+  /// @return usable back ends of this node's zone with a free slot; if there are none, usable back
+  ///         ends of other zones with a free slot.
   [[nodiscard]] std::vector<candidate> candidates(const base::pool_id& pool, base::time_point now,
                                                   bool ignore_limits) const;
-  /// @return number of calls that this node may have in flight in the pool: at the back ends of its
-  ///         zone that do not drain, or in other zones if its zone has no such back end.
+  /// @return number of calls that this node may have in flight in the pool: at the back ends of
+  /// this
+  ///         node's zone that do not drain; if there are none, at those of other zones.
   [[nodiscard]] std::uint32_t slots(const base::pool_id& pool, base::time_point now) const;
   /// @return whether the pool has a back end that does not drain, including back ends that are
   ///         backing off or ejected.
   [[nodiscard]] bool has_backends(const base::pool_id& pool) const;
 
   void call_started(const base::backend_id& id);
-  /// @param service_time duration of the call; std::nullopt if it did not complete.
+  /// @param service_time duration of the call; std::nullopt if the call did not complete.
   /// @return whether the back end was ejected for being slow.
   bool call_ended(const base::backend_id& id, std::optional<base::duration> service_time,
                   base::time_point now);
@@ -121,14 +128,14 @@
 
   [[nodiscard]] const backend* find(const base::backend_id& id) const;
   [[nodiscard]] const std::map<base::backend_id, backend>& all() const { return backends_; }
-  /// @return earliest time at which a back end of the pool ends its backoff or ejection;
-  ///         std::nullopt if there is none.
+  /// @return earliest time at which the backoff or ejection of a back end of the pool ends;
+  ///         std::nullopt if no back end is backing off or ejected.
   [[nodiscard]] std::optional<base::time_point> next_usable_at(const base::pool_id& pool,
                                                                base::time_point now) const;
 
  private:
-  /// Back ends of one pool. The two lists are separate because a node visits the thousands of back
-  /// ends of other zones only if its own zone has no candidate.
+  /// Back ends of one pool. The two lists are separate because this node searches the thousands of
+  /// back ends of other zones only if its zone has no candidate.
   struct pool_members {
     std::vector<base::backend_id> own_zone;
     std::vector<base::backend_id> other_zones;
--- a/src/routing/balancing_policy.h
+++ b/src/routing/balancing_policy.h
@@ -1,5 +1,5 @@
-/// Policies that choose one of several usable back ends for a call. The simple policies exist
-/// beside the default as baselines, so that they can be compared with it in the same run.
+/// Policies that choose one of several usable back ends for a call. The simple policies are
+/// baselines, with which the default policy (`adaptive`) can be compared in the same run.
 #pragma once
 
 #include "base/random.h"
@@ -14,10 +14,11 @@
 
 /// Kinds of policies. The names are values of the setting `policy`.
 enum class policy_kind : std::uint8_t {
-  round_robin,     ///< Back ends in turn; without limits and admission.
-  least_in_flight, ///< Fewest calls of this node in flight; enforces limits.
-  power_of_two,    ///< Of two random back ends, fewer calls of this node; enforces limits.
-  adaptive,        ///< Of two random back ends, shorter expected wait; limits, prefix affinity.
+  round_robin,     ///< Chooses the back ends in turn, without limits and admission.
+  least_in_flight, ///< Chooses the fewest calls of this node in flight; enforces limits.
+  power_of_two,    ///< Draws two back ends, chooses fewer calls of this node; enforces limits.
+  adaptive,        ///< Draws two back ends, chooses the shorter expected wait; enforces limits and
+                   ///< has prefix affinity.
 };
 
 /// Properties of the call that a policy may use.
@@ -34,7 +35,8 @@
   balancing_policy& operator=(const balancing_policy&) = delete;
   virtual ~balancing_policy() = default;
 
-  /// @param candidates at least one.
+  /// Chooses the back end of a call.
+  /// @param candidates at least one element.
   /// @return the chosen element of `candidates`.
   virtual const candidate& choose(const std::vector<candidate>& candidates,
                                   const call_hint& hint) = 0;
@@ -43,13 +45,13 @@
 /// @param random must outlive the policy.
 std::unique_ptr<balancing_policy> make_policy(policy_kind kind, base::random_source& random);
 
-/// @return whether calls wait in a queue while all back ends are at their limit; round robin starts
-///         them at once.
+/// @return whether calls wait in a queue while all back ends are at their limit. Round robin starts
+///         calls at once.
 constexpr bool enforces_limits(policy_kind kind) {
   return kind != policy_kind::round_robin;
 }
 
-/// @return the name that settings use.
+/// @return name of the policy in the settings.
 std::string_view name_of(policy_kind kind);
 
 } // namespace spurrack::routing
--- a/src/routing/latency_estimator.cc
+++ b/src/routing/latency_estimator.cc
@@ -8,7 +8,7 @@
 
 /// Upper bound of the first bucket.
 constexpr double first_bucket_microseconds = 50.0;
-/// Logarithm of the ratio between the upper bounds of adjacent buckets.
+/// Natural logarithm of the ratio between the upper bounds of adjacent buckets.
 const double log_bucket_growth = std::log(1.1);
 
 } // namespace
--- a/src/routing/latency_estimator.h
+++ b/src/routing/latency_estimator.h
@@ -19,7 +19,7 @@
   /// @return the quantile, rounded up to the upper bound of its bucket (within 10%); zero if there
   ///         are no samples.
   [[nodiscard]] base::duration quantile(double fraction) const;
-  /// @return mean of the decayed samples; zero if there are none.
+  /// @return mean of the samples, with decayed weights; zero if there are no samples.
   [[nodiscard]] base::duration mean() const;
   /// @return number of samples added so far, without decay.
   [[nodiscard]] std::uint64_t count() const { return count_; }
