--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -125,7 +125,7 @@
   active.call = call_in_flight{next_call_++, backend, now, now};
   ++active.next_attempt;
   ++active.costs[active.stage].attempts;
-  active.ledger.call_started(active.current_stage().repeatable);
+  active.tracker.call_started(active.current_stage().repeatable);
   backends_->call_started(backend);
   calls_[active.call->id] = active.request.id;
   commands_.emplace_back(start_call{make_call(active, *target)});
@@ -192,7 +192,7 @@
   auto& cost = active.costs[active.stage];
   cost.backend_time += result.backend_time;
   cost.tokens += result.tokens;
-  active.ledger.call_completed(step.repeatable);
+  active.tracker.call_completed(step.repeatable);
   scheduler_->retry_budget_of(step.pool).add_success();
   record_(base::event_kind::stage_completed, active.request.id, step.name, "");
   auto output = step.kind == model::stage_kind::generate ? active.generated : result.output;
@@ -243,10 +243,10 @@
   case call_status::never_sent:
   case call_status::refused_overloaded:
   case call_status::refused_leaving:
-    active.ledger.call_refused(repeatable);
+    active.tracker.call_refused(repeatable);
     break;
   case call_status::rejected:
-    active.ledger.call_completed(repeatable);
+    active.tracker.call_completed(repeatable);
     abort_request(active, reason::backend_failed, now);
     return;
   default:
@@ -254,7 +254,7 @@
       abort_request(active, reason::backend_failed, now);
       return;
     }
-    active.ledger.call_completed(repeatable);
+    active.tracker.call_completed(repeatable);
     break;
   }
   retry_or_abort(active, result.status, now);
@@ -350,7 +350,7 @@
 
 void executor::abort_request(active_request& active, reason failure_reason, base::time_point now) {
   const auto outcome =
-      switches_.truthful_outcome ? active.ledger.failure_outcome() : model::outcome::not_run;
+      switches_.truthful_outcome ? active.tracker.failure_outcome() : model::outcome::not_run;
   cancel_current_stage(active, now);
   finish(active, outcome, failure_reason, now);
 }
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -97,7 +97,7 @@
   struct active_request {
     admitted_request request;
     std::vector<caller_ref> callers;
-    model::call_tracker ledger;
+    model::call_tracker tracker;
     /// Index of the current stage in the plan.
     std::size_t stage = 0;
     std::string stage_input;
