--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -73,8 +73,7 @@
   /// @return the request and its back end; std::nullopt if no call can be started.
   std::optional<dispatch_choice> take_next(base::time_point now);
   /// @return earliest time at which the backoff or ejection of a back end ends in a pool with
-  /// waiting
-  ///         requests; std::nullopt if there is no such back end.
+  ///         waiting requests; std::nullopt if there is no such back end.
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   /// Records the service time of a completed call.
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -99,8 +99,7 @@
   ///         no request is pending.
   [[nodiscard]] std::optional<base::time_point> next_deadline() const;
   /// @return number of requests that wait for witnesses, or for the answer of the owner to which
-  /// they
-  ///         were forwarded.
+  ///         they were forwarded.
   [[nodiscard]] std::size_t pending() const { return acquiring_.size() + forwarded_.size(); }
   /// @return whether this node has been up long enough to grant keys as a witness.
   [[nodiscard]] bool may_witness(base::time_point now) const {
--- a/src/execution/plan_resolver.h
+++ b/src/execution/plan_resolver.h
@@ -19,8 +19,7 @@
 /// @param arrived_at time at which the request reached this machine. The deadline is counted from
 ///        this time.
 /// @return the plan and the deadline of the request, or the reason for its refusal. The deadline
-/// that
-///         the caller sent can only shorten the published deadline of the template.
+///         that the caller sent can only shorten the published deadline of the template.
 std::variant<resolved_request, reason> resolve_request(const catalog::catalog& content,
                                                        const caller_request& request,
                                                        base::time_point arrived_at);
--- a/src/idempotency/key_acquisition.h
+++ b/src/idempotency/key_acquisition.h
@@ -44,8 +44,7 @@
   [[nodiscard]] const std::optional<wire::key_owner>& holder() const { return holder_; }
   [[nodiscard]] const std::string& key() const { return key_; }
   /// @return whether a witness refused the key because the witness started too recently. In this
-  /// case
-  ///         a later attempt may succeed.
+  ///         case a later attempt may succeed.
   [[nodiscard]] bool has_young_witness() const { return has_young_witness_; }
 
  private:
--- a/src/idempotency/witness_lists.h
+++ b/src/idempotency/witness_lists.h
@@ -38,8 +38,7 @@
   [[nodiscard]] std::uint64_t current_hash() const { return current_.hash; }
 
   /// @return the witnesses of a key under each list that counts, without duplicate sets; empty if
-  /// no
-  ///         list is known.
+  ///         no list is known.
   [[nodiscard]] std::vector<witness_set> sets_for(const std::string& key, base::time_point now);
 
  private:
--- a/src/routing/backend_table.h
+++ b/src/routing/backend_table.h
@@ -88,8 +88,7 @@
   bool mark_draining(const base::backend_id& id, std::uint64_t generation);
   [[nodiscard]] bool is_draining(const backend& target) const;
   /// @return the drain notices: for each back end the latest generation at which it drains. States
-  /// in
-  ///         the machine list are not included.
+  ///         in the machine list are not included.
   [[nodiscard]] const std::map<base::backend_id, std::uint64_t>& drain_notices() const {
     return draining_generations_;
   }
@@ -107,8 +106,7 @@
   [[nodiscard]] std::vector<candidate> candidates(const base::pool_id& pool, base::time_point now,
                                                   bool ignore_limits) const;
   /// @return number of calls that this node may have in flight in the pool: at the back ends of
-  /// this
-  ///         node's zone that do not drain; if there are none, at those of other zones.
+  ///         this node's zone that do not drain; if there are none, at those of other zones.
   [[nodiscard]] std::uint32_t slots(const base::pool_id& pool, base::time_point now) const;
   /// @return whether the pool has a back end that does not drain, including back ends that are
   ///         backing off or ejected.
--- a/src/simulation/fleet_simulation.h
+++ b/src/simulation/fleet_simulation.h
@@ -185,7 +185,7 @@
   // --- callers
   /// Sends a request to a node. @return id of the caller, which is the key of its record.
   base::caller_id send(const std::string& node, execution::caller_request request);
-  /// Requests a ticket from a node, and runs the simulation until it arrives.
+  /// Requests a ticket from a node, and runs the simulation until the ticket arrives.
   /// @return ticket; empty if the node issues no ticket within one second of virtual time.
   std::string request_ticket(const std::string& node, const std::string& token_sha256);
   /// Closes the connection of a caller.
--- a/tests/simulation/control_traffic_test.cc
+++ b/tests/simulation/control_traffic_test.cc
@@ -38,8 +38,7 @@
         node_count_(fleet.node_names().size()) {}
 
   /// @return rate of each node in kilobytes per second, sent and received together, with the name
-  /// of
-  ///         the node; in ascending order.
+  ///         of the node; in ascending order.
   [[nodiscard]] std::vector<std::pair<double, std::string>> by_node() const {
     std::map<std::string, std::uint64_t> sums;
     for (const auto& [flow, bytes] : fleet_->traffic().flows()) {
--- a/tests/simulation/serving_fleet.h
+++ b/tests/simulation/serving_fleet.h
@@ -14,8 +14,7 @@
 inline constexpr int serving_zone_count = 4;
 
 /// @return settings of a fleet of `nodes` nodes that are spread evenly over the zones. The
-/// published
-///         configuration has no routes.
+///         published configuration has no routes.
 inline simulation_settings serving_fleet_settings(int nodes) {
   simulation_settings settings;
   for (int index = 0; index < nodes; ++index) {
