--- a/tools/capacity.cc
+++ b/tools/capacity.cc
@@ -1,6 +1,6 @@
-/// Measures the cost of the control plane per node, on simulated nodes without requests that run in
-/// one process and in virtual time. Each measurement runs in a separate process, so that the memory
-/// of one measurement does not count towards another.
+/// Measures the cost of the control plane per node. The nodes are simulated in one process and in
+/// virtual time, and serve no requests. Each measurement runs in a separate process, so that the
+/// memory of one measurement does not count towards another.
 #include "logging/guarded_main.h"
 #include "logging/usual_options.h"
 #include "simulation/fleet_simulation.h"
@@ -38,7 +38,8 @@
   return resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / megabyte;
 }
 
-/// Size of the simulated fleet. Nodes of other zones are listed but not simulated.
+/// Size of the simulated fleet. Nodes of other zones and replicas are in the published list of
+/// machines but are not simulated.
 struct fleet_size {
   int nodes = 8;
   int other_zones = 0;
--- a/tools/experiment.cc
+++ b/tools/experiment.cc
@@ -1,5 +1,5 @@
-/// Runs each load scenario with each policy on simulated fleets, and writes a report and the input
-/// of plots.
+/// Runs each load scenario with each balancing policy on simulated fleets, and writes a report and
+/// the gnuplot files of its plots.
 #include "load_scenario.h"
 
 #include "logging/guarded_main.h"
@@ -20,7 +20,7 @@
 
 using namespace spurrack::experiment;
 
-/// Scenario and policy for a user's fleet, with the result of each seed.
+/// Scenario and balancing policy for a user's fleet, with the result of each seed.
 struct experiment_case {
   user_profile user;
   scenario load_scenario;
--- a/tools/fleet/background_load.h
+++ b/tools/fleet/background_load.h
@@ -17,14 +17,14 @@
 struct load_totals {
   /// Number of answers by `outcome` field.
   std::map<std::string, std::uint64_t> outcomes;
-  /// Number of answers that are not completed, by `code` field.
+  /// Number of answers with an outcome other than `completed`, by `code` field.
   std::map<std::string, std::uint64_t> error_codes;
   /// Number of completed answers whose output does not match their request.
   std::uint64_t wrong_answers = 0;
-  /// Number of requests whose connection failed before the answer was received, without refused
-  /// connections.
+  /// Number of requests that got no answer because their connection failed or timed out. Refused
+  /// connections are not counted.
   std::uint64_t broken_connections = 0;
-  /// Input of the last request without an answer, and the error of its connection.
+  /// Input of the last request that `broken_connections` counts, and the error of its connection.
   std::string last_connection_error;
   /// Number of answers received.
   std::uint64_t answered = 0;
@@ -35,13 +35,14 @@
   }
 };
 
-/// Sends `client-answer` requests with distinct inputs and checks each answer. Sending starts at
-/// construction and ends with `stop` or destruction. Public members are thread-safe, except `stop`.
+/// Sends requests for the pipeline `client-answer` with distinct inputs, and checks each answer.
+/// Sending starts at construction and ends with `stop` or destruction. Public members are
+/// thread-safe, except `stop`.
 class background_load {
  public:
-  /// @param nodes names of the nodes to which each thread sends in turn. A refused connection is
-  /// not
-  ///        counted; the thread continues with its next request at the next node.
+  /// @param nodes names of the nodes to which each thread sends in turn. If a connection is
+  ///        refused, its request is not counted and not sent again; the thread continues with its
+  ///        next request at the next node.
   /// @param threads number of concurrent callers.
   background_load(const local_fleet& fleet, std::vector<std::string> nodes, unsigned threads);
   ~background_load();
@@ -67,7 +68,7 @@
   std::vector<std::thread> threads_;
 };
 
-/// @return output that the `generate` stage of `client-answer` must have for an input.
+/// @return output that the `generate` stage of the pipeline `client-answer` must have for an input.
 std::string expected_client_answer(const std::string& input);
 
 } // namespace spurrack::fleet
--- a/tools/fleet/child_process.cc
+++ b/tools/fleet/child_process.cc
@@ -26,9 +26,9 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : signal_exit_base + WTERMSIG(status);
 }
 
-/// Returns the next port index in turn, shared by all processes of this machine through a locked
-/// file. Ports are thus not reused soon: a restarted node must find its ports free, even if another
-/// test chooses ports in the meantime.
+/// Returns the offset from `first_port` of the next port to try. All processes of this machine
+/// count through the ports together, by a locked file, so that a port is not chosen again soon: a
+/// restarted node must find its ports free, even if another test chooses ports in the meantime.
 unsigned next_port_index() {
   const auto path = std::filesystem::temp_directory_path() / "spurrack-next-port";
   constexpr int file_mode = 0666;
--- a/tools/fleet/child_process.h
+++ b/tools/fleet/child_process.h
@@ -8,7 +8,7 @@
 
 namespace spurrack::fleet {
 
-/// Destination of a child's standard output: that of the parent, or the child's log file.
+/// Destination of a child's standard output: the parent's standard output, or the child's log file.
 enum class output { inherited, to_log };
 
 /// Child process whose standard error is appended to a log file. Not thread-safe.
--- a/tools/fleet/http_client.h
+++ b/tools/fleet/http_client.h
@@ -29,7 +29,7 @@
   std::string target;
   std::map<std::string, std::string> headers;
   std::string body;
-  /// Limit of the whole call, from the connect to the end of the answer.
+  /// Maximum duration of the whole call, from the connect to the end of the answer.
   std::chrono::milliseconds timeout{10'000};
 };
 
--- a/tools/fleet/local_fleet.h
+++ b/tools/fleet/local_fleet.h
@@ -1,5 +1,16 @@
 /// Fleet of real processes on this machine: an emulated platform, emulated back ends, nodes, and a
 /// fault proxy in front of the peer listener of each node and in front of each back end.
+///
+/// The platform is the service that publishes records: pipeline templates, tenants, and the list of
+/// machines, which has one machine record for each node and each back end. Nodes only read from the
+/// platform. A back end runs the calls of the stages that name its pool; a back end that generates
+/// tokens is called an engine.
+///
+/// A caller may send a request with a ticket or an idempotency key several times; its calls that
+/// must not be repeated still run at most once. A ticket is the permission of a node to run one
+/// request once. A witness of a key is a node that records which request owns the key; witnesses
+/// are chosen from the published list of nodes. A witness grants the key to the first request that
+/// asks for it, and a request runs only if a majority of the key's witnesses granted it the key.
 #pragma once
 
 #include "child_process.h"
@@ -41,10 +52,11 @@
   std::vector<backend_description> backends;
   /// Key and YAML value of each record that is published at the start.
   std::map<std::string, std::string> records;
-  /// Lifetime of idempotency keys. A witness grants keys only after it has been up for this time.
+  /// Lifetime of idempotency keys. A witness that has been up for less than this time grants no
+  /// keys.
   int key_lifetime_ms = 1'000;
-  /// Time after the replacement of a node list during which the witnesses of the replaced list must
-  /// grant keys too.
+  /// Time after a change of the published list of nodes during which a majority of the witnesses
+  /// that were chosen from the replaced list must grant a key too.
   int list_window_ms = 3'600'000;
   /// YAML lines that are appended to the settings of each node.
   std::string extra_settings;
@@ -103,9 +115,12 @@
 
   /// Publishes records at the emulated platform; std::nullopt deletes a record.
   void publish(const std::map<std::string, std::optional<std::string>>& records) const;
-  /// Publishes the machine record of a back end with a state and a generation.
+  /// Publishes the machine record of a back end again.
+  /// @param state `live` or `leaving`.
+  /// @param generation number that the platform increases each time the back end returns.
   void publish_backend(const std::string& name, const std::string& state, int generation) const;
-  /// Sets the mode of the emulated platform: `up`, `down`, `slow` or `stale`.
+  /// Sets the mode of the emulated platform: `up`, `down`, `slow` or `stale`, as described in
+  /// standins/platform_stand_in.cc.
   void set_platform_mode(const std::string& mode) const;
   /// Sets the fault of links of the fault proxy.
   /// @param links names of nodes or back ends.
@@ -126,8 +141,9 @@
   /// Folder of the settings and logs of the processes; deleted with the fleet.
   [[nodiscard]] const std::filesystem::path& folder() const { return folder_; }
 
-  /// Requests a ticket from a node.
-  /// @return the ticket; empty if the node issues none.
+  /// Requests a ticket (permission for one request to run once) from a node.
+  /// @param token access token of a tenant.
+  /// @return the ticket; empty if the answer of the node contains no ticket.
   [[nodiscard]] std::string request_ticket(const std::string& node, const std::string& token) const;
   /// Sends a pipeline request to a node's caller listener and waits for its answer.
   [[nodiscard]] http_answer
--- a/tools/load_scenario.h
+++ b/tools/load_scenario.h
@@ -1,4 +1,5 @@
 /// Open-loop load on simulated fleets of the users' present sizes, to compare balancing policies.
+/// An engine is a back end that generates tokens.
 #pragma once
 
 #include "routing/balancing_policy.h"
--- a/tools/speed.cc
+++ b/tools/speed.cc
@@ -70,9 +70,8 @@
   return std::chrono::duration<double>(clock_type::now() - started_at).count();
 }
 
-/// @return latency in seconds of `count` sequences of calls to the four stages' back ends, without
-/// a
-///         node.
+/// @return latencies in seconds of `count` sequences of direct calls, without a node. A sequence
+///         calls one back end of each of the four stages.
 std::vector<double> measure_direct_latencies(const fleet::local_fleet& fleet, int count) {
   const std::vector<std::pair<std::string, std::string>> stages{{"encode", "encoder"},
                                                                 {"retrieve", "retriever"},
@@ -96,7 +95,8 @@
   return latencies;
 }
 
-/// @return latency in seconds of `count` pipeline requests that are sent to a node in sequence.
+/// @return latencies in seconds of `count` pipeline requests that are sent to a node one after
+///         another.
 std::vector<double> measure_node_latencies(const fleet::local_fleet& fleet, int count) {
   persistent_connection connection(fleet.addresses("entry-north1").callers);
   std::vector<double> latencies;
