--- a/standins/backend_stand_in.cc
+++ b/standins/backend_stand_in.cc
@@ -1,5 +1,6 @@
-/// Emulated back end: an engine, a back end of a stage pool or a plain service. Each call takes a
-/// configured time. Executions are counted by request, and faults are injected by `/admin/fault`.
+/// Emulated back end: an engine (generates tokens), a back end of any other stage pool (encodes,
+/// retrieves or reranks) or a plain service. Each call takes a configured time. Executions are
+/// counted by request, and faults are injected by `/admin/fault`.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
--- a/standins/fault_proxy.cc
+++ b/standins/fault_proxy.cc
@@ -1,5 +1,6 @@
 /// TCP proxy that injects faults. Forwards the connections of each link to the link's target, and
-/// can cut, delay or black-hole the link. Links are set by `--link`, faults by `/admin/fault`.
+/// can cut, delay or black-hole the link. A cut resets the connections of the link. Links are given
+/// by `--link`, faults by `/admin/fault`.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
--- a/standins/http_service.h
+++ b/standins/http_service.h
@@ -16,7 +16,7 @@
 
 using service_request = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// Request, and the means to answer it. Refers to the stream, which must outlive it.
+/// Request, and the means to answer it. Refers to the stream, which must outlive the exchange.
 class service_exchange {
  public:
   service_exchange(boost::beast::tcp_stream& stream, service_request request)
@@ -32,7 +32,7 @@
   /// @return whether all bytes were written.
   boost::asio::awaitable<bool> write(std::string text);
   /// Closes the connection.
-  /// @param with_reset whether the connection is reset instead of closed in order.
+  /// @param with_reset whether the connection is reset; otherwise it is closed gracefully.
   void close(bool with_reset);
   [[nodiscard]] boost::beast::tcp_stream& stream() { return *stream_; }
   [[nodiscard]] bool is_closed() const { return is_closed_; }
--- a/standins/platform_stand_in.cc
+++ b/standins/platform_stand_in.cc
@@ -1,6 +1,6 @@
-/// Emulates the platform's configuration service and machine list: `GET /v1/entries` for nodes,
-/// `/admin/...` for tests. Counts the calls of nodes, and can be slow, stale, down or restored to
-/// an earlier revision.
+/// Emulates the platform, the service that publishes the configuration and the list of machines;
+/// nodes only read from it. Serves `GET /v1/entries` for nodes and `/admin/...` for tests. Counts
+/// the calls of nodes, and can be slow, stale, down or restored to an earlier revision.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -76,8 +76,8 @@
     return body;
   }
 
-  /// Answers with the entries after a revision. If there are none, waits for a change for at most
-  /// `wait_ms` milliseconds.
+  /// Answers with the entries that were published after a revision. If there are no such entries,
+  /// first waits for a change, for at most `wait_ms` milliseconds.
   asio::awaitable<void> reply_with_entries(service_exchange& exchange, std::uint64_t after_revision,
                                            std::uint64_t wait_ms) {
     ++calls_;
--- a/tests/fleet/disturbance_test.cc
+++ b/tests/fleet/disturbance_test.cc
@@ -1,5 +1,9 @@
 /// Tests with real processes: killed, suspended, partitioned and stopped nodes, platform outages,
 /// and back ends that hang or leave, most of them under load.
+///
+/// The platform is the service that publishes the configuration and the list of machines; nodes
+/// only read from it. The tests use `client-answer`, an example pipeline template from
+/// tools/fleet/example_records.cc, as the configuration that changes.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -43,7 +47,7 @@
     return hashes.size() == 1;
   }
 
-  /// Publishes the client-answer template with a new deadline.
+  /// Publishes the pipeline template `client-answer` again, with another deadline.
   void publish_deadline(int deadline_ms) const {
     auto template_text = fleet.description().records.at("templates/client-answer");
     const std::string old = "deadline_ms: 3000";
@@ -52,7 +56,7 @@
     fleet.publish({{"templates/client-answer", template_text}});
   }
 
-  /// @return whether the client-answer template of `node` has this deadline.
+  /// @return whether the pipeline template `client-answer` has this deadline at `node`.
   [[nodiscard]] bool is_in_effect(const std::string& node, int deadline_ms) const {
     const auto document = fleet.get_document(node, "/v1/templates");
     const auto* templates = document.if_contains("templates");
@@ -139,7 +143,8 @@
   fleet.set_platform_mode("down");
   fleet.node("entry-south1").signal(SIGKILL);
   fleet.node("entry-south1").wait();
-  // A node that starts while the platform is down receives the configuration from its peers.
+  // Because the platform is down, the restarted node gets the published configuration from the
+  // other nodes.
   fleet.start_node("entry-south1");
   fleet.wait_until_ready("entry-south1");
   BOOST_TEST(is_in_effect("entry-south1", 2'700));
@@ -289,8 +294,8 @@
     const std::string name = "\nspurrack_control_sent_bytes_total ";
     return std::stod(body.substr(body.find(name) + name.size()));
   };
-  // Number of bytes after which the restarted node has sent several probes. None of them may have
-  // been accepted.
+  // Number of sent bytes after which the restarted node has sent several membership probes. The
+  // other node must not have accepted any of these probes.
   constexpr double several_probes_bytes = 600;
   bool was_seen_alive = false;
   BOOST_TEST(local_fleet::wait_until([&] {
--- a/tests/fleet/effects_test.cc
+++ b/tests/fleet/effects_test.cc
@@ -1,5 +1,10 @@
-/// Tests with real processes that calls which must not be repeated run at most once, according to
-/// the execution counts of the back ends.
+/// Tests with real processes that calls which must not be repeated (here payouts) run at most once,
+/// according to the execution counts of the back ends.
+///
+/// Each request has an idempotency key or a ticket, the permission of a node to run one request
+/// once. A witness of a key is a node that records which request owns the key; a request runs only
+/// if a majority of the key's witnesses granted it the key. The owner of the key, as a node, is the
+/// node that runs this request.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -71,8 +76,8 @@
       std::async(std::launch::async, [this] { return pay(fleet, "entry-north1", "k4", 300); });
   const auto other_answer = pay(fleet, "entry-south1", "k4");
   BOOST_TEST(string_field(other_answer, "outcome") == "completed");
-  // Waits until the record of the key has expired. After that, only the age of the waiting request
-  // can keep the resumed node from running the call a second time.
+  // Waits until the witnesses' records of the key have expired. After that, only the age of the
+  // waiting request can keep the resumed node from running the call a second time.
   BOOST_TEST(local_fleet::wait_until(
       [&, until = std::chrono::steady_clock::now() + std::chrono::milliseconds(3'500)] {
         return std::chrono::steady_clock::now() >= until;
@@ -90,8 +95,8 @@
     const char* outcome;
     std::int64_t executions;
   };
-  // A refusal shows that the call did not run, so it is sent to another back end. After a failure
-  // during or after the send, the node cannot know whether the call ran.
+  // A refusal shows that the call did not run, so the node sends the call to another back end.
+  // After a failure during or after the send, the node cannot know whether the call ran.
   int number = 0;
   for (const auto& [fault, outcome, executions] :
        {row{"reset_early", "unknown", 0}, row{"reset", "unknown", 1}, row{"truncate", "unknown", 1},
--- a/tests/fleet/golden_test.cc
+++ b/tests/fleet/golden_test.cc
@@ -1,6 +1,7 @@
-/// Compares a session of each user with a golden file: the bytes that the caller sends and
-/// receives, and the timeline. Ids, tickets, times, lengths and names of back ends are normalised.
-/// `SPURRACK_UPDATE_GOLDEN=1` rewrites the files. Also tests the exit codes of spurrackctl.
+/// Compares a session (a few requests to a new fleet) of each example user with a golden file: the
+/// bytes that the caller sends and receives, and the timeline. Ids, tickets, times, lengths and
+/// names of back ends are normalised. `SPURRACK_UPDATE_GOLDEN=1` rewrites the files. Also tests the
+/// exit codes of spurrackctl.
 #include "fleet_fixture.h"
 
 #include <fstream>
@@ -15,7 +16,7 @@
   std::string pipeline;
   std::string input;
   bool stream = false;
-  /// Whether the request is sent with a ticket, so that it runs at most once.
+  /// Whether the request is sent with a ticket, so that the request runs at most once.
   bool once = false;
 };
 
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -20,7 +20,7 @@
   std::string input;
   std::string expected_stage;
   std::string expected_output;
-  /// Whether the request is sent with a ticket, so that it runs at most once.
+  /// Whether the request is sent with a ticket, so that the request runs at most once.
   bool once = false;
 };
 
