--- a/src/model/records.h
+++ b/src/model/records.h
@@ -74,8 +74,8 @@
   machine_state state = machine_state::live;
   base::zone_id zone;
   base::network_address address;
-  /// Increased by the platform each time the machine returns; a leave notice is valid for one
-  /// generation.
+  /// Increased by the platform each time the machine returns. A notice that the machine is leaving
+  /// has no effect on later generations.
   std::uint64_t generation = 1;
   /// Pool and maximum number of concurrent calls; only used for back ends.
   base::pool_id pool;
--- a/src/model/residency.h
+++ b/src/model/residency.h
@@ -29,8 +29,8 @@
   [[nodiscard]] bool is_restricted() const { return regions_.has_value(); }
   /// @return whether no region is allowed.
   [[nodiscard]] bool is_empty() const { return regions_ && regions_->empty(); }
-  /// @param region region of the work; std::nullopt if it is not known, which is allowed only
-  ///        without restriction.
+  /// @param region region of the work; std::nullopt if the region is not known. Work in an unknown
+  ///        region is permitted only without restriction.
   /// @return whether work may be done in a region.
   [[nodiscard]] bool permits(const std::optional<base::region_id>& region) const;
   /// @return the allowed regions; empty if there is no restriction.
--- a/src/model/serving_records.h
+++ b/src/model/serving_records.h
@@ -49,7 +49,8 @@
   route_kind kind = route_kind::unsafe;
   /// Has at least one entry; the sum of the weights is greater than 0.
   std::vector<weighted_service> services;
-  /// Maximum time for which a request is held; std::nullopt if there is no limit.
+  /// Maximum time from the arrival of a request to the end of its answer; std::nullopt if the route
+  /// sets no limit.
   std::optional<base::duration> timeout;
   /// Time within which an answer has its full value.
   base::duration target_latency{};
@@ -159,8 +160,8 @@
   [[nodiscard]] const service* find_service(const std::string& name) const;
 };
 
-/// Incarnation of a replica: one run of its process. A replica that restarts under its id has no
-/// state of its earlier incarnations.
+/// Incarnation of a replica: its process from one start to its exit. A replica that restarts under
+/// its id has no state of its earlier incarnations.
 struct replica_incarnation {
   /// Start time in Unix milliseconds by the clock of the replica's machine. Only comparable for
   /// equality.
@@ -183,7 +184,7 @@
   /// Remaining time for which the replica is cold, from the publication of the record; 0 if it is
   /// warm.
   base::duration cold_for{};
-  /// std::nullopt if the replica does not publish it.
+  /// std::nullopt if the replica does not publish its incarnation.
   std::optional<replica_incarnation> incarnation;
 };
 
