--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -122,7 +122,8 @@
   [[nodiscard]] const serving_counters& counts() const { return counters_; }
   [[nodiscard]] const replica_table& replicas() const { return replicas_; }
   [[nodiscard]] const stage_exchange& stages() const { return stages_; }
-  /// @return number of engines for which this node is the accounting node.
+  /// @return number of engines whose accounting node is this node. The accounting node of an engine
+  ///         adds up the tokens of the prompts that the nodes report to have sent to the engine.
   [[nodiscard]] std::size_t engine_accounts() const {
     return engine_directory_.accounted_engines();
   }
--- a/src/dispatch/retry_budget_exchange.cc
+++ b/src/dispatch/retry_budget_exchange.cc
@@ -147,7 +147,9 @@
     return;
   }
   latest.awaited_donors.erase(answered_donor);
-  // The donor counts the transfer from the arrival of the query, which is later than `sent_at`.
+  // The lifetime of the transfer starts when this node sent the query. The donor starts to count
+  // the transfer later, when the query arrives, and therefore still counts it in every window in
+  // which this node spends it.
   const base::time_point expires_at = latest.sent_at + transfer_lifetime;
   const auto amount = static_cast<milli_retries>(answer.lent().thousandths());
   if (amount == 0 || expires_at < now) {
--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -57,16 +57,18 @@
   std::map<std::string, std::uint32_t> sent_since_report;
 };
 
-/// Receivers of a node's load reports. In a small fleet all nodes receive them in every round,
-/// whatever the value.
+/// Nodes that receive the load reports of a node (the sender). The sender reports in rounds: some
+/// nodes receive the report of every round, other nodes receive one report in about five rounds. In
+/// a small fleet all nodes receive every report, whatever the value.
 enum class report_audience : std::uint8_t {
   /// No node: the sender is not a batcher.
   nobody,
-  /// All nodes of the sender's zone in every round and some nodes of other zones in turn: the
-  /// sender is a batcher for its zone, is stopping or still holds pieces of other nodes.
+  /// The nodes of the sender's zone receive every report, and some nodes of other zones receive one
+  /// report in about five rounds. For a sender that is a batcher only for its zone, is stopping, or
+  /// still holds pieces of other nodes.
   own_zone,
-  /// All nodes of the sender's region in every round and all nodes of other regions in turn: the
-  /// sender is a batcher for other zones too.
+  /// The nodes of the sender's region receive every report, and the nodes of other regions receive
+  /// one report in about five rounds. For a sender that is a batcher for other zones too.
   everybody,
 };
 
--- a/src/replicas/replica_backoff.cc
+++ b/src/replicas/replica_backoff.cc
@@ -8,9 +8,9 @@
 /// Maximum length of a backoff. No request waits longer, so that a longer backoff would only leave
 /// the replica unused.
 constexpr base::duration max_backoff = std::chrono::minutes(2);
-/// Number of further calls in flight that the head of an answer allows. If calls last long, the
-/// calls in flight about double each time all of them are answered, because an answered call may
-/// itself still be in flight.
+/// Number by which the head of each answer raises the limit on calls in flight during a slow start.
+/// The answered call may itself stay in flight for long; even then, each round of answers allows
+/// twice as many new calls as the round before.
 constexpr std::uint32_t allowed_per_answer = 2;
 
 } // namespace
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -141,9 +141,9 @@
     model::effective_region region;
     /// Set if all replicas of these shards are in one zone.
     std::optional<base::zone_id> zone;
-    /// Number of replicas of these shards that can be called now; a replica with an announced limit
-    /// counts as the fraction of full calls that it accepts. If no replica can be called now, the
-    /// number of replicas that can be called after their backoffs.
+    /// Number of replicas of these shards that can be called now, each counted as in
+    /// `callable_count`. If no replica can be called now, the number of replicas that can be called
+    /// after their backoffs.
     double callable_replicas = 0;
     /// Time at which the first of these backoffs ends; a time in the past if a replica can be
     /// called now.
@@ -187,8 +187,9 @@
   void assign_shards(base::time_point now);
   /// Sends an empty message to each new batcher, so that the transport connects to it.
   void connect_to_batchers(const std::vector<base::node_id>& batchers);
-  /// Number of replicas of a shard that can be called. A replica counts as 1, or, if it announces a
-  /// limit, as the fraction of full calls that it accepts.
+  /// Number of replicas of a shard that can be called. A replica counts as 1. If it announces a
+  /// limit on calls per second, it counts as the fraction of its time in which it is busy with as
+  /// many calls as the limit permits, each with a full batch of pieces.
   struct callable_count {
     /// Number of replicas that can be called now.
     double now = 0;
