--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -12,9 +12,11 @@
 
 /// Number of members that are requested to probe a member that did not acknowledge a direct probe.
 constexpr std::size_t indirect_probe_count = 2;
-/// Maximum number of member updates up to which `piggyback` fills a message.
+/// Maximum number of member updates in a message to which `piggyback` adds updates. A message that
+/// already holds this number, such as a large reply to a request for members, gets no more updates.
 constexpr std::size_t max_gossip_per_message = 6;
-/// Number of messages with which a member update is sent, divided by log2(members) (SWIM).
+/// Number of messages with which a member update is sent, per log2 of the number of members, as in
+/// SWIM.
 constexpr unsigned gossip_multiplier = 3;
 /// Returns the precedence of a state: at equal incarnations, the state with the higher precedence
 /// replaces the other.
@@ -320,7 +322,8 @@
     if (found->second.state == wire::ALIVE) {
       set_state(found->second, wire::SUSPECT, found->second.incarnation, now);
     }
-    // The peer may be alive and only the connection to it dead: ping it on a new connection.
+    // The peer may be alive although the connection to it no longer delivers messages, so the ping
+    // is sent on a new connection.
     out.push_back({found->second.address, ping_message(next_sequence_++, &found->second), true});
     probe_.reset();
   } else if (!probe_->indirect_sent && elapsed >= settings_.acknowledgement_timeout) {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -4,12 +4,12 @@
 /// each zone, SWIM-style probing (Das et al., 2002) with suspicion and incarnations determines
 /// which members are alive.
 ///
-/// Two relays per zone, chosen by rendezvous hashing among its strong nodes, send digests to the
-/// relays of the other zones of their region, and report the contacts with these zones to the nodes
-/// of their own zone. A digest lists members of the sender's zone and the ages of the sender's
-/// contacts with zones (zone_contact.h). Two of the relays of a region exchange digests with the
-/// relays of the other regions, so that the bytes between regions grow with the pairs of regions,
-/// not of zones.
+/// Two relays per zone, chosen by rendezvous hashing among the nodes of the zone with the most
+/// cores, send digests to the relays of the other zones of their region, and report the contacts
+/// with other zones to the nodes of their own zone. A digest lists members of the sender's zone and
+/// the ages of the sender's contacts with zones (zone_contact.h). Two of the relays in each region
+/// are also relays of the region, which exchange digests with the relays of the other regions, so
+/// that the bytes between regions grow with the pairs of regions, not of zones.
 #pragma once
 
 #include "base/event_log.h"
@@ -36,7 +36,8 @@
 struct timing {
   /// Interval between probes that this node starts.
   base::duration probe_period = std::chrono::milliseconds(500);
-  /// Time to wait for a direct acknowledgement before other members are requested to probe.
+  /// Time after which other members are requested to probe a member that has not acknowledged the
+  /// probe of this node.
   base::duration acknowledgement_timeout = std::chrono::milliseconds(200);
   /// Time in which a suspected member can refute the suspicion before it is declared dead.
   base::duration suspicion_timeout = std::chrono::milliseconds(2000);
@@ -51,9 +52,9 @@
   base::node_id node;
   base::zone_id zone;
   base::network_address address;
-  /// Start time of this process by the wall clock, in microseconds. It is the initial incarnation
-  /// of the node, which the node increases to refute a report that it is suspected or dead; the
-  /// start time itself does not change.
+  /// Start time of this process by the wall clock, in microseconds. It is also the initial
+  /// incarnation of the node. The node increases its incarnation to refute a report that it is
+  /// suspected or dead; the start time does not change.
   base::incarnation process_start = 0;
   /// Number of cores that this node may use.
   float processor_share = 1;
@@ -76,26 +77,28 @@
 using state_observer = std::function<void(const member&)>;
 
 /// Members that one node knows, and its failure detector. Not thread-safe; driven by `tick` and
-/// `handle`. A member counts as live unless it has been declared dead, also while it is suspected.
+/// `handle`. A member counts as live unless its state is dead, also while it is suspected. A member
+/// that is known only from the published list is dead until a message reports it as alive.
 class membership {
  public:
   /// @param random must outlive this object.
-  /// @param regions regions of the zones; a zone without an entry is a region of its own.
+  /// @param regions regions of the zones. Digests and region jobs treat a zone without an entry as
+  ///        a zone of every region; requests for members treat it as a region of its own.
   membership(identity self, timing settings, base::random_source& random, state_observer observer,
              model::zone_regions regions = {});
 
-  /// Replaces the published list of nodes. Members that are not on the list are dropped, unless no
-  /// machine has ever been published.
+  /// Replaces the published list of nodes by the machines with the role `node`. Members that are
+  /// not on the list are dropped, unless no machine has ever been published.
   void set_published(const catalog::machine_map& machines, base::time_point now);
-  /// Adds a seed: an address from which this node requests members. The address of this node is
-  /// ignored.
+  /// Adds a seed: an address to which this node sends requests for members. The address of this
+  /// node is ignored.
   void add_seed(const base::network_address& address);
 
   /// Replaces all seeds.
   void set_seeds(const std::vector<base::network_address>& addresses);
 
   /// Records that the sender of a message is alive, and applies the member updates and the zone
-  /// contacts in the message. Call for messages with any body.
+  /// contacts in the message. Call for each message, whatever its body.
   void observe(const wire::envelope& message, base::time_point now);
   /// Handles the messages ping, ping request and acknowledgement; ignores other bodies.
   void handle(const wire::envelope& message, base::time_point now, wire::outbox& out);
@@ -117,14 +120,16 @@
   [[nodiscard]] const std::vector<base::node_id>& live_zone_nodes() const;
   [[nodiscard]] const std::map<base::node_id, member>& members() const { return members_; }
   [[nodiscard]] const std::vector<base::network_address>& seeds() const { return seeds_; }
-  /// A job is work that a few nodes of a zone do for the others, such as watching a platform
-  /// service. Hashing of its name `job` chooses these nodes among the live nodes of the zone.
+  /// A zone job is work that a few nodes of a zone do for all its nodes, such as watching a
+  /// platform service. These nodes are chosen among the live nodes of the zone by rendezvous
+  /// hashing with the name of the job.
   /// @return whether this node is one of the `count` nodes that have the job in its zone.
   [[nodiscard]] bool has_zone_job(std::string_view job, std::size_t count) const;
   /// @return whether this node sends digests about its zone to other zones.
   [[nodiscard]] bool is_relay() const;
-  /// A few zones of a region do a job for the whole region. They are chosen by hashing among the
-  /// zones that this node can reach, so that a partitioned zone does the job for itself.
+  /// A region job is work that the nodes of a few zones do for the whole region. These zones are
+  /// chosen by rendezvous hashing among this node's zone and the zones of its region that this node
+  /// can reach, so that a partitioned zone does the job for itself.
   /// @param zones number of zones that do the job.
   /// @param count number of nodes that do the job in each of these zones.
   /// @return whether this node is one of the nodes that do the job.
@@ -143,8 +148,9 @@
   /// @return zone of the member at an address; null if no member with this address is known.
   [[nodiscard]] const base::zone_id* zone_at(const base::network_address& address) const;
 
-  /// @return mean time from the failure of a member until it is declared dead: the time until a
-  ///         member probes it, the timeout of the probe and the suspicion timeout.
+  /// @return mean time from the failure of a member until it is declared dead: the sum of the mean
+  ///         time until another member probes it, the timeout of this probe and the suspicion
+  ///         timeout.
   [[nodiscard]] base::duration expected_detection_time() const;
 
  private:
@@ -160,6 +166,7 @@
     /// Relays of each zone, including this node's zone.
     std::map<base::zone_id, std::vector<base::node_id>> relays;
   };
+  /// A probe that this node started, whose acknowledgement is pending.
   struct probe {
     std::uint64_t sequence = 0;
     base::node_id target;
@@ -179,7 +186,8 @@
   };
 
   void apply_update(const wire::member_update& update, base::time_point now);
-  /// Refutes a report that this node is suspect or dead, by a higher incarnation.
+  /// Refutes a report that this node is suspected or dead: increases the incarnation of this node
+  /// above the reported incarnation, and gossips that this node is alive.
   void refute(base::incarnation reported_incarnation);
   void set_state(member& subject, wire::member_state state, base::incarnation incarnation,
                  base::time_point now);
@@ -190,9 +198,9 @@
   void request_indirect_probes(const member& target, wire::outbox& out);
   void expire_suspects(base::time_point now);
   void probe_dead_member(wire::outbox& out);
-  /// Requests members that this node does not know if a request is due. Sends the request to all
-  /// seeds while this node knows no member, then to a known member, so that a start of all nodes
-  /// does not overload the seeds.
+  /// Requests members that this node does not know if a request is due. The request goes to all
+  /// seeds while this node knows no member. While members are being added, it goes to a known
+  /// member, so that a start of all nodes does not overload the seeds; later to a random seed.
   void request_members(base::time_point now, wire::outbox& out);
   void send_member_request(const base::network_address& address, wire::outbox& out);
   [[nodiscard]] base::network_address choose_member_source() const;
@@ -201,7 +209,7 @@
   void note_member_reply(std::uint64_t sequence, base::time_point now);
   /// Invalidates the data derived from `members_` and increases the version.
   void note_change();
-  /// Adds to a reply live members that the requester does not know.
+  /// Adds members to a reply that are alive and that the requester does not know.
   void add_missing_members(const wire::envelope& request, wire::envelope& reply) const;
   /// Sends the digests that are due if this node is a relay of its zone or of its region.
   void send_digests(base::time_point now, wire::outbox& out);
@@ -212,14 +220,15 @@
   /// also records a contact with this node's zone.
   void send_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
                     base::time_point now, wire::outbox& out);
-  /// Sends digests about this node's region to the relays and to a random node of each other
-  /// region. They hold the ages of the contacts with the zones of this node's region.
+  /// Sends digests to the relays and to a random node of each other region. The digests hold the
+  /// ages of the contacts with the zones of this node's region. In some rounds the digest to the
+  /// random node also lists the live members of this node's region.
   void send_to_other_regions(base::time_point now, wire::outbox& out);
   /// Sends the ages of the contacts with other zones to all nodes of this node's zone.
   void send_to_own_zone(base::time_point now, wire::outbox& out) const;
-  /// @return the relays of a region: one relay of each of two zones, or both relays of the zone if
-  ///         there is only one. The zones are chosen among the reachable zones of the region, or
-  ///         among all its zones if none is reachable.
+  /// @return the relays of a region: one relay of each of two zones, or both relays of the same
+  ///         zone if only one zone can be chosen. The zones are chosen among the reachable zones of
+  ///         the region, or among all its zones if no zone is reachable.
   [[nodiscard]] std::vector<base::node_id> region_relays(const base::region_id& region,
                                                          base::time_point now) const;
   /// @return whether this node is a relay of its region.
@@ -262,7 +271,8 @@
   base::time_point next_probe_at_;
   base::time_point next_dead_probe_at_;
   base::time_point next_relay_at_;
-  /// Number of times that this node sent digests to other zones, and to other regions.
+  /// Number of rounds in which this node, as a relay, sent digests to the other zones of its region
+  /// (`relay_rounds_`), and to other regions (`region_rounds_`).
   std::uint64_t relay_rounds_ = 0;
   std::uint64_t region_rounds_ = 0;
   base::time_point next_member_request_at_;
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -1,5 +1,5 @@
-/// Exchange of members and of contacts with zones: requests for members, first to seeds, and
-/// digests sent by relays.
+/// Functions of `membership` that exchange members and contacts with zones between nodes: requests
+/// for members, which go to seeds first, and digests, which relays send.
 #include "membership/membership.h"
 
 #include "base/hashing.h"
@@ -28,26 +28,27 @@
 /// Minimum number of cores of a relay, as a fraction of the cores of the strongest node of its
 /// zone.
 constexpr float min_relay_processor_share = 0.5F;
-/// Mean number of members that a relay lists per round of digests: a zone or region of n members is
-/// listed completely once in n / `members_per_round` rounds, a smaller one in each round, so that
-/// the bytes between zones do not grow with the number of members.
+/// Mean number of members that a relay lists per round of digests, so that the bytes between zones
+/// do not grow with the number of members: all n members of a zone or region are listed in one of
+/// n / `members_per_round` rounds. If n is smaller than `members_per_round`, they are listed in
+/// each round.
 constexpr std::size_t members_per_round = 8;
-/// Time after the addition of a member for which further members are requested at
+/// Time after the last addition of a member in which more members are requested at
 /// `member_request_interval`, and at once after a reply that added members. After this time members
-/// are requested at `idle_member_request_interval`, so that parts of the fleet that do not know
-/// each other find each other in the end.
+/// are still requested at `idle_member_request_interval`, so that parts of the fleet that do not
+/// know each other find each other in the end.
 constexpr base::duration member_growth_timeout = std::chrono::seconds(3);
 constexpr base::duration member_request_interval = std::chrono::milliseconds(500);
 /// Interval between requests of a node that knows no member. It is shorter than
 /// `member_request_interval`, because the node is not notified when a seed becomes reachable.
 constexpr base::duration first_member_request_interval = std::chrono::milliseconds(100);
 constexpr base::duration idle_member_request_interval = std::chrono::seconds(10);
-/// Number of members per additional `idle_member_request_interval`: a node that knows n members
-/// multiplies the interval by 1 + n / `members_per_idle_interval`. A request holds two bytes per
-/// member; at a constant interval a seed of 2,700 nodes would receive 0.5 MB of requests per
-/// second.
+/// Number of members for which the interval between two idle requests grows by another
+/// `idle_member_request_interval`: a node that knows n members multiplies the interval by
+/// 1 + n / `members_per_idle_interval`. A request holds two bytes per member; at a constant
+/// interval a seed of 2,700 nodes would receive 0.5 MB of requests per second.
 constexpr std::size_t members_per_idle_interval = 300;
-/// Mean number of requests for members of which one goes to a member of any region; the other
+/// Mean number of requests to members of which one goes to a member of any region; the other
 /// requests go to members of this node's region.
 constexpr std::uint64_t requests_per_remote_request = 8;
 
--- a/src/membership/name_filter.h
+++ b/src/membership/name_filter.h
@@ -1,8 +1,10 @@
 /// Filter in a request for members: hashes of two bytes for the names of all nodes that the
 /// requester knows, so that the request stays short. The receiver replies only with members whose
-/// names do not match the filter. For each name in the filter, a name that the requester does not
-/// know matches with a probability of one in 65,536; since each request has a different salt, the
-/// reply to a later request contains the name.
+/// names do not match the filter.
+///
+/// The hash of a name that the requester does not know equals the hash of a given known name with a
+/// probability of one in 65,536; the reply then lacks the member with the unknown name. Since each
+/// request has a different salt, the reply to a later request contains this member.
 #pragma once
 
 #include "base/ids.h"
@@ -28,7 +30,7 @@
   std::string bytes_;
 };
 
-/// Filter as read by the receiver of the request.
+/// Filter of the member names that a requester knows, decoded by the node that replies.
 class name_filter {
  public:
   /// @param bytes the filter as sent; an incomplete pair of bytes at the end is ignored.
@@ -43,6 +45,7 @@
   static constexpr std::size_t slot_count = 65'536;
 
   std::uint64_t salt_;
+  /// Hashes of the names in the filter.
   std::bitset<slot_count> slots_;
 };
 
--- a/src/membership/zone_contact.cc
+++ b/src/membership/zone_contact.cc
@@ -5,12 +5,14 @@
 namespace spurrack::membership {
 namespace {
 
-/// Minimum contact timeout: in a shorter time without contact a few messages may have been lost, or
-/// a node may be busy.
+/// Minimum contact timeout. A shorter time without contact may mean only that a few messages were
+/// lost or that a node is busy.
 constexpr base::duration min_contact_timeout = std::chrono::milliseconds(900);
-/// Number of mean gaps in the contact timeout: two allow for the failure of one of two relays.
+/// Factor of the mean gap between contacts in the contact timeout. With a factor of two, the zone
+/// stays reachable if one of its two relays fails.
 constexpr int mean_gap_factor = 2;
-/// Number of mean deviations in the contact timeout, as in TCP's retransmission timeout (RFC 6298).
+/// Factor of the mean deviation of the gaps in the contact timeout, as in TCP's retransmission
+/// timeout (RFC 6298).
 constexpr int gap_deviation_factor = 4;
 /// Mean gap and mean deviation before the first measurement; the contact timeout is then 1.2 s.
 constexpr base::duration initial_mean_gap = std::chrono::milliseconds(200);
--- a/src/membership/zone_contact.h
+++ b/src/membership/zone_contact.h
@@ -1,15 +1,15 @@
 /// Tracks the last contact with each other zone: the time at which this node or a relay last
-/// received a message from the zone. Messages from other zones reach few nodes; the relays report
-/// their contacts to their zone, so that each node detects an unreachable zone within a time that
-/// does not grow with the fleet.
+/// received a message from the zone. Messages from other zones reach few nodes of a zone; the
+/// relays report their contacts to their zone, so that each node detects an unreachable zone within
+/// a time that does not grow with the fleet.
 ///
 /// A contact with a zone is forwarded in these steps only:
 /// 1. A relay receives a message from the zone.
 /// 2. If the zone is in the relay's region, the relay reports the contact to other regions.
 /// 3. The relays of these regions report the contact to the other zones of their region.
 /// 4. The relays of each zone report the contact to the nodes of their zone.
-/// No step is followed by an earlier step: reports would then circulate and still arrive long after
-/// the zone became unreachable.
+/// No step is followed by an earlier step, because reports would then circulate and still arrive
+/// long after the zone became unreachable.
 #pragma once
 
 #include "base/ids.h"
@@ -26,8 +26,8 @@
 /// Contacts of one node with the other zones. Not thread-safe.
 class zone_contact {
  public:
-  /// Maximum contact timeout, which is the time without contact after which a zone counts as
-  /// unreachable.
+  /// Maximum contact timeout. The contact timeout of a zone is the time without contact after which
+  /// the zone counts as unreachable; it adapts to the measured time between two contacts.
   static constexpr base::duration max_contact_timeout = std::chrono::milliseconds(1400);
 
   explicit zone_contact(base::zone_id own_zone, model::zone_regions regions = {})
@@ -36,13 +36,15 @@
   /// Records the contact with the zone of a message's sender, and the contacts that a relay reports
   /// in the message.
   void observe(const wire::envelope& message, base::time_point now);
-  /// Adds to a digest for this node's zone the ages of the contacts of this node, and of the
+  /// Adds ages of contacts to a digest for this node's zone: the contacts of this node, and the
   /// contacts that other regions and relays of other zones reported to this node.
   void add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const;
-  /// Adds to a digest for other zones of this node's region the ages of the contacts with zones of
-  /// other regions.
+  /// Adds ages of contacts to a digest for other zones of this node's region: the contacts of this
+  /// node with zones of other regions, and the contacts with these zones that other regions
+  /// reported to this node.
   void add_ages_for_region(wire::zone_digest& digest, base::time_point now) const;
-  /// Adds to a digest for other regions the ages of this node's contacts with zones of its region.
+  /// Adds ages of contacts to a digest for other regions: the contacts of this node with the other
+  /// zones of its region.
   void add_ages_for_other_regions(wire::zone_digest& digest, base::time_point now) const;
   /// Moves the last contacts forward after a suspension of this process, so that each zone has time
   /// for a new contact before it counts as unreachable.
@@ -50,8 +52,8 @@
 
   /// @return whether the last contact with a zone is within its contact timeout.
   [[nodiscard]] bool is_reachable(const base::zone_id& zone, base::time_point now) const;
-  /// @return zones whose last contact is older than their contact timeout. Zones that never had a
-  ///         contact are not included.
+  /// @return zones whose last contact is at least as old as their contact timeout. Zones without
+  ///         any contact since the start of this process are not included.
   [[nodiscard]] std::set<base::zone_id> unreachable_zones(base::time_point now) const;
 
  private:
@@ -79,7 +81,8 @@
   /// @return the time without contact after which the zone counts as unreachable.
   [[nodiscard]] static base::duration contact_timeout(const zone_state& state);
 
-  /// Adds the age of a contact to a digest if it is less than `max_contact_timeout`.
+  /// Adds the age of a contact to a digest if the age is less than `max_contact_timeout`.
+  /// @param contact_at time of the contact; std::nullopt if there was none.
   static void add_age(wire::zone_digest& digest, const base::zone_id& zone,
                       const std::optional<base::time_point>& contact_at, base::time_point now);
   /// Records the contacts that the sender of a digest reports.
