--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -90,7 +90,7 @@
                                  {"zone", member.zone.text()},
                                  {"address", member.address.text()},
                                  {"state", name_of(member.state)},
-                                 {"since_ms", base::to_milliseconds(now - member.since)},
+                                 {"since_ms", base::to_milliseconds(now - member.state_since)},
                                  {"incarnation", member.incarnation}});
   }
   return {{"nodes", std::move(nodes)}};
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -72,7 +72,7 @@
     auto [entry, added] = members_.try_emplace(node);
     if (added) {
       entry->second.node = node;
-      entry->second.since = now;
+      entry->second.state_since = now;
     }
     entry->second.zone = machine->zone;
     entry->second.address = machine->address;
@@ -173,7 +173,7 @@
   subject.incarnation = incarnation;
   subject.state = state;
   if (changed) {
-    subject.since = now;
+    subject.state_since = now;
     observer_(subject);
   }
   if (in_zone(subject)) {
@@ -267,8 +267,8 @@
     next_dead_probe_at_ = now + settings_.dead_probe_period;
     probe_dead_member(out);
   }
-  if (now >= next_relay_at_) {
-    next_relay_at_ = now + settings_.relay_period;
+  if (now >= next_digests_at_) {
+    next_digests_at_ = now + settings_.relay_period;
     send_digests(now, out);
   }
 }
@@ -317,7 +317,7 @@
     probe_.reset();
     return;
   }
-  const auto elapsed = now - probe_->started;
+  const auto elapsed = now - probe_->started_at;
   if (elapsed >= settings_.probe_period) {
     if (found->second.state == wire::ALIVE) {
       set_state(found->second, wire::SUSPECT, found->second.incarnation, now);
@@ -326,8 +326,8 @@
     // is sent on a new connection.
     out.push_back({found->second.address, ping_message(next_sequence_++, &found->second), true});
     probe_.reset();
-  } else if (!probe_->indirect_sent && elapsed >= settings_.acknowledgement_timeout) {
-    probe_->indirect_sent = true;
+  } else if (!probe_->has_requested_indirect && elapsed >= settings_.acknowledgement_timeout) {
+    probe_->has_requested_indirect = true;
     request_indirect_probes(found->second, out);
   }
 }
@@ -349,12 +349,12 @@
 
 void membership::expire_suspects(base::time_point now) {
   for (auto& [node, other] : members_) {
-    if (other.state == wire::SUSPECT && now - other.since >= settings_.suspicion_timeout) {
+    if (other.state == wire::SUSPECT && now - other.state_since >= settings_.suspicion_timeout) {
       set_state(other, wire::DEAD, other.incarnation, now);
     }
   }
   std::erase_if(indirect_probes_, [&](const auto& entry) {
-    return now - entry.second.started >= settings_.probe_period;
+    return now - entry.second.started_at >= settings_.probe_period;
   });
 }
 
@@ -377,7 +377,7 @@
   zones_.resume_after_suspension(now);
   for (auto& [node, other] : members_) {
     if (other.state == wire::SUSPECT) {
-      other.since = now;
+      other.state_since = now;
     }
   }
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -70,7 +70,7 @@
   /// Number of cores that the member may use; 0 if that is not known.
   float processor_share = 0;
   /// Time at which the member entered its state.
-  base::time_point since;
+  base::time_point state_since;
 };
 
 /// Called whenever the state of a member changes.
@@ -170,8 +170,8 @@
   struct probe {
     std::uint64_t sequence = 0;
     base::node_id target;
-    base::time_point started;
-    bool indirect_sent = false;
+    base::time_point started_at;
+    bool has_requested_indirect = false;
   };
   /// A member update that is sent with outgoing messages.
   struct gossip_update {
@@ -182,7 +182,7 @@
   struct indirect_probe {
     base::network_address requester;
     std::uint64_t requester_sequence = 0;
-    base::time_point started;
+    base::time_point started_at;
   };
 
   void apply_update(const wire::member_update& update, base::time_point now);
@@ -270,7 +270,7 @@
   std::uint64_t next_sequence_ = 1;
   base::time_point next_probe_at_;
   base::time_point next_dead_probe_at_;
-  base::time_point next_relay_at_;
+  base::time_point next_digests_at_;
   /// Number of rounds in which this node, as a relay, sent digests to the other zones of its region
   /// (`relay_rounds_`), and to other regions (`region_rounds_`).
   std::uint64_t relay_rounds_ = 0;
