--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -69,7 +69,8 @@
   wire::member_state state = wire::DEAD;
   /// Number of cores that the member may use; 0 if that is not known.
   float processor_share = 0;
-  /// Time at which the member entered its state.
+  /// Time at which the member entered its state. For a suspected member, set again at the end of a
+  /// suspension of this process, so that the suspicion timeout starts again.
   base::time_point state_since;
 };
 
--- a/tests/membership/hollow_fleet.h
+++ b/tests/membership/hollow_fleet.h
@@ -157,16 +157,17 @@
   std::vector<std::unique_ptr<hollow_node>> nodes;
   std::unordered_map<base::network_address, std::size_t> by_address;
   std::vector<std::pair<std::size_t, wire::envelope>> in_flight;
-  /// Zone whose nodes neither run nor receive messages.
+  /// Zone whose nodes neither run nor receive messages; empty if the nodes of all zones run.
   base::zone_id down_zone;
-  /// Region that is partitioned: no messages pass between it and the other regions.
+  /// Region that is partitioned: no messages pass between this region and the other regions. Empty
+  /// if no region is partitioned.
   base::region_id partitioned_region;
   base::time_point now{std::chrono::hours(1)};
   std::size_t steps = 0;
   std::size_t messages = 0;
   std::size_t messages_between_regions = 0;
   std::size_t bytes_between_regions = 0;
-  /// By index of the sender in `nodes`.
+  /// Number of bytes that each node sent, by index of the node in `nodes`.
   std::map<std::size_t, std::size_t> bytes_sent;
   std::map<base::zone_id, base::region_id> region_by_zone;
 };
--- a/tests/membership/member_discovery_test.cc
+++ b/tests/membership/member_discovery_test.cc
@@ -1,6 +1,6 @@
 /// Start of all nodes of a fleet at once, each with three seeds as the only addresses that it
-/// knows. Limits the time until all nodes know each other, and the bytes that the seeds send,
-/// because the link of a seed may be slow.
+/// knows. The tests check the time until all nodes know each other, and the bytes that the seeds
+/// send, because the link of a seed may be slow.
 #include "hollow_fleet.h"
 
 #include "membership/name_filter.h"
@@ -70,8 +70,8 @@
                             << fleet.bytes_between_regions << " in all");
     BOOST_TEST(fleet.unknown_members() == 0U);
     BOOST_TEST(base::to_milliseconds(fleet.now - started_at) <= 3'000);
-    // A seed sends each other node one or two replies of 1 kB. As any member, it also sends gossip
-    // and requests of its own.
+    // A seed sends one or two replies of 1 kB to each other node. Like any other member, a seed
+    // also sends gossip, probes and requests for members.
     constexpr std::size_t bytes_per_node = 2'500;
     constexpr std::size_t member_bytes = 150'000;
     BOOST_TEST(fleet.max_bytes_sent(0, seed_count) <= member_bytes + size * bytes_per_node);
--- a/tests/membership/zone_contact_test.cc
+++ b/tests/membership/zone_contact_test.cc
@@ -47,8 +47,9 @@
     constexpr std::size_t max_messages_per_node = 25;
     BOOST_TEST(fleet.messages / observed_seconds / fleet.nodes.size() <= max_messages_per_node);
     if (shape.regions > 0) {
-      // For each ordered pair of regions, two relays send three messages each every 0.3 s. A tenth
-      // is added because more rounds than the mean may begin within the observed time.
+      // For each ordered pair of regions, two relays send three messages each every 0.3 s. The
+      // limit is a tenth higher, because more rounds than the mean may begin within the observed
+      // time.
       const auto pairs = shape.regions * (shape.regions - 1);
       const auto max_messages = pairs * 2 * 3 * observed_seconds * 11 / 3;
       BOOST_TEST(fleet.messages_between_regions <= max_messages);
@@ -73,7 +74,7 @@
     fleet.partitioned_region = base::region_id("r1");
     fleet.run(seconds(2));
     BOOST_TEST(fleet.unreachable_views() == expected_views);
-    // Long enough that the measured gaps between contacts are those during the partition.
+    // After 20 s, the mean gaps between contacts consist of gaps measured during the partition.
     fleet.run(seconds(20));
     BOOST_TEST(fleet.unreachable_views() == expected_views);
     fleet.partitioned_region = {};
