--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -27,7 +27,7 @@
   return key.substr(key.find('/') + 1);
 }
 
-/// The part of an entry's version that the hash of the entry covers.
+/// Part of an entry's version that the hash of the catalog's content covers.
 struct hashed_version {
   base::revision revision = 0;
   std::uint64_t value_hash = 0;
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -5,12 +5,14 @@
 /// An entry is replaced only by an entry of the same key with a higher (era, revision, value hash).
 /// Nodes that apply the same entries in any order converge to the same content.
 ///
-/// A store that is restored from an older backup begins a new era and assigns revisions again that
-/// it had assigned before. The entries of the new era replace the known entries, with two
-/// exceptions, because callers and replicas have acted on the lost writes: a configuration is
-/// replaced only by a configuration with a higher version number in its record, or with the same
-/// version number and a later entry; and a replica that was known to drain or was deleted does not
-/// return to normal because of its record in the backup.
+/// An era of the store ends when the store is restored from an older backup. The restored store
+/// begins a new era and assigns revisions again that it had assigned before. The entries of the new
+/// era replace the known entries, with two exceptions, because callers and replicas have acted on
+/// the writes that the restored store lost:
+/// - A configuration is replaced only by a configuration with a higher version number in its
+///   record, or with the same version number and a later entry.
+/// - A replica that was known to drain, or to be deleted, still counts as draining, or as possibly
+///   deleted, although its record in the backup says otherwise.
 #pragma once
 
 #include "base/safety_switches.h"
@@ -36,14 +38,15 @@
 /// Result of applying an entry.
 enum class apply_verdict : std::uint8_t {
   accepted, ///< The entry is in effect now.
-  /// The entry is the latest of its key, but its value is invalid. The last accepted entry stays in
-  /// effect, except if it is the entry of a replica: once another writer has overwritten it, it
-  /// cannot be relied on.
+  /// The new entry is the latest entry of its key, but its value is invalid. The accepted entry of
+  /// the key stays in effect, unless the key belongs to a replica: then the accepted entry is
+  /// dropped, because a value that another writer has overwritten cannot be relied on.
   rejected,
-  /// The entry is rejected like the entry before it, and both have the same value.
+  /// The new entry is rejected, and its value equals that of the previous rejected entry of its
+  /// key.
   rejected_again,
-  duplicate, ///< The entry was already known.
-  older,     ///< The entry was ignored: it is older than the known entry of its key.
+  duplicate, ///< The new entry was already known.
+  older,     ///< The new entry was ignored, because a later entry of its key is known.
 };
 
 struct apply_result {
@@ -64,7 +67,7 @@
 using tenant_map = std::map<base::tenant_id, std::shared_ptr<const model::tenant>>;
 using replica_map = std::map<base::replica_id, std::shared_ptr<const model::replica>>;
 
-/// Position in the order of all writes to the store.
+/// Position of a write in the order of all writes to the store.
 struct store_position {
   base::store_era era = 0;
   base::revision revision = 0;
@@ -91,8 +94,8 @@
   [[nodiscard]] const std::array<std::uint64_t, bucket_count>& bucket_hashes() const {
     return buckets_;
   }
-  /// @return copies of all entries in the buckets: the accepted entry of each key, and its rejected
-  ///         entry if that is later.
+  /// @return copies of all entries in the buckets: the accepted entry of each key, and the rejected
+  ///         entry of the key if the rejected entry is later.
   [[nodiscard]] std::vector<wire::catalog_entry> entries_in(const bucket_set& buckets) const;
 
   /// @return number of entries that `entries_in` would copy.
@@ -148,7 +151,8 @@
   [[nodiscard]] base::store_era era() const { return highest_.era; }
   /// @return position of the latest entry of a replica.
   [[nodiscard]] store_position latest_replica_position() const { return latest_replica_position_; }
-  /// @return position of the latest entry of any other kind.
+  /// @return position of the latest entry that is not the entry of a replica, such as the entry of
+  ///         the configuration, a template, a machine or an evacuation.
   [[nodiscard]] store_position latest_operator_position() const {
     return latest_operator_position_;
   }
@@ -214,7 +218,7 @@
                                       any_record value);
   /// Updates the hash of a key and of its bucket after the entries of the key changed.
   void rehash(const std::string& key, slot& current);
-  /// Puts a record into effect: adds it to the maps of its kind.
+  /// Puts a record into effect: adds the record to the members that hold records of its kind.
   void index(const std::string& key, const any_record& value);
   void index(const std::string& key, const model::record& value);
   void remove_from_index(const std::string& key);
--- a/src/catalog/change_log.h
+++ b/src/catalog/change_log.h
@@ -13,13 +13,13 @@
 
 namespace spurrack::catalog {
 
-/// The latest few thousand changes of the records that the serving path uses (replicas, its
-/// configuration, evacuations), in the order in which they occurred. Not thread-safe.
+/// The latest few thousand changes of the records that the serving path uses (replicas, the serving
+/// configuration, evacuations), in the order of the changes. Not thread-safe.
 class change_log {
  public:
-  /// Maximum number of changes that are kept: more than a listing of a large fleet brings between
-  /// two checks of a reader that checks ten times per second. A reader that missed more changes has
-  /// to check all replicas.
+  /// Maximum number of changes that are kept. It exceeds the number of changes that a listing of a
+  /// large fleet brings between two checks of a reader that checks ten times per second. A reader
+  /// that missed more changes has to check all replicas.
   static constexpr std::size_t max_kept_changes = 4'096;
 
   /// @param replica empty if something other than a replica changed.
--- a/src/catalog/entry_packing.cc
+++ b/src/catalog/entry_packing.cc
@@ -12,14 +12,14 @@
 
 namespace io = google::protobuf::io;
 
-/// Minimum size of entries that are compressed, in bytes: with fewer bytes, compression would save
-/// less than a network packet.
+/// Minimum total size, in bytes, of the entries of a message that are compressed: compression of
+/// fewer bytes would save less than a network packet.
 constexpr std::size_t min_packed_bytes = 1'000;
 /// Compression level of zlib: the fastest level, because the next levels save only a tenth more
 /// bytes and take twice the time.
 constexpr int compression_level = 1;
 /// Maximum size of the decompressed entries of a message, in bytes: six times the catalog of the
-/// largest planned fleet. Messages with more are rejected.
+/// largest planned fleet. Messages with larger entries are rejected.
 constexpr int max_unpacked_bytes = 64'000'000;
 
 std::string compress(const wire::catalog_entries& content) {
--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -8,7 +8,8 @@
 namespace spurrack::catalog {
 namespace {
 
-/// Time after the last message with a foreign content hash after which the hash is dropped.
+/// Time after which a foreign content hash, which differs from this node's hash, is dropped if no
+/// peer sends it again.
 constexpr base::duration foreign_hash_lifetime = std::chrono::seconds(3);
 /// Hash of an empty bucket.
 constexpr std::uint64_t empty_bucket_hash = 0;
@@ -172,8 +173,8 @@
   wire::outgoing push{sender, {}};
   auto& answer = *push.message.mutable_catalog_push();
   answer.set_answers_comparison(true);
-  // The entries are counted before they are copied, because while a fleet starts most requesters
-  // get an answer without entries and query another node.
+  // The entries are counted before they are copied, because most requesters get an answer without
+  // entries while a fleet starts, and query another node.
   const bool has_answer = may_answer(content_->count_in(differing), now);
   if (has_answer) {
     pack_entries(content_->entries_in(differing), answer);
--- a/src/catalog/replicator.h
+++ b/src/catalog/replicator.h
@@ -4,12 +4,14 @@
 /// The peer answers with its entries of the buckets that differ, and requests the node's entries of
 /// these buckets.
 ///
-/// The bytes that a node sends and receives stay limited as the catalog grows with the fleet. A
-/// starting node fetches the catalog once, from one peer at a time; the first listing (complete
-/// read) of a platform service is not gossiped, because nodes that lack its entries request them.
-/// A node gives only a few large answers within a short time; it answers other requesters without
-/// entries, on which they query another node. Comparisons that find no new entries, as they do
-/// while changes continue, become less frequent.
+/// The bytes that a node sends and receives stay limited as the catalog grows with the fleet:
+/// - A starting node fetches the catalog once, from one peer at a time.
+/// - The first listing (complete read) of a platform service is not gossiped, because nodes that
+///   lack entries of the listing request them.
+/// - A node gives only a few large answers within a short time. Further requesters get an answer
+///   without entries and then query another node.
+/// - The interval between comparisons grows while they find no new entries, as is usual while
+///   entries keep changing.
 #pragma once
 
 #include "base/ids.h"
@@ -26,8 +28,8 @@
 
 namespace spurrack::catalog {
 
-/// @return the addresses to which new entries may be forwarded. Called only if there are new
-/// entries, because collecting the addresses is expensive in a large fleet.
+/// Function that returns the addresses to which new entries may be forwarded. Called only if there
+/// are new entries, because collecting the addresses is expensive in a large fleet.
 using peer_lister = std::function<std::vector<base::network_address>()>;
 
 /// Called with each entry and the result of applying it, except for duplicates and repeated
@@ -42,25 +44,26 @@
   static constexpr std::size_t reader_fanout = 20;
   /// Number of peers to which a node forwards new entries that it received from a peer.
   static constexpr std::size_t gossip_fanout = 3;
-  /// Maximum number of times that an entry is forwarded; 3^6 exceeds the number of nodes of any
-  /// zone.
+  /// Maximum number of times that an entry is forwarded: with a fanout of 3, six times reach 3^6
+  /// nodes, which exceeds the number of nodes of any zone.
   static constexpr std::uint32_t gossip_hops = 6;
-  /// Time for which the content of peers must differ from this node's content before a comparison
-  /// starts, so that gossip in flight can arrive. The content differs for this time if peers have
-  /// sent the same other content hash throughout it, or if no peer has sent this node's content
-  /// hash in it.
+  /// Time for which the catalogs of peers must differ from this node's catalog before a comparison
+  /// starts, so that gossip in flight can arrive. The time has passed if a peer's content hash has
+  /// been received repeatedly for this time, or if all content hashes received in this time differ
+  /// from this node's hash.
   static constexpr base::duration settle_time = std::chrono::milliseconds(500);
   /// Minimum interval between two comparisons that this node starts; doubled up to
-  /// `max_exchange_interval` while they find no new entries. Together with `settle_time`, a change
-  /// whose push was lost is found within 1.5 s, less than the shortest limit of 2 s for the time
-  /// until a configuration change is in effect.
+  /// `max_exchange_interval` while they find no new entries. With `settle_time` and the maximum
+  /// interval, a change whose push was lost is found within 1.5 s. The shortest limit for the time
+  /// until a configuration change is in effect is 2 s.
   static constexpr base::duration min_exchange_interval = std::chrono::milliseconds(250);
   static constexpr base::duration max_exchange_interval = std::chrono::milliseconds(1000);
-  /// Time after which an unanswered comparison no longer delays the next one: a catalog of 3,000
-  /// replicas takes 0.06 s on a link of 10 Mbit/s, and a peer may send a few catalogs at once.
+  /// Time after which an unanswered comparison no longer delays the next comparison. A catalog of
+  /// 3,000 replicas takes 0.06 s on a link of 10 Mbit/s, and a peer may send a few catalogs at
+  /// once.
   static constexpr base::duration exchange_timeout = std::chrono::milliseconds(1000);
-  /// Minimum number of new entries for which the entries read from a platform service count as a
-  /// first listing, which is not gossiped. The new entries must also be at least half of all known
+  /// Minimum number of new entries in a read of a platform service that counts as a first listing,
+  /// whose entries are not gossiped. The new entries must also be at least half of all known
   /// entries.
   static constexpr std::size_t min_first_listing_entries = 100;
   /// Minimum number of entries for which the answer to a comparison counts as large. A node gives
--- a/src/catalog/service_watch.h
+++ b/src/catalog/service_watch.h
@@ -58,7 +58,7 @@
   base::duration max_read_interval = std::chrono::milliseconds(200);
 };
 
-/// Number of calls to a platform service, by cause.
+/// Number of calls to a platform service, by kind of call.
 struct service_calls {
   /// Number of listings, including those for which a stale answer was allowed
   /// (`node::read_service::allow_stale`).
@@ -90,12 +90,12 @@
   /// Time after which a pending read is restarted; longer than the hold time of a watch.
   static constexpr base::duration watch_timeout = std::chrono::seconds(20);
   /// Interval between an answer that brought changes and the next read, so that a burst of changes
-  /// takes few calls; doubled up to `watch_timing::max_read_interval` while changes continue. A
-  /// change after a quiet time is reported at once.
+  /// takes few calls; doubled up to `watch_timing::max_read_interval` while changes continue. The
+  /// first change after a time without changes is reported at once, because a watch is pending.
   static constexpr base::duration min_read_interval = std::chrono::milliseconds(200);
-  /// Time after the first answer of a new era at which a second listing is due: entries that were
-  /// lost with the old era are written again within about two seconds, and only entries that are
-  /// still missing in the second listing have been deleted.
+  /// Time after the first answer of a new era at which a second listing is due. The entries that
+  /// the restored store lost are written again within about two seconds; only entries that the
+  /// second listing still lacks count as deleted.
   static constexpr base::duration era_settle_time = std::chrono::milliseconds(3000);
   /// Maximum number of eras by which an answer may be ahead of the latest known era. Eras increase
   /// by one, and a node that was partitioned for a long time may have missed some. An answer that
@@ -148,7 +148,7 @@
   /// Revision after which the next watch reads; 0 if the next read is a listing.
   base::revision cursor_ = 0;
   base::store_era era_ = 0;
-  /// Time at which the second listing of a new era is due; std::nullopt if none is.
+  /// Time at which the second listing of a new era is due; std::nullopt if no such listing is due.
   std::optional<base::time_point> relist_at_;
   base::time_point pending_since_;
   base::time_point next_read_at_;
--- a/tests/catalog/catalog_test.cc
+++ b/tests/catalog/catalog_test.cc
@@ -1,4 +1,5 @@
-/// An entry is replaced only by a newer entry; catalogs converge for any order of entries.
+/// Order of catalog entries: an entry is replaced only by a newer entry of its key, and the content
+/// of a catalog does not depend on the order in which entries are applied.
 #include "catalog/catalog.h"
 
 #include "base/random.h"
--- a/tests/catalog/service_watch_test.cc
+++ b/tests/catalog/service_watch_test.cc
@@ -82,7 +82,8 @@
   subject.on_answer({1, 100, true}, true, now);
   now += std::chrono::seconds(1);
   BOOST_TEST((subject.next_read(true, now) == 100U));
-  // A peer often sends a changed entry shortly before the answer of the service arrives.
+  // A peer often sends a changed entry shortly before the answer of the service arrives, so the
+  // watch is not restarted at once.
   subject.note_latest_revision(1, 101, now);
   now += service_watch::lost_answer_timeout / 2;
   subject.note_latest_revision(1, 101, now);
