--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -50,8 +50,8 @@
 }
 
 bool catalog::is_duplicate(const slot& current, const version& offered) {
-  return (current.accepted && current.accepted->at == offered) ||
-         (current.rejected && current.rejected->at == offered);
+  return (current.accepted && current.accepted->entry_version == offered) ||
+         (current.rejected && current.rejected->entry_version == offered);
 }
 
 bool catalog::is_older(const std::string& key, const slot& current, const version& offered) const {
@@ -60,48 +60,49 @@
   }
   // An invalid entry of a replica replaces the accepted entry.
   const bool is_before_rejected =
-      is_replica_key(key) && current.rejected && offered < current.rejected->at;
-  return is_before_rejected || (current.accepted && offered < current.accepted->at);
+      is_replica_key(key) && current.rejected && offered < current.rejected->entry_version;
+  return is_before_rejected || (current.accepted && offered < current.accepted->entry_version);
 }
 
 apply_result catalog::apply(const wire::catalog_entry& entry) {
   auto& current = slots_[entry.key()];
   stored_entry offered{version_of(entry), entry};
-  if (offered.at.era == 0) {
+  if (offered.entry_version.era == 0) {
     // The entry comes from a node of an older build. Such nodes may be the only readers of the
     // store in this zone, so the entry counts as one of the latest era.
-    offered.at.era = highest_.era;
+    offered.entry_version.era = highest_.era;
     offered.entry.set_era(highest_.era);
   }
-  if (is_duplicate(current, offered.at)) {
+  if (is_duplicate(current, offered.entry_version)) {
     return {apply_verdict::duplicate, {}};
   }
   // Configurations are ordered by the version number in the record first, which is known only after
   // parsing.
   const bool is_configuration = entry.key() == model::configuration_key && !entry.deleted();
-  if (!is_configuration && is_older(entry.key(), current, offered.at)) {
+  if (!is_configuration && is_older(entry.key(), current, offered.entry_version)) {
     return {apply_verdict::older, {}};
   }
-  highest_ = std::max(highest_, offered.at);
+  highest_ = std::max(highest_, offered.entry_version);
   auto& latest = is_replica_key(entry.key()) ? latest_replica_position_ : latest_operator_position_;
-  latest = std::max(latest, store_position{offered.at.era, offered.at.revision});
+  latest =
+      std::max(latest, store_position{offered.entry_version.era, offered.entry_version.revision});
   if (entry.deleted()) {
     accept(current, std::move(offered), std::nullopt);
     return {apply_verdict::accepted, {}};
   }
   auto parsed = parse_value(entry.key(), entry.value());
   if (auto* value = std::get_if<any_record>(&parsed)) {
-    if (is_configuration && is_older_configuration(current, offered.at, *value)) {
+    if (is_configuration && is_older_configuration(current, offered.entry_version, *value)) {
       return {apply_verdict::older, {}};
     }
-    auto merged = merge_known_state(current, offered.at, std::move(*value));
+    auto merged = merge_known_state(current, offered.entry_version, std::move(*value));
     accept(current, std::move(offered), std::move(merged));
     return {apply_verdict::accepted, {}};
   }
-  if (is_older(entry.key(), current, offered.at)) {
+  if (is_older(entry.key(), current, offered.entry_version)) {
     return {apply_verdict::older, {}};
   }
-  if (current.rejected && offered.at < current.rejected->at) {
+  if (current.rejected && offered.entry_version < current.rejected->entry_version) {
     return {apply_verdict::older, {}};
   }
   return reject(current, std::move(offered), std::get<std::string>(std::move(parsed)));
@@ -116,14 +117,14 @@
   if (configuration->version != serving_->version) {
     return configuration->version < serving_->version;
   }
-  return offered < current.accepted->at;
+  return offered < current.accepted->entry_version;
 }
 
 catalog::any_record catalog::merge_known_state(const slot& current, const version& offered,
                                                any_record value) {
   auto* replica = std::get_if<std::shared_ptr<const model::replica>>(&value);
-  const bool is_rolled_back =
-      current.accepted && current.accepted->at.era > 0 && offered.era > current.accepted->at.era;
+  const bool is_rolled_back = current.accepted && current.accepted->entry_version.era > 0 &&
+                              offered.era > current.accepted->entry_version.era;
   if (replica == nullptr || !is_rolled_back) {
     return value;
   }
@@ -181,7 +182,7 @@
     index(key, *value);
   }
   current.accepted = std::move(offered);
-  if (current.rejected && current.rejected->at < current.accepted->at) {
+  if (current.rejected && current.rejected->entry_version < current.accepted->entry_version) {
     current.rejected.reset();
     current.rejection_reason.clear();
     rejected_replica_keys_.erase(key);
@@ -211,10 +212,10 @@
   bucket ^= current.hash;
   std::uint64_t hash = base::stable_hash(key);
   for (const auto* stored : {&current.accepted, &current.rejected}) {
-    const auto at = *stored ? (*stored)->at : version{};
+    const auto stored_version = *stored ? (*stored)->entry_version : version{};
     // The era is left out: nodes of an older build do not know it, and their hash of the same
     // content must be equal.
-    const hashed_version hashed{at.revision, at.value_hash};
+    const hashed_version hashed{stored_version.revision, stored_version.value_hash};
     hash = base::stable_hash(raw_bytes(hashed), hash);
   }
   current.hash = hash;
@@ -271,38 +272,39 @@
 
 std::vector<wire::catalog_entry>
 catalog::deletions_of_unlisted_replicas(const std::set<std::string>& listed,
-                                        store_position at) const {
+                                        store_position listing_position) const {
   std::vector<wire::catalog_entry> deletions;
   for (const auto& [id, known] : replicas_) {
-    add_deletion_if_unlisted(std::string(model::replica_prefix) + id.text(), listed, at, deletions);
+    add_deletion_if_unlisted(std::string(model::replica_prefix) + id.text(), listed,
+                             listing_position, deletions);
   }
   for (const auto& key : rejected_replica_keys_) {
-    add_deletion_if_unlisted(key, listed, at, deletions);
+    add_deletion_if_unlisted(key, listed, listing_position, deletions);
   }
   return deletions;
 }
 
 std::vector<wire::catalog_entry>
 catalog::deletions_of_unlisted_evacuations(const std::set<std::string>& listed,
-                                           store_position at) const {
+                                           store_position listing_position) const {
   std::vector<wire::catalog_entry> deletions;
   for (const auto& zone : evacuated_zones_) {
-    add_deletion_if_unlisted(std::string(model::evacuation_prefix) + zone.text(), listed, at,
-                             deletions);
+    add_deletion_if_unlisted(std::string(model::evacuation_prefix) + zone.text(), listed,
+                             listing_position, deletions);
   }
   return deletions;
 }
 
 void catalog::add_deletion_if_unlisted(const std::string& key, const std::set<std::string>& listed,
-                                       store_position at,
+                                       store_position listing_position,
                                        std::vector<wire::catalog_entry>& deletions) const {
-  if (listed.contains(key) || latest_position_of(key) >= at) {
+  if (listed.contains(key) || latest_position_of(key) >= listing_position) {
     return;
   }
   wire::catalog_entry deletion;
   deletion.set_key(key);
-  deletion.set_era(at.era);
-  deletion.set_revision(at.revision);
+  deletion.set_era(listing_position.era);
+  deletion.set_revision(listing_position.revision);
   deletion.set_deleted(true);
   deletions.push_back(std::move(deletion));
 }
@@ -377,7 +379,7 @@
   if (found == slots_.end() || !found->second.accepted) {
     return 0;
   }
-  return found->second.accepted->at.revision;
+  return found->second.accepted->entry_version.revision;
 }
 
 store_position catalog::latest_position_of(const std::string& key) const {
@@ -388,7 +390,7 @@
   }
   for (const auto* stored : {&found->second.accepted, &found->second.rejected}) {
     if (*stored) {
-      latest = std::max(latest, {(*stored)->at.era, (*stored)->at.revision});
+      latest = std::max(latest, {(*stored)->entry_version.era, (*stored)->entry_version.revision});
     }
   }
   return latest;
@@ -398,7 +400,7 @@
   std::vector<rejection> found;
   for (const auto& [key, current] : slots_) {
     if (current.rejected) {
-      found.push_back({key, current.rejected->at.revision, current.rejection_reason});
+      found.push_back({key, current.rejected->entry_version.revision, current.rejection_reason});
     }
   }
   std::sort(found.begin(), found.end(),
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -129,19 +129,21 @@
   ///         all replicas.
   [[nodiscard]] std::optional<std::vector<base::replica_id>>
   replicas_changed_since(std::uint64_t seen) const {
-    return changes_.since(seen);
+    return changes_.changed_since(seen);
   }
   /// @param listed keys of all entries of a listing, which is a complete read of a platform
   ///        service.
-  /// @param at position of the store that the listing reflects.
+  /// @param listing_position position of the store that the listing reflects.
   /// @return deletions of the known replicas that were written before the position and whose keys
   ///         are not listed.
   [[nodiscard]] std::vector<wire::catalog_entry>
-  deletions_of_unlisted_replicas(const std::set<std::string>& listed, store_position at) const;
+  deletions_of_unlisted_replicas(const std::set<std::string>& listed,
+                                 store_position listing_position) const;
   /// @return deletions of the known evacuations that were written before the position and whose
   ///         keys are not listed. The parameters are those of `deletions_of_unlisted_replicas`.
   [[nodiscard]] std::vector<wire::catalog_entry>
-  deletions_of_unlisted_evacuations(const std::set<std::string>& listed, store_position at) const;
+  deletions_of_unlisted_evacuations(const std::set<std::string>& listed,
+                                    store_position listing_position) const;
 
   /// @return revision of the accepted entry of `key`; 0 if there is none.
   [[nodiscard]] base::revision revision_of(const std::string& key) const;
@@ -175,7 +177,7 @@
     auto operator<=>(const version&) const = default;
   };
   struct stored_entry {
-    version at;
+    version entry_version;
     wire::catalog_entry entry;
   };
   /// State of one key.
@@ -226,7 +228,7 @@
   /// Appends the deletion of `key` if the key is not listed and all its entries were written before
   /// the position of the listing.
   void add_deletion_if_unlisted(const std::string& key, const std::set<std::string>& listed,
-                                store_position at,
+                                store_position listing_position,
                                 std::vector<wire::catalog_entry>& deletions) const;
 
   base::safety_switches switches_;
--- a/src/catalog/change_log.h
+++ b/src/catalog/change_log.h
@@ -32,7 +32,8 @@
   /// @param seen value of `count()` at the reader's last check.
   /// @return the replicas of all changes since that check; a replica that changed several times may
   ///         appear several times. std::nullopt if not all of these changes are kept.
-  [[nodiscard]] std::optional<std::vector<base::replica_id>> since(std::uint64_t seen) const {
+  [[nodiscard]] std::optional<std::vector<base::replica_id>>
+  changed_since(std::uint64_t seen) const {
     if (seen > count_ || count_ - seen > changes_.size()) {
       return std::nullopt;
     }
--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -66,15 +66,16 @@
                          base::time_point now, wire::outbox& out) {
   if (peer_hash == content_->content_hash()) {
     differs_since_.reset();
-    exchange_interval_ = min_exchange_interval;
+    comparison_interval_ = min_comparison_interval;
     return;
   }
   const bool is_settled = has_settled(peer_hash, now);
-  const auto interval = is_eager ? min_exchange_interval : exchange_interval_;
-  if ((!is_settled && !is_eager) || now - last_exchange_at_ < interval || is_answer_pending(now)) {
+  const auto interval = is_eager ? min_comparison_interval : comparison_interval_;
+  if ((!is_settled && !is_eager) || now - last_comparison_at_ < interval ||
+      is_answer_pending(now)) {
     return;
   }
-  last_exchange_at_ = now;
+  last_comparison_at_ = now;
   pending_peer_ = peer;
   wire::outgoing message{peer, {}};
   auto& body = *message.message.mutable_catalog_buckets();
@@ -95,7 +96,7 @@
 }
 
 bool replicator::is_answer_pending(base::time_point now) const {
-  return pending_peer_ && now - last_exchange_at_ < exchange_timeout;
+  return pending_peer_ && now - last_comparison_at_ < comparison_timeout;
 }
 
 void replicator::note_answer(const base::network_address& peer, bool had_new_entries) {
@@ -103,8 +104,9 @@
     return;
   }
   pending_peer_.reset();
-  exchange_interval_ = had_new_entries ? min_exchange_interval
-                                       : std::min(exchange_interval_ * 2, max_exchange_interval);
+  comparison_interval_ = had_new_entries
+                             ? min_comparison_interval
+                             : std::min(comparison_interval_ * 2, max_comparison_interval);
 }
 
 void replicator::handle(const wire::envelope& message, const peer_lister& peers,
--- a/src/catalog/replicator.h
+++ b/src/catalog/replicator.h
@@ -53,15 +53,15 @@
   /// from this node's hash.
   static constexpr base::duration settle_time = std::chrono::milliseconds(500);
   /// Minimum interval between two comparisons that this node starts; doubled up to
-  /// `max_exchange_interval` while they find no new entries. With `settle_time` and the maximum
+  /// `max_comparison_interval` while they find no new entries. With `settle_time` and the maximum
   /// interval, a change whose push was lost is found within 1.5 s. The shortest limit for the time
   /// until a configuration change is in effect is 2 s.
-  static constexpr base::duration min_exchange_interval = std::chrono::milliseconds(250);
-  static constexpr base::duration max_exchange_interval = std::chrono::milliseconds(1000);
+  static constexpr base::duration min_comparison_interval = std::chrono::milliseconds(250);
+  static constexpr base::duration max_comparison_interval = std::chrono::milliseconds(1000);
   /// Time after which an unanswered comparison no longer delays the next comparison. A catalog of
   /// 3,000 replicas takes 0.06 s on a link of 10 Mbit/s, and a peer may send a few catalogs at
   /// once.
-  static constexpr base::duration exchange_timeout = std::chrono::milliseconds(1000);
+  static constexpr base::duration comparison_timeout = std::chrono::milliseconds(1000);
   /// Minimum number of new entries in a read of a platform service that counts as a first listing,
   /// whose entries are not gossiped. The new entries must also be at least half of all known
   /// entries.
@@ -131,8 +131,8 @@
   /// Time since which every content hash that a peer sent has differed from this node's hash;
   /// std::nullopt if the last hash was equal.
   std::optional<base::time_point> differs_since_;
-  base::time_point last_exchange_at_;
-  base::duration exchange_interval_ = min_exchange_interval;
+  base::time_point last_comparison_at_;
+  base::duration comparison_interval_ = min_comparison_interval;
   /// The peer whose answer to a comparison is pending.
   std::optional<base::network_address> pending_peer_;
   /// Number of large answers given in the current `large_answer_period`.
