--- a/src/node/node.h
+++ b/src/node/node.h
@@ -256,7 +256,8 @@
   struct watch_substitution {
     /// End of the time for which this node watches in place of another node.
     base::time_point ends_at;
-    /// Number of times that the watch of the other node may still be handed over.
+    /// Number of times that the watch of the other node may still be handed over: to a next node if
+    /// this node cannot read the service either, and from there to further nodes.
     std::uint32_t handovers_left = 0;
     /// Time from which this node may hand over its own watch again.
     base::time_point next_handover_at;
@@ -285,9 +286,10 @@
   /// Whether `stop_completed` has been returned.
   bool is_stop_reported_ = false;
   base::time_point stop_started_at_;
-  /// Start of the current time without new requests: the latest of the arrival of a request, the
-  /// end of a gap between events, in which requests may have waited in sockets, and the start of
-  /// the graceful stop. A stopping node may exit when this time is long enough.
+  /// Time point since which no request has arrived: the latest of the arrival of a request, the end
+  /// of a gap between events, in which requests may have waited in sockets, and the start of the
+  /// graceful stop. A stopping node without work exits when `stop_linger_time` has passed since
+  /// this time point, or `max_stop_linger_time` since the start of the stop.
   base::time_point quiet_since_;
   /// Random fraction, 0 to 1, of the maximum time to wait for peers; chosen at the start of the
   /// node.
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -42,8 +42,9 @@
 constexpr std::uint32_t max_answer_header_bytes = 65'536;
 /// Maximum size of the body of an answer that is buffered until complete.
 constexpr std::size_t max_whole_answer_bytes = 8'000'000;
-/// Maximum number of surplus answers that arrive during one call before its own answer; at the next
-/// surplus answer, the call fails and its connection is closed.
+/// Maximum number of surplus answers that arrive during one call before its own answer. A surplus
+/// answer is an answer that no call is waiting for, such as a second answer to an earlier call. At
+/// the next surplus answer, the call fails and its connection is closed.
 constexpr unsigned max_surplus_answers = 4;
 /// Idle timeout of a connection to a replica that announces no timeout.
 constexpr std::chrono::seconds default_idle_timeout{4};
--- a/tests/platform_fleet/soak_client.cc
+++ b/tests/platform_fleet/soak_client.cc
@@ -57,7 +57,8 @@
   if (mode_ == client_mode::streaming) {
     return "long";
   }
-  // The last kind is used only if the fleet has two regions.
+  // Requests of the last kind, `held`, may run in one region only. They are sent only if the fleet
+  // has two regions, because otherwise the fleet has no route for them.
   constexpr std::array<const char*, 5> all_kinds{"safe", "unsafe", "stream", "staged", "held"};
   return all_kinds[random_.below(all_kinds.size() - (fleet_->has_two_regions() ? 0 : 1))];
 }
