--- a/src/catalog/replicator.h
+++ b/src/catalog/replicator.h
@@ -10,8 +10,8 @@
 ///   lack entries of the listing request them.
 /// - A node gives only a few large answers within a short time. Further requesters get an answer
 ///   without entries and then query another node.
-/// - The interval between comparisons grows while they find no new entries, as is usual while
-///   entries keep changing.
+/// - The interval between comparisons grows up to a maximum while the comparisons find no new
+///   entries, as is usual while entries keep changing.
 #pragma once
 
 #include "base/ids.h"
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -83,8 +83,9 @@
 class membership {
  public:
   /// @param random must outlive this object.
-  /// @param regions regions of the zones. Digests and region jobs treat a zone without an entry as
-  ///        a zone of every region; requests for members treat it as a region of its own.
+  /// @param regions regions of the zones. For digests between zones and for region jobs, a zone
+  ///        without an entry counts as a zone of this node's region; for requests for members, it
+  ///        counts as a region of its own.
   membership(identity self, timing settings, base::random_source& random, state_observer observer,
              model::zone_regions regions = {});
 
@@ -200,8 +201,9 @@
   void expire_suspects(base::time_point now);
   void probe_dead_member(wire::outbox& out);
   /// Requests members that this node does not know if a request is due. The request goes to all
-  /// seeds while this node knows no member. While members are being added, it goes to a known
-  /// member, so that a start of all nodes does not overload the seeds; later to a random seed.
+  /// seeds while this node knows no member. While members are being added, the request goes to a
+  /// known member, so that a start of all nodes does not overload the seeds; later it goes to a
+  /// random seed.
   void request_members(base::time_point now, wire::outbox& out);
   void send_member_request(const base::network_address& address, wire::outbox& out);
   [[nodiscard]] base::network_address choose_member_source() const;
