--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -8,7 +8,8 @@
 namespace spurrack::catalog {
 namespace {
 
-/// Time after the last message with a foreign content hash after which the hash is dropped.
+/// Time after which a foreign content hash, which differs from this node's hash, is dropped if no
+/// peer sends it again.
 constexpr base::duration foreign_hash_lifetime = std::chrono::seconds(3);
 /// Hash of an empty bucket.
 constexpr std::uint64_t empty_bucket_hash = 0;
@@ -65,15 +66,16 @@
                          base::time_point now, wire::outbox& out) {
   if (peer_hash == content_->content_hash()) {
     differs_since_.reset();
-    exchange_interval_ = min_exchange_interval;
+    comparison_interval_ = min_comparison_interval;
     return;
   }
   const bool is_settled = has_settled(peer_hash, now);
-  const auto interval = is_eager ? min_exchange_interval : exchange_interval_;
-  if ((!is_settled && !is_eager) || now - last_exchange_at_ < interval || is_answer_pending(now)) {
+  const auto interval = is_eager ? min_comparison_interval : comparison_interval_;
+  if ((!is_settled && !is_eager) || now - last_comparison_at_ < interval ||
+      is_answer_pending(now)) {
     return;
   }
-  last_exchange_at_ = now;
+  last_comparison_at_ = now;
   pending_peer_ = peer;
   wire::outgoing message{peer, {}};
   auto& body = *message.message.mutable_catalog_buckets();
@@ -94,7 +96,7 @@
 }
 
 bool replicator::is_answer_pending(base::time_point now) const {
-  return pending_peer_ && now - last_exchange_at_ < exchange_timeout;
+  return pending_peer_ && now - last_comparison_at_ < comparison_timeout;
 }
 
 void replicator::note_answer(const base::network_address& peer, bool had_new_entries) {
@@ -102,8 +104,9 @@
     return;
   }
   pending_peer_.reset();
-  exchange_interval_ = had_new_entries ? min_exchange_interval
-                                       : std::min(exchange_interval_ * 2, max_exchange_interval);
+  comparison_interval_ = had_new_entries
+                             ? min_comparison_interval
+                             : std::min(comparison_interval_ * 2, max_comparison_interval);
 }
 
 void replicator::handle(const wire::envelope& message, const peer_lister& peers,
@@ -172,8 +175,8 @@
   wire::outgoing push{sender, {}};
   auto& answer = *push.message.mutable_catalog_push();
   answer.set_answers_comparison(true);
-  // The entries are counted before they are copied, because while a fleet starts most requesters
-  // get an answer without entries and query another node.
+  // The entries are counted before they are copied, because most requesters get an answer without
+  // entries while a fleet starts, and query another node.
   const bool has_answer = may_answer(content_->count_in(differing), now);
   if (has_answer) {
     pack_entries(content_->entries_in(differing), answer);
