--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -10,16 +10,18 @@
 namespace spurrack::membership {
 namespace {
 
-/// Number of members that are requested to probe a member that did not acknowledge a direct probe.
+/// Number of other members that are requested to probe a member that did not acknowledge the probe
+/// of this node.
 constexpr std::size_t indirect_probe_count = 2;
-/// Maximum number of member updates in a message to which `piggyback` adds updates. A message that
-/// already holds this number, such as a large reply to a request for members, gets no more updates.
+/// Maximum number of member updates up to which `piggyback` adds updates to a message. A message
+/// that already contains this number of updates, such as a large reply to a request for members,
+/// gets no more updates.
 constexpr std::size_t max_gossip_per_message = 6;
-/// Number of messages with which a member update is sent, per log2 of the number of members, as in
-/// SWIM.
+/// Factor by which log2 of the number of members is multiplied. The product is the number of
+/// messages with which a member update is sent, as in SWIM.
 constexpr unsigned gossip_multiplier = 3;
-/// Returns the precedence of a state: at equal incarnations, the state with the higher precedence
-/// replaces the other.
+/// Returns the precedence of a member state. If two reports on a member have the same incarnation,
+/// the state with the higher precedence replaces the other state.
 int state_precedence(wire::member_state state) {
   switch (state) {
   case wire::DEAD:
@@ -322,8 +324,8 @@
     if (found->second.state == wire::ALIVE) {
       set_state(found->second, wire::SUSPECT, found->second.incarnation, now);
     }
-    // The peer may be alive although the connection to it no longer delivers messages, so the ping
-    // is sent on a new connection.
+    // The peer may be alive although the connection to the peer no longer delivers messages.
+    // Therefore another ping is sent on a new connection.
     out.push_back({found->second.address, ping_message(next_sequence_++, &found->second), true});
     probe_.reset();
   } else if (!probe_->has_requested_indirect && elapsed >= settings_.acknowledgement_timeout) {
@@ -430,8 +432,8 @@
 }
 
 base::duration membership::expected_detection_time() const {
-  // With a probability of about 1/e, no node probes a given member in one period. So the first
-  // probe of a dead member is sent after e/(e-1) periods on average.
+  // The probability that no node probes a given member in one probe period is about 1/e. After a
+  // member has failed, e/(e-1) periods therefore pass on average until a node probes the member.
   constexpr double mean_periods = 1.582;
   return std::chrono::duration_cast<base::duration>(settings_.probe_period * mean_periods) +
          settings_.probe_period + settings_.suspicion_timeout;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,15 +1,17 @@
-/// Members of the fleet as one node knows them. The published list of nodes, which consists of the
-/// machine entries of the catalog with the role `node`, determines which nodes may be members. If
-/// no list has been published, nodes become members when a message reports them as alive. Within
-/// each zone, SWIM-style probing (Das et al., 2002) with suspicion and incarnations determines
-/// which members are alive.
+/// Members of the fleet as one node knows them. The published list of nodes determines which nodes
+/// may be members: it consists of the machine entries of the catalog with the role `node`. While no
+/// list has been published, a node becomes a member when a message reports it as alive. Within each
+/// zone, SWIM-style probing (Das et al., 2002) with suspicion and incarnations determines which
+/// members are alive.
 ///
-/// Two relays per zone, chosen by rendezvous hashing among the nodes of the zone with the most
-/// cores, send digests to the relays of the other zones of their region, and report the contacts
-/// with other zones to the nodes of their own zone. A digest lists members of the sender's zone and
-/// the ages of the sender's contacts with zones (zone_contact.h). Two of the relays in each region
-/// are also relays of the region, which exchange digests with the relays of the other regions, so
-/// that the bytes between regions grow with the pairs of regions, not of zones.
+/// Each zone has two relays. They are chosen by rendezvous hashing among the nodes of the zone with
+/// the most cores. A relay periodically sends digests to the relays of the other zones of its
+/// region and to the nodes of its own zone. A digest contains members of the sender's zone or
+/// region, or the time since the last contact with each zone (zone_contact.h), or both.
+///
+/// Each region has two relays, chosen among the relays of its zones. They send digests to the
+/// relays of the other regions. The bytes between regions therefore grow with the number of pairs
+/// of regions, not with the number of pairs of zones.
 #pragma once
 
 #include "base/event_log.h"
@@ -52,9 +54,9 @@
   base::node_id node;
   base::zone_id zone;
   base::network_address address;
-  /// Start time of this process by the wall clock, in microseconds. It is also the initial
-  /// incarnation of the node. The node increases its incarnation to refute a report that it is
-  /// suspected or dead; the start time does not change.
+  /// Start time of this process by the wall clock, in microseconds. The start time is also the
+  /// initial incarnation of this node. To refute a report that it is suspected or dead, this node
+  /// increases its incarnation, but not `process_start`.
   base::incarnation process_start = 0;
   /// Number of cores that this node may use.
   float processor_share = 1;
@@ -69,8 +71,9 @@
   wire::member_state state = wire::DEAD;
   /// Number of cores that the member may use; 0 if that is not known.
   float processor_share = 0;
-  /// Time at which the member entered its state. For a suspected member, set again at the end of a
-  /// suspension of this process, so that the suspicion timeout starts again.
+  /// Time at which the member entered its state. If the member is suspected when this process
+  /// resumes after a suspension, the time is set to the time of the resumption, so that the
+  /// suspicion timeout starts again.
   base::time_point state_since;
 };
 
@@ -78,14 +81,14 @@
 using state_observer = std::function<void(const member&)>;
 
 /// Members that one node knows, and its failure detector. Not thread-safe; driven by `tick` and
-/// `handle`. A member counts as live unless its state is dead, also while it is suspected. A member
-/// that is known only from the published list is dead until a message reports it as alive.
+/// `handle`. A member is live if its state is alive or suspected. A member that is known only from
+/// the published list is dead until a message reports it as alive.
 class membership {
  public:
   /// @param random must outlive this object.
-  /// @param regions regions of the zones. For digests between zones and for region jobs, a zone
-  ///        without an entry counts as a zone of this node's region; for requests for members, it
-  ///        counts as a region of its own.
+  /// @param regions region of each zone. A zone without an entry counts as a zone of this node's
+  ///        region for digests and for region jobs. For requests for members, it counts as a region
+  ///        of its own.
   membership(identity self, timing settings, base::random_source& random, state_observer observer,
              model::zone_regions regions = {});
 
@@ -99,10 +102,11 @@
   /// Replaces all seeds.
   void set_seeds(const std::vector<base::network_address>& addresses);
 
-  /// Records that the sender of a message is alive, and applies the member updates and the zone
-  /// contacts in the message. Call for each message, whatever its body.
+  /// Records that the sender of a message is alive, and applies the member updates and the reports
+  /// of contacts with zones in the message. Call for each message, whatever its body.
   void observe(const wire::envelope& message, base::time_point now);
-  /// Handles the messages ping, ping request and acknowledgement; ignores other bodies.
+  /// Handles messages with the body `ping`, `ping_request` or `acknowledgement`; ignores messages
+  /// with another body.
   void handle(const wire::envelope& message, base::time_point now, wire::outbox& out);
   /// Runs the periodic work: probes, suspicion timeouts, requests for members and digests. Call
   /// about every 100 ms.
@@ -122,24 +126,26 @@
   [[nodiscard]] const std::vector<base::node_id>& live_zone_nodes() const;
   [[nodiscard]] const std::map<base::node_id, member>& members() const { return members_; }
   [[nodiscard]] const std::vector<base::network_address>& seeds() const { return seeds_; }
-  /// A zone job is work that a few nodes of a zone do for all its nodes, such as watching a
-  /// platform service. These nodes are chosen among the live nodes of the zone by rendezvous
+  /// A zone job is work that a few nodes of a zone do for all nodes of the zone, such as watching a
+  /// platform service. The few nodes are chosen among the live nodes of the zone by rendezvous
   /// hashing with the name of the job.
-  /// @return whether this node is one of the `count` nodes that have the job in its zone.
+  /// @param count number of nodes of the zone that do the job.
+  /// @return whether this node is one of the nodes that do the job.
   [[nodiscard]] bool has_zone_job(std::string_view job, std::size_t count) const;
   /// @return whether this node sends digests about its zone to other zones.
   [[nodiscard]] bool is_relay() const;
-  /// A region job is work that the nodes of a few zones do for the whole region. These zones are
-  /// chosen by rendezvous hashing among this node's zone and the zones of its region that this node
-  /// can reach, so that a partitioned zone does the job for itself.
-  /// @param zones number of zones that do the job.
-  /// @param count number of nodes that do the job in each of these zones.
+  /// A region job is work that a few nodes in each of a few zones do for the whole region. The
+  /// zones are chosen by rendezvous hashing with the name of the job among this node's zone and the
+  /// reachable zones of its region. A partitioned zone reaches no other zone, so it does the job
+  /// for itself.
+  /// @param zones number of zones whose nodes do the job.
+  /// @param count number of nodes that do the job in each of the zones.
   /// @return whether this node is one of the nodes that do the job.
   [[nodiscard]] bool has_region_job(std::string_view job, std::size_t zones, std::size_t count,
                                     base::time_point now) const;
   [[nodiscard]] base::incarnation incarnation() const { return incarnation_; }
-  /// @return time at which this node learned of the first other member from a message; std::nullopt
-  ///         if it knows members only from the published list.
+  /// @return time at which a message added the first member; std::nullopt if no message has added a
+  ///         member. Members that the published list adds do not count.
   [[nodiscard]] std::optional<base::time_point> first_member_added_at() const {
     return first_member_added_at_;
   }
@@ -150,20 +156,22 @@
   /// @return zone of the member at an address; null if no member with this address is known.
   [[nodiscard]] const base::zone_id* zone_at(const base::network_address& address) const;
 
-  /// @return mean time from the failure of a member until it is declared dead: the sum of the mean
-  ///         time until another member probes it, the timeout of this probe and the suspicion
-  ///         timeout.
+  /// @return mean time from the failure of a member until the member is declared dead. It is the
+  ///         sum of the mean time until another member probes the failed member, the timeout of
+  ///         this probe, and the suspicion timeout.
   [[nodiscard]] base::duration expected_detection_time() const;
 
  private:
-  /// Data that is derived from `members_` and read for each message; recomputed after a change.
+  /// Data that is derived from `members_`. It is kept because it is read for each message, and it
+  /// is recomputed after a member changed.
   struct live_view {
     /// Result of `live_peers()`.
     std::vector<member> peers;
     /// Result of `live_zone_nodes()`.
     std::vector<base::node_id> zone_nodes;
-    /// Members of each other zone, including dead members, because the members of a partitioned
-    /// zone appear dead.
+    /// Members of each other zone. Dead members are included, because the members of a partitioned
+    /// zone may appear dead and must still receive digests, so that the end of the partition is
+    /// detected.
     std::map<base::zone_id, std::vector<base::node_id>> remote;
     /// Relays of each zone, including this node's zone.
     std::map<base::zone_id, std::vector<base::node_id>> relays;
@@ -175,7 +183,8 @@
     base::time_point started_at;
     bool has_requested_indirect = false;
   };
-  /// A member update that is sent with outgoing messages.
+  /// A member update in the gossip queue. The update is removed from the queue after it has been
+  /// sent with the number of messages that `gossip_sends` returns.
   struct gossip_update {
     wire::member_update update;
     unsigned sends_left = 0;
@@ -188,8 +197,8 @@
   };
 
   void apply_update(const wire::member_update& update, base::time_point now);
-  /// Refutes a report that this node is suspected or dead: increases the incarnation of this node
-  /// above the reported incarnation, and gossips that this node is alive.
+  /// Refutes a report that this node is suspected or dead: sets the incarnation of this node to the
+  /// reported incarnation plus one, and gossips that this node is alive.
   void refute(base::incarnation reported_incarnation);
   void set_state(member& subject, wire::member_state state, base::incarnation incarnation,
                  base::time_point now);
@@ -200,49 +209,54 @@
   void request_indirect_probes(const member& target, wire::outbox& out);
   void expire_suspects(base::time_point now);
   void probe_dead_member(wire::outbox& out);
-  /// Requests members that this node does not know if a request is due. The request goes to all
-  /// seeds while this node knows no member. While members are being added, the request goes to a
-  /// known member, so that a start of all nodes does not overload the seeds; later it goes to a
-  /// random seed.
+  /// If a request for members is due, requests the members that this node does not know:
+  /// - from all seeds while this node knows no member;
+  /// - from a known member while members are being added, so that the seeds are not overloaded if
+  ///   all nodes of the fleet start at once;
+  /// - from a random seed otherwise.
   void request_members(base::time_point now, wire::outbox& out);
   void send_member_request(const base::network_address& address, wire::outbox& out);
   [[nodiscard]] base::network_address choose_member_source() const;
-  /// Schedules the next request for members at once if a message with this sequence answers the
-  /// last request and has added members.
+  /// Handles a message that may be the reply to a request for members. If the message has the
+  /// sequence number of the last request and has added members, the next request is due at once.
   void note_member_reply(std::uint64_t sequence, base::time_point now);
   /// Invalidates the data derived from `members_` and increases the version.
   void note_change();
-  /// Adds members to a reply that are alive and that the requester does not know.
+  /// Adds the members that are alive and that the requester does not know to the reply, up to a
+  /// maximum number.
   void add_missing_members(const wire::envelope& request, wire::envelope& reply) const;
-  /// Sends the digests that are due if this node is a relay of its zone or of its region.
+  /// Sends one round of digests if this node is a relay of its zone or of its region.
   void send_digests(base::time_point now, wire::outbox& out);
-  /// Sends digests about this node's zone to the other zones of the region.
+  /// Sends digests about this node's zone to the other zones of its region.
   void send_to_other_zones(base::time_point now, wire::outbox& out);
-  /// Sends digests to another zone of the region: the ages of the contacts with other regions to
-  /// the relays of the zone, and `members` to a random node of the zone. The receiver of a digest
-  /// also records a contact with this node's zone.
+  /// Sends digests to another zone of this node's region. The relays of that zone receive the time
+  /// since the last contact with each zone of other regions. A random node of that zone receives
+  /// `members`. Each receiver also records a contact with this node's zone.
   void send_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
                     base::time_point now, wire::outbox& out);
-  /// Sends digests to the relays and to a random node of each other region. The digests hold the
-  /// ages of the contacts with the zones of this node's region. In some rounds the digest to the
-  /// random node also lists the live members of this node's region.
+  /// Sends digests to the relays and to a random node of each other region. The digests contain the
+  /// time since the last contact with each other zone of this node's region. In some rounds the
+  /// digest to the random node also lists the live members of this node's region.
   void send_to_other_regions(base::time_point now, wire::outbox& out);
-  /// Sends the ages of the contacts with other zones to all nodes of this node's zone.
+  /// Sends the time since the last contact with each other zone to all live members of this node's
+  /// zone.
   void send_to_own_zone(base::time_point now, wire::outbox& out) const;
-  /// @return the relays of a region: one relay of each of two zones, or both relays of the same
-  ///         zone if only one zone can be chosen. The zones are chosen among the reachable zones of
-  ///         the region, or among all its zones if no zone is reachable.
+  /// @return the relays of a region: one relay of each of two zones. If only one zone can be
+  ///         chosen, the relays of the region are both relays of this zone. The zones are chosen
+  ///         among the reachable zones of the region, or among all zones of the region if none of
+  ///         them is reachable.
   [[nodiscard]] std::vector<base::node_id> region_relays(const base::region_id& region,
                                                          base::time_point now) const;
-  /// @return whether this node is a relay of its region.
+  /// @return whether this node is a relay of its region, which sends digests to other regions.
   [[nodiscard]] bool is_region_relay(base::time_point now) const;
   /// @return live members of all zones of a region.
   [[nodiscard]] std::vector<base::node_id> nodes_of_region(const base::region_id& region) const;
-  /// @return other regions in which members are known.
+  /// @return the regions of the known members, without this node's region.
   [[nodiscard]] std::set<base::region_id> other_regions() const;
   void send_digest(const base::node_id& to, const wire::zone_digest& digest,
                    wire::outbox& out) const;
-  /// @return the relays of a zone, chosen among the given nodes of the zone.
+  /// @param nodes nodes of one zone.
+  /// @return the nodes that are the relays of the zone.
   [[nodiscard]] std::vector<base::node_id>
   choose_relays(const std::vector<base::node_id>& nodes) const;
   [[nodiscard]] float processor_share_of(const base::node_id& node) const;
@@ -274,8 +288,9 @@
   base::time_point next_probe_at_;
   base::time_point next_dead_probe_at_;
   base::time_point next_digests_at_;
-  /// Number of rounds in which this node, as a relay, sent digests to the other zones of its region
-  /// (`relay_rounds_`), and to other regions (`region_rounds_`).
+  /// Number of rounds in which this node sent digests as a relay: `relay_rounds_` counts digests to
+  /// the other zones of its region, `region_rounds_` digests to other regions. The numbers decide
+  /// in which rounds the digests list members.
   std::uint64_t relay_rounds_ = 0;
   std::uint64_t region_rounds_ = 0;
   base::time_point next_member_request_at_;
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -1,5 +1,6 @@
-/// Functions of `membership` that exchange members and contacts with zones between nodes: requests
-/// for members, which go to seeds first, and digests, which relays send.
+/// Functions of `membership` by which nodes learn of each other and of reachable zones. A node
+/// requests members, from the seeds first. Relays send digests, which report members and contacts
+/// with zones (zone_contact.h).
 #include "membership/membership.h"
 
 #include "base/hashing.h"
@@ -14,42 +15,45 @@
 /// Maximum number of members in the reply to a request for members. With this number, 300 nodes
 /// that start together all know each other after 1.7 s (control_traffic test).
 constexpr std::size_t max_members_per_reply = 64;
-/// Maximum number of members in the reply to a node that knows no member. It equals
-/// `max_gossip_per_message`: a reply with this number of members carries no gossip. If 300 nodes
-/// start together, a seed sends 106 kB until all nodes know each other (member_discovery test).
-/// With 96 members per reply, the seed's link of 10 Mbit/s was saturated for ten seconds
+/// Maximum number of members in the reply to a node that knows no member. This maximum equals
+/// `max_gossip_per_message`, so that no gossip is added to a reply with this number of members. If
+/// 300 nodes start together, a seed sends 106 kB until all nodes know each other (member_discovery
+/// test). With 96 members per reply, the seed's link of 10 Mbit/s was saturated for ten seconds
 /// (control_traffic test).
 constexpr std::size_t max_members_per_first_reply = 6;
-/// Number of relays of a zone, which send digests to each other zone. If one of the relays fails,
-/// other zones still have contact with its zone.
+/// Number of relays of a zone. Each relay sends digests to each other zone of its region. If one
+/// relay fails, the other zones still receive the digests of the other relay.
 constexpr std::size_t relays_per_zone = 2;
-/// Number of relays of a region, which send digests to each other region.
+/// Number of relays of a region. Each of these relays sends digests to each other region.
 constexpr std::size_t relays_per_region = 2;
-/// Minimum number of cores of a relay, as a fraction of the cores of the strongest node of its
-/// zone.
+/// Minimum number of cores of a relay, as a fraction of the cores of the node with the most cores
+/// in the zone of the relay.
 constexpr float min_relay_processor_share = 0.5F;
-/// Mean number of members that a relay lists per round of digests, so that the bytes between zones
-/// do not grow with the number of members: all n members of a zone or region are listed in one of
-/// n / `members_per_round` rounds. If n is smaller than `members_per_round`, they are listed in
-/// each round.
+/// Number of members that the digests of a relay list per round on average. A digest lists either
+/// all n members of the relay's zone (or region, in digests to other regions) or none of them. The
+/// members are listed only once in n / `members_per_round` rounds, so that the mean number of bytes
+/// per round does not grow with n. If n is smaller than `members_per_round`, the members are listed
+/// in each round.
 constexpr std::size_t members_per_round = 8;
-/// Time after the last addition of a member in which more members are requested at
-/// `member_request_interval`, and at once after a reply that added members. After this time members
-/// are still requested at `idle_member_request_interval`, so that parts of the fleet that do not
-/// know each other find each other in the end.
+/// Time after the last addition of a member during which the number of known members is considered
+/// to be growing. During this time, this node requests members at `member_request_interval`, and at
+/// once after a reply that added members. Later, this node requests members at
+/// `idle_member_request_interval`, so that two parts of the fleet that do not know each other
+/// eventually find each other.
 constexpr base::duration member_growth_timeout = std::chrono::seconds(3);
 constexpr base::duration member_request_interval = std::chrono::milliseconds(500);
-/// Interval between requests of a node that knows no member. It is shorter than
+/// Interval between the requests of a node that knows no member. This interval is shorter than
 /// `member_request_interval`, because the node is not notified when a seed becomes reachable.
 constexpr base::duration first_member_request_interval = std::chrono::milliseconds(100);
 constexpr base::duration idle_member_request_interval = std::chrono::seconds(10);
-/// Number of members for which the interval between two idle requests grows by another
-/// `idle_member_request_interval`: a node that knows n members multiplies the interval by
-/// 1 + n / `members_per_idle_interval`. A request holds two bytes per member; at a constant
-/// interval a seed of 2,700 nodes would receive 0.5 MB of requests per second.
+/// Number of known members by which the interval between two requests grows by another
+/// `idle_member_request_interval`. A node that knows n members waits for
+/// `idle_member_request_interval` * (1 + n / `members_per_idle_interval`). The interval grows
+/// because the size of a request grows by two bytes per known member: at a constant interval, a
+/// seed of a fleet of 2,700 nodes would receive 0.5 MB of requests per second.
 constexpr std::size_t members_per_idle_interval = 300;
-/// Mean number of requests to members of which one goes to a member of any region; the other
-/// requests go to members of this node's region.
+/// Mean number of requests to known members among which one request goes to a member of any region.
+/// The other requests go to members of this node's region.
 constexpr std::uint64_t requests_per_remote_request = 8;
 
 } // namespace
@@ -119,9 +123,9 @@
       (other.zone.text() == request.sender_zone() ? same_zone : other_zones).push_back(&other);
     }
   }
-  // Members of the requester's zone are added first, because the requester probes them and they
-  // know the other members. The order is random, so that requesters do not all send their next
-  // requests to the same nodes.
+  // Members of the requester's zone are added first, because the requester probes these members and
+  // can request the other members from them. Within a group, the members are added in random order,
+  // so that different requesters send their next requests to different nodes.
   std::size_t added = 0;
   for (auto* group : {&same_zone, &other_zones}) {
     while (!group->empty() && added < limit) {
@@ -171,8 +175,9 @@
   for (const auto& relay : live().relays.at(zone)) {
     send_digest(relay, ages, out);
   }
-  // A digest also goes to a random node of the zone, because this node's choice of the relays of
-  // another zone is often outdated.
+  // This node's knowledge of the other zone is often outdated, so the nodes that it considers the
+  // relays of that zone may not be its relays. Therefore a random node of the zone also receives a
+  // digest.
   const auto& nodes = live().remote.at(zone);
   send_digest(nodes[random_->below(nodes.size())], members, out);
 }
@@ -190,7 +195,8 @@
       }
     }
   }
-  // Relays are also chosen for a partitioned region, so that the end of the partition is detected.
+  // If no zone of the region is reachable, relays are chosen among all zones: they still receive
+  // digests, so that the end of the partition is detected.
   const auto zones =
       base::rendezvous_top("region relay", reachable.empty() ? all : reachable, relays_per_region);
   std::vector<base::node_id> chosen;
@@ -198,7 +204,7 @@
   for (const auto& zone : zones) {
     chosen.push_back(live().relays.at(zone).front());
   }
-  // If only one zone is chosen, both of its relays are relays of the region.
+  // If only one zone is chosen, both relays of the zone are relays of the region.
   if (zones.size() == 1 && live().relays.at(zones.front()).size() > 1) {
     chosen.push_back(live().relays.at(zones.front()).back());
   }
@@ -251,8 +257,9 @@
     for (const auto& relay : region_relays(region, now)) {
       send_digest(relay, ages, out);
     }
-    // A digest also goes to a random node of the region, because this node's choice of the relays
-    // of another region is often outdated.
+    // This node's knowledge of the other region is often outdated, so the nodes that it considers
+    // the relays of that region may not be its relays. Therefore a random node of the region also
+    // receives a digest.
     if (const auto nodes = nodes_of_region(region); !nodes.empty()) {
       send_digest(nodes[random_->below(nodes.size())], members, out);
     }
--- a/src/membership/name_filter.h
+++ b/src/membership/name_filter.h
@@ -1,10 +1,11 @@
-/// Filter in a request for members: hashes of two bytes for the names of all nodes that the
-/// requester knows, so that the request stays short. The receiver replies only with members whose
-/// names do not match the filter.
+/// Filter in a request for members. The filter contains a hash of two bytes for the name of each
+/// node that the requester knows, which keeps the request short. The receiver replies only with
+/// members whose hash is not in the filter.
 ///
-/// The hash of a name that the requester does not know equals the hash of a given known name with a
-/// probability of one in 65,536; the reply then lacks the member with the unknown name. Since each
-/// request has a different salt, the reply to a later request contains this member.
+/// For each known name, the hash of an unknown name equals the hash of the known name with a
+/// probability of one in 65,536. If the hashes are equal, the reply lacks the member with the
+/// unknown name. Each request salts the hashes differently, so the reply to a later request
+/// contains this member.
 #pragma once
 
 #include "base/ids.h"
@@ -15,14 +16,14 @@
 
 namespace spurrack::membership {
 
-/// Builds the filter at the requester.
+/// Builds the filter of a request. Used by the requester.
 class name_filter_writer {
  public:
   /// @param salt sequence number of the request.
   explicit name_filter_writer(std::uint64_t salt) : salt_(salt) {}
 
   void add(const base::node_id& node);
-  /// @return the filter in the form in which it is sent. Empties the writer.
+  /// @return the bytes of the filter, as they are sent. Empties the writer.
   [[nodiscard]] std::string take() { return std::move(bytes_); }
 
  private:
@@ -30,14 +31,15 @@
   std::string bytes_;
 };
 
-/// Filter of the member names that a requester knows, decoded by the node that replies.
+/// Decoded filter of a received request. Used by the node that replies.
 class name_filter {
  public:
-  /// @param bytes the filter as sent; an incomplete pair of bytes at the end is ignored.
+  /// @param bytes the filter as sent. If the number of bytes is odd, the last byte is ignored.
   /// @param salt sequence number of the request.
   name_filter(const std::string& bytes, std::uint64_t salt);
 
-  /// @return false only if the requester does not know the node.
+  /// @return false if the requester does not know the node. True if the requester knows the node,
+  ///         or if the hash of the node's name equals the hash of another name in the filter.
   [[nodiscard]] bool may_contain(const base::node_id& node) const;
   [[nodiscard]] bool is_empty() const { return slots_.none(); }
 
@@ -45,7 +47,7 @@
   static constexpr std::size_t slot_count = 65'536;
 
   std::uint64_t salt_;
-  /// Hashes of the names in the filter.
+  /// One bit for each possible hash, set if the hash is in the filter.
   std::bitset<slot_count> slots_;
 };
 
--- a/src/membership/zone_contact.cc
+++ b/src/membership/zone_contact.cc
@@ -5,19 +5,22 @@
 namespace spurrack::membership {
 namespace {
 
-/// Minimum contact timeout. A shorter time without contact may mean only that a few messages were
-/// lost or that a node is busy.
+/// Minimum contact timeout of a zone. If there is no contact for a shorter time, the zone may still
+/// be reachable: a few messages may have been lost, or a node may be busy.
 constexpr base::duration min_contact_timeout = std::chrono::milliseconds(900);
-/// Factor of the mean gap between contacts in the contact timeout. With a factor of two, the zone
-/// stays reachable if one of its two relays fails.
+/// Factor by which the mean gap is multiplied in the contact timeout of a zone. A gap is the time
+/// between two successive contacts with the zone. With a factor of two, the zone still counts as
+/// reachable if one of its two relays fails and the gaps double.
 constexpr int mean_gap_factor = 2;
-/// Factor of the mean deviation of the gaps in the contact timeout, as in TCP's retransmission
-/// timeout (RFC 6298).
+/// Factor by which the mean deviation of the gaps is multiplied in the contact timeout of a zone,
+/// as in the retransmission timeout of TCP (RFC 6298).
 constexpr int gap_deviation_factor = 4;
-/// Mean gap and mean deviation before the first measurement; the contact timeout is then 1.2 s.
+/// Mean gap and mean deviation of the gaps before the first gap is measured. The contact timeout
+/// that results from these values is 1.2 s.
 constexpr base::duration initial_mean_gap = std::chrono::milliseconds(200);
 constexpr base::duration initial_gap_deviation = std::chrono::milliseconds(200);
-/// Reciprocal of the weight of the latest measurement in the means (RFC 6298).
+/// Reciprocal of the weight of the latest gap in the mean gap and in the mean deviation, as in
+/// RFC 6298.
 constexpr int smoothing_divisor = 8;
 
 } // namespace
@@ -74,8 +77,8 @@
 void zone_contact::add_age(wire::zone_digest& digest, const base::zone_id& zone,
                            const std::optional<base::time_point>& contact_at,
                            base::time_point now) {
-  // An older contact would change nothing at the receiver: after this time without contact, a zone
-  // always counts as unreachable.
+  // A contact that is older than `max_contact_timeout` is not reported, because the receiver would
+  // regard the zone as unreachable whether it knows of this contact or not.
   if (contact_at && now - *contact_at < max_contact_timeout) {
     auto& reported = *digest.add_heard();
     reported.set_zone(zone.text());
@@ -85,7 +88,8 @@
 
 void zone_contact::add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const {
   for (const auto& [zone, state] : zone_states_) {
-    // std::nullopt compares less than any time.
+    // A time that is std::nullopt does not affect the maximum, because std::nullopt compares less
+    // than any time.
     const auto latest = std::max({state.direct_contact_at, state.region_reported_contact_at,
                                   state.relay_reported_contact_at});
     add_age(digest, zone, latest, now);
--- a/src/membership/zone_contact.h
+++ b/src/membership/zone_contact.h
@@ -1,15 +1,19 @@
-/// Tracks the last contact with each other zone: the time at which this node or a relay last
-/// received a message from the zone. Messages from other zones reach few nodes of a zone; the
-/// relays report their contacts to their zone, so that each node detects an unreachable zone within
-/// a time that does not grow with the fleet.
+/// Detection of unreachable zones. A contact with a zone is the receipt of a message from any node
+/// of the zone. Each node records the time of the last contact with each other zone: the node
+/// itself received the message, or another node received the message and reported the contact. A
+/// zone counts as unreachable if there has been no contact for the contact timeout of the zone.
 ///
-/// A contact with a zone is forwarded in these steps only:
+/// Messages from other zones reach only a few nodes of a zone, mainly its relays. The relays report
+/// their contacts to all nodes of their zone. Each node therefore detects an unreachable zone
+/// within a time that does not grow with the fleet.
+///
+/// The report of a contact with a zone passes through these steps, of which some may be skipped:
 /// 1. A relay receives a message from the zone.
 /// 2. If the zone is in the relay's region, the relay reports the contact to other regions.
 /// 3. The relays of these regions report the contact to the other zones of their region.
 /// 4. The relays of each zone report the contact to the nodes of their zone.
-/// No step is followed by an earlier step, because reports would then circulate and still arrive
-/// long after the zone became unreachable.
+/// No step is followed by an earlier step. Otherwise reports would circulate, and would still
+/// arrive long after the zone became unreachable.
 #pragma once
 
 #include "base/ids.h"
@@ -23,69 +27,79 @@
 
 namespace spurrack::membership {
 
-/// Contacts of one node with the other zones. Not thread-safe.
+/// Last contacts of one node with each other zone, from messages that the node received and from
+/// reports of other nodes. Not thread-safe.
 class zone_contact {
  public:
-  /// Maximum contact timeout. The contact timeout of a zone is the time without contact after which
-  /// the zone counts as unreachable; it adapts to the measured time between two contacts.
+  /// Maximum contact timeout. The contact timeout of a zone is the time without a contact after
+  /// which the zone counts as unreachable. The timeout adapts to the measured time between two
+  /// contacts with the zone.
   static constexpr base::duration max_contact_timeout = std::chrono::milliseconds(1400);
 
   explicit zone_contact(base::zone_id own_zone, model::zone_regions regions = {})
       : own_zone_(std::move(own_zone)), regions_(std::move(regions)) {}
 
-  /// Records the contact with the zone of a message's sender, and the contacts that a relay reports
-  /// in the message.
+  /// If the sender of a message is in another zone, records a contact with this zone. Also records
+  /// the contacts with zones that the sender reports in the message.
   void observe(const wire::envelope& message, base::time_point now);
-  /// Adds ages of contacts to a digest for this node's zone: the contacts of this node, and the
-  /// contacts that other regions and relays of other zones reported to this node.
+  /// Fills a digest for the nodes of this node's zone. Adds the time since the last contact with
+  /// each other zone, from messages that this node received and from reports of nodes of other
+  /// zones.
   void add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const;
-  /// Adds ages of contacts to a digest for other zones of this node's region: the contacts of this
-  /// node with zones of other regions, and the contacts with these zones that other regions
-  /// reported to this node.
+  /// Fills a digest for other zones of this node's region. Adds the time since the last contact
+  /// with each zone of other regions, from messages that this node received and from reports of
+  /// nodes of other regions.
   void add_ages_for_region(wire::zone_digest& digest, base::time_point now) const;
-  /// Adds ages of contacts to a digest for other regions: the contacts of this node with the other
-  /// zones of its region.
+  /// Fills a digest for other regions. Adds the time since the last contact with each other zone of
+  /// this node's region, only from messages that this node received.
   void add_ages_for_other_regions(wire::zone_digest& digest, base::time_point now) const;
-  /// Moves the last contacts forward after a suspension of this process, so that each zone has time
-  /// for a new contact before it counts as unreachable.
+  /// Called after a suspension of this process. Moves the times of the last contacts forward, so
+  /// that no zone counts as unreachable only because this process could not receive messages.
   void resume_after_suspension(base::time_point now);
 
-  /// @return whether the last contact with a zone is within its contact timeout.
+  /// @return whether the time since the last contact with a zone is shorter than the contact
+  ///         timeout of the zone; false if there was no contact since the start of this process.
   [[nodiscard]] bool is_reachable(const base::zone_id& zone, base::time_point now) const;
-  /// @return zones whose last contact is at least as old as their contact timeout. Zones without
-  ///         any contact since the start of this process are not included.
+  /// @return zones for which the time since the last contact has reached the contact timeout. Zones
+  ///         without any contact since the start of this process are not included.
   [[nodiscard]] std::set<base::zone_id> unreachable_zones(base::time_point now) const;
 
  private:
   /// Contacts with one zone.
   struct zone_state {
-    /// Time of the latest contact from any source.
+    /// Time of the latest contact with the zone, from a message that this node received or from any
+    /// report.
     base::time_point last_contact_at;
-    /// Time at which this node last received a message from the zone.
+    /// Time at which this node last received a message from the zone; std::nullopt if it received
+    /// none.
     std::optional<base::time_point> direct_contact_at;
-    /// Time of the latest contact that a node of another region reported.
+    /// Time of the latest contact with the zone that a node of another region reported to this
+    /// node; std::nullopt if none was reported.
     std::optional<base::time_point> region_reported_contact_at;
-    /// Time of the latest contact that a relay of another zone of this node's region reported.
+    /// Time of the latest contact with the zone that a relay of another zone of this node's region
+    /// reported to this node; std::nullopt if none was reported.
     std::optional<base::time_point> relay_reported_contact_at;
-    /// Mean time between two contacts.
+    /// Mean gap, which is the time between two successive contacts with the zone.
     base::duration mean_gap;
-    /// Mean deviation of the time between two contacts from `mean_gap`.
+    /// Mean deviation of the gaps from `mean_gap`.
     base::duration gap_deviation;
   };
 
-  /// Records a contact with a zone, and updates the mean gap and its deviation if the contact is
-  /// the latest.
+  /// Records a contact with a zone. If the contact is later than the last contact with the zone,
+  /// also updates the mean gap and the mean deviation.
   /// @return the state of the zone.
   zone_state& note_contact(const base::zone_id& zone, base::time_point contact_at,
                            base::time_point now);
-  /// @return the time without contact after which the zone counts as unreachable.
+  /// @return the time without a contact after which the zone counts as unreachable.
   [[nodiscard]] static base::duration contact_timeout(const zone_state& state);
 
-  /// Adds the age of a contact to a digest if the age is less than `max_contact_timeout`.
-  /// @param contact_at time of the contact; std::nullopt if there was none.
+  /// Adds a zone and the time since the last contact with the zone to a digest, unless the time is
+  /// `max_contact_timeout` or longer.
+  /// @param contact_at time of the last contact with the zone; std::nullopt if there was none.
   static void add_age(wire::zone_digest& digest, const base::zone_id& zone,
                       const std::optional<base::time_point>& contact_at, base::time_point now);
-  /// Records the contacts that the sender of a digest reports.
+  /// Records the contacts with zones that the sender of a digest reports. A contact with this
+  /// node's own zone is ignored.
   void record_reported_contacts(const wire::zone_digest& digest, const base::zone_id& sender_zone,
                                 base::time_point now);
 
--- a/tests/membership/hollow_fleet.h
+++ b/tests/membership/hollow_fleet.h
@@ -1,5 +1,6 @@
-/// Fleet of hollow nodes, which run only membership, in virtual time. Messages between the nodes
-/// are delivered one step of the clock (20 ms) after they are sent.
+/// Fleet of hollow nodes in virtual time. A hollow node runs only membership, without the other
+/// parts of a node. A message between two nodes is delivered one step of the clock (20 ms) after it
+/// was sent.
 #pragma once
 
 #include "membership/membership.h"
@@ -36,7 +37,7 @@
 struct hollow_fleet {
   /// @param region_count number of regions over which the zones are spread; 0 if the zones have no
   ///        regions.
-  /// @param all_known whether every node knows every other node from the start, as in a fleet that
+  /// @param all_known whether each node knows all other nodes from the start, as in a fleet that
   ///        has run for a long time.
   hollow_fleet(std::size_t nodes_per_zone, std::size_t zones, std::size_t region_count = 0,
                bool all_known = true) {
@@ -71,8 +72,8 @@
       *message.add_updates() = update_of(known);
     }
     for (auto& node : nodes) {
-      // The sender of the message is the node itself, so that the node records no contact with
-      // another zone.
+      // The message names its receiver as the sender. Otherwise the receiver would record a contact
+      // with the zone of another sender.
       message.set_sender(node->members.self().node.text());
       message.set_sender_zone(node->members.self().zone.text());
       node->members.observe(message, now);
@@ -145,7 +146,8 @@
     return found == region_by_zone.end() ? base::region_id() : found->second;
   }
 
-  /// @return number of pairs of a running node and a zone that the node regards as unreachable.
+  /// @return number of zones that a running node regards as unreachable, summed over all running
+  ///         nodes.
   [[nodiscard]] std::size_t unreachable_views() const {
     std::size_t views = 0;
     for (std::size_t index = 0; index < nodes.size(); ++index) {
@@ -159,8 +161,8 @@
   std::vector<std::pair<std::size_t, wire::envelope>> in_flight;
   /// Zone whose nodes neither run nor receive messages; empty if the nodes of all zones run.
   base::zone_id down_zone;
-  /// Region that is partitioned: no messages pass between this region and the other regions. Empty
-  /// if no region is partitioned.
+  /// Region that is partitioned: no message passes between a node of this region and a node of
+  /// another region. Empty if no region is partitioned.
   base::region_id partitioned_region;
   base::time_point now{std::chrono::hours(1)};
   std::size_t steps = 0;
--- a/tests/membership/zone_contact_test.cc
+++ b/tests/membership/zone_contact_test.cc
@@ -1,6 +1,6 @@
 /// Detection of the failure of a zone by all nodes of the other zones. Neither the time until the
-/// detection nor the number of messages per node grows with the fleet. Uses hollow nodes, which run
-/// only membership.
+/// detection nor the number of messages per node may grow with the fleet. The tests use hollow
+/// nodes, which run only membership.
 #include "hollow_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -38,18 +38,21 @@
       fleet.run(milliseconds(100));
       false_views += fleet.unreachable_views();
     }
-    // No zone has failed yet: allows at most one false detection in 10,000 node-seconds.
+    // No zone has failed yet, so each zone that a node regards as unreachable is a false detection.
+    // `false_views` counts the false detections in each check, and there are `checks_per_second`
+    // checks per second. While a node runs for 10,000 s, its false detections may last for at most
+    // 1 s in total.
     constexpr std::size_t node_seconds_per_false_view = 10'000;
     const auto node_seconds = observed_seconds * fleet.nodes.size();
     BOOST_TEST(false_views / checks_per_second * node_seconds_per_false_view <= node_seconds);
-    // Messages of a node per second: 14 probes and acknowledgements, 7 digests from the two relays
-    // of its zone, and digests between zones.
+    // Mean number of messages per node and second: 14 probes and acknowledgements, 7 digests that
+    // the two relays of its zone send to the node, and a few digests between zones.
     constexpr std::size_t max_messages_per_node = 25;
     BOOST_TEST(fleet.messages / observed_seconds / fleet.nodes.size() <= max_messages_per_node);
     if (shape.regions > 0) {
-      // For each ordered pair of regions, two relays send three messages each every 0.3 s. The
-      // limit is a tenth higher, because more rounds than the mean may begin within the observed
-      // time.
+      // In each ordered pair of regions, each of the two relays of the first region sends three
+      // messages to the second region every 0.3 s. The limit is a tenth higher than the resulting
+      // number of messages, because more rounds than the mean may begin within the observed time.
       const auto pairs = shape.regions * (shape.regions - 1);
       const auto max_messages = pairs * 2 * 3 * observed_seconds * 11 / 3;
       BOOST_TEST(fleet.messages_between_regions <= max_messages);
@@ -74,7 +77,9 @@
     fleet.partitioned_region = base::region_id("r1");
     fleet.run(seconds(2));
     BOOST_TEST(fleet.unreachable_views() == expected_views);
-    // After 20 s, the mean gaps between contacts consist of gaps measured during the partition.
+    // 20 s later, the mean gaps of the zones that are still in contact consist almost only of gaps
+    // that were measured during the partition. The nodes must still regard the same number of zones
+    // as unreachable.
     fleet.run(seconds(20));
     BOOST_TEST(fleet.unreachable_views() == expected_views);
     fleet.partitioned_region = {};
