--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -27,13 +27,14 @@
   return key.substr(key.find('/') + 1);
 }
 
-/// Part of an entry's version that the hash of the catalog's content covers.
+/// The fields of the version of an entry that are part of the content hash.
 struct hashed_version {
   base::revision revision = 0;
   std::uint64_t value_hash = 0;
 };
 
-/// Bytes of a trivially copyable object. All nodes share one byte order.
+/// Returns the bytes of a trivially copyable object. Hashes of the bytes are equal on all nodes,
+/// because all nodes have the same byte order.
 template <typename object>
 std::string_view raw_bytes(const object& value) {
   return {reinterpret_cast<const char*>(&value), sizeof(value)};
@@ -58,7 +59,8 @@
   if (!switches_.revision_order) {
     return false;
   }
-  // An invalid entry of a replica replaces the accepted entry.
+  // For a replica, a new entry must also be later than the rejected entry: the rejected entry has
+  // replaced the accepted entry.
   const bool is_before_rejected =
       is_replica_key(key) && current.rejected && offered < current.rejected->entry_version;
   return is_before_rejected || (current.accepted && offered < current.accepted->entry_version);
@@ -68,16 +70,17 @@
   auto& current = slots_[entry.key()];
   stored_entry offered{version_of(entry), entry};
   if (offered.entry_version.era == 0) {
-    // The entry comes from a node of an older build. Such nodes may be the only readers of the
-    // store in this zone, so the entry counts as one of the latest era.
+    // The entry has no era, because it comes from a node of an older build. Nodes of an older build
+    // may be the only nodes of this zone that read the store. Therefore the entry is not ignored,
+    // but counts as an entry of the latest known era.
     offered.entry_version.era = highest_.era;
     offered.entry.set_era(highest_.era);
   }
   if (is_duplicate(current, offered.entry_version)) {
     return {apply_verdict::duplicate, {}};
   }
-  // Configurations are ordered by the version number in the record first, which is known only after
-  // parsing.
+  // A configuration is compared with the accepted configuration only after its value has been
+  // parsed, because configurations are ordered by the version number in their records first.
   const bool is_configuration = entry.key() == model::configuration_key && !entry.deleted();
   if (!is_configuration && is_older(entry.key(), current, offered.entry_version)) {
     return {apply_verdict::older, {}};
@@ -213,8 +216,8 @@
   std::uint64_t hash = base::stable_hash(key);
   for (const auto* stored : {&current.accepted, &current.rejected}) {
     const auto stored_version = *stored ? (*stored)->entry_version : version{};
-    // The era is left out: nodes of an older build do not know it, and their hash of the same
-    // content must be equal.
+    // The hash does not cover the era. Nodes of an older build do not know the era, but must get
+    // the same hash as other nodes with the same content.
     const hashed_version hashed{stored_version.revision, stored_version.value_hash};
     hash = base::stable_hash(raw_bytes(hashed), hash);
   }
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -1,18 +1,30 @@
-/// Replicated set of published records. The platform keeps each record in its store under a key; an
-/// entry is the value of a key, or its deletion, at one revision of the store. A few nodes read the
-/// entries from the platform services (node/events.h); all nodes replicate them to each other.
+/// Replicated set of published records. The platform keeps each record in its store under a key.
+/// Each write to the store sets the value of a key or deletes the key, and has a revision. An entry
+/// describes one write. A few nodes read the entries from the platform services (node/events.h),
+/// and all nodes replicate the entries to each other (replicator.h).
 ///
-/// An entry is replaced only by an entry of the same key with a higher (era, revision, value hash).
-/// Nodes that apply the same entries in any order converge to the same content.
+/// The position of a write in the order of all writes is its pair (era, revision). An entry is
+/// later than another entry of the same key if its (era, revision, value hash) is higher. An entry
+/// is replaced only by a later entry of the same key. Nodes that apply the same entries therefore
+/// converge to the same content, whatever the order in which they apply the entries.
+///
+/// An entry is accepted if its value is a valid record, or if it is a deletion. An accepted entry
+/// is in effect. An entry with an invalid value is rejected. A node keeps up to two entries of each
+/// key:
+/// - the latest accepted entry;
+/// - the latest rejected entry, if it is later than the accepted entry. The rejected entry is kept
+///   so that all nodes have the same content and operators can see the reason for the rejection.
+/// Of a replica, only the later of the two entries is kept (`apply_verdict::rejected`).
 ///
 /// An era of the store ends when the store is restored from an older backup. The restored store
 /// begins a new era and assigns revisions again that it had assigned before. The entries of the new
-/// era replace the known entries, with two exceptions, because callers and replicas have acted on
-/// the writes that the restored store lost:
+/// era replace the known entries. There are two exceptions, because callers and replicas have acted
+/// on the writes that the restored store lost:
 /// - A configuration is replaced only by a configuration with a higher version number in its
 ///   record, or with the same version number and a later entry.
-/// - A replica that was known to drain, or to be deleted, still counts as draining, or as possibly
-///   deleted, although its record in the backup says otherwise.
+/// - A replica that was known to drain still counts as draining, although its record in the backup
+///   says otherwise. A replica that was known to be deleted counts as possibly deleted, although
+///   the backup contains its record.
 #pragma once
 
 #include "base/safety_switches.h"
@@ -35,15 +47,15 @@
 
 namespace spurrack::catalog {
 
-/// Result of applying an entry.
+/// Result of applying a new entry.
 enum class apply_verdict : std::uint8_t {
-  accepted, ///< The entry is in effect now.
+  accepted, ///< The new entry is in effect now.
   /// The new entry is the latest entry of its key, but its value is invalid. The accepted entry of
-  /// the key stays in effect, unless the key belongs to a replica: then the accepted entry is
-  /// dropped, because a value that another writer has overwritten cannot be relied on.
+  /// the key stays in effect, unless the key belongs to a replica. The accepted entry of a replica
+  /// is dropped, because a value that another writer has overwritten cannot be relied on.
   rejected,
-  /// The new entry is rejected, and its value equals that of the previous rejected entry of its
-  /// key.
+  /// The new entry is rejected, and its value equals the value of the previous rejected entry of
+  /// the key.
   rejected_again,
   duplicate, ///< The new entry was already known.
   older,     ///< The new entry was ignored, because a later entry of its key is known.
@@ -51,7 +63,7 @@
 
 struct apply_result {
   apply_verdict verdict = apply_verdict::duplicate;
-  /// Reason for a rejection, shown to operators.
+  /// Reason for the rejection, shown to operators; empty if the entry was not rejected.
   std::string reason;
 };
 
@@ -67,26 +79,28 @@
 using tenant_map = std::map<base::tenant_id, std::shared_ptr<const model::tenant>>;
 using replica_map = std::map<base::replica_id, std::shared_ptr<const model::replica>>;
 
-/// Position of a write in the order of all writes to the store.
+/// Position of a write in the order of all writes to the store. Writes are ordered by era first,
+/// and by revision within an era.
 struct store_position {
   base::store_era era = 0;
   base::revision revision = 0;
   auto operator<=>(const store_position&) const = default;
 };
 
-/// Entries that one node knows, and the records in effect. Not thread-safe. Records are shared: a
-/// reader may still use a record after it has been replaced.
+/// Entries that one node knows, and the records of the accepted entries, which are in effect. Not
+/// thread-safe. A reader shares the ownership of a record, and may still use the record after the
+/// catalog has replaced it.
 class catalog {
  public:
   explicit catalog(base::safety_switches switches = {}) : switches_(switches) {}
 
-  /// Number of buckets into which keys are divided by their hash. Anti-entropy compares the hashes
-  /// of the buckets.
+  /// Number of buckets into which the keys are divided by the hash of the key. Two nodes compare
+  /// the hashes of their buckets to find entries that one of them lacks (anti-entropy).
   static constexpr std::size_t bucket_count = 256;
   using bucket_set = std::bitset<bucket_count>;
 
-  /// Applies an entry from the store or from a peer, if it is newer than the latest entry of its
-  /// key.
+  /// Applies an entry from the store or from a peer, unless the entry is a duplicate or older than
+  /// the known entry of its key.
   apply_result apply(const wire::catalog_entry& entry);
 
   /// @return hash of all entries; equal on nodes with equal entries.
@@ -94,19 +108,20 @@
   [[nodiscard]] const std::array<std::uint64_t, bucket_count>& bucket_hashes() const {
     return buckets_;
   }
-  /// @return copies of all entries in the buckets: the accepted entry of each key, and the rejected
-  ///         entry of the key if the rejected entry is later.
+  /// @return copies of all entries in the buckets: the accepted entry of each key, and also the
+  ///         rejected entry of the key if it is later.
   [[nodiscard]] std::vector<wire::catalog_entry> entries_in(const bucket_set& buckets) const;
 
   /// @return number of entries that `entries_in` would copy.
   [[nodiscard]] std::size_t count_in(const bucket_set& buckets) const;
 
-  /// @return the published template; null if there is none with this name.
+  /// @return the published template with a name; null if no template has this name.
   [[nodiscard]] std::shared_ptr<const model::pipeline_template>
   find_template(const base::template_id& name) const;
   /// @param token_sha256 lower-case hexadecimal SHA-256 of the token.
-  /// @return the tenant with this token; null if there is none. If several tenants share the token,
-  ///         the tenant whose name sorts first, so that all nodes return the same tenant.
+  /// @return the tenant with this token; null if no tenant has this token. If several tenants share
+  ///         the token, the tenant whose name sorts first is returned, so that all nodes return the
+  ///         same tenant.
   [[nodiscard]] std::shared_ptr<const model::tenant>
   find_tenant_by_token(const std::string& token_sha256) const;
   [[nodiscard]] std::shared_ptr<const model::tenant> find_tenant(const base::tenant_id& name) const;
@@ -115,61 +130,64 @@
   [[nodiscard]] const template_map& templates() const { return templates_; }
   [[nodiscard]] const tenant_map& tenants() const { return tenants_; }
 
-  /// @return the configuration in effect for the serving path; null if none is known.
+  /// @return the configuration of the serving path that is in effect; null if no configuration is
+  ///         known.
   [[nodiscard]] std::shared_ptr<const model::serving_configuration> serving() const {
     return serving_;
   }
   [[nodiscard]] const replica_map& replicas() const { return replicas_; }
-  /// @return the zones under evacuation: no requests are to be sent to their replicas.
+  /// @return the zones under evacuation. No requests are to be sent to the replicas of these zones.
   [[nodiscard]] const std::set<base::zone_id>& evacuated_zones() const { return evacuated_zones_; }
   /// Increases whenever the configuration of the serving path, a replica or an evacuation changes.
   [[nodiscard]] std::uint64_t serving_changes() const { return changes_.count(); }
-  /// @param seen value of `serving_changes()` at the caller's last check.
-  /// @return the replicas that changed since that check; std::nullopt if the caller has to check
-  ///         all replicas.
+  /// @param seen value of `serving_changes()` when the caller last checked for changes.
+  /// @return the replicas that changed since the last check; std::nullopt if the catalog no longer
+  ///         keeps all changes since the last check, so that the caller has to check all replicas.
   [[nodiscard]] std::optional<std::vector<base::replica_id>>
   replicas_changed_since(std::uint64_t seen) const {
     return changes_.changed_since(seen);
   }
-  /// @param listed keys of all entries of a listing, which is a complete read of a platform
-  ///        service.
-  /// @param listing_position position of the store that the listing reflects.
-  /// @return deletions of the known replicas that were written before the position and whose keys
-  ///         are not listed.
+  /// Finds the known replicas that were deleted according to a listing, which is a complete read of
+  /// a platform service. A known replica was deleted if the listing lacks its key, unless its
+  /// latest entry was written at the position of the listing or later.
+  /// @param listed keys of all entries of the listing.
+  /// @param listing_position position of the last write that the listing reflects.
+  /// @return an entry for each deleted replica. The entry is a deletion at `listing_position`.
   [[nodiscard]] std::vector<wire::catalog_entry>
   deletions_of_unlisted_replicas(const std::set<std::string>& listed,
                                  store_position listing_position) const;
-  /// @return deletions of the known evacuations that were written before the position and whose
-  ///         keys are not listed. The parameters are those of `deletions_of_unlisted_replicas`.
+  /// Finds the known evacuations that were deleted according to a listing. The parameters and the
+  /// result are as in `deletions_of_unlisted_replicas`.
   [[nodiscard]] std::vector<wire::catalog_entry>
   deletions_of_unlisted_evacuations(const std::set<std::string>& listed,
                                     store_position listing_position) const;
 
-  /// @return revision of the accepted entry of `key`; 0 if there is none.
+  /// @return revision of the accepted entry of `key`; 0 if `key` has no accepted entry.
   [[nodiscard]] base::revision revision_of(const std::string& key) const;
-  /// @return the highest revision of an entry of the latest known era.
+  /// @return the highest revision among the entries of the latest known era.
   [[nodiscard]] base::revision highest_revision() const { return highest_.revision; }
   /// @return the latest known era.
   [[nodiscard]] base::store_era era() const { return highest_.era; }
-  /// @return position of the latest entry of a replica.
+  /// @return position of the latest entry among the entries of all replicas.
   [[nodiscard]] store_position latest_replica_position() const { return latest_replica_position_; }
-  /// @return position of the latest entry that is not the entry of a replica, such as the entry of
-  ///         the configuration, a template, a machine or an evacuation.
+  /// @return position of the latest entry among all entries that do not belong to a replica, such
+  ///         as the entries of the configuration, templates, machines and evacuations.
   [[nodiscard]] store_position latest_operator_position() const {
     return latest_operator_position_;
   }
-  /// Increases whenever an entry of a machine changes, so that readers know when to recompute data
-  /// that they derive from `machines()`.
+  /// Increases whenever an entry of a machine changes. A reader that derives data from `machines()`
+  /// recomputes the data if this number has changed.
   [[nodiscard]] std::uint64_t machine_changes() const { return machine_changes_; }
+  /// @return the rejected entries that are the latest entries of their keys, sorted by key.
   [[nodiscard]] std::vector<rejection> rejections() const;
-  /// @return number of rejected entries of replicas. An invalid value that is written several times
-  ///         in a row counts once.
+  /// @return number of entries of replicas that were rejected since this object was constructed. An
+  ///         invalid value that is written several times in a row counts once.
   [[nodiscard]] std::uint64_t rejected_replica_entries() const { return rejected_replica_entries_; }
-  /// @return number of keys ever seen, including deleted keys.
+  /// @return number of keys of which an entry was ever applied, including deleted keys.
   [[nodiscard]] std::size_t size() const { return slots_.size(); }
 
  private:
-  /// Position of an entry in the order in which the entries of one key replace each other.
+  /// Version of an entry. An entry replaces entries of the same key that have a lower version.
   struct version {
     base::store_era era = 0;
     base::revision revision = 0;
@@ -183,7 +201,7 @@
   /// State of one key.
   struct slot {
     std::optional<stored_entry> accepted;
-    /// Set while the latest entry of the key is invalid.
+    /// The latest rejected entry of the key; set only while it is later than the accepted entry.
     std::optional<stored_entry> rejected;
     std::string rejection_reason;
     std::uint64_t hash = 0;
@@ -198,35 +216,38 @@
   using any_record =
       std::variant<model::record, std::shared_ptr<const model::serving_configuration>,
                    std::shared_ptr<const model::replica>, model::evacuation>;
-  /// Result of parsing a value: a record, or the reason why the value is invalid.
+  /// Result of parsing the value of an entry: a record, or the reason why the value is invalid.
   using parse_result = std::variant<any_record, std::string>;
 
   static parse_result parse_value(const std::string& key, const std::string& value);
   void accept(slot& current, stored_entry offered, const std::optional<any_record>& value);
   apply_result reject(slot& current, stored_entry offered, std::string reason);
-  /// @return position of the latest entry of `key`, accepted or rejected; zeros if there is none.
+  /// @return position of the latest entry of `key`, accepted or rejected; era 0 and revision 0 if
+  ///         `key` has no entry.
   [[nodiscard]] store_position latest_position_of(const std::string& key) const;
-  /// @return whether a valid configuration is older than the configuration in effect: by the
-  ///         version number in its record, or by the position of its entry if the version numbers
-  ///         are equal.
+  /// @return whether a valid configuration is older than the configuration in effect. The version
+  ///         numbers in their records are compared first. If the version numbers are equal, the
+  ///         versions of their entries are compared.
   [[nodiscard]] bool is_older_configuration(const slot& current, const version& offered,
                                             const any_record& value) const;
-  /// Merges the known state of a replica into its record if the record is of a later era than the
-  /// known state, because the restored store may have lost writes. Records of other kinds are
-  /// returned unchanged.
-  /// @return the record: draining if the same incarnation of the replica was known to drain, marked
-  ///         as `may_be_deleted` if the replica was deleted.
+  /// Merges the known state of a replica into a new record of the replica. Only a record of a later
+  /// era than the known state is changed, because the store was restored and may have lost writes.
+  /// All other records are returned unchanged.
+  /// @return the record. Its field `draining` is set if the same incarnation of the replica was
+  ///         known to drain; `may_be_deleted` is set if the replica was known to be deleted.
   static any_record merge_known_state(const slot& current, const version& offered,
                                       any_record value);
-  /// Updates the hash of a key and of its bucket after the entries of the key changed.
+  /// Updates the hash of a key and the hash of the bucket of the key, after the entries of the key
+  /// have changed.
   void rehash(const std::string& key, slot& current);
-  /// Puts a record into effect: adds the record to the members that hold records of its kind.
+  /// Puts a record into effect: stores it in the member for records of its kind, such as
+  /// `templates_`.
   void index(const std::string& key, const any_record& value);
   void index(const std::string& key, const model::record& value);
   void remove_from_index(const std::string& key);
   void remove_tenant(const base::tenant_id& name);
-  /// Appends the deletion of `key` if the key is not listed and all its entries were written before
-  /// the position of the listing.
+  /// Appends a deletion of `key` to `deletions` if the listing lacks `key` and if all known entries
+  /// of `key` were written before `listing_position`.
   void add_deletion_if_unlisted(const std::string& key, const std::set<std::string>& listed,
                                 store_position listing_position,
                                 std::vector<wire::catalog_entry>& deletions) const;
@@ -241,7 +262,7 @@
   std::uint64_t machine_changes_ = 0;
   std::shared_ptr<const model::serving_configuration> serving_;
   replica_map replicas_;
-  /// Keys of replicas whose latest entry is invalid.
+  /// Keys of the replicas whose latest entry is rejected.
   std::set<std::string> rejected_replica_keys_;
   std::uint64_t rejected_replica_entries_ = 0;
   std::set<base::zone_id> evacuated_zones_;
--- a/src/catalog/change_log.h
+++ b/src/catalog/change_log.h
@@ -17,21 +17,21 @@
 /// configuration, evacuations), in the order of the changes. Not thread-safe.
 class change_log {
  public:
-  /// Maximum number of changes that are kept. It exceeds the number of changes that a listing of a
-  /// large fleet brings between two checks of a reader that checks ten times per second. A reader
-  /// that missed more changes has to check all replicas.
+  /// Maximum number of changes that are kept. If more changes are added between two checks of a
+  /// reader, the reader has to check all replicas. The maximum is sufficient for a reader that
+  /// checks ten times per second while a listing of a large fleet adds changes.
   static constexpr std::size_t max_kept_changes = 4'096;
 
-  /// @param replica empty if something other than a replica changed.
+  /// @param replica the replica that changed; empty if the change concerns no replica.
   void add(base::replica_id replica) {
     ++count_;
     changes_.push_back(std::move(replica));
   }
-  /// @return number of changes ever added.
+  /// @return number of changes ever added, including changes that are no longer kept.
   [[nodiscard]] std::uint64_t count() const { return count_; }
   /// @param seen value of `count()` at the reader's last check.
-  /// @return the replicas of all changes since that check; a replica that changed several times may
-  ///         appear several times. std::nullopt if not all of these changes are kept.
+  /// @return the replicas of all changes since the last check; std::nullopt if not all of these
+  ///         changes are still kept. A replica that changed several times may appear several times.
   [[nodiscard]] std::optional<std::vector<base::replica_id>>
   changed_since(std::uint64_t seen) const {
     if (seen > count_ || count_ - seen > changes_.size()) {
@@ -40,7 +40,8 @@
     std::vector<base::replica_id> changed;
     for (auto index = changes_.size() - static_cast<std::size_t>(count_ - seen);
          index < changes_.size(); ++index) {
-      // Replacing a replica adds two changes in a row: its removal and its insertion.
+      // The replacement of a replica adds two successive changes, the removal and the insertion of
+      // the replica. The replica is returned only once for both changes.
       const bool is_same = !changed.empty() && changed.back() == changes_[index];
       if (!changes_[index].empty() && !is_same) {
         changed.push_back(changes_[index]);
--- a/src/catalog/entry_packing.cc
+++ b/src/catalog/entry_packing.cc
@@ -12,14 +12,14 @@
 
 namespace io = google::protobuf::io;
 
-/// Minimum total size, in bytes, of the entries of a message that are compressed: compression of
+/// Minimum total size, in bytes, at which the entries of a message are compressed. Compressing
 /// fewer bytes would save less than a network packet.
 constexpr std::size_t min_packed_bytes = 1'000;
-/// Compression level of zlib: the fastest level, because the next levels save only a tenth more
+/// Compression level of zlib. Level 1 is the fastest level. The next levels save only a tenth more
 /// bytes and take twice the time.
 constexpr int compression_level = 1;
-/// Maximum size of the decompressed entries of a message, in bytes: six times the catalog of the
-/// largest planned fleet. Messages with larger entries are rejected.
+/// Maximum total size, in bytes, of the decompressed entries of a message: six times the size of
+/// the catalog of the largest planned fleet. A message with more bytes of entries is rejected.
 constexpr int max_unpacked_bytes = 64'000'000;
 
 std::string compress(const wire::catalog_entries& content) {
@@ -61,7 +61,9 @@
   io::CodedInputStream bounded(&decompressor);
   bounded.SetTotalBytesLimit(max_unpacked_bytes);
   wire::catalog_entries content;
-  // Content that cannot be decompressed parses as empty; empty content is never compressed.
+  // Parsing also succeeds if the bytes cannot be decompressed, but then yields no entries. Since
+  // `pack_entries` never compresses an empty list, a list without entries means that the compressed
+  // entries are unreadable.
   if (!content.ParseFromCodedStream(&bounded) || content.entries().empty()) {
     return std::nullopt;
   }
--- a/src/catalog/entry_packing.h
+++ b/src/catalog/entry_packing.h
@@ -1,7 +1,7 @@
 /// Packing of catalog entries into messages. Large numbers of entries are compressed, because the
-/// links of the smallest nodes limit how fast a large fleet starts. The records of replicas
-/// resemble each other: 3,000 of them take 245 kB uncompressed and 50 kB compressed
-/// (tests/catalog/entry_packing_test.cc).
+/// time in which a large fleet starts is limited by the links of the smallest nodes. The records of
+/// replicas resemble each other, so they compress well: 3,000 records of replicas take 245 kB
+/// uncompressed and 50 kB compressed (tests/catalog/entry_packing_test.cc).
 #pragma once
 
 #include "wire/peer.pb.h"
@@ -11,10 +11,11 @@
 
 namespace spurrack::catalog {
 
-/// Adds entries to a message; compresses them if their total size is large.
+/// Adds entries to a message. The entries are compressed if their total size is large.
 void pack_entries(const std::vector<wire::catalog_entry>& entries, wire::catalog_push& message);
 
-/// @return all entries of a message; std::nullopt if its compressed entries cannot be read.
+/// @return all entries of a message, compressed or not; std::nullopt if the compressed entries
+///         cannot be read.
 [[nodiscard]] std::optional<std::vector<wire::catalog_entry>>
 unpack_entries(const wire::catalog_push& message);
 
--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -8,8 +8,8 @@
 namespace spurrack::catalog {
 namespace {
 
-/// Time after which a foreign content hash, which differs from this node's hash, is dropped if no
-/// peer sends it again.
+/// Time after which a foreign hash (`foreign_hash`) is dropped if no peer sends the same hash
+/// again.
 constexpr base::duration foreign_hash_lifetime = std::chrono::seconds(3);
 /// Hash of an empty bucket.
 constexpr std::uint64_t empty_bucket_hash = 0;
@@ -175,14 +175,15 @@
   wire::outgoing push{sender, {}};
   auto& answer = *push.message.mutable_catalog_push();
   answer.set_answers_comparison(true);
-  // The entries are counted before they are copied, because most requesters get an answer without
-  // entries while a fleet starts, and query another node.
+  // The entries are counted first, and copied only if the answer may contain them. While a fleet
+  // starts, most answers are sent without entries because of the limit of large answers, and
+  // copying the entries for these answers would be wasted work.
   const bool has_answer = may_answer(content_->count_in(differing), now);
   if (has_answer) {
     pack_entries(content_->entries_in(differing), answer);
   }
-  // The pull is sent before the push: a peer that has applied the push would answer the pull with
-  // the pushed entries too.
+  // The pull, which requests entries, is sent before the push, which contains entries. If the peer
+  // applied the push first, its answer to the pull would contain the pushed entries again.
   if (has_answer && body.buckets_size() > 0) {
     out.push_back(std::move(pull));
   }
--- a/tests/catalog/catalog_test.cc
+++ b/tests/catalog/catalog_test.cc
@@ -1,5 +1,5 @@
-/// Order of catalog entries: an entry is replaced only by a newer entry of its key, and the content
-/// of a catalog does not depend on the order in which entries are applied.
+/// Order of catalog entries. An entry is replaced only by a later entry of its key. The content of
+/// a catalog does not depend on the order in which the entries are applied.
 #include "catalog/catalog.h"
 
 #include "base/random.h"
@@ -60,7 +60,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(content_is_equal_after_any_order_of_entries) {
-  // Two different values at revision 4: the service was restored and assigned the revision again.
+  // Two entries have revision 4 and different values, because the store was restored and assigned
+  // the revision again.
   std::vector<catalog_entry> entries{entry(1, valid_template(1)), entry(2, "{name: t}"),
                                      entry(4, valid_template(4)), entry(4, valid_template(44)),
                                      entry(5, "{name: u}"),       entry(3, "")};
--- a/tests/catalog/entry_packing_test.cc
+++ b/tests/catalog/entry_packing_test.cc
@@ -1,5 +1,5 @@
-/// Packing of entries into messages: unpacked entries equal the packed entries, many entries are
-/// compressed, unreadable entries are rejected.
+/// Packing of entries into messages. Unpacking returns the entries that were packed. Many entries
+/// are compressed. A message whose compressed entries cannot be read is rejected.
 #include "catalog/entry_packing.h"
 
 #include "model/serving_record_parser.h"
--- a/tests/catalog/replica_entries_test.cc
+++ b/tests/catalog/replica_entries_test.cc
@@ -1,5 +1,5 @@
-/// Malformed entries of replicas, as another writer of the store may write them: they are rejected,
-/// and the entries of other replicas stay in effect.
+/// Malformed entries of replicas, as another writer of the store may write them. A malformed entry
+/// is rejected and removes the replica of its key. The entries of other replicas stay in effect.
 #include "base/random.h"
 #include "catalog/catalog.h"
 #include "catalog/replicator.h"
@@ -90,7 +90,8 @@
   BOOST_CHECK(content.apply(entry(3, "r1", valid_value("r1"))).verdict == apply_verdict::accepted);
   BOOST_TEST(has_replica(content, "r1"));
   BOOST_TEST(content.rejections().empty());
-  // The same malformed value counts as a new rejection, because a valid entry came in between.
+  // The malformed value is written a second time. The second rejection counts, because a valid
+  // entry was accepted between the two rejections.
   BOOST_CHECK(content.apply(entry(4, "r1", malformed_value("r1"))).verdict ==
               apply_verdict::rejected);
   BOOST_TEST(!has_replica(content, "r1"));
@@ -119,8 +120,9 @@
   subject.offer({entry(1, "r1", malformed_value("r1"))}, peers, out);
   BOOST_TEST(reports == 1U);
   BOOST_TEST(out.size() == 1U);
-  // The same value is written again: peers must get the new revision, but operators already know
-  // the reason of the rejection.
+  // The same malformed value is written again at a new revision. The entry is sent to the peers,
+  // which must know the new revision. The rejection is not reported again, because operators
+  // already know the reason.
   subject.offer({entry(2, "r1", malformed_value("r1"))}, peers, out);
   BOOST_TEST(reports == 1U);
   BOOST_TEST(out.size() == 2U);
--- a/tests/catalog/replicator_test.cc
+++ b/tests/catalog/replicator_test.cc
@@ -1,5 +1,5 @@
-/// Exchange of catalog entries between nodes: gossip of new entries, and comparisons by which a
-/// node fetches an entry that it missed, also while other entries change.
+/// Exchange of catalog entries between nodes. New entries are gossiped. A node that missed an entry
+/// fetches the entry by a comparison of catalogs, also while other entries change.
 #include "catalog/replicator.h"
 
 #include <boost/test/unit_test.hpp>
@@ -17,7 +17,7 @@
   return result;
 }
 
-/// Catalog of one node with its replicator.
+/// Catalog and replicator of one node.
 struct catalog_node {
   explicit catalog_node(std::uint64_t seed)
       : random(seed), subject(content, random, [](const auto&, const auto&) {}) {}
@@ -92,7 +92,7 @@
   wire::outbox out;
   reader.subject.offer(listing, {base::network_address("a:1")}, out);
   BOOST_TEST(out.empty());
-  // Later changes are forwarded.
+  // A change that is read after the first listing is forwarded.
   reader.subject.offer({entry(300, "t1")}, {base::network_address("a:1")}, out);
   BOOST_TEST(out.size() == 1U);
 }
@@ -106,7 +106,7 @@
     now += std::chrono::milliseconds(100);
   }
   BOOST_TEST(out.size() == 1U);
-  // The unanswered comparison is dropped after its timeout.
+  // The timeout of the unanswered comparison has passed, so the next comparison starts.
   now += std::chrono::milliseconds(200);
   behind.subject.compare(base::network_address("b:1"), 1, true, now, out);
   BOOST_TEST(out.size() == 2U);
@@ -121,7 +121,8 @@
   empty_answer.mutable_catalog_push()->set_answers_comparison(true);
   std::size_t compared = 0;
   for (int round = 0; round < 200; ++round) {
-    // The peer sends another content hash each time, as it does while its catalog keeps changing.
+    // The content hash of the peer differs in each round, because the catalog of the peer keeps
+    // changing.
     node.subject.compare(base::network_address("a:1"), static_cast<std::uint64_t>(round) + 1, false,
                          now, out);
     if (out.size() > compared) {
@@ -130,8 +131,8 @@
     }
     now += std::chrono::milliseconds(100);
   }
-  // In 20 s: one comparison per second after the first few. At the minimum interval there would be
-  // four per second.
+  // The loop covers 20 s. After the first few comparisons, one comparison starts per second. At the
+  // minimum interval, four comparisons would start per second.
   BOOST_TEST(compared >= 18U);
   BOOST_TEST(compared <= 24U);
 }
--- a/tests/catalog/service_watch_test.cc
+++ b/tests/catalog/service_watch_test.cc
@@ -1,4 +1,5 @@
-/// Schedule of the reads of a platform service: intervals, restarts of watches, new eras.
+/// Schedule of the reads of a platform service: intervals between reads, restarts of watches, and
+/// answers of another era.
 #include "catalog/service_watch.h"
 
 #include <boost/test/unit_test.hpp>
@@ -19,7 +20,7 @@
   auto now = start;
   std::size_t calls = 0;
   base::revision revision = 1;
-  // An entry changes every 10 ms, so the service answers each read at once.
+  // The service answers each read at once, because an entry changes every 10 ms.
   for (; now < start + std::chrono::seconds(1); now += std::chrono::milliseconds(10)) {
     if (subject.next_read(true, now)) {
       ++calls;
@@ -42,9 +43,10 @@
       subject.on_answer({std::nullopt, ++revision, false}, true, now);
     }
   }
-  // Intervals of 0.2 s and 0.4 s, then of 0.8 s.
+  // Each answer doubles the interval until the next read, from 0.2 s to 0.4 s and then to the
+  // maximum of 0.8 s.
   BOOST_TEST(calls <= 10U);
-  // After a time without changes, the interval from a change to the next read is
+  // After a time without changes, the interval between an answer with a change and the next read is
   // `min_read_interval` again.
   now += std::chrono::seconds(5);
   BOOST_TEST(subject.next_read(true, now).has_value());
@@ -82,8 +84,8 @@
   subject.on_answer({1, 100, true}, true, now);
   now += std::chrono::seconds(1);
   BOOST_TEST((subject.next_read(true, now) == 100U));
-  // A peer often sends a changed entry shortly before the answer of the service arrives, so the
-  // watch is not restarted at once.
+  // The watch is not restarted as soon as a peer sends a changed entry, because the answer of the
+  // service often arrives shortly afterwards.
   subject.note_latest_revision(1, 101, now);
   now += service_watch::lost_answer_timeout / 2;
   subject.note_latest_revision(1, 101, now);
--- a/tests/catalog/store_era_test.cc
+++ b/tests/catalog/store_era_test.cc
@@ -1,5 +1,5 @@
-/// A store that is restored from an older backup: its revision goes back, and it assigns revisions
-/// again that it had assigned before.
+/// Entries of a store that was restored from an older backup. The revision of the store goes back
+/// to the revision of the backup, so the store assigns revisions again that it had assigned before.
 #include "catalog/catalog.h"
 #include "model/serving_record_parser.h"
 #include "wire/published.pb.h"
