--- a/src/membership/name_filter.cc
+++ b/src/membership/name_filter.cc
@@ -7,28 +7,28 @@
 
 constexpr unsigned bits_per_byte = 8;
 
-std::uint16_t slot_of(const base::node_id& node, std::uint64_t salt) {
+std::uint16_t name_hash(const base::node_id& node, std::uint64_t salt) {
   return static_cast<std::uint16_t>(base::stable_hash(node.text(), salt));
 }
 
 } // namespace
 
 void name_filter_writer::add(const base::node_id& node) {
-  const auto slot = slot_of(node, salt_);
-  bytes_.push_back(static_cast<char>(slot & 0xFFU));
-  bytes_.push_back(static_cast<char>(slot >> bits_per_byte));
+  const auto hash = name_hash(node, salt_);
+  bytes_.push_back(static_cast<char>(hash & 0xFFU));
+  bytes_.push_back(static_cast<char>(hash >> bits_per_byte));
 }
 
 name_filter::name_filter(const std::string& bytes, std::uint64_t salt) : salt_(salt) {
   for (std::size_t index = 0; index + 1 < bytes.size(); index += 2) {
     const auto low = static_cast<unsigned char>(bytes[index]);
     const auto high = static_cast<unsigned char>(bytes[index + 1]);
-    slots_.set(low | (static_cast<unsigned>(high) << bits_per_byte));
+    hashes_.set(low | (static_cast<unsigned>(high) << bits_per_byte));
   }
 }
 
 bool name_filter::may_contain(const base::node_id& node) const {
-  return slots_.test(slot_of(node, salt_));
+  return hashes_.test(name_hash(node, salt_));
 }
 
 } // namespace spurrack::membership
--- a/src/membership/name_filter.h
+++ b/src/membership/name_filter.h
@@ -41,14 +41,14 @@
   /// @return false if the requester does not know the node. True if the requester knows the node,
   ///         or if the hash of the node's name equals the hash of another name in the filter.
   [[nodiscard]] bool may_contain(const base::node_id& node) const;
-  [[nodiscard]] bool is_empty() const { return slots_.none(); }
+  [[nodiscard]] bool is_empty() const { return hashes_.none(); }
 
  private:
-  static constexpr std::size_t slot_count = 65'536;
+  static constexpr std::size_t hash_count = 65'536;
 
   std::uint64_t salt_;
   /// One bit for each possible hash, set if the hash is in the filter.
-  std::bitset<slot_count> slots_;
+  std::bitset<hash_count> hashes_;
 };
 
 } // namespace spurrack::membership
