--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -50,12 +50,13 @@
   return base::stable_hash(key) % bucket_count;
 }
 
-bool catalog::is_duplicate(const slot& current, const version& offered) {
+bool catalog::is_duplicate(const key_state& current, const version& offered) {
   return (current.accepted && current.accepted->entry_version == offered) ||
          (current.rejected && current.rejected->entry_version == offered);
 }
 
-bool catalog::is_older(const std::string& key, const slot& current, const version& offered) const {
+bool catalog::is_older(const std::string& key, const key_state& current,
+                       const version& offered) const {
   if (!switches_.revision_order) {
     return false;
   }
@@ -67,7 +68,7 @@
 }
 
 apply_result catalog::apply(const wire::catalog_entry& entry) {
-  auto& current = slots_[entry.key()];
+  auto& current = key_states_[entry.key()];
   stored_entry offered{version_of(entry), entry};
   if (offered.entry_version.era == 0) {
     // The entry has no era, because it comes from a node of an older build. Nodes of an older build
@@ -111,7 +112,7 @@
   return reject(current, std::move(offered), std::get<std::string>(std::move(parsed)));
 }
 
-bool catalog::is_older_configuration(const slot& current, const version& offered,
+bool catalog::is_older_configuration(const key_state& current, const version& offered,
                                      const any_record& value) const {
   if (!switches_.revision_order || !serving_ || !current.accepted) {
     return false;
@@ -123,7 +124,7 @@
   return offered < current.accepted->entry_version;
 }
 
-catalog::any_record catalog::merge_known_state(const slot& current, const version& offered,
+catalog::any_record catalog::merge_known_state(const key_state& current, const version& offered,
                                                any_record value) {
   auto* replica = std::get_if<std::shared_ptr<const model::replica>>(&value);
   const bool is_rolled_back = current.accepted && current.accepted->entry_version.era > 0 &&
@@ -178,7 +179,8 @@
   return any_record(std::move(*parsed.value));
 }
 
-void catalog::accept(slot& current, stored_entry offered, const std::optional<any_record>& value) {
+void catalog::accept(key_state& current, stored_entry offered,
+                     const std::optional<any_record>& value) {
   const auto key = offered.entry.key();
   remove_from_index(key);
   if (value) {
@@ -193,7 +195,7 @@
   rehash(key, current);
 }
 
-apply_result catalog::reject(slot& current, stored_entry offered, std::string reason) {
+apply_result catalog::reject(key_state& current, stored_entry offered, std::string reason) {
   const auto key = offered.entry.key();
   const bool is_repeated =
       current.rejected && current.rejected->entry.value() == offered.entry.value();
@@ -210,7 +212,7 @@
           current.rejection_reason};
 }
 
-void catalog::rehash(const std::string& key, slot& current) {
+void catalog::rehash(const std::string& key, key_state& current) {
   auto& bucket = buckets_[bucket_of(key)];
   bucket ^= current.hash;
   std::uint64_t hash = base::stable_hash(key);
@@ -336,7 +338,7 @@
   if (buckets.none()) {
     return entries;
   }
-  for (const auto& [key, current] : slots_) {
+  for (const auto& [key, current] : key_states_) {
     if (!buckets.test(bucket_of(key))) {
       continue;
     }
@@ -352,7 +354,7 @@
 
 std::size_t catalog::count_in(const bucket_set& buckets) const {
   std::size_t count = 0;
-  for (const auto& [key, current] : slots_) {
+  for (const auto& [key, current] : key_states_) {
     if (buckets.test(bucket_of(key))) {
       count += (current.accepted ? 1U : 0U) + (current.rejected ? 1U : 0U);
     }
@@ -378,17 +380,17 @@
 }
 
 base::revision catalog::revision_of(const std::string& key) const {
-  const auto found = slots_.find(key);
-  if (found == slots_.end() || !found->second.accepted) {
+  const auto found = key_states_.find(key);
+  if (found == key_states_.end() || !found->second.accepted) {
     return 0;
   }
   return found->second.accepted->entry_version.revision;
 }
 
 store_position catalog::latest_position_of(const std::string& key) const {
-  const auto found = slots_.find(key);
+  const auto found = key_states_.find(key);
   store_position latest;
-  if (found == slots_.end()) {
+  if (found == key_states_.end()) {
     return latest;
   }
   for (const auto* stored : {&found->second.accepted, &found->second.rejected}) {
@@ -401,7 +403,7 @@
 
 std::vector<rejection> catalog::rejections() const {
   std::vector<rejection> found;
-  for (const auto& [key, current] : slots_) {
+  for (const auto& [key, current] : key_states_) {
     if (current.rejected) {
       found.push_back({key, current.rejected->entry_version.revision, current.rejection_reason});
     }
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -184,7 +184,7 @@
   ///         invalid value that is written several times in a row counts once.
   [[nodiscard]] std::uint64_t rejected_replica_entries() const { return rejected_replica_entries_; }
   /// @return number of keys of which an entry was ever applied, including deleted keys.
-  [[nodiscard]] std::size_t size() const { return slots_.size(); }
+  [[nodiscard]] std::size_t size() const { return key_states_.size(); }
 
  private:
   /// Version of an entry. An entry replaces entries of the same key that have a lower version.
@@ -199,7 +199,7 @@
     wire::catalog_entry entry;
   };
   /// State of one key.
-  struct slot {
+  struct key_state {
     std::optional<stored_entry> accepted;
     /// The latest rejected entry of the key; set only while it is later than the accepted entry.
     std::optional<stored_entry> rejected;
@@ -209,8 +209,8 @@
 
   static version version_of(const wire::catalog_entry& entry);
   static std::size_t bucket_of(const std::string& key);
-  static bool is_duplicate(const slot& current, const version& offered);
-  [[nodiscard]] bool is_older(const std::string& key, const slot& current,
+  static bool is_duplicate(const key_state& current, const version& offered);
+  [[nodiscard]] bool is_older(const std::string& key, const key_state& current,
                               const version& offered) const;
   /// A valid record of any kind.
   using any_record =
@@ -220,26 +220,26 @@
   using parse_result = std::variant<any_record, std::string>;
 
   static parse_result parse_value(const std::string& key, const std::string& value);
-  void accept(slot& current, stored_entry offered, const std::optional<any_record>& value);
-  apply_result reject(slot& current, stored_entry offered, std::string reason);
+  void accept(key_state& current, stored_entry offered, const std::optional<any_record>& value);
+  apply_result reject(key_state& current, stored_entry offered, std::string reason);
   /// @return position of the latest entry of `key`, accepted or rejected; era 0 and revision 0 if
   ///         `key` has no entry.
   [[nodiscard]] store_position latest_position_of(const std::string& key) const;
   /// @return whether a valid configuration is older than the configuration in effect. The version
   ///         numbers in their records are compared first. If the version numbers are equal, the
   ///         versions of their entries are compared.
-  [[nodiscard]] bool is_older_configuration(const slot& current, const version& offered,
+  [[nodiscard]] bool is_older_configuration(const key_state& current, const version& offered,
                                             const any_record& value) const;
   /// Merges the known state of a replica into a new record of the replica. Only a record of a later
   /// era than the known state is changed, because the store was restored and may have lost writes.
   /// All other records are returned unchanged.
   /// @return the record. Its field `draining` is set if the same incarnation of the replica was
   ///         known to drain; `may_be_deleted` is set if the replica was known to be deleted.
-  static any_record merge_known_state(const slot& current, const version& offered,
+  static any_record merge_known_state(const key_state& current, const version& offered,
                                       any_record value);
   /// Updates the hash of a key and the hash of the bucket of the key, after the entries of the key
   /// have changed.
-  void rehash(const std::string& key, slot& current);
+  void rehash(const std::string& key, key_state& current);
   /// Puts a record into effect: stores it in the member for records of its kind, such as
   /// `templates_`.
   void index(const std::string& key, const any_record& value);
@@ -253,7 +253,7 @@
                                 std::vector<wire::catalog_entry>& deletions) const;
 
   base::safety_switches switches_;
-  std::unordered_map<std::string, slot> slots_;
+  std::unordered_map<std::string, key_state> key_states_;
   std::array<std::uint64_t, bucket_count> buckets_{};
   template_map templates_;
   tenant_map tenants_;
--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -154,8 +154,8 @@
 
 void replicator::answer_buckets(const wire::envelope& message, base::time_point now,
                                 wire::outbox& out) {
-  const auto& theirs = message.catalog_buckets();
-  if (static_cast<std::size_t>(theirs.hashes_size()) != catalog::bucket_count) {
+  const auto& peer_buckets = message.catalog_buckets();
+  if (static_cast<std::size_t>(peer_buckets.hashes_size()) != catalog::bucket_count) {
     return;
   }
   const base::network_address sender(message.sender_address());
@@ -163,12 +163,12 @@
   auto& body = *pull.message.mutable_catalog_pull();
   bucket_set differing;
   for (std::size_t bucket = 0; bucket < catalog::bucket_count; ++bucket) {
-    const auto their_hash = theirs.hashes(static_cast<int>(bucket));
-    if (their_hash == content_->bucket_hashes()[bucket]) {
+    const auto peer_hash = peer_buckets.hashes(static_cast<int>(bucket));
+    if (peer_hash == content_->bucket_hashes()[bucket]) {
       continue;
     }
     differing.set(bucket);
-    if (their_hash != empty_bucket_hash) {
+    if (peer_hash != empty_bucket_hash) {
       body.add_buckets(static_cast<std::uint32_t>(bucket));
     }
   }
