--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -13,9 +13,9 @@
 /// Number of other members that are requested to probe a member that did not acknowledge the probe
 /// of this node.
 constexpr std::size_t indirect_probe_count = 2;
-/// Maximum number of member updates up to which `piggyback` adds updates to a message. A message
-/// that already contains this number of updates, such as a large reply to a request for members,
-/// gets no more updates.
+/// Maximum number of member updates in a message up to which `piggyback` fills the message. If the
+/// message already contains this number or more, such as a large reply to a request for members,
+/// `piggyback` adds no updates.
 constexpr std::size_t max_gossip_per_message = 6;
 /// Factor by which log2 of the number of members is multiplied. The product is the number of
 /// messages with which a member update is sent, as in SWIM.
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,8 +1,8 @@
 /// Members of the fleet as one node knows them. The published list of nodes determines which nodes
 /// may be members: it consists of the machine entries of the catalog with the role `node`. While no
-/// list has been published, a node becomes a member when a message reports it as alive. Within each
-/// zone, SWIM-style probing (Das et al., 2002) with suspicion and incarnations determines which
-/// members are alive.
+/// list has been published, a node becomes a member when a message reports the node as alive.
+/// Within each zone, SWIM-style probing (Das et al., 2002) with suspicion and incarnations
+/// determines which members are alive.
 ///
 /// Each zone has two relays. They are chosen by rendezvous hashing among the nodes of the zone with
 /// the most cores. A relay periodically sends digests to the relays of the other zones of its
@@ -55,8 +55,8 @@
   base::zone_id zone;
   base::network_address address;
   /// Start time of this process by the wall clock, in microseconds. The start time is also the
-  /// initial incarnation of this node. To refute a report that it is suspected or dead, this node
-  /// increases its incarnation, but not `process_start`.
+  /// initial incarnation of this node. To refute a report that this node is suspected or dead, this
+  /// node increases its incarnation, but not `process_start`.
   base::incarnation process_start = 0;
   /// Number of cores that this node may use.
   float processor_share = 1;
@@ -77,7 +77,7 @@
   base::time_point state_since;
 };
 
-/// Called whenever the state of a member changes.
+/// Function that is called whenever the state of a member changes.
 using state_observer = std::function<void(const member&)>;
 
 /// Members that one node knows, and its failure detector. Not thread-safe; driven by `tick` and
@@ -132,7 +132,7 @@
   /// @param count number of nodes of the zone that do the job.
   /// @return whether this node is one of the nodes that do the job.
   [[nodiscard]] bool has_zone_job(std::string_view job, std::size_t count) const;
-  /// @return whether this node sends digests about its zone to other zones.
+  /// @return whether this node is a relay of its zone, which sends digests to other zones.
   [[nodiscard]] bool is_relay() const;
   /// A region job is work that a few nodes in each of a few zones do for the whole region. The
   /// zones are chosen by rendezvous hashing with the name of the job among this node's zone and the
@@ -162,8 +162,8 @@
   [[nodiscard]] base::duration expected_detection_time() const;
 
  private:
-  /// Data that is derived from `members_`. It is kept because it is read for each message, and it
-  /// is recomputed after a member changed.
+  /// Data that is derived from `members_`. The data is cached because it is read for each message;
+  /// it is recomputed after a member has changed.
   struct live_view {
     /// Result of `live_peers()`.
     std::vector<member> peers;
@@ -249,7 +249,7 @@
                                                          base::time_point now) const;
   /// @return whether this node is a relay of its region, which sends digests to other regions.
   [[nodiscard]] bool is_region_relay(base::time_point now) const;
-  /// @return live members of all zones of a region.
+  /// @return live members of all zones of a region, without this node.
   [[nodiscard]] std::vector<base::node_id> nodes_of_region(const base::region_id& region) const;
   /// @return the regions of the known members, without this node's region.
   [[nodiscard]] std::set<base::region_id> other_regions() const;
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -29,8 +29,8 @@
 /// Minimum number of cores of a relay, as a fraction of the cores of the node with the most cores
 /// in the zone of the relay.
 constexpr float min_relay_processor_share = 0.5F;
-/// Number of members that the digests of a relay list per round on average. A digest lists either
-/// all n members of the relay's zone (or region, in digests to other regions) or none of them. The
+/// Mean number of members that a relay lists in its digests per round. A digest lists either all n
+/// members of the relay's zone (or region, in digests to other regions) or none of them. The
 /// members are listed only once in n / `members_per_round` rounds, so that the mean number of bytes
 /// per round does not grow with n. If n is smaller than `members_per_round`, the members are listed
 /// in each round.
@@ -52,8 +52,8 @@
 /// because the size of a request grows by two bytes per known member: at a constant interval, a
 /// seed of a fleet of 2,700 nodes would receive 0.5 MB of requests per second.
 constexpr std::size_t members_per_idle_interval = 300;
-/// Mean number of requests to known members among which one request goes to a member of any region.
-/// The other requests go to members of this node's region.
+/// Mean number of requests to known members of which one is sent to a member of any region. The
+/// other requests are sent to members of this node's region.
 constexpr std::uint64_t requests_per_remote_request = 8;
 
 } // namespace
@@ -175,9 +175,9 @@
   for (const auto& relay : live().relays.at(zone)) {
     send_digest(relay, ages, out);
   }
-  // This node's knowledge of the other zone is often outdated, so the nodes that it considers the
-  // relays of that zone may not be its relays. Therefore a random node of the zone also receives a
-  // digest.
+  // This node's knowledge of the other zone is often outdated, so this node may choose other relays
+  // for that zone than the nodes of the zone do. Therefore a random node of the zone also receives
+  // a digest.
   const auto& nodes = live().remote.at(zone);
   send_digest(nodes[random_->below(nodes.size())], members, out);
 }
@@ -195,8 +195,8 @@
       }
     }
   }
-  // If no zone of the region is reachable, relays are chosen among all zones: they still receive
-  // digests, so that the end of the partition is detected.
+  // If no zone of the region is reachable, relays are chosen among all zones of the region. These
+  // relays still receive digests, so that the end of the partition is detected.
   const auto zones =
       base::rendezvous_top("region relay", reachable.empty() ? all : reachable, relays_per_region);
   std::vector<base::node_id> chosen;
@@ -257,9 +257,9 @@
     for (const auto& relay : region_relays(region, now)) {
       send_digest(relay, ages, out);
     }
-    // This node's knowledge of the other region is often outdated, so the nodes that it considers
-    // the relays of that region may not be its relays. Therefore a random node of the region also
-    // receives a digest.
+    // This node's knowledge of the other region is often outdated, so this node may choose other
+    // relays for that region than the nodes of the region do. Therefore a random node of the region
+    // also receives a digest.
     if (const auto nodes = nodes_of_region(region); !nodes.empty()) {
       send_digest(nodes[random_->below(nodes.size())], members, out);
     }
