--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -14,7 +14,7 @@
 /// - the latest accepted entry;
 /// - the latest rejected entry, if it is later than the accepted entry. The rejected entry is kept
 ///   so that all nodes have the same content and operators can see the reason for the rejection.
-/// Of a replica, only the later of the two entries is kept (`apply_verdict::rejected`).
+/// Of the two entries of a replica, only the later entry is kept (`apply_verdict::rejected`).
 ///
 /// An era of the store ends when the store is restored from an older backup. The restored store
 /// begins a new era and assigns revisions again that it had assigned before. The entries of the new
@@ -108,8 +108,8 @@
   [[nodiscard]] const std::array<std::uint64_t, bucket_count>& bucket_hashes() const {
     return buckets_;
   }
-  /// @return copies of all entries in the buckets: the accepted entry of each key, and also the
-  ///         rejected entry of the key if it is later.
+  /// @return copies of all entries in the buckets: the accepted entry of each key and, if the
+  ///         rejected entry of the key is later, also the rejected entry.
   [[nodiscard]] std::vector<wire::catalog_entry> entries_in(const bucket_set& buckets) const;
 
   /// @return number of entries that `entries_in` would copy.
@@ -198,10 +198,10 @@
     version entry_version;
     wire::catalog_entry entry;
   };
-  /// State of one key.
+  /// Known entries of one key.
   struct key_state {
     std::optional<stored_entry> accepted;
-    /// The latest rejected entry of the key; set only while it is later than the accepted entry.
+    /// The latest rejected entry of the key; set only while no accepted entry is later.
     std::optional<stored_entry> rejected;
     std::string rejection_reason;
     std::uint64_t hash = 0;
--- a/src/catalog/replicator.h
+++ b/src/catalog/replicator.h
@@ -117,8 +117,8 @@
   void apply_push(const wire::envelope& message, const peer_lister& peers, wire::outbox& out);
   void answer_buckets(const wire::envelope& message, base::time_point now, wire::outbox& out);
   void answer_pull(const wire::envelope& message, wire::outbox& out);
-  /// Decides whether the answer to a comparison may contain entries. If the answer is large, it is
-  /// counted in `large_answers_`.
+  /// Decides whether the answer to a comparison may contain entries. A large answer is counted in
+  /// `large_answers_`.
   /// @param entries number of entries that the answer would contain.
   /// @return whether the answer may contain entries: true unless the answer is large and
   ///         `max_large_answers` large answers have already been given in the current
