--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -27,13 +27,14 @@
   return key.substr(key.find('/') + 1);
 }
 
-/// Part of an entry's version that the hash of the catalog's content covers.
+/// The fields of the version of an entry that are part of the content hash.
 struct hashed_version {
   base::revision revision = 0;
   std::uint64_t value_hash = 0;
 };
 
-/// Bytes of a trivially copyable object. All nodes share one byte order.
+/// Returns the bytes of a trivially copyable object. Hashes of the bytes are equal on all nodes,
+/// because all nodes have the same byte order.
 template <typename object>
 std::string_view raw_bytes(const object& value) {
   return {reinterpret_cast<const char*>(&value), sizeof(value)};
@@ -49,35 +50,38 @@
   return base::stable_hash(key) % bucket_count;
 }
 
-bool catalog::is_duplicate(const slot& current, const version& offered) {
+bool catalog::is_duplicate(const key_state& current, const version& offered) {
   return (current.accepted && current.accepted->entry_version == offered) ||
          (current.rejected && current.rejected->entry_version == offered);
 }
 
-bool catalog::is_older(const std::string& key, const slot& current, const version& offered) const {
+bool catalog::is_older(const std::string& key, const key_state& current,
+                       const version& offered) const {
   if (!switches_.revision_order) {
     return false;
   }
-  // An invalid entry of a replica replaces the accepted entry.
+  // For a replica, a new entry must also be later than the rejected entry: the rejected entry has
+  // replaced the accepted entry.
   const bool is_before_rejected =
       is_replica_key(key) && current.rejected && offered < current.rejected->entry_version;
   return is_before_rejected || (current.accepted && offered < current.accepted->entry_version);
 }
 
 apply_result catalog::apply(const wire::catalog_entry& entry) {
-  auto& current = slots_[entry.key()];
+  auto& current = key_states_[entry.key()];
   stored_entry offered{version_of(entry), entry};
   if (offered.entry_version.era == 0) {
-    // The entry comes from a node of an older build. Such nodes may be the only readers of the
-    // store in this zone, so the entry counts as one of the latest era.
+    // The entry has no era, because it comes from a node of an older build. Nodes of an older build
+    // may be the only nodes of this zone that read the store. Therefore the entry is not ignored,
+    // but counts as an entry of the latest known era.
     offered.entry_version.era = highest_.era;
     offered.entry.set_era(highest_.era);
   }
   if (is_duplicate(current, offered.entry_version)) {
     return {apply_verdict::duplicate, {}};
   }
-  // Configurations are ordered by the version number in the record first, which is known only after
-  // parsing.
+  // A configuration is compared with the accepted configuration only after its value has been
+  // parsed, because configurations are ordered by the version number in their records first.
   const bool is_configuration = entry.key() == model::configuration_key && !entry.deleted();
   if (!is_configuration && is_older(entry.key(), current, offered.entry_version)) {
     return {apply_verdict::older, {}};
@@ -108,7 +112,7 @@
   return reject(current, std::move(offered), std::get<std::string>(std::move(parsed)));
 }
 
-bool catalog::is_older_configuration(const slot& current, const version& offered,
+bool catalog::is_older_configuration(const key_state& current, const version& offered,
                                      const any_record& value) const {
   if (!switches_.revision_order || !serving_ || !current.accepted) {
     return false;
@@ -120,7 +124,7 @@
   return offered < current.accepted->entry_version;
 }
 
-catalog::any_record catalog::merge_known_state(const slot& current, const version& offered,
+catalog::any_record catalog::merge_known_state(const key_state& current, const version& offered,
                                                any_record value) {
   auto* replica = std::get_if<std::shared_ptr<const model::replica>>(&value);
   const bool is_rolled_back = current.accepted && current.accepted->entry_version.era > 0 &&
@@ -175,7 +179,8 @@
   return any_record(std::move(*parsed.value));
 }
 
-void catalog::accept(slot& current, stored_entry offered, const std::optional<any_record>& value) {
+void catalog::accept(key_state& current, stored_entry offered,
+                     const std::optional<any_record>& value) {
   const auto key = offered.entry.key();
   remove_from_index(key);
   if (value) {
@@ -190,7 +195,7 @@
   rehash(key, current);
 }
 
-apply_result catalog::reject(slot& current, stored_entry offered, std::string reason) {
+apply_result catalog::reject(key_state& current, stored_entry offered, std::string reason) {
   const auto key = offered.entry.key();
   const bool is_repeated =
       current.rejected && current.rejected->entry.value() == offered.entry.value();
@@ -207,14 +212,14 @@
           current.rejection_reason};
 }
 
-void catalog::rehash(const std::string& key, slot& current) {
+void catalog::rehash(const std::string& key, key_state& current) {
   auto& bucket = buckets_[bucket_of(key)];
   bucket ^= current.hash;
   std::uint64_t hash = base::stable_hash(key);
   for (const auto* stored : {&current.accepted, &current.rejected}) {
     const auto stored_version = *stored ? (*stored)->entry_version : version{};
-    // The era is left out: nodes of an older build do not know it, and their hash of the same
-    // content must be equal.
+    // The hash does not cover the era. Nodes of an older build do not know the era, but must get
+    // the same hash as other nodes with the same content.
     const hashed_version hashed{stored_version.revision, stored_version.value_hash};
     hash = base::stable_hash(raw_bytes(hashed), hash);
   }
@@ -333,7 +338,7 @@
   if (buckets.none()) {
     return entries;
   }
-  for (const auto& [key, current] : slots_) {
+  for (const auto& [key, current] : key_states_) {
     if (!buckets.test(bucket_of(key))) {
       continue;
     }
@@ -349,7 +354,7 @@
 
 std::size_t catalog::count_in(const bucket_set& buckets) const {
   std::size_t count = 0;
-  for (const auto& [key, current] : slots_) {
+  for (const auto& [key, current] : key_states_) {
     if (buckets.test(bucket_of(key))) {
       count += (current.accepted ? 1U : 0U) + (current.rejected ? 1U : 0U);
     }
@@ -375,17 +380,17 @@
 }
 
 base::revision catalog::revision_of(const std::string& key) const {
-  const auto found = slots_.find(key);
-  if (found == slots_.end() || !found->second.accepted) {
+  const auto found = key_states_.find(key);
+  if (found == key_states_.end() || !found->second.accepted) {
     return 0;
   }
   return found->second.accepted->entry_version.revision;
 }
 
 store_position catalog::latest_position_of(const std::string& key) const {
-  const auto found = slots_.find(key);
+  const auto found = key_states_.find(key);
   store_position latest;
-  if (found == slots_.end()) {
+  if (found == key_states_.end()) {
     return latest;
   }
   for (const auto* stored : {&found->second.accepted, &found->second.rejected}) {
@@ -398,7 +403,7 @@
 
 std::vector<rejection> catalog::rejections() const {
   std::vector<rejection> found;
-  for (const auto& [key, current] : slots_) {
+  for (const auto& [key, current] : key_states_) {
     if (current.rejected) {
       found.push_back({key, current.rejected->entry_version.revision, current.rejection_reason});
     }
--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -8,8 +8,8 @@
 namespace spurrack::catalog {
 namespace {
 
-/// Time after which a foreign content hash, which differs from this node's hash, is dropped if no
-/// peer sends it again.
+/// Time after which a foreign hash (`foreign_hash`) is dropped if no peer sends the same hash
+/// again.
 constexpr base::duration foreign_hash_lifetime = std::chrono::seconds(3);
 /// Hash of an empty bucket.
 constexpr std::uint64_t empty_bucket_hash = 0;
@@ -154,8 +154,8 @@
 
 void replicator::answer_buckets(const wire::envelope& message, base::time_point now,
                                 wire::outbox& out) {
-  const auto& theirs = message.catalog_buckets();
-  if (static_cast<std::size_t>(theirs.hashes_size()) != catalog::bucket_count) {
+  const auto& peer_buckets = message.catalog_buckets();
+  if (static_cast<std::size_t>(peer_buckets.hashes_size()) != catalog::bucket_count) {
     return;
   }
   const base::network_address sender(message.sender_address());
@@ -163,26 +163,27 @@
   auto& body = *pull.message.mutable_catalog_pull();
   bucket_set differing;
   for (std::size_t bucket = 0; bucket < catalog::bucket_count; ++bucket) {
-    const auto their_hash = theirs.hashes(static_cast<int>(bucket));
-    if (their_hash == content_->bucket_hashes()[bucket]) {
+    const auto peer_hash = peer_buckets.hashes(static_cast<int>(bucket));
+    if (peer_hash == content_->bucket_hashes()[bucket]) {
       continue;
     }
     differing.set(bucket);
-    if (their_hash != empty_bucket_hash) {
+    if (peer_hash != empty_bucket_hash) {
       body.add_buckets(static_cast<std::uint32_t>(bucket));
     }
   }
   wire::outgoing push{sender, {}};
   auto& answer = *push.message.mutable_catalog_push();
   answer.set_answers_comparison(true);
-  // The entries are counted before they are copied, because most requesters get an answer without
-  // entries while a fleet starts, and query another node.
+  // The entries are counted first, and copied only if the answer may contain them. While a fleet
+  // starts, most answers are sent without entries because of the limit of large answers, and
+  // copying the entries for these answers would be wasted work.
   const bool has_answer = may_answer(content_->count_in(differing), now);
   if (has_answer) {
     pack_entries(content_->entries_in(differing), answer);
   }
-  // The pull is sent before the push: a peer that has applied the push would answer the pull with
-  // the pushed entries too.
+  // The pull, which requests entries, is sent before the push, which contains entries. If the peer
+  // applied the push first, its answer to the pull would contain the pushed entries again.
   if (has_answer && body.buckets_size() > 0) {
     out.push_back(std::move(pull));
   }
