--- a/tools/capacity.cc
+++ b/tools/capacity.cc
@@ -1,6 +1,7 @@
-/// Measures the cost of the control plane per node. The nodes are simulated in one process and in
-/// virtual time, and serve no requests. Each measurement runs in a separate process, so that the
-/// memory of one measurement does not count towards another.
+/// Measures the cost of the control plane per node of a simulated fleet: processor time, memory,
+/// and the messages between nodes. All nodes of the fleet are simulated in one process and in
+/// virtual time, and serve no requests. Each execution of the program measures one fleet, so that
+/// the memory of one fleet does not count towards another.
 #include "logging/guarded_main.h"
 #include "logging/usual_options.h"
 #include "simulation/fleet_simulation.h"
@@ -20,7 +21,7 @@
 using namespace spurrack;
 using std::chrono::seconds;
 
-/// @return processor time that this process has used, in seconds.
+/// @return processor time that this process has used so far, in seconds.
 double processor_seconds() {
   timespec cpu_time{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &cpu_time);
@@ -38,15 +39,18 @@
   return resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / megabyte;
 }
 
-/// Size of the simulated fleet. Nodes of other zones and replicas are in the published list of
-/// machines but are not simulated.
+/// Size of the fleet. Only the nodes of the zone `z0` are simulated. The nodes of other zones and
+/// all replicas are entries of the published list of machines, but are not simulated.
 struct fleet_size {
+  /// Number of simulated nodes.
   int nodes = 8;
+  /// Number of further zones, and number of listed nodes in all of these zones.
   int other_zones = 0;
   int other_nodes = 0;
   int replicas = 0;
   int tenants = 5;
-  /// Number of published configuration changes over which the cost of a change is averaged.
+  /// Number of configuration changes that are published one after another. The reported cost of a
+  /// change is the average over these changes.
   int changes = 20;
 };
 
@@ -88,7 +92,7 @@
   return settings;
 }
 
-/// @return whether all nodes have applied `revision` of the record `key`.
+/// @return whether all simulated nodes have applied the revision `revision` of the record `key`.
 bool all_nodes_have(const simulation::fleet_simulation& fleet, const std::string& key,
                     base::revision revision) {
   for (const auto& name : fleet.node_names()) {
@@ -99,7 +103,8 @@
   return true;
 }
 
-/// Measures start, idle operation and configuration changes, and prints the results as a table row.
+/// Measures the cost of the start of the fleet, of idle operation and of configuration changes, and
+/// prints the results as one table row.
 void measure(const fleet_size& size) {
   simulation::fleet_simulation fleet(make_settings(size));
   const auto memory_before_mb = resident_megabytes();
--- a/tools/check_layers.sh
+++ b/tools/check_layers.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks the layers of src: `allowed` holds, for each folder, the folders that it may include from.
+# Checks the layers of src: the files of a folder may include headers only from the folders that `allowed` lists for it.
 set -euo pipefail
 cd "$(dirname "$0")/../src"
 
@@ -54,7 +54,7 @@
     esac
   done < <(grep -nE '^#include "[a-z_]+/' "$folder"/*.h "$folder"/*.cc 2>/dev/null | grep -v '\.pb\.')
 done
-# The decision logic may not include headers for I/O or threads.
+# The folders of the decision logic (listed below) may not include headers for I/O or threads.
 if grep -nE '#include <(boost/asio|boost/beast|zmq|sys/socket|fstream|iostream|thread)' \
   base/*.h base/*.cc model/*.h model/*.cc catalog/* membership/* routing/* admission/* \
   idempotency/* execution/* serving/* flow/* fleet_view/* self_reports/* rate_limits/* replicas/* engines/* stage_work/* quarantine/* dispatch/* node/* simulation/* 2>/dev/null; then
--- a/tools/check_promises.sh
+++ b/tools/check_promises.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Checks that every test named in docs/PROMISES.md exists as a test case or a test file. A name that ends with an ellipsis
-# is a prefix of the test's name.
+# Checks that every test named in docs/PROMISES.md exists as a test case or as a test file. If docs/PROMISES.md shortens
+# a name by an ellipsis, a test whose name starts with the shortened name must exist.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 missing=0
-# Only names of at least three words are checked: shorter names are suites, files and faults of the simulation.
+# Only names of at least three words are checked: shorter names in docs/PROMISES.md denote test suites, files and faults
+# of the simulation.
 while read -r name; do
   if ! git grep -qE -- "\b$name" tests src/base/safety_switches.h src/simulation &&
     ! git ls-files tests | grep -qE "/$name\.cc$"; then
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -1,5 +1,5 @@
-/// Demo: starts a small fleet of real processes on this machine, sends requests of both users of
-/// the project, and prints the answers, the cost by stage and the timeline of one request. Exits
+/// Demo: starts a small fleet of real processes on this machine and sends requests of both users of
+/// the project. Prints the answers, the cost of each stage and the timeline of one request. Exits
 /// with a non-zero code if an answer is wrong or a node does not stop with code 0.
 #include "fleet/example_records.h"
 #include "logging/guarded_main.h"
@@ -20,7 +20,7 @@
   std::string input;
   std::string expected_stage;
   std::string expected_output;
-  /// Whether the request is sent with a ticket, so that the request runs at most once.
+  /// Whether the request is sent with a ticket, a permission of a node to run one request once.
   bool once = false;
 };
 
@@ -30,7 +30,7 @@
 }
 
 /// Sends a request and prints its answer.
-/// @return the request's id if the answer is right; empty otherwise.
+/// @return id of the request if the answer is right; an empty string otherwise.
 std::string run_request(const local_fleet& fleet, const demo_request& request) {
   std::map<std::string, std::string> headers;
   if (request.once) {
@@ -62,8 +62,8 @@
   return string_field(body, "request_id");
 }
 
-/// Prints the timeline of a request by `spurrackctl explain`.
-/// @return the exit code of spurrackctl.
+/// Prints the timeline of a request, using `spurrackctl explain`.
+/// @return exit code of spurrackctl.
 int show_timeline(const local_fleet& fleet, const std::filesystem::path& binaries,
                   const std::string& request) {
   std::string nodes;
--- a/tools/experiment.cc
+++ b/tools/experiment.cc
@@ -1,5 +1,5 @@
-/// Runs each load scenario with each balancing policy on simulated fleets, and writes a report and
-/// the gnuplot files of its plots.
+/// Runs each load scenario with each balancing policy on simulated fleets. Writes a report, and for
+/// each user a gnuplot script and its data file.
 #include "load_scenario.h"
 
 #include "logging/guarded_main.h"
@@ -20,7 +20,8 @@
 
 using namespace spurrack::experiment;
 
-/// Scenario and balancing policy for a user's fleet, with the result of each seed.
+/// Combination of a user, a scenario and a balancing policy, with the result of the run of each
+/// seed.
 struct experiment_case {
   user_profile user;
   scenario load_scenario;
@@ -28,9 +29,9 @@
   std::vector<measurement> runs;
 };
 
-/// Formats a field of the measurements as `mean ±deviation`, with the largest deviation of a run
-/// from the mean.
-/// @param scale factor applied to both values, such as 100 for percent.
+/// Formats the mean of a field over all runs as `mean ±deviation`. The deviation is the largest
+/// difference between the field of one run and the mean.
+/// @param scale factor by which the mean and the deviation are multiplied, such as 100 for percent.
 /// @param digits number of decimal places.
 std::string format_mean_and_deviation(const std::vector<measurement>& runs,
                                       double measurement::*field, double scale, int digits) {
@@ -69,8 +70,8 @@
   }
 }
 
-/// Writes the data and the gnuplot script of a user's plot: goodput by scenario and policy. The
-/// caller runs gnuplot in `folder`.
+/// Writes the data file and the gnuplot script of a plot that shows the goodput of one user by
+/// scenario and policy. This program does not run gnuplot: the script must be run in `folder`.
 void write_plot(const std::vector<experiment_case>& cases, const std::string& user,
                 const std::filesystem::path& folder) {
   std::ofstream data(folder / (user + ".dat"));
--- a/tools/fleet/background_load.h
+++ b/tools/fleet/background_load.h
@@ -1,5 +1,5 @@
-/// Load generator that keeps sending requests from background threads while a test injects faults
-/// into the fleet.
+/// Load generator that sends requests from background threads while a test injects faults into the
+/// fleet.
 #pragma once
 
 #include "local_fleet.h"
@@ -13,18 +13,19 @@
 
 namespace spurrack::fleet {
 
-/// Counts of the requests sent by a `background_load`, by result.
+/// Counts of the requests that a `background_load` sent, by result.
 struct load_totals {
   /// Number of answers by `outcome` field.
   std::map<std::string, std::uint64_t> outcomes;
   /// Number of answers with an outcome other than `completed`, by `code` field.
   std::map<std::string, std::uint64_t> error_codes;
-  /// Number of completed answers whose output does not match their request.
+  /// Number of answers with the outcome `completed` whose output does not match the request.
   std::uint64_t wrong_answers = 0;
-  /// Number of requests that got no answer because their connection failed or timed out. Refused
-  /// connections are not counted.
+  /// Number of requests without an answer because the connection of the request failed or timed
+  /// out. Refused connections are not counted.
   std::uint64_t broken_connections = 0;
-  /// Input of the last request that `broken_connections` counts, and the error of its connection.
+  /// Input of the last request that `broken_connections` counts, followed by the error of the
+  /// connection of this request.
   std::string last_connection_error;
   /// Number of answers received.
   std::uint64_t answered = 0;
@@ -40,20 +41,21 @@
 /// thread-safe, except `stop`.
 class background_load {
  public:
-  /// @param nodes names of the nodes to which each thread sends in turn. If a connection is
-  ///        refused, its request is not counted and not sent again; the thread continues with its
-  ///        next request at the next node.
+  /// @param nodes names of the nodes to which each thread sends in turn. If a node refuses a
+  ///        connection, the request is neither counted nor sent again; the thread sends its next
+  ///        request to the next node.
   /// @param threads number of concurrent callers.
   background_load(const local_fleet& fleet, std::vector<std::string> nodes, unsigned threads);
   ~background_load();
   background_load(const background_load&) = delete;
   background_load& operator=(const background_load&) = delete;
 
-  /// Stops sending and waits for the answers that are pending.
+  /// Stops sending requests and waits for the pending answers.
+  /// @return counts of all requests.
   load_totals stop();
   [[nodiscard]] load_totals totals() const;
   /// Waits until `additional` further requests have completed.
-  /// @return false on timeout.
+  /// @return whether the requests completed before the timeout.
   bool wait_for_completed(std::uint64_t additional) const;
 
  private:
@@ -68,7 +70,8 @@
   std::vector<std::thread> threads_;
 };
 
-/// @return output that the `generate` stage of the pipeline `client-answer` must have for an input.
+/// @return output that the stage `generate` of the pipeline `client-answer` must have for a request
+///         with this input.
 std::string expected_client_answer(const std::string& input);
 
 } // namespace spurrack::fleet
--- a/tools/fleet/child_process.h
+++ b/tools/fleet/child_process.h
@@ -22,16 +22,16 @@
   child_process(const child_process&) = delete;
   child_process& operator=(const child_process&) = delete;
 
-  /// Sends a signal. Does nothing if the process has been reaped.
+  /// Sends a signal to the process. Does nothing if the process has been reaped.
   void signal(int signal_number) const;
   /// Waits for the process to exit.
   /// @return the exit code; 128 + signal number if a signal terminated the process.
   int wait();
   [[nodiscard]] bool is_running();
   [[nodiscard]] int id() const { return id_; }
-  /// @return resident memory in bytes.
+  /// @return resident memory of the process in bytes.
   [[nodiscard]] std::size_t resident_bytes() const;
-  /// @return processor time that the process has used, in seconds.
+  /// @return processor time that the process has used so far, in seconds.
   [[nodiscard]] double processor_seconds() const;
 
  private:
@@ -41,9 +41,9 @@
 };
 
 /// Finds a free TCP port on 127.0.0.1, below the range from which the kernel assigns ports. The
-/// port is not reserved.
+/// port is not reserved: another process may bind it.
 unsigned find_free_port();
-/// @return `127.0.0.1:PORT` with a port of `find_free_port`.
+/// @return `127.0.0.1:PORT`, where PORT is a port that `find_free_port` found.
 std::string find_free_address();
 
 } // namespace spurrack::fleet
--- a/tools/fleet/example_records.h
+++ b/tools/fleet/example_records.h
@@ -11,9 +11,9 @@
 inline constexpr const char* agents_token = "agents-secret";
 inline constexpr const char* members_token = "members-secret";
 
-/// @return a fleet whose zones each have `nodes_per_zone` nodes, one payout service, and two back
-///         ends of each pool of a stage: encoders, retrievers, rerankers and engines. An engine is
-///         a back end that generates tokens.
+/// @return description of a fleet. Each zone has `nodes_per_zone` nodes, one payout service, and
+///         two back ends of each of the pools that run stages: encoders, retrievers, rerankers and
+///         engines. An engine is a back end that generates tokens.
 fleet_description example_fleet(const std::vector<std::string>& zones, int nodes_per_zone);
 
 } // namespace spurrack::fleet
--- a/tools/fleet/http_client.cc
+++ b/tools/fleet/http_client.cc
@@ -16,8 +16,9 @@
 namespace beast = boost::beast;
 namespace beast_http = boost::beast::http;
 
-/// Runs an asynchronous operation until it completes; the timeout of the stream limits its
-/// duration.
+/// Starts an asynchronous operation on a stream and runs `io` until the operation has ended. The
+/// timeout of the stream limits the duration of the operation.
+/// @return error of the operation.
 template <typename start_function>
 boost::system::error_code run_step(asio::io_context& io, start_function start) {
   boost::system::error_code result;
--- a/tools/fleet/http_client.h
+++ b/tools/fleet/http_client.h
@@ -10,14 +10,15 @@
 
 namespace spurrack::fleet {
 
-/// Answer of a server. `status` is 0 if no answer was received; `error` then holds the reason.
+/// Answer of a server. If no complete answer was received, `status` is 0 and `error` holds the
+/// reason.
 struct http_answer {
   unsigned status = 0;
   std::string body;
   std::string error;
   std::map<std::string, std::string> headers;
 
-  /// @return the body as a JSON object; empty if the body is not a JSON object.
+  /// @return the body as a JSON object; an empty object if the body is not a JSON object.
   [[nodiscard]] boost::json::object json() const;
 };
 
@@ -29,7 +30,7 @@
   std::string target;
   std::map<std::string, std::string> headers;
   std::string body;
-  /// Maximum duration of the whole call, from the connect to the end of the answer.
+  /// Maximum duration of the whole call, from the start of the connect to the end of the answer.
   std::chrono::milliseconds timeout{10'000};
 };
 
@@ -41,7 +42,7 @@
 http_answer post(const std::string& address, const std::string& target,
                  const boost::json::object& body);
 /// Sends bytes unchanged on a new connection.
-/// @return all bytes received until the server closes the connection or the timeout ends.
+/// @return all bytes received until the server closes the connection or the timeout has passed.
 std::string exchange_raw(const std::string& address, const std::string& bytes,
                          std::chrono::milliseconds timeout);
 
--- a/tools/fleet/local_fleet.h
+++ b/tools/fleet/local_fleet.h
@@ -6,11 +6,12 @@
 /// platform. A back end runs the calls of the stages that name its pool; a back end that generates
 /// tokens is called an engine.
 ///
-/// A caller may send a request with a ticket or an idempotency key several times; its calls that
-/// must not be repeated still run at most once. A ticket is the permission of a node to run one
-/// request once. A witness of a key is a node that records which request owns the key; witnesses
-/// are chosen from the published list of nodes. A witness grants the key to the first request that
-/// asks for it, and a request runs only if a majority of the key's witnesses granted it the key.
+/// A caller may send a request several times if the request has a ticket or an idempotency key: the
+/// calls of the request that must not be repeated still run at most once. A ticket is the
+/// permission of a node to run one request once. A witness of a key is a node that records which
+/// request owns the key; witnesses are chosen from the published list of nodes. A witness grants
+/// the key to the first request that asks for the key. A request runs only if a majority of the
+/// key's witnesses granted the key to the request.
 #pragma once
 
 #include "child_process.h"
@@ -39,28 +40,30 @@
   std::string zone;
   std::string pool;
   int concurrency = 8;
-  /// Time of a call, without the time for generated tokens.
+  /// Time that the back end takes for a call, in microseconds, without the time to generate tokens.
   int service_microseconds = 1'000;
-  /// Time of a generated token.
+  /// Time that the back end takes to generate one token, in microseconds.
   int token_microseconds = 500;
-  /// Maximum number of calls in flight; the back end refuses further calls.
+  /// Maximum number of calls in flight at the back end; the back end refuses further calls.
   int max_in_flight = 64;
 };
 
 struct fleet_description {
   std::vector<node_description> nodes;
   std::vector<backend_description> backends;
-  /// Key and YAML value of each record that is published at the start.
+  /// Key and YAML value of each record that is published at the start of the fleet.
   std::map<std::string, std::string> records;
-  /// Lifetime of idempotency keys. A witness that has been up for less than this time grants no
-  /// keys.
+  /// Lifetime of an idempotency key. A restarted witness has lost its records of granted keys, so
+  /// it grants no keys until it has been up for this time.
   int key_lifetime_ms = 1'000;
-  /// Time after a change of the published list of nodes during which a majority of the witnesses
-  /// that were chosen from the replaced list must grant a key too.
+  /// Time after a change of the published list of nodes during which two majorities must grant a
+  /// key: a majority of the witnesses that are chosen from the new list, and a majority of the
+  /// witnesses that were chosen from the old list.
   int list_window_ms = 3'600'000;
-  /// YAML lines that are appended to the settings of each node.
+  /// YAML lines that are appended to the settings file of each node.
   std::string extra_settings;
-  /// Whether connections to nodes' peer listeners and to back ends pass through the fault proxy.
+  /// Whether connections to the peer listeners of nodes and connections to back ends pass through
+  /// the fault proxy.
   bool uses_proxy = true;
 };
 
@@ -69,13 +72,14 @@
   std::string callers;
   std::string operators;
   std::string peers;
-  /// Address to which peers connect: the fault proxy's listener, or `peers` without the proxy.
+  /// Address to which peers connect: a listener of the fault proxy, or `peers` if the fleet has no
+  /// proxy.
   std::string peers_advertised;
 };
 
-/// Starts and owns the processes of the fleet. Waits end as soon as their condition holds, at the
-/// latest after `wait_timeout`. Members that wait for a condition throw std::runtime_error on
-/// timeout, except `wait_until`.
+/// Starts and owns the processes of the fleet. A function that waits for a condition returns as
+/// soon as the condition holds. If the condition does not hold within `wait_timeout`, the function
+/// throws std::runtime_error, except `wait_until`, which returns false.
 class local_fleet {
  public:
   static constexpr std::chrono::seconds wait_timeout{30};
@@ -88,22 +92,24 @@
 
   /// Starts all nodes and waits until they are ready.
   void start_all_nodes();
-  /// Starts a node, or restarts a node that has been stopped, without waiting for it.
+  /// Starts a node, or restarts a node that has been stopped. Does not wait until the node is
+  /// ready.
   void start_node(const std::string& name);
-  /// Sets the YAML lines that are appended to the settings of nodes that are started after this
-  /// call.
+  /// Sets the YAML lines that are appended to the settings file of each node that is started after
+  /// this call.
   void set_extra_settings(const std::string& lines) { description_.extra_settings = lines; }
   /// Waits until a node is ready to accept requests.
   void wait_until_ready(const std::string& name);
-  /// Waits until all nodes may grant idempotency keys as witnesses.
+  /// Waits until all nodes may grant idempotency keys as witnesses, which they may once they have
+  /// been up for `key_lifetime_ms`.
   void wait_until_all_may_witness();
-  /// Polls a condition until it holds.
-  /// @return false on timeout.
+  /// Polls a condition until the condition holds or `wait_timeout` has passed.
+  /// @return whether the condition holds.
   static bool wait_until(const std::function<bool()>& condition);
 
   [[nodiscard]] child_process& node(const std::string& name) { return *nodes_.at(name); }
   [[nodiscard]] child_process& backend(const std::string& name) { return *backends_.at(name); }
-  /// Kills a node's process and drops it.
+  /// Kills the process of a node and destroys its `child_process`.
   void remove_node(const std::string& name) { nodes_.erase(name); }
   [[nodiscard]] const node_addresses& addresses(const std::string& name) const {
     return node_addresses_.at(name);
@@ -113,39 +119,45 @@
   }
   [[nodiscard]] const std::string& platform_address() const { return platform_address_; }
 
-  /// Publishes records at the emulated platform; std::nullopt deletes a record.
+  /// Publishes records, given by key, at the emulated platform. The value std::nullopt deletes a
+  /// record.
   void publish(const std::map<std::string, std::optional<std::string>>& records) const;
   /// Publishes the machine record of a back end again.
   /// @param state `live` or `leaving`.
-  /// @param generation number that the platform increases each time the back end returns.
+  /// @param generation number that the platform increases each time a back end that left returns.
   void publish_backend(const std::string& name, const std::string& state, int generation) const;
-  /// Sets the mode of the emulated platform: `up`, `down`, `slow` or `stale`, as described in
-  /// standins/platform_stand_in.cc.
+  /// Sets the mode of the emulated platform, which determines how the platform answers nodes: `up`
+  /// (normal), `down`, `slow` or `stale`, as described in standins/platform_stand_in.cc.
   void set_platform_mode(const std::string& mode) const;
   /// Sets the fault of links of the fault proxy.
-  /// @param links names of nodes or back ends.
-  /// @param fault fields of the proxy's `/admin/fault`; absent fields are cleared.
+  /// @param links names of the links. A link has the name of the node or back end to which it
+  ///        leads.
+  /// @param fault fields of the JSON body of `/admin/fault` of the proxy, such as `cut`. An absent
+  ///        field clears the fault of this name.
   void set_link_fault(const std::vector<std::string>& links,
                       const boost::json::object& fault) const;
-  /// Sets the fault that a back end injects.
-  /// @param times number of calls that the fault applies to; std::nullopt for all further calls.
+  /// Sets the fault that a back end injects into its calls.
+  /// @param fault name of the fault, as listed in standins/backend_stand_in.cc.
+  /// @param times number of calls to which the fault applies; std::nullopt for all further calls.
   void set_backend_fault(const std::string& name, const std::string& fault,
                          std::optional<int> times = std::nullopt) const;
-  /// @return a document of a node's operator listener, such as `/v1/status`; empty on failure.
+  /// @return JSON document that the operator listener of a node serves at a path such as
+  ///         `/v1/status`; an empty object on failure.
   [[nodiscard]] boost::json::object get_document(const std::string& node,
                                                  const std::string& path) const;
-  /// @return number of calls that a back end has executed, over all requests.
+  /// @return number of calls that a back end has executed, summed over all requests.
   [[nodiscard]] std::int64_t executions(const std::string& backend) const;
   [[nodiscard]] std::int64_t executions_in_pool(const std::string& pool) const;
   [[nodiscard]] const fleet_description& description() const { return description_; }
-  /// Folder of the settings and logs of the processes; deleted with the fleet.
+  /// Folder that contains the settings and logs of the processes. The destructor deletes the
+  /// folder.
   [[nodiscard]] const std::filesystem::path& folder() const { return folder_; }
 
-  /// Requests a ticket (permission for one request to run once) from a node.
+  /// Requests a ticket, the permission to run one request once, from a node.
   /// @param token access token of a tenant.
   /// @return the ticket; empty if the answer of the node contains no ticket.
   [[nodiscard]] std::string request_ticket(const std::string& node, const std::string& token) const;
-  /// Sends a pipeline request to a node's caller listener and waits for its answer.
+  /// Sends a pipeline request to the caller listener of a node and waits for the answer.
   [[nodiscard]] http_answer
   send_request(const std::string& node, const std::string& pipeline, const std::string& token,
                const boost::json::object& body,
--- a/tools/fleet_soak.cc
+++ b/tools/fleet_soak.cc
@@ -1,5 +1,5 @@
-/// Runs simulated fleets under random faults, one run per seed, and prints the violated invariants.
-/// Exits with code 1 if an invariant was violated.
+/// Runs simulated fleets under random faults, one run per seed. Prints the violated invariants of
+/// each run, and exits with code 1 if a run violated an invariant.
 #include "logging/guarded_main.h"
 #include "logging/usual_options.h"
 #include "simulation/random_faults.h"
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks formatting, layers, the tests named in docs/PROMISES.md, and clang-tidy. clang-tidy skips a file that passed
-# before if the file, the project headers it includes and .clang-tidy are unchanged.
+# Checks formatting, layers, the tests named in docs/PROMISES.md, and clang-tidy. clang-tidy is not run again on a file
+# that passed before if the file, the project headers it includes and .clang-tidy are unchanged.
 set -euo pipefail
 build=$1
 cd "$(dirname "$0")/.."
--- a/tools/load_scenario.h
+++ b/tools/load_scenario.h
@@ -1,5 +1,7 @@
-/// Open-loop load on simulated fleets of the users' present sizes, to compare balancing policies.
-/// An engine is a back end that generates tokens.
+/// Compares balancing policies under open-loop load: callers send requests at a given rate, whether
+/// or not earlier requests have been answered. The load runs on simulated fleets of the size that
+/// the fleet of each user of the project has at present. An engine is a back end that generates
+/// tokens.
 #pragma once
 
 #include "routing/balancing_policy.h"
@@ -11,15 +13,16 @@
 
 namespace spurrack::experiment {
 
-/// Balancing policy to compare, with or without prediction at admission.
+/// Balancing policy to compare, combined with the choice whether admission predicts missed
+/// deadlines.
 struct policy_variant {
   std::string name;
   routing::policy_kind policy = routing::policy_kind::adaptive;
-  /// Whether admission refuses requests that are expected to miss their deadline.
+  /// Whether admission refuses a request that is expected to miss its deadline.
   bool predict = true;
 };
 
-/// Fault that is injected at the start of the measurement.
+/// Fault that is injected at the start of the measured time.
 enum class scenario_fault : std::uint8_t {
   none,
   slow_replica,
@@ -28,55 +31,61 @@
   zone_partition
 };
 
-/// Load and fault of a run.
+/// Load and fault of one simulation run.
 struct scenario {
   std::string name;
-  /// Offered load as a multiple of `user_profile::capacity`.
+  /// Offered load: rate at which callers send requests, as a multiple of `user_profile::capacity`.
   double offered_load = 0.7;
-  /// Offered load in the middle third of the measurement, as a multiple of
-  /// `user_profile::capacity`; 0 for no burst.
+  /// Offered load during the burst, as a multiple of `user_profile::capacity`; 0 for no burst. The
+  /// burst is the middle third of the measured time.
   double burst_load = 0;
-  /// Template of the requests during the burst; empty for the usual mix.
+  /// Name of the pipeline template of all requests during the burst; empty if the burst uses the
+  /// usual mix of templates.
   std::string burst_template;
   scenario_fault fault = scenario_fault::none;
 };
 
-/// Fleet of a user of the project: nodes, back ends, records, and the mix of the requests.
+/// Fleet of a user of the project, and the mix of the requests that the user sends.
 struct user_profile {
   std::string name;
   std::vector<simulation::node_profile> nodes;
   std::vector<simulation::backend_profile> backends;
+  /// YAML value of each published record (pipeline template or tenant), by key.
   std::map<std::string, std::string> records;
-  /// Share of the requests by template and by tenant; the shares of each list add up to 1.
+  /// Fraction of the requests for each pipeline template and from each tenant. The fractions of
+  /// each list add up to 1.
   std::vector<std::pair<std::string, double>> template_shares;
   std::vector<std::pair<std::string, double>> tenant_shares;
-  /// Requests per second that saturate the busiest pool, for the usual mix.
+  /// Number of requests per second, in the usual mix of templates, that saturates the busiest pool
+  /// of back ends.
   double capacity = 0;
 };
 
-/// Result of a run, over the requests that are sent after the warm-up. Times are in seconds.
+/// Result of one simulation run. Covers the requests that callers send after the warm-up. Times are
+/// in seconds.
 struct measurement {
-  /// Requests sent per second.
+  /// Number of requests sent per second.
   double offered_rate = 0;
   /// Fraction of the sent requests that completed within their deadline.
   double attainment = 0;
-  /// Number of requests that completed within their deadline, divided by the number that the
-  /// capacity allows or by the number sent, whichever is smaller.
+  /// Number of requests that completed within their deadline, divided by the smaller of two
+  /// numbers: the number of sent requests, and the number of requests that `user_profile::capacity`
+  /// allows in the measured time.
   double goodput = 0;
-  /// `attainment` of the tenant with the smallest share of the requests.
+  /// `attainment` of the tenant that sends the smallest fraction of the requests.
   double smallest_tenant_attainment = 0;
-  /// Fraction of the back-end time that was spent on calls whose result no completed request used.
-  /// The time of an aborted call counts from its dispatch and includes the network and the queue of
-  /// the back end.
+  /// Fraction of the time of back ends that was spent on calls whose result no completed request
+  /// used. The time of an aborted call is counted from the dispatch of the call, so it includes the
+  /// time in the network and in the queue of the back end.
   double wasted_share = 0;
-  /// Time from sending a request to its refusal; 99th percentile.
+  /// 99th percentile of the time between sending a request and its refusal.
   double refusal_p99 = 0;
   /// Percentiles of the latency of completed requests.
   double p50 = 0;
   double p95 = 0;
   double p99 = 0;
-  /// Time from sending a request to its first token at the caller, over all streams that began;
-  /// 95th percentile.
+  /// 95th percentile of the time between sending a request and the arrival of its first token at
+  /// the caller, over all requests whose stream of tokens began.
   double first_token_p95 = 0;
   std::uint64_t requests = 0;
 };
@@ -86,7 +95,8 @@
 std::vector<scenario> all_scenarios();
 std::vector<policy_variant> all_variants();
 
-/// Runs a scenario on a user's simulated fleet. Runs with the same arguments give the same result.
+/// Runs a scenario on a simulated fleet of a user. Two runs with the same arguments give the same
+/// result.
 measurement run_scenario(const user_profile& user, const scenario& load_scenario,
                          const policy_variant& variant, std::uint64_t seed);
 
--- a/tools/speed.cc
+++ b/tools/speed.cc
@@ -1,6 +1,6 @@
-/// Measures spurrackd with real processes: the latency that it adds to direct calls of the four
-/// emulated back ends of a pipeline, the processor time per request, the requests per second of one
-/// core, and the resident memory.
+/// Measures spurrackd with real processes: the latency that a node adds compared with direct calls
+/// of the four emulated back ends of a pipeline, the processor time per request, the requests per
+/// second of one core, and the resident memory.
 #include "fleet/example_records.h"
 
 #include "http/endpoint.h"
@@ -70,8 +70,9 @@
   return std::chrono::duration<double>(clock_type::now() - started_at).count();
 }
 
-/// @return latencies in seconds of `count` sequences of direct calls, without a node. A sequence
-///         calls one back end of each of the four stages.
+/// @return latencies in seconds of `count` sequences of direct calls. Each sequence calls, one
+///         after another, one back end of each of the four stages. The calls do not pass through a
+///         node.
 std::vector<double> measure_direct_latencies(const fleet::local_fleet& fleet, int count) {
   const std::vector<std::pair<std::string, std::string>> stages{{"encode", "encoder"},
                                                                 {"retrieve", "retriever"},
@@ -95,8 +96,8 @@
   return latencies;
 }
 
-/// @return latencies in seconds of `count` pipeline requests that are sent to a node one after
-///         another.
+/// @return latencies in seconds of `count` pipeline requests that are sent one after another to the
+///         node entry-north1.
 std::vector<double> measure_node_latencies(const fleet::local_fleet& fleet, int count) {
   persistent_connection connection(fleet.addresses("entry-north1").callers);
   std::vector<double> latencies;
