--- a/standins/backend_stand_in.cc
+++ b/standins/backend_stand_in.cc
@@ -1,6 +1,7 @@
-/// Emulated back end: an engine (generates tokens), a back end of any other stage pool (encodes,
-/// retrieves or reranks) or a plain service. Each call takes a configured time. Executions are
-/// counted by request, and faults are injected by `/admin/fault`.
+/// Emulates a back end: an engine (generates tokens), a back end of another stage pool (encodes,
+/// retrieves or reranks), or a plain service. The path of a call names the kind of its stage. Each
+/// call takes a configured time. Executions are counted by request. `/admin/fault` sets the fault
+/// that the back end injects into calls.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -21,20 +22,21 @@
 using spurrack::standins::service_exchange;
 using spurrack::standins::wait_for;
 
-/// Fault of a call. `/admin/fault` sets a fault for the next `times` calls, or for all further
-/// calls without `times`. `truncate`, `reset` and `duplicate` have no effect on calls of kind
-/// `generate`, `break_stream` has no effect on other calls.
+/// Fault that the back end injects into a call. `/admin/fault` sets the fault of the next `times`
+/// calls, or of all further calls if `times` is absent. `truncate`, `reset` and `duplicate` have no
+/// effect on calls whose stage has the kind `generate`. `break_stream` has an effect only on calls
+/// whose stage has the kind `generate`.
 enum class fault {
   none,
-  leaving,      ///< Refuses the call because the back end is leaving.
-  overloaded,   ///< Refuses the call because the back end is overloaded.
+  leaving,      ///< Refuses the call like a back end that leaves the fleet.
+  overloaded,   ///< Refuses the call like an overloaded back end.
   truncate,     ///< Executes the call, then closes the connection in the middle of the answer.
   reset,        ///< Executes the call, then resets the connection without an answer.
-  reset_early,  ///< Resets the connection before the call is executed.
+  reset_early,  ///< Resets the connection without executing the call.
   hang,         ///< Executes the call, but does not complete the answer within an hour.
   crossed,      ///< Executes the call, then answers with the id of another request.
-  duplicate,    ///< Executes the call, then answers twice on the same connection.
-  break_stream, ///< Sends half of the tokens, then resets the connection.
+  duplicate,    ///< Executes the call, then sends the answer twice on the connection.
+  break_stream, ///< Sends about half of the tokens, then resets the connection.
 };
 
 const std::map<std::string, fault> fault_names{{"none", fault::none},
@@ -50,12 +52,12 @@
 
 struct backend_settings {
   std::string id;
-  /// Time of a call, without the time for generated tokens.
+  /// Time that the back end takes for a call, without the time to generate tokens.
   std::chrono::microseconds service_time{0};
-  /// Time of a generated token.
+  /// Time that the back end takes to generate one token.
   std::chrono::microseconds token_time{0};
   std::int64_t concurrency = 8;
-  /// Maximum number of calls in flight; further calls are refused.
+  /// Maximum number of calls in flight at the back end; the back end refuses further calls.
   std::int64_t max_in_flight = 16;
 };
 
@@ -100,8 +102,9 @@
     return body;
   }
 
-  /// Counts a call against the current fault.
-  /// @return the fault of the call.
+  /// Chooses the fault of a new call. If the call has a fault, decrements the number of further
+  /// calls that get this fault.
+  /// @return fault of the call.
   fault take_next_fault() {
     if (current_fault_ == fault::none || remaining_faulty_calls_ <= 0) {
       return fault::none;
@@ -200,7 +203,7 @@
                             "Transfer-Encoding: chunked\r\n\r\n");
     for (auto offset = first_offset; offset < token_count; ++offset) {
       co_await wait_for(settings_.token_time);
-      // The first token contains the prompt, so that tests can check to which request the answer
+      // The first token contains the prompt, so that tests can check to which request an answer
       // belongs.
       const auto text = offset == 0 ? "generate(" + prompt + ")" : " w" + std::to_string(offset);
       json::object token;
@@ -228,13 +231,13 @@
 
   backend_settings settings_;
   fault current_fault_ = fault::none;
-  /// Number of calls that `current_fault_` still applies to.
+  /// Number of further calls to which `current_fault_` applies.
   std::int64_t remaining_faulty_calls_ = 0;
   std::int64_t calls_ = 0;
   std::int64_t in_flight_ = 0;
-  /// Number of generating calls whose caller closed the connection before the last token.
+  /// Number of calls whose caller closed the connection before the back end had sent all tokens.
   std::int64_t cancelled_ = 0;
-  /// Number of executed calls by request id.
+  /// Number of executed calls, by id of the request to which the calls belong.
   std::map<std::string, std::int64_t> executions_;
 };
 
--- a/standins/fault_proxy.cc
+++ b/standins/fault_proxy.cc
@@ -1,6 +1,7 @@
-/// TCP proxy that injects faults. Forwards the connections of each link to the link's target, and
-/// can cut, delay or black-hole the link. A cut resets the connections of the link. Links are given
-/// by `--link`, faults by `/admin/fault`.
+/// TCP proxy that injects faults. A link consists of a listening address and the target to which
+/// the proxy forwards the connections that it accepts there. `--link` defines the links.
+/// `/admin/fault` sets the fault of a link: a cut link resets its connections, a delayed link
+/// forwards bytes later, and a black hole keeps its connections open but holds back all bytes.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -30,19 +31,24 @@
 using spurrack::standins::service_exchange;
 using spurrack::standins::wait_for;
 
-/// Interval at which a connection checks whether its link is still a black hole.
+/// Interval at which a connection that holds back bytes checks whether its link is still a black
+/// hole.
 constexpr std::chrono::milliseconds black_hole_poll_interval{20};
 
-/// State of a link; shared by the connections of the link.
+/// State of a link. All connections of the link share this state.
 struct proxy_link {
   tcp::endpoint target;
-  /// Whether new connections are reset. Existing connections are reset when the link is cut.
+  /// Whether the link is cut: new connections are reset. Existing connections are reset at the
+  /// moment of the cut.
   bool is_cut = false;
-  /// Whether bytes are held back while connections stay open. When the link works again, the bytes
-  /// are forwarded, as the sender's kernel would retransmit them: no byte of the stream is missing.
+  /// Whether the link is a black hole: connections stay open, but their bytes are held back. The
+  /// bytes are forwarded once the link is no longer a black hole, because after a real network
+  /// failure the kernel of the sender would retransmit the bytes. No byte of a stream is lost.
   bool is_black_hole = false;
-  /// Delay of each block of bytes that is read from a socket.
+  /// Time for which each block of bytes is delayed between reading the block from one socket and
+  /// writing the block to the other socket.
   std::chrono::milliseconds delay{0};
+  /// Both sockets of each connection of the link.
   std::list<std::weak_ptr<tcp::socket>> sockets;
 
   void reset_all() {
@@ -57,8 +63,9 @@
   }
 };
 
-/// Forwards bytes in one direction until the source ends its stream or a socket fails. Passes on
-/// the end of the stream; resets both connections after a failure.
+/// Forwards bytes in one direction until the source ends its stream or a socket fails. If the
+/// source ends its stream, ends the stream to the destination too. If a socket fails, resets the
+/// connection to the destination and closes the connection to the source.
 asio::awaitable<void> forward_bytes(std::shared_ptr<proxy_link> link,
                                     std::shared_ptr<tcp::socket> source,
                                     std::shared_ptr<tcp::socket> destination) {
@@ -141,8 +148,7 @@
   co_await exchange.reply(200, boost::json::object());
 }
 
-/// Adds a link and accepts its connections.
-/// @param definition `name,listen,target`; `listen` and `target` are `IP:port`.
+/// Adds a link and starts to accept connections at its listening address.
 void add_link(asio::io_context& io, link_map& links, const std::string& definition) {
   std::istringstream parts(definition);
   std::string name;
--- a/standins/platform_stand_in.cc
+++ b/standins/platform_stand_in.cc
@@ -1,6 +1,7 @@
-/// Emulates the platform, the service that publishes the configuration and the list of machines;
-/// nodes only read from it. Serves `GET /v1/entries` for nodes and `/admin/...` for tests. Counts
-/// the calls of nodes, and can be slow, stale, down or restored to an earlier revision.
+/// Emulates the platform, the service that publishes the configuration and the list of machines.
+/// Nodes only read from the platform. Serves `GET /v1/entries` for nodes and `/admin/...` for
+/// tests. Counts the calls of nodes. The platform can be slow, stale (answers without new entries)
+/// or down, and can be restored to an earlier revision.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -25,17 +26,23 @@
 using spurrack::standins::service_exchange;
 using spurrack::standins::wait_for;
 
-/// Behaviour towards nodes. `down` resets connections and `slow` delays answers. `stale` answers
-/// without entries and with the revision at which the mode was set.
-enum class mode { up, down, slow, stale };
+/// Mode of the emulated platform: how the platform answers nodes.
+enum class mode {
+  up,   ///< Answers normally.
+  down, ///< Resets the connection.
+  slow, ///< Delays the answer.
+  stale ///< Answers without entries and with the revision that was current when the mode was set.
+};
 
-/// Latest revision of a record; the value is std::nullopt if the record is deleted.
+/// Latest revision and value of a published record. The value is std::nullopt if the record is
+/// deleted.
 struct published_entry {
   std::uint64_t revision = 0;
   std::optional<std::string> value;
 };
 
-/// @return the parameter `name` of a target's query; 0 if it is absent.
+/// @return value of the numeric parameter `name` in the query of a request target; 0 if the query
+///         does not contain the parameter.
 std::uint64_t parse_query_number(const std::string& target, const std::string& name) {
   const auto position = target.find(name + "=");
   std::uint64_t value = 0;
@@ -76,8 +83,9 @@
     return body;
   }
 
-  /// Answers with the entries that were published after a revision. If there are no such entries,
-  /// first waits for a change, for at most `wait_ms` milliseconds.
+  /// Answers with the entries that were published after the revision `after_revision`. If no entry
+  /// was published after this revision, first waits for the next change by a test, for at most
+  /// `wait_ms` milliseconds. The modes `down`, `slow` and `stale` change this behaviour.
   asio::awaitable<void> reply_with_entries(service_exchange& exchange, std::uint64_t after_revision,
                                            std::uint64_t wait_ms) {
     ++calls_;
@@ -158,7 +166,8 @@
     co_await exchange.reply(200, json::object());
   }
 
-  /// Restores an earlier revision, as a service that is restored from a backup does.
+  /// Sets the current revision back to an earlier revision and removes all entries that were
+  /// published later, as if the platform had been restored from a backup.
   asio::awaitable<void> restore(service_exchange& exchange) {
     const auto body = exchange.body();
     revision_ = static_cast<std::uint64_t>(body.at("revision").as_int64());
@@ -172,10 +181,11 @@
   std::uint64_t revision_ = 0;
   std::uint64_t calls_ = 0;
   mode mode_ = mode::up;
-  /// Revision at which the mode was last set.
+  /// Revision of the platform at the last call of `/admin/mode`. Answers in the mode `stale`
+  /// contain this revision.
   std::uint64_t stale_revision_ = 0;
   std::chrono::milliseconds slow_delay_{0};
-  /// Timers of the reads that wait for a change.
+  /// Timers that limit the waits of pending reads for a change. Cancelling a timer wakes its read.
   std::set<std::shared_ptr<asio::steady_timer>> waiting_reads_;
 };
 
