--- a/tests/fleet/answers_test.cc
+++ b/tests/fleet/answers_test.cc
@@ -1,5 +1,6 @@
-/// Tests with real processes: late, misdirected, duplicated and truncated answers of back ends,
-/// broken streams, disconnecting callers and malformed requests.
+/// Tests with real processes: late, duplicated and truncated answers of back ends, answers with the
+/// id of another request, broken streams of tokens, callers that disconnect, and malformed
+/// requests.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -9,7 +10,8 @@
 using namespace spurrack::fleet;
 using std::chrono::milliseconds;
 
-/// Small fleet whose nodes have short limits on the time and size of received requests.
+/// Small fleet whose nodes have a short timeout for receiving a request and a low limit for the
+/// size of its body.
 struct small_fleet_fixture {
   small_fleet_fixture() : fleet(binaries(), describe()) { fleet.start_all_nodes(); }
   static fleet_description describe() {
@@ -26,14 +28,14 @@
         .json();
   }
 
-  /// @return value of a metric of entry-north1; -1 if it is absent.
+  /// @return value of a metric of the node entry-north1; -1 if the node does not report the metric.
   [[nodiscard]] double read_metric(const std::string& name) const {
     const auto body = get(fleet.addresses("entry-north1").operators, "/metrics").body;
     const auto position = body.find("\n" + name + " ");
     return position == std::string::npos ? -1 : std::stod(body.substr(position + name.size() + 2));
   }
 
-  /// Sends bytes to the caller listener of entry-north1.
+  /// Sends bytes to the caller listener of the node entry-north1.
   /// @return all bytes received.
   [[nodiscard]] std::string send_raw(const std::string& bytes) const {
     return exchange_raw(fleet.addresses("entry-north1").callers, bytes, milliseconds(5'000));
@@ -48,7 +50,7 @@
          extra + "\r\n";
 }
 
-/// Bytes of a request, with the status and error code of the expected answer.
+/// Malformed request, with the HTTP status and the error code of the expected answer.
 struct malformed_request {
   std::string bytes;
   std::string status;
--- a/tests/fleet/disturbance_test.cc
+++ b/tests/fleet/disturbance_test.cc
@@ -1,9 +1,9 @@
-/// Tests with real processes: killed, suspended, partitioned and stopped nodes, platform outages,
-/// and back ends that hang or leave, most of them under load.
+/// Tests with real processes: nodes that are killed, suspended, partitioned or stopped, outages of
+/// the platform, and back ends that hang or announce that they leave. Most tests run under load.
 ///
 /// The platform is the service that publishes the configuration and the list of machines; nodes
-/// only read from it. The tests use `client-answer`, an example pipeline template from
-/// tools/fleet/example_records.cc, as the configuration that changes.
+/// only read from the platform. The configuration that changes in the tests is `client-answer`, an
+/// example pipeline template from tools/fleet/example_records.cc.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -18,7 +18,7 @@
     fleet.start_all_nodes();
   }
 
-  /// @return whether `node` reports that the node `subject` is in `state`.
+  /// @return whether the node `node` reports that the node `subject` is in the state `state`.
   [[nodiscard]] bool reports_state(const std::string& node, const std::string& subject,
                                    const std::string& state) const {
     const auto document = fleet.get_document(node, "/v1/nodes");
@@ -47,7 +47,7 @@
     return hashes.size() == 1;
   }
 
-  /// Publishes the pipeline template `client-answer` again, with another deadline.
+  /// Publishes the pipeline template `client-answer` again, with the deadline `deadline_ms`.
   void publish_deadline(int deadline_ms) const {
     auto template_text = fleet.description().records.at("templates/client-answer");
     const std::string old = "deadline_ms: 3000";
@@ -56,7 +56,8 @@
     fleet.publish({{"templates/client-answer", template_text}});
   }
 
-  /// @return whether the pipeline template `client-answer` has this deadline at `node`.
+  /// @return whether the node `node` uses the deadline `deadline_ms` for the pipeline template
+  ///         `client-answer`.
   [[nodiscard]] bool is_in_effect(const std::string& node, int deadline_ms) const {
     const auto document = fleet.get_document(node, "/v1/templates");
     const auto* templates = document.if_contains("templates");
@@ -266,7 +267,7 @@
         "curve:\n  public_key: '" + public_key + "'\n  secret_key: '" + secret_key + "'\n";
     return description;
   };
-  // Key pairs of the ZeroMQ examples; not used outside tests.
+  // CURVE key pairs from the ZeroMQ examples. The key pairs are not used outside tests.
   const std::string first_public = "rq:rM>}U?@Lns47E1%kR.o@n%FcmmsL/@{H8]yf7";
   const std::string first_secret = "JTKVSB%%)wK0E.X)V>+}o?pNmC{O&4W4b!Ni{Lh6";
   local_fleet fleet(binaries(), with_keys(first_public, first_secret));
@@ -294,8 +295,9 @@
     const std::string name = "\nspurrack_control_sent_bytes_total ";
     return std::stod(body.substr(body.find(name) + name.size()));
   };
-  // Number of sent bytes after which the restarted node has sent several membership probes. The
-  // other node must not have accepted any of these probes.
+  // Number of bytes that the restarted node entry-north2 has sent once it has sent several
+  // membership probes. The node entry-north1 has a different key pair, so it must not accept any of
+  // these probes.
   constexpr double several_probes_bytes = 600;
   bool was_seen_alive = false;
   BOOST_TEST(local_fleet::wait_until([&] {
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -1,4 +1,4 @@
-/// Helpers of the tests with real processes.
+/// Helpers that the tests with real processes share.
 #pragma once
 
 #include "fleet/background_load.h"
@@ -10,19 +10,20 @@
 
 namespace spurrack::fleet {
 
-/// @return folder of the programs under test; the build sets it.
+/// @return folder of the programs under test. The build defines the folder as a macro.
 inline std::filesystem::path binaries() {
   return SPURRACK_BINARIES;
 }
 
-/// @return the string field `name`; empty if it is absent or not a string.
+/// @return value of the string field `name` of a JSON object; an empty string if the field is
+///         absent or not a string.
 inline std::string string_field(const boost::json::object& body, const char* name) {
   const auto* value = body.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : "";
 }
 
-/// @return a fleet of one zone with two nodes and a single back end of each pool, so that every
-///         request uses the back end in which a test injects a fault.
+/// @return description of a fleet of one zone with two nodes and a single back end of each pool.
+///         Every request therefore uses the back end in which a test injects a fault.
 inline fleet_description small_fleet() {
   auto fleet = example_fleet({"north"}, 2);
   std::erase_if(fleet.backends, [](const auto& backend) { return backend.name.ends_with("2"); });
@@ -34,8 +35,8 @@
   return names;
 }
 
-/// Sends a payout request with an idempotency key.
-/// @return the body of the answer.
+/// Sends a payout request with an idempotency key to a node.
+/// @return JSON body of the answer.
 inline boost::json::object pay(const local_fleet& fleet, const std::string& node,
                                const std::string& key, int deadline_ms = 3'000) {
   return fleet
