--- a/src/node/events.h
+++ b/src/node/events.h
@@ -1,6 +1,6 @@
-/// Events that a node processes and commands that it returns. They are the interface between the
-/// decision logic and its environment: the daemon, the simulation and the tests drive the same
-/// logic through them.
+/// Events that a node processes, and commands that a node returns. Events and commands are the
+/// interface between the decision logic and its environment. The daemon, the simulation and the
+/// tests drive the same decision logic through this interface.
 #pragma once
 
 #include "base/event_log.h"
@@ -20,14 +20,14 @@
 
 namespace spurrack::node {
 
-/// The two platform services, from which nodes read the published entries of the platform's store:
-/// one publishes the configuration, the other one the machines and replicas.
+/// The two platform services, from which nodes read the entries of the platform's store.
+/// `configuration` publishes the configuration; `machine_list` publishes the machines and replicas.
 enum class source_kind : std::uint8_t { configuration, machine_list };
 inline constexpr std::size_t source_count = 2;
 
-/// Time has passed without another event.
+/// A time was reached at which the node has work to do (see `node::next_wakeup`).
 struct time_passed {};
-/// A message arrived from a peer, whose identity has been authenticated.
+/// A message arrived from a peer whose identity has been authenticated.
 struct peer_message {
   wire::envelope message;
 };
@@ -35,9 +35,9 @@
 struct caller_arrived {
   base::caller_id caller = 0;
   execution::caller_request request;
-  /// Time at which the request reached this machine. It is earlier than the time of the event if
-  /// the process was suspended. Deadlines count from it, so that a request that waited during the
-  /// suspension is not run late.
+  /// Time at which the request reached this machine. If the process was suspended, this time is
+  /// earlier than the time of the event. Deadlines are computed from this time, so that a request
+  /// that waited during the suspension is not run late.
   base::time_point arrived_at;
 };
 /// The connection of a caller was closed.
@@ -47,7 +47,7 @@
 /// A caller requested a ticket.
 struct ticket_requested {
   base::caller_id caller = 0;
-  /// Lower-case hexadecimal SHA-256 of the caller's token.
+  /// SHA-256 of the caller's token, in lower-case hexadecimal digits.
   std::string token_sha256;
 };
 /// A platform service answered a read.
@@ -56,13 +56,13 @@
   std::vector<wire::catalog_entry> entries;
   /// Revision of the service that the answer reflects.
   base::revision service_revision = 0;
-  /// Era of the service, which increases by one each time the store is restored from an older
-  /// backup; std::nullopt if the answer names no readable era.
+  /// Era of the service: a number that increases by one each time the store is restored from an
+  /// older backup; std::nullopt if the answer contains no readable era.
   std::optional<base::store_era> era;
-  /// Whether the answer names an era that cannot be read.
+  /// Whether the answer contains an era that cannot be read.
   bool is_era_unreadable = false;
-  /// Whether the answer is a listing: `entries` are all entries of the service at
-  /// `service_revision`, not only the changes after the requested revision.
+  /// Whether the answer is a listing: `entries` contains all entries of the service at
+  /// `service_revision`, not only the entries that changed after the requested revision.
   bool is_listing = false;
 };
 /// A read or a probe of a platform service failed.
@@ -90,7 +90,7 @@
 /// answer until an entry changes (long polling).
 struct read_service {
   source_kind source = source_kind::configuration;
-  /// Revision after which changes are returned; 0 for a listing of all entries.
+  /// Revision after which entries changed; 0 requests a listing of all entries.
   base::revision after = 0;
   /// Whether the answer may be a listing that is some seconds old.
   bool allow_stale = false;
@@ -98,21 +98,23 @@
   base::duration max_hold_time{};
 };
 /// Sends a small query to a platform service while the answer to a read is pending, to check that
-/// the service still answers. Only a failure is reported, as `service_failed`.
+/// the service still answers. The event `service_failed` reports a failed query; a successful query
+/// causes no event.
 struct probe_service {
   source_kind source = source_kind::configuration;
 };
-/// Sends a ticket to the caller that requested it.
+/// Sends a ticket to the caller that requested the ticket.
 struct send_ticket {
   base::caller_id caller = 0;
   std::string ticket;
   base::duration lifetime{};
 };
-/// Writes a decision of the serving path to the log.
+/// Writes a recorded event to the log of the daemon. Returned only by nodes that serve published
+/// routes.
 struct log_decision {
   base::event what;
 };
-/// The graceful stop is complete and the process may exit: no requests are active, or the maximum
+/// The graceful stop is complete and the process may exit: no request is active, or the maximum
 /// duration of the stop has passed.
 struct stop_completed {};
 
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -7,22 +7,23 @@
 namespace {
 
 constexpr base::duration periodic_interval = std::chrono::milliseconds(100);
-/// Maximum interval between two events that does not count as a gap: a running node processes an
-/// event at least every `periodic_interval`.
+/// Maximum interval between two events of a node that runs without interruption; a longer interval
+/// is a gap. Without a gap, a node processes an event at least every `periodic_interval`.
 constexpr base::duration max_regular_event_interval = 2 * periodic_interval;
-/// Maximum number of members of other zones that this node uses as replication peers at a time: in
-/// its region, and in other regions, to which traffic is expensive.
+/// Maximum numbers of members of other zones that this node uses as replication peers at a time.
+/// Members in the region of this node are near; members in other regions are far, and traffic to
+/// far members is expensive.
 constexpr std::size_t max_near_replication_peers = 2;
 constexpr std::size_t max_far_replication_peers = 1;
-/// Maximum number of peers to which a resync request is sent at once: with 10 peers, one of them
-/// answers even if half of the fleet is starting, and a fleet that starts as a whole is not
+/// Maximum number of peers to which a resync request is sent at once. With 10 peers, one of the
+/// peers answers even if half of the fleet is starting, and a fleet that starts as a whole is not
 /// overloaded with requests.
 constexpr std::size_t max_resync_peers = 10;
-/// Maximum number of rounds in which messages from this node to itself are processed within one
-/// event; prevents endless loops.
+/// Maximum number of rounds, within one event, in which messages from this node to itself are
+/// processed. This limit prevents endless loops.
 constexpr std::size_t max_loopback_rounds = 8;
 
-/// Copies the safety switches to the settings of the parts that use them.
+/// Copies the safety switches of a node to the settings of the guard and of routing.
 node_settings with_switches(node_settings settings) {
   settings.guard.switches = settings.switches;
   settings.routing.switches = settings.switches;
@@ -147,7 +148,7 @@
 
 void node::detect_suspension(base::time_point now) {
   // Requests may have waited in sockets during any gap, even if the gap is too short to count as a
-  // suspension. Therefore the time without requests starts again after each gap.
+  // suspension. Therefore the time without new requests is counted anew from the end of each gap.
   if (now - last_event_at_ > max_regular_event_interval) {
     quiet_since_ = now;
   }
@@ -367,8 +368,8 @@
   if (!is_stopping_) {
     return;
   }
-  // Requests are also aborted after the end of the stop was reported, because requests may still
-  // arrive on open connections.
+  // Requests may still arrive on open connections after `stop_completed` was emitted, so overdue
+  // requests are aborted then as well.
   abort_overdue_requests(now);
   if (is_stop_reported_) {
     return;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,11 @@
-/// Decision logic of one spurrackd: membership, configuration, routing and execution behind one
-/// function that processes events. Uses no I/O, no clock and no threads.
+/// Decision logic of one spurrackd process: membership, configuration, routing and execution behind
+/// the function `node::handle`, which processes events. Uses no I/O, no clock and no threads.
+///
+/// A peer is another node of the fleet. The catalog is a node's copy of the records that the
+/// platform services publish. A node watches a platform service if it reads the service
+/// continuously; most nodes receive the published records from peers instead. A resync is a request
+/// to a peer for the changes that this node missed. A leave notice announces to other nodes that a
+/// back end drains. The serving path serves requests on published routes.
 #pragma once
 
 #include "admission/stage_scheduler.h"
@@ -27,7 +33,7 @@
 
 namespace spurrack::node {
 
-/// Settings of a node, given at its start.
+/// Settings that a node receives at its start.
 struct node_settings {
   membership::identity self;
   std::vector<base::network_address> seeds;
@@ -35,31 +41,33 @@
   execution::guard_settings guard;
   admission::scheduling_settings scheduling;
   routing::routing_limits routing;
-  /// Maximum interval between two events of a running process; after a longer interval the process
-  /// counts as having been suspended.
+  /// Maximum interval between two events of a process that runs without interruption. After a
+  /// longer interval, the process counts as having been suspended.
   base::duration suspension_threshold = std::chrono::milliseconds(1000);
   catalog::watch_timing service_timing;
-  /// Time for which a starting node waits for a peer whose catalog equals its own before it becomes
-  /// ready with only the answers of the platform services. Also the time for which dispatch is
-  /// paused after a suspension if no peer with an equal catalog answers.
+  /// Time after its start from which the answers of the platform services alone can make a node
+  /// ready. Before this time, a node becomes ready only if it finds a peer whose catalog equals its
+  /// own catalog. Also the time after which dispatch resumes after a suspension if no peer with an
+  /// equal catalog answers.
   base::duration resync_timeout = std::chrono::milliseconds(1000);
-  /// Time without new requests after which a stopping node may exit: load balancers learn of the
-  /// graceful stop late, and requests may have waited in sockets during a suspension of the
-  /// process.
+  /// Time since the last new request after which a stopping node may exit. Requests may still
+  /// arrive during a graceful stop: load balancers learn of the stop late, and requests may have
+  /// waited in sockets while the process was suspended.
   base::duration stop_linger_time = std::chrono::milliseconds(300);
   /// Time after the start of a graceful stop from which `stop_linger_time` no longer applies, so
   /// that callers that keep sending requests cannot delay the exit further.
   base::duration max_stop_linger_time = std::chrono::seconds(10);
   /// Maximum number of events that the event log keeps.
   std::size_t event_log_capacity = 4096;
-  /// Wall clock minus boot clock, in microseconds.
+  /// Difference between the two clocks, wall clock minus boot clock, in microseconds.
   std::int64_t wall_offset_microseconds = 0;
   base::safety_switches switches;
-  /// Set if the node serves published routes.
+  /// Settings of the serving path; std::nullopt if the node serves no published routes.
   std::optional<serving::serving_settings> serving;
 };
 
-/// Class of messages to peers, by their kind and the locality of their receivers.
+/// Class of messages that a node sends to peers: the kind of the messages, and the locality of
+/// their receivers relative to the node.
 struct traffic_class {
   wire::envelope::BodyCase kind = wire::envelope::BODY_NOT_SET;
   model::locality locality = model::locality::elsewhere;
@@ -68,7 +76,7 @@
 
 /// Counts of the messages that a node exchanged with its peers.
 struct control_counters {
-  /// @return number of bytes sent in messages of one kind.
+  /// @return number of bytes sent in messages of one kind, to receivers of every locality.
   [[nodiscard]] std::uint64_t bytes_sent_of(wire::envelope::BodyCase kind) const;
 
   std::uint64_t messages_sent = 0;
@@ -78,18 +86,19 @@
   std::uint64_t bytes_received = 0;
 };
 
-/// Counts of the answers of the platform services with an unusual era.
+/// Counts of the answers of the platform services whose era is unusual. The era is a number that
+/// increases each time the store of the platform is restored from an older backup.
 struct store_counters {
-  /// Number of answers that showed that the store was restored from an older backup. Each platform
-  /// service that this node reads shows a restore once.
+  /// Number of answers that showed that the store was restored from an older backup. Each restore
+  /// is counted once for each platform service that this node reads.
   std::uint64_t era_changes = 0;
-  /// Number of ignored answers of an era before the latest known era.
+  /// Number of answers that were ignored because their era is before the latest known era.
   std::uint64_t outdated_answers = 0;
-  /// Number of answers that named an unreadable or implausible era.
+  /// Number of answers whose era cannot be read or is implausibly far beyond the latest known era.
   std::uint64_t unreadable_eras = 0;
 };
 
-/// Node of the fleet, driven by events. Not thread-safe.
+/// Node of the fleet, driven by the events of node/events.h. Not thread-safe.
 class node {
  public:
   /// @param random must outlive the node.
@@ -99,10 +108,10 @@
 
   /// Processes an event.
   /// @param now time of the event; must not be earlier than the time of the previous event.
-  /// @return the commands to carry out, in order.
+  /// @return commands that the caller must carry out, in this order.
   command_list handle(const event& input_event, base::time_point now);
 
-  /// @return the latest time at which `time_passed` must be delivered.
+  /// @return time at which the caller must deliver the event `time_passed` at the latest.
   [[nodiscard]] base::time_point next_wakeup() const;
 
   [[nodiscard]] bool is_ready() const { return is_ready_ && !is_stopping_; }
@@ -117,12 +126,14 @@
   [[nodiscard]] const base::event_log& events() const { return events_; }
   [[nodiscard]] const control_counters& control() const { return control_; }
   [[nodiscard]] const store_counters& store() const { return store_; }
-  /// @return whether this node should read a platform service now: because it is one of the nodes
-  ///         that watch the service for the nodes of their zone or region, because it is starting,
-  ///         or in place of a node that cannot read the service.
+  /// @return whether this node should read a platform service now, for one of three reasons: this
+  ///         node is one of the nodes that watch the service for the nodes of their zone or region;
+  ///         or this node is starting and its peers have not sent the catalog within
+  ///         `peer_wait_time`; or this node watches the service in place of a node that cannot read
+  ///         the service.
   [[nodiscard]] bool should_read_service(source_kind source, base::time_point now) const;
-  /// Sets the memory budget for the buffered bytes of incomplete stream events of the serving path.
-  /// Has no effect if the node serves no published routes.
+  /// Sets the memory budget that limits the bytes of incomplete stream events buffered by the
+  /// serving path. Has no effect if the node serves no published routes.
   void set_budget(std::shared_ptr<flow::byte_budget> budget) {
     if (serving_) {
       serving_->set_budget(std::move(budget));
@@ -151,54 +162,59 @@
   void on(const release_requested& input_event, base::time_point now);
   void on(const serving::event& input_event, base::time_point now);
 
-  /// Counts and records an answer that shows a new, outdated or unreadable era.
+  /// Checks the era and the revision that an answer names. Counts an answer with a new, outdated,
+  /// implausible or unreadable era in `store_counters`. Writes an event to the event log for each
+  /// of these cases, and if the revision is earlier than before.
   void note_era(const service_answered& answer, const catalog::answer_meaning& meaning);
-  /// Detects by the time since the last event that the process or its machine was suspended. After
-  /// a suspension pauses dispatch and requests the missed changes from peers.
+  /// Detects from the time since the last event that the process or its machine was suspended.
+  /// After a suspension, pauses dispatch and requests from peers the changes that this node missed.
   void detect_suspension(base::time_point now);
-  /// Sends a resync request to several peers: requests the catalog changes and the leave notices
+  /// Sends a resync request to several peers, to obtain the catalog changes and the leave notices
   /// that this node missed.
   void request_resync(base::time_point now);
-  /// Checks whether the catalog of a message's sender equals this node's catalog. If the message
-  /// also answers a resync request, ends the pause of dispatch.
+  /// Checks whether the sender of a message has the same catalog as this node. If so, this node is
+  /// up to date, and its dispatch resumes if the message answers a resync request.
   void check_resync(const wire::envelope& message, base::time_point now);
-  /// Makes the node ready if its catalog has the content that it needs, and either a peer has an
-  /// equal catalog or the platform services have answered and `resync_timeout` has passed.
+  /// Makes the node ready on two conditions: the catalog has the content that the node needs, and
+  /// either a peer has an equal catalog or, after `resync_timeout`, both platform services have
+  /// answered.
   void update_readiness(base::time_point now);
   void run_periodic(base::time_point now);
-  /// @return whether this node is one of the nodes that watch a platform service for the nodes of
-  ///         their zone or region.
+  /// @return whether this node is one of the nodes whose job is to watch a platform service for the
+  ///         nodes of their zone or region.
   [[nodiscard]] bool has_watch_job(source_kind source, base::time_point now) const;
-  /// Starts the reads and probes of the platform services that are due.
+  /// Starts each read and each probe of the platform services that is due.
   void read_services(base::time_point now);
-  /// Hands over to a peer the watch of a platform service that this node failed to read.
+  /// Hands over the watch of a platform service to a peer, because this node failed to read the
+  /// service.
   void hand_over_watch(source_kind source, base::time_point now);
   void on_watch_handover(const wire::watch_handover& handover, base::time_point now);
   void apply_machine_changes(base::time_point now);
   void apply_serving_changes(base::time_point now);
   void update_serving_peers(base::time_point now);
-  /// @return how long this node waits after its start for peers to send it the catalog. A node that
-  ///         is not ready after this time reads the platform services itself.
+  /// @return time for which this node waits after its start for peers to send the catalog. If the
+  ///         node is not ready after this time, the node reads the platform services itself.
   [[nodiscard]] base::duration peer_wait_time() const;
-  /// @return whether this node has at least the fraction `min_strong_node_fraction` of the cores of
-  ///         the strongest known node.
+  /// @return whether this node is strong, which means that it has at least the fraction
+  ///         `min_strong_node_fraction` of the cores of the strongest known node.
   [[nodiscard]] bool is_strong() const;
-  /// @return false if a zone is known to be in another region than this node; true for every zone
-  ///         if the settings name no regions.
+  /// @return whether a zone may be in the region of this node: false if the settings name different
+  ///         regions for the zone and this node; true for every zone if the settings name no
+  ///         regions.
   [[nodiscard]] bool is_near(const base::zone_id& zone) const;
-  /// @return locality of a peer; `elsewhere` if the zone of the peer is not known.
+  /// @return locality of a peer relative to this node; `elsewhere` if the zone of the peer is not
+  ///         known.
   [[nodiscard]] model::locality peer_locality(const base::network_address& peer) const;
-  /// Updates the number of nodes that share the concurrency limits of back ends, which are the live
-  /// nodes of this node's zone, and this node's position among them.
+  /// Updates the number of nodes that share the concurrency limits of back ends, and the position
+  /// of this node among them. The live nodes of this node's zone share the limits.
   void update_sharing();
   void dispatch_message(const wire::envelope& message, base::time_point now);
   void on_backend_notice(const wire::backend_notice& notice, bool is_from_own_zone,
                          base::time_point now);
-  /// Sends a leave notice, which announces that a back end drains, to all nodes of this node's
-  /// zone.
+  /// Sends a leave notice for a back end to all nodes of this node's zone.
   void broadcast_notice(const wire::backend_notice& notice);
-  /// Sends to the nodes of this node's zone the leave notices that were neither sent to them nor
-  /// received from them before.
+  /// Sends leave notices to the nodes of this node's zone. Omits each notice that was already sent
+  /// to these nodes or received from one of them.
   void announce_new_leave_notices();
   void on_forwarded_request(const wire::envelope& message, base::time_point now);
   void execute_guard_decisions(base::time_point now);
@@ -206,15 +222,18 @@
   void execute(execution::attach_decision& decision, base::time_point now);
   void execute(execution::answer_decision& decision, base::time_point now);
   /// Refuses a request on arrival.
-  /// @param may_be_resent whether the request carries a ticket or a key: it may have run when it
-  ///        was sent before, so the outcome is `unknown` instead of `not_run`.
+  /// @param may_be_resent whether the request carries a ticket or an idempotency key. The caller
+  ///        may have sent such a request before, and the request may have run then, so the outcome
+  ///        in the answer is `unknown` instead of `not_run`.
   void refuse(const execution::caller_ref& caller, const base::request_id& id,
               execution::reason why, base::duration retry_after, bool may_be_resent);
-  /// Advances all parts and collects their commands and messages. Processes messages to this node
-  /// itself at once, in a limited number of rounds.
+  /// Advances the guard, the executor and the serving path, and collects their commands and
+  /// messages. Messages from this node to itself are processed at once and can cause further
+  /// messages, for at most `max_loopback_rounds` rounds.
   void flush(base::time_point now);
-  /// Reports the end of a graceful stop once no request is active and no new request has arrived
-  /// for `stop_linger_time`, or once the maximum duration of the stop has passed.
+  /// Emits `stop_completed` once during a graceful stop: when no request is active and no new
+  /// request has arrived for `stop_linger_time`, or when the maximum duration of the stop has
+  /// passed.
   void check_stop(base::time_point now);
   /// Aborts the requests on published routes once the maximum duration of a graceful stop has
   /// passed.
@@ -227,10 +246,11 @@
   void emit(other_command&& other) {
     commands_.emplace_back(std::forward<other_command>(other));
   }
-  /// Adds the known leave notices to digests and to answers to resync requests.
+  /// Adds the known leave notices to a message if the message is a digest or an answer to a resync
+  /// request.
   void add_leave_notices(wire::envelope& message) const;
-  /// Adds the sender fields to the queued messages and sends them; processes messages to this node
-  /// itself at once.
+  /// Adds the fields that describe the sender to each queued message. Then sends the message, or
+  /// processes the message at once if this node is also the receiver.
   void flush_messages(base::time_point now);
   void answer_peer(const execution::remote_caller& peer, const execution::answer& content,
                    bool is_owner);
@@ -238,8 +258,9 @@
               const std::string& detail);
   base::request_id next_request_id();
   [[nodiscard]] std::vector<base::network_address> zone_peer_addresses() const;
-  /// @return peers with which this node exchanges published records: the live peers of its zone,
-  ///         and a few random members of other zones if the node serves published routes.
+  /// @return addresses of the peers with which this node exchanges published records: the live
+  ///         peers of its zone and, if the node serves published routes, a few random members of
+  ///         other zones.
   [[nodiscard]] std::vector<base::network_address> replication_peers();
   [[nodiscard]] std::optional<base::network_address> address_of(const base::node_id& node) const;
 
@@ -251,15 +272,15 @@
   catalog::catalog catalog_;
   catalog::replicator replicator_;
   std::array<catalog::service_watch, source_count> watches_;
-  /// Substitutions of one platform service: the watch that this node does in place of a node that
-  /// cannot read the service, and the handover of this node's own watch.
+  /// State of the substitutions for one platform service. In a substitution, a node watches the
+  /// service in place of another node that cannot read the service.
   struct watch_substitution {
-    /// End of the time for which this node watches in place of another node.
+    /// End of the time for which this node watches the service in place of another node.
     base::time_point ends_at;
-    /// Number of times that the watch of the other node may still be handed over: to a next node if
-    /// this node cannot read the service either, and from there to further nodes.
+    /// Number of further handovers of the watch that this node took from another node: if this node
+    /// cannot read the service either, it hands over the watch to a next node, and so on.
     std::uint32_t handovers_left = 0;
-    /// Time from which this node may hand over its own watch again.
+    /// Earliest time at which this node may hand over its own watch again.
     base::time_point next_handover_at;
   };
   std::array<watch_substitution, source_count> substitutions_;
@@ -268,31 +289,34 @@
   admission::stage_scheduler scheduler_;
   execution::executor executor_;
   execution::effect_guard guard_;
-  /// Generation of the latest leave notice that was sent to the nodes of this node's zone or
-  /// received from them, by back end.
+  /// By back end: generation of the latest leave notice that was sent to the nodes of this node's
+  /// zone or received from one of them.
   std::map<base::backend_id, std::uint64_t> announced_leave_generations_;
   std::optional<serving::dispatcher> serving_;
-  /// Value of `catalog_.machine_changes()` when the machines were last passed to the other parts.
+  /// Value of `catalog_.machine_changes()` when the machines of the catalog were last passed to
+  /// `membership_`, `backends_` and `guard_`.
   std::uint64_t seen_machine_changes_ = 0;
   /// Value of `catalog_.serving_changes()` when the catalog was last passed to the serving path.
   std::uint64_t seen_serving_changes_ = 0;
   /// Value of `membership_.version()` when the members were last passed to the serving path.
   std::uint64_t seen_membership_version_ = 0;
   base::random_source* random_;
-  /// Whether a peer with an equal, non-empty catalog has been seen since the start.
+  /// Whether a message since the start has shown that a peer has the same, non-empty catalog as
+  /// this node.
   bool is_synced_with_peer_ = false;
   bool is_ready_ = false;
   bool is_stopping_ = false;
-  /// Whether `stop_completed` has been returned.
+  /// Whether the command `stop_completed` has been emitted.
   bool is_stop_reported_ = false;
   base::time_point stop_started_at_;
-  /// Time point since which no request has arrived: the latest of the arrival of a request, the end
-  /// of a gap between events, in which requests may have waited in sockets, and the start of the
-  /// graceful stop. A stopping node without work exits when `stop_linger_time` has passed since
-  /// this time point, or `max_stop_linger_time` since the start of the stop.
+  /// Time since which no request has arrived. This is the latest of three times: the last arrival
+  /// of a request; the end of the last gap between events, because requests may have waited in
+  /// sockets during the gap; and the start of the graceful stop. A stopping node without work exits
+  /// `stop_linger_time` after `quiet_since_`, and at the latest `max_stop_linger_time` after the
+  /// start of the stop.
   base::time_point quiet_since_;
-  /// Random fraction, 0 to 1, of the maximum time to wait for peers; chosen at the start of the
-  /// node.
+  /// Random number from 0 to 1, chosen at the start of the node. The number determines the random
+  /// part of `peer_wait_time`.
   double peer_wait_fraction_ = 0;
   /// Time at which the pause of dispatch after a suspension ends; std::nullopt if dispatch is not
   /// paused.
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -1,5 +1,5 @@
-/// Processing of requests by a node: checks on arrival, execution, answers. Requests come from
-/// callers, or are forwarded by peers.
+/// Processing of requests by a node: checks on arrival, execution and answers. Callers send
+/// requests to the node, and peers forward requests to the node.
 #include "node/node.h"
 
 #include "execution/plan_resolver.h"
@@ -10,7 +10,8 @@
 namespace spurrack::node {
 namespace {
 
-/// Time to retry in the answer to a request that a starting or stopping node refuses.
+/// Time after which a caller should retry a request that a starting or stopping node refuses. The
+/// answer to the request contains this time.
 constexpr base::duration not_ready_retry_after = std::chrono::milliseconds(500);
 
 } // namespace
@@ -116,7 +117,7 @@
 }
 
 void node::execute_guard_decisions(base::time_point now) {
-  // Executing a decision may answer a request, which may lead to further decisions.
+  // Executing a decision may answer a request, and the answer may lead to further decisions.
   for (auto decisions = guard_.take_decisions(); !decisions.empty();
        decisions = guard_.take_decisions()) {
     for (auto& decision : decisions) {
--- a/src/node/node_peers.cc
+++ b/src/node/node_peers.cc
@@ -1,4 +1,4 @@
-/// Processing of messages from peers.
+/// Processing of messages that a node receives from peers.
 #include "node/node.h"
 
 #include <utility>
@@ -61,8 +61,9 @@
   const bool is_membership_message =
       message.has_ping() || message.has_acknowledgement() || message.has_zone_digest();
   if (is_membership_message) {
-    // A comparison with a node of another region starts only after the difference has lasted for
-    // `settle_time`, because traffic between regions is expensive.
+    // If the catalogs of this node and of a node of another region differ, this node starts to
+    // compare the catalogs only after the difference has lasted for `settle_time`, because traffic
+    // between regions is expensive.
     const bool is_near_sender = is_near(base::zone_id(message.sender_zone()));
     const bool wants_all = !is_ready_ || dispatch_pause_ends_at_.has_value();
     const bool is_eager = wants_all && is_near_sender && message.sender_is_ready();
@@ -98,7 +99,7 @@
 
 void node::broadcast_notice(const wire::backend_notice& notice) {
   for (const auto& [name, other] : membership_.members()) {
-    // Nodes of other zones receive the notice in the digests of relays.
+    // Nodes of other zones receive the leave notice in the digests that relays send.
     if (other.zone != settings_.self.zone || other.state == wire::DEAD) {
       continue;
     }
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -10,34 +10,39 @@
 namespace spurrack::node {
 namespace {
 
-/// Time per known member in the wait of a starting node that serves published routes: it waits for
-/// peers to send it the catalog before it reads the platform services itself. The sum over all
-/// known members is the base time. Strong nodes wait for a random time up to half of the base time,
-/// other nodes for the base time and a random fraction of it. A node that becomes ready while it
-/// waits does not read the services: in a large fleet that starts as a whole few nodes read, and a
-/// small fleet loses no time. Strong nodes read first, because 3,000 replicas take more than a
-/// second on a link of 10 Mbit/s; and few nodes should read, because each of them occupies the
-/// store's link for 12 ms, at the expense of all other nodes.
+/// A starting node that serves published routes waits for peers to send the catalog before it reads
+/// the platform services itself. The base time of this wait is `peer_wait_time_per_member`
+/// multiplied by the number of known members. A strong node waits for a random time up to half of
+/// the base time. Any other node waits for the base time and, in addition, a random fraction of the
+/// base time. If a node becomes ready during its wait, the node does not read the services.
+/// Therefore only a few nodes read the services if a large fleet starts as a whole, and a small
+/// fleet loses no time.
+///
+/// Strong nodes read first, because reading 3,000 replicas takes more than a second on a link of 10
+/// Mbit/s. Only a few nodes should read, because each reading node occupies the link of the store
+/// for 12 ms, at the expense of all other nodes.
 constexpr base::duration peer_wait_time_per_member = std::chrono::milliseconds(12);
-/// Maximum base time.
+/// Maximum base time of the wait for peers.
 constexpr base::duration max_peer_wait_time = std::chrono::milliseconds(1200);
-/// Minimum number of cores of a strong node, as a fraction of the cores of the strongest known
-/// node.
+/// Minimum number of cores of a strong node, as a fraction of the number of cores of the strongest
+/// known node.
 constexpr float min_strong_node_fraction = 0.5F;
-/// Time after the addition of the first member in which a starting node learns the size of the
-/// fleet and whether it is a strong node: two rounds of requests for members. Without this time,
-/// 178 of 300 nodes that restarted together read the store (control_traffic_test).
+/// Time for which a starting node waits after it has added its first member. In this time, two
+/// rounds of requests for members, the node learns the size of the fleet and whether it is a strong
+/// node. Without this time, 178 of 300 nodes that restarted together read the store
+/// (control_traffic_test).
 constexpr base::duration discovery_time = std::chrono::milliseconds(200);
-/// Time for which a starting node that knows no member waits for a seed to send it members.
+/// Time for which a starting node that knows no member waits for a seed to send members.
 constexpr base::duration join_timeout = std::chrono::milliseconds(300);
-/// Maximum number of times that a watch is handed over from node to node because a node cannot read
+/// Maximum number of times that a watch is handed over from node to node because nodes cannot read
 /// the service. If a third of the nodes cannot read the service, one watch in 27 reaches no node
-/// that can; several nodes watch each service.
+/// that can read it. That is acceptable because several nodes watch each service.
 constexpr std::uint32_t max_handovers = 2;
-/// Time for which a node watches a service in place of another node; another handover to it within
-/// this time extends it. While the store answers no node, it receives no more calls than from the
-/// nodes that have the job to watch.
+/// Time for which a node watches a service in place of another node. If the node receives another
+/// handover within this time, the time starts again. While the store answers no node, the store
+/// receives no more calls than the nodes with the job to watch would make without handovers.
 constexpr base::duration substitution_duration = std::chrono::seconds(10);
+/// Minimum interval between two handovers of the watch that is the job of a node.
 constexpr base::duration handover_interval = substitution_duration / 2;
 
 constexpr std::array<const char*, source_count> watch_jobs{"watch/configuration", "watch/machines"};
@@ -69,8 +74,8 @@
                                                             : catalog_.latest_operator_position();
     watch.note_latest_revision(latest.era, latest.revision, now);
     if (const auto after = watch.next_read(should_read_service(source, now), now)) {
-      // The first listing may be stale: the watch after its revision returns the missing changes at
-      // once.
+      // The first listing may be stale: the next read requests the changes after the revision of
+      // this listing, and its answer returns the missing changes at once.
       const bool allow_stale = *after == 0 && !watch.has_answered();
       commands_.emplace_back(read_service{source, *after, allow_stale, watch.max_hold_time()});
     }
