--- a/tests/fleet/golden_test.cc
+++ b/tests/fleet/golden_test.cc
@@ -18,7 +18,7 @@
   std::string input;
   bool stream = false;
   /// Whether the request is sent with a ticket, a permission of a node to run one request once.
-  bool once = false;
+  bool has_ticket = false;
 };
 
 /// Replaces the parts of a recorded session that differ from one test run to the next, such as ids,
@@ -80,7 +80,7 @@
   std::ostringstream session;
   for (const auto& step : steps) {
     std::string extra;
-    if (step.once) {
+    if (step.has_ticket) {
       const auto issued =
           exchange_and_log(fleet, request_bytes("/v1/tickets", token, "", ""), session);
       const auto body = boost::json::parse(issued.substr(issued.find("\r\n\r\n") + 4)).as_object();
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -21,7 +21,7 @@
   std::string expected_stage;
   std::string expected_output;
   /// Whether the request is sent with a ticket, a permission of a node to run one request once.
-  bool once = false;
+  bool has_ticket = false;
 };
 
 std::string string_field(const json::object& body, const char* name) {
@@ -33,7 +33,7 @@
 /// @return id of the request if the answer is right; an empty string otherwise.
 std::string run_request(const local_fleet& fleet, const demo_request& request) {
   std::map<std::string, std::string> headers;
-  if (request.once) {
+  if (request.has_ticket) {
     headers["Spurrack-Ticket"] = fleet.request_ticket(request.node, request.token);
   }
   const auto answer = fleet.send_request(request.node, request.pipeline, request.token,
