--- a/tests/platform_fleet/crashing_request_check.h
+++ b/tests/platform_fleet/crashing_request_check.h
@@ -1,6 +1,6 @@
 /// Check of the fault soak (fault_soak.cc) with a crashing request: every replica that starts to
-/// run this request crashes. Clients send the request repeatedly to random nodes. Checks that few
-/// replicas crash and that the nodes quarantine the request.
+/// run this request crashes. The check sends the request repeatedly to random nodes. Few replicas
+/// may crash, and the nodes must quarantine the request.
 #pragma once
 
 #include "soak_fleet.h"
@@ -17,16 +17,17 @@
  public:
   crashing_request_check(soak_fleet& fleet, soak_recorder& recorder, base::random_source& random);
 
-  /// Sends the crashing request repeatedly, restarts crashed replicas, records violations, and
-  /// waits until the fleet has settled.
+  /// Sends the crashing request repeatedly, restarts crashed replicas and records violations. Then
+  /// waits for `settle_time`.
   void check();
 
  private:
   /// Sends the crashing request once to a random node.
   void send();
-  /// Records new crashes and restarts replicas whose downtime is over.
+  /// Records the crashes since the last call, and restarts each replica whose downtime is over.
   void restart_crashed();
-  /// Records a violation if too many replicas crashed or if the last request was not refused.
+  /// Records a violation if too many replicas crashed, and another one if the last request was not
+  /// refused.
   void check_limits();
 
   soak_fleet* fleet_;
@@ -35,9 +36,9 @@
   std::size_t send_number_ = 0;
   /// Time of each crash, in ascending order.
   std::vector<soak_clock::time_point> crash_times_;
-  /// Statuses of the answers, in the order of the requests.
+  /// HTTP statuses of the answers, in the order of the requests.
   std::vector<unsigned> answer_statuses_;
-  /// Replicas that are down, with the time of their crash.
+  /// By crashed replica that has not been restarted: time of its crash.
   std::map<soak_replica*, soak_clock::time_point> crashed_at_;
 };
 
--- a/tests/platform_fleet/event_replica.h
+++ b/tests/platform_fleet/event_replica.h
@@ -1,5 +1,5 @@
-/// Replica on loopback that streams events at fixed intervals and aborts answers that stay unread.
-/// Serves any number of connections on one thread.
+/// Emulated replica on loopback. Streams events at fixed intervals, and aborts an answer that its
+/// client does not read. Serves any number of connections on one thread.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -18,24 +18,28 @@
 
 namespace spurrack::platform_tests {
 
-/// Answers of the replica; the path of a request selects one of three kinds.
+/// Answers of the replica. The path of a request selects one of three kinds of answers: a long
+/// stream, a short stream or a whole answer.
 struct event_replica_options {
-  /// Paths under `/stream/` except `/stream/good/`: long streams with an event every interval while
-  /// the client reads.
+  /// Long stream, for paths under `/stream/` except `/stream/good/`: number of events, size of an
+  /// event, and interval between two events.
   std::size_t long_events = 200;
   std::size_t long_event_bytes = 10'000;
   std::chrono::milliseconds long_interval{25};
-  /// Paths under `/stream/good/`: short streams with an event every interval.
+  /// Short stream, for paths under `/stream/good/`: number of events, size of an event, and
+  /// interval between two events.
   std::size_t short_events = 20;
   std::size_t short_event_bytes = 100;
   std::chrono::milliseconds short_interval{20};
-  /// Other paths: size of an answer that is no stream and has a Content-Length header.
+  /// Size of a whole answer, for all other paths. A whole answer is not a stream and has a
+  /// Content-Length header.
   std::size_t whole_bytes = 1'000'000;
-  /// Time after which a blocked write aborts the answer.
+  /// Maximum time for which a write may be blocked because the client does not read; after this
+  /// time the answer is aborted.
   std::chrono::milliseconds write_timeout{4'000};
 };
 
-/// @return event with the id `number` and `bytes` bytes of data.
+/// @return text of the event with the id `number` and `bytes` bytes of data.
 std::string event_text(std::size_t number, std::size_t bytes);
 
 /// Replica that serves requests from construction to destruction. The counters can be read from any
@@ -48,28 +52,30 @@
   event_replica& operator=(const event_replica&) = delete;
 
   [[nodiscard]] std::string address() const;
-  /// @return number of streams aborted because the client did not read.
+  /// @return number of streams that were aborted because the client did not read.
   [[nodiscard]] std::uint64_t aborted_streams() const { return aborted_streams_; }
-  /// @return number of answers other than streams that were aborted because the client did not
-  ///         read.
+  /// @return number of whole answers that were aborted because the client did not read.
   [[nodiscard]] std::uint64_t aborted_whole_answers() const { return aborted_whole_answers_; }
-  /// @return number of streams requested with a Last-Event-Id above 0.
+  /// @return number of streams that were requested with a Last-Event-Id above 0.
   [[nodiscard]] std::uint64_t resumed_streams() const { return resumed_streams_; }
-  /// @return number of requests that are being answered.
+  /// @return number of requests that the replica is answering.
   [[nodiscard]] std::uint64_t active_requests() const { return active_requests_; }
 
  private:
   using request = boost::beast::http::request<boost::beast::http::string_body>;
   boost::asio::awaitable<void> accept_all();
   boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
-  /// Answers one request with a stream. @return whether the whole stream was written.
+  /// Answers one request with a stream.
+  /// @return whether the whole stream was written.
   boost::asio::awaitable<bool> answer_stream(boost::beast::tcp_stream& stream,
                                              const request& received);
-  /// Answers one request with `whole_bytes` bytes. @return whether all bytes were written.
+  /// Answers one request with `whole_bytes` bytes.
+  /// @return whether all bytes were written.
   boost::asio::awaitable<bool> answer_whole(boost::beast::tcp_stream& stream,
                                             const request& received);
-  /// Writes bytes. Counts the answer in `aborted_answers` if the client does not read them within
-  /// the write timeout. @return whether all bytes were written.
+  /// Writes bytes to a connection. If the client does not read the bytes within the write timeout,
+  /// counts the answer in `aborted_answers`.
+  /// @return whether all bytes were written.
   boost::asio::awaitable<bool> write(boost::beast::tcp_stream& stream, const std::string& bytes,
                                      std::atomic<std::uint64_t>& aborted_answers);
 
--- a/tests/platform_fleet/fault_soak.cc
+++ b/tests/platform_fleet/fault_soak.cc
@@ -1,7 +1,7 @@
-/// Fault soak: a randomized soak test of real daemons under load. Faults are injected from outside
-/// the daemons, in series and overlapping. Checks what clients and replicas observe against the
-/// invariants, and exits with 1 if an invariant was violated. The seed determines the faults; the
-/// scheduling of processes and threads differs from run to run.
+/// Fault soak: a randomized test of real daemons under load. The soak injects faults from outside
+/// the daemons, in series and overlapping. It checks what clients and replicas observe against the
+/// invariants, and exits with code 1 if an invariant was violated. The seed determines the faults;
+/// the scheduling of processes and threads differs from run to run.
 #include "machine_limits.h"
 #include "soak_run.h"
 
@@ -19,8 +19,8 @@
 using namespace spurrack::platform_tests;
 using std::chrono::milliseconds;
 
-/// Returns options for as many daemons as the machine can run: one client per node and more time to
-/// start.
+/// Returns options with as many daemons as the machine can run, one client per daemon, and more
+/// time for the start.
 soak_options with_max_nodes(soak_options options) {
   options.fleet.nodes = max_daemons();
   options.clients_per_node = 1;
--- a/tests/platform_fleet/foreign_entries.cc
+++ b/tests/platform_fleet/foreign_entries.cc
@@ -69,7 +69,8 @@
 
 std::unique_ptr<scripted_server>
 foreign_entries::make_call_detector(const std::string& description) {
-  // One violation is enough to show that nodes used the entry.
+  // Only the first request is recorded, because one violation is enough to show that nodes used the
+  // entry.
   auto was_called = std::make_shared<std::atomic<bool>>(false);
   return std::make_unique<scripted_server>([this, description,
                                             was_called](const http_request& request) {
--- a/tests/platform_fleet/foreign_entries.h
+++ b/tests/platform_fleet/foreign_entries.h
@@ -1,6 +1,7 @@
-/// Foreign entries: invalid store entries that another writer put under the key prefix of the
-/// replicas. They have missing fields, fields of another type, unknown names, or bytes that cannot
-/// be parsed. Nodes must not send requests to the addresses in foreign entries.
+/// Foreign entries: invalid entries that another writer put into the store under the key prefix of
+/// the replicas. A foreign entry lacks a field, has a field with a wrong type or an invalid value,
+/// names an unknown service or state, or consists of bytes that are no entry at all. Nodes must not
+/// send requests to the addresses in foreign entries.
 #pragma once
 
 #include "soak_recorder.h"
@@ -12,8 +13,8 @@
 
 namespace spurrack::platform_tests {
 
-/// Owns the foreign entries. Each entry with an address has its own server at that address, which
-/// records a violation if a node sends it a request.
+/// Owns the foreign entries. For each foreign entry with an address, a separate server listens at
+/// this address and records a violation if a node sends a request to the server.
 class foreign_entries {
  public:
   foreign_entries(soak_store& store, soak_recorder& recorder);
@@ -21,9 +22,9 @@
   foreign_entries(const foreign_entries&) = delete;
   foreign_entries& operator=(const foreign_entries&) = delete;
 
-  /// Writes all entries to the store, each under a separate key.
+  /// Writes all foreign entries to the store, each under a separate key.
   void put_all();
-  /// Deletes all entries from the store.
+  /// Deletes all foreign entries from the store.
   void remove_all();
   /// Replaces the store entry of a replica by bytes that cannot be parsed.
   void overwrite(const soak_replica& replica);
@@ -36,11 +37,12 @@
     std::unique_ptr<scripted_server> call_detector;
   };
   /// Adds an entry that is valid except for one field.
-  /// @param value value of the field; std::nullopt leaves the field out.
+  /// @param value value of the field; std::nullopt if the entry lacks the field.
   void add_with_field(const std::string& field, const std::optional<boost::json::value>& value);
-  /// Adds an entry with the given bytes as its value.
+  /// Adds an entry whose value is the bytes `value`.
   void add_raw(const std::string& name, const std::string& value);
-  /// Returns a server that records a violation when it receives its first request.
+  /// Returns a server that records a violation when a node sends the first request to the server.
+  /// @param description what is invalid in the entry; part of the text of the violation.
   std::unique_ptr<scripted_server> make_call_detector(const std::string& description);
 
   soak_store* store_;
--- a/tests/platform_fleet/graceful_stops.cc
+++ b/tests/platform_fleet/graceful_stops.cc
@@ -7,7 +7,8 @@
 
 using std::chrono::milliseconds;
 
-/// Time from SIGTERM until the platform kills a process, with slack for a busy machine.
+/// Maximum time from SIGTERM to the exit of a process. The platform kills the process after this
+/// time, which includes slack for a busy machine.
 constexpr milliseconds stop_timeout{9'000};
 
 } // namespace
--- a/tests/platform_fleet/graceful_stops.h
+++ b/tests/platform_fleet/graceful_stops.h
@@ -1,4 +1,4 @@
-/// Graceful stops of real daemons: a daemon that receives SIGTERM completes its requests and exits
+/// Graceful stops of real daemons. A daemon that receives SIGTERM completes its requests and exits
 /// within the grace period. Several daemons can be stopping at the same time.
 #pragma once
 
@@ -19,21 +19,21 @@
   graceful_stops(const graceful_stops&) = delete;
   graceful_stops& operator=(const graceful_stops&) = delete;
 
-  /// Sends SIGTERM to a node, and starts the node again after its process has exited. Returns
-  /// without waiting. Does nothing if the node is already stopping.
+  /// Sends SIGTERM to a node. Starts the node again after its process has exited. Returns without
+  /// waiting for the exit. Does nothing if the node is already stopping.
   void begin(soak_node& node) { begin(node, true); }
-  /// Sends SIGTERM to a node that is not started again. Returns without waiting. Does nothing if
-  /// the node is already stopping.
+  /// Sends SIGTERM to a node. Does not start the node again. Returns without waiting for the exit.
+  /// Does nothing if the node is already stopping.
   void begin_final(soak_node& node) { begin(node, false); }
-  /// Waits until the processes of all stopping nodes have exited and the nodes that are to be
-  /// started again were started.
+  /// Waits until the processes of all stopping nodes have exited, and until the nodes that `begin`
+  /// stopped were started again.
   void wait();
 
  private:
   void begin(soak_node& node, bool should_restart);
-  /// Waits for the exit of the process, records a violation if the process exits late or with an
-  /// error, and starts the node again if `should_restart` is true. Runs on a separate thread for
-  /// each stopping node.
+  /// Waits for the exit of the process of a node. Records a violation if the process exits late or
+  /// with an error. Starts the node again if `should_restart` is true. Runs on a separate thread
+  /// for each stopping node.
   void finish(soak_node& node, bool should_restart);
 
   soak_fleet* fleet_;
--- a/tests/platform_fleet/http_text.h
+++ b/tests/platform_fleet/http_text.h
@@ -1,4 +1,4 @@
-/// HTTP/1.1 messages as text, for emulated servers that write answers as raw bytes.
+/// HTTP/1.1 messages as text, for emulated servers that write their answers as raw bytes.
 #pragma once
 
 #include <charconv>
@@ -10,7 +10,8 @@
 namespace spurrack::platform_tests {
 
 /// Returns an HTTP response with a Content-Length header.
-/// @param status such as `200 OK`. @param headers header lines, each with its CRLF.
+/// @param status status code and reason phrase, such as `200 OK`.
+/// @param headers header lines, each with its CRLF.
 inline std::string http_message(const std::string& status, const std::string& headers,
                                 const std::string& body) {
   return "HTTP/1.1 " + status + "\r\n" + headers +
--- a/tests/platform_fleet/machine_limits.h
+++ b/tests/platform_fleet/machine_limits.h
@@ -5,8 +5,8 @@
 
 namespace spurrack::platform_tests {
 
-/// @return number of daemons for which half of the machine's memory (at most 16 GB) and the limits
-///         of this process for descriptors and threads suffice; at most 150.
+/// @return maximum number of daemons that fit into half of the machine's memory (at most 16 GB) and
+///         into the limits of this process for descriptors and threads; at most 150.
 std::size_t max_daemons();
 
 } // namespace spurrack::platform_tests
--- a/tests/platform_fleet/planned_maintenance.cc
+++ b/tests/platform_fleet/planned_maintenance.cc
@@ -9,17 +9,18 @@
 
 using std::chrono::milliseconds;
 
-/// Interval between the waves of a rolling restart; the nodes of a wave stop together. A quarter of
-/// the grace period of a stopping node, so that waves overlap.
+/// Interval between two waves of a rolling restart. The nodes of a wave begin to stop together. The
+/// interval is a quarter of the grace period of a stopping node, so that the waves overlap.
 constexpr milliseconds stop_interval{2'000};
-/// Maximum number of waves of a rolling restart, so that the restart of all nodes of a large fleet
-/// takes a minute or less.
+/// Maximum number of waves of a rolling restart. The limit lets the restart of all nodes of a large
+/// fleet take a minute or less.
 constexpr std::size_t max_waves = 25;
 constexpr milliseconds min_change_interval{150};
 constexpr std::size_t change_interval_spread_milliseconds = 400;
 constexpr std::size_t changes_per_burst = 15;
 constexpr milliseconds burst_interval{60};
-/// Time after the start of a process before which the platform sends no signal to the process.
+/// Minimum time between the start of a process and the first signal that the platform sends to the
+/// process.
 constexpr milliseconds min_uptime_before_signal{1'500};
 
 } // namespace
@@ -72,7 +73,8 @@
   }
   recorder_->count("planned reload");
   if (node.is_stopping) {
-    // Doesn't rewrite the settings file: the node may be starting again and reading the file.
+    // The settings file is not rewritten here, because the node may be starting again and reading
+    // the file.
     fleet_->signal(node, SIGHUP);
   } else {
     fleet_->reload(node, random_->below(2) == 0);
--- a/tests/platform_fleet/planned_stop_test.cc
+++ b/tests/platform_fleet/planned_stop_test.cc
@@ -2,11 +2,11 @@
 /// last several seconds.
 ///
 /// Guards against streams that a stopping node accepts and cannot complete. In a rolling restart
-/// under load, stopping nodes accepted every request for three seconds after SIGTERM and aborted
+/// under load, stopping nodes accepted every request for three seconds after SIGTERM, and aborted
 /// unfinished streams at the end of the grace period. A client that sent its request three seconds
-/// after SIGTERM received the head of a stream and then a closed connection. In the logs of one run
-/// all 92 truncated streams were accepted after SIGTERM, the earliest 0.6 s after it, and were
-/// aborted at the end of the grace period.
+/// after SIGTERM received the head of a stream and then a closed connection. The logs of one run
+/// contained 92 truncated streams. All 92 streams were accepted after SIGTERM, the earliest of them
+/// 0.6 s after SIGTERM, and were aborted at the end of the grace period.
 #include "event_replica.h"
 #include "reading_client.h"
 #include "single_daemon.h"
@@ -38,13 +38,14 @@
 constexpr int short_grace_seconds = 5;
 /// Grace period that is longer than every request.
 constexpr int long_grace_seconds = 20;
-/// Long streams last three seconds: longer than what is left of the grace period when the last
-/// requests arrive.
+/// A long stream lasts three seconds. This is longer than the rest of the grace period at the time
+/// at which the last requests arrive.
 const event_replica_options replica_options{
     .long_events = 60, .long_event_bytes = 100, .long_interval = milliseconds(50)};
-/// Interval between the requests.
+/// Interval between two requests, or between two connections.
 constexpr milliseconds arrival_interval{100};
-/// Maximum time from sending a request to its refusal; a slower refusal keeps the client waiting.
+/// Maximum time between sending a request and its refusal. A slower refusal would keep the client
+/// waiting.
 constexpr milliseconds max_refusal_time{500};
 
 std::string configuration() {
@@ -57,7 +58,7 @@
      "max_attempts":1,"target_latency_ms":5000,"gap_target_ms":1000}]})";
 }
 
-/// Daemon under test with its store and a replica that streams.
+/// Daemon under test, with the store and the streaming replica that the daemon uses.
 struct stopping_daemon {
   explicit stopping_daemon(int grace) : grace_seconds(grace), replica(replica_options) {
     store.put("op/config", configuration());
@@ -80,13 +81,14 @@
   std::size_t refused = 0;
   /// Number of refusals that took longer than `max_refusal_time`.
   std::size_t refused_late = 0;
-  /// Number of requests on an accepted connection that received an incomplete answer or no answer.
+  /// Number of requests whose connection was accepted and which received an incomplete answer or no
+  /// answer.
   std::size_t truncated = 0;
   /// Number of requests whose connection was refused.
   std::size_t not_connected = 0;
-  /// Time from SIGTERM to the sending of the last request that received a complete answer.
+  /// Time from SIGTERM to the moment at which the last completely answered request was sent.
   std::chrono::steady_clock::duration latest_completed_offset{};
-  /// Time for which the daemon accepted connections after SIGTERM.
+  /// Time after SIGTERM for which the daemon accepted connections.
   std::chrono::steady_clock::duration listening_time{};
 };
 
@@ -96,7 +98,7 @@
   explicit periodic_clients(const stopping_daemon& subject) : subject_(&subject) {}
 
   /// Sends requests for streams before SIGTERM and waits until the streams are complete, so that
-  /// the daemon learns how long they last.
+  /// the daemon learns the duration of these streams.
   void send_before_stop(const std::string& path, std::size_t streams) {
     for (std::size_t number = 0; number < streams; ++number) {
       start(path, "before" + std::to_string(number));
@@ -110,7 +112,7 @@
     return stop_started_at_;
   }
 
-  /// Sends SIGTERM to the daemon and then requests until the daemon accepts no more connections.
+  /// Sends SIGTERM to the daemon. Then sends requests until the daemon accepts no more connections.
   stop_outcome send_during_stop(const std::string& path) {
     subject_->daemon->process().signal(SIGTERM);
     stop_started_at_ = std::chrono::steady_clock::now();
@@ -171,7 +173,7 @@
 
 constexpr std::size_t streams_before_stop = 8;
 
-/// Opens a connection every `arrival_interval` and sends nothing.
+/// Opens a connection every `arrival_interval` and sends no bytes on it.
 void open_idle_connections(const std::string& address, const std::atomic<bool>& should_stop) {
   asio::io_context io;
   std::vector<asio::ip::tcp::socket> opened;
@@ -186,7 +188,7 @@
   }
 }
 
-/// Stops a daemon by SIGTERM while requests for `path` arrive.
+/// Stops a daemon by SIGTERM while clients send requests for `path`.
 stop_outcome stop_under_load(const std::string& path, int grace_seconds) {
   stopping_daemon subject(grace_seconds);
   periodic_clients clients(subject);
@@ -206,7 +208,8 @@
   const auto outcome = stop_under_load("/stream/slow/", short_grace_seconds);
   BOOST_TEST(outcome.truncated == 0U);
   BOOST_TEST(outcome.refused_late == 0U);
-  // Refusing all requests would be wrong as well: early requests have time to complete.
+  // A daemon that refuses all requests would be wrong as well: requests that arrive early can still
+  // be completed.
   BOOST_TEST(outcome.completed > 0U);
   BOOST_TEST(outcome.refused > 0U);
 }
@@ -215,8 +218,8 @@
   const auto outcome = stop_under_load("/stream/good/", short_grace_seconds);
   BOOST_TEST(outcome.truncated == 0U);
   BOOST_TEST(outcome.refused_late == 0U);
-  // The node must serve short streams until two readiness checks have failed and clients are
-  // directed to other nodes.
+  // The node must serve short streams until two readiness checks have failed, because only then are
+  // clients directed to other nodes.
   BOOST_TEST((outcome.latest_completed_offset >= std::chrono::seconds(2)));
 }
 
@@ -227,7 +230,7 @@
   std::atomic<bool> should_stop = false;
   std::thread idle_clients(
       [&] { open_idle_connections(subject.daemon->client_address, should_stop); });
-  // These streams end shortly before the end of the grace period.
+  // The accepted streams end shortly before the end of the grace period.
   clients.send_during_stop("/stream/slow/");
   subject.daemon->process().wait();
   const auto duration = std::chrono::steady_clock::now() - clients.stop_started_at();
--- a/tests/platform_fleet/random_faults.h
+++ b/tests/platform_fleet/random_faults.h
@@ -8,7 +8,8 @@
 
 namespace spurrack::platform_tests {
 
-/// Injects random faults into nodes, links, store and replicas, and ends them. Not thread-safe.
+/// Injects random faults into nodes, links, the store and replicas, and ends the faults. Not
+/// thread-safe.
 class random_faults {
  public:
   random_faults(soak_fleet& fleet, foreign_entries& foreign, soak_recorder& recorder,
@@ -18,9 +19,8 @@
 
   /// Injects random faults at random intervals until `end`.
   void inject_until(soak_clock::time_point end);
-  /// Ends all faults, then crashes and restarts one replica. Waits until stopping nodes were
-  /// started again. Records a violation for each node that exited unexpectedly and starts the node
-  /// again.
+  /// Ends all faults, then crashes and restarts one replica. Waits until all stopping nodes were
+  /// started again. If a node exited unexpectedly, records a violation and starts the node again.
   /// @return the restarted replica.
   soak_replica& end_faults();
 
@@ -31,20 +31,23 @@
   }
 
   void inject_random_fault();
-  /// Kills a node and starts it again at once. Records a violation if the node had already exited.
+  /// Kills the process of a node and starts the node again at once. Records a violation if the
+  /// process had already exited.
   void kill(soak_node& node);
   /// Suspends the process of a node with SIGSTOP.
   void suspend(soak_node& node);
   void resume_suspended();
-  /// Reloads the settings of a node, valid or invalid at random.
+  /// Makes a node reload its settings; the settings are valid or invalid at random.
   void reload(soak_node& node);
-  /// Cuts the peer link of a node or holds back all bytes on the link, at random.
+  /// Injects one of two faults at random: cuts the peer link of a node, or holds back all bytes on
+  /// the link.
   void inject_peer_link_fault(const soak_node& node);
-  /// Cuts the link to a replica, or holds back or delays all bytes on the link, at random.
+  /// Injects one of three faults at random: cuts the link to a replica, holds back all bytes on the
+  /// link, or delays all bytes on the link.
   void inject_replica_link_fault(const soak_replica& replica);
-  /// Publishes a replica as draining or ready at random.
+  /// Publishes the store entry of a replica, with the state `draining` or `ready` at random.
   void set_random_draining(soak_replica& replica);
-  /// Crashes a replica without a drain announcement and restarts it under the same id.
+  /// Crashes a replica without a drain announcement and restarts the replica under the same id.
   void restart(soak_replica& replica);
 
   soak_fleet* fleet_;
--- a/tests/platform_fleet/rate_limit_check.cc
+++ b/tests/platform_fleet/rate_limit_check.cc
@@ -7,8 +7,9 @@
 namespace spurrack::platform_tests {
 namespace {
 
-/// Length of the time windows over which the limit is checked. In each window the replica may
-/// receive `max_limit_factor` times the requests that its limit allows, and `burst_allowance` more.
+/// Length of each time window over which the check counts requests. In each window, the replica may
+/// receive `max_limit_factor` times as many requests as its limit allows, plus `burst_allowance`
+/// requests.
 constexpr std::chrono::seconds limit_window{4};
 constexpr double max_limit_factor = 1.5;
 constexpr double burst_allowance = 5;
--- a/tests/platform_fleet/rate_limit_check.h
+++ b/tests/platform_fleet/rate_limit_check.h
@@ -1,6 +1,6 @@
-/// Check of the fault soak: a replica announces a limit for the requests per second that all nodes
-/// together may send to it. The replica must not receive more requests after all nodes know the
-/// limit.
+/// Check of the fault soak: a replica announces a limit, the number of requests per second that all
+/// nodes together may send to the replica. Once all nodes know the limit, the replica must not
+/// receive more requests than the limit allows.
 #pragma once
 
 #include "soak_fleet.h"
@@ -16,9 +16,9 @@
   rate_limit_check(soak_replica& replica, soak_recorder& recorder, base::random_source& random)
       : replica_(&replica), recorder_(&recorder), random_(&random) {}
 
-  /// Lets the replica announce a random limit, observes the requests that reach the replica for
-  /// 6 s after all nodes know the limit, records a violation if there are too many, and withdraws
-  /// the limit.
+  /// Makes the replica announce a random limit and waits until all nodes know the limit. Then
+  /// observes for 6 s which requests reach the replica, records a violation if there are too many
+  /// requests, and withdraws the limit.
   void check();
 
  private:
--- a/tests/platform_fleet/reading_client.cc
+++ b/tests/platform_fleet/reading_client.cc
@@ -25,10 +25,11 @@
 using asio::ip::tcp;
 using http::await_into;
 
-/// Size of the receive buffer of a slow client.
+/// Size of the receive buffer of a slow client in the kernel.
 constexpr int slow_receive_buffer_bytes = 8'192;
-/// Maximum segment size on the connection of a slow client. On loopback it determines the size of
-/// the sender's buffer; the default of 64 KB would make that buffer large.
+/// Maximum segment size on the connection of a slow client. On loopback, the maximum segment size
+/// determines the size of the send buffer of the daemon. The default maximum segment size of 64 KB
+/// would make this buffer large.
 constexpr int slow_segment_bytes = 1'400;
 constexpr std::size_t read_bytes = 16'384;
 /// Number of bytes that a pausing client reads before its pause.
@@ -42,7 +43,8 @@
  public:
   answer_reader() { parser_.body_limit(boost::none); }
 
-  /// Parses bytes and updates `result`. @return whether the answer needs more bytes.
+  /// Parses bytes of the answer and updates `result`.
+  /// @return whether the answer is still incomplete.
   bool feed(std::string_view bytes, request_result& result) {
     unparsed_.append(bytes);
     boost::system::error_code error;
@@ -62,7 +64,7 @@
     return !parser_.is_done() && (!error || error == beast_http::error::need_more);
   }
 
-  /// Fills in the fields of `result` that are known at the end of the answer.
+  /// Fills in the fields of `result` that are known only at the end of the answer.
   void finish(request_result& result) const {
     result.status = parser_.is_header_done() ? parser_.get().result_int() : 0;
     result.has_retry_after = parser_.get().count("Retry-After") > 0;
@@ -85,7 +87,7 @@
 
   beast_http::response_parser<beast_http::buffer_body> parser_;
   std::string unparsed_;
-  /// Bytes of an incomplete event.
+  /// Received bytes of an event that is still incomplete.
   std::string partial_event_;
 };
 
@@ -110,14 +112,14 @@
   return pending_code;
 }
 
-/// Waits without reading until the connection has failed, such as by a reset.
+/// Waits, without reading, until the connection has failed, for example because it was reset.
 asio::awaitable<void> wait_for_reset(tcp::socket& socket) {
   while (pending_error(socket) == 0) {
     co_await sleep_for(reset_poll_interval);
   }
 }
 
-/// Reads an answer by the pattern of the plan.
+/// Reads an answer with the read pattern of the plan.
 asio::awaitable<void> read_answer(tcp::socket& socket, const request_plan& plan,
                                   request_result& result) {
   answer_reader reader;
--- a/tests/platform_fleet/reading_client.h
+++ b/tests/platform_fleet/reading_client.h
@@ -1,5 +1,5 @@
-/// Client coroutine that sends one request, reads the answer fast, slowly, with a pause or not at
-/// all, and checks the answer. Many clients can run on one thread.
+/// Client coroutine that sends one request, reads the answer with a given pattern (fast, slowly,
+/// with a pause, or not at all), and checks the answer. Many clients can run on one thread.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,19 +16,19 @@
 
 /// How a client reads its answer.
 enum class read_pattern : std::uint8_t {
-  fast,    ///< As fast as possible.
-  trickle, ///< One byte per second.
-  pausing, ///< Some bytes, a pause, then as fast as possible.
-  never,   ///< Not at all.
+  fast,    ///< Reads as fast as possible.
+  trickle, ///< Reads one byte per second.
+  pausing, ///< Reads some bytes, pauses, then reads as fast as possible.
+  never,   ///< Reads nothing.
 };
 
-/// Request of a client and how the client reads the answer.
+/// Request of a client, and how the client reads the answer.
 struct request_plan {
   read_pattern pattern = read_pattern::fast;
   std::string path;
   std::string id;
   std::string body;
-  /// Duration of the pause; only for the pattern `pausing`.
+  /// Duration of the pause in the pattern `pausing`; has no effect in other patterns.
   std::chrono::milliseconds pause{10'000};
 };
 
@@ -50,13 +50,14 @@
   bool was_reset = false;
 };
 
-/// Limits the kernel buffers of both sides of a connection, so that bytes that the client does not
-/// read stay in the daemon.
-/// @param socket open and not yet connected.
+/// Limits the buffers of the kernel on both sides of a connection, so that bytes that the client
+/// does not read stay in the daemon.
+/// @param socket open socket that is not yet connected.
 void prepare_slow_socket(boost::asio::ip::tcp::socket& socket);
 
-/// Sends the request of a plan on a new connection and reads the answer by the pattern of the plan.
-/// @param address `IP:port` of the daemon's listener for clients.
+/// Sends the request of a plan on a new connection and reads the answer with the read pattern of
+/// the plan.
+/// @param address `IP:port` of the listener of the daemon for clients.
 boost::asio::awaitable<request_result> send_and_read(std::string address, request_plan plan);
 
 } // namespace spurrack::platform_tests
--- a/tests/platform_fleet/scripted_server.h
+++ b/tests/platform_fleet/scripted_server.h
@@ -1,5 +1,5 @@
-/// HTTP server on loopback for tests that emulate the metadata store and the replicas of the users'
-/// platform. One thread per connection; the test scripts the answers.
+/// HTTP server on loopback, with which tests emulate the metadata store and the replicas of the
+/// users' platform. The test determines the answers. Each connection has its own thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,21 +22,21 @@
 using http_request = boost::beast::http::request<boost::beast::http::string_body>;
 using boost::asio::ip::tcp;
 
-/// What the server does in response to one request.
+/// Answer of the server to one request.
 struct scripted_answer {
-  /// Bytes that are written unchanged, with the head of the answer.
+  /// Bytes that are written unchanged. The bytes include the head of the answer.
   std::string bytes;
   /// Whether the connection is closed after the answer.
   bool close = false;
-  /// Whether the connection is closed with a reset after the answer.
+  /// Whether the connection is reset after the answer.
   bool reset = false;
   /// Parts that are written after `bytes`, each after a wait of `pause`.
   std::vector<std::string> delayed_bytes{};
   std::chrono::milliseconds pause{0};
 };
 
-/// Server on 127.0.0.1 that answers each request with the result of a function. Thread-safe. The
-/// threads of the connections call the function, so it must be thread-safe too.
+/// Server on 127.0.0.1 that answers each request with the result of a function. The threads of the
+/// connections call the function, so the function must be thread-safe. Thread-safe.
 class scripted_server {
  public:
   using script = std::function<scripted_answer(const http_request&)>;
@@ -49,7 +49,7 @@
   ~scripted_server() {
     is_stopping_ = true;
     boost::system::error_code ignored;
-    // Unblocks the accept call of `accept_thread_`.
+    // Unblocks the `accept` call of `accept_thread_`.
     tcp::socket wake(io_);
     wake.connect(acceptor_.local_endpoint(), ignored);
     accept_thread_.join();
@@ -65,7 +65,7 @@
     return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
   }
 
-  /// Shuts down all connections, including connections with an unfinished answer.
+  /// Shuts down all connections, even if an answer on the connection is unfinished.
   void shut_down_connections() {
     const std::lock_guard lock(mutex_);
     for (const auto& open : connections_) {
@@ -74,10 +74,11 @@
     }
   }
 
-  /// @param is_accepting if false, each new connection is closed at once.
+  /// @param is_accepting whether the server serves new connections; if false, it closes each new
+  ///        connection at once.
   void set_accepting_connections(bool is_accepting) { is_accepting_connections_ = is_accepting; }
 
-  /// @return all requests received so far.
+  /// @return all requests that the server has received so far.
   [[nodiscard]] std::vector<http_request> requests() const {
     const std::lock_guard lock(mutex_);
     return requests_;
@@ -87,7 +88,7 @@
   /// Connection and the thread that serves it.
   struct connection {
     std::shared_ptr<tcp::socket> socket;
-    /// Set by `thread` as its last action.
+    /// Whether `thread` is about to end; set by `thread` as its last action.
     std::shared_ptr<std::atomic<bool>> ended;
     std::thread thread;
   };
@@ -113,8 +114,8 @@
     }
   }
 
-  /// Joins threads that have ended and removes their connections. A thread keeps its stack until it
-  /// is joined, so a long run would otherwise accumulate too many stacks.
+  /// Joins the threads that have ended and removes the connections of these threads. A thread keeps
+  /// its stack until the thread is joined, so too many stacks would accumulate in a long run.
   void remove_ended_connections() {
     connections_.remove_if([](connection& candidate) {
       const bool ended = *candidate.ended;
@@ -147,7 +148,8 @@
         break;
       }
     }
-    // Another thread may use the socket in `shut_down_connections`, which holds the same lock.
+    // The lock is needed because another thread may use the socket in `shut_down_connections`,
+    // which holds the same lock.
     const std::lock_guard lock(mutex_);
     socket.close(error);
   }
--- a/tests/platform_fleet/self_report_check.cc
+++ b/tests/platform_fleet/self_report_check.cc
@@ -9,29 +9,31 @@
 
 using std::chrono::milliseconds;
 
-/// Time within which the node that received a drain announcement informs the other nodes.
-/// Afterwards no node may send requests to the replica.
+/// Maximum time after a drain announcement in which the node that received the announcement informs
+/// the other nodes. After this time, no node may send requests to the draining replica.
 constexpr milliseconds drain_timeout{2'000};
-/// Time for which the draining replica is observed.
+/// Time for which the check then observes whether the draining replica receives requests.
 constexpr milliseconds observation_time{1'500};
-/// Time within which requests arrive that were in flight when the replica first requested the
-/// backoff.
+/// Time after the first rejected request of a backoff. Requests that arrive within this time are
+/// not counted, because they may have been in flight before any node knew of the backoff.
 constexpr milliseconds in_flight_time{500};
 /// Maximum number of requests that each node may send during the backoff: one request whose
-/// rejection tells the node of the backoff, and two more.
+/// rejection informs the node of the backoff, and two more.
 constexpr std::size_t max_requests_per_node = 3;
-/// Maximum wait for the first request to the replica; its answer carries the self-report.
+/// Maximum time to wait for the first request to the replica. The answer to this request contains
+/// the self-report.
 constexpr milliseconds first_request_timeout{5'000};
 constexpr milliseconds poll_interval{10};
 
-/// @return number of arrivals in [from, until).
+/// @return number of arrivals at or after `from` and before `until`.
 std::size_t arrived_between(const std::vector<soak_clock::time_point>& arrivals,
                             soak_clock::time_point from, soak_clock::time_point until) {
   return static_cast<std::size_t>(std::count_if(arrivals.begin(), arrivals.end(),
                                                 [&](auto at) { return from <= at && at < until; }));
 }
 
-/// Waits until the replica receives a request. @return whether a request arrived in time.
+/// Waits until the replica receives a request, for at most `first_request_timeout`.
+/// @return whether a request arrived in time.
 bool wait_for_request(const soak_replica& replica) {
   const auto started_at = soak_clock::now();
   while (replica.last_arrival_at() < started_at &&
@@ -44,7 +46,8 @@
 } // namespace
 
 void self_report_check::check_drain_announcement() {
-  // Requests that fail because of the store or the crash of the replica are not violations.
+  // This check counts as a fault: requests that fail because the store is down or because the
+  // replica crashes are not violations.
   fleet_->last_fault_at = soak_clock::now();
   fleet_->store.set_mode(store_mode::refusing);
   replica_->set_drain_announced(true);
--- a/tests/platform_fleet/self_report_check.h
+++ b/tests/platform_fleet/self_report_check.h
@@ -1,6 +1,7 @@
-/// Checks of the fault soak for self-reports: what a replica announces about itself in the headers
-/// of its answers. A replica that announces a drain must then receive no requests; a replica that
-/// requests a backoff must receive few requests during the backoff.
+/// Checks of the fault soak for self-reports. A self-report is what a replica announces about
+/// itself in the headers of its answers. A replica that has announced a drain must not receive
+/// requests any longer. A replica that has requested a backoff must receive few requests during the
+/// backoff.
 #pragma once
 
 #include "soak_fleet.h"
@@ -17,12 +18,12 @@
                     base::random_source& random)
       : replica_(&replica), fleet_(&fleet), recorder_(&recorder), random_(&random) {}
 
-  /// Lets the replica announce a drain while the store is down, and records a violation if nodes
-  /// send requests to the replica afterwards. Then crashes the replica and restarts it under the
-  /// same id.
+  /// Makes the replica announce a drain while the store is down. Records a violation if nodes still
+  /// send requests to the replica 2 s after the announcement. Then crashes the replica and restarts
+  /// it under the same id.
   void check_drain_announcement();
-  /// Lets the replica reject requests and request a backoff of one to three seconds, and records a
-  /// violation if nodes send too many requests during the backoff. Then lets the replica accept
+  /// Makes the replica reject requests and request a backoff of one to three seconds. Records a
+  /// violation if nodes send too many requests during the backoff. Then makes the replica accept
   /// requests again.
   void check_requested_backoff();
 
--- a/tests/platform_fleet/serving_process_test.cc
+++ b/tests/platform_fleet/serving_process_test.cc
@@ -1,4 +1,4 @@
-/// Requests through a real spurrackd with an emulated platform: checks what clients and replicas
+/// Requests through a real spurrackd with an emulated platform. Checks what clients and replicas
 /// receive.
 #include "http_text.h"
 #include "scripted_server.h"
@@ -37,7 +37,7 @@
          "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-/// Daemon under test with its store and two replicas of one service.
+/// Daemon under test, with the store and two replicas of one service that the daemon uses.
 struct serving_process {
   serving_process()
       : replica_one([this](const http_request& request) { return script_one(request); }),
@@ -76,7 +76,8 @@
                         body});
   }
 
-  /// Sends bytes to the listener for clients. @return bytes of the answer.
+  /// Sends bytes to the listener of the daemon for clients.
+  /// @return bytes of the answer.
   [[nodiscard]] std::string send_raw(const std::string& bytes) const {
     return fleet::exchange_raw(daemon->client_address, bytes, milliseconds(3'000));
   }
@@ -243,9 +244,10 @@
   BOOST_TEST(daemon->process().is_running());
 }
 
-/// Guards against a process that exits if SIGHUP arrives a few milliseconds after its start. A
-/// signal that arrives before its handler is installed must stay pending. The process inherits a
-/// mask that blocks SIGHUP, so that the signal is certain to arrive before the handler.
+/// Guards against a process that exits if SIGHUP arrives a few milliseconds after its start. If the
+/// signal arrives before the process has installed its handler, the signal must stay pending. In
+/// this test, the process inherits a mask that blocks SIGHUP, so that the signal certainly arrives
+/// before the handler is installed.
 BOOST_AUTO_TEST_CASE(sighup_during_startup_is_handled_after_startup) {
   sigset_t reload;
   sigemptyset(&reload);
--- a/tests/platform_fleet/single_daemon.h
+++ b/tests/platform_fleet/single_daemon.h
@@ -1,4 +1,4 @@
-/// Real daemon on loopback for a test, with its own folder and addresses.
+/// Real daemon on loopback for a test. Each daemon has its own folder and addresses.
 #pragma once
 
 #include "fleet/child_process.h"
@@ -28,11 +28,12 @@
   BOOST_REQUIRE(is_true());
 }
 
-/// Daemon process. The constructor starts the daemon and waits until it is ready; the destructor
-/// ends the daemon and removes its folder.
+/// Daemon process. The constructor starts the daemon and waits until the daemon is ready. The
+/// destructor kills the process and removes the folder of the daemon.
 class single_daemon {
  public:
-  /// @param name part of the name of the daemon's folder; unique within the test program.
+  /// @param name part of the name of the folder of the daemon; must be unique within the test
+  ///        program.
   /// @param store `IP:port` of the metadata store.
   /// @param serving_settings further lines of the section `serving` of the settings, each indented
   ///        by two spaces.
--- a/tests/platform_fleet/slow_readers_test.cc
+++ b/tests/platform_fleet/slow_readers_test.cc
@@ -1,6 +1,6 @@
-/// A real spurrackd with hundreds of clients that read slowly, pause or never read, and some fast
-/// clients. Checks that the memory of the daemon and the added latency of the fast clients stay
-/// within limits, and that no events are lost.
+/// A real spurrackd with hundreds of slow clients, which read slowly, pause or never read, and some
+/// fast clients. Checks that the memory of the daemon and the added latency of the fast clients
+/// stay within limits, and that no events are lost.
 #include "event_replica.h"
 #include "reading_client.h"
 #include "single_daemon.h"
@@ -32,15 +32,16 @@
 using std::chrono::milliseconds;
 namespace asio = boost::asio;
 
-/// Number of slow clients with each read pattern. Manual runs may set another number in the
-/// environment variable SPURRACK_SLOW_READERS, such as 466 for 1,400 clients in total.
+/// Number of slow clients for each read pattern. For manual runs, the environment variable
+/// SPURRACK_SLOW_READERS sets another number, such as 466 for 1,400 clients in total.
 constexpr std::size_t default_slow_clients_per_pattern = 150;
 constexpr std::size_t fast_client_count = 50;
-/// Maximum resident memory of a daemon that may use the 160 MB of a small machine.
+/// Maximum resident memory, in MB, of a daemon that may use the 160 MB of a small machine.
 constexpr double max_resident_mb = 110;
-/// Maximum relative increase of the 99th percentile of the fast clients' latency, compared to the
-/// same number of fast clients of another daemon that has no slow clients. Both daemons are
-/// measured at the same time because a busy machine delays both.
+/// Maximum relative increase of the latency of fast clients (99th percentile) that is caused by
+/// slow clients. The latency is compared with that of the same number of fast clients at a second
+/// daemon without slow clients. Both daemons are measured at the same time, because a busy machine
+/// delays both.
 constexpr double max_latency_increase = 0.1;
 constexpr milliseconds arrival_interval{20};
 
@@ -61,7 +62,8 @@
      "max_attempts":3,"stream_resume":true,"target_latency_ms":5000,"gap_target_ms":1000}]})";
 }
 
-/// Daemon with the resource limits of a small machine, its store, and two replicas.
+/// Daemon with the resource limits of a small machine, and the store and two replicas that the
+/// daemon uses.
 struct slow_reader_fixture {
   explicit slow_reader_fixture(const std::string& name = "main") {
     store.put("op/config", configuration());
@@ -90,7 +92,7 @@
     return 0;
   }
 
-  /// @param name name of a metric with its labels.
+  /// @param name name of a metric, including its labels.
   /// @return value of the metric; -1 if the metric does not exist.
   [[nodiscard]] double metric(const std::string& name) const {
     const auto text = fleet::get(daemon->operator_address, "/metrics").body;
@@ -98,7 +100,7 @@
     return position == std::string::npos ? -1 : std::stod(text.substr(position + name.size() + 2));
   }
 
-  /// Sends one request and waits for its result.
+  /// Sends one request and waits for the result.
   [[nodiscard]] request_result send(request_plan plan) const {
     asio::io_context io;
     request_result result;
@@ -111,8 +113,8 @@
 
   soak_store store;
   event_replica replica;
-  /// Replica that serves only the fast clients, so that its work for slow clients does not delay
-  /// the fast clients.
+  /// Replica that serves only the fast clients, so that work of the replica for slow clients does
+  /// not delay the fast clients.
   event_replica fast_replica;
   std::optional<single_daemon> daemon;
 };
@@ -148,7 +150,7 @@
   }
 };
 
-/// Fast clients on a separate thread. Each sends requests back to back.
+/// Fast clients on a separate thread. Each client sends one request after another without a pause.
 class fast_client_group {
  public:
   explicit fast_client_group(std::string address) : address_(std::move(address)) {
@@ -164,7 +166,7 @@
   fast_client_group(const fast_client_group&) = delete;
   fast_client_group& operator=(const fast_client_group&) = delete;
 
-  /// @return results since the last call.
+  /// @return results of the requests that ended since the last call of this function.
   group_result take_result() {
     const std::lock_guard lock(mutex_);
     return std::exchange(result_, {});
@@ -189,20 +191,21 @@
   std::thread thread_;
 };
 
-/// Slow clients with the read patterns trickle, pausing and never. They run on the thread of the
-/// caller.
+/// Slow clients with the read patterns `trickle`, `pausing` and `never`. The clients run on the
+/// thread that calls `run_until_pausing_end`.
 class slow_client_group {
  public:
   explicit slow_client_group(const slow_reader_fixture& fleet) : fleet_(&fleet) {}
 
-  /// Starts one client of each read pattern every `arrival_interval`, so that fast clients are
-  /// affected by the slow reading and not by a burst of arrivals.
+  /// Starts one client of each read pattern every `arrival_interval`. The interval ensures that the
+  /// slow reading, and not a burst of arrivals, affects the fast clients.
   void start_slow(std::size_t clients_per_pattern) {
     trickling.started = pausing.started = never.started = clients_per_pattern;
     asio::co_spawn(io_, start_at_intervals(clients_per_pattern), asio::detached);
   }
 
-  /// Runs the clients until the pausing clients have finished or the timeout has passed.
+  /// Runs the clients until all clients with the pattern `pausing` have finished or the timeout has
+  /// passed.
   void run_until_pausing_end(milliseconds timeout) {
     const auto deadline = std::chrono::steady_clock::now() + timeout;
     while (pausing.finished < pausing.started && std::chrono::steady_clock::now() < deadline) {
@@ -242,7 +245,7 @@
   asio::io_context io_;
 };
 
-/// Results of fast and slow clients that run at the same time.
+/// Results of fast clients and slow clients that ran at the same time.
 struct mixed_load_outcome {
   bool is_running = false;
   double resident_mb = 0;
@@ -283,7 +286,8 @@
   return outcome;
 }
 
-/// @return outcome of one run that all cases share.
+/// @return outcome of the mixed load. The mixed load runs only once, and all test cases share the
+///         outcome.
 const mixed_load_outcome& mixed_load_result() {
   static const mixed_load_outcome outcome = run_mixed_load();
   return outcome;
--- a/tests/platform_fleet/soak_client.cc
+++ b/tests/platform_fleet/soak_client.cc
@@ -17,15 +17,16 @@
 
 using std::chrono::milliseconds;
 
-/// Time from sending a request to its deadline.
+/// Time from sending a request to the deadline of the request.
 constexpr milliseconds default_request_timeout{3'000};
 constexpr milliseconds long_request_timeout{8'000};
-/// Time by which a process may be delayed on a machine that runs many processes.
+/// Maximum time by which a process may be delayed on a machine that runs many processes.
 constexpr milliseconds scheduling_slack{1'500};
-/// Time after sending within which a request can race the close of its connection. A request whose
-/// connection ends later had been read completely.
+/// Maximum time after sending a request in which the daemon may close the idle connection without
+/// having read the request. If the connection ends later, the daemon had read the request
+/// completely.
 constexpr milliseconds close_race_time{200};
-/// Maximum time for which a client keeps its connection idle.
+/// Maximum time for which a client keeps its connection idle before a request.
 constexpr std::size_t max_idle_milliseconds = 1'500;
 constexpr milliseconds failure_backoff{30};
 constexpr unsigned too_many_requests = 429;
@@ -57,8 +58,8 @@
   if (mode_ == client_mode::streaming) {
     return "long";
   }
-  // Requests of the last kind, `held`, may run in one region only. They are sent only if the fleet
-  // has two regions, because otherwise the fleet has no route for them.
+  // Requests of the last kind, `held`, may run in one region only. Only a fleet with two regions
+  // has a route for these requests, so clients of other fleets omit this kind.
   constexpr std::array<const char*, 5> all_kinds{"safe", "unsafe", "stream", "staged", "held"};
   return all_kinds[random_.below(all_kinds.size() - (fleet_->has_two_regions() ? 0 : 1))];
 }
@@ -125,8 +126,8 @@
     outcome.body = answer.get().body();
     outcome.is_complete = !error && answer.is_done();
   }
-  // Checked only after a complete answer: bytes that are left after an incomplete answer belong to
-  // that answer.
+  // Surplus bytes are checked only after a complete answer. The bytes that are left after an
+  // incomplete answer belong to this answer.
   if (outcome.is_complete && buffer.size() > 0) {
     recorder_->note_violation("MIXED", name_ + " received bytes that belong to no request");
   }
@@ -167,12 +168,13 @@
 
 void soak_client::check_incomplete_answer(const std::string& id, const soak_outcome& outcome,
                                           soak_clock::time_point sent_at) {
-  // A fault during the request or shortly before the request may end the connection.
+  // A fault during the request or shortly before the request may end the connection, so an
+  // incomplete answer is no violation.
   if (sent_at - fleet_->last_fault_at.load() < settle_time) {
     return;
   }
-  // The daemon may close an idle connection while the request is in transit; the daemon has not
-  // read that request.
+  // The daemon may close an idle connection while a request is in transit. In this case the daemon
+  // has not read the request, so the missing answer is no violation.
   const auto waited = std::chrono::duration_cast<milliseconds>(soak_clock::now() - sent_at);
   const bool raced_close =
       outcome.status == 0 && waited < close_race_time && !recorder_->was_forwarded(id);
--- a/tests/platform_fleet/soak_client.h
+++ b/tests/platform_fleet/soak_client.h
@@ -40,20 +40,22 @@
   void run(const std::atomic<bool>& should_stop);
 
  private:
-  /// @return kind of the next request; random unless the mode of the client is `streaming`.
+  /// @return kind of the next request; random, except that a client with the mode `streaming`
+  ///         always sends requests of the kind `long`.
   std::string random_kind();
   /// Sends a request, waits for the answer and checks it.
   void send(const std::string& kind);
-  /// Writes a request and reads the answer. Drops the connection if it cannot be used again.
-  /// @param timeout of each read and write of the socket.
+  /// Writes a request to the connection and reads the answer. Drops the connection if it cannot be
+  /// used for another request.
+  /// @param timeout maximum time of each read and write of the socket.
   soak_outcome exchange(const std::string& bytes, std::chrono::milliseconds timeout);
-  /// Connects to a node; `socket_` stays empty if that fails.
+  /// Connects to a node. `socket_` stays empty if the connect fails.
   void connect(soak_node& node);
-  /// Counts an answer, and records a violation if the answer is wrong.
+  /// Counts an answer. Records a violation if the answer is wrong.
   void check_answer(const std::string& kind, const std::string& id, const soak_outcome& outcome,
                     soak_clock::time_point sent_at);
-  /// Records a violation for a missing or incomplete answer, unless a fault or the close of an idle
-  /// connection explains it.
+  /// Records a violation for a missing or incomplete answer, unless the reason is a fault or the
+  /// close of an idle connection.
   void check_incomplete_answer(const std::string& id, const soak_outcome& outcome,
                                soak_clock::time_point sent_at);
 
--- a/tests/platform_fleet/soak_fleet.h
+++ b/tests/platform_fleet/soak_fleet.h
@@ -1,5 +1,5 @@
-/// Fleet of the fault soak: real daemons, fault proxies on the links between them, and the emulated
-/// platform (store and replicas).
+/// Fleet of the fault soak: real daemons, the emulated platform (store and replicas), and fault
+/// proxies in front of the peer listener of each daemon and in front of each replica.
 #pragma once
 
 #include "soak_replica.h"
@@ -19,11 +19,12 @@
 /// Prefix of the store keys of replicas.
 inline const std::string replica_key_prefix = "servers/";
 
-/// Zone that the soak evacuates. Every service has a usable replica in the other zone, even if one
-/// replica drains.
+/// Zone that the soak evacuates. Every service has a usable replica in the other zone, even while
+/// one replica drains.
 inline const std::string evacuated_zone = "west";
 
-/// One daemon of the fleet. Only `soak_fleet` replaces and signals the process of the daemon.
+/// One node of the fleet, which runs as a daemon process. Only `soak_fleet` replaces and signals
+/// the process.
 struct soak_node {
   std::string name;
   std::string zone;
@@ -31,7 +32,8 @@
   std::string readiness_address;
   std::string peer_address;
   std::string advertised_peer_address;
-  /// Whether the process has received SIGTERM and the node was not started again.
+  /// Whether the process of the node has received SIGTERM and the node has not been started again
+  /// since.
   std::atomic<bool> is_stopping = false;
   std::atomic<soak_clock::time_point> started_at{soak_clock::time_point{}};
   /// Guards `process`.
@@ -39,37 +41,41 @@
   std::unique_ptr<fleet::child_process> process;
 };
 
-/// Time after the last fault from which on the invariants with a time limit must hold and no
-/// request that is sent may be lost. Planned maintenance is not a fault.
+/// Time after the last fault during which effects of the fault are allowed. Once this time has
+/// passed, the invariants with a time limit must hold, and no request may be lost. Planned
+/// maintenance is not a fault.
 constexpr std::chrono::milliseconds settle_time{4'000};
 
 struct soak_fleet_options {
-  /// Number of daemons.
+  /// Number of nodes.
   std::size_t nodes = 4;
-  /// Each zone is a separate region, and some requests are confined to the region of the zone
-  /// `east`.
+  /// Whether each zone is a separate region. If so, some requests are confined to the region of the
+  /// zone `east`.
   bool two_regions = false;
-  /// Folder of another build's `spurrackd`. Every second start of a daemon uses that build, so that
-  /// daemons of both builds replace each other. Empty: one build only.
+  /// Folder that contains the `spurrackd` of another build. Every second start of a node uses the
+  /// other build, so that nodes of each build are replaced by nodes of the other build. Empty if
+  /// only one build is used.
   std::filesystem::path other_build;
-  /// Folder of logs that are kept after the run. Empty: a temporary folder that is removed.
+  /// Folder for the logs, which is kept after the run. If empty, the logs are in a temporary folder
+  /// that is deleted after the run.
   std::filesystem::path logs;
 };
 
 /// Exit of a process.
 struct soak_exit {
-  /// Exit code; 128 + signal if a signal ended the process.
+  /// Exit code; 128 + signal number if a signal ended the process.
   int code = 0;
   /// Whether the process exited before the timeout and was not killed.
   bool was_in_time = true;
 };
 
-/// Fleet of daemons with its proxies, store and replicas. Any thread may signal processes, start
-/// them and wait for them, and read addresses and `last_fault_at`. The store and the replicas are
-/// thread-safe. All other functions must be called by one thread.
+/// Nodes of the fleet with their proxies, the store and the replicas. Any thread may start nodes,
+/// signal their processes, wait for the exit of their processes, and read addresses and
+/// `last_fault_at`. The store and the replicas are thread-safe. All other functions must be called
+/// by one thread.
 class soak_fleet {
  public:
-  /// Starts proxies and daemons and publishes the configuration and the replicas.
+  /// Starts the proxies and the nodes, and publishes the configuration and the replicas.
   /// @param binaries folder of the programs.
   soak_fleet(const std::filesystem::path& binaries, const soak_fleet_options& options,
              soak_recorder& recorder);
@@ -77,20 +83,21 @@
   soak_fleet(const soak_fleet&) = delete;
   soak_fleet& operator=(const soak_fleet&) = delete;
 
-  /// Starts a process for a node.
+  /// Starts a new process for a node.
   void start_node(soak_node& node);
   /// Sends a signal to the process of a node.
   void signal(soak_node& node, int number);
-  /// Waits for the exit of the process of a node, and kills the process if it does not exit in
-  /// time.
+  /// Waits for the exit of the process of a node. Kills the process if it does not exit within
+  /// `timeout`.
   soak_exit wait_for_exit(soak_node& node, std::chrono::milliseconds timeout);
   [[nodiscard]] bool is_running(soak_node& node);
-  /// @return resident memory of all daemons in bytes.
+  /// @return resident memory of the processes of all nodes, in bytes.
   [[nodiscard]] std::size_t resident_bytes();
-  /// Waits until all nodes are ready. @return whether they were ready in time.
+  /// Waits until all nodes are ready.
+  /// @return whether all nodes were ready before the timeout.
   [[nodiscard]] bool wait_until_all_ready(std::chrono::milliseconds timeout);
   /// Publishes the next version of the configuration.
-  /// @param with_extra_key whether the API key `extra` is valid.
+  /// @param with_extra_key whether the configuration contains the API key `extra`.
   void publish_configuration(bool with_extra_key);
   /// Writes the store entry of a replica.
   void publish(soak_replica& replica);
@@ -99,11 +106,11 @@
   /// Writes or deletes the store entry that evacuates a zone. Nodes send no requests to replicas of
   /// an evacuated zone.
   void set_evacuated(const std::string& zone, bool evacuated);
-  /// Sets the fault and the delay of the peer link of a node or of the link to a replica. Ends the
-  /// fault of the link if `fault` is empty and the delay is 0.
+  /// Sets the fault and the delay of one link: the peer link of a node, or the link to a replica.
+  /// Ends the fault of the link if `fault` is empty and the delay is 0.
   /// @param name name of the node or id of the replica.
-  /// @param fault `cut`: no connection can be opened and open connections are reset; `black_hole`:
-  ///        connections stay open but bytes are held back; empty: no fault.
+  /// @param fault `cut`: open connections are reset, and no connection can be opened; `black_hole`:
+  ///        connections stay open, but bytes are held back; empty: no fault.
   void set_link_fault(const std::string& name, const std::string& fault,
                       int delay_milliseconds = 0) const;
   /// Writes valid or invalid settings, sends SIGHUP to the node, and writes valid settings again.
@@ -114,13 +121,13 @@
   std::vector<std::unique_ptr<soak_node>> nodes;
   std::vector<std::unique_ptr<soak_replica>> replicas;
   soak_store store;
-  /// Time of the last fault. Planned maintenance does not count.
+  /// Time of the last fault. Planned maintenance does not count as a fault.
   std::atomic<soak_clock::time_point> last_fault_at{soak_clock::time_point{}};
 
  private:
-  /// Link through a fault proxy.
+  /// Link on which a fault proxy forwards connections.
   struct proxied_link {
-    /// Name of the node or id of the replica at the end of the link.
+    /// Name of the node or id of the replica to which the link leads.
     std::string name;
     /// Address at which the proxy listens.
     std::string listen;
@@ -132,8 +139,8 @@
   void write_settings(const soak_node& node, bool valid) const;
   void start_proxies();
   void start_proxy(const std::vector<proxied_link>& links);
-  /// @return JSON of the route of requests that are confined to a region, with a leading comma;
-  ///         empty unless the fleet has two regions.
+  /// @return JSON of the route for requests that are confined to a region, with a leading comma; an
+  ///         empty string if the fleet does not have two regions.
   [[nodiscard]] std::string confined_route() const;
   [[nodiscard]] std::string settings_path(const soak_node& node) const;
 
@@ -144,7 +151,7 @@
   bool should_keep_logs_;
   bool two_regions_;
   std::vector<std::unique_ptr<fleet::child_process>> proxies_;
-  /// Admin address of the proxy of each link, by the name of the link.
+  /// By the name of a link: admin address of the proxy of this link.
   std::map<std::string, std::string> proxy_of_link_;
   replica_incarnations incarnations_;
   soak_recorder* recorder_;
--- a/tests/platform_fleet/soak_recorder.h
+++ b/tests/platform_fleet/soak_recorder.h
@@ -1,5 +1,5 @@
-/// Records what clients and emulated services of the fault soak observe, and the violations of
-/// invariants. Requests are identified by their X-Request-Id.
+/// Records what the clients and the emulated services of the fault soak observe, and which
+/// invariants are violated. A request is identified by its X-Request-Id.
 #pragma once
 
 #include <chrono>
@@ -27,8 +27,8 @@
     const std::lock_guard lock(mutex_);
     forwarded_.insert(request);
   }
-  /// Records that a client received an answer which states that the request has not run and will
-  /// not run.
+  /// Records that a client received an answer that states that the request has not run and will not
+  /// run.
   void note_not_run(const std::string& request) {
     const std::lock_guard lock(mutex_);
     not_run_.insert(request);
@@ -38,7 +38,7 @@
     const std::lock_guard lock(mutex_);
     single_run_requests_.insert(request);
   }
-  /// Records a violation.
+  /// Records a violation of an invariant.
   /// @param rule name of the violated invariant, in capitals.
   void note_violation(const std::string& rule, const std::string& detail) {
     const std::lock_guard lock(mutex_);
@@ -50,7 +50,7 @@
   void count_answer(const std::string& kind, const std::string& status) {
     count(answer_prefix + kind + " " + status);
   }
-  /// @return whether a label from `counts` counts answers (see `count_answer`) and nothing else.
+  /// @return whether a label of `counts` belongs to a count of answers (see `count_answer`).
   static bool is_answer_count(const std::string& label) { return label.starts_with(answer_prefix); }
   /// Increments the count with a label.
   void count(const std::string& label) {
@@ -71,9 +71,9 @@
     const std::lock_guard lock(mutex_);
     return counts_;
   }
-  /// @return recorded violations; in addition one violation for each request that may run at most
-  ///         once and ran several times, or ran although its client was told that it did not run.
-  ///         Complete after the load has ended.
+  /// @return the recorded violations, and one violation for each single-run request (see
+  ///         `note_single_run`) that ran several times, or that ran although its client received
+  ///         the answer that it did not run. The list is complete only after the load has ended.
   [[nodiscard]] std::vector<std::string> violations() const {
     const std::lock_guard lock(mutex_);
     auto all_violations = violations_;
--- a/tests/platform_fleet/soak_replica.h
+++ b/tests/platform_fleet/soak_replica.h
@@ -1,8 +1,10 @@
-/// Replicas of the fault soak on loopback. The soak can let a replica misbehave, crash, and restart
-/// under the same id. Replicas check the requests that they receive.
+/// Replicas of the fault soak on loopback. The soak can make a replica misbehave, crash, and
+/// restart under the same id. Replicas check the requests that they receive. The callers of a
+/// replica are the nodes.
 ///
-/// The result of a piece stays at the replica that ran the piece. The replica answers with a
-/// handle: a text that identifies the result. Later stages receive handles as their inputs.
+/// A stage of a request consists of pieces, and the result of a piece stays at the replica that ran
+/// the piece. The replica answers with a handle, a text that identifies the result. Later stages
+/// receive handles as their inputs.
 #pragma once
 
 #include "scripted_server.h"
@@ -27,11 +29,12 @@
   shedding,       ///< Rejects every request without running it.
   losing_answers, ///< Runs requests, but may reset the connection or truncate the stream.
   corrupting,     ///< Appends surplus bytes to answers or truncates answers.
-  slow            ///< Works longer on each request.
+  slow            ///< Takes longer to run each request.
 };
 
-/// Current incarnation of each replica. A new incarnation begins when the replica crashes and again
-/// when it restarts. Results are lost when the incarnation that produced them ends. Thread-safe.
+/// Current incarnation of each replica. A new incarnation begins when a replica crashes, and
+/// another one when the replica restarts. When an incarnation ends, the results that it produced
+/// are lost. Thread-safe.
 class replica_incarnations {
  public:
   struct incarnation {
@@ -50,32 +53,33 @@
   std::map<std::string, incarnation> incarnations_;
 };
 
-/// Replica with its server. Thread-safe.
+/// Emulated replica with its HTTP server. Thread-safe.
 class soak_replica {
  public:
-  /// @param published_address address at which callers reach the replica. It is a part of the
-  ///        handles of the replica's results.
+  /// @param published_address address at which callers reach the replica. The handles of the
+  ///        replica's results contain this address.
   soak_replica(std::string id, std::string service, std::string zone, std::string published_address,
                replica_incarnations& incarnations, soak_recorder& recorder);
 
   void set_mode(replica_mode mode) { mode_ = mode; }
-  /// Sets the limit that answers announce: requests per second that all callers together may send;
-  /// 0: answers announce no limit.
+  /// Sets the limit that the answers of the replica announce: the number of requests per second
+  /// that all callers together may send to the replica; 0 if the answers announce no limit.
   void set_limit(unsigned per_second) { limit_ = per_second; }
-  /// Sets whether answers announce that the replica drains.
+  /// Sets whether the answers of the replica announce that the replica drains.
   void set_drain_announced(bool is_announced) { is_drain_announced_ = is_announced; }
-  /// Lets the replica reject all requests and request this backoff of the callers; 0: the replica
-  /// accepts requests.
+  /// Makes the replica reject all requests and ask the callers for a backoff of this duration; 0
+  /// makes the replica accept requests.
   void set_backoff(std::chrono::milliseconds backoff) { backoff_ = backoff; }
-  /// Sets whether the next store entry has the state `draining`.
+  /// Sets whether the next store entry of the replica has the state `draining`.
   void set_draining(bool draining) { is_draining_ = draining; }
-  /// Crashes the replica at once: running requests and all results are lost.
+  /// Crashes the replica at once: requests that it is running and all its results are lost.
   void crash();
-  /// Starts the replica again after `crash`, under the same id and without earlier state.
+  /// Starts the replica again after `crash`, under the same id and without any state from before
+  /// the crash.
   void restart();
 
-  /// @return whether the crashing request (`soak_request::crashing_path`) crashed the replica since
-  ///         the last call of this function.
+  /// @return whether the crashing request (`soak_request::crashing_path`) has crashed the replica
+  ///         since the last call of this function.
   bool take_crashed_by_request() { return crashed_by_request_.exchange(false); }
 
   [[nodiscard]] std::string listen_address() const { return server_->address(); }
@@ -85,11 +89,11 @@
   [[nodiscard]] const std::string& zone() const { return zone_; }
   /// @return next store entry of the replica, with the next sequence number.
   [[nodiscard]] std::string next_record();
-  /// @return arrival times of the requests since the last call of this function. Requests that were
-  ///         meant for another replica (X-Expect-Replica) are not included.
+  /// @return arrival times of the requests that were received since the last call of this function.
+  ///         Requests that were meant for another replica (X-Expect-Replica) are not included.
   std::vector<soak_clock::time_point> take_arrivals();
-  /// @return arrival time of the last request, including requests that were meant for another
-  ///         replica.
+  /// @return arrival time of the last received request. Requests that were meant for another
+  ///         replica are included.
   [[nodiscard]] soak_clock::time_point last_arrival_at() const { return last_arrival_at_; }
 
  private:
@@ -98,21 +102,24 @@
   /// @return header lines that announce the limit and the drain; empty if the replica announces
   ///         neither.
   [[nodiscard]] std::string self_report_headers() const;
-  /// @return answer which states that the request was not executed, with the requested backoff.
+  /// @return answer that rejects a request: the answer states that the request was not executed,
+  ///         and contains the requested backoff.
   [[nodiscard]] scripted_answer rejection(const std::string& id) const;
-  /// Runs the pieces of a call and answers with the handles of their results.
+  /// Runs the pieces of a call and answers with the handles of the results.
   scripted_answer run_pieces(const http_request& request);
   boost::json::object run_piece(const boost::json::object& item, std::uint64_t call);
   scripted_answer stream(const http_request& request, const std::string& id);
   /// Checks the path, the body, the headers and the inputs of a request.
   void check(const http_request& request, const std::string& id);
-  /// Records a violation if a confined request, or a piece of it, runs outside its region.
+  /// Records a violation if a request that is confined to a region, or a piece of such a request,
+  /// runs outside this region.
   void check_region(const std::string& id);
-  /// Checks that the inputs are handles of the results of all pieces of a stage of the request.
+  /// Checks that the inputs are the handles of the results of all pieces of one stage of a request.
   /// @param stage stage that produced the inputs.
   void check_inputs(const std::vector<std::string>& inputs, const std::string& id,
                     std::size_t stage);
-  /// Records a violation for each input whose result was lost so long ago that callers must know.
+  /// Records a violation for each input whose result was lost so long ago that callers must know of
+  /// the loss.
   /// @param inputs handles of results.
   /// @return whether all results still exist.
   bool has_all_results(const std::vector<std::string>& inputs, const std::string& id);
--- a/tests/platform_fleet/soak_run.cc
+++ b/tests/platform_fleet/soak_run.cc
@@ -16,17 +16,17 @@
 
 using std::chrono::milliseconds;
 
-/// Times within which the platform requires that all nodes react to a drain, a configuration change
-/// and an evacuation, with slack for a busy machine.
+/// Maximum times that the platform allows until all nodes have reacted to the drain of a replica, a
+/// configuration change, and the evacuation of a zone. The values include slack for a busy machine.
 constexpr milliseconds drain_timeout{3'000};
 constexpr milliseconds convergence_timeout{3'000};
 constexpr milliseconds evacuation_timeout{3'000};
-/// Time for which replicas that must not receive requests are observed.
+/// Time for which the soak observes replicas that must not receive requests.
 constexpr milliseconds idle_observation_time{500};
-/// Time within which a replica that is usable again must receive a request under load.
+/// Maximum time until a replica that is usable again receives a request under load.
 constexpr milliseconds first_request_timeout{3'000};
 constexpr milliseconds poll_interval{20};
-/// Time between the rollback of the store and the rewriting of the lost entries.
+/// Time between the rollback of the store and the rewriting of the entries that the rollback lost.
 constexpr milliseconds time_before_rewrite{1'500};
 constexpr std::size_t client_mode_count = 3;
 
@@ -47,7 +47,7 @@
     faults_.inject_until(soak_clock::now() + options_.fault_duration);
     recover();
     check_without_faults();
-    // Older builds lack the features that are checked here.
+    // Older builds lack the features that these checks test.
     if (!fleet_.mixes_builds()) {
       check_rate_limited_replica();
       check_self_reporting_replicas();
@@ -89,7 +89,7 @@
 
 void soak_run::check_without_faults() {
   const auto counts_before = recorder_.counts();
-  // Replicas of different services, so that each service keeps usable replicas.
+  // The two replicas belong to different services, so that each service keeps usable replicas.
   std::vector<std::string> services{"plain", "pool", "model"};
   auto& draining = random_replica_of(base::take_random(services, random_), random_);
   auto& unreadable = random_replica_of(base::take_random(services, random_), random_);
@@ -125,7 +125,8 @@
 
 void soak_run::check_rate_limited_replica() {
   std::vector<std::string> services{"plain", "pool", "model"};
-  // A separate random source, so that the seeds in seeds.txt keep their sequence of faults.
+  // This check has a separate random source, so that each seed in seeds.txt still leads to the same
+  // sequence of faults.
   base::seeded_random own_random(seed_);
   auto& limited = random_replica_of(base::take_random(services, own_random), own_random);
   rate_limit_check(limited, recorder_, own_random).check();
@@ -135,7 +136,8 @@
 
 void soak_run::check_self_reporting_replicas() {
   std::vector<std::string> services{"plain", "pool", "model"};
-  // A separate random source, so that the seeds in seeds.txt keep their sequence of faults.
+  // This check has a separate random source, so that each seed in seeds.txt still leads to the same
+  // sequence of faults.
   base::seeded_random own_random(seed_ + 1);
   auto& backing_off = random_replica_of(base::take_random(services, own_random), own_random);
   self_report_check(backing_off, fleet_, recorder_, own_random).check_requested_backoff();
--- a/tests/platform_fleet/soak_run.h
+++ b/tests/platform_fleet/soak_run.h
@@ -1,5 +1,5 @@
-/// One run of the fault soak with one seed: faults, checks without faults and planned maintenance,
-/// all under load.
+/// One run of the fault soak (fault_soak.cc) with one seed. The run injects faults, makes checks
+/// while there are no faults, and does planned maintenance, all under load.
 #pragma once
 
 #include "foreign_entries.h"
@@ -20,18 +20,21 @@
   /// maintenance.
   std::size_t phases = 1;
   std::size_t clients_per_node = 6;
-  /// Maximum time until all nodes are ready.
+  /// Maximum time until all nodes are ready after the start, after faults and after a rolling
+  /// restart.
   std::chrono::milliseconds ready_timeout{10'000};
   /// Number of rolling restarts of all nodes in each phase.
   std::size_t rolling_restarts = 1;
 };
 
-/// One run of the soak. Owns the fleet and its clients. Not thread-safe.
+/// One run of the fault soak. Owns the fleet and the clients that send requests to the fleet. Not
+/// thread-safe.
 class soak_run {
  public:
   soak_run(const std::filesystem::path& binaries, const soak_options& options, std::uint64_t seed);
 
-  /// Runs all phases. Must be called only once. @return violations, each as rule and detail.
+  /// Runs all phases. Must be called only once.
+  /// @return violations, each as the name of the violated invariant and a detail.
   std::vector<std::string> run();
   /// @return counts of answers, faults and observations by label.
   [[nodiscard]] std::map<std::string, std::size_t> counts() const { return recorder_.counts(); }
@@ -41,38 +44,42 @@
  private:
   void start_clients();
   void stop_clients();
-  /// Ends all faults and waits until the invariants with a time limit hold.
+  /// Ends all faults. Waits until all nodes are ready and `settle_time` has passed since the last
+  /// fault; then the invariants with a time limit must hold. Checks that the replica that was
+  /// restarted last receives requests.
   void recover();
   /// Checks how the fleet reacts to four changes while there are no faults: a replica drains, the
   /// store entry of another replica cannot be parsed, a zone is evacuated, and an API key is
-  /// removed. Then reverts the changes and checks that the replicas receive requests again and that
-  /// the key is accepted again.
+  /// removed. Then reverts the changes, and checks that both replicas receive requests again and
+  /// that the API key is accepted again.
   void check_without_faults();
-  /// Checks that a replica that announces a limit does not receive too many requests, and that it
-  /// still receives requests after the limit was withdrawn.
+  /// Checks that a replica that announces a limit does not receive too many requests, and that the
+  /// replica still receives requests after it has withdrawn the limit.
   void check_rate_limited_replica();
   /// Checks that nodes react to a replica that requests a backoff and to a replica that announces a
-  /// drain, and that both replicas receive requests again afterwards.
+  /// drain. Checks that each of the two replicas receives requests again afterwards.
   void check_self_reporting_replicas();
-  /// Rolls the store back to a snapshot that was taken before an API key was removed and a replica
-  /// began to drain. Checks that both changes stay in effect, and that nodes apply entries that are
-  /// written after the rollback.
+  /// Rolls the store back to a snapshot. After the snapshot was taken, an API key was removed and a
+  /// replica began to drain. Checks that these two changes stay in effect after the rollback, and
+  /// that nodes apply entries that are written after the rollback.
   void check_store_rollback();
   /// Runs the rolling restarts and checks that all nodes become ready again.
   void check_planned_maintenance();
   /// Stops all nodes gracefully and checks that they exit in time.
   void check_final_stops();
-  /// Sends a request with an API key to every node and checks the status of the answer.
+  /// Sends a request with an API key to every node and checks the status of each answer.
   void check_api_key(const std::string& key, unsigned expected);
-  /// Checks that at least 90% of the requests since `counts_before` were answered with 200.
-  /// @param counts_before counts at the start of the observed time.
+  /// Checks that at least 90% of the requests since the time of `counts_before` were answered with
+  /// 200.
+  /// @param counts_before counts of the recorder at the start of the observed time.
   void check_success_rate(const std::map<std::string, std::size_t>& counts_before);
   /// Checks that a replica received no request after `quiet_since`.
-  /// @param rule name of the invariant that a request violates.
-  /// @param why reason for which the replica must not receive requests; part of the violation.
+  /// @param rule name of the invariant that such a request violates.
+  /// @param why reason for which the replica must not receive requests; part of the text of the
+  ///        violation.
   void check_no_request_since(const soak_replica& replica, soak_clock::time_point quiet_since,
                               const std::string& rule, const std::string& why);
-  /// Checks that a replica that is usable again receives requests.
+  /// Checks that a replica that is usable again receives a request within `first_request_timeout`.
   void check_used_again(const soak_replica& replica);
   soak_replica& random_replica_of(const std::string& service, base::random_source& random);
 
@@ -86,7 +93,8 @@
   std::atomic<bool> should_stop_clients_ = false;
   std::list<soak_client> clients_;
   std::vector<std::thread> client_threads_;
-  /// Number of requests that `check_api_key` has sent; makes their ids unique.
+  /// Number of requests that `check_api_key` has sent. This number makes the ids of these requests
+  /// unique.
   std::size_t probe_count_ = 0;
   std::size_t resident_bytes_ = 0;
 };
--- a/tests/platform_fleet/soak_store.h
+++ b/tests/platform_fleet/soak_store.h
@@ -1,4 +1,4 @@
-/// Emulated metadata store of the platform on loopback. Tests can let the store misbehave.
+/// Emulated metadata store of the platform on loopback. Tests can make the store misbehave.
 #pragma once
 
 #include "scripted_server.h"
@@ -19,13 +19,14 @@
 enum class store_mode : std::uint8_t {
   normal,
   refusing,       ///< Answers every request with 503.
-  unresponsive,   ///< Closes the connection without an answer after a delay.
+  unresponsive,   ///< Waits for 1.5 s, then closes the connection without an answer.
   resetting,      ///< Resets the connection.
-  expired_watches ///< Answers every watch with 410; the other requests are served.
+  expired_watches ///< Answers every watch with 410, and other requests normally.
 };
 
-/// Metadata store: items with a key, a value and a revision, and watches for changed items. The era
-/// is a number that changes when the store is restored from a snapshot. Thread-safe.
+/// Metadata store. An item has a key, a value and the revision of its last change. A watch is a
+/// request whose answer is delayed until an item under a prefix changes or a time limit has passed.
+/// The era is a number that increases when the store is restored from a snapshot. Thread-safe.
 class soak_store {
  public:
   soak_store();
@@ -34,10 +35,10 @@
   [[nodiscard]] std::string address() const { return server_->address(); }
   void put(const std::string& key, const std::string& value);
   void remove(const std::string& key);
-  /// Stores a snapshot of the items and of the revision.
+  /// Takes a snapshot of the items and of the current revision.
   void take_snapshot();
-  /// Restores the snapshot and begins a new era. Later changes receive revisions that were already
-  /// assigned after the snapshot.
+  /// Restores the snapshot and begins a new era. Later changes receive revisions that other changes
+  /// had already received after the snapshot was taken.
   void restore_snapshot();
 
  private:
@@ -47,13 +48,14 @@
     bool is_deleted = false;
   };
   scripted_answer answer(const http_request& request);
-  /// @return items under a prefix that were changed after revision `after`.
+  /// @return items whose key starts with `prefix` and which were changed after the revision
+  ///         `after`.
   /// @param include_deleted whether deleted items are listed.
   boost::json::array list_items(const std::string& prefix, std::uint64_t after,
                                 bool include_deleted) const;
 
   mutable std::mutex mutex_;
-  /// Notified after each change of the items.
+  /// Wakes pending watches; notified after each change of the items.
   std::condition_variable changed_;
   std::map<std::string, item> items_;
   std::uint64_t revision_ = 1;
