--- a/src/node/node.h
+++ b/src/node/node.h
@@ -45,10 +45,10 @@
   /// longer interval, the process counts as having been suspended.
   base::duration suspension_threshold = std::chrono::milliseconds(1000);
   catalog::watch_timing service_timing;
-  /// Time after its start from which the answers of the platform services alone can make a node
-  /// ready. Before this time, a node becomes ready only if it finds a peer whose catalog equals its
-  /// own catalog. Also the time after which dispatch resumes after a suspension if no peer with an
-  /// equal catalog answers.
+  /// Time after the start of a node from which the answers of the platform services alone can make
+  /// the node ready. Before this time, the node becomes ready only if a peer has the same catalog.
+  /// Also the time after which dispatch resumes after a suspension if no peer with the same catalog
+  /// answers.
   base::duration resync_timeout = std::chrono::milliseconds(1000);
   /// Time since the last new request after which a stopping node may exit. Requests may still
   /// arrive during a graceful stop: load balancers learn of the stop late, and requests may have
@@ -127,10 +127,9 @@
   [[nodiscard]] const control_counters& control() const { return control_; }
   [[nodiscard]] const store_counters& store() const { return store_; }
   /// @return whether this node should read a platform service now, for one of three reasons: this
-  ///         node is one of the nodes that watch the service for the nodes of their zone or region;
-  ///         or this node is starting and its peers have not sent the catalog within
-  ///         `peer_wait_time`; or this node watches the service in place of a node that cannot read
-  ///         the service.
+  ///         node is one of the nodes that watch the service for a whole zone or region; or this
+  ///         node is starting and its peers have not sent the catalog within `peer_wait_time`; or
+  ///         this node watches the service in place of a node that cannot read the service.
   [[nodiscard]] bool should_read_service(source_kind source, base::time_point now) const;
   /// Sets the memory budget that limits the bytes of incomplete stream events buffered by the
   /// serving path. Has no effect if the node serves no published routes.
@@ -173,15 +172,15 @@
   /// that this node missed.
   void request_resync(base::time_point now);
   /// Checks whether the sender of a message has the same catalog as this node. If so, this node is
-  /// up to date, and its dispatch resumes if the message answers a resync request.
+  /// up to date, and the dispatch of this node resumes if the message answers a resync request.
   void check_resync(const wire::envelope& message, base::time_point now);
   /// Makes the node ready on two conditions: the catalog has the content that the node needs, and
   /// either a peer has an equal catalog or, after `resync_timeout`, both platform services have
   /// answered.
   void update_readiness(base::time_point now);
   void run_periodic(base::time_point now);
-  /// @return whether this node is one of the nodes whose job is to watch a platform service for the
-  ///         nodes of their zone or region.
+  /// @return whether this node is one of the nodes whose job is to watch a platform service for a
+  ///         whole zone or region.
   [[nodiscard]] bool has_watch_job(source_kind source, base::time_point now) const;
   /// Starts each read and each probe of the platform services that is due.
   void read_services(base::time_point now);
@@ -277,8 +276,9 @@
   struct watch_substitution {
     /// End of the time for which this node watches the service in place of another node.
     base::time_point ends_at;
-    /// Number of further handovers of the watch that this node took from another node: if this node
-    /// cannot read the service either, it hands over the watch to a next node, and so on.
+    /// Number of times that this node and the nodes after it may still hand over a watch that this
+    /// node took from another node. This node hands over the watch to a next node if this node
+    /// cannot read the service either.
     std::uint32_t handovers_left = 0;
     /// Earliest time at which this node may hand over its own watch again.
     base::time_point next_handover_at;
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -36,7 +36,7 @@
 constexpr base::duration join_timeout = std::chrono::milliseconds(300);
 /// Maximum number of times that a watch is handed over from node to node because nodes cannot read
 /// the service. If a third of the nodes cannot read the service, one watch in 27 reaches no node
-/// that can read it. That is acceptable because several nodes watch each service.
+/// that can read the service. This is acceptable because several nodes watch each service.
 constexpr std::uint32_t max_handovers = 2;
 /// Time for which a node watches a service in place of another node. If the node receives another
 /// handover within this time, the time starts again. While the store answers no node, the store
@@ -75,7 +75,7 @@
     watch.note_latest_revision(latest.era, latest.revision, now);
     if (const auto after = watch.next_read(should_read_service(source, now), now)) {
       // The first listing may be stale: the next read requests the changes after the revision of
-      // this listing, and its answer returns the missing changes at once.
+      // this listing, and the answer to this read returns the missing changes at once.
       const bool allow_stale = *after == 0 && !watch.has_answered();
       commands_.emplace_back(read_service{source, *after, allow_stale, watch.max_hold_time()});
     }
--- a/standins/fault_proxy.cc
+++ b/standins/fault_proxy.cc
@@ -1,7 +1,8 @@
-/// TCP proxy that injects faults. A link consists of a listening address and the target to which
-/// the proxy forwards the connections that it accepts there. `--link` defines the links.
-/// `/admin/fault` sets the fault of a link: a cut link resets its connections, a delayed link
-/// forwards bytes later, and a black hole keeps its connections open but holds back all bytes.
+/// TCP proxy that injects faults. A link consists of a listening address and a target: the proxy
+/// accepts connections at the listening address and forwards the connections to the target.
+/// `--link` defines the links. `/admin/fault` sets the fault of a link: a cut link resets its
+/// connections, a delayed link forwards bytes later, and a black hole keeps its connections open
+/// but holds back all bytes.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
--- a/tests/fleet/disturbance_test.cc
+++ b/tests/fleet/disturbance_test.cc
@@ -1,5 +1,5 @@
 /// Tests with real processes: nodes that are killed, suspended, partitioned or stopped, outages of
-/// the platform, and back ends that hang or announce that they leave. Most tests run under load.
+/// the platform, and back ends that hang or announce a drain. Most tests run under load.
 ///
 /// The platform is the service that publishes the configuration and the list of machines; nodes
 /// only read from the platform. The configuration that changes in the tests is `client-answer`, an
@@ -295,9 +295,9 @@
     const std::string name = "\nspurrack_control_sent_bytes_total ";
     return std::stod(body.substr(body.find(name) + name.size()));
   };
-  // Number of bytes that the restarted node entry-north2 has sent once it has sent several
-  // membership probes. The node entry-north1 has a different key pair, so it must not accept any of
-  // these probes.
+  // Number of bytes that the restarted node entry-north2 has sent by the time at which several
+  // membership probes were sent. The node entry-north1 has a different key pair, so it must not
+  // accept any of these probes.
   constexpr double several_probes_bytes = 600;
   bool was_seen_alive = false;
   BOOST_TEST(local_fleet::wait_until([&] {
--- a/tests/platform_fleet/fault_soak.cc
+++ b/tests/platform_fleet/fault_soak.cc
@@ -1,7 +1,7 @@
 /// Fault soak: a randomized test of real daemons under load. The soak injects faults from outside
-/// the daemons, in series and overlapping. It checks what clients and replicas observe against the
-/// invariants, and exits with code 1 if an invariant was violated. The seed determines the faults;
-/// the scheduling of processes and threads differs from run to run.
+/// the daemons, in series and overlapping. The soak checks what clients and replicas observe
+/// against the invariants, and exits with code 1 if an invariant was violated. The seed determines
+/// the faults; the scheduling of processes and threads differs from run to run.
 #include "machine_limits.h"
 #include "soak_run.h"
 
--- a/tests/platform_fleet/machine_limits.cc
+++ b/tests/platform_fleet/machine_limits.cc
@@ -14,9 +14,9 @@
 /// this process uses for the clients and replicas of the daemon. One daemon, in a soak with 149
 /// other daemons, used 27 MB.
 constexpr std::size_t bytes_per_daemon = 100'000'000;
-/// Numbers of descriptors and threads that are planned in this process for one daemon, which it
-/// uses for the client of the daemon and for the connections of the daemon to replicas and store.
-/// Each daemon needed 11 descriptors and 8 threads.
+/// Numbers of descriptors and threads of this process that are planned for one daemon: for the
+/// client of the daemon and for the connections of the daemon to replicas and store. Each daemon
+/// needed 11 descriptors and 8 threads.
 constexpr std::size_t descriptors_per_daemon = 60;
 constexpr std::size_t threads_per_daemon = 60;
 
--- a/tests/platform_fleet/planned_stop_test.cc
+++ b/tests/platform_fleet/planned_stop_test.cc
@@ -173,7 +173,7 @@
 
 constexpr std::size_t streams_before_stop = 8;
 
-/// Opens a connection every `arrival_interval` and sends no bytes on it.
+/// Opens a connection every `arrival_interval`, and sends no bytes on the connection.
 void open_idle_connections(const std::string& address, const std::atomic<bool>& should_stop) {
   asio::io_context io;
   std::vector<asio::ip::tcp::socket> opened;
--- a/tests/platform_fleet/soak_recorder.h
+++ b/tests/platform_fleet/soak_recorder.h
@@ -72,8 +72,9 @@
     return counts_;
   }
   /// @return the recorded violations, and one violation for each single-run request (see
-  ///         `note_single_run`) that ran several times, or that ran although its client received
-  ///         the answer that it did not run. The list is complete only after the load has ended.
+  ///         `note_single_run`) that ran several times, or that ran although the client received
+  ///         the answer that the request did not run. The list is complete only after the load has
+  ///         ended.
   [[nodiscard]] std::vector<std::string> violations() const {
     const std::lock_guard lock(mutex_);
     auto all_violations = violations_;
--- a/tools/fleet/background_load.cc
+++ b/tools/fleet/background_load.cc
@@ -62,7 +62,8 @@
 void background_load::record_answer(const std::string& input, const http_answer& answer) {
   const std::lock_guard lock(mutex_);
   if (answer.status == 0) {
-    // No request was sent on a refused connection, so `broken_connections` does not count it.
+    // No request was sent on a refused connection, so `broken_connections` does not count the
+    // connection.
     if (answer.error != "Connection refused") {
       ++totals_.broken_connections;
       totals_.last_connection_error = input + ": " + answer.error;
--- a/tools/fleet/local_fleet.h
+++ b/tools/fleet/local_fleet.h
@@ -90,7 +90,7 @@
   local_fleet(std::filesystem::path binaries, fleet_description description);
   ~local_fleet();
 
-  /// Starts all nodes and waits until they are ready.
+  /// Starts all nodes and waits until all nodes are ready.
   void start_all_nodes();
   /// Starts a node, or restarts a node that has been stopped. Does not wait until the node is
   /// ready.
@@ -100,8 +100,8 @@
   void set_extra_settings(const std::string& lines) { description_.extra_settings = lines; }
   /// Waits until a node is ready to accept requests.
   void wait_until_ready(const std::string& name);
-  /// Waits until all nodes may grant idempotency keys as witnesses, which they may once they have
-  /// been up for `key_lifetime_ms`.
+  /// Waits until all nodes may grant idempotency keys as witnesses. A node may grant keys once it
+  /// has been up for `key_lifetime_ms`.
   void wait_until_all_may_witness();
   /// Polls a condition until the condition holds or `wait_timeout` has passed.
   /// @return whether the condition holds.
--- a/tools/load_scenario.cc
+++ b/tools/load_scenario.cc
@@ -55,8 +55,8 @@
     profile.name = pool + "-" + profile.zone + std::to_string(index);
     profile.pool = pool;
     profile.concurrency = concurrency;
-    // Like real engines, a simulated back end queues the calls that it cannot run at once. It
-    // refuses a call only if its queue is very long.
+    // Like real engines, a simulated back end queues the calls that it cannot run at once. The back
+    // end refuses a call only if its queue is very long.
     profile.max_calls = concurrency * 40;
     profile.service_time = service;
     profile.time_per_token = token;
