--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -64,7 +64,7 @@
   /// Applies the published configuration, replicas and evacuations.
   void update(const catalog::catalog& content, base::time_point now);
   /// Replaces the other nodes of the fleet.
-  /// @param known number of known other nodes, including dead nodes.
+  /// @param known_peers number of known other nodes, including dead nodes.
   void set_peers(std::vector<fleet_peer> alive, std::size_t known_peers);
   /// Sets the budget that the buffered bytes of incomplete events count against; without a budget
   /// they are not counted.
--- a/tests/node/suspension_test.cc
+++ b/tests/node/suspension_test.cc
@@ -83,7 +83,7 @@
   // The call of request 2, whose deadline has not passed, continues at its replica.
   BOOST_TEST(calls().empty());
   for (const auto& [id, state] : subject.serving()->replicas().all()) {
-    BOOST_TEST((state.silent_at == base::time_point{}));
+    BOOST_TEST((state.unresponsive_at == base::time_point{}));
   }
   deliver(serving::event(serving::call_answered{2, good_head(), "body"}));
   const auto answers = all<serving::respond>();
