--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -13,8 +13,10 @@
 
 /// Timeout of a request if neither the client nor the route sets one.
 constexpr base::duration default_request_timeout = std::chrono::minutes(2);
-/// Fraction of the route's timeout. A request that is allowed less time is taken for the request of
-/// a client that returns after a refusal.
+/// Fraction of the route's timeout below which the time allowed to a request marks it as a client's
+/// retry. A client that returns after a refusal has already used part of its time, so it allows the
+/// new request less than the full timeout. Such a request is refused early only if its first byte
+/// is not expected within the time allowed, and not because it would miss the target latency.
 constexpr double first_attempt_time_fraction = 0.97;
 /// Fraction of the time allowed by the client after which a request with unfinished stages is
 /// checked for feasibility, and the fraction between two consecutive checks after the first. The
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -557,8 +557,11 @@
   void finish(active_request& request, unsigned status, const std::string& reason,
               base::time_point now);
   void release_results(const std::vector<std::string>& handles);
-  /// Sets the preferred zone of a stage's pieces: the zone that holds most of their input bytes, or
-  /// the zone that reads their results if that moves more bytes.
+  /// Sets the preferred zone of a stage's pieces so that the larger transfer stays within one zone.
+  /// The zone that holds the most input bytes of a piece is preferred if it holds more bytes than
+  /// the request will read from the piece's result. Otherwise the zone in which the request is
+  /// expected to run is preferred, because the result is read there. The request reads only results
+  /// of the last stage; for other stages, the result counts as zero bytes.
   void choose_zone(const active_request& request, std::uint32_t stage, piece_work& work) const;
   /// @return zone in which a request is expected to run.
   base::zone_id preferred_zone(const active_request& request, base::time_point now);
