--- a/src/dispatch/admission_estimate.h
+++ b/src/dispatch/admission_estimate.h
@@ -13,29 +13,31 @@
 
 namespace spurrack::serving {
 
-/// Learns the times of calls to their first byte and adds up the times that a request still needs.
-/// Not thread-safe.
+/// Learns how long calls take to the first byte of their answer, and estimates how long a request
+/// still needs until its first byte. Not thread-safe.
 class admission_estimate {
  public:
-  /// Records the time that a call of a service took to its first byte.
+  /// Records the time from a call of a service to the first byte of its answer.
   /// @param own_tokens number of tokens of the prompt outside its shared prefix.
   void note_first_byte(const std::string& service, std::uint32_t own_tokens,
                        base::duration duration);
 
-  /// @param final_call call after the stages, with the zone in which their results are needed.
-  /// @param order whether the request's pieces wait as in time or as past due in the queues of the
-  ///        stages.
-  /// @return expected time until the first byte of a request whose stages have the progress in
-  ///         `graph`; std::nullopt if some stage cannot be computed now.
+  /// @param final_call call of the request itself, with the zone to which the results of its stages
+  ///        are delivered.
+  /// @param order whether the request's pieces are queued before or after the pieces that are past
+  ///        due.
+  /// @return expected time until the first byte of the answer to a request whose stages have
+  ///         progressed as `graph` shows; std::nullopt if some stage cannot be computed now.
   [[nodiscard]] std::optional<base::duration>
   time_to_first_byte(const model::serving_configuration& configuration, const model::route& route,
                      const stage_graph& graph, const stage_exchange& stages,
                      const service_demand& final_call, std::uint32_t own_tokens, piece_order order,
                      base::time_point now) const;
 
-  /// @return conservative estimate of the time from the start of `stage` to the first byte: a call
-  ///         with a full batch and a typical wait for each stage on the longest path. If a piece of
-  ///         `stage` starts with less time left, its request will probably be late.
+  /// @return conservative estimate of the time from the start of `stage` to the first byte of the
+  ///         answer: a call with a full batch and a typical wait for each stage on the longest
+  ///         path. If a piece of `stage` starts with less time left, its request will probably be
+  ///         late.
   [[nodiscard]] base::duration
   conservative_time_from(const model::serving_configuration& configuration,
                          const model::route& route, const stage_graph& graph, std::uint32_t stage,
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -13,15 +13,15 @@
 
 /// Timeout of a request if neither the client nor the route sets one.
 constexpr base::duration default_request_timeout = std::chrono::minutes(2);
-/// Fraction of the route's timeout below which the time allowed to a request marks it as a client's
-/// retry. A client that returns after a refusal has already used part of its time, so it allows the
-/// new request less than the full timeout. Such a request is refused early only if its first byte
-/// is not expected within the time allowed, and not because it would miss the target latency.
+/// If a client allows a request less than this fraction of the route's timeout, the request counts
+/// as sent again after a refusal, which has used up part of the client's time. Such a request is
+/// refused early only if its first byte is not expected within the time allowed, and not because it
+/// would miss the target latency.
 constexpr double first_attempt_time_fraction = 0.97;
-/// Fraction of the time allowed by the client after which a request with unfinished stages is
-/// checked for feasibility, and the fraction between two consecutive checks after the first. The
-/// expected time changes with every replica that goes down. A request is aborted only if two
-/// consecutive checks agree, or by its first check: with seven checks of an inexact estimate, a
+/// Fraction of the time allowed by the client after which a node first checks whether the
+/// unfinished stages of a request can still end in time, and fraction between two such checks. The
+/// expected time changes with every replica that goes down. The first check aborts a request alone,
+/// a later check only if the check before it agrees: with seven checks of an inexact estimate, a
 /// single wrong check would abort a request that can still be served.
 constexpr double first_check_fraction = 0.42;
 constexpr double check_interval_fraction = 0.08;
@@ -279,8 +279,6 @@
   stages_.refresh(now);
   const auto expected = expected_time_to_first_byte(request, piece_order::in_time, now);
   const auto allowed = request.deadline - request.arrived_at;
-  // A client that returns after a refusal has less time than its route allows. Its request is
-  // refused only if it cannot complete in that time, even if it misses the target latency.
   const bool is_returning_client =
       request.route->timeout && allowed < *request.route->timeout * first_attempt_time_fraction;
   const auto target = request.route->target_latency;
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -52,61 +52,61 @@
 /// request itself is sent. A ticket identifies a piece that was submitted to `stage_exchange`. A
 /// request gets a slot when some replica may be sent the request; for a replica that announces a
 /// rate limit, this node needs a permit for each request. An exit is the end of a replica's
-/// process, planned or by a crash.
+/// process, planned or by a crash. A call is lost if it ends without a whole answer, and stalled if
+/// it makes no progress in time. A stream is suspended while its call is cancelled because the
+/// client reads too slowly. The digest of a request identifies the request when a client sends it
+/// again. A quarantined request is refused because replicas exited while they ran it.
 class dispatcher {
  public:
   /// @param random must outlive this object.
-  /// @param incarnation start of this process, as a number higher than that of every earlier
-  ///        incarnation.
+  /// @param incarnation number of this process, higher than that of every earlier process of this
+  ///        node.
   dispatcher(const fleet_peer& self, const serving_settings& settings, base::random_source& random,
              base::incarnation incarnation, decision_recorder record);
 
   /// Applies the published configuration, replicas and evacuations.
   void update(const catalog::catalog& content, base::time_point now);
-  /// Replaces the other nodes of the fleet.
-  /// @param known_peers number of known other nodes, including dead nodes.
+  /// @param known_peers number of other nodes that are known, including dead nodes.
   void set_peers(std::vector<fleet_peer> alive, std::size_t known_peers);
-  /// Sets the budget that the buffered bytes of incomplete events count against; without a budget
-  /// they are not counted.
+  /// Sets the byte budget (limit on this process's memory) that the buffered bytes of incomplete
+  /// stream events count against; without it they are not counted.
   void set_budget(std::shared_ptr<flow::byte_budget> budget) { byte_budget_ = std::move(budget); }
-  /// Replaces the unreachable zones. Their replicas are called only if no other replica is
-  /// available.
+  /// Replaces the zones that this node cannot reach. Their replicas are called only if no other
+  /// replica is available.
   void set_unreachable_zones(std::set<base::zone_id> zones) {
     replicas_.set_unreachable(std::move(zones));
   }
   /// Begins a graceful stop: other nodes batch the pieces of stages from now on, and only requests
   /// that are expected to complete by `must_end_at` are accepted or sent to a replica.
   void begin_stop(base::time_point now, base::time_point must_end_at);
-  /// @return whether requests are active, or calls for pieces, including those of other nodes, are
-  ///         under way.
+  /// @return whether requests of this node are active, or calls for pieces of any node's requests
+  ///         are under way.
   [[nodiscard]] bool is_busy() const { return !active_.empty() || stages_.has_calls_under_way(); }
 
   void handle(const event& input_event, base::time_point now);
-  /// Processes a message of another node about stage work.
   void handle_peer(const base::node_id& sender, const wire::stage_work& message,
                    base::time_point now);
-  /// Processes a message of another node about engines.
   void handle_peer(const wire::engine_news& message, base::time_point now) {
     engine_directory_.handle(message, now);
   }
-  /// Processes a query for retry budget, or a transfer of it, from another node.
+  /// Processes another node's query for a transfer of retry budget, or its answer to such a query.
   void handle_peer(const base::node_id& sender, const base::network_address& address,
                    const wire::retry_lending& message, base::time_point now);
-  /// Records another node's health reports on replicas. Calls at replicas that are declared down
-  /// after this message are checked at once.
+  /// Records another node's health reports on replicas. Calls at a replica that is then declared
+  /// down are checked at once.
   void handle_peer(const base::node_id& sender, const wire::replica_news& message,
                    base::time_point now);
   /// Merges another node's records of requests under which replicas exited.
   void handle_peer(const base::network_address& address, const wire::crash_news& message,
                    base::time_point now);
-  /// Processes a message of another node about self-reports of replicas and about permits.
+  /// Processes another node's message about self-reports of replicas and about permits.
   void handle_peer(const base::node_id& sender, const wire::rate_limits& message,
                    base::time_point now);
   /// Handles a suspension of this process or its machine: queries other nodes for missed messages,
   /// and extends the times by which replicas must show progress.
   /// @param gap duration of the suspension.
   void resume_after_suspension(base::duration gap, base::time_point now);
-  /// Releases a quarantined request.
+  /// Ends the quarantine of a request on behalf of an operator.
   /// @return whether the crash registry had a record of the request.
   bool release_request(const quarantine::request_digest& digest, base::time_point now);
   /// Aborts requests whose deadline has passed, runs all other checks that are due, and dispatches
@@ -150,24 +150,24 @@
   struct open_call {
     base::call_id id = 0;
     base::replica_id replica;
-    /// Identifier that the exit of the called incarnation has on all nodes. It is known before the
-    /// replica exits, and is recorded with the call if the call is lost.
+    /// Identifier of the future exit of the called incarnation, equal on all nodes; recorded if the
+    /// call is lost.
     replica_exit incarnation_exit = 0;
     base::time_point started_at;
-    /// Time at which the call counts as stalled unless the replica shows progress before;
-    /// std::nullopt if progress is not watched.
+    /// Time at which the call counts as stalled unless it makes progress before; std::nullopt if
+    /// its progress is not watched.
     std::optional<base::time_point> stalls_at;
-    /// Time by which the replica should have fetched the stage results that the call reads, which
-    /// are then freed; std::nullopt if they were freed, or are freed only with the first event or
-    /// the answer.
+    /// Time at which the stage results that the call reads are freed, because the replica should
+    /// have fetched them by then; std::nullopt if they were already freed, or are kept until the
+    /// first event or the answer arrives.
     std::optional<base::time_point> inputs_fetched_at;
-    /// Time of the first of the latest consecutive checks that found the call stalled and its
-    /// replica declared down; std::nullopt if the latest check did not.
+    /// Time since which each check has found the call stalled and its replica declared down;
+    /// std::nullopt if the latest check did not.
     std::optional<base::time_point> down_since;
-    /// Time of the latest contact with the replica that was recorded in the replica table.
+    /// Time at which the replica table was last told that the replica sends data for this call.
     base::time_point contact_noted_at;
-    /// Time at which this node learned that the replica restarted after the call began. A request
-    /// that cannot be retried fails unless the call shows events soon after this time.
+    /// Time at which this node learned that the replica restarted after the call began. The request
+    /// then fails if it cannot be retried and no event of its stream arrives soon.
     std::optional<base::time_point> restart_seen_at{};
   };
   /// Entry of a request that waits for a slot at a replica. Ordered by priority (0 is the most
@@ -179,12 +179,12 @@
     auto operator<=>(const waiting_request&) const = default;
   };
   using admission_queue = std::set<waiting_request>;
-  /// Outcome of a request that fails if it is not retried.
+  /// How a request is answered if it is not retried.
   struct failure_outcome {
-    /// Status of the answer that this node gives itself.
+    /// HTTP status if this node answers itself.
     unsigned code = 0;
     std::string reason;
-    /// Answer of the replica, which is forwarded; std::nullopt if this node answers itself.
+    /// Answer of a replica to forward; std::nullopt if this node answers itself.
     std::optional<call_answered> answer;
     /// Whether no replica has run the request; this node's answer then states that the request was
     /// not run.
@@ -197,7 +197,7 @@
     /// Shared with the configuration, so that the route outlives configuration changes.
     std::shared_ptr<const model::route> route;
     std::string tenant;
-    /// Computed on first use; most requests never need it.
+    /// Computed on first use, because most requests never need their digest.
     mutable std::optional<quarantine::request_digest> digest;
     std::string service;
     std::uint32_t priority = 0;
@@ -207,13 +207,14 @@
     base::time_point arrived_at;
     /// Time by which the client gets the final answer.
     base::time_point deadline;
+    /// Progress of the stages; null if the route has no stages.
     std::unique_ptr<stage_graph> graph;
     /// Zone of the replica that will probably run the request.
     base::zone_id expected_zone;
     std::map<piece_ticket, piece_position> pieces;
     std::optional<open_call> call;
-    /// Outcome of the request if no other node transfers retry budget; set only while the request
-    /// waits for a transfer.
+    /// How the request is answered if no other node transfers retry budget to this node; set only
+    /// while the request waits for a transfer.
     std::optional<failure_outcome> pending_failure;
     /// Entry in the admission queue; set only while the request waits for a slot at a replica.
     std::optional<waiting_request> queue_entry;
@@ -223,7 +224,7 @@
     std::uint32_t attempts = 0;
     /// Number of attempts that reached no replica.
     std::uint32_t unreached_attempts = 0;
-    /// Whether some replica may have worked on the request.
+    /// Whether some replica may have begun to run the request.
     bool may_have_run = false;
     bool has_begun_stream = false;
     /// Time of the next check whether the stages can still end in time; std::nullopt if the request
@@ -232,8 +233,8 @@
     /// Result of the last feasibility check; std::nullopt before the first check.
     std::optional<bool> was_infeasible_at_last_check;
     std::optional<answer_head> stream_head;
-    /// Times of the first and the latest event, and the longest time between two consecutive
-    /// events.
+    /// Times of the first and the latest event of the stream, and the longest time between two
+    /// consecutive events.
     base::time_point first_event_at;
     base::time_point latest_event_at;
     base::duration longest_event_gap{};
@@ -243,12 +244,15 @@
     /// Whether the client reads more slowly than the replica answers; reading from the replica is
     /// then paused.
     bool is_window_closed = false;
-    /// Time at which a paused call is suspended or buffered; set only while the window is closed.
+    /// Time at which the paused stream is suspended, or its remainder is buffered; set only while
+    /// `is_window_closed`.
     std::optional<base::time_point> slow_client_check_at;
-    /// Whether the paused call was cancelled; the stream is resumed when the client reads on.
+    /// Whether the call of the paused stream was cancelled; the request is sent again when the
+    /// client reads on.
     bool is_suspended = false;
+    /// Whether the stream was ever suspended or buffered because its client read too slowly.
     bool is_slow_client = false;
-    /// Time of the next scheduled check; std::nullopt if no check is scheduled.
+    /// Time for which the next check of the request is scheduled; std::nullopt if none is.
     std::optional<base::time_point> next_check_at;
   };
 
@@ -275,28 +279,25 @@
 
   void admit(const request_arrived& arrival, std::shared_ptr<const model::route> route,
              const std::optional<model::key_holder>& holder, base::time_point now);
-  /// Refuses a request that may run in no region, or only in regions that cannot serve it now.
-  /// @return whether the request was refused.
+  /// Refuses a request that may run in no region, or only in regions that cannot serve it now. Like
+  /// all `refuse_` functions of type bool, returns whether the request was refused.
   bool refuse_by_residency(active_request& request);
   /// @return reason for which a request cannot be served in its permitted regions; std::nullopt if
   ///         it can be served.
   [[nodiscard]] std::optional<residency_refusal>
   residency_refusal_of(const active_request& request) const;
-  /// Counts a call by the locality of its replica, and requests that residency keeps from a nearer
-  /// replica.
+  /// Counts a call by the locality of its replica (same zone, same region or elsewhere), and counts
+  /// the request if its permitted regions exclude a nearer replica.
   void note_locality(const active_request& request, const replica_state& chosen,
                      base::time_point now);
-  /// Submits the pieces that are ready, or sends the request to a replica if all stages are done.
+  /// Submits the pieces that have all inputs, or sends the request if its stages are done.
   void continue_request(active_request& request, base::time_point now);
   /// Refuses a request that exceeds the memory of any engine of its service, without a Retry-After
   /// time because waiting does not help.
-  /// @return whether the request was refused.
   bool refuse_too_large(active_request& request, base::time_point now);
-  /// Refuses a request that is not expected to be served in time.
-  /// @return whether the request was refused.
+  /// Refuses a request with stages if the first byte of its answer is not expected in time.
   bool refuse_infeasible(active_request& request, base::time_point now);
   /// Refuses a request that a stopping node has no time to complete.
-  /// @return whether the request was refused.
   bool refuse_while_stopping(active_request& request, base::time_point now);
   /// Aborts a request that is not expected to complete before the end of a graceful stop. If no
   /// replica may have run the request, the answer states that it was not run.
@@ -309,19 +310,20 @@
   /// @return remaining work of a request, given the progress of its stages and its stream.
   [[nodiscard]] remaining_work remaining_work_of(const active_request& request,
                                                  base::time_point now) const;
-  /// @return part of the expected streaming time that a stream has already used, and does not need
-  ///         again if it is resumed after its last event. Zero if the stream has already lasted
-  ///         longer than expected, because its remaining time is then unknown, and zero for a slow
-  ///         client.
+  /// @return time that a stream has already lasted, and that a resumption after its last event does
+  ///         not need again. Zero for a slow client, and if the stream has already lasted longer
+  ///         than expected, because its remaining time is then unknown.
   [[nodiscard]] static base::duration streamed_time_of(const active_request& request,
                                                        base::duration expected_streaming_time);
-  /// Records the times of a completed run, if one replica ran the request without interruptions.
+  /// Records how long a completed run took, as a sample for estimates, unless the stream was
+  /// resumed or its client was slow.
   void note_completed_run(const active_request& request, base::time_point now);
-  /// Runs a due feasibility check. Aborts a request whose stages cannot end in time according to
-  /// its first check, or to two consecutive later checks.
+  /// Checks whether the stages of a request can still end in time, if that check is due. Aborts the
+  /// request if its first check or two consecutive checks find that they cannot.
   /// @return whether the request was aborted.
   bool abort_if_infeasible(active_request& request, base::time_point now);
-  /// @return expected time to the first byte; std::nullopt if some stage cannot be computed now.
+  /// @return expected time until the first byte of the answer; std::nullopt if some stage cannot be
+  ///         computed now.
   [[nodiscard]] std::optional<base::duration>
   expected_time_to_first_byte(const active_request& request, piece_order order,
                               base::time_point now) const;
@@ -330,91 +332,93 @@
   void submit_pieces(active_request& request, base::time_point now);
   void submit_stage(active_request& request, const std::vector<piece_position>& positions,
                     base::time_point now);
-  /// Applies the results, losses and fetched inputs of pieces.
-  /// @return whether there were any results.
+  /// Applies what `stages_` reports of submitted pieces: results, lost calls and fetched inputs.
+  /// @return whether any piece finished, with or without a result.
   bool process_piece_results(base::time_point now);
-  /// Frees results that the replicas of the next stage have fetched.
+  /// Frees stage results that the replicas of the next stage have fetched.
   void free_fetched_stage_inputs();
   void on_piece_finished(active_request& request, piece_ticket ticket, const piece_outcome& outcome,
                          base::time_point now);
-  /// @return whether the replica that holds a result is no longer published, was replaced or is
-  ///         paused.
+  /// @return whether a stage result is taken for lost: the replica that holds it is no longer
+  ///         published, is paused after failures, or another process has its address.
   [[nodiscard]] bool is_result_lost(const std::string& handle, base::time_point now) const;
-  /// Recomputes the lost results that the request itself reads.
+  /// Recomputes the lost stage results that the request itself reads.
   void recompute_final_inputs(active_request& request, base::time_point now);
-  /// Cancels the pieces that wait for results that are recomputed, and submits the pieces that are
-  /// ready.
+  /// Cancels submitted pieces whose inputs must be recomputed first, and submits the pieces whose
+  /// inputs are complete.
   /// @param obsolete_results handles of results to free.
   void resubmit_after_loss(active_request& request,
                            const std::vector<std::string>& obsolete_results, base::time_point now);
-  /// @return next call of a request, at the chosen replica.
+  /// @return command that sends a request to the chosen replica.
   [[nodiscard]] start_call make_call(const active_request& request, const replica_state& chosen,
                                      base::time_point now);
   void send_to_replica(active_request& request, base::time_point now);
   [[nodiscard]] bool is_engine(const std::string& service) const;
-  /// @return time within which a healthy replica shows progress with a new call; 0 if progress is
+  /// @return time within which a new call at a healthy replica makes progress; 0 if its progress is
   ///         not watched.
   [[nodiscard]] base::duration progress_timeout(const active_request& request,
                                                 const replica_state& replica,
                                                 base::time_point now) const;
   const replica_state* choose_replica(const active_request& request, base::time_point now);
   const replica_state* choose_replica_for(const replica_demand& demand, base::time_point now);
-  /// @return digest that identifies repetitions of a request.
+  /// @return digest of a request, computed on first use.
   static const quarantine::request_digest& digest_of(const active_request& request);
   /// @return text with the digest, for the log entry of a call that ended without a whole answer.
   static std::string digest_text(const active_request& request);
-  /// Removes the open call from the request and from all indexes.
-  /// @return the call.
+  /// Removes the open call from the request and from all indexes, and returns it.
   open_call close_call(active_request& request);
-  /// Records that a replica answered: as contact, and as evidence against its recorded exit.
+  /// Records that a replica sent an answer, and so is active. Withdraws its recorded exit if the
+  /// answer disproves the exit.
   void note_answer(const base::replica_id& replica, const answer_head& head, base::time_point now);
-  /// Advances the exchanges of self-reports and of permits, and processes the admission queues.
+  /// Sends due messages about self-reports and permits to other nodes, and processes the admission
+  /// queues.
   void advance_self_reports(base::time_point now);
-  /// Records events for new facts in the self-reports of replicas.
+  /// Records an event for each drain, limit or backoff that a replica has newly reported of itself.
   void record_self_report_changes();
-  /// @return published facts of a replica; std::nullopt if it is not known.
+  /// @return published zone, incarnation and process of a replica; std::nullopt if the replica is
+  ///         not published.
   [[nodiscard]] std::optional<self_reports::published_replica>
   find_published(const base::replica_id& id) const;
-  /// @return requirements of a request on the replicas of its service.
+  /// @return requirements of a request on the replica that runs it.
   [[nodiscard]] static replica_demand demand_of(const active_request& request);
-  /// Requests a permit of a limited replica that could serve the request.
+  /// Requests a permit for a rate-limited replica that could serve the request but has no permit
+  /// now.
   void request_permit(const active_request& request, base::time_point now);
   [[nodiscard]] static waiting_request queue_entry_of(const active_request& request);
   /// @return whether the first request of the admission queue precedes this request and could be
   ///         sent now.
   [[nodiscard]] bool is_behind_waiting_requests(const active_request& request,
                                                 base::time_point now);
-  /// Chooses a replica, or queues or refuses the request.
-  /// @return replica for the request; null if the request waits in the admission queue, or was
-  ///         refused because no replica accepts it in time.
+  /// Chooses a replica for the request, or queues or refuses the request if no replica accepts it
+  /// now.
+  /// @return the chosen replica; null if the request was queued or refused.
   const replica_state* choose_in_turn(active_request& request, base::time_point now);
-  /// @return time after which a refused client may find a replica.
+  /// @return time until a replica may accept the request if the refused client sends it again.
   [[nodiscard]] base::duration shortest_retry_after(const active_request& request,
                                                     base::time_point now) const;
   /// Queues a request that cannot be sent to any replica now, or refuses it if no slot is expected
   /// in time.
-  /// @return whether the request was queued or refused; false if no replica that has slots later
-  ///         could serve it.
+  /// @return whether the request was queued or refused; false if no replica that could serve it is
+  ///         expected to have a slot later.
   bool queue_or_refuse(active_request& request, base::time_point now);
   void enqueue(active_request& request);
   /// @param requests_ahead number of queued requests before this request.
-  /// @return time until the request is expected to get a slot; std::nullopt if no replica that has
-  ///         slots later could serve it, and one hour if the limits of the replicas that could
-  ///         serve it allow no requests.
+  /// @return expected time until the request gets a slot; std::nullopt if no replica that could
+  ///         serve it is expected to have a slot later; one hour if the limits of these replicas
+  ///         are all zero.
   [[nodiscard]] std::optional<base::duration> expected_queue_wait(const active_request& request,
                                                                   std::size_t requests_ahead,
                                                                   base::time_point now) const;
-  /// @param requests_ahead number of queued requests before the request.
-  /// @return expected time until this node gets a permit for one of these replicas.
+  /// @return expected time until this node gets a permit for the request at one of the `limited`
+  ///         replicas.
   [[nodiscard]] base::duration
   expected_permit_wait(const std::string& service, const std::vector<const replica_state*>& limited,
                        std::size_t requests_ahead, base::time_point now) const;
   /// @return rate per second at which queued requests of a service recently got slots; std::nullopt
-  ///         if none waited recently.
+  ///         if no request was queued recently.
   [[nodiscard]] std::optional<double> drain_rate_of(const std::string& service,
                                                     base::time_point now) const;
-  /// @param backoff_wait time until the first backoff of a replica ends.
-  /// @param requests_ahead number of queued requests before the request.
+  /// @param backoff_wait time until the first of the backoffs that replicas requested ends.
   /// @return time until the request is expected to be sent.
   [[nodiscard]] base::duration expected_backoff_wait(const std::string& service,
                                                      base::duration backoff_wait,
@@ -422,73 +426,74 @@
                                                      base::time_point now) const;
   /// Refuses a request with stages if no replica is expected to accept it in time, so that its
   /// stages are not computed for nothing.
-  /// @return whether the request was refused.
   bool refuse_without_expected_slot(active_request& request, base::time_point now);
-  /// Refuses a request that gets no slot in time, with a Retry-After time derived from `wait`. A
-  /// request that may have run fails instead.
+  /// Refuses a request that gets no slot in time, or answers that it failed if it may have run.
+  /// @param wait expected time until a slot, from which the Retry-After time is derived.
   void refuse_without_slot(active_request& request, base::duration wait, base::time_point now);
   void process_admission_queues(base::time_point now);
-  /// Sends or refuses the queued requests of one service in their order.
+  /// Goes through the admission queue of one service in order: sends the requests that have a slot,
+  /// and refuses those that are not expected to get a slot in time.
   void process_admission_queue(const std::string& service, base::time_point now);
-  /// Requests as many permits as requests of a service wait.
+  /// Requests one permit for each queued request of a service.
   void request_permits_for_waiting(const std::string& service, base::time_point now);
   void leave_admission_queue(active_request& request);
   void on_not_executed(active_request& request, const answer_head& head, base::time_point now);
   /// Retries a request after an attempt that may have run, if its route, its attempts, its deadline
   /// and the retry budget allow that; otherwise the request fails.
   void retry_or_fail(active_request& request, base::time_point now);
-  /// Sends a granted retry. A stream resumes after the last forwarded event.
+  /// Sends a retry that the retry budget granted. A stream resumes after the last forwarded event.
   void send_retry(active_request& request, base::time_point now);
   /// Retries a request if attempts, time and retry budget allow it. If only the budget is spent,
   /// the request waits shortly for a transfer from other nodes. Otherwise it fails with `outcome`.
   void retry_or_fail_with(active_request& request, failure_outcome outcome, base::time_point now);
   void fail_with(active_request& request, const failure_outcome& outcome, base::time_point now);
-  /// Records a call that ended without a whole answer (a lost call), and has its replica probed to
-  /// find out whether it exited.
+  /// Records a lost call, and has its replica probed to find out whether the replica exited.
   void note_lost_call(const active_request& request, const base::replica_id& replica,
                       replica_exit incarnation_exit, base::time_point now);
-  /// Records the exit of a replica under the requests of all its lost calls.
+  /// Records the exit of a replica as an exit under the request of each of its lost calls.
   /// @param evidence observation that showed the exit, for the log.
   void note_replica_exit(const base::replica_id& replica, const char* evidence,
                          base::time_point now);
-  /// Records the exit of a replica under the request of one lost call.
+  /// Records the exit of a replica as an exit under the request of one lost call.
   void note_exit_under_request(const quarantine::lost_call& call, const base::replica_id& replica,
                                const char* evidence, base::time_point now);
-  /// Drops expired records, quarantines newly suspected requests and sends crash reports.
+  /// Drops expired records of exits, begins quarantines that are due, and sends crash reports to
+  /// other nodes.
   void advance_crashes(base::time_point now);
   /// Records the exits of replicas that have lost calls and are no longer published.
   void find_exited_replicas(base::time_point now);
-  /// Withdraws the recorded exit of a replica's published incarnation, if the replica answers
-  /// `min_withdrawal_age` or more after it, which shows that the replica has not exited.
+  /// Withdraws the recorded exit of the published incarnation of a replica that has just answered,
+  /// if the recorded time of the exit is at least `min_withdrawal_age` ago: the answer shows that
+  /// the incarnation still runs.
   void withdraw_exit(const base::replica_id& replica, base::time_point now);
-  /// Records that a replica survived a run of a request.
+  /// Records that a replica ran a request without exiting, which clears the exits recorded under
+  /// the request.
   void note_survived(const active_request& request, base::time_point now);
   [[nodiscard]] quarantine::quarantine_state quarantine_state_of(const active_request& request,
                                                                  base::time_point now) const;
-  /// Refuses a request that is quarantined.
-  /// @return whether the request was refused.
   bool refuse_if_quarantined(active_request& request, base::time_point now);
-  /// Begins the quarantine of a request: refuses the active requests with this digest, except those
-  /// whose call has shown events. Requests that may have run fail instead.
+  /// Begins the quarantine of requests with a digest. Active requests with this digest continue if
+  /// their call has delivered an event of its stream; the others are refused, or answered as failed
+  /// if they may have run.
   void quarantine_request(const quarantine::request_digest& digest, base::time_point now);
   [[nodiscard]] static bool has_attempt_left(const active_request& request, base::time_point now);
-  /// @return whether another attempt is allowed and is expected to complete before the end of a
-  ///         graceful stop; the retry budget is not checked.
+  /// @return whether route, deadline and quarantine state allow another attempt, and it is expected
+  ///         to complete before the end of a graceful stop. Does not check the retry budget.
   [[nodiscard]] bool can_retry(const active_request& request, base::time_point now) const;
-  /// Retries the requests that waited for a budget transfer and have it now. Requests for which no
-  /// more answers are awaited fail.
+  /// Checks the requests that wait for retry budget of other nodes. A request is retried once the
+  /// budget suffices, and fails once no queried node is expected to answer any more.
   void process_awaiting_budget(base::time_point now);
-  /// Takes a retry from the budget if another attempt is allowed.
+  /// Takes a retry from the retry budget if `can_retry`.
   /// @return whether the retry was granted.
   [[nodiscard]] bool try_take_retry(active_request& request, base::time_point now);
   void forward_answer(active_request& request, const call_answered& answer, base::time_point now);
   void begin_stream(active_request& request, base::time_point now);
-  /// Records the arrival of events; the times are logged at the end of the stream.
+  /// Records that events of the stream arrived now, for the log entry at the end of the stream.
   static void note_event(active_request& request, base::time_point now);
-  /// Sets the time at which the call counts as stalled. A timeout of 0, or a closed window, means
-  /// that the call cannot stall.
+  /// Restarts the stall timeout of the request's call. The call cannot stall if `timeout` is 0, or
+  /// while reading from its replica is paused.
   void watch_progress(active_request& request, base::duration timeout, base::time_point now);
-  /// Records contact with the replica of a call in the replica table, at most once per
+  /// Records in the replica table that the replica of a call sends data, at most once per
   /// `contact_note_interval`.
   void note_contact(open_call& call, base::time_point now);
   /// Pauses reading from the replica until the client reads on.
@@ -496,9 +501,9 @@
   /// Resumes reading from the replica, or sends the request to a replica again if its call was
   /// suspended.
   void resume_stream(active_request& request, base::time_point now);
-  /// Suspends the upstream call of a paused stream if the stream can be resumed later; otherwise
-  /// has the remainder of the stream buffered. This happens before the replica would break the
-  /// unread answer off.
+  /// Handles a stream whose client has not read on for `max_call_pause`: suspends the stream if it
+  /// can be resumed later, and otherwise has its remainder buffered. Otherwise the replica would
+  /// break off the answer that stays unread.
   void handle_slow_client(active_request& request, base::time_point now);
   [[nodiscard]] static bool can_suspend(const active_request& request);
   void mark_slow_client(active_request& request);
@@ -506,39 +511,41 @@
   /// @return whether the budget has enough memory left for the bytes.
   bool reserve_partial_event(active_request& request);
   void abort_request(active_request& request, const std::string& reason, base::time_point now);
-  /// @return time of the earliest due check of a request: of its feasibility, of fetched inputs, of
-  ///         a stalled call or of a slow client; std::nullopt if no check is due.
+  /// @return time at which a request must be checked next, for its feasibility, fetched inputs, a
+  ///         stalled call or a slow client; std::nullopt if it needs no check.
   [[nodiscard]] static std::optional<base::time_point>
   next_due_check(const active_request& request);
-  /// Schedules the next due check of a request. If an earlier check is already scheduled, it stays
-  /// and schedules the next check when it runs, so that the events of a stream cost no
-  /// rescheduling.
+  /// Schedules the next check of a request, unless an earlier check is already scheduled. That
+  /// check schedules the next one when it runs, so that the events of a stream, which postpone its
+  /// stall timeout, cost no rescheduling.
   void schedule_check(active_request& request);
   /// Runs the due checks of all requests.
   void check_requests(base::time_point now);
-  /// Schedules an immediate check of the calls at a replica that is declared down, if their route
-  /// allows retries, they have shown no events, and the replica has shown no activity since they
-  /// began.
+  /// Schedules an immediate check of each call at a replica that is declared down, if the call's
+  /// route allows retries, no event of its stream has arrived and the replica has sent nothing
+  /// since the call began.
   void recheck_calls_at(const base::replica_id& replica, base::time_point now);
-  /// Handles a stalled call: retries it at another replica if that is allowed. If it is not and the
-  /// replica stays declared down, the request fails; otherwise another check is scheduled.
+  /// Handles a stalled call: retries it at another replica if that is allowed. If no retry is
+  /// allowed and the replica stays declared down, the request fails; otherwise another check is
+  /// scheduled.
   void on_stalled(active_request& request, base::time_point now);
-  /// @return whether the replica of a call has shown no activity since the last progress of the
-  ///         call.
+  /// @return whether the replica of a call is not known to have sent anything since the call last
+  ///         made progress.
   [[nodiscard]] bool is_replica_unresponsive(const active_request& request) const;
   /// Retries a stalled call at another replica if that is allowed and a replica is available;
   /// otherwise schedules another check, because permission and replicas may change.
   void retry_elsewhere(active_request& request, base::time_point now);
-  /// Applies the published replicas: those that changed since the last update, or all of them.
+  /// Applies the published replicas that changed since the last update, or `all` of them.
   void update_replicas(const catalog::catalog& content, bool all, base::time_point now);
   /// Drops the state of earlier incarnations of replicas that restarted under their id.
   void handle_replica_restarts(base::time_point now);
   void handle_replica_restart(const replica_restart& restart, base::time_point now);
-  /// Detaches a call at an earlier incarnation from the replica, and schedules the check that
-  /// retries the call or lets its request fail.
+  /// Separates a call that was sent to an earlier incarnation from its replica, so that the outcome
+  /// of the call does not count for the new incarnation. Schedules the check that retries the call
+  /// or lets its request fail.
   void move_to_earlier_incarnation(active_request& request, base::time_point now);
-  /// Lets the request of a call at an earlier incarnation fail if the call cannot be retried and
-  /// shows no events within `restart_confirm_time`.
+  /// Lets a request whose call was sent to an earlier incarnation, and cannot be retried, fail if
+  /// no event of its stream arrives within `restart_confirm_time`.
   void check_call_at_earlier_incarnation(active_request& request, base::time_point now);
   /// Records an event for each replica of a service that is not configured, once per replica and
   /// service.
@@ -557,11 +564,11 @@
   void finish(active_request& request, unsigned status, const std::string& reason,
               base::time_point now);
   void release_results(const std::vector<std::string>& handles);
-  /// Sets the preferred zone of a stage's pieces so that the larger transfer stays within one zone.
-  /// The zone that holds the most input bytes of a piece is preferred if it holds more bytes than
-  /// the request will read from the piece's result. Otherwise the zone in which the request is
-  /// expected to run is preferred, because the result is read there. The request reads only results
-  /// of the last stage; for other stages, the result counts as zero bytes.
+  /// Sets the preferred zone of a stage's pieces so that few bytes are transferred between zones.
+  /// It is the zone that holds the most bytes of a piece's inputs, if these are more than the bytes
+  /// that the request will read of the piece's result. Otherwise it is the zone in which the
+  /// request is expected to run, because the result is read there. The request reads only results
+  /// of stages that no other stage depends on; the results of other stages count as zero bytes.
   void choose_zone(const active_request& request, std::uint32_t stage, piece_work& work) const;
   /// @return zone in which a request is expected to run.
   base::zone_id preferred_zone(const active_request& request, base::time_point now);
@@ -574,7 +581,6 @@
   decision_recorder record_;
   base::random_source* random_;
   std::shared_ptr<const model::serving_configuration> configuration_;
-  /// Number of changes of the catalog that were applied.
   std::uint64_t applied_changes_ = 0;
   base::call_id next_call_ = 1;
   distance distance_from_self_;
@@ -597,13 +603,12 @@
   admission_estimate admission_estimate_;
   run_times run_times_;
   stop_plan stop_plan_;
-  /// Active requests, by client.
   std::unordered_map<base::caller_id, active_request> active_;
   std::unordered_map<base::call_id, base::caller_id> clients_by_call_;
   /// By replica, the clients whose request has a call there.
   std::unordered_map<base::replica_id, std::set<base::caller_id>> clients_by_replica_;
   std::unordered_map<piece_ticket, base::caller_id> clients_by_ticket_;
-  /// Names of unconfigured services that were reported, by the replica whose record names them.
+  /// By replica, the name of its unconfigured service that was last reported.
   std::map<base::replica_id, std::string> reported_unknown_services_;
   /// Clients whose request waits for a budget transfer, in the order in which they began to wait.
   std::vector<base::caller_id> awaiting_budget_;
@@ -614,7 +619,7 @@
   base::time_point next_queue_check_at_;
   /// Whether the requests of an admission queue are being processed in their order.
   bool is_processing_queue_ = false;
-  /// Number of received permits when the admission queues were last checked for new permits.
+  /// Total of received permits when the admission queues were last checked for new permits.
   std::uint64_t counted_permits_ = 0;
   /// Deadlines of all active requests, the earliest first.
   std::set<std::pair<base::time_point, base::caller_id>> deadlines_;
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -21,9 +21,10 @@
 /// Minimum interval at which the events of a stream are recorded as contact with its replica;
 /// recording each event would cost a look-up per event.
 constexpr base::duration contact_note_interval = std::chrono::milliseconds(100);
-/// Time after which a prompt at an engine with a backlog counts as stalled, as a multiple of its
-/// expected time to the first event. The wait saves long prompts a second prefill of the same
-/// tokens, which would not make the first event arrive sooner (docs/design/engines.md).
+/// Time after which a call at an engine that has other prompts to read first counts as stalled, as
+/// a multiple of the call's expected time to the first event. An earlier retry would make a second
+/// engine read a long prompt again, and the first event would not arrive sooner
+/// (docs/design/engines.md).
 constexpr double engine_stall_factor = 2;
 
 bool is_success(unsigned code) {
@@ -85,7 +86,7 @@
     return;
   }
   if (request.graph && request.graph->has_missing_final_inputs()) {
-    // The results were freed after an earlier attempt, and are recomputed for this attempt.
+    // The stage results were freed after an earlier attempt, and are recomputed for this attempt.
     recompute_final_inputs(request, now);
     return;
   }
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -10,11 +10,12 @@
 namespace spurrack::serving {
 namespace {
 
-/// Minimum time from the assumed exit of a replica to an answer that disproves the exit. The
-/// replica must still be published with the same incarnation: replicas publish their entries every
-/// second or two, and the list of replicas lags by no more than the remainder of this time.
+/// Minimum time from the assumed exit of a replica to an answer that disproves the exit. If the
+/// replica had restarted, it would be published with its new incarnation by then: replicas publish
+/// their entries every second or two, and the list of replicas lags by no more than the remainder
+/// of this time.
 constexpr base::duration min_withdrawal_age = std::chrono::seconds(5);
-/// Interval of the search for expired records; the shortest lifetime of a record is 10 s.
+/// Interval at which expired records of exits are dropped; each record lives for 10 s or longer.
 constexpr base::duration crash_expiry_interval = std::chrono::seconds(1);
 
 constexpr const char* quarantine_reason =
@@ -201,7 +202,7 @@
   }
   for (const auto client : clients) {
     auto& request = active_.at(client);
-    // The replica may be about to run the request; closing the connection cancels the call there.
+    // The called replica may run the request before it notices that its connection is closed.
     request.may_have_run = request.may_have_run || request.call.has_value();
     refuse_if_quarantined(request, now);
   }
--- a/src/dispatch/dispatcher_replica_restarts.cc
+++ b/src/dispatch/dispatcher_replica_restarts.cc
@@ -7,14 +7,15 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time for which a call that seems to run at an earlier incarnation is given to show events: the
-/// call may run at the new incarnation, because the entry of a restarted replica may reach this
-/// node after the new process accepted its first calls. Equal to the time for which a replica must
-/// stay declared down before requests at it fail.
+/// Time within which an event must arrive for a call that seems to have been sent to an earlier
+/// incarnation of its replica, or the request fails if it cannot be retried. The call may run at
+/// the new incarnation, because the entry of a restarted replica may reach this node after the new
+/// process accepted its first calls. Equal to the time for which a replica must stay declared down
+/// before requests at it fail.
 constexpr base::duration restart_confirm_time = std::chrono::milliseconds(500);
 
-/// @return id under which calls at an earlier incarnation are kept, so that their results are not
-///         attributed to the current incarnation.
+/// @return replica id given to calls that were sent to an earlier incarnation, so that their
+///         outcomes do not count for the current incarnation.
 base::replica_id earlier_incarnation_of(const base::replica_id& replica) {
   return base::replica_id(replica.text() + " (earlier incarnation)");
 }
--- a/src/dispatch/dispatcher_residency.cc
+++ b/src/dispatch/dispatcher_residency.cc
@@ -1,5 +1,5 @@
-/// Residency of requests: refusal on arrival if the permitted regions cannot serve a request, and
-/// counts of calls by locality.
+/// Residency of requests (the regions in which they may run): refusal on arrival if no permitted
+/// region can serve a request, and counts of calls by the locality of their replica.
 #include "dispatch/dispatcher.h"
 #include "dispatch/dispatcher_constants.h"
 
--- a/src/dispatch/dispatcher_retries.cc
+++ b/src/dispatch/dispatcher_retries.cc
@@ -13,12 +13,12 @@
 /// available. Requests at a replica that goes down should be retried within one second; the
 /// interval is a tenth of it.
 constexpr base::duration stall_check_interval = std::chrono::milliseconds(100);
-/// Interval of the checks whether the replica of a stalled call that cannot be retried is declared
-/// down: a quarter of that second.
+/// Interval at which a stalled call that cannot be retried is checked for a replica that is
+/// declared down: a quarter of the second within which its request should be answered.
 constexpr base::duration down_check_interval = std::chrono::milliseconds(250);
 /// Time for which a replica must stay declared down before a request at it that cannot be retried
 /// fails. In this time, other nodes that still have contact with the replica can report that it is
-/// healthy. The time is short enough for the request to be answered within the same second.
+/// healthy. The time is short enough for the request to be answered within one second.
 constexpr base::duration down_confirm_time = std::chrono::milliseconds(500);
 
 } // namespace
@@ -155,9 +155,9 @@
   return !replicas_.was_active_after(request.call->replica, last_progress_at);
 }
 
-/// After a suspension, answers wait unread in the sockets. Without the extension every active call
-/// would count as stalled before its answer is read: its replica would be reported unresponsive,
-/// and retries would be spent.
+/// After a suspension, answers wait unread in the sockets. If the stall timeouts were not extended,
+/// every active call would count as stalled before its answer is read: its replica would be
+/// reported unresponsive, and retries would be spent.
 void dispatcher::resume_after_suspension(base::duration gap, base::time_point now) {
   for (auto& [client, request] : active_) {
     if (request.call && request.call->stalls_at) {
--- a/src/dispatch/dispatcher_self_reports.cc
+++ b/src/dispatch/dispatcher_self_reports.cc
@@ -1,5 +1,5 @@
 /// Records what replicas report of themselves (self-reports), in their answers or through other
-/// nodes, and records an event for each new fact.
+/// nodes, and records an event for each new drain, backoff or limit.
 #include "dispatch/dispatcher.h"
 
 #include <cstdio>
--- a/src/dispatch/dispatcher_slow_clients.cc
+++ b/src/dispatch/dispatcher_slow_clients.cc
@@ -1,6 +1,6 @@
-/// Clients that read more slowly than their replica answers: reading from the replica is paused,
-/// and after a while its call is suspended and later resumed after the last event, or the remainder
-/// of the stream is buffered.
+/// Clients that read more slowly than their replica answers: reading from the replica is paused.
+/// After a while the call is cancelled and the stream is later resumed after its last event, or the
+/// remainder of the stream is buffered.
 #include "dispatch/dispatcher.h"
 
 #include <utility>
@@ -8,8 +8,8 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time for which a call stays paused before it is suspended or the remainder of its stream is
-/// buffered. It is well below the seconds after which a replica breaks an unread answer off, and
+/// Time for which a call stays paused before its stream is suspended or the remainder is buffered.
+/// It is well below the time, some seconds, after which a replica breaks off an unread answer, and
 /// longer than the pauses of links that lose packets.
 constexpr base::duration max_call_pause = std::chrono::milliseconds(1'500);
 
--- a/src/dispatch/event_stream.h
+++ b/src/dispatch/event_stream.h
@@ -19,10 +19,10 @@
   /// @return whole new events that the bytes complete, in order.
   std::string feed(std::string_view bytes);
 
-  /// @return identifier of the last whole event; std::nullopt before the first event with an
-  ///         identifier.
+  /// @return identifier of the last whole event that has one; before the first such event, `after`
+  ///         of the constructor.
   [[nodiscard]] std::optional<std::uint64_t> last_id() const { return last_id_; }
-  /// @return number of whole events that were returned.
+  /// @return number of events that `feed` has returned.
   [[nodiscard]] std::uint64_t events() const { return events_; }
   /// @return whether bytes of an incomplete event are buffered.
   [[nodiscard]] bool has_partial() const { return !pending_.empty(); }
--- a/src/dispatch/replica_report_exchange.cc
+++ b/src/dispatch/replica_report_exchange.cc
@@ -10,8 +10,8 @@
 /// has more. In a region of 100 nodes the reports of two nodes reach about half of the other nodes
 /// at once.
 constexpr std::size_t max_recipients = 32;
-/// Maximum number of replicas in one message, which then has about 300 bytes. Replicas that answer
-/// but fail calls come last.
+/// Maximum number of health reports in one message, which then has about 300 bytes. Reports on
+/// replicas that answer calls with failures come last.
 constexpr std::size_t max_reports_per_message = 8;
 /// Minimum interval between two messages; the first report is sent at once. Because each message
 /// goes to at most 32 nodes, a node sends at most 32 times 300 bytes per second, and only while its
--- a/src/dispatch/replica_report_exchange.h
+++ b/src/dispatch/replica_report_exchange.h
@@ -42,7 +42,7 @@
 
   /// Replaces the nodes that can be sent reports; only nodes of this node's region are used.
   void set_peers(const std::vector<fleet_peer>& alive);
-  /// Sends the changed reports if the last message is at least one message interval old.
+  /// Sends the reports that have changed if this node's last message is at least one second old.
   void advance(base::time_point now);
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
 
--- a/src/dispatch/retry_budget.cc
+++ b/src/dispatch/retry_budget.cc
@@ -5,8 +5,8 @@
 namespace spurrack::serving {
 namespace {
 
-/// Fraction of the fleet-wide budget that the nodes use. The remainder covers windows that are
-/// aligned differently on different nodes.
+/// Fraction of the fleet-wide budget that the nodes use. The remainder is a margin, because the
+/// nodes do not begin their counting windows at the same time.
 constexpr double usable_fraction = 0.8;
 /// The maximum amount of one transfer is the remaining budget divided by this number.
 constexpr milli_retries transfer_divisor = 2;
--- a/src/dispatch/retry_budget.h
+++ b/src/dispatch/retry_budget.h
@@ -18,7 +18,6 @@
 /// retry.
 using milli_retries = std::int64_t;
 
-/// One retry.
 inline constexpr milli_retries one_retry = 1000;
 
 /// Time after the query during which the recipient may spend a transfer. Covers several round trips
@@ -77,7 +76,7 @@
     std::deque<base::time_point> requests;
     timed_amounts retries;
     timed_amounts sent_transfers;
-    /// Ordered by expiry.
+    /// Ordered by the time at which they expire.
     timed_amounts received_transfers;
   };
   service_usage& current_usage(const std::string& service, base::time_point now);
--- a/src/dispatch/retry_budget_exchange.cc
+++ b/src/dispatch/retry_budget_exchange.cc
@@ -11,8 +11,9 @@
 /// budget of a node is little more than one retry.
 constexpr std::size_t nearby_donors = 2;
 constexpr std::size_t remote_donors = 1;
-/// Time for which answers are awaited: three round trips between regions. A transfer that arrives
-/// later serves the next request, unless a newer query about the service was sent in the meantime.
+/// Time for which requests wait for answers to a query: three round trips between regions. A
+/// transfer that arrives later serves the next request, unless a newer query about the service was
+/// sent in the meantime.
 constexpr base::duration answer_timeout = std::chrono::milliseconds(150);
 /// Minimum and maximum interval between two queries about a service. With three peers per query, a
 /// node that has spent its budget sends less than 2 kB a second, and a tenth of that if no peer has
--- a/src/dispatch/retry_budget_exchange.h
+++ b/src/dispatch/retry_budget_exchange.h
@@ -32,7 +32,8 @@
 class retry_budget_exchange {
  public:
   /// @param budget source and target of transfers; must outlive this object, as must `random`.
-  /// @param incarnation incarnation of this process; answers to an earlier incarnation are ignored.
+  /// @param incarnation incarnation of this process; answers to queries of an earlier incarnation
+  ///        are ignored.
   retry_budget_exchange(retry_budget& budget, base::zone_id own_zone, base::random_source& random,
                         base::incarnation incarnation);
 
@@ -44,12 +45,12 @@
   /// Replaces the nodes that can be queried.
   void set_peers(const std::vector<fleet_peer>& alive);
 
-  /// Queries other nodes for the shortfall of the budget, unless an earlier query about the service
-  /// is pending or too recent.
+  /// Asks other nodes for the retry budget that this node lacks, unless an earlier query about the
+  /// service is unanswered or too recent.
   /// @param retries number of retries that requests of the service need now, at least 1.
-  /// @return whether answers are awaited.
+  /// @return whether answers to a query about the service are awaited.
   bool query_peers(const std::string& service, std::size_t retries, base::time_point now);
-  /// @return whether answers are awaited that may still allow a retry.
+  /// @return whether answers to the latest query about the service are still awaited.
   [[nodiscard]] bool is_awaiting_answers(const std::string& service, base::time_point now) const;
 
   /// Answers the query of another node, or records the transfer in its answer.
@@ -64,8 +65,8 @@
   struct query {
     std::uint64_t number = 0;
     base::time_point sent_at;
-    /// Donors that have not answered yet. One answer of each donor counts because a message may
-    /// arrive twice.
+    /// Donors that have not answered yet. Only one answer of each donor counts because a message
+    /// may arrive twice.
     std::vector<base::node_id> awaited_donors;
     /// Whether the transfers sufficed for one retry.
     bool is_sufficient = false;
--- a/src/dispatch/run_times.cc
+++ b/src/dispatch/run_times.cc
@@ -31,7 +31,7 @@
 
 /// @return longest value without the outliers, plus an allowance that grows with the spread of the
 ///         values and shrinks with their number: for streams of three to six seconds, the next
-///         stream exceeded the longest of four by a second.
+///         stream exceeded the longest of four recorded ones by a second.
 double upper_estimate_of(std::vector<double> seconds) {
   std::sort(seconds.begin(), seconds.end());
   const double longest = seconds[seconds.size() - 1 - seconds.size() / runs_per_outlier];
--- a/src/dispatch/run_times.h
+++ b/src/dispatch/run_times.h
@@ -39,7 +39,6 @@
   /// Maximum number of recorded runs of a route or service. At one or two runs per second for a
   /// route on one node, the recorded runs reflect the load of the last half minute.
   static constexpr std::size_t max_runs = 32;
-  /// One recorded run.
   struct sample {
     double seconds_to_first_event = 0;
     double streaming_seconds = 0;
