--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -156,28 +156,29 @@
 
 // --- arrival -------------------------------------------------------------------------------------
 
-void dispatcher::refuse(base::caller_id client, const base::request_id& id, unsigned code,
-                        const std::string& reason, base::duration retry_after) {
-  respond answer{client, id, code, {}, "{\"error\":\"" + reason + "\"}\n"};
+void dispatcher::answer_with_error(base::caller_id client, const base::request_id& id,
+                                   unsigned http_status, const std::string& reason,
+                                   base::duration retry_after) {
+  respond answer{client, id, http_status, {}, "{\"error\":\"" + reason + "\"}\n"};
   answer.headers.push_back({"Content-Type", "application/json"});
   if (retry_after > base::duration::zero()) {
     answer.headers.push_back({"Retry-After", seconds_text(retry_after)});
   }
-  ++counters_.answers[code];
-  record_(base::event_kind::request_answered, id, std::to_string(code), reason);
+  ++counters_.answers[http_status];
+  record_(base::event_kind::request_answered, id, std::to_string(http_status), reason);
   commands_.emplace_back(std::move(answer));
 }
 
 void dispatcher::on_event(const request_arrived& arrival, base::time_point now) {
   const auto& content = *arrival.content;
   if (!configuration_) {
-    refuse(arrival.client, content.id, status::unavailable, "no configuration yet",
-           settings_.retry_after);
+    answer_with_error(arrival.client, content.id, status::unavailable, "no configuration yet",
+                      settings_.retry_after);
     return;
   }
   auto route = configuration_->find_route(content.host, content.path);
   if (!route) {
-    refuse(arrival.client, content.id, status::not_found, "no such route", {});
+    answer_with_error(arrival.client, content.id, status::not_found, "no such route", {});
     return;
   }
   std::optional<model::key_holder> holder;
@@ -186,7 +187,7 @@
     holder = found->second;
   }
   if (!holder && !route->is_public && !configuration_->keys.empty()) {
-    refuse(arrival.client, content.id, status::unauthorized, "unknown key", {});
+    answer_with_error(arrival.client, content.id, status::unauthorized, "unknown key", {});
     return;
   }
   admit(arrival, std::move(route), holder, now);
@@ -267,7 +268,7 @@
     return false;
   }
   const auto reason = "larger than the memory of an engine";
-  refuse(request.client, content.id, status::unavailable, reason, {});
+  answer_with_error(request.client, content.id, status::unavailable, reason, {});
   finish(request, status::unavailable, reason, now);
   return true;
 }
@@ -293,10 +294,11 @@
       expected ? *expected - base::scaled(time_limit, 0.8) : base::duration{settings_.retry_after};
   const auto retry_after = jittered_retry_after(
       std::max<base::duration>(excess, settings_.retry_after), request.deadline - now, *random_);
-  refuse(request.client, request.content->id, status::unavailable,
-         "expected to take " +
-             (expected ? std::to_string(base::to_milliseconds(*expected)) + " ms" : "for ever"),
-         retry_after);
+  answer_with_error(
+      request.client, request.content->id, status::unavailable,
+      "expected to take " +
+          (expected ? std::to_string(base::to_milliseconds(*expected)) + " ms" : "for ever"),
+      retry_after);
   finish(request, status::unavailable, "refused early", now);
   return true;
 }
@@ -349,24 +351,24 @@
     answer_failed(request, status::bad_gateway, reason, now);
     return;
   }
-  refuse(
+  answer_with_error(
       request.client, request.content->id, status::unavailable, reason,
       jittered_retry_after(shortest_retry_after(request, now), request.deadline - now, *random_));
   finish(request, status::unavailable, reason, now);
 }
 
-void dispatcher::answer_failed(active_request& request, unsigned code, const std::string& reason,
-                               base::time_point now) {
+void dispatcher::answer_failed(active_request& request, unsigned http_status,
+                               const std::string& reason, base::time_point now) {
   if (request.has_begun_stream) {
     commands_.emplace_back(end_stream{request.client, false});
     record(base::event_kind::request_answered, request, "broken off", reason);
   } else {
-    refuse(request.client, request.content->id, code, reason, {});
+    answer_with_error(request.client, request.content->id, http_status, reason, {});
   }
-  finish(request, code, reason, now);
+  finish(request, http_status, reason, now);
 }
 
-void dispatcher::finish(active_request& request, unsigned code, const std::string& reason,
+void dispatcher::finish(active_request& request, unsigned http_status, const std::string& reason,
                         base::time_point now) {
   if (request.call) {
     commands_.emplace_back(cancel_call{request.call->id});
@@ -379,11 +381,11 @@
   if (request.graph) {
     release_results(request.graph->take_unneeded_results(true));
   }
-  const bool is_own_answer =
-      code == status::unavailable || code == status::bad_gateway || code == status::timed_out;
+  const bool is_own_answer = http_status == status::unavailable ||
+                             http_status == status::bad_gateway || http_status == status::timed_out;
   if (!is_own_answer) {
-    ++counters_.answers[code];
-    record(base::event_kind::request_answered, request, std::to_string(code),
+    ++counters_.answers[http_status];
+    record(base::event_kind::request_answered, request, std::to_string(http_status),
            reason + " after " + std::to_string(base::to_milliseconds(now - request.arrived_at)) +
                " ms");
   }
@@ -404,7 +406,7 @@
   }
 }
 
-void dispatcher::abort_expired(base::time_point now) {
+void dispatcher::abort_expired_requests(base::time_point now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     abort_request(active_.at(deadlines_.begin()->second), deadline_passed, now);
   }
@@ -466,9 +468,9 @@
 }
 
 void dispatcher::advance(base::time_point now) {
-  abort_expired(now);
+  abort_expired_requests(now);
   advance_self_reports(now);
-  process_awaiting_budget(now);
+  check_requests_awaiting_budget(now);
   check_requests(now);
   stages_.dispatch_waiting(now);
   if (process_piece_results(now)) {
@@ -496,7 +498,7 @@
   if (const auto next_report_at = crash_reports_.next_wakeup()) {
     consider(*next_report_at);
   }
-  if (!awaiting_budget_.empty()) {
+  if (!clients_awaiting_budget_.empty()) {
     consider(now + budget_check_interval);
   }
   if (const auto next_limit_at = limits_.next_wakeup()) {
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -182,7 +182,7 @@
   /// How a request is answered if it is not retried.
   struct failure_outcome {
     /// HTTP status if this node answers itself.
-    unsigned code = 0;
+    unsigned http_status = 0;
     std::string reason;
     /// Answer of a replica to forward; std::nullopt if this node answers itself.
     std::optional<call_answered> answer;
@@ -482,7 +482,7 @@
   [[nodiscard]] bool can_retry(const active_request& request, base::time_point now) const;
   /// Checks the requests that wait for retry budget of other nodes. A request is retried once the
   /// budget suffices, and fails once no queried node is expected to answer any more.
-  void process_awaiting_budget(base::time_point now);
+  void check_requests_awaiting_budget(base::time_point now);
   /// Takes a retry from the retry budget if `can_retry`.
   /// @return whether the retry was granted.
   [[nodiscard]] bool try_take_retry(active_request& request, base::time_point now);
@@ -534,7 +534,7 @@
   [[nodiscard]] bool is_replica_unresponsive(const active_request& request) const;
   /// Retries a stalled call at another replica if that is allowed and a replica is available;
   /// otherwise schedules another check, because permission and replicas may change.
-  void retry_elsewhere(active_request& request, base::time_point now);
+  void retry_stalled_call(active_request& request, base::time_point now);
   /// Applies the published replicas that changed since the last update, or `all` of them.
   void update_replicas(const catalog::catalog& content, bool all, base::time_point now);
   /// Drops the state of earlier incarnations of replicas that restarted under their id.
@@ -543,7 +543,7 @@
   /// Separates a call that was sent to an earlier incarnation from its replica, so that the outcome
   /// of the call does not count for the new incarnation. Schedules the check that retries the call
   /// or lets its request fail.
-  void move_to_earlier_incarnation(active_request& request, base::time_point now);
+  void detach_from_restarted_replica(active_request& request, base::time_point now);
   /// Lets a request whose call was sent to an earlier incarnation, and cannot be retried, fail if
   /// no event of its stream arrives within `restart_confirm_time`.
   void check_call_at_earlier_incarnation(active_request& request, base::time_point now);
@@ -552,16 +552,16 @@
   void report_unknown_services();
   /// Frees the inputs of a call if its replica should have fetched them by now.
   void free_fetched_inputs(active_request& request, base::time_point now);
-  void abort_expired(base::time_point now);
+  void abort_expired_requests(base::time_point now);
 
-  void refuse(base::caller_id client, const base::request_id& id, unsigned status,
-              const std::string& reason, base::duration retry_after);
+  void answer_with_error(base::caller_id client, const base::request_id& id, unsigned http_status,
+                         const std::string& reason, base::duration retry_after);
   /// Answers that a request was not run, or that it failed if it may have run.
   void answer_not_run(active_request& request, const std::string& reason, base::time_point now);
-  void answer_failed(active_request& request, unsigned status, const std::string& reason,
+  void answer_failed(active_request& request, unsigned http_status, const std::string& reason,
                      base::time_point now);
   /// Removes a request: cancels its pieces and call, and frees its results.
-  void finish(active_request& request, unsigned status, const std::string& reason,
+  void finish(active_request& request, unsigned http_status, const std::string& reason,
               base::time_point now);
   void release_results(const std::vector<std::string>& handles);
   /// Sets the preferred zone of a stage's pieces so that few bytes are transferred between zones.
@@ -611,7 +611,7 @@
   /// By replica, the name of its unconfigured service that was last reported.
   std::map<base::replica_id, std::string> reported_unknown_services_;
   /// Clients whose request waits for a budget transfer, in the order in which they began to wait.
-  std::vector<base::caller_id> awaiting_budget_;
+  std::vector<base::caller_id> clients_awaiting_budget_;
   /// By service, the requests that wait for slots, and the rate at which requests leave the queue
   /// for a slot.
   std::map<std::string, admission_queue> admission_queues_;
--- a/src/dispatch/dispatcher_admission_queue.cc
+++ b/src/dispatch/dispatcher_admission_queue.cc
@@ -150,8 +150,8 @@
     answer_failed(request, status::bad_gateway, reason, now);
     return;
   }
-  refuse(request.client, request.content->id, status::unavailable, reason,
-         jittered_retry_after(wait, request.deadline - now, *random_));
+  answer_with_error(request.client, request.content->id, status::unavailable, reason,
+                    jittered_retry_after(wait, request.deadline - now, *random_));
   finish(request, status::unavailable, reason, now);
 }
 
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -14,7 +14,7 @@
 /// have run.
 constexpr std::uint32_t max_unreached_attempts = 4;
 /// Time after which a call of a safe route counts as stalled, as a fraction of the target latency.
-constexpr double plain_stall_fraction = 0.7;
+constexpr double safe_route_stall_fraction = 0.7;
 /// Time without an event after which a stream counts as stalled, as a multiple of the target gap
 /// between two events.
 constexpr double stream_stall_factor = 2.5;
@@ -27,8 +27,8 @@
 /// (docs/design/engines.md).
 constexpr double engine_stall_factor = 2;
 
-bool is_success(unsigned code) {
-  return code >= 200 && code < 300;
+bool is_success(unsigned http_status) {
+  return http_status >= 200 && http_status < 300;
 }
 
 } // namespace
@@ -150,8 +150,8 @@
   // While reading from the replica is paused, missing progress says nothing about the replica.
   const bool is_read = !request.is_window_closed;
   if (is_read && timeout > base::duration::zero()) {
-    const bool is_plain = request.route->kind == model::route_kind::safe;
-    const double factor = is_plain ? plain_stall_fraction : 1.0;
+    const bool is_safe_route = request.route->kind == model::route_kind::safe;
+    const double factor = is_safe_route ? safe_route_stall_fraction : 1.0;
     request.call->stalls_at = now + std::chrono::duration_cast<base::duration>(timeout * factor);
   }
   schedule_check(request);
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -176,7 +176,8 @@
   }
   // The answer states that the request was not run. It has no Retry-After time because a retry does
   // not help.
-  refuse(request.client, request.content->id, status::unavailable, quarantine_reason, {});
+  answer_with_error(request.client, request.content->id, status::unavailable, quarantine_reason,
+                    {});
   finish(request, status::unavailable, quarantine_reason, now);
   return true;
 }
--- a/src/dispatch/dispatcher_replica_restarts.cc
+++ b/src/dispatch/dispatcher_replica_restarts.cc
@@ -53,14 +53,14 @@
     const bool shows_events = request.latest_event_at > request.call->started_at &&
                               now - request.latest_event_at < restart_confirm_time;
     if (!shows_events && replicas_.is_at_earlier_incarnation(replica, request.call->started_at)) {
-      move_to_earlier_incarnation(request, now);
+      detach_from_restarted_replica(request, now);
     } else {
       request.tried_replicas.insert(replica);
     }
   }
 }
 
-void dispatcher::move_to_earlier_incarnation(active_request& request, base::time_point now) {
+void dispatcher::detach_from_restarted_replica(active_request& request, base::time_point now) {
   auto& call = *request.call;
   const auto replica = call.replica;
   record(base::event_kind::stage_retried, request, replica.text(), "its replica restarted");
--- a/src/dispatch/dispatcher_residency.cc
+++ b/src/dispatch/dispatcher_residency.cc
@@ -44,8 +44,8 @@
   }
   ++counters_.refused_by_residency;
   record(base::event_kind::residency_refused, request, request.route->name, refusal->reason);
-  refuse(request.client, request.content->id, status::unavailable, refusal->reason,
-         refusal->is_temporary ? settings_.retry_after : base::duration{});
+  answer_with_error(request.client, request.content->id, status::unavailable, refusal->reason,
+                    refusal->is_temporary ? settings_.retry_after : base::duration{});
   finish(request, status::unavailable, refusal->reason, {});
   return true;
 }
--- a/src/dispatch/dispatcher_retries.cc
+++ b/src/dispatch/dispatcher_retries.cc
@@ -68,9 +68,9 @@
     return;
   }
   if (can_retry(request, now) &&
-      budget_exchange_.query_peers(request.service, awaiting_budget_.size() + 1, now)) {
+      budget_exchange_.query_peers(request.service, clients_awaiting_budget_.size() + 1, now)) {
     request.pending_failure = std::move(outcome);
-    awaiting_budget_.push_back(request.client);
+    clients_awaiting_budget_.push_back(request.client);
     return;
   }
   fail_with(request, outcome, now);
@@ -83,12 +83,12 @@
   } else if (outcome.is_not_run) {
     answer_not_run(request, outcome.reason, now);
   } else {
-    answer_failed(request, outcome.code, outcome.reason, now);
+    answer_failed(request, outcome.http_status, outcome.reason, now);
   }
 }
 
-void dispatcher::process_awaiting_budget(base::time_point now) {
-  for (const auto client : std::exchange(awaiting_budget_, {})) {
+void dispatcher::check_requests_awaiting_budget(base::time_point now) {
+  for (const auto client : std::exchange(clients_awaiting_budget_, {})) {
     const auto found = active_.find(client);
     if (found == active_.end() || !found->second.pending_failure) {
       continue;
@@ -96,7 +96,7 @@
     auto& request = found->second;
     if (retry_budget_.shortfall(request.service, now) > 0 &&
         budget_exchange_.is_awaiting_answers(request.service, now)) {
-      awaiting_budget_.push_back(client);
+      clients_awaiting_budget_.push_back(client);
       continue;
     }
     const auto outcome = *std::exchange(request.pending_failure, std::nullopt);
@@ -114,7 +114,7 @@
 void dispatcher::handle_peer(const base::node_id& sender, const base::network_address& address,
                              const wire::retry_lending& message, base::time_point now) {
   budget_exchange_.handle(sender, address, message, now);
-  process_awaiting_budget(now);
+  check_requests_awaiting_budget(now);
 }
 
 // --- replicas that are down ----------------------------------------------------------------------
@@ -178,7 +178,7 @@
     replicas_.note_unresponsive(request.call->replica, now);
   }
   if (request.route->is_repeatable() && has_attempt_left(request, now)) {
-    retry_elsewhere(request, now);
+    retry_stalled_call(request, now);
     return;
   }
   auto& call = *request.call;
@@ -198,7 +198,7 @@
   call.stalls_at = now + down_check_interval;
 }
 
-void dispatcher::retry_elsewhere(active_request& request, base::time_point now) {
+void dispatcher::retry_stalled_call(active_request& request, base::time_point now) {
   // If a graceful stop leaves no time for another attempt, or suspected crashes limit the request
   // to one attempt, the stalled call is still the best option.
   if (!can_retry(request, now) || choose_replica(request, now) == nullptr) {
--- a/src/dispatch/retry_budget_exchange.cc
+++ b/src/dispatch/retry_budget_exchange.cc
@@ -22,14 +22,14 @@
 constexpr base::duration longest_query_interval = std::chrono::milliseconds(3200);
 
 /// Appends up to `count` randomly drawn peers to `chosen`.
-void choose_random_peers(const std::vector<fleet_peer>& from, std::size_t count,
+void choose_random_peers(const std::vector<fleet_peer>& peers, std::size_t count,
                          base::random_source& random, std::vector<const fleet_peer*>& chosen) {
-  std::vector<std::size_t> indexes(from.size());
+  std::vector<std::size_t> indexes(peers.size());
   for (std::size_t index = 0; index < indexes.size(); ++index) {
     indexes[index] = index;
   }
   for (std::size_t drawn = 0; drawn < count && !indexes.empty(); ++drawn) {
-    chosen.push_back(&from[base::take_random(indexes, random)]);
+    chosen.push_back(&peers[base::take_random(indexes, random)]);
   }
 }
 
--- a/src/dispatch/stop_plan.cc
+++ b/src/dispatch/stop_plan.cc
@@ -17,7 +17,8 @@
   if (!times_) {
     return true;
   }
-  const auto accept_window = work.is_stream ? windows_.streams : windows_.requests;
+  const auto accept_window =
+      work.is_stream ? admission_windows_.streams : admission_windows_.requests;
   return now - times_->begun_at < accept_window && may_send(work, now);
 }
 
--- a/src/dispatch/stop_plan.h
+++ b/src/dispatch/stop_plan.h
@@ -28,7 +28,7 @@
 /// Evaluates requests against the end of a graceful stop. Not thread-safe.
 class stop_plan {
  public:
-  explicit stop_plan(const stop_admission_windows& windows = {}) : windows_(windows) {}
+  explicit stop_plan(const stop_admission_windows& windows = {}) : admission_windows_(windows) {}
 
   /// Begins the stop.
   /// @param must_end_at time at which the requests that are still active are aborted.
@@ -49,7 +49,7 @@
     base::time_point must_end_at;
   };
 
-  stop_admission_windows windows_;
+  stop_admission_windows admission_windows_;
   std::optional<stop_times> times_;
 };
 
