--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -1,4 +1,5 @@
-/// Rules of the serving path, one request at a time.
+/// Single requests at one dispatcher: answers, retries, streams, stages, deadlines and stalled
+/// calls.
 #include "serving_fixture.h"
 
 using namespace spurrack;
--- a/tests/dispatch/engine_requests_test.cc
+++ b/tests/dispatch/engine_requests_test.cc
@@ -1,3 +1,4 @@
+/// Requests to engines: memory limit, shared prefixes, and prompts that wait behind other prompts.
 #include "serving_fixture.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/dispatch/planned_stop_retries_test.cc
+++ b/tests/dispatch/planned_stop_retries_test.cc
@@ -70,8 +70,7 @@
 
 BOOST_AUTO_TEST_CASE(paused_stream_is_buffered_while_stopping) {
   const auto call = stream_before_stop("/stream/x");
-  // There is time to resume the stream now, but the stream can complete only after the client reads
-  // on.
+  // The stop leaves time to resume the stream now, but nobody knows when the client reads on.
   continue_stream(call, seconds(2));
   happen(client_window{10, false});
   pass(milliseconds(1'600));
@@ -90,8 +89,8 @@
   happen(stream_opened{call, good_head()});
   send_next_event(call);
   continue_stream(call, milliseconds(1'500));
-  // The time is shorter than a whole run of the stream, but longer than the time to a first event
-  // and half a second of further events.
+  // The stop leaves less time than a whole run of the stream takes, but more than a first event and
+  // half a second of further events take.
   subject.begin_stop(now, now + milliseconds(1'800));
   const auto calls = all<start_call>().size();
   happen(stream_closed{call, false});
@@ -118,7 +117,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(stream_resumed_by_client_is_not_recorded_as_whole_run) {
-  // Streams of two seconds, and requests of clients for the last tenths of such streams.
+  // Whole streams of two seconds, and then requests of clients that resume such streams near their
+  // end.
   learn_run_times("/fixed/x");
   constexpr base::caller_id resumed_streams = 40;
   for (base::caller_id client = 11; client < 11 + resumed_streams; ++client) {
@@ -130,8 +130,8 @@
     happen(stream_bytes{call, "id: 6\ndata: a\n\n"});
     happen(stream_closed{call, true});
   }
-  // The time is too short for a whole stream of two seconds, and long enough for the remainder of a
-  // resumed stream.
+  // The stop leaves too little time for a whole stream of two seconds, but enough for the remainder
+  // of a resumed stream.
   subject.begin_stop(now, now + milliseconds(1'500));
   const auto calls = all<start_call>().size();
   arrive(100, "/fixed/x");
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -1,5 +1,5 @@
-/// Requests at replicas that restart under their id, or whose entry is overwritten by another
-/// writer.
+/// Requests at replicas that restart under their id, or whose published entry another process
+/// overwrites with a malformed one.
 #include "serving_fixture.h"
 
 using namespace spurrack;
@@ -47,7 +47,7 @@
   }
 
   /// Sends a request.
-  /// @return its call, which is at the replica of zone a.
+  /// @return call of the request, which goes to the replica of zone a.
   base::call_id call_at_zone_a(const std::string& path, base::caller_id client) {
     arrive(client, path);
     const auto call = last<start_call>();
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -259,7 +259,7 @@
 
   int calls_checked = 0;
   int calls_outside = 0;
-  /// Number of requests without a permitted zone that were not refused on arrival.
+  /// Number of requests that no zone was permitted to serve and that were not refused on arrival.
   int late_refusals = 0;
 
  private:
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -16,7 +16,7 @@
 namespace spurrack::serving {
 
 /// Publishes routes `/safe/`, `/unsafe/`, `/stream/`, `/fixed/` (a stream that cannot be resumed)
-/// and `/staged/` on host `h`, with two replicas of every service in zones a and b.
+/// and `/staged/` on host `h`, with two replicas of every service, one in zone a and one in zone b.
 class published_world {
  public:
   published_world() {
@@ -99,7 +99,7 @@
     put(std::string(model::replica_prefix) + id, replica.SerializeAsString(), false);
   }
 
-  /// Publishes an incarnation of a replica; a start of 0 leaves the start unset.
+  /// Publishes an incarnation of a replica; without a start time if `started_at_milliseconds` is 0.
   void add_incarnation(const std::string& id, const std::string& service, const std::string& zone,
                        const std::string& address, std::uint64_t started_at_milliseconds,
                        std::uint32_t cold_milliseconds = 0) {
@@ -114,7 +114,7 @@
     put(std::string(model::replica_prefix) + id, replica.SerializeAsString(), false);
   }
 
-  /// Overwrites the entry of a replica with a malformed record, as another writer may do.
+  /// Overwrites the entry of a replica with a malformed record, as another process may do.
   void write_malformed(const std::string& id) {
     wire::published_replica replica;
     replica.set_id(id);
@@ -152,7 +152,7 @@
   unsigned addresses_ = 1;
 };
 
-/// Drives one dispatcher and keeps its commands.
+/// Delivers events to one dispatcher and keeps its commands.
 class dispatcher_driver {
  public:
   explicit dispatcher_driver(const serving_settings& settings = {})
@@ -162,7 +162,7 @@
     subject.update(world.content, now);
   }
 
-  /// Delivers a request to the dispatcher and collects the resulting commands.
+  /// Delivers a request to the dispatcher.
   void arrive(base::caller_id client, const std::string& path,
               std::vector<std::uint32_t> pieces = {}) {
     auto content = content_for(client, path);
@@ -211,7 +211,7 @@
     }
   }
 
-  /// @return commands of one type so far, oldest first.
+  /// @return commands of one type that the dispatcher has given so far, oldest first.
   template <typename command_type>
   std::vector<command_type> all() const {
     std::vector<command_type> found;
--- a/tests/dispatch/shared_evidence_test.cc
+++ b/tests/dispatch/shared_evidence_test.cc
@@ -51,7 +51,7 @@
   std::map<base::call_id, base::time_point> answers;
 };
 
-/// Every node sends a request every 1.5 seconds on average; replicas answer after 50 ms.
+/// Every node gets a request every 1.5 seconds on average; replicas answer after 50 ms.
 struct reporting_fleet {
   reporting_fleet() {
     for (const std::string id : {"plain-a", "plain-b"}) {
--- a/tests/dispatch/stopping_dispatcher.h
+++ b/tests/dispatch/stopping_dispatcher.h
@@ -10,14 +10,14 @@
 
 namespace spurrack::serving {
 
-/// Time between the begin of a stop and its end.
+/// Time from the begin of a stop to its end.
 constexpr std::chrono::milliseconds stop_time{7'300};
 
 /// A dispatcher that has served streams which last two seconds from their first event.
 struct stopping_dispatcher : dispatcher_driver {
   stopping_dispatcher() { time_allowed = std::chrono::seconds(15); }
 
-  /// Completes some streams of a route, so that the dispatcher learns their times.
+  /// Completes four streams of a route, so that the dispatcher learns their times.
   /// @param pieces number of pieces of each stage: either empty, or one piece for the first stage
   ///        and none for the other stages.
   void learn_run_times(const std::string& path, const std::vector<std::uint32_t>& pieces = {}) {
--- a/tests/dispatch/virtual_time.h
+++ b/tests/dispatch/virtual_time.h
@@ -12,11 +12,11 @@
 struct virtual_time {
   base::time_point now{std::chrono::hours(1)};
 
+  /// Schedules an action that `run_due` runs once `span` has passed.
   void later(base::duration span, std::function<void()> action) {
     actions_.emplace(now + span, std::move(action));
   }
 
-  /// Runs all actions that are due.
   void run_due() {
     while (!actions_.empty() && actions_.begin()->first <= now) {
       const auto action = std::move(actions_.begin()->second);
