--- a/tests/dispatch/client_leaves_test.cc
+++ b/tests/dispatch/client_leaves_test.cc
@@ -24,7 +24,7 @@
   }
 
   /// Sends a request with one piece per stage and completes its first `stages` stages.
-  void arrive_staged(std::size_t stages) {
+  void send_and_complete_stages(std::size_t stages) {
     arrive(1, "/staged/x", {1, 1});
     for (std::size_t stage = 0; stage < stages; ++stage) {
       pass(milliseconds(50));
@@ -73,7 +73,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(disconnect_during_stage_call_frees_result_on_arrival) {
-  arrive_staged(0);
+  send_and_complete_stages(0);
   const auto call = last<start_stage_call>();
   disconnect();
   answer_pieces(call);
@@ -82,8 +82,8 @@
   BOOST_TEST(freed_results() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(disconnect_between_stages_frees_results) {
-  arrive_staged(1);
+BOOST_AUTO_TEST_CASE(disconnect_during_second_stage_frees_results_of_both_stages) {
+  send_and_complete_stages(1);
   const auto second = last<start_stage_call>();
   disconnect();
   answer_pieces(second);
@@ -93,7 +93,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(disconnect_before_first_event_cancels_call) {
-  arrive_staged(2);
+  send_and_complete_stages(2);
   BOOST_TEST(all<start_call>().size() == 1U);
   disconnect();
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
@@ -101,7 +101,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(disconnect_during_stream_cancels_call) {
-  arrive_staged(2);
+  send_and_complete_stages(2);
   const auto call = last<start_call>();
   happen(stream_opened{call.call, good_head()});
   happen(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
@@ -126,7 +126,7 @@
   check_nothing_sent_since_disconnect();
 }
 
-BOOST_AUTO_TEST_CASE(disconnect_during_stalled_call_sends_nothing) {
+BOOST_AUTO_TEST_CASE(disconnect_during_stalled_call_sends_no_retry) {
   world.add_replica("llm-b", "llm", "b", true);
   subject.update(world.content, now);
   arrive(1, "/stream/x");
@@ -138,7 +138,7 @@
   check_nothing_sent_since_disconnect();
 }
 
-BOOST_AUTO_TEST_CASE(waiting_pieces_at_another_node_are_cancelled) {
+BOOST_AUTO_TEST_CASE(piece_cancelled_while_it_waits_at_another_node_is_not_called) {
   exchange_fleet fleet(3);
   // One piece runs at the zone's replica, and the next piece waits at the batcher.
   fleet.submit(*fleet.nodes[0]);
--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -94,7 +94,7 @@
   BOOST_TEST(last<respond>().body == "second");
 }
 
-BOOST_AUTO_TEST_CASE(unsealed_or_encoded_answer_is_invalid) {
+BOOST_AUTO_TEST_CASE(unsealed_or_encoded_answer_is_not_forwarded) {
   arrive(1, "/unsafe/x");
   auto unsealed = good_head();
   unsealed.sealed = false;
@@ -239,7 +239,7 @@
   BOOST_TEST(last<free_results>().handles.size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(missing_input_extends_retention_of_later_results) {
+BOOST_AUTO_TEST_CASE(results_are_kept_longer_after_a_piece_missed_its_input) {
   const auto complete_first_stage = [&](base::caller_id client) {
     arrive(client, "/staged/x", {1, 1});
     pass(std::chrono::milliseconds(20));
@@ -348,7 +348,7 @@
   BOOST_TEST(last<cancel_call>().call == all<start_call>().front().call);
 }
 
-BOOST_AUTO_TEST_CASE(replica_with_stalled_call_is_paused) {
+BOOST_AUTO_TEST_CASE(replica_with_stalled_call_gets_no_new_calls) {
   arrive(1, "/stream/x");
   const auto first = last<start_call>();
   pass(std::chrono::milliseconds(1100));
--- a/tests/dispatch/down_replica_test.cc
+++ b/tests/dispatch/down_replica_test.cc
@@ -105,7 +105,7 @@
   BOOST_TEST(reports[0].evidence(0).sign() == wire::SIGN_WELL);
 }
 
-BOOST_AUTO_TEST_CASE(reports_of_peers_fail_no_unsafe_request_before_its_target) {
+BOOST_AUTO_TEST_CASE(reports_of_peers_fail_no_unsafe_request_before_its_target_latency) {
   arrive(1, "/unsafe/x");
   report_unresponsive(last<start_call>().target.replica, "x");
   report_unresponsive(last<start_call>().target.replica, "y");
@@ -195,7 +195,7 @@
   BOOST_TEST(last<respond>().body == "first");
 }
 
-BOOST_FIXTURE_TEST_CASE(unanswered_budget_query_times_out, driver_without_own_budget) {
+BOOST_FIXTURE_TEST_CASE(request_fails_if_budget_query_is_not_answered, driver_without_own_budget) {
   arrive(1, "/safe/x");
   happen(call_answered{last<start_call>().call, good_head(500), "first"});
   pass(milliseconds(200));
--- a/tests/dispatch/engine_requests_test.cc
+++ b/tests/dispatch/engine_requests_test.cc
@@ -92,7 +92,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(prefix_at_backlogged_engine_gets_second_engine) {
+BOOST_AUTO_TEST_CASE(request_goes_to_second_engine_if_engine_with_its_prefix_is_backlogged) {
   send_prompt(1, 9'500, 500, 1'000);
   send_prompt(2, 9'500, 500, 1'000);
   const auto calls = all<start_call>();
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -80,7 +80,7 @@
   BOOST_TEST(subject.active() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(overlapping_and_repeated_evacuations_are_respected) {
+BOOST_AUTO_TEST_CASE(calls_avoid_zones_of_overlapping_and_repeated_evacuations) {
   evacuate("a");
   evacuate("b");
   arrive(1, "/safe/x");
@@ -100,7 +100,7 @@
   BOOST_TEST(zone_of(last<start_call>()) == "a");
 }
 
-BOOST_AUTO_TEST_CASE(pieces_and_freed_results_avoid_evacuated_zone) {
+BOOST_AUTO_TEST_CASE(no_piece_and_no_free_command_is_sent_to_evacuated_zone) {
   time_allowed = seconds(20);
   arrive(1, "/staged/x", {1, 1});
   pass(milliseconds(50));
--- a/tests/dispatch/planned_stop_requests_test.cc
+++ b/tests/dispatch/planned_stop_requests_test.cc
@@ -33,7 +33,7 @@
   BOOST_TEST(subject.active() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(stream_with_late_stages_is_not_sent) {
+BOOST_AUTO_TEST_CASE(stream_whose_stages_end_too_late_is_not_sent) {
   learn_run_times("/staged/x", {1, 0});
   arrive(10, "/staged/x", {1, 0});
   const auto calls = all<start_call>().size();
@@ -92,7 +92,7 @@
     base::seeded_random random(seed);
     std::map<base::call_id, base::time_point> ends_by_call;
     base::caller_id client = 100;
-    while (node.now - node.stop_began_at < stop_time) {
+    while (node.now - node.stop_began_at < stop_duration) {
       const auto calls = node.all<start_call>().size();
       node.arrive(++client, "/fixed/x");
       if (node.all<start_call>().size() > calls) {
--- a/tests/dispatch/planned_stop_retries_test.cc
+++ b/tests/dispatch/planned_stop_retries_test.cc
@@ -82,7 +82,7 @@
   BOOST_TEST(last<end_stream>().complete);
 }
 
-BOOST_AUTO_TEST_CASE(broken_stream_is_resumed_if_remainder_fits) {
+BOOST_AUTO_TEST_CASE(broken_stream_is_resumed_if_remainder_can_end_before_stop_ends) {
   learn_run_times("/stream/x");
   arrive(10, "/stream/x");
   const auto call = last<start_call>().call;
--- a/tests/dispatch/replica_changes_test.cc
+++ b/tests/dispatch/replica_changes_test.cc
@@ -54,7 +54,7 @@
 
 BOOST_AUTO_TEST_SUITE(replica_changes_test)
 
-BOOST_AUTO_TEST_CASE(one_changed_replica_compares_one_record) {
+BOOST_AUTO_TEST_CASE(update_with_one_changed_replica_compares_one_record) {
   for (const int size : {250, 1'000}) {
     large_fleet_driver node(size);
     node.world.add_replica(large_fleet_driver::replica_name(7), "llm", "a", true);
@@ -67,13 +67,13 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(new_configuration_compares_each_record_once) {
+BOOST_AUTO_TEST_CASE(update_with_new_configuration_compares_each_record_once) {
   large_fleet_driver node(250);
   node.world.publish_configuration();
   BOOST_TEST(node.records_compared_by_update() == node.world.content.replicas().size());
 }
 
-BOOST_AUTO_TEST_CASE(changes_beyond_change_log_are_applied) {
+BOOST_AUTO_TEST_CASE(more_changes_than_the_change_log_keeps_are_applied) {
   large_fleet_driver node(10);
   for (std::size_t change = 0; change <= catalog::change_log::max_kept_changes; ++change) {
     node.world.add_replica("r3", "llm", change % 2 == 0 ? "a" : "b");
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -140,7 +140,7 @@
   BOOST_TEST(last<start_call>().resume_after.value() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(stream_with_recent_events_is_not_at_earlier_incarnation) {
+BOOST_AUTO_TEST_CASE(stream_with_recent_events_continues_after_restart) {
   const auto call = call_at_zone_a("/stream/x", 1);
   pass(milliseconds(10));
   happen(stream_opened{call, good_head()});
@@ -164,7 +164,7 @@
   BOOST_TEST(subject.active() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(requests_sent_after_restart_are_not_moved) {
+BOOST_AUTO_TEST_CASE(request_sent_after_restart_does_not_fail) {
   restart("plain");
   const auto call = call_at_zone_a("/unsafe/x", 1);
   pass(milliseconds(600));
@@ -214,7 +214,7 @@
   BOOST_TEST(subject.replicas().is_declared_down(base::replica_id("plain-a"), now));
 }
 
-BOOST_AUTO_TEST_CASE(reports_name_their_incarnation) {
+BOOST_AUTO_TEST_CASE(health_reports_name_incarnation_of_replica) {
   add_peer();
   call_at_zone_a("/unsafe/x", 1);
   static_cast<void>(subject.take_messages());
@@ -284,7 +284,7 @@
   BOOST_TEST(subject.counts().replica_restarts == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(active_request_survives_malformed_entry) {
+BOOST_AUTO_TEST_CASE(malformed_entry_does_not_fail_active_request) {
   const auto call = call_at_zone_a("/unsafe/x", 1);
   world.write_malformed("plain-a");
   update();
--- a/tests/dispatch/retry_budget_exchange_test.cc
+++ b/tests/dispatch/retry_budget_exchange_test.cc
@@ -68,20 +68,20 @@
 
   struct message_in_flight {
     base::time_point arrives_at;
-    fleet_peer from;
+    fleet_peer sender;
     wire::outgoing message;
   };
 
-  void collect(budget_node& from, base::time_point now) {
-    for (auto& message : from.exchange.take_messages()) {
+  void collect(budget_node& sender, base::time_point now) {
+    for (auto& message : sender.exchange.take_messages()) {
       ++messages;
-      if (random.unit() < loss_rate || is_partitioned(from.self.address, message.to)) {
+      if (random.unit() < loss_rate || is_partitioned(sender.self.address, message.to)) {
         continue;
       }
       const std::size_t copies = random.unit() < duplication_rate ? 2 : 1;
       for (std::size_t copy = 0; copy < copies; ++copy) {
         const auto delay = milliseconds(1 + random.below(max_delay_milliseconds));
-        in_flight.push_back({now + delay, from.self, message});
+        in_flight.push_back({now + delay, sender.self, message});
       }
     }
   }
@@ -95,7 +95,7 @@
         continue;
       }
       auto& recipient = at(delivery.message.to);
-      recipient.exchange.handle(delivery.from.node, delivery.from.address,
+      recipient.exchange.handle(delivery.sender.node, delivery.sender.address,
                                 delivery.message.message.retry_lending(), now);
     }
     for (auto& node : all) {
@@ -108,9 +108,9 @@
                           [&](const auto& node) { return node->self.address == address; });
   }
 
-  [[nodiscard]] bool is_partitioned(const base::network_address& from,
+  [[nodiscard]] bool is_partitioned(const base::network_address& sender,
                                     const base::network_address& recipient) const {
-    return std::find(partitioned.begin(), partitioned.end(), from) != partitioned.end() ||
+    return std::find(partitioned.begin(), partitioned.end(), sender) != partitioned.end() ||
            std::find(partitioned.begin(), partitioned.end(), recipient) != partitioned.end();
   }
 
--- a/tests/dispatch/run_times_test.cc
+++ b/tests/dispatch/run_times_test.cc
@@ -93,7 +93,7 @@
              boost::test_tools::tolerance(0.001));
 }
 
-BOOST_AUTO_TEST_CASE(longest_of_sixteen_runs_is_an_outlier) {
+BOOST_AUTO_TEST_CASE(longest_of_sixteen_runs_is_ignored) {
   run_times subject;
   for (int run = 1; run <= 16; ++run) {
     subject.note_run("route", "service", 0, {milliseconds(100 * run), {}});
@@ -114,7 +114,7 @@
              boost::test_tools::tolerance(0.001));
 }
 
-BOOST_AUTO_TEST_CASE(unknown_tokens_leave_estimate_of_equal_runs_unchanged) {
+BOOST_AUTO_TEST_CASE(estimate_is_not_scaled_if_tokens_of_runs_or_request_are_unknown) {
   run_times subject;
   for (int run = 0; run < 8; ++run) {
     subject.note_run("stated", "engine", 100, {milliseconds(200), milliseconds(1000)});
--- a/tests/dispatch/slow_client_test.cc
+++ b/tests/dispatch/slow_client_test.cc
@@ -202,7 +202,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(resumed_answer_can_stall) {
+BOOST_AUTO_TEST_CASE(answer_that_stalls_after_resumption_is_retried) {
   arrive(1, "/safe/x");
   const auto call = last<start_call>();
   happen(answer_paused{call.call});
--- a/tests/dispatch/stop_plan_test.cc
+++ b/tests/dispatch/stop_plan_test.cc
@@ -33,7 +33,7 @@
   BOOST_TEST(idle.may_send(work(true, std::nullopt), begun_at));
 }
 
-BOOST_AUTO_TEST_CASE(stream_is_accepted_within_window_if_it_can_end) {
+BOOST_AUTO_TEST_CASE(stream_is_accepted_early_in_stop_if_it_can_end_in_time) {
   BOOST_TEST(subject.accepts(work(true, seconds(6)), begun_at));
   BOOST_TEST(!subject.accepts(work(true, seconds(6)), begun_at + seconds(1)));
   BOOST_TEST(subject.accepts(work(true, seconds(1)), begun_at + seconds(2)));
@@ -45,7 +45,7 @@
   BOOST_TEST(!subject.may_send(work(true, seconds(3)), begun_at + milliseconds(3'900)));
 }
 
-BOOST_AUTO_TEST_CASE(short_request_is_accepted_longer_and_sent_if_it_can_end) {
+BOOST_AUTO_TEST_CASE(short_request_is_accepted_longer_and_sent_if_it_can_end_in_time) {
   BOOST_TEST(subject.accepts(work(false, milliseconds(200)), begun_at + milliseconds(3'400)));
   BOOST_TEST(!subject.accepts(work(false, milliseconds(200)), begun_at + milliseconds(3'600)));
   BOOST_TEST(subject.may_send(work(false, milliseconds(200)), begun_at + milliseconds(6'500)));
--- a/tests/dispatch/stopping_dispatcher.h
+++ b/tests/dispatch/stopping_dispatcher.h
@@ -11,7 +11,7 @@
 namespace spurrack::serving {
 
 /// Time from the begin of a stop to its end.
-constexpr std::chrono::milliseconds stop_time{7'300};
+constexpr std::chrono::milliseconds stop_duration{7'300};
 
 /// A dispatcher that has served streams which last two seconds from their first event.
 struct stopping_dispatcher : dispatcher_driver {
@@ -62,7 +62,7 @@
 
   void begin_stop() {
     stop_began_at = now;
-    subject.begin_stop(now, now + stop_time);
+    subject.begin_stop(now, now + stop_duration);
   }
 
   base::time_point stop_began_at;
