--- a/src/dispatch/admission_estimate.h
+++ b/src/dispatch/admission_estimate.h
@@ -22,10 +22,8 @@
   void note_first_byte(const std::string& service, std::uint32_t own_tokens,
                        base::duration duration);
 
-  /// @param final_call call of the request itself, with the zone to which the results of its stages
-  ///        are delivered.
-  /// @param order whether the request's pieces are queued before or after the pieces that are past
-  ///        due.
+  /// @param final_call call of the request itself, with the zone that needs its stages' results.
+  /// @param order whether the pieces are queued before or after the pieces that are past due.
   /// @return expected time until the first byte of the answer to a request whose stages have
   ///         progressed as `graph` shows; std::nullopt if some stage cannot be computed now.
   [[nodiscard]] std::optional<base::duration>
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -59,8 +59,7 @@
 class dispatcher {
  public:
   /// @param random must outlive this object.
-  /// @param incarnation number of this process, higher than that of every earlier process of this
-  ///        node.
+  /// @param incarnation number of this process; earlier processes of this node had lower ones.
   dispatcher(const fleet_peer& self, const serving_settings& settings, base::random_source& random,
              base::incarnation incarnation, decision_recorder record);
 
@@ -68,8 +67,8 @@
   void update(const catalog::catalog& content, base::time_point now);
   /// @param known_peers number of other nodes that are known, including dead nodes.
   void set_peers(std::vector<fleet_peer> alive, std::size_t known_peers);
-  /// Sets the byte budget (limit on this process's memory) that the buffered bytes of incomplete
-  /// stream events count against; without it they are not counted.
+  /// Sets the limit on this process's memory that the bytes of incomplete stream events count
+  /// against; by default there is no limit.
   void set_budget(std::shared_ptr<flow::byte_budget> budget) { byte_budget_ = std::move(budget); }
   /// Replaces the zones that this node cannot reach. Their replicas are called only if no other
   /// replica is available.
@@ -79,8 +78,7 @@
   /// Begins a graceful stop: other nodes batch the pieces of stages from now on, and only requests
   /// that are expected to complete by `must_end_at` are accepted or sent to a replica.
   void begin_stop(base::time_point now, base::time_point must_end_at);
-  /// @return whether requests of this node are active, or calls for pieces of any node's requests
-  ///         are under way.
+  /// @return whether requests of this node or calls for pieces of any node are under way.
   [[nodiscard]] bool is_busy() const { return !active_.empty() || stages_.has_calls_under_way(); }
 
   void handle(const event& input_event, base::time_point now);
@@ -150,8 +148,8 @@
   struct open_call {
     base::call_id id = 0;
     base::replica_id replica;
-    /// Identifier of the future exit of the called incarnation, equal on all nodes; recorded if the
-    /// call is lost.
+    /// Identifies the exit of the called incarnation on all nodes. Known before the exit, and
+    /// recorded if the call is lost.
     replica_exit incarnation_exit = 0;
     base::time_point started_at;
     /// Time at which the call counts as stalled unless it makes progress before; std::nullopt if
@@ -170,8 +168,7 @@
     /// then fails if it cannot be retried and no event of its stream arrives soon.
     std::optional<base::time_point> restart_seen_at{};
   };
-  /// Entry of a request that waits for a slot at a replica. Ordered by priority (0 is the most
-  /// urgent), then by deadline.
+  /// Entry in an admission queue. Ordered by priority (0 is the most urgent), then by deadline.
   struct waiting_request {
     std::uint32_t priority = 0;
     base::time_point deadline;
@@ -186,8 +183,7 @@
     std::string reason;
     /// Answer of a replica to forward; std::nullopt if this node answers itself.
     std::optional<call_answered> answer;
-    /// Whether no replica has run the request; this node's answer then states that the request was
-    /// not run.
+    /// Whether no replica has run the request, which this node's answer then states.
     bool is_not_run = false;
   };
   /// A request that has arrived and whose answer is not complete.
@@ -222,7 +218,6 @@
     std::set<base::replica_id> tried_replicas;
     /// Number of attempts, without those that reached no replica.
     std::uint32_t attempts = 0;
-    /// Number of attempts that reached no replica.
     std::uint32_t unreached_attempts = 0;
     /// Whether some replica may have begun to run the request.
     bool may_have_run = false;
@@ -241,14 +236,12 @@
     event_stream events;
     /// Counts the bytes of an incomplete event that `events` buffers.
     std::optional<flow::byte_reservation> partial_event_reservation;
-    /// Whether the client reads more slowly than the replica answers; reading from the replica is
-    /// then paused.
+    /// Whether reading from the replica is paused because the client reads too slowly.
     bool is_window_closed = false;
     /// Time at which the paused stream is suspended, or its remainder is buffered; set only while
     /// `is_window_closed`.
     std::optional<base::time_point> slow_client_check_at;
-    /// Whether the call of the paused stream was cancelled; the request is sent again when the
-    /// client reads on.
+    /// Whether the call was cancelled; the request is sent again when the client reads on.
     bool is_suspended = false;
     /// Whether the stream was ever suspended or buffered because its client read too slowly.
     bool is_slow_client = false;
@@ -256,10 +249,9 @@
     std::optional<base::time_point> next_check_at;
   };
 
-  /// Refusal of a request that cannot be served in its permitted regions.
   struct residency_refusal {
     std::string reason;
-    /// Whether a retry may succeed because replicas in these regions may accept work again later.
+    /// Whether a retry may succeed because replicas in the permitted regions may accept work later.
     bool is_temporary = false;
   };
 
@@ -280,7 +272,7 @@
   void admit(const request_arrived& arrival, std::shared_ptr<const model::route> route,
              const std::optional<model::key_holder>& holder, base::time_point now);
   /// Refuses a request that may run in no region, or only in regions that cannot serve it now. Like
-  /// all `refuse_` functions of type bool, returns whether the request was refused.
+  /// all `refuse_` and `abort_if_` functions of type bool, returns whether the request was ended.
   bool refuse_by_residency(active_request& request);
   /// @return reason for which a request cannot be served in its permitted regions; std::nullopt if
   ///         it can be served.
@@ -301,7 +293,6 @@
   bool refuse_while_stopping(active_request& request, base::time_point now);
   /// Aborts a request that is not expected to complete before the end of a graceful stop. If no
   /// replica may have run the request, the answer states that it was not run.
-  /// @return whether the request was aborted.
   bool abort_if_late_for_stop(active_request& request, base::time_point now);
   /// @return whether a request that is sent to a replica now is expected to complete before the end
   ///         of a graceful stop; true if no stop has begun.
@@ -315,12 +306,10 @@
   ///         than expected, because its remaining time is then unknown.
   [[nodiscard]] static base::duration streamed_time_of(const active_request& request,
                                                        base::duration expected_streaming_time);
-  /// Records how long a completed run took, as a sample for estimates, unless the stream was
-  /// resumed or its client was slow.
+  /// Records the duration of a completed run, unless its stream was resumed or its client was slow.
   void note_completed_run(const active_request& request, base::time_point now);
   /// Checks whether the stages of a request can still end in time, if that check is due. Aborts the
   /// request if its first check or two consecutive checks find that they cannot.
-  /// @return whether the request was aborted.
   bool abort_if_infeasible(active_request& request, base::time_point now);
   /// @return expected time until the first byte of the answer; std::nullopt if some stage cannot be
   ///         computed now.
@@ -354,8 +343,8 @@
                                      base::time_point now);
   void send_to_replica(active_request& request, base::time_point now);
   [[nodiscard]] bool is_engine(const std::string& service) const;
-  /// @return time within which a new call at a healthy replica makes progress; 0 if its progress is
-  ///         not watched.
+  /// @return time within which a call at a healthy replica makes progress; 0 if progress is not
+  ///         watched.
   [[nodiscard]] base::duration progress_timeout(const active_request& request,
                                                 const replica_state& replica,
                                                 base::time_point now) const;
@@ -370,34 +359,30 @@
   /// Records that a replica sent an answer, and so is active. Withdraws its recorded exit if the
   /// answer disproves the exit.
   void note_answer(const base::replica_id& replica, const answer_head& head, base::time_point now);
-  /// Sends due messages about self-reports and permits to other nodes, and processes the admission
-  /// queues.
+  /// Sends due messages about self-reports and permits, and processes the admission queues.
   void advance_self_reports(base::time_point now);
   /// Records an event for each drain, limit or backoff that a replica has newly reported of itself.
   void record_self_report_changes();
-  /// @return published zone, incarnation and process of a replica; std::nullopt if the replica is
-  ///         not published.
+  /// @return zone, incarnation and process of a replica; std::nullopt if it is not published.
   [[nodiscard]] std::optional<self_reports::published_replica>
   find_published(const base::replica_id& id) const;
   /// @return requirements of a request on the replica that runs it.
   [[nodiscard]] static replica_demand demand_of(const active_request& request);
-  /// Requests a permit for a rate-limited replica that could serve the request but has no permit
-  /// now.
+  /// Requests a permit for a replica that could serve the request if this node held a permit for
+  /// it.
   void request_permit(const active_request& request, base::time_point now);
   [[nodiscard]] static waiting_request queue_entry_of(const active_request& request);
   /// @return whether the first request of the admission queue precedes this request and could be
   ///         sent now.
   [[nodiscard]] bool is_behind_waiting_requests(const active_request& request,
                                                 base::time_point now);
-  /// Chooses a replica for the request, or queues or refuses the request if no replica accepts it
-  /// now.
+  /// Chooses a replica for the request, or queues or refuses it if no replica accepts it now.
   /// @return the chosen replica; null if the request was queued or refused.
   const replica_state* choose_in_turn(active_request& request, base::time_point now);
   /// @return time until a replica may accept the request if the refused client sends it again.
   [[nodiscard]] base::duration shortest_retry_after(const active_request& request,
                                                     base::time_point now) const;
-  /// Queues a request that cannot be sent to any replica now, or refuses it if no slot is expected
-  /// in time.
+  /// Queues a request that no replica accepts now, or refuses it if no slot is expected in time.
   /// @return whether the request was queued or refused; false if no replica that could serve it is
   ///         expected to have a slot later.
   bool queue_or_refuse(active_request& request, base::time_point now);
@@ -409,8 +394,7 @@
   [[nodiscard]] std::optional<base::duration> expected_queue_wait(const active_request& request,
                                                                   std::size_t requests_ahead,
                                                                   base::time_point now) const;
-  /// @return expected time until this node gets a permit for the request at one of the `limited`
-  ///         replicas.
+  /// @return expected time until this node gets a permit for the request at a `limited` replica.
   [[nodiscard]] base::duration
   expected_permit_wait(const std::string& service, const std::vector<const replica_state*>& limited,
                        std::size_t requests_ahead, base::time_point now) const;
@@ -457,17 +441,14 @@
   /// Records the exit of a replica as an exit under the request of one lost call.
   void note_exit_under_request(const quarantine::lost_call& call, const base::replica_id& replica,
                                const char* evidence, base::time_point now);
-  /// Drops expired records of exits, begins quarantines that are due, and sends crash reports to
-  /// other nodes.
+  /// Drops expired records of exits, begins quarantines that are due, and sends crash reports.
   void advance_crashes(base::time_point now);
   /// Records the exits of replicas that have lost calls and are no longer published.
   void find_exited_replicas(base::time_point now);
   /// Withdraws the recorded exit of the published incarnation of a replica that has just answered,
-  /// if the recorded time of the exit is at least `min_withdrawal_age` ago: the answer shows that
-  /// the incarnation still runs.
+  /// if the exit is at least `min_withdrawal_age` old: the answer shows that the incarnation runs.
   void withdraw_exit(const base::replica_id& replica, base::time_point now);
-  /// Records that a replica ran a request without exiting, which clears the exits recorded under
-  /// the request.
+  /// Records that a run ended without an exit, which clears the exits recorded under its request.
   void note_survived(const active_request& request, base::time_point now);
   [[nodiscard]] quarantine::quarantine_state quarantine_state_of(const active_request& request,
                                                                  base::time_point now) const;
@@ -483,8 +464,7 @@
   /// Checks the requests that wait for retry budget of other nodes. A request is retried once the
   /// budget suffices, and fails once no queried node is expected to answer any more.
   void check_requests_awaiting_budget(base::time_point now);
-  /// Takes a retry from the retry budget if `can_retry`.
-  /// @return whether the retry was granted.
+  /// Takes a retry from the retry budget if `can_retry`; returns whether the retry was granted.
   [[nodiscard]] bool try_take_retry(active_request& request, base::time_point now);
   void forward_answer(active_request& request, const call_answered& answer, base::time_point now);
   void begin_stream(active_request& request, base::time_point now);
@@ -493,8 +473,7 @@
   /// Restarts the stall timeout of the request's call. The call cannot stall if `timeout` is 0, or
   /// while reading from its replica is paused.
   void watch_progress(active_request& request, base::duration timeout, base::time_point now);
-  /// Records in the replica table that the replica of a call sends data, at most once per
-  /// `contact_note_interval`.
+  /// Records in the replica table that the call's replica sends data, at most every 100 ms.
   void note_contact(open_call& call, base::time_point now);
   /// Pauses reading from the replica until the client reads on.
   void pause_stream(active_request& request, base::time_point now);
@@ -519,18 +498,15 @@
   /// check schedules the next one when it runs, so that the events of a stream, which postpone its
   /// stall timeout, cost no rescheduling.
   void schedule_check(active_request& request);
-  /// Runs the due checks of all requests.
   void check_requests(base::time_point now);
   /// Schedules an immediate check of each call at a replica that is declared down, if the call's
-  /// route allows retries, no event of its stream has arrived and the replica has sent nothing
-  /// since the call began.
+  /// route allows retries and the replica is not known to have sent anything since the call began.
   void recheck_calls_at(const base::replica_id& replica, base::time_point now);
   /// Handles a stalled call: retries it at another replica if that is allowed. If no retry is
   /// allowed and the replica stays declared down, the request fails; otherwise another check is
   /// scheduled.
   void on_stalled(active_request& request, base::time_point now);
-  /// @return whether the replica of a call is not known to have sent anything since the call last
-  ///         made progress.
+  /// @return whether the replica is not known to have sent anything since the call's last progress.
   [[nodiscard]] bool is_replica_unresponsive(const active_request& request) const;
   /// Retries a stalled call at another replica if that is allowed and a replica is available;
   /// otherwise schedules another check, because permission and replicas may change.
@@ -540,15 +516,14 @@
   /// Drops the state of earlier incarnations of replicas that restarted under their id.
   void handle_replica_restarts(base::time_point now);
   void handle_replica_restart(const replica_restart& restart, base::time_point now);
-  /// Separates a call that was sent to an earlier incarnation from its replica, so that the outcome
-  /// of the call does not count for the new incarnation. Schedules the check that retries the call
-  /// or lets its request fail.
+  /// Separates a call that was sent to an earlier incarnation from its replica, so that its outcome
+  /// does not count for the new one, and schedules the check that retries the request or lets it
+  /// fail.
   void detach_from_restarted_replica(active_request& request, base::time_point now);
   /// Lets a request whose call was sent to an earlier incarnation, and cannot be retried, fail if
   /// no event of its stream arrives within `restart_confirm_time`.
   void check_call_at_earlier_incarnation(active_request& request, base::time_point now);
-  /// Records an event for each replica of a service that is not configured, once per replica and
-  /// service.
+  /// Records an event, once per replica and service, for replicas of unconfigured services.
   void report_unknown_services();
   /// Frees the inputs of a call if its replica should have fetched them by now.
   void free_fetched_inputs(active_request& request, base::time_point now);
@@ -612,8 +587,7 @@
   std::map<base::replica_id, std::string> reported_unknown_services_;
   /// Clients whose request waits for a budget transfer, in the order in which they began to wait.
   std::vector<base::caller_id> clients_awaiting_budget_;
-  /// By service, the requests that wait for slots, and the rate at which requests leave the queue
-  /// for a slot.
+  /// By service: requests that wait for slots, and rate at which they get slots.
   std::map<std::string, admission_queue> admission_queues_;
   std::map<std::string, drain_rate> drain_rates_;
   base::time_point next_queue_check_at_;
--- a/src/dispatch/dispatcher_admission_queue.cc
+++ b/src/dispatch/dispatcher_admission_queue.cc
@@ -13,15 +13,14 @@
 namespace spurrack::serving {
 namespace {
 
-/// Interval at which the admission queues are processed; they are also processed when permits
-/// arrive.
+/// Interval at which the admission queues are processed, besides when permits arrive.
 constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
 /// A queued request is refused only if this fraction of its expected wait exceeds its remaining
 /// time: waits vary by about their own length, and a refusal wastes the time that the request has
 /// already waited.
 constexpr double certain_wait_fraction = 0.5;
-/// Maximum expected wait for a permit, also used if the limits of the replicas allow no requests;
-/// longer than any request may wait.
+/// Maximum expected wait for a permit, also used if all limits are zero; no request may wait as
+/// long.
 constexpr base::duration unbounded_wait = std::chrono::hours(1);
 
 } // namespace
@@ -165,8 +164,7 @@
   if (choose_replica_for(demand, now) != nullptr) {
     return false;
   }
-  // Requests whose stages are being computed also count as ahead of this request because they need
-  // the same slots.
+  // Requests whose stages are being computed are also ahead because they need the same slots.
   const auto requests_ahead = std::count_if(active_.begin(), active_.end(), [&](const auto& entry) {
     const auto& other = entry.second;
     return other.client != request.client && other.service == request.service && !other.call;
--- a/src/dispatch/event_stream.h
+++ b/src/dispatch/event_stream.h
@@ -19,8 +19,7 @@
   /// @return whole new events that the bytes complete, in order.
   std::string feed(std::string_view bytes);
 
-  /// @return identifier of the last whole event that has one; before the first such event, `after`
-  ///         of the constructor.
+  /// @return identifier of the last whole event that has one, or `after` if there was none yet.
   [[nodiscard]] std::optional<std::uint64_t> last_id() const { return last_id_; }
   /// @return number of events that `feed` has returned.
   [[nodiscard]] std::uint64_t events() const { return events_; }
--- a/src/dispatch/retry_budget_exchange.h
+++ b/src/dispatch/retry_budget_exchange.h
@@ -32,8 +32,7 @@
 class retry_budget_exchange {
  public:
   /// @param budget source and target of transfers; must outlive this object, as must `random`.
-  /// @param incarnation incarnation of this process; answers to queries of an earlier incarnation
-  ///        are ignored.
+  /// @param incarnation of this process; answers to queries of earlier incarnations are ignored.
   retry_budget_exchange(retry_budget& budget, base::zone_id own_zone, base::random_source& random,
                         base::incarnation incarnation);
 
--- a/src/dispatch/stop_plan.h
+++ b/src/dispatch/stop_plan.h
@@ -35,9 +35,9 @@
   void begin(base::time_point now, base::time_point must_end_at);
   [[nodiscard]] bool has_begun() const { return times_.has_value(); }
 
-  /// @return whether a request that has just arrived is accepted: a stopping node still accepts
-  ///         streams, or requests without a stream, at this time, and `may_send` permits it; true
-  ///         if no stop has begun.
+  /// @return whether a request that has just arrived is accepted: its kind (stream or not) is still
+  ///         accepted at this time of the stop, and `may_send` permits it; true if no stop has
+  ///         begun.
   [[nodiscard]] bool accepts(const remaining_work& work, base::time_point now) const;
   /// @return whether an accepted request may still be sent to a replica: it is expected to complete
   ///         before the stop ends, or its deadline is earlier than that; true if no stop has begun.
--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -1,5 +1,4 @@
-/// Single requests at one dispatcher: answers, retries, streams, stages, deadlines and stalled
-/// calls.
+/// Single requests at one dispatcher: answers, retries, streams, stages and deadlines.
 #include "serving_fixture.h"
 
 using namespace spurrack;
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -129,8 +129,7 @@
   for (base::caller_id client = 1; client <= 10; ++client) {
     arrive(client, "/stream/x");
   }
-  // The replicas of zone a count as cold, and the rate limit of cold replicas does not permit a
-  // call yet.
+  // The replicas of zone a count as cold, and the limit for cold replicas permits no call yet.
   BOOST_TEST(called_zones() == std::set<std::string>{"b"}, boost::test_tools::per_element());
   pass(serving_settings{}.cold_time_after_evacuation);
   commands.clear();
--- a/tests/dispatch/planned_stop_retries_test.cc
+++ b/tests/dispatch/planned_stop_retries_test.cc
@@ -117,8 +117,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(stream_resumed_by_client_is_not_recorded_as_whole_run) {
-  // Whole streams of two seconds, and then requests of clients that resume such streams near their
-  // end.
+  // Whole streams of two seconds, and then requests that resume such streams near their end.
   learn_run_times("/fixed/x");
   constexpr base::caller_id resumed_streams = 40;
   for (base::caller_id client = 11; client < 11 + resumed_streams; ++client) {
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -82,7 +82,6 @@
     return "";
   }
 
-  /// Answers all open calls for pieces with results.
   void answer_piece_calls() {
     const auto calls = all<start_stage_call>();
     for (; answered_calls < calls.size(); ++answered_calls) {
--- a/tests/dispatch/retry_budget_exchange_test.cc
+++ b/tests/dispatch/retry_budget_exchange_test.cc
@@ -159,8 +159,7 @@
       continue;
     }
   }
-  // The node's own budget of 1.6 retries (0.8 of two) allows one retry; all other retries need
-  // transfers.
+  // The node's own budget of 1.6 retries (0.8 of two) allows one retry; the others need transfers.
   BOOST_TEST(recipient.retries.size() >= 8U);
   BOOST_TEST(fleet.max_retries_in_window(seconds(10)) <= 40U);
 }
--- a/tests/dispatch/stopping_dispatcher.h
+++ b/tests/dispatch/stopping_dispatcher.h
@@ -54,7 +54,6 @@
     happen(stream_closed{call, true});
   }
 
-  /// Delivers the next event of a call's stream.
   void send_next_event(base::call_id call) {
     const auto id = std::to_string(++events_by_call[call]);
     happen(stream_bytes{call, "id: " + id + "\ndata: a\n\n"});
