--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -52,10 +52,11 @@
 /// request itself is sent. A ticket identifies a piece that was submitted to `stage_exchange`. A
 /// request gets a slot when some replica may be sent the request; for a replica that announces a
 /// rate limit, this node needs a permit for each request. An exit is the end of a replica's
-/// process, planned or by a crash. A call is lost if it ends without a whole answer, and stalled if
-/// it makes no progress in time. A stream is suspended while its call is cancelled because the
-/// client reads too slowly. The digest of a request identifies the request when a client sends it
-/// again. A quarantined request is refused because replicas exited while they ran it.
+/// process, planned or by a crash; it is an exit under each request that ran there. A call is lost
+/// if it ends without a whole answer, and stalled if it makes no progress in time. A stream is
+/// suspended while its call is cancelled because the client reads too slowly. The digest of a
+/// request identifies the request when a client sends it again. A quarantined request is refused
+/// because replicas exited while they ran it.
 class dispatcher {
  public:
   /// @param random must outlive this object.
@@ -368,8 +369,7 @@
   find_published(const base::replica_id& id) const;
   /// @return requirements of a request on the replica that runs it.
   [[nodiscard]] static replica_demand demand_of(const active_request& request);
-  /// Requests a permit for a replica that could serve the request if this node held a permit for
-  /// it.
+  /// Requests a permit for a replica that could serve the request if this node held a permit.
   void request_permit(const active_request& request, base::time_point now);
   [[nodiscard]] static waiting_request queue_entry_of(const active_request& request);
   /// @return whether the first request of the admission queue precedes this request and could be
@@ -481,8 +481,8 @@
   /// suspended.
   void resume_stream(active_request& request, base::time_point now);
   /// Handles a stream whose client has not read on for `max_call_pause`: suspends the stream if it
-  /// can be resumed later, and otherwise has its remainder buffered. Otherwise the replica would
-  /// break off the answer that stays unread.
+  /// can be resumed later, and otherwise has its remainder buffered. This happens before the
+  /// replica would break off the answer that stays unread.
   void handle_slow_client(active_request& request, base::time_point now);
   [[nodiscard]] static bool can_suspend(const active_request& request);
   void mark_slow_client(active_request& request);
@@ -520,8 +520,8 @@
   /// does not count for the new one, and schedules the check that retries the request or lets it
   /// fail.
   void detach_from_restarted_replica(active_request& request, base::time_point now);
-  /// Lets a request whose call was sent to an earlier incarnation, and cannot be retried, fail if
-  /// no event of its stream arrives within `restart_confirm_time`.
+  /// Lets a request fail if its call was sent to an earlier incarnation, cannot be retried and gets
+  /// no event within `restart_confirm_time`.
   void check_call_at_earlier_incarnation(active_request& request, base::time_point now);
   /// Records an event, once per replica and service, for replicas of unconfigured services.
   void report_unknown_services();
