--- a/src/dispatch/dispatcher_admission_queue.cc
+++ b/src/dispatch/dispatcher_admission_queue.cc
@@ -13,15 +13,14 @@
 namespace spurrack::serving {
 namespace {
 
-/// Interval at which the admission queues are processed; they are also processed when permits
-/// arrive.
+/// Interval at which the admission queues are processed, besides when permits arrive.
 constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
-/// Fraction of the expected wait that must exceed the remaining time of a queued request before the
-/// request is refused: waits vary by about their own length, and a refusal wastes the time that the
-/// request has already waited.
+/// A queued request is refused only if this fraction of its expected wait exceeds its remaining
+/// time: waits vary by about their own length, and a refusal wastes the time that the request has
+/// already waited.
 constexpr double certain_wait_fraction = 0.5;
-/// Maximum expected wait, also used if the limits allow no requests; longer than any request may
-/// wait.
+/// Maximum expected wait for a permit, also used if all limits are zero; no request may wait as
+/// long.
 constexpr base::duration unbounded_wait = std::chrono::hours(1);
 
 } // namespace
@@ -150,8 +149,8 @@
     answer_failed(request, status::bad_gateway, reason, now);
     return;
   }
-  refuse(request.client, request.content->id, status::unavailable, reason,
-         jittered_retry_after(wait, request.deadline - now, *random_));
+  answer_with_error(request.client, request.content->id, status::unavailable, reason,
+                    jittered_retry_after(wait, request.deadline - now, *random_));
   finish(request, status::unavailable, reason, now);
 }
 
@@ -165,7 +164,7 @@
   if (choose_replica_for(demand, now) != nullptr) {
     return false;
   }
-  // Requests whose stages are being computed also count as ahead because they need the same slots.
+  // Requests whose stages are being computed are also ahead because they need the same slots.
   const auto requests_ahead = std::count_if(active_.begin(), active_.end(), [&](const auto& entry) {
     const auto& other = entry.second;
     return other.client != request.client && other.service == request.service && !other.call;
--- a/src/dispatch/retry_budget_exchange.cc
+++ b/src/dispatch/retry_budget_exchange.cc
@@ -11,8 +11,9 @@
 /// budget of a node is little more than one retry.
 constexpr std::size_t nearby_donors = 2;
 constexpr std::size_t remote_donors = 1;
-/// Time for which answers are awaited: three round trips between regions. A transfer that arrives
-/// later serves the next request, unless a newer query about the service was sent in the meantime.
+/// Time for which requests wait for answers to a query: three round trips between regions. A
+/// transfer that arrives later serves the next request, unless a newer query about the service was
+/// sent in the meantime.
 constexpr base::duration answer_timeout = std::chrono::milliseconds(150);
 /// Minimum and maximum interval between two queries about a service. With three peers per query, a
 /// node that has spent its budget sends less than 2 kB a second, and a tenth of that if no peer has
@@ -21,14 +22,14 @@
 constexpr base::duration longest_query_interval = std::chrono::milliseconds(3200);
 
 /// Appends up to `count` randomly drawn peers to `chosen`.
-void choose_random_peers(const std::vector<fleet_peer>& from, std::size_t count,
+void choose_random_peers(const std::vector<fleet_peer>& peers, std::size_t count,
                          base::random_source& random, std::vector<const fleet_peer*>& chosen) {
-  std::vector<std::size_t> indexes(from.size());
+  std::vector<std::size_t> indexes(peers.size());
   for (std::size_t index = 0; index < indexes.size(); ++index) {
     indexes[index] = index;
   }
   for (std::size_t drawn = 0; drawn < count && !indexes.empty(); ++drawn) {
-    chosen.push_back(&from[base::take_random(indexes, random)]);
+    chosen.push_back(&peers[base::take_random(indexes, random)]);
   }
 }
 
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -80,7 +80,7 @@
   BOOST_TEST(subject.active() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(overlapping_and_repeated_evacuations_are_respected) {
+BOOST_AUTO_TEST_CASE(calls_avoid_zones_of_overlapping_and_repeated_evacuations) {
   evacuate("a");
   evacuate("b");
   arrive(1, "/safe/x");
@@ -100,7 +100,7 @@
   BOOST_TEST(zone_of(last<start_call>()) == "a");
 }
 
-BOOST_AUTO_TEST_CASE(pieces_and_freed_results_avoid_evacuated_zone) {
+BOOST_AUTO_TEST_CASE(no_piece_and_no_free_command_is_sent_to_evacuated_zone) {
   time_allowed = seconds(20);
   arrive(1, "/staged/x", {1, 1});
   pass(milliseconds(50));
@@ -129,7 +129,7 @@
   for (base::caller_id client = 1; client <= 10; ++client) {
     arrive(client, "/stream/x");
   }
-  // The allowance of cold replicas has not accumulated any requests yet.
+  // The replicas of zone a count as cold, and the limit for cold replicas permits no call yet.
   BOOST_TEST(called_zones() == std::set<std::string>{"b"}, boost::test_tools::per_element());
   pass(serving_settings{}.cold_time_after_evacuation);
   commands.clear();
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -82,7 +82,6 @@
     return "";
   }
 
-  /// Answers all open calls for pieces with results.
   void answer_piece_calls() {
     const auto calls = all<start_stage_call>();
     for (; answered_calls < calls.size(); ++answered_calls) {
@@ -259,7 +258,7 @@
 
   int calls_checked = 0;
   int calls_outside = 0;
-  /// Number of requests without a permitted zone that were not refused on arrival.
+  /// Number of requests that no zone was permitted to serve and that were not refused on arrival.
   int late_refusals = 0;
 
  private:
--- a/tests/dispatch/stopping_dispatcher.h
+++ b/tests/dispatch/stopping_dispatcher.h
@@ -10,14 +10,14 @@
 
 namespace spurrack::serving {
 
-/// Time between the begin of a stop and its end.
-constexpr std::chrono::milliseconds stop_time{7'300};
+/// Time from the begin of a stop to its end.
+constexpr std::chrono::milliseconds stop_duration{7'300};
 
 /// A dispatcher that has served streams which last two seconds from their first event.
 struct stopping_dispatcher : dispatcher_driver {
   stopping_dispatcher() { time_allowed = std::chrono::seconds(15); }
 
-  /// Completes some streams of a route, so that the dispatcher learns their times.
+  /// Completes four streams of a route, so that the dispatcher learns their times.
   /// @param pieces number of pieces of each stage: either empty, or one piece for the first stage
   ///        and none for the other stages.
   void learn_run_times(const std::string& path, const std::vector<std::uint32_t>& pieces = {}) {
@@ -54,7 +54,6 @@
     happen(stream_closed{call, true});
   }
 
-  /// Delivers the next event of a call's stream.
   void send_next_event(base::call_id call) {
     const auto id = std::to_string(++events_by_call[call]);
     happen(stream_bytes{call, "id: " + id + "\ndata: a\n\n"});
@@ -62,7 +61,7 @@
 
   void begin_stop() {
     stop_began_at = now;
-    subject.begin_stop(now, now + stop_time);
+    subject.begin_stop(now, now + stop_duration);
   }
 
   base::time_point stop_began_at;
