--- a/src/stage_work/drain_rate.cc
+++ b/src/stage_work/drain_rate.cc
@@ -3,7 +3,7 @@
 namespace spurrack::serving {
 namespace {
 
-/// Minimum duration of a measuring window.
+/// Minimum duration of a measuring window, over which dispatched items are counted.
 constexpr base::duration window_duration = std::chrono::milliseconds(400);
 /// Time after which a measured rate is no longer valid.
 constexpr base::duration rate_lifetime = std::chrono::milliseconds(1500);
--- a/src/stage_work/shard_map.cc
+++ b/src/stage_work/shard_map.cc
@@ -10,11 +10,11 @@
 
 /// Target number of replicas per shard; a larger number is divided over several shards.
 constexpr std::size_t target_replicas_per_shard = 16;
-/// Minimum number of replicas of a zone that has shards of its own if its region has more than one
-/// shard: with fewer replicas, calls would be sent half empty or wait for the only free replica.
+/// Minimum number of replicas with which a zone has shards of its own in a region that needs more
+/// than one shard. With fewer, calls would be sent half empty or wait for the only free replica.
 constexpr std::size_t min_replicas_per_zone_shard = 4;
-/// Minimum processor share of a batcher, as a fraction of the largest processor share of the nodes
-/// of its zone or region.
+/// Minimum processor share (cores that a node may use) of a batcher, as a fraction of the largest
+/// processor share in its zone or region.
 constexpr double min_relative_processor_share = 0.5;
 
 } // namespace
--- a/src/stage_work/shard_map.h
+++ b/src/stage_work/shard_map.h
@@ -22,7 +22,7 @@
 struct shard {
   std::string service;
   model::effective_region region;
-  /// Set if all replicas of the shard are in one zone.
+  /// Set if the shard belongs to one zone; std::nullopt for a shard of a region.
   std::optional<base::zone_id> zone;
   std::vector<base::replica_id> replicas;
   base::node_id batcher;
@@ -36,8 +36,9 @@
 ///
 /// The candidates for batchers are recomputed after a node is added, removed or changed. The shards
 /// are recomputed by each `assign`, which callers use after a change of nodes or of replicas that
-/// run pieces. `assign` evaluates each replica that runs pieces once and copies the identifiers of
-/// the replicas in the shards that it keeps. Not thread-safe.
+/// run pieces. `assign` evaluates once, for each replica that runs pieces, whether the replica
+/// accepts work, and copies the identifiers of the replicas in the shards that it keeps. Not
+/// thread-safe.
 class shard_map {
  public:
   /// @param replicas, peers must outlive this object.
@@ -64,15 +65,16 @@
   }
   /// @return whether this node is the batcher of a shard that is not limited to one zone.
   [[nodiscard]] bool batches_for_other_zones() const;
-  /// @return number of evaluations of replicas and nodes since construction.
+  /// @return number of evaluations since construction of whether a replica accepts work, or whether
+  ///         a node may be a batcher.
   [[nodiscard]] std::uint64_t evaluations() const { return evaluations_; }
 
  private:
   using state_list = std::vector<const replica_state*>;
   /// Replicas of one service in one region, by zone.
   using zone_replicas = std::map<base::zone_id, state_list>;
-  /// Nodes that may be batchers of the shards of a zone, of a region, and of a region without
-  /// nodes.
+  /// Nodes that may be batchers: of the shards of a zone, of the shards of a region, and (`all`) of
+  /// the shards of a region without nodes.
   struct candidate_nodes {
     std::map<base::zone_id, std::vector<base::node_id>> by_zone;
     std::map<model::effective_region, std::vector<base::node_id>> by_region;
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -8,7 +8,7 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time after which a piece that was not acknowledged is sent to another node.
+/// Time after which a piece that its receiver did not acknowledge is sent to another node.
 constexpr base::duration acceptance_timeout = std::chrono::milliseconds(250);
 /// Time since the last confirmation after which the holder of a piece is queried whether it still
 /// holds the piece.
@@ -16,7 +16,7 @@
 /// Time since the last confirmation after which the holder is assumed to have lost the piece, and
 /// the piece is moved.
 constexpr base::duration confirmation_timeout = std::chrono::milliseconds(1500);
-/// Time for which the outcomes of pieces of other nodes are kept to answer queries.
+/// Time for which outcomes of pieces of other nodes are kept to answer queries of the origins.
 constexpr base::duration reported_result_lifetime = std::chrono::seconds(3);
 /// Interval between checks of the pieces that other nodes hold: a tenth of `acceptance_timeout`,
 /// the shortest of the times above.
@@ -248,7 +248,8 @@
     const auto* accounting_peer =
         known == result_accounting_nodes_.end() ? nullptr : peers_.find(known->second);
     if (accounting_peer == nullptr || accounting_peer->unresponsive_since) {
-      // Any node may free a result; the accounting node forgets the result when it expires.
+      // Any node may free a result. If another node accounts for its memory, that node counts the
+      // memory as used until the result expires.
       pool_.release(handle);
     } else {
       message_to(accounting_peer->peer.node).add_released(handle);
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -46,7 +46,7 @@
   past_due, ///< After all other pieces.
 };
 
-/// A request's need for pieces of a service. Refers to objects of the request.
+/// A service that a request needs, and where the work may run. Refers to objects of the request.
 struct service_demand {
   const std::string& service;
   /// Zone to which the results are delivered.
@@ -88,7 +88,6 @@
   /// Extends the timeouts of the calls under way by `gap`, the duration for which this process was
   /// suspended.
   void resume_after_suspension(base::duration gap) { pool_.resume_after_suspension(gap); }
-  /// @return whether calls of this node's pool are under way.
   [[nodiscard]] bool has_calls_under_way() const { return pool_.has_calls_under_way(); }
 
   /// Submits the pieces of one stage of one request, all to the same batcher.
@@ -101,7 +100,7 @@
   /// Frees results that are no longer needed.
   void release(const std::vector<std::string>& handles);
 
-  /// Applies the answer of a call, or queues its pieces again if it has none.
+  /// Applies the answer of a call, or queues the pieces of the call again if there is no answer.
   /// @return whether the call was under way in this node's pool.
   bool on_call_ended(const stage_call_ended& ended, base::time_point now);
   /// Applies a message of another node; ignores unknown senders.
@@ -139,11 +138,11 @@
   struct batcher {
     base::node_id node;
     model::effective_region region;
-    /// Set if all replicas of these shards are in one zone.
+    /// Set if the shards belong to one zone; std::nullopt for shards of a region.
     std::optional<base::zone_id> zone;
-    /// Number of replicas of these shards that can be called now, each counted as in
-    /// `callable_count`. If no replica can be called now, the number of replicas that can be called
-    /// after their backoffs.
+    /// Number of replicas of these shards that can be called now; a replica with a limit on calls
+    /// per second counts as a fraction of one. If no replica can be called now, the number of
+    /// replicas that can be called after their backoffs.
     double callable_replicas = 0;
     /// Time at which the first of these backoffs ends; a time in the past if a replica can be
     /// called now.
@@ -181,15 +180,15 @@
   };
 
   /// Schedules a new division into shards after other nodes were added or removed, or their
-  /// eligibility changed.
+  /// eligibility for work changed.
   void note_peers_changed();
   /// Divides all replicas into shards and selects the batcher of each.
   void assign_shards(base::time_point now);
   /// Sends an empty message to each new batcher, so that the transport connects to it.
   void connect_to_batchers(const std::vector<base::node_id>& batchers);
-  /// Number of replicas of a shard that can be called. A replica counts as 1. If it announces a
-  /// limit on calls per second, it counts as the fraction of its time in which it is busy with as
-  /// many calls as the limit permits, each with a full batch of pieces.
+  /// Number of replicas of a shard that can be called. A replica without a limit counts as 1. A
+  /// replica that announces a limit on calls per second counts as the fraction of its time in which
+  /// that many calls, each with a full batch of pieces, keep it busy.
   struct callable_count {
     /// Number of replicas that can be called now.
     double now = 0;
@@ -202,7 +201,7 @@
   /// @return batchers of the shards of a service, with the number of their callable replicas.
   [[nodiscard]] const std::vector<batcher>& assigned_batchers(const std::string& service,
                                                               base::time_point now) const;
-  /// Counts the callable replicas of each shard and batcher.
+  /// Computes `batchers_`: counts the callable replicas of the shards of each batcher.
   void count_callable(base::time_point now) const;
   /// Sets, in the load report of a service, the number of callable replicas for which this node is
   /// the batcher, and whether these replicas are in one zone.
@@ -223,8 +222,8 @@
   ///         included; std::nullopt if no batcher has replicas that the piece may use.
   [[nodiscard]] std::optional<base::node_id>
   choose_batcher(const piece_work& work, double result_bytes, base::time_point now) const;
-  /// Work of a service at a batcher: its last report, and the pieces that this node sent to it
-  /// since.
+  /// Pieces and calls of a service at a batcher: those that the batcher reported last, and the
+  /// pieces that this node has sent to the batcher since.
   struct batcher_load {
     /// Waiting pieces that are not past due.
     double waiting = 0;
@@ -252,17 +251,15 @@
   /// Passes on fetched inputs, lost pieces and results of this node's pool: to the caller for
   /// pieces of this node, by message to the origin for other pieces.
   void collect_pool_results(base::time_point now);
-  /// Passes on the pieces whose inputs were fetched, to the caller or to the origins.
   void collect_fetched_pieces();
-  /// Passes on the pieces whose calls were lost, to the caller or to the origins.
   void collect_lost_pieces();
   /// Returns the waiting pieces of other nodes to their origins as not run. Ignores pieces of this
   /// node.
   /// @param waiting pool tickets of waiting pieces.
   void return_forwarded(const std::vector<piece_ticket>& waiting, base::time_point now);
   /// Returns or moves the waiting pieces of a service to other nodes after this node stopped being
-  /// a batcher of the service. The pieces would not progress here: results whose release is no
-  /// longer reported to this node appear to take up all memory of the replicas.
+  /// a batcher of the service. The pieces would not progress here: this node no longer learns which
+  /// results are freed, and would regard the memory of the replicas as full.
   void move_waiting_pieces(const std::string& service, base::time_point now);
   /// Reports to the origin of a piece that this node still holds the piece, or otherwise the
   /// outcome of the piece; a piece of unknown outcome is reported as not run.
@@ -275,7 +272,7 @@
   /// @return nodes to which this node reports its load as a batcher.
   [[nodiscard]] report_audience audience() const;
   /// Records the incarnation of a peer and whether the peer is stopping. If the peer restarted,
-  /// moves the pieces that it held.
+  /// moves the pieces that its earlier incarnation held.
   void note_incarnation(peer_state& peer, const wire::stage_work& message, base::time_point now);
   /// Submits a piece of another node to this node's pool and acknowledges it to the origin.
   void accept_piece(const base::node_id& sender, const wire::piece_request& request,
@@ -284,7 +281,7 @@
   void apply_result(const base::node_id& sender, const wire::piece_result& result,
                     base::time_point now);
   /// Sends a piece of this node to a batcher again, or, after `max_moves` moves, submits it to this
-  /// node's pool. Cancels the piece at the previous holder unless it stays the holder.
+  /// node's pool. Cancels the piece at the previous holder unless that node stays the holder.
   void move(piece_ticket ticket, placement& placed, base::time_point now);
   /// Cancels a piece that another node forwarded to this node.
   /// @param ticket ticket of the piece at the origin.
@@ -296,7 +293,7 @@
   /// Sends the load of this node's pool to the nodes of `audience`, at most once per
   /// `load_report_interval`.
   void send_loads(base::time_point now);
-  /// @return the message to a node that is sent by the next `take_messages`.
+  /// @return the message to `node` that the next `take_messages` will return.
   wire::stage_work& message_to(const base::node_id& node);
 
   fleet_peer self_;
@@ -314,8 +311,8 @@
   /// demand.
   mutable std::unordered_map<std::string, std::vector<batcher>> batchers_;
   mutable bool are_counts_stale_ = true;
-  /// Node that accounts for the memory of a result, by handle. Results that this node itself
-  /// accounts for have no entry.
+  /// Node that accounts for the memory of a result (the holder of the piece), by handle. Results
+  /// that this node itself accounts for have no entry.
   std::unordered_map<std::string, base::node_id> result_accounting_nodes_;
   /// Identifier of this incarnation of the node, sent with each message.
   std::uint64_t incarnation_;
@@ -331,7 +328,7 @@
   /// of the piece at the origin.
   std::map<std::pair<base::node_id, piece_ticket>, piece_ticket> forwarded_pool_tickets_;
   std::deque<reported_result> reported_results_;
-  /// Messages that are sent by the next `take_messages`, by receiver.
+  /// Messages that the next `take_messages` will return, by receiver.
   std::map<base::node_id, wire::stage_work> messages_;
   std::vector<finished_piece> finished_;
   std::vector<piece_ticket> fetched_;
--- a/src/stage_work/stage_exchange_batchers.cc
+++ b/src/stage_work/stage_exchange_batchers.cc
@@ -13,7 +13,7 @@
 namespace spurrack::serving {
 namespace {
 
-/// Interval between checks of unresponsive nodes and of the backoffs of replicas.
+/// Interval between checks of which nodes are unresponsive and which replicas can be called.
 constexpr base::duration refresh_interval = std::chrono::milliseconds(50);
 
 } // namespace
@@ -149,8 +149,8 @@
     const bool is_batcher = load != peer.loads.end() && load->second.replicas() > 0 &&
                             load->second.of_zone() && peer_directory::has_fresh_loads(peer, now);
     const auto& zone = peer.peer.zone;
-    // In this node's zone only the assignment of this node counts: otherwise two batchers would
-    // share the replicas.
+    // In this node's zone, only batchers that this node assigned are used: otherwise two batchers
+    // would share the replicas.
     if (is_batcher && zone != self_.zone && !is_assigned(node) &&
         peer_directory::is_eligible(peer) && replicas_->is_reachable(zone) &&
         !replicas_->is_evacuated(zone)) {
@@ -200,7 +200,8 @@
   // If the number of callable replicas is not known, the capacity of one replica is assumed.
   const double replicas = candidate.callable_replicas > 0 ? candidate.callable_replicas : 1;
   const double wait_by_capacity = calls_ahead * full_call_time / replicas;
-  // Memory for results may limit a service to far less than the capacity of its calls.
+  // Memory for results may limit a service to far fewer pieces per second than its calls could
+  // compute.
   const double wait_by_rate = load.drain_rate > 0 ? pieces_ahead / load.drain_rate : 0;
   const double until_callable = std::max(0.0, base::to_seconds(candidate.callable_at - now));
   return until_callable + std::max(wait_by_capacity, wait_by_rate);
--- a/src/stage_work/stage_graph.cc
+++ b/src/stage_work/stage_graph.cc
@@ -120,8 +120,8 @@
     return !piece.handle.empty() &&
            (piece.is_freed || piece.is_lost || is_result_lost(piece.handle));
   };
-  // Only the first recomputation is limited to results that are known to be lost: if results are
-  // missing again, that was not enough, and all results are recomputed.
+  // Only the first recomputation is limited to results that are known to be lost. If results are
+  // missing again, more were lost than is known, and all results of the stages are recomputed.
   const bool has_suspects =
       recomputations_ == 0 && std::any_of(stages.begin(), stages.end(), [&](auto stage) {
         return std::any_of(stages_[stage].begin(), stages_[stage].end(), is_suspect);
--- a/src/stage_work/stage_graph.h
+++ b/src/stage_work/stage_graph.h
@@ -36,18 +36,18 @@
   /// @param producer address of the replica.
   /// @return whether the graph has any result of that replica that is not freed.
   bool note_lost_results_of(const base::network_address& producer);
-  /// Schedules the recomputation of a piece that found an input missing, of each of its inputs that
-  /// is lost, and of the freed results that these inputs depend on. If inputs are being recomputed
-  /// already, schedules only the piece itself.
+  /// Schedules the recomputation of a piece whose replica found an input missing, of the inputs of
+  /// the piece that are lost, and of the freed results that these inputs were computed from. If
+  /// inputs are being recomputed already, schedules only the piece itself.
   /// @param is_result_lost whether a result is known to be lost. All inputs of the piece are
   ///        assumed to be lost if none is known to be, or if results were recomputed before.
-  /// @return handles of results that are no longer needed.
+  /// @return handles of the results that the recomputation replaces, for the caller to free.
   std::vector<std::string>
   recompute_inputs_of(piece_position position,
                       const std::function<bool(const std::string&)>& is_result_lost);
   /// Schedules the recomputation of each final input (see `final_inputs`) that is lost, and of the
-  /// freed results that these final inputs depend on. Parameter and return value are those of
-  /// `recompute_inputs_of`.
+  /// freed results that these final inputs were computed from. Parameter and return value are those
+  /// of `recompute_inputs_of`.
   std::vector<std::string>
   recompute_final_inputs(const std::function<bool(const std::string&)>& is_result_lost);
   /// @return whether a piece is submitted and not finished.
@@ -67,9 +67,9 @@
   /// @return whether a result that the request itself reads was freed, or was lost when the replica
   ///         that produced it restarted.
   [[nodiscard]] bool has_missing_final_inputs() const;
-  /// @return handles of the results that all pieces that read them have fetched, or of all results
-  ///         if `all` is set. Marks the results as freed, so that each handle is returned once. The
-  ///         results that the request itself reads are returned only if `all` is set.
+  /// @return handles of the results that no piece has to fetch any more, or of all results if `all`
+  ///         is set. Marks the results as freed, so that each handle is returned once. The results
+  ///         that the request itself reads are returned only if `all` is set.
   std::vector<std::string> take_unneeded_results(bool all);
   /// @param stage_time expected duration of a stage that is not finished.
   /// @return time until all stages are finished, along the critical path.
@@ -102,12 +102,12 @@
   [[nodiscard]] bool depends_on(std::uint32_t stage, std::uint32_t dependency) const;
   /// Schedules the recomputation of the lost results of `stages`, or of all their results if none
   /// is known to be lost or results were recomputed before.
-  /// @return handles of results that are no longer needed.
+  /// @return handles of the results that the recomputation replaces.
   std::vector<std::string> recompute(const std::vector<std::uint32_t>& stages,
                                      const std::function<bool(const std::string&)>& is_result_lost);
   /// Resets a piece, the unfinished pieces that read its result, and the pieces whose freed results
   /// it reads, so that `take_ready` returns all of them again.
-  /// @param obsolete receives the handles of results that are no longer needed.
+  /// @param obsolete receives the handles of the results that the recomputation replaces.
   void forget_result(std::uint32_t stage, piece_state& piece, std::vector<std::string>& obsolete);
   void append_results(std::uint32_t stage, std::vector<std::string>& results) const;
 
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -471,7 +471,7 @@
   note_fetched_inputs(now);
   drop_expired(now);
   // A request to free results counts against the limit of a replica like a call. Such requests are
-  // sent before the calls only to replicas that are short of memory, and after the calls to others.
+  // sent before the calls to replicas that are short of memory, and after the calls to all others.
   free_deferred_results(true, now);
   for (auto& [name, queue] : queues_) {
     dispatch_service(name, queue, now);
--- a/src/stage_work/stage_pool.h
+++ b/src/stage_work/stage_pool.h
@@ -55,8 +55,8 @@
   double carried_bytes = 0;
   /// Approximate size of the result, in bytes.
   double result_bytes = 0;
-  /// Time at which the result should be ready. Pieces that are due earlier are sent first; pieces
-  /// that are past due are sent last.
+  /// Latest start of the piece with which its request can still meet the target latency. Pieces
+  /// that are due earlier are sent first; pieces that are past due are sent last.
   base::time_point due;
   /// Time after which the result is of no use.
   base::time_point deadline;
@@ -76,7 +76,7 @@
   piece_ticket ticket = 0;
   /// Replica that was called.
   base::replica_id replica;
-  /// Identifier of the exit of the called incarnation of the replica, should it have exited.
+  /// Identifier of the exit of the called incarnation. Whether that incarnation exited is unknown.
   replica_exit incarnation_exit = 0;
 };
 
@@ -84,8 +84,9 @@
 ///         permits the region of the replica is checked separately.
 using replica_filter = std::function<bool(const replica_state&, const model::residency&)>;
 
-/// Holds the waiting pieces, the calls under way and the results of one node. Not thread-safe.
-/// Commands and results accumulate until the caller takes them with the `take_` functions.
+/// Holds the waiting pieces and the calls under way of one node, and accounts for the memory that
+/// the results use at the replicas. Not thread-safe. Commands and results accumulate until the
+/// caller takes them with the `take_` functions.
 class stage_pool {
  public:
   /// @param replicas must outlive the pool.
@@ -110,14 +111,14 @@
   void release(const std::string& handle);
 
   /// Cancels the calls to the earlier incarnation of a replica that restarted, queues their pieces
-  /// again, and releases the memory of the results of that incarnation.
+  /// again, and forgets the results of that incarnation.
   void on_replica_restarted(const base::replica_id& replica, base::time_point now);
 
   /// Extends the timeouts of the calls under way by `gap`, the duration for which this process was
   /// suspended.
   void resume_after_suspension(base::duration gap) { call_timeouts_.postpone_all(gap); }
 
-  /// Applies the answer of a call, or queues its pieces again if it has none.
+  /// Applies the answer of a call, or queues the pieces of the call again if there is no answer.
   /// @return whether the call was under way in this pool.
   bool on_call_ended(const stage_call_ended& ended, base::time_point now);
 
@@ -175,7 +176,7 @@
   struct open_call {
     start_stage_call command;
     std::string service;
-    /// Identifier of the exit of the called incarnation of the replica, should it exit.
+    /// Identifier that the exit of the called incarnation of the replica will have.
     replica_exit incarnation_exit = 0;
     base::time_point started_at;
     /// Whether the inputs of the call were reported as fetched.
@@ -186,9 +187,7 @@
     std::vector<double> result_bytes;
   };
   using service_queue = std::set<queue_position>;
-  /// Adds a piece to its queue.
   void enqueue(piece_ticket ticket);
-  /// Removes a piece from its queue.
   void dequeue(service_queue& queue, const queue_position& position);
   /// A result that occupies memory at its replica.
   struct held_result {
@@ -204,7 +203,7 @@
   void drop_expired(base::time_point now);
   /// Cancels calls that timed out and marks their replicas as unreachable.
   void cancel_timed_out_calls(base::time_point now);
-  /// Reports the pieces of calls whose inputs are assumed to be fetched by now.
+  /// Adds the pieces of calls whose inputs are assumed to be fetched by now to `fetched_`.
   void note_fetched_inputs(base::time_point now);
   /// @return whether a piece that is still needed failed because its inputs were freed before its
   ///         replica fetched them; false if a producer may have lost the inputs by itself.
@@ -218,7 +217,6 @@
   ///         `serving_settings::batch_wait`.
   bool is_batch_due(const service_queue& queue, const model::piece_capacity& capacity,
                     base::time_point now) const;
-  /// Distinct residencies.
   using residency_list = std::vector<model::residency>;
   /// @return the distinct residencies of the pieces of a queue.
   [[nodiscard]] residency_list residencies_in(const service_queue& queue) const;
@@ -294,7 +292,8 @@
                                                         const model::piece_capacity& capacity,
                                                         const residency_list& residencies,
                                                         base::time_point now) const;
-  /// @return groups of the pieces of a queue that are not backing off, in queue order.
+  /// @return the pieces of a queue in groups, in queue order, without the pieces that are in a
+  ///         backoff after a lost call.
   [[nodiscard]] std::vector<piece_group> group_pieces(const service_queue& queue,
                                                       base::time_point now) const;
   /// @return bytes of result memory of a replica that further calls may fill; may be negative.
@@ -313,7 +312,7 @@
                                             base::time_point now) const;
   /// Removes a result from the accounting of result memory.
   void forget_result(const std::string& handle);
-  /// Sends the deferred requests to free results whose producers may be called now.
+  /// Sends the deferred requests to free results to the producers that may be called now.
   /// @param only_short_of_memory whether to send only to producers that are short of memory.
   void free_deferred_results(bool only_short_of_memory, base::time_point now);
   [[nodiscard]] bool is_short_of_memory(const replica_state& replica, base::time_point now) const;
@@ -325,8 +324,8 @@
   void release_call(const open_call& call);
   /// Applies the outcome of a call to its replica and its pieces.
   void apply_answer(const open_call& call, const stage_call_ended& answer, base::time_point now);
-  /// Finishes a piece, or queues it again if its fault permits; frees the result of a cancelled
-  /// piece.
+  /// Finishes a piece, or queues it again if its fault permits a retry; frees the result of a
+  /// cancelled piece.
   void apply_outcome(piece_ticket ticket, const piece_outcome& outcome);
   /// Reports the pieces of a lost call as lost and sets their backoff.
   void note_lost_pieces(const open_call& call, base::time_point now);
@@ -350,7 +349,7 @@
   std::shared_ptr<const model::serving_configuration> configuration_;
   replica_filter filter_;
   piece_ticket next_ticket_ = 1;
-  /// Time of the next check of the queues; reset to an earlier time after a change.
+  /// Time of the next check of the queues; set earlier after a change that may permit a call.
   base::time_point next_check_at_;
   std::unordered_map<piece_ticket, queued_piece> pieces_;
   std::map<std::string, service_queue> queues_;
--- a/src/stage_work/stage_pool_limits.h
+++ b/src/stage_work/stage_pool_limits.h
@@ -14,8 +14,8 @@
 /// Fraction of a replica's result memory that may be filled with results; the rest is a margin,
 /// because the sizes of results are approximate.
 inline constexpr double usable_memory_share = 0.95;
-/// Fraction of a replica's result memory: a replica with less free memory is not expected to accept
-/// the next call.
+/// Fraction of a replica's result memory. A replica with less free memory is short of memory: it is
+/// not expected to accept another call within the duration of a call with a full batch.
 inline constexpr double low_memory_share = 0.2;
 /// Slowdown (time of a call divided by its published time) from which a replica counts as slow: it
 /// receives no piece that would become past due in the additional time of its calls.
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -10,18 +10,17 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time for which memory that results unknown to this pool use counts as used; the pool learns of
-/// such results when a replica has no memory left.
+/// Time, after a replica had no memory left, for which results unknown to the pool are assumed to
+/// use the memory of the replica that the pool had counted as free.
 constexpr base::duration unaccounted_memory_lifetime = std::chrono::milliseconds(700);
 /// Maximum of the fetch time (time after the start of a call at which its inputs are assumed to be
-/// fetched), which doubles each time inputs were freed too early. Results that are kept longer use
-/// memory that their producers are short of: more than the time of one or two calls does more harm
-/// than good.
+/// fetched), which doubles each time inputs were freed too early. Keeping results for longer than
+/// the time of one or two calls does more harm than good, because producers are short of memory.
 constexpr base::duration max_fetch_time = std::chrono::milliseconds(640);
-/// Number of calls whose inputs were not freed too early over which the fetch time decays.
+/// Number of calls over which the fetch time decays while no inputs are freed too early.
 constexpr int fetch_time_recovery_calls = 10;
-/// Fraction of failed calls among the latest calls to a producer from which the producer may have
-/// lost its results.
+/// If at least this fraction of the latest calls to a producer failed, the producer may have lost
+/// its results.
 constexpr double suspect_failure_share = 0.1;
 
 } // namespace
--- a/tests/stage_work/exchange_fleet.h
+++ b/tests/stage_work/exchange_fleet.h
@@ -28,8 +28,8 @@
   return settings;
 }
 
-/// A node with its stage exchange, and its calls, its requests to free results and finished
-/// pieces.
+/// A node with its stage exchange, and the calls, requests to free results and finished pieces that
+/// the exchange has produced.
 struct exchange_node {
   exchange_node(const fleet_peer& self, published_world& world, std::uint64_t incarnation,
                 const serving_settings& settings = {})
--- a/tests/stage_work/piece_residency_test.cc
+++ b/tests/stage_work/piece_residency_test.cc
@@ -138,8 +138,8 @@
     static const std::vector<text_set> sets{{"north"}, {"south"}, {"west"}, {"north", "west"}};
     const auto set = random_.below(sets.size() + 1);
     const auto allowed = set == sets.size() ? model::residency{} : within(sets[set]);
-    // A client may use a request id again after its residency rules changed; here the residency is
-    // part of the id, so that `check` finds the residency of each piece.
+    // A client may reuse a request id after the residency rules of its tenant changed. Here the
+    // residency is part of the id, so that `check` finds the residency of each piece.
     const auto name = "r" + std::to_string(random_.below(4)) + "-" + std::to_string(set);
     residency_by_request_[name] = allowed;
     auto& origin = *nodes[random_.below(nodes.size())];
@@ -237,8 +237,8 @@
 BOOST_FIXTURE_TEST_CASE(piece_does_not_wait_for_a_zone_that_is_not_permitted, restricted_pool) {
   submit(model::residency{});
   submit(within({"west"}));
-  // Zone `a` is the preferred zone of both pieces, and the bytes to transfer to another zone are
-  // worth a wait for the replica of zone `a`. The second piece may not run there.
+  // Zone `a` is the preferred zone of both pieces, and the transfer of their bytes to another zone
+  // costs more than a short wait for the replica of zone `a`. The second piece may not run in `a`.
   BOOST_TEST(zones_of_pieces().size() == 2U);
 }
 
--- a/tests/stage_work/shard_map_test.cc
+++ b/tests/stage_work/shard_map_test.cc
@@ -1,5 +1,5 @@
-/// Number of evaluations for dividing a large number of replicas into shards after nodes or
-/// replicas change.
+/// Number of replicas and nodes that a shard map evaluates to divide a large number of replicas
+/// into shards after nodes or replicas changed.
 #include "stage_work/shard_map.h"
 
 #include "exchange_fleet.h"
--- a/tests/stage_work/stage_exchange_test.cc
+++ b/tests/stage_work/stage_exchange_test.cc
@@ -9,7 +9,7 @@
 /// Three nodes of one zone.
 struct small_fleet : exchange_fleet {};
 
-/// Three nodes of one region, so that one of them is the batcher of all replicas.
+/// Three nodes, with all replicas in one region, so that one node is the batcher of all replicas.
 struct one_region_fleet : exchange_fleet {
   one_region_fleet() : exchange_fleet(3, 1, one_region()) {}
 };
--- a/tests/stage_work/stage_graph_test.cc
+++ b/tests/stage_work/stage_graph_test.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// An independent stage 0, and stage 2 that depends on stage 1.
+/// A route with three stages: stage 2 depends on stage 1; stage 0 depends on none.
 model::route sample_route() {
   model::route route;
   route.stages = {{"a", {}, 10}, {"b", {}, 20}, {"c", {1}, 30}};
--- a/tests/stage_work/zone_shards_test.cc
+++ b/tests/stage_work/zone_shards_test.cc
@@ -26,8 +26,8 @@
     run(std::chrono::seconds(3));
   }
 
-  /// Answers each call; records the node that made the call, and whether its replica is in another
-  /// zone.
+  /// Answers each call; records the node that made the call, and whether the called replica is in
+  /// another zone than the node.
   void run_and_count_calls(base::duration span) {
     run_answering(span, [this](const auto& caller, const auto& call) { note_call(caller, call); });
   }
