--- a/src/stage_work/drain_rate.cc
+++ b/src/stage_work/drain_rate.cc
@@ -4,7 +4,7 @@
 namespace {
 
 /// Minimum duration of a measuring window, over which dispatched items are counted.
-constexpr base::duration window_duration = std::chrono::milliseconds(400);
+constexpr base::duration min_window_duration = std::chrono::milliseconds(400);
 /// Time after which a measured rate is no longer valid.
 constexpr base::duration rate_lifetime = std::chrono::milliseconds(1500);
 /// Weight of the newest window in the smoothed rate.
@@ -15,7 +15,7 @@
 void drain_rate::note_dispatched(std::size_t count, std::size_t remaining, base::time_point now) {
   if (window_started_at_) {
     dispatched_ += count;
-    if (now - *window_started_at_ >= window_duration) {
+    if (now - *window_started_at_ >= min_window_duration) {
       close_window(now);
     }
   }
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -69,7 +69,7 @@
          });
 }
 
-report_audience stage_exchange::audience() const {
+report_audience stage_exchange::load_report_audience() const {
   if (shards_.batches_for_other_zones()) {
     return report_audience::everybody;
   }
@@ -194,14 +194,14 @@
     }
     const auto* peer = peers_.find(placed.holder);
     if (peer == nullptr || peer->unresponsive_since) {
-      move(ticket, placed, now);
+      move_piece(ticket, placed, now);
     } else if (placed.confirmed_at) {
       query_or_move(ticket, placed, now);
     } else if (now - placed.sent_at > acceptance_timeout) {
       peers_.mark_unresponsive(placed.holder, now);
       note_peers_changed();
       refresh(now);
-      move(ticket, placed, now);
+      move_piece(ticket, placed, now);
     }
   }
 }
@@ -209,7 +209,7 @@
 void stage_exchange::query_or_move(piece_ticket ticket, placement& placed, base::time_point now) {
   const auto time_since_confirmation = now - *placed.confirmed_at;
   if (time_since_confirmation >= confirmation_timeout) {
-    move(ticket, placed, now);
+    move_piece(ticket, placed, now);
   } else if (time_since_confirmation >= confirmation_interval &&
              now - placed.queried_at >= acceptance_timeout) {
     placed.queried_at = now;
@@ -277,7 +277,7 @@
   }
   for (auto& [ticket, placed] : placements_) {
     if (placed.holder == peer.peer.node) {
-      move(ticket, placed, now);
+      move_piece(ticket, placed, now);
     }
   }
 }
@@ -335,7 +335,7 @@
   }
   const auto fault = static_cast<piece_fault>(result.fault());
   if (fault == piece_fault::not_run && found->second.moves <= max_moves) {
-    move(result.ticket(), found->second, now);
+    move_piece(result.ticket(), found->second, now);
     return;
   }
   placements_.erase(found);
@@ -485,7 +485,7 @@
     return;
   }
   next_load_report_at_ = now + load_report_interval;
-  const auto receivers = peers_.next_receivers(audience());
+  const auto receivers = peers_.next_receivers(load_report_audience());
   if (receivers.empty()) {
     return;
   }
@@ -496,9 +496,9 @@
     }
     auto& load = *report.add_loads();
     load.set_service(name);
-    const auto in_time = pool_.waiting_in_time(name, now);
+    const auto in_time = pool_.waiting_in_time_count(name, now);
     load.set_waiting(static_cast<std::uint32_t>(in_time));
-    load.set_waiting_past_due(static_cast<std::uint32_t>(pool_.waiting(name) - in_time));
+    load.set_waiting_past_due(static_cast<std::uint32_t>(pool_.waiting_count(name) - in_time));
     load.set_calls_under_way(static_cast<std::uint32_t>(pool_.calls_under_way(name)));
     load.set_drain_rate(pool_.drain_rate_of(name, now).value_or(0));
     describe_own_shards(load, now);
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -74,8 +74,8 @@
   /// place them at other nodes.
   void begin_stop(base::time_point now);
   /// @return number of pieces of a service that wait for a call in this node's pool.
-  [[nodiscard]] std::size_t waiting(const std::string& service) const {
-    return pool_.waiting(service);
+  [[nodiscard]] std::size_t waiting_count(const std::string& service) const {
+    return pool_.waiting_count(service);
   }
   /// Must be called after replicas were added, removed or changed.
   void on_replicas_changed() { has_replica_changes_ = true; }
@@ -189,20 +189,21 @@
   /// Number of replicas of a shard that can be called. A replica without a limit counts as 1. A
   /// replica that announces a limit on calls per second counts as the fraction of its time in which
   /// that many calls, each with a full batch of pieces, keep it busy.
-  struct callable_count {
+  struct callable_replica_count {
     /// Number of replicas that can be called now.
     double now = 0;
     /// Number of replicas that can be called after the backoff that they requested from this node.
-    double backing_off = 0;
+    double after_backoff = 0;
     /// Time at which the first of these backoffs ends.
     base::time_point callable_at = base::time_point::max();
   };
-  [[nodiscard]] callable_count count_callable_of(const shard& entry, base::time_point now) const;
+  [[nodiscard]] callable_replica_count count_callable_replicas_of(const shard& entry,
+                                                                  base::time_point now) const;
   /// @return batchers of the shards of a service, with the number of their callable replicas.
   [[nodiscard]] const std::vector<batcher>& assigned_batchers(const std::string& service,
                                                               base::time_point now) const;
   /// Computes `batchers_`: counts the callable replicas of the shards of each batcher.
-  void count_callable(base::time_point now) const;
+  void count_callable_replicas(base::time_point now) const;
   /// Sets, in the load report of a service, the number of callable replicas for which this node is
   /// the batcher, and whether these replicas are in one zone.
   void describe_own_shards(wire::stage_load& load, base::time_point now) const;
@@ -226,7 +227,7 @@
   /// pieces that this node has sent to the batcher since.
   struct batcher_load {
     /// Waiting pieces that are not past due.
-    double waiting = 0;
+    double waiting_in_time = 0;
     double waiting_past_due = 0;
     double calls_under_way = 0;
     /// Pieces per second; 0 if no pieces waited recently.
@@ -270,7 +271,7 @@
   [[nodiscard]] bool may_call(const replica_state& replica,
                               const model::residency& permitted_regions) const;
   /// @return nodes to which this node reports its load as a batcher.
-  [[nodiscard]] report_audience audience() const;
+  [[nodiscard]] report_audience load_report_audience() const;
   /// Records the incarnation of a peer and whether the peer is stopping. If the peer restarted,
   /// moves the pieces that its earlier incarnation held.
   void note_incarnation(peer_state& peer, const wire::stage_work& message, base::time_point now);
@@ -282,7 +283,7 @@
                     base::time_point now);
   /// Sends a piece of this node to a batcher again, or, after `max_moves` moves, submits it to this
   /// node's pool. Cancels the piece at the previous holder unless that node stays the holder.
-  void move(piece_ticket ticket, placement& placed, base::time_point now);
+  void move_piece(piece_ticket ticket, placement& placed, base::time_point now);
   /// Cancels a piece that another node forwarded to this node.
   /// @param ticket ticket of the piece at the origin.
   void cancel_forwarded(const base::node_id& sender, piece_ticket ticket);
@@ -290,7 +291,7 @@
   void finish_forwarded(const forwarded_piece& forwarded, const piece_outcome& outcome,
                         base::time_point now);
   void send_result(const forwarded_piece& forwarded, const piece_outcome& outcome);
-  /// Sends the load of this node's pool to the nodes of `audience`, at most once per
+  /// Sends the load of this node's pool to the nodes of `load_report_audience`, at most once per
   /// `load_report_interval`.
   void send_loads(base::time_point now);
   /// @return the message to `node` that the next `take_messages` will return.
@@ -310,7 +311,7 @@
   /// Batchers of the shards, with the number of their callable replicas, by service; computed on
   /// demand.
   mutable std::unordered_map<std::string, std::vector<batcher>> batchers_;
-  mutable bool are_counts_stale_ = true;
+  mutable bool are_batchers_stale_ = true;
   /// Node that accounts for the memory of a result (the holder of the piece), by handle. Results
   /// that this node itself accounts for have no entry.
   std::unordered_map<std::string, base::node_id> result_accounting_nodes_;
--- a/src/stage_work/stage_exchange_batchers.cc
+++ b/src/stage_work/stage_exchange_batchers.cc
@@ -26,7 +26,7 @@
     }
     // Changes of replicas within one interval are applied together.
     are_shards_stale_ = are_shards_stale_ || has_replica_changes_;
-    are_counts_stale_ = true;
+    are_batchers_stale_ = true;
   }
   if (are_shards_stale_) {
     assign_shards(now);
@@ -41,7 +41,7 @@
 void stage_exchange::assign_shards(base::time_point now) {
   are_shards_stale_ = false;
   has_replica_changes_ = false;
-  are_counts_stale_ = true;
+  are_batchers_stale_ = true;
   if (!configuration_) {
     return;
   }
@@ -63,11 +63,11 @@
   }
 }
 
-stage_exchange::callable_count stage_exchange::count_callable_of(const shard& entry,
-                                                                 base::time_point now) const {
+stage_exchange::callable_replica_count
+stage_exchange::count_callable_replicas_of(const shard& entry, base::time_point now) const {
   const auto& capacity = *configuration_->find_service(entry.service)->pieces;
   const auto full_call_time = nominal_call_time(capacity, capacity.batch);
-  callable_count callable;
+  callable_replica_count callable;
   for (const auto& id : entry.replicas) {
     const auto* replica = replicas_->find(id);
     if (replica == nullptr) {
@@ -77,7 +77,7 @@
     if (replicas_->is_available(*replica, now)) {
       callable.now += fraction;
     } else if (replicas_->is_blocked_only_by_backoff(*replica, now)) {
-      callable.backing_off += fraction;
+      callable.after_backoff += fraction;
       callable.callable_at = std::min(callable.callable_at, replica->backoff.ends_at());
     }
   }
@@ -87,18 +87,18 @@
 const std::vector<stage_exchange::batcher>&
 stage_exchange::assigned_batchers(const std::string& service, base::time_point now) const {
   static const std::vector<batcher> none;
-  if (are_counts_stale_) {
-    are_counts_stale_ = false;
-    count_callable(now);
+  if (are_batchers_stale_) {
+    are_batchers_stale_ = false;
+    count_callable_replicas(now);
   }
   const auto found = batchers_.find(service);
   return found == batchers_.end() ? none : found->second;
 }
 
-void stage_exchange::count_callable(base::time_point now) const {
+void stage_exchange::count_callable_replicas(base::time_point now) const {
   batchers_.clear();
   for (const auto& entry : shards_.shards()) {
-    const auto callable = count_callable_of(entry, now);
+    const auto callable = count_callable_replicas_of(entry, now);
     auto& batchers = batchers_[entry.service];
     auto found = std::find_if(batchers.begin(), batchers.end(), [&](const batcher& other) {
       return other.node == entry.batcher && other.region == entry.region &&
@@ -112,8 +112,8 @@
     if (callable.now > 0) {
       found->callable_replicas = (is_callable_later ? 0 : found->callable_replicas) + callable.now;
       found->callable_at = {};
-    } else if (callable.backing_off > 0 && (is_callable_later || found->callable_replicas == 0)) {
-      found->callable_replicas += callable.backing_off;
+    } else if (callable.after_backoff > 0 && (is_callable_later || found->callable_replicas == 0)) {
+      found->callable_replicas += callable.after_backoff;
       found->callable_at = is_callable_later ? std::min(found->callable_at, callable.callable_at)
                                              : callable.callable_at;
     }
@@ -168,8 +168,9 @@
                                                      const std::string& service,
                                                      base::time_point now) const {
   if (node == self_.node) {
-    const auto in_time = pool_.waiting_in_time(service, now);
-    return {static_cast<double>(in_time), static_cast<double>(pool_.waiting(service) - in_time),
+    const auto in_time = pool_.waiting_in_time_count(service, now);
+    return {static_cast<double>(in_time),
+            static_cast<double>(pool_.waiting_count(service) - in_time),
             static_cast<double>(pool_.calls_under_way(service)),
             pool_.drain_rate_of(service, now).value_or(0)};
   }
@@ -182,7 +183,7 @@
   }
   if (const auto sent = peer->sent_since_report.find(service);
       sent != peer->sent_since_report.end()) {
-    load.waiting += sent->second;
+    load.waiting_in_time += sent->second;
   }
   return load;
 }
@@ -194,8 +195,9 @@
   const auto load = load_of(candidate.node, service, now);
   const double full_call_time =
       base::to_seconds(capacity.call_time) + base::to_seconds(capacity.item_time) * capacity.batch;
-  const double pieces_ahead =
-      order == piece_order::in_time ? load.waiting : load.waiting + load.waiting_past_due;
+  const double pieces_ahead = order == piece_order::in_time
+                                  ? load.waiting_in_time
+                                  : load.waiting_in_time + load.waiting_past_due;
   const double calls_ahead = pieces_ahead / capacity.batch + load.calls_under_way / 2;
   // If the number of callable replicas is not known, the capacity of one replica is assumed.
   const double replicas = candidate.callable_replicas > 0 ? candidate.callable_replicas : 1;
--- a/src/stage_work/stage_graph.cc
+++ b/src/stage_work/stage_graph.cc
@@ -95,8 +95,8 @@
   return piece.is_submitted && piece.handle.empty();
 }
 
-void stage_graph::forget_result(std::uint32_t stage, piece_state& piece,
-                                std::vector<std::string>& obsolete) {
+void stage_graph::schedule_recomputation(std::uint32_t stage, piece_state& piece,
+                                         std::vector<std::string>& obsolete) {
   if (!piece.is_freed) {
     obsolete.push_back(piece.handle);
   }
@@ -107,7 +107,7 @@
         candidate = {};
       }
       if (depends_on(stage, other) && candidate.is_freed) {
-        forget_result(other, candidate, obsolete);
+        schedule_recomputation(other, candidate, obsolete);
       }
     }
   }
@@ -131,7 +131,7 @@
   for (const auto stage : stages) {
     for (auto& piece : stages_[stage]) {
       if (!piece.handle.empty() && (!has_suspects || is_suspect(piece))) {
-        forget_result(stage, piece, obsolete);
+        schedule_recomputation(stage, piece, obsolete);
       }
     }
   }
--- a/src/stage_work/stage_graph.h
+++ b/src/stage_work/stage_graph.h
@@ -108,7 +108,8 @@
   /// Resets a piece, the unfinished pieces that read its result, and the pieces whose freed results
   /// it reads, so that `take_ready` returns all of them again.
   /// @param obsolete receives the handles of the results that the recomputation replaces.
-  void forget_result(std::uint32_t stage, piece_state& piece, std::vector<std::string>& obsolete);
+  void schedule_recomputation(std::uint32_t stage, piece_state& piece,
+                              std::vector<std::string>& obsolete);
   void append_results(std::uint32_t stage, std::vector<std::string>& results) const;
 
   const model::route* route_;
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -76,12 +76,13 @@
   return found == call_counts_by_service_.end() ? 0 : found->second;
 }
 
-std::size_t stage_pool::waiting(const std::string& service) const {
+std::size_t stage_pool::waiting_count(const std::string& service) const {
   const auto found = queues_.find(service);
   return found == queues_.end() ? 0 : found->second.size();
 }
 
-std::size_t stage_pool::waiting_in_time(const std::string& service, base::time_point now) const {
+std::size_t stage_pool::waiting_in_time_count(const std::string& service,
+                                              base::time_point now) const {
   const auto found = queues_.find(service);
   if (found == queues_.end()) {
     return 0;
--- a/src/stage_work/stage_pool.h
+++ b/src/stage_work/stage_pool.h
@@ -138,10 +138,11 @@
   [[nodiscard]] std::vector<lost_piece> take_lost() { return std::exchange(lost_, {}); }
   [[nodiscard]] command_list take_commands() { return std::exchange(commands_, {}); }
   /// @return number of pieces of a service that wait for a call.
-  [[nodiscard]] std::size_t waiting(const std::string& service) const;
+  [[nodiscard]] std::size_t waiting_count(const std::string& service) const;
   /// @return number of waiting pieces of a service that are not past due: only these pieces are
   ///         sent before a piece submitted now.
-  [[nodiscard]] std::size_t waiting_in_time(const std::string& service, base::time_point now) const;
+  [[nodiscard]] std::size_t waiting_in_time_count(const std::string& service,
+                                                  base::time_point now) const;
   /// @return pieces of a service per second that were dispatched recently while more pieces waited;
   ///         std::nullopt if no pieces waited recently.
   [[nodiscard]] std::optional<double> drain_rate_of(const std::string& service,
@@ -297,9 +298,9 @@
   [[nodiscard]] std::vector<piece_group> group_pieces(const service_queue& queue,
                                                       base::time_point now) const;
   /// @return bytes of result memory of a replica that further calls may fill; may be negative.
-  [[nodiscard]] double free_result_bytes(const base::replica_id& replica,
-                                         const model::piece_capacity& capacity,
-                                         base::time_point now) const;
+  [[nodiscard]] double available_result_bytes(const base::replica_id& replica,
+                                              const model::piece_capacity& capacity,
+                                              base::time_point now) const;
   /// Records that a replica had no memory for a result. The memory that this pool counts as free is
   /// assumed to be used by results that are unknown to this pool.
   void note_memory_exhausted(const open_call& call, base::time_point now);
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -87,7 +87,7 @@
     }
     const auto busy = busy_until.find(replica->record->id);
     auto free_at = busy == busy_until.end() ? now : std::max(now, busy->second);
-    if (free_result_bytes(replica->record->id, capacity, now) <
+    if (available_result_bytes(replica->record->id, capacity, now) <
         capacity.result_capacity_bytes * low_memory_share) {
       free_at = std::max<base::time_point>(free_at, now + full_call_time);
     }
@@ -111,7 +111,7 @@
 stage_pool::take_batch(std::vector<piece_group>& groups, const replica_state& replica,
                        zone_wait_estimates estimates, const model::piece_capacity& capacity,
                        base::time_point now) const {
-  double free_bytes = free_result_bytes(replica.record->id, capacity, now);
+  double free_bytes = available_result_bytes(replica.record->id, capacity, now);
   const double slowdown = replica_table::slowdown_of(replica, now);
   const auto delay = slowdown < slow_replica_slowdown
                          ? base::duration::zero()
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -80,7 +80,7 @@
 
 bool stage_pool::is_short_of_memory(const replica_state& replica, base::time_point now) const {
   const auto* capacity = capacity_of(replica.record->service);
-  return capacity != nullptr && free_result_bytes(replica.record->id, *capacity, now) <
+  return capacity != nullptr && available_result_bytes(replica.record->id, *capacity, now) <
                                     capacity->result_capacity_bytes * low_memory_share;
 }
 
@@ -114,9 +114,9 @@
   }
 }
 
-double stage_pool::free_result_bytes(const base::replica_id& replica,
-                                     const model::piece_capacity& capacity,
-                                     base::time_point now) const {
+double stage_pool::available_result_bytes(const base::replica_id& replica,
+                                          const model::piece_capacity& capacity,
+                                          base::time_point now) const {
   double used_bytes = 0;
   if (const auto known = result_bytes_by_replica_.find(replica);
       known != result_bytes_by_replica_.end()) {
--- a/tests/stage_work/piece_residency_test.cc
+++ b/tests/stage_work/piece_residency_test.cc
@@ -224,7 +224,7 @@
   BOOST_TEST((text_set{"c", "d"}).contains(zone));
 }
 
-BOOST_FIXTURE_TEST_CASE(pieces_of_one_request_with_different_residencies_are_separate,
+BOOST_FIXTURE_TEST_CASE(pieces_of_one_request_with_different_residencies_run_in_different_zones,
                         restricted_pool) {
   submit(model::residency{});
   submit(within({"west"}));
@@ -242,7 +242,7 @@
   BOOST_TEST(zones_of_pieces().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(batcher_of_another_region_calls_for_a_forwarded_piece) {
+BOOST_AUTO_TEST_CASE(batcher_of_another_region_calls_permitted_replicas_for_a_forwarded_piece) {
   restricted_fleet fleet;
   auto& origin = *fleet.nodes[0];
   fleet.submit(origin, base::zone_id("a"), within({"north"}));
@@ -267,7 +267,7 @@
   BOOST_TEST((text_set{"c", "d"}).contains(restricted_fleet::zone_of(batcher.calls.front())));
 }
 
-BOOST_AUTO_TEST_CASE(batcher_of_another_region_calls_for_pieces_of_a_region_without_nodes) {
+BOOST_AUTO_TEST_CASE(pieces_of_a_region_without_nodes_are_called_by_a_batcher_of_another_region) {
   restricted_fleet fleet;
   // All nodes of the region `south` are removed: nodes of other regions call its replicas.
   std::vector<fleet_peer> remaining;
--- a/tests/stage_work/stage_exchange_test.cc
+++ b/tests/stage_work/stage_exchange_test.cc
@@ -162,10 +162,10 @@
     received_pieces += call.items.size();
   }
   BOOST_TEST(second.calls.size() == calls_before);
-  BOOST_TEST(received_pieces + returned.subject.waiting("pool") >= 2U);
+  BOOST_TEST(received_pieces + returned.subject.waiting_count("pool") >= 2U);
 }
 
-BOOST_AUTO_TEST_CASE(cancelled_piece_is_not_delivered) {
+BOOST_AUTO_TEST_CASE(result_of_a_cancelled_piece_is_not_delivered) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
   auto& batcher = *caller();
@@ -235,7 +235,7 @@
   BOOST_TEST(unfinished() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(message_count_grows_linearly_with_the_fleet) {
+BOOST_AUTO_TEST_CASE(a_large_fleet_sends_at_most_80_messages_per_second_per_node) {
   run(std::chrono::seconds(3));
   messages_sent = 0;
   run(std::chrono::seconds(1));
--- a/tests/stage_work/stage_graph_test.cc
+++ b/tests/stage_work/stage_graph_test.cc
@@ -60,7 +60,7 @@
   BOOST_TEST(graph.final_inputs().size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(results_are_unneeded_once_after_their_consumers_finish) {
+BOOST_AUTO_TEST_CASE(unneeded_results_are_returned_once_after_their_consumers_finish) {
   const auto route = sample_route();
   stage_graph graph(route, {1, 1, 1});
   graph.take_ready();
--- a/tests/stage_work/stage_pool_test.cc
+++ b/tests/stage_work/stage_pool_test.cc
@@ -78,7 +78,7 @@
   BOOST_TEST(calls.front().items.size() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(one_call_per_replica_and_earliest_due_pieces_first) {
+BOOST_AUTO_TEST_CASE(each_replica_gets_one_call_at_a_time_with_the_earliest_due_pieces) {
   for (int request = 0; request < 10; ++request) {
     submit("r" + std::to_string(request), std::chrono::milliseconds(2000 - 10 * request));
   }
@@ -156,11 +156,11 @@
   BOOST_TEST((finished.front().outcome.fault == piece_fault::expired));
 }
 
-BOOST_AUTO_TEST_CASE(waiting_in_time_excludes_pieces_past_due) {
+BOOST_AUTO_TEST_CASE(waiting_in_time_count_excludes_pieces_past_due) {
   submit("late", std::chrono::milliseconds(-1));
   submit("in time", std::chrono::seconds(1));
-  BOOST_TEST(pool.waiting("pool") == 2U);
-  BOOST_TEST(pool.waiting_in_time("pool", now) == 1U);
+  BOOST_TEST(pool.waiting_count("pool") == 2U);
+  BOOST_TEST(pool.waiting_in_time_count("pool", now) == 1U);
 }
 
 /// A pool whose pieces read a result that replica `pool-b` produced.
--- a/tests/stage_work/zone_shards_test.cc
+++ b/tests/stage_work/zone_shards_test.cc
@@ -73,7 +73,7 @@
   BOOST_TEST(calls_across_zones == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(pieces_for_another_zone_run_there) {
+BOOST_AUTO_TEST_CASE(piece_that_prefers_another_zone_runs_in_that_zone) {
   auto& origin = *nodes[0];
   submit(origin, base::zone_id("c"));
   run(std::chrono::milliseconds(100));
