--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -76,12 +76,13 @@
   return found == call_counts_by_service_.end() ? 0 : found->second;
 }
 
-std::size_t stage_pool::waiting(const std::string& service) const {
+std::size_t stage_pool::waiting_count(const std::string& service) const {
   const auto found = queues_.find(service);
   return found == queues_.end() ? 0 : found->second.size();
 }
 
-std::size_t stage_pool::waiting_in_time(const std::string& service, base::time_point now) const {
+std::size_t stage_pool::waiting_in_time_count(const std::string& service,
+                                              base::time_point now) const {
   const auto found = queues_.find(service);
   if (found == queues_.end()) {
     return 0;
@@ -471,7 +472,7 @@
   note_fetched_inputs(now);
   drop_expired(now);
   // A request to free results counts against the limit of a replica like a call. Such requests are
-  // sent before the calls only to replicas that are short of memory, and after the calls to others.
+  // sent before the calls to replicas that are short of memory, and after the calls to all others.
   free_deferred_results(true, now);
   for (auto& [name, queue] : queues_) {
     dispatch_service(name, queue, now);
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -10,18 +10,17 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time for which memory that results unknown to this pool use counts as used; the pool learns of
-/// such results when a replica has no memory left.
+/// Time, after a replica had no memory left, for which results unknown to the pool are assumed to
+/// use the memory of the replica that the pool had counted as free.
 constexpr base::duration unaccounted_memory_lifetime = std::chrono::milliseconds(700);
 /// Maximum of the fetch time (time after the start of a call at which its inputs are assumed to be
-/// fetched), which doubles each time inputs were freed too early. Results that are kept longer use
-/// memory that their producers are short of: more than the time of one or two calls does more harm
-/// than good.
+/// fetched), which doubles each time inputs were freed too early. Keeping results for longer than
+/// the time of one or two calls does more harm than good, because producers are short of memory.
 constexpr base::duration max_fetch_time = std::chrono::milliseconds(640);
-/// Number of calls whose inputs were not freed too early over which the fetch time decays.
+/// Number of calls over which the fetch time decays while no inputs are freed too early.
 constexpr int fetch_time_recovery_calls = 10;
-/// Fraction of failed calls among the latest calls to a producer from which the producer may have
-/// lost its results.
+/// If at least this fraction of the latest calls to a producer failed, the producer may have lost
+/// its results.
 constexpr double suspect_failure_share = 0.1;
 
 } // namespace
@@ -81,7 +80,7 @@
 
 bool stage_pool::is_short_of_memory(const replica_state& replica, base::time_point now) const {
   const auto* capacity = capacity_of(replica.record->service);
-  return capacity != nullptr && free_result_bytes(replica.record->id, *capacity, now) <
+  return capacity != nullptr && available_result_bytes(replica.record->id, *capacity, now) <
                                     capacity->result_capacity_bytes * low_memory_share;
 }
 
@@ -115,9 +114,9 @@
   }
 }
 
-double stage_pool::free_result_bytes(const base::replica_id& replica,
-                                     const model::piece_capacity& capacity,
-                                     base::time_point now) const {
+double stage_pool::available_result_bytes(const base::replica_id& replica,
+                                          const model::piece_capacity& capacity,
+                                          base::time_point now) const {
   double used_bytes = 0;
   if (const auto known = result_bytes_by_replica_.find(replica);
       known != result_bytes_by_replica_.end()) {
--- a/tests/stage_work/stage_graph_test.cc
+++ b/tests/stage_work/stage_graph_test.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// An independent stage 0, and stage 2 that depends on stage 1.
+/// A route with three stages: stage 2 depends on stage 1; stage 0 depends on none.
 model::route sample_route() {
   model::route route;
   route.stages = {{"a", {}, 10}, {"b", {}, 20}, {"c", {1}, 30}};
@@ -60,7 +60,7 @@
   BOOST_TEST(graph.final_inputs().size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(results_are_unneeded_once_after_their_consumers_finish) {
+BOOST_AUTO_TEST_CASE(unneeded_results_are_returned_once_after_their_consumers_finish) {
   const auto route = sample_route();
   stage_graph graph(route, {1, 1, 1});
   graph.take_ready();
--- a/tests/stage_work/zone_shards_test.cc
+++ b/tests/stage_work/zone_shards_test.cc
@@ -26,8 +26,8 @@
     run(std::chrono::seconds(3));
   }
 
-  /// Answers each call; records the node that made the call, and whether its replica is in another
-  /// zone.
+  /// Answers each call; records the node that made the call, and whether the called replica is in
+  /// another zone than the node.
   void run_and_count_calls(base::duration span) {
     run_answering(span, [this](const auto& caller, const auto& call) { note_call(caller, call); });
   }
@@ -73,7 +73,7 @@
   BOOST_TEST(calls_across_zones == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(pieces_for_another_zone_run_there) {
+BOOST_AUTO_TEST_CASE(piece_that_prefers_another_zone_runs_in_that_zone) {
   auto& origin = *nodes[0];
   submit(origin, base::zone_id("c"));
   run(std::chrono::milliseconds(100));
