--- a/src/fleet_view/peer_directory.cc
+++ b/src/fleet_view/peer_directory.cc
@@ -21,11 +21,11 @@
 /// Maximum number of peers in a small fleet, in which all nodes report to all other nodes in every
 /// round: at most 60 messages per second and node.
 constexpr std::size_t max_peers_of_small_fleet = 12;
-/// Number of rounds in which every receiver in another zone gets one report; they take about a
-/// second.
+/// Number of rounds in which every receiver in another zone gets one report; the rounds take about
+/// a second.
 constexpr std::size_t rounds_per_remote_report = 5;
 /// Maximum number of batchers of one zone whose load reports a node of another zone of the region
-/// gets. Two batchers are enough to send a piece to the better one. In a fleet of 300 nodes in
+/// gets. Two batchers are enough to send a piece to the less loaded one. In a fleet of 300 nodes in
 /// which every batcher reported to all 225 nodes of other zones once per second, these reports were
 /// most of the bytes between zones.
 constexpr std::size_t batchers_reported_per_zone = 2;
--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -119,17 +119,17 @@
  private:
   /// @return whether the fleet is so small that all nodes report to all other nodes in every round.
   [[nodiscard]] bool is_small_fleet() const;
-  /// @return the nodes of other zones that get this node's load reports as reports of a batcher for
-  ///         its zone. Each node of another zone gets the reports of only a few batchers of this
-  ///         node's zone; `is_report_receiver` chooses them.
+  /// @return the nodes of other zones that get this node's load reports while it is a batcher only
+  ///         for its own zone. Each node of another zone gets the reports of only a few batchers of
+  ///         this node's zone.
   const std::vector<base::node_id>& report_receivers();
   /// @param node node of another zone.
   /// @param zone_batchers this node and the other batchers of its zone.
   /// @return whether `node` gets the load reports of this node.
   [[nodiscard]] bool is_report_receiver(const fleet_peer& node,
                                         const std::vector<base::node_id>& zone_batchers) const;
-  /// @return whether a node of another region gets the load report of a batcher of this node's
-  ///         zone, and not of another zone of this node's region.
+  /// @return whether this node's zone is the one zone of its region from whose batchers a node of
+  ///         another region gets load reports.
   [[nodiscard]] bool receives_reports_of_own_zone(const base::node_id& node) const;
   [[nodiscard]] bool is_in_other_region(const base::zone_id& zone) const;
   /// @return whether the peer is watched and its last message is too old.
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -32,7 +32,8 @@
   /// @return cost of transferring bytes to or from the locality, in seconds of waiting.
   [[nodiscard]] static double transfer_seconds(model::locality locality, double bytes);
   /// @param bytes bytes transferred to or from the locality.
-  /// @return cost of work in the locality in addition to its wait, in seconds of waiting.
+  /// @return cost of work in the locality in addition to the wait for a replica there, in seconds
+  ///         of waiting.
   [[nodiscard]] static double cost_seconds(model::locality locality, double bytes);
 
  private:
--- a/src/replicas/least_loaded_chooser.h
+++ b/src/replicas/least_loaded_chooser.h
@@ -9,9 +9,9 @@
 namespace spurrack::serving {
 
 /// Chooses the least loaded replica of this node's region. A replica in another zone counts as more
-/// loaded by `distance::load_cost`, so that at equal loads nearer replicas are preferred. While
-/// this node's region is busier than other regions by more than the cost of the distance, chooses
-/// replicas in other regions for a fraction of the requests (`region_spillover`). Not thread-safe.
+/// loaded by `distance::load_cost`, so that at equal loads nearer replicas are preferred. For the
+/// requests that spill over (`region_spillover`), chooses the least loaded replica of the other
+/// regions instead. Not thread-safe.
 class least_loaded_chooser final : public replica_chooser {
  public:
   /// @param replicas, random must outlive this object.
--- a/src/replicas/region_spillover.cc
+++ b/src/replicas/region_spillover.cc
@@ -7,18 +7,19 @@
 namespace spurrack::serving {
 namespace {
 
-/// Lifetime of a load report in the mean load of a region. Each of 100 callers gets about ten
-/// reports within this time from a region whose replicas sustain 320 calls per second.
+/// Maximum age of a load report that counts in the mean load of a region. Each of 100 nodes gets
+/// about ten reports within this time from a region whose replicas sustain 320 calls per second.
 constexpr base::duration region_load_lifetime = std::chrono::seconds(3);
-/// Range of the load difference beyond the cost of the distance, relative to the slots, over which
-/// the fraction of requests that spill over grows from none to all. The fraction grows over a range
-/// so that callers that see the same load do not all leave their region at once. In the simulation
-/// of region_spill_test with 300 callers and a region at 1.5 times its capacity, calls wait 0.09 s
-/// on average; they wait 1.4 s if each caller decides by its most recent load reports alone.
+/// The fraction of requests that spill over grows from none to all while the load difference
+/// between the regions grows by this multiple of the slots beyond the load cost of the distance.
+/// The fraction grows gradually so that nodes that see the same load do not all send their requests
+/// to another region at once. In the simulation of region_spill_test with 300 nodes and a region at
+/// 1.5 times its capacity, calls wait 0.09 s on average; they wait 1.4 s if each node decides by
+/// its most recent load reports alone.
 constexpr double spillover_load_range = 0.7;
 
-/// Fraction of the requests that is sent elsewhere to learn the load there, if no load is known
-/// elsewhere and the load of this node's region exceeds the cost of the distance. If an unknown
+/// Fraction of the requests that is sent to other regions to learn their load, if no load there is
+/// known and the load of this node's region exceeds the load cost of the distance. If an unknown
 /// load counted as idle, 0.37 to 0.60 of all calls would spill over while every region gets 1.2
 /// times its capacity; with this fraction 0.02 to 0.06 of all calls spill over (region_spill_test).
 constexpr double sampling_fraction = 0.1;
@@ -26,11 +27,12 @@
 /// Minimum number of replicas with known load from which the mean load of this node's region is
 /// computed: a single replica may be busy by chance.
 constexpr std::size_t min_known_near = 3;
-/// Minimum number of replicas with known load from which the mean load elsewhere is computed: only
-/// one, because few requests are sent elsewhere.
+/// Minimum number of replicas with known load from which the mean load of the other regions is
+/// computed: only one, because few requests are sent there.
 constexpr std::size_t min_known_elsewhere = 1;
 
-/// Share of failed calls above which the load of a replica counts as known without a load report.
+/// Share of failed calls above which the load of a replica counts as known without a load report;
+/// only its `failure_load` then counts.
 constexpr double mostly_failing_share = 0.5;
 
 /// @param min_known number of replicas whose load must be known; all replicas if there are fewer.
--- a/src/replicas/region_spillover.h
+++ b/src/replicas/region_spillover.h
@@ -19,19 +19,17 @@
   std::vector<const replica_state*> elsewhere;
 };
 
-/// Splits the candidates into replicas of this node's region and replicas of other regions. Keeps
-/// the order within each part.
+/// Splits the candidates by region. Keeps the order within each part.
 [[nodiscard]] split_candidates split_by_region(std::vector<const replica_state*> candidates,
                                                const distance& from_here);
 
-/// Sends a fraction of the requests to other regions (elsewhere) while this node's region is busier
-/// by more than the cost of the distance.
+/// Decides which requests spill over to other regions: a fraction of them, while the mean load of
+/// the replicas of this node's region (calls divided by slots) exceeds that of other regions by
+/// more than `distance::load_cost`. The fraction grows with the difference, so that the nodes of a
+/// region, which see the same loads, do not all send their requests to another region at once.
 ///
-/// In a large fleet a node calls each replica rarely and does not know the load of a replica that
-/// it has not called recently. Therefore the node compares the mean load that the replicas of its
-/// region reported within the last seconds with the mean load of the replicas elsewhere. The
-/// fraction of requests that spill over grows with the difference, so that the nodes of a region,
-/// which see the same loads, do not all send their requests elsewhere at once.
+/// The means are computed from load reports of the last seconds: in a large fleet a node calls each
+/// replica too rarely to know the load of a single one.
 ///
 /// Not thread-safe.
 class region_spillover {
@@ -39,9 +37,9 @@
   /// @param random must outlive this object.
   explicit region_spillover(base::random_source& random) : random_(&random) {}
 
-  /// @return whether the next request is to be sent elsewhere: always if there are no candidates in
-  ///         this node's region, never if there are none elsewhere, else at random for a fraction
-  ///         of the requests.
+  /// @return whether the next request is to be sent to another region: always if there are no
+  ///         candidates in this node's region, never if there are none in other regions, else at
+  ///         random for a fraction of the requests.
   [[nodiscard]] bool should_spill_over(const split_candidates& candidates, base::time_point now);
 
  private:
--- a/src/replicas/replica_backoff.h
+++ b/src/replicas/replica_backoff.h
@@ -1,5 +1,5 @@
 /// Backoff that a replica requested from this node (Retry-After) and the slow start after the
-/// backoff. No I/O.
+/// backoff, during which calls to the replica are limited. No I/O.
 ///
 /// Without a slow start, a replica that rejected requests would get all waiting requests at once
 /// when its backoff ends. Therefore the slow start begins with a single call, and each answer
@@ -23,8 +23,8 @@
 class replica_backoff {
  public:
   /// Records that the replica requested a backoff in an answer received at `now`. A backoff that
-  /// would end before the backoff in effect is ignored; a backoff that is longer than any caller
-  /// waits is shortened.
+  /// would end before the backoff in effect is ignored; a backoff of more than two minutes, the
+  /// longest wait of any request, is shortened to two minutes.
   /// @param in_flight other calls of this node in flight at the replica.
   /// @return whether the backoff now ends later than before.
   bool note_requested(base::duration span, std::uint32_t in_flight, base::time_point now);
--- a/src/replicas/replica_chooser.h
+++ b/src/replicas/replica_chooser.h
@@ -12,7 +12,7 @@
 
 namespace spurrack::serving {
 
-/// Requirements of a request on the replica that is to run it. Refers to objects of the request,
+/// What a request requires of the replica that is to run it. Refers to objects of the request,
 /// which must outlive this object.
 struct replica_demand {
   const std::string& service;
--- a/src/replicas/replica_evidence.cc
+++ b/src/replicas/replica_evidence.cc
@@ -9,7 +9,8 @@
 /// Half-life of the counts of a tally. Faults last between some seconds and a minute; the half-life
 /// is short so that a replica that has recovered is used again soon.
 constexpr base::duration tally_half_life = std::chrono::seconds(5);
-/// Maximum number of reporters stored per replica; more would not add information.
+/// Maximum number of reporters whose reports are stored per replica; more would not add
+/// information.
 constexpr std::size_t max_reporters = 32;
 /// Number of successful calls assumed in addition to the counted calls, so that a single failure
 /// has little weight.
--- a/src/replicas/replica_evidence.h
+++ b/src/replicas/replica_evidence.h
@@ -13,7 +13,7 @@
 
 /// Health of a replica as the calls of one node show it.
 enum class replica_health : std::uint8_t {
-  healthy,      ///< The replica sent something recently, which contradicts that it is down.
+  healthy,      ///< The replica sent something recently and is therefore not down.
   unresponsive, ///< Calls make no progress and the replica sends nothing on any call.
   unreachable,  ///< Connections to the replica fail.
   failing,      ///< The replica answers with failures, or its answers break off.
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -23,24 +23,24 @@
 /// Half-life of the slowdown. A slow replica is tried again after a few half-lives, because faults
 /// last some seconds.
 constexpr base::duration slowdown_half_life = std::chrono::seconds(2);
-/// Minimum pause of a replica that rejected a call because it was occupied, as a multiple of the
-/// usual call time; a random part of one call time is added. The replica runs one call at a time
-/// and queues some calls, so that it stays busy for at least this time; retries of many nodes at a
-/// fixed short interval would mostly be rejected again.
+/// Minimum pause of a replica that rejected a call because it was occupied by the call of another
+/// node, as a multiple of the usual call time; a random part of one call time is added. The replica
+/// runs one call at a time and queues some calls, so that it stays busy for at least this time;
+/// retries of many nodes at a fixed short interval would mostly be rejected again.
 constexpr double min_occupied_calls = 0.5;
-/// Time after which a probe that brought no activity of the replica no longer holds back further
-/// requests.
+/// Time for which a probe holds back further requests if the replica sends nothing.
 constexpr base::duration probe_timeout = std::chrono::milliseconds(1000);
 /// Minimum interval between reports on a replica that stays unresponsive: a third of the lifetime
 /// of a report.
 constexpr base::duration unresponsive_report_interval = std::chrono::milliseconds(1000);
-/// Maximum time from a restart until it is published: the store of the published list may be
-/// unavailable for this time. If this node found a replica down within this time before its restart
-/// was published, and the replica has sent something since, the replica is assumed to have
+/// Maximum time from a restart until it is published: the store that holds the list of replicas may
+/// be unavailable for this time. If this node found a replica down within this time before its
+/// restart was published, and the replica has sent something since, the replica is assumed to have
 /// restarted when it was found down.
 constexpr base::duration max_list_lag = std::chrono::seconds(30);
-/// Time for which a replica is paused whose entry reappeared with an older copy of the store. An
-/// entry that no replica renews expires after three heartbeats of about 1.2 s.
+/// Time for which a replica is paused whose deleted record reappeared because the store was
+/// restored from an older copy. A record that no replica renews expires after three heartbeats of
+/// about 1.2 s.
 constexpr base::duration entry_expiry_time = std::chrono::milliseconds(4'000);
 
 } // namespace
@@ -377,7 +377,7 @@
 void replica_table::note_activity(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
     if (state->peer_reported_down_at > state->last_activity_at) {
-      // Other nodes consider the replica down; a health report of this node contradicts them.
+      // Other nodes reported the replica down; a health report of this node is to contradict them.
       changed_.insert(id);
     }
     state->last_activity_at = now;
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -1,18 +1,20 @@
-/// Replicas as this node sees them: the published records and the observations of calls.
+/// Replicas as this node sees them: their published records, and what the calls of this node and
+/// the reports of other nodes have shown of them.
 ///
-/// Terms: a replica is published while the list of replicas in the store, as this node received it,
-/// holds its record. A replica is paused while it gets no calls after a failed connection, a call
-/// without progress or a rejected call. It is ejected if it is paused because at least two nodes
-/// found it down. The first call after an ejection or after a pause for a failed connection or a
-/// call without progress is a probe: the replica gets no further call until it sends something or
-/// the probe times out. A trial is a call to a replica that has had no calls for some time because
-/// of its failures; the trial shows whether the replica has recovered.
+/// Terms: a replica is published while its record is in the list of replicas that this node last
+/// received from the store. A replica is paused while it gets no calls after a failed connection, a
+/// call without progress or a rejected call. It is ejected if it is paused because at least two
+/// nodes found it down, that is, unresponsive or unreachable. The first call after an ejection or
+/// after a pause for a failed connection or a call without progress is a probe: the replica gets no
+/// further call until it sends something or the probe times out. A trial is a call to a replica
+/// that has had no calls for some time because of its failures; the trial shows whether the replica
+/// has recovered.
 ///
 /// The table holds one `replica_state` per replica of a configured service, found by id;
-/// `replica_index` finds the states by service and by address. Cost of a change: the cost of a
-/// replica that is published, changed or removed hardly depends on the size of the fleet
-/// (`apply_record`); a new configuration visits every replica (`update` of all). Cost of a choice:
-/// it visits each replica of the service, without copying ids or looking them up.
+/// `replica_index` finds the states by service and by address. Applying one published, changed or
+/// removed record takes a time that hardly depends on the size of the fleet; a new configuration
+/// visits every replica. A choice visits each replica of the service, without copying ids or
+/// looking them up.
 #pragma once
 
 #include "base/ids.h"
@@ -46,20 +48,24 @@
 /// Backoff that a replica requested from this node, or an extension of a backoff in effect.
 struct backoff_change {
   base::replica_id replica;
-  /// Time from now until the backoff ends.
+  /// Time from the answer that requested the backoff until the backoff ends.
   base::duration span{};
 };
 
 /// Whether the replicas of a service can serve a request within its permitted regions.
 enum class replica_presence : std::uint8_t {
-  none,         ///< No replica of the service is published in the permitted regions.
-  accepts_none, ///< No published replica accepts work: each drains, is replaced or is evacuated.
-  accepts_work, ///< At least one replica accepts work, though perhaps not at this moment.
+  /// No replica of the service is published in the permitted regions.
+  none,
+  /// No published replica accepts work: each drains, is in an evacuated zone, or another process
+  /// answers at its address.
+  accepts_none,
+  /// At least one replica accepts work; it may still be paused, cold or limited now.
+  accepts_work,
 };
 
 using published_replicas = std::map<base::replica_id, std::shared_ptr<const model::replica>>;
 
-/// Published replicas with the observations of this node; decides which replicas may be sent a
+/// Published replicas with what this node knows of them; decides which replicas may be sent a
 /// request. Not thread-safe.
 class replica_table {
  public:
@@ -68,8 +74,8 @@
   replica_table(const base::node_id& self, base::zone_id own_zone, const serving_settings& settings,
                 base::random_source& random);
 
-  /// Replaces the published replicas. Keeps the observations of replicas whose incarnation is
-  /// unchanged and ignores replicas of services that are not configured.
+  /// Replaces the published replicas. Keeps what is known of replicas whose incarnation is
+  /// unchanged, and ignores replicas of services that are not configured.
   void update(const published_replicas& published, base::time_point now);
   /// Applies only the replicas in `changed`. Precondition: all other replicas are published as in
   /// the last update, and the configuration has not changed since.
@@ -81,7 +87,8 @@
   replicas_of_unknown_services() const {
     return replicas_of_unknown_services_;
   }
-  /// @return restarts of replicas that updates have shown since the last call of this function.
+  /// @return restarts of replicas that calls of `update` have detected since the last call of this
+  ///         function.
   [[nodiscard]] std::vector<replica_restart> take_restarts() {
     return std::exchange(restarts_, {});
   }
@@ -104,34 +111,36 @@
   }
   /// Replaces the evacuated zones, whose replicas are sent no calls. Replicas of a zone whose
   /// evacuation ended count as cold for `serving_settings::cold_time_after_evacuation`: they may
-  /// have turned cold shortly before, which this node would learn only later.
+  /// have turned cold shortly before the evacuation ended, which this node would learn only later.
   void set_evacuated(const std::set<base::zone_id>& zones, base::time_point now);
   [[nodiscard]] bool is_evacuated(const base::zone_id& zone) const {
     return evacuated_zones_.contains(zone);
   }
 
-  /// Replaces the zones that cannot be reached: their replicas are chosen only if no other replica
-  /// is a candidate.
+  /// Replaces the zones that this node cannot reach: their replicas are chosen only if no other
+  /// replica is a candidate.
   void set_unreachable(std::set<base::zone_id> zones) { unreachable_zones_ = std::move(zones); }
   [[nodiscard]] bool is_reachable(const base::zone_id& zone) const {
     return !unreachable_zones_.contains(zone);
   }
 
-  /// @return the replicas that may be sent a request now; only one replica if the limit that it
-  ///         announced is stale. If there is no such replica and no replica is expected to accept
-  ///         the request soon (after a backoff or with a permit), the replicas that are paused
-  ///         after failures.
+  /// @return the replicas that may be sent the request now; if one of them announced a limit that
+  ///         is stale, only that replica. If no replica may be sent the request now and none is
+  ///         expected to accept it soon (when a backoff ends or a permit arrives): the replicas
+  ///         that are paused after failures.
   [[nodiscard]] std::vector<const replica_state*> candidates_for(const replica_demand& demand,
                                                                  base::time_point now) const;
-  /// @return the calls in flight at a replica as far as this node knows, relative to its slots,
-  ///         plus the load for backoffs that the replica requested from other nodes.
+  /// @return the calls of all nodes at a replica, as far as this node knows, divided by the
+  ///         replica's slots, plus a load for backoffs that the replica requested from other nodes.
   [[nodiscard]] static double load_of(const replica_state& state, base::time_point now);
-  /// @return the load that is added for a replica's failed calls, relative to its slots.
+  /// @return the load by which a replica counts as busier because calls to it fail, as a multiple
+  ///         of its slots.
   [[nodiscard]] static double failure_load(const replica_state& state, base::time_point now);
-  /// @return `load_of`, but with load reports up to `span` old.
+  /// @return what `load_of` returns, but computed with a load report of the replica that is up to
+  ///         `span` old.
   [[nodiscard]] static double load_reported_within(const replica_state& state, base::duration span,
                                                    base::time_point now);
-  /// @return whether a request with these permitted regions may be sent to a replica.
+  /// @return whether a request with the permitted regions `allowed` may be sent to a replica.
   [[nodiscard]] bool permits(const model::residency& allowed, const replica_state& state) const {
     return !allowed.is_restricted() ||
            allowed.permits(settings_.regions.region_of(state.record->zone));
@@ -165,8 +174,8 @@
   ///         one after another, as many as its limit permits; 1 if it announces no limit.
   [[nodiscard]] double limited_capacity_fraction(const replica_state& state,
                                                  base::duration call_time) const;
-  /// @return limited replicas that accept calls and could serve a request, but have no permit for
-  ///         it now.
+  /// @return replicas with an announced limit that accept calls and could serve the request, but
+  ///         for which this node holds no permit now.
   [[nodiscard]] std::vector<const replica_state*>
   candidates_without_permit(const replica_demand& demand, base::time_point now) const;
   /// @return whether only the requested backoff of a replica, or the slow start after it, prevents
@@ -191,7 +200,8 @@
   /// @return null if no replica of the table has the address.
   [[nodiscard]] const replica_state* find_at(const base::network_address& address) const;
 
-  /// Records a call of this node; takes the permit and the cold token that the call needs.
+  /// Records that this node makes a call; takes the permit that the call needs and, if the replica
+  /// is cold, a token of its bucket.
   void call_started(const base::replica_id& id, base::time_point now);
   /// Records the self-report in the head of an answer. Ignores a self-report of an earlier
   /// incarnation.
@@ -204,7 +214,7 @@
   }
   /// @return the number of backoffs that replicas requested or extended.
   [[nodiscard]] std::uint64_t backoffs() const { return backoffs_; }
-  /// Records that a replica reports that it stays cold for `cold_for` from `now`.
+  /// Records the report of a replica that it stays cold for `cold_for` from `now`.
   void note_cold(const base::replica_id& id, base::duration cold_for, base::time_point now);
   void call_ended(const base::replica_id& id);
   void note_load(const base::replica_id& id, const replica_load& load, base::time_point now);
@@ -225,10 +235,11 @@
   /// @return whether at least two nodes (this node may be one of them) found a replica unresponsive
   ///         or unreachable and this node knows of no activity of the replica since.
   [[nodiscard]] bool is_declared_down(const base::replica_id& id, base::time_point now) const;
-  /// @return the expected share of calls to a replica that fail, 0 to 1: the share of failed calls
-  ///         of this node or, if higher, the excess of the share that nodes reported over the share
-  ///         at the other replicas of the service, unless the excess is too small to show a fault
-  ///         of the replica. 0 once the replica is due for a trial call.
+  /// @return the expected share of calls to a replica that fail, 0 to 1: the higher of two values.
+  ///         One is the share of this node's latest calls that failed. The other is the excess of
+  ///         the share that all reporting nodes together saw fail over that share at the other
+  ///         replicas of the service, or 0 if the excess is too small to show a fault of the
+  ///         replica. The result is 0 once the replica is due for a trial call.
   [[nodiscard]] static double failure_share_of(const replica_state& state, base::time_point now);
   /// @return the health of a replica as this node's calls show it; std::nullopt if no call failed
   ///         and the calls show neither activity nor a fault within `down_report_lifetime`.
@@ -249,9 +260,9 @@
   [[nodiscard]] static double slowdown_of(const replica_state& state, base::time_point now);
   void note_failure(const base::replica_id& id, base::time_point now);
   /// Records that a call was abandoned because it made no progress. The replica's machine may be
-  /// down or cut off from the network, which open connections do not show. Pauses the replica like
-  /// an unreachable one, so that the next request with the same prompt prefix does not stall at it
-  /// too.
+  /// down or cut off from the network, which open connections do not show. Pauses the replica as
+  /// after a failed connection, so that the next request with the same prompt prefix does not stall
+  /// there too.
   void note_stalled(const base::replica_id& id, base::time_point now);
   /// Records that no connection to the replica could be made, and pauses it. The pause doubles with
   /// each failed connection, up to `serving_settings::max_unreachable_backoff`.
@@ -289,14 +300,14 @@
   /// @return whether a replica is neither excluded from a request nor outside the permitted regions
   ///         of the request.
   [[nodiscard]] bool could_serve(const replica_demand& demand, const replica_state& state) const;
-  /// @param ignore_pauses whether to include replicas that are paused, wait for a probe or are in
-  ///        an unreachable zone.
+  /// @param ignore_pauses whether to include replicas that are paused, that were sent a probe, or
+  ///        that are in an unreachable zone.
   /// @return the replicas that could serve a request and may be sent it now.
   [[nodiscard]] std::vector<const replica_state*>
   usable(const replica_demand& demand, base::time_point now, bool ignore_pauses) const;
-  /// Removes limited replicas on which a request should not depend: those outside the zone of its
-  /// results, and all of them if the request is only planned. Keeps all candidates if all are
-  /// limited.
+  /// Removes candidates with an announced limit on which the request should not depend: those
+  /// outside the zone that stores its results, or all of them if the request is only planned.
+  /// Removes none if all candidates have a limit.
   void exclude_limited(std::vector<const replica_state*>& candidates,
                        const replica_demand& demand) const;
   /// @return a candidate whose limit no recent answer has confirmed; null if there is none.
@@ -309,14 +320,15 @@
   /// @return the higher of this node's share of failed calls and the excess share from reports of
   ///         other nodes, which decays with time.
   [[nodiscard]] static double known_failure_share(const replica_state& state, base::time_point now);
-  /// @return whether a replica is to get a trial call in spite of its failures, because it has had
-  ///         no calls and no reports for a time proportional to its failure share.
+  /// @return whether a replica is to get a trial call in spite of its failures: for a time
+  ///         proportional to its failure share this node has sent it no calls and received no
+  ///         health reports on it.
   [[nodiscard]] static bool is_due_for_trial(const replica_state& state, base::time_point now);
-  /// @return whether a replica may get calls at all: it neither drains nor is replaced or in an
-  ///         evacuated zone.
+  /// @return whether a replica may get calls at all: it does not drain, no other process answers at
+  ///         its address, and its zone is not evacuated.
   [[nodiscard]] bool accepts_work(const replica_state& state) const;
-  /// @return the service of a replica if it bounds the requests to cold replicas; null if the
-  ///         replica is warm or its service has no such bound.
+  /// @return the service of a replica if the replica is cold and the service bounds the requests to
+  ///         cold replicas; null otherwise.
   [[nodiscard]] const model::service* cold_service_of(const replica_state& state,
                                                       base::time_point now) const;
   /// @return the quota of each caller of a cold replica of the service.
@@ -333,15 +345,15 @@
   void apply_record(const std::shared_ptr<const model::replica>& record, base::time_point now);
   /// Removes a replica that is no longer published or whose service is not configured.
   void remove(const base::replica_id& id, base::time_point now);
-  /// Resets all observations of the earlier incarnation except the calls in flight.
+  /// Resets everything observed of the earlier incarnation except its calls in flight.
   void begin_incarnation(const base::replica_id& id, replica_state& state, base::time_point now);
   replica_state* mutable_find(const base::replica_id& id);
-  /// @return the part of a reported failure share that remains now.
+  /// @return a failure share computed from reports, after its decay until now.
   static double decayed_share(double reported, const replica_state& state, base::time_point now);
   /// Recomputes the load that is added for the backoffs that a replica requested from other nodes.
   void update_reported_backoffs(replica_state& state, base::time_point now) const;
-  /// Recomputes from reports how much more often calls to a replica fail than calls to the other
-  /// replicas of its service.
+  /// Recomputes from health reports how much more often calls to a replica fail than calls to the
+  /// other replicas of its service.
   void update_reported_failures(replica_state& state, base::time_point now);
   /// @return whether one more replica of the service may be ejected.
   [[nodiscard]] bool can_eject(const std::string& service, base::time_point now) const;
@@ -356,7 +368,7 @@
   std::uint64_t backoffs_ = 0;
   /// Time at which the last of all requested backoffs ends.
   base::time_point latest_backoff_end_;
-  /// Mutable because it caches its choices.
+  /// Mutable because queries fill its cache.
   mutable cold_callers cold_callers_;
   serving_settings settings_;
   base::random_source* random_;
--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -15,7 +15,7 @@
 /// `limit_stale_time` for a request with a long prompt: longer, because most of the prompt may be
 /// in the prefix cache of another engine.
 constexpr base::duration limit_stale_time_long_prompt = std::chrono::seconds(10);
-/// Maximum number of tokens of a prompt that is not long.
+/// Maximum number of tokens of a short prompt.
 constexpr std::uint32_t short_prompt_tokens = 1'000;
 
 } // namespace
--- a/src/replicas/replica_table_reports.cc
+++ b/src/replicas/replica_table_reports.cc
@@ -15,15 +15,16 @@
 /// Minimum number of nodes that must have found a replica down before it is declared down: the
 /// fault may be in the network link of a single node.
 constexpr std::size_t min_down_reporters = 2;
-/// Divisor of the number of replicas of a service that gives the maximum number of replicas ejected
-/// at the same time: a third, but at least one if the service has two or more. Under an overload
-/// all replicas seem unresponsive, and ejecting many of them makes the overload worse.
+/// At most a third of the replicas of a service are ejected at the same time, but one always may be
+/// if the service has two or more. Under an overload all replicas seem unresponsive, and ejecting
+/// many of them makes the overload worse.
 constexpr std::size_t ejected_divisor = 3;
 /// Minimum excess of a replica's failure share over the mean share of the other replicas of its
 /// service that counts as a fault of the replica: requests that fail equally at all replicas show
 /// no fault of a replica, and chance alone makes a difference of a tenth.
 constexpr double min_failure_excess = 0.2;
-/// Maximum number of other reported replicas from which the usual failure share is computed.
+/// Maximum number of other replicas of the service whose reported failure shares are averaged for
+/// comparison with a replica.
 constexpr std::size_t max_compared = 64;
 /// Load added for each node from which a replica requested a backoff, relative to its slots. Small,
 /// because the requests that are kept from the replica must not all go to another replica that then
@@ -33,7 +34,8 @@
 /// its slots: a backoff requested from other nodes does not show that the replica would reject
 /// requests of this node.
 constexpr double max_reported_backoff_load = 0.5;
-/// Half-life of reported failure shares; equal to the half-life of the counts of this node's calls.
+/// Half-life of failure shares computed from health reports; equal to the half-life of the counts
+/// of this node's calls.
 constexpr base::duration reported_failures_half_life = std::chrono::seconds(5);
 
 } // namespace
--- a/tests/fleet_view/peer_directory_test.cc
+++ b/tests/fleet_view/peer_directory_test.cc
@@ -1,5 +1,6 @@
-/// Receivers of load reports: number of messages between zones and regions for different numbers of
-/// batchers.
+/// Receivers of load reports in other zones and regions. Guards against a number of messages that
+/// grows with the number of batchers: each node must get the reports of at most two batchers of
+/// another zone and of one batcher of another region.
 #include "fleet_view/peer_directory.h"
 
 #include <boost/test/unit_test.hpp>
@@ -135,8 +136,8 @@
     for (const auto& [node, count] : reporters_of) {
       BOOST_TEST(count == std::min(batchers, 2));
     }
-    // Each round sends a whole number of messages, which adds up to four messages per second for
-    // each batcher.
+    // The number of messages is rounded up in each round, which adds up to four messages per second
+    // for each batcher.
     BOOST_TEST(messages <= static_cast<std::size_t>(2 * far_nodes + 4 * batchers));
   }
 }
--- a/tests/replicas/distance_test.cc
+++ b/tests/replicas/distance_test.cc
@@ -215,8 +215,7 @@
   BOOST_TEST(two_regions().region_of(preferred->record->zone)->text() == "south");
 }
 
-/// Expected choices in a fleet of one region, in which only this node's zone differs from all other
-/// zones.
+/// Expected choices in a fleet of one region: all zones except this node's have the same cost.
 struct single_region_rule {
   static double cost_of(const replica_state& state) {
     constexpr double other_zone = 0.5;
@@ -235,7 +234,7 @@
   }
 
   /// @return the preferred engine of a shared prefix; null if the load of all engines is at or
-  ///         above the bound.
+  ///         above `load_bound`.
   static const replica_state* preferred_engine_of(const chooser_fixture& fixture,
                                                   const std::string& prefix) {
     constexpr double load_bound = 0.6;
--- a/tests/replicas/region_spill_test.cc
+++ b/tests/replicas/region_spill_test.cc
@@ -1,6 +1,6 @@
-/// Spillover between three regions. The callers know the loads of the replicas late and differ in
-/// what they know. Checks how many calls leave a region, and whether these calls overload one
-/// region or come in bursts.
+/// Spillover between three regions. The nodes that send calls (callers) learn the loads of the
+/// replicas late, and not all callers know the same loads. Checks how many calls leave a region,
+/// and whether these calls overload another region or come in bursts.
 #include "replicas/distance.h"
 #include "replicas/least_loaded_chooser.h"
 
@@ -93,7 +93,9 @@
 
 struct spillover_figures {
   std::uint64_t calls = 0;
+  /// Number of calls to a region other than that of the caller.
   std::uint64_t elsewhere = 0;
+  /// Sum of the times for which calls waited at the replicas.
   double wait_seconds = 0;
   /// Calls from region 0 to other regions, by window of a quarter of a second.
   std::map<std::int64_t, double> spilled;
@@ -152,7 +154,7 @@
     }
   }
 
-  /// @return the figures of the span.
+  /// @return the figures of only this span.
   spillover_figures run_for(base::duration span) {
     figures_ = {};
     for (auto& [id, replica] : simulated_replicas_) {
@@ -307,8 +309,7 @@
 
 BOOST_AUTO_TEST_CASE(an_overloaded_region_spills_over_its_excess_without_bursts) {
   // A third of the calls that arrive in the first region exceed its capacity: 0.22 of all calls.
-  // These calls must leave the region neither all at once nor to the same replica, whatever each
-  // caller has observed.
+  // The callers must send these calls to other regions neither all at once nor to the same replica.
   constexpr double min_elsewhere = 0.15;
   constexpr double max_elsewhere = 0.3;
   constexpr double max_mean_wait = 0.12;
--- a/tests/replicas/replica_failures_test.cc
+++ b/tests/replicas/replica_failures_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Sends a request every 200 ms.
+/// Sends a request every 200 ms; the replica `failing` answers with status 500.
 /// @return the number of requests that each replica got.
 std::map<std::string, std::size_t> send_requests_for(dispatcher_driver& driver, base::duration span,
                                                      const std::string& failing,
