--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -75,7 +75,6 @@
 /// Peers that membership reports alive, with their state. Not thread-safe.
 class peer_directory {
  public:
-  /// @param self this node.
   explicit peer_directory(fleet_peer self, model::zone_regions regions = {});
 
   /// Replaces the peers with the nodes that membership reports alive. Keeps the state of peers that
@@ -145,9 +144,7 @@
   std::map<base::node_id, peer_state> peers_;
   /// Peers that this node regards as batchers.
   std::set<base::node_id> batchers_;
-  /// Peers whose latest load report says that they are batchers.
   std::set<base::node_id> reporting_batchers_;
-  /// Peers that are marked unresponsive.
   std::set<base::node_id> unresponsive_;
   /// Other nodes of this node's zone.
   std::vector<base::node_id> in_zone_;
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -20,10 +20,8 @@
 /// Distance of zones from this node. Immutable.
 class distance {
  public:
-  /// @param own_zone zone of this node.
   distance(const base::zone_id& own_zone, const model::zone_regions& regions);
 
-  /// @return the locality of a zone as seen from this node.
   [[nodiscard]] model::locality locality_of(const base::zone_id& zone) const;
 
   /// @return the load, relative to the slots, by which a replica in the locality must be less
--- a/src/replicas/replica_backoff.h
+++ b/src/replicas/replica_backoff.h
@@ -34,7 +34,6 @@
   [[nodiscard]] bool permits_call(std::uint32_t in_flight, base::time_point now) const;
   /// Records the head of an answer that requests no backoff.
   /// @param call_began_at time at which the answered call was made.
-  /// @param slots slots of the replica.
   void note_answer(base::time_point call_began_at, std::uint32_t slots);
   /// Records that the replica rejected a call without requesting a backoff: the slow start begins
   /// again with a single call.
--- a/src/replicas/replica_state.h
+++ b/src/replicas/replica_state.h
@@ -23,7 +23,6 @@
   self_reports::process_fingerprint process = 0;
   /// Number of calls of this node in flight.
   std::uint32_t in_flight = 0;
-  /// Load that the replica reported last.
   std::optional<replica_load> reported_load;
   base::time_point load_reported_at;
   /// Number of calls of this node in flight when the load was reported.
@@ -35,7 +34,6 @@
   /// Length of the latest pause after a failed connection or an ejection; doubles with each further
   /// failed connection. Zero once the replica has sent something since.
   base::duration unreachable_backoff{};
-  /// Backoff that the replica requested from this node.
   replica_backoff backoff;
   /// Share of this node's latest calls that failed, 0 to 1.
   double failure_share = 0;
