--- a/src/fleet_view/peer_directory.cc
+++ b/src/fleet_view/peer_directory.cc
@@ -49,9 +49,9 @@
 
 void peer_directory::update(std::vector<fleet_peer> peers) {
   std::map<base::node_id, peer_state> kept;
-  in_zone_.clear();
-  in_region_.clear();
-  elsewhere_.clear();
+  zone_peers_.clear();
+  region_peers_.clear();
+  other_region_peers_.clear();
   std::set<base::zone_id> zones{self_.zone};
   for (auto& peer : peers) {
     auto& state = kept[peer.node];
@@ -59,11 +59,11 @@
       state = std::move(found->second);
     }
     if (peer.zone == self_.zone) {
-      in_zone_.push_back(peer.node);
+      zone_peers_.push_back(peer.node);
     } else if (is_in_other_region(peer.zone)) {
-      elsewhere_.push_back(peer.node);
+      other_region_peers_.push_back(peer.node);
     } else {
-      in_region_.push_back(peer.node);
+      region_peers_.push_back(peer.node);
       zones.insert(peer.zone);
     }
     state.peer = std::move(peer);
@@ -73,7 +73,7 @@
   const auto is_unknown = [this](const base::node_id& node) { return !peers_.contains(node); };
   std::erase_if(batchers_, is_unknown);
   std::erase_if(reporting_batchers_, is_unknown);
-  std::erase_if(unresponsive_, is_unknown);
+  std::erase_if(unresponsive_peers_, is_unknown);
   report_receivers_.reset();
 }
 
@@ -86,7 +86,7 @@
       batchers_.begin(), batchers_.end(), std::back_inserter(zone_batchers),
       [this](const base::node_id& node) { return peers_.at(node).peer.zone == self_.zone; });
   auto& chosen = report_receivers_.emplace();
-  for (const auto* nodes : {&in_region_, &elsewhere_}) {
+  for (const auto* nodes : {&region_peers_, &other_region_peers_}) {
     std::copy_if(nodes->begin(), nodes->end(), std::back_inserter(chosen),
                  [&](const base::node_id& node) {
                    return is_report_receiver(peers_.at(node).peer, zone_batchers);
@@ -190,7 +190,7 @@
   for (const auto& node : batchers_) {
     changed = check_responsiveness(peers_.at(node), now) || changed;
   }
-  std::erase_if(unresponsive_, [&](const base::node_id& node) {
+  std::erase_if(unresponsive_peers_, [&](const base::node_id& node) {
     auto& peer = peers_.at(node);
     const bool is_retried = now - *peer.unresponsive_since >= retry_delay;
     if (is_retried) {
@@ -207,7 +207,7 @@
   const bool was_unresponsive = peer.unresponsive_since.has_value();
   if (was_unresponsive) {
     peer.unresponsive_since.reset();
-    unresponsive_.erase(peer.peer.node);
+    unresponsive_peers_.erase(peer.peer.node);
   }
   return was_unresponsive;
 }
@@ -235,7 +235,7 @@
 void peer_directory::mark_unresponsive(const base::node_id& node, base::time_point now) {
   if (auto* peer = find(node); peer != nullptr && !peer->unresponsive_since) {
     peer->unresponsive_since = now;
-    unresponsive_.insert(node);
+    unresponsive_peers_.insert(node);
   }
 }
 
@@ -251,16 +251,16 @@
   if (audience == report_audience::nobody && !is_small_fleet()) {
     return {};
   }
-  auto receivers = in_zone_;
+  auto receivers = zone_peers_;
   const bool includes_region = audience == report_audience::everybody || is_small_fleet();
   if (includes_region) {
-    receivers.insert(receivers.end(), in_region_.begin(), in_region_.end());
+    receivers.insert(receivers.end(), region_peers_.begin(), region_peers_.end());
   }
   if (is_small_fleet()) {
-    receivers.insert(receivers.end(), elsewhere_.begin(), elsewhere_.end());
+    receivers.insert(receivers.end(), other_region_peers_.begin(), other_region_peers_.end());
     return receivers;
   }
-  const auto& remote_receivers = includes_region ? elsewhere_ : report_receivers();
+  const auto& remote_receivers = includes_region ? other_region_peers_ : report_receivers();
   const auto receiver_count =
       (remote_receivers.size() + rounds_per_remote_report - 1) / rounds_per_remote_report;
   for (std::size_t added = 0; added < receiver_count; ++added) {
--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -145,13 +145,13 @@
   /// Peers that this node regards as batchers.
   std::set<base::node_id> batchers_;
   std::set<base::node_id> reporting_batchers_;
-  std::set<base::node_id> unresponsive_;
+  std::set<base::node_id> unresponsive_peers_;
   /// Other nodes of this node's zone.
-  std::vector<base::node_id> in_zone_;
+  std::vector<base::node_id> zone_peers_;
   /// Nodes of other zones of this node's region.
-  std::vector<base::node_id> in_region_;
+  std::vector<base::node_id> region_peers_;
   /// Nodes of other regions.
-  std::vector<base::node_id> elsewhere_;
+  std::vector<base::node_id> other_region_peers_;
   /// Result of `report_receivers`; std::nullopt if it must be recomputed. Never computed on a node
   /// that is not a batcher.
   std::optional<std::vector<base::node_id>> report_receivers_;
--- a/src/replicas/cold_limit.cc
+++ b/src/replicas/cold_limit.cc
@@ -54,9 +54,9 @@
 
 void cold_callers::set_nodes(std::map<base::zone_id, std::vector<base::node_id>> by_zone) {
   by_zone_ = std::move(by_zone);
-  all_.clear();
+  all_nodes_.clear();
   for (const auto& [zone, nodes] : by_zone_) {
-    all_.insert(all_.end(), nodes.begin(), nodes.end());
+    all_nodes_.insert(all_nodes_.end(), nodes.begin(), nodes.end());
   }
   includes_self_.clear();
 }
@@ -69,7 +69,7 @@
   }
   const auto same_zone = by_zone_.find(zone);
   const auto& candidates =
-      same_zone == by_zone_.end() || same_zone->second.empty() ? all_ : same_zone->second;
+      same_zone == by_zone_.end() || same_zone->second.empty() ? all_nodes_ : same_zone->second;
   const auto chosen = base::rendezvous_top("cold/" + replica.text(), candidates, count);
   const bool included = std::find(chosen.begin(), chosen.end(), self_) != chosen.end();
   includes_self_.emplace(replica, included);
--- a/src/replicas/cold_limit.h
+++ b/src/replicas/cold_limit.h
@@ -80,7 +80,7 @@
  private:
   base::node_id self_;
   std::map<base::zone_id, std::vector<base::node_id>> by_zone_;
-  std::vector<base::node_id> all_;
+  std::vector<base::node_id> all_nodes_;
   /// Cached results of `includes_self` for the current nodes and bounds.
   std::unordered_map<base::replica_id, bool> includes_self_;
 };
--- a/src/replicas/distance.cc
+++ b/src/replicas/distance.cc
@@ -23,18 +23,18 @@
 } // namespace
 
 distance::distance(const base::zone_id& own_zone, const model::zone_regions& regions) {
-  near_[own_zone] = model::locality::zone;
+  region_localities_[own_zone] = model::locality::zone;
   for (const auto& [zone, region] : regions.all()) {
     const auto locality = regions.locality_between(own_zone, zone);
     if (locality == model::locality::region) {
-      near_[zone] = locality;
+      region_localities_[zone] = locality;
     }
   }
 }
 
 model::locality distance::locality_of(const base::zone_id& zone) const {
-  const auto found = near_.find(zone);
-  return found == near_.end() ? model::locality::elsewhere : found->second;
+  const auto found = region_localities_.find(zone);
+  return found == region_localities_.end() ? model::locality::elsewhere : found->second;
 }
 
 double distance::load_cost(model::locality locality) {
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -37,7 +37,7 @@
  private:
   /// Localities of the zones of this node's region. A hash map, because every choice looks up the
   /// zone of every replica of the service.
-  std::unordered_map<base::zone_id, model::locality> near_;
+  std::unordered_map<base::zone_id, model::locality> region_localities_;
 };
 
 } // namespace spurrack::serving
--- a/src/replicas/replica_chooser.h
+++ b/src/replicas/replica_chooser.h
@@ -20,7 +20,7 @@
   /// Regions in which the request may run.
   const model::residency& permitted_regions;
   /// Replicas that must not be chosen because the request was already sent to them.
-  const std::set<base::replica_id>& excluded;
+  const std::set<base::replica_id>& excluded_replicas;
   /// Zone that stores the results that the request needs; null if it needs none.
   const base::zone_id* results_zone = nullptr;
   /// Whether the request is only planned: it is sent later, when the rate-limit permits that this
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -27,7 +27,7 @@
 /// node, as a multiple of the usual call time; a random part of one call time is added. The replica
 /// runs one call at a time and queues some calls, so that it stays busy for at least this time;
 /// retries of many nodes at a fixed short interval would mostly be rejected again.
-constexpr double min_occupied_calls = 0.5;
+constexpr double min_occupied_pause_in_call_times = 0.5;
 /// Time for which a probe holds back further requests if the replica sends nothing.
 constexpr base::duration probe_timeout = std::chrono::milliseconds(1000);
 /// Minimum interval between reports on a replica that stays unresponsive: a third of the lifetime
@@ -37,11 +37,11 @@
 /// be unavailable for this time. If this node found a replica down within this time before its
 /// restart was published, and the replica has sent something since, the replica is assumed to have
 /// restarted when it was found down.
-constexpr base::duration max_list_lag = std::chrono::seconds(30);
+constexpr base::duration max_restart_publication_delay = std::chrono::seconds(30);
 /// Time for which a replica is paused whose deleted record reappeared because the store was
 /// restored from an older copy. A record that no replica renews expires after three heartbeats of
 /// about 1.2 s.
-constexpr base::duration entry_expiry_time = std::chrono::milliseconds(4'000);
+constexpr base::duration reappeared_record_pause = std::chrono::milliseconds(4'000);
 
 } // namespace
 
@@ -110,7 +110,7 @@
   }
   mark_cold(state, record->cold_for, now);
   if (record->may_be_deleted) {
-    state.paused_until = std::max(state.paused_until, now + entry_expiry_time);
+    state.paused_until = std::max(state.paused_until, now + reappeared_record_pause);
   }
   state.record = record;
   update_process(state);
@@ -143,16 +143,17 @@
 void replica_table::begin_incarnation(const base::replica_id& id, replica_state& state,
                                       base::time_point now) {
   const auto down_at = std::max(state.unreachable_at, state.unresponsive_at);
-  const bool came_back_unlisted = down_at != base::time_point{} &&
-                                  state.last_activity_at > down_at && now - down_at < max_list_lag;
+  const bool restarted_when_found_down = down_at != base::time_point{} &&
+                                         state.last_activity_at > down_at &&
+                                         now - down_at < max_restart_publication_delay;
   replica_state fresh;
   fresh.in_flight = state.in_flight;
   fresh.restart_seen_at = now;
-  fresh.earlier_incarnation_calls_until = came_back_unlisted ? down_at : now;
+  fresh.earlier_incarnation_calls_until = restarted_when_found_down ? down_at : now;
   state = std::move(fresh);
   evidence_.forget(id);
   forget_self_reports(id);
-  changed_.erase(id);
+  changed_health_.erase(id);
   for (auto& [service, replicas] : reported_replicas_) {
     replicas.erase(id);
   }
@@ -197,7 +198,7 @@
          !evacuated_zones_.contains(state.record->zone);
 }
 
-const model::service* replica_table::cold_service_of(const replica_state& state,
+const model::service* replica_table::service_if_cold(const replica_state& state,
                                                      base::time_point now) const {
   if (state.cold_until <= now || !configuration_) {
     return nullptr;
@@ -213,7 +214,7 @@
 }
 
 bool replica_table::cold_limit_permits(const replica_state& state, base::time_point now) const {
-  const auto* service = cold_service_of(state, now);
+  const auto* service = service_if_cold(state, now);
   if (service == nullptr) {
     return true;
   }
@@ -249,12 +250,13 @@
 }
 
 bool replica_table::could_serve(const replica_demand& demand, const replica_state& state) const {
-  return !demand.excluded.contains(state.record->id) && permits(demand.permitted_regions, state);
+  return !demand.excluded_replicas.contains(state.record->id) &&
+         permits(demand.permitted_regions, state);
 }
 
-std::vector<const replica_state*> replica_table::usable(const replica_demand& demand,
-                                                        base::time_point now,
-                                                        bool ignore_pauses) const {
+std::vector<const replica_state*> replica_table::usable_replicas(const replica_demand& demand,
+                                                                 base::time_point now,
+                                                                 bool ignore_pauses) const {
   std::vector<const replica_state*> found;
   for (const auto* state : index_.of_service(demand.service)) {
     const bool is_usable = ignore_pauses ? accepts_work(*state) && cold_limit_permits(*state, now)
@@ -268,16 +270,16 @@
 
 std::vector<const replica_state*> replica_table::candidates_for(const replica_demand& demand,
                                                                 base::time_point now) const {
-  auto found = usable(demand, now, false);
+  auto found = usable_replicas(demand, now, false);
   exclude_limited(found, demand);
-  if (const auto* stale_limit = find_stale_limit(found, demand, now)) {
+  if (const auto* stale_limit = find_candidate_with_stale_limit(found, demand, now)) {
     return {stale_limit};
   }
   // Waiting for a healthy replica that accepts the request soon is better than calling a replica
   // that is paused after failures.
   const bool accepts_soon = found.empty() && (!candidates_without_permit(demand, now).empty() ||
                                               time_until_backoff_ends(demand, now).has_value());
-  return found.empty() && !accepts_soon ? usable(demand, now, true) : found;
+  return found.empty() && !accepts_soon ? usable_replicas(demand, now, true) : found;
 }
 
 replica_presence replica_table::presence_of(const std::string& service,
@@ -349,7 +351,7 @@
   if (state->unreachable_backoff > base::duration::zero()) {
     state->probe_until = now + probe_timeout;
   }
-  if (const auto* service = cold_service_of(*state, now)) {
+  if (const auto* service = service_if_cold(*state, now)) {
     state->cold_tokens.take_token(cold_call_quota_of(*service), now);
   }
   if (limits_ != nullptr) {
@@ -378,7 +380,7 @@
   if (auto* state = mutable_find(id)) {
     if (state->peer_reported_down_at > state->last_activity_at) {
       // Other nodes reported the replica down; a health report of this node is to contradict them.
-      changed_.insert(id);
+      changed_health_.insert(id);
     }
     state->last_activity_at = now;
     state->unreachable_backoff = {};
@@ -394,7 +396,7 @@
   if (state->unresponsive_at <= state->last_activity_at ||
       now - state->unresponsive_at >= unresponsive_report_interval) {
     state->unresponsive_at = now;
-    changed_.insert(id);
+    changed_health_.insert(id);
   }
 }
 
@@ -437,7 +439,7 @@
   if (auto* state = mutable_find(id)) {
     state->calls.note(false, now);
     state->last_failure_at = now;
-    changed_.insert(id);
+    changed_health_.insert(id);
     state->failure_share += newest_failure_weight * (1 - state->failure_share);
   }
 }
@@ -453,7 +455,7 @@
     return;
   }
   state->unreachable_at = now;
-  changed_.insert(id);
+  changed_health_.insert(id);
   state->unreachable_backoff =
       state->unreachable_backoff == base::duration{}
           ? settings_.unreachable_backoff
@@ -471,8 +473,8 @@
 void replica_table::note_occupied(const base::replica_id& id, base::duration usual,
                                   base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    const auto pause =
-        base::from_seconds(base::to_seconds(usual) * (min_occupied_calls + random_->unit()));
+    const auto pause = base::from_seconds(base::to_seconds(usual) *
+                                          (min_occupied_pause_in_call_times + random_->unit()));
     state->paused_until = std::max<base::time_point>(state->paused_until, now + pause);
     state->backoff.note_rejected();
   }
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -247,8 +247,10 @@
   own_health_report(const replica_state& state, base::time_point now);
   /// @return replicas whose health, as this node's calls show it, has changed since the last call
   ///         of this function.
-  [[nodiscard]] std::set<base::replica_id> take_changed() { return std::exchange(changed_, {}); }
-  [[nodiscard]] bool has_changed() const { return !changed_.empty(); }
+  [[nodiscard]] std::set<base::replica_id> take_changed() {
+    return std::exchange(changed_health_, {});
+  }
+  [[nodiscard]] bool has_changed() const { return !changed_health_.empty(); }
   /// @return the number of ejections of replicas because of reports of other nodes.
   [[nodiscard]] std::uint64_t ejections() const { return ejections_; }
   /// Records the time that a call took.
@@ -304,7 +306,7 @@
   ///        that are in an unreachable zone.
   /// @return the replicas that could serve a request and may be sent it now.
   [[nodiscard]] std::vector<const replica_state*>
-  usable(const replica_demand& demand, base::time_point now, bool ignore_pauses) const;
+  usable_replicas(const replica_demand& demand, base::time_point now, bool ignore_pauses) const;
   /// Removes candidates with an announced limit on which the request should not depend: those
   /// outside the zone that stores its results, or all of them if the request is only planned.
   /// Removes none if all candidates have a limit.
@@ -312,8 +314,8 @@
                        const replica_demand& demand) const;
   /// @return a candidate whose limit no recent answer has confirmed; null if there is none.
   [[nodiscard]] const replica_state*
-  find_stale_limit(const std::vector<const replica_state*>& candidates,
-                   const replica_demand& demand, base::time_point now) const;
+  find_candidate_with_stale_limit(const std::vector<const replica_state*>& candidates,
+                                  const replica_demand& demand, base::time_point now) const;
   /// @return whether a replica accepts work, is neither paused nor in an unreachable zone, and may
   ///         be called while it is cold. Does not check its backoff and limit.
   [[nodiscard]] bool accepts_calls(const replica_state& state, base::time_point now) const;
@@ -329,7 +331,7 @@
   [[nodiscard]] bool accepts_work(const replica_state& state) const;
   /// @return the service of a replica if the replica is cold and the service bounds the requests to
   ///         cold replicas; null otherwise.
-  [[nodiscard]] const model::service* cold_service_of(const replica_state& state,
+  [[nodiscard]] const model::service* service_if_cold(const replica_state& state,
                                                       base::time_point now) const;
   /// @return the quota of each caller of a cold replica of the service.
   [[nodiscard]] cold_call_quota cold_call_quota_of(const model::service& service) const;
@@ -381,7 +383,7 @@
   replica_evidence evidence_;
   /// Replicas on which other nodes sent health reports, by service.
   std::unordered_map<std::string, std::set<base::replica_id>> reported_replicas_;
-  std::set<base::replica_id> changed_;
+  std::set<base::replica_id> changed_health_;
   std::uint64_t ejections_ = 0;
 };
 
--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -69,8 +69,9 @@
 }
 
 const replica_state*
-replica_table::find_stale_limit(const std::vector<const replica_state*>& candidates,
-                                const replica_demand& demand, base::time_point now) const {
+replica_table::find_candidate_with_stale_limit(const std::vector<const replica_state*>& candidates,
+                                               const replica_demand& demand,
+                                               base::time_point now) const {
   if (limits_ == nullptr || !limits_->has_limits() || demand.is_planned) {
     return nullptr;
   }
--- a/src/replicas/replica_table_reports.cc
+++ b/src/replicas/replica_table_reports.cc
@@ -25,7 +25,7 @@
 constexpr double min_failure_excess = 0.2;
 /// Maximum number of other replicas of the service whose reported failure shares are averaged for
 /// comparison with a replica.
-constexpr std::size_t max_compared = 64;
+constexpr std::size_t max_compared_replicas = 64;
 /// Load added for each node from which a replica requested a backoff, relative to its slots. Small,
 /// because the requests that are kept from the replica must not all go to another replica that then
 /// rejects requests too.
@@ -139,7 +139,7 @@
   std::size_t compared = 0;
   for (const auto& other_id : reported_ids) {
     const auto* other = find(other_id);
-    if (other != nullptr && other != &state && compared < max_compared) {
+    if (other != nullptr && other != &state && compared < max_compared_replicas) {
       sum_of_others += decayed_share(other->reported_failure_share, *other, now);
       ++compared;
     }
--- a/src/replicas/replica_table_self_reports.cc
+++ b/src/replicas/replica_table_self_reports.cc
@@ -85,7 +85,7 @@
   if (state.backoff.note_requested(*span, other_calls, now)) {
     ++backoffs_;
     latest_backoff_end_ = std::max(latest_backoff_end_, state.backoff.ends_at());
-    changed_.insert(received.replica);
+    changed_health_.insert(received.replica);
     backoff_changes_.push_back({received.replica, state.backoff.ends_at() - now});
   }
 }
--- a/tests/replicas/cold_limit_test.cc
+++ b/tests/replicas/cold_limit_test.cc
@@ -90,7 +90,7 @@
 
 BOOST_AUTO_TEST_SUITE(cold_limit_test)
 
-BOOST_AUTO_TEST_CASE(quotas_of_all_callers_use_half_of_the_bound) {
+BOOST_AUTO_TEST_CASE(callers_together_get_at_most_half_of_the_bound) {
   for (const double rate : {0.5, 2.0, 6.7, 40.0}) {
     for (const auto& bound : {cold_bounds{1, 0}, cold_bounds{1.5, 5}, cold_bounds{2, 20}}) {
       const auto quota = cold_call_quota_of(bound, rate, false);
@@ -154,7 +154,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(repeated_restarts_gain_no_tokens) {
+BOOST_AUTO_TEST_CASE(a_node_that_restarts_repeatedly_gains_no_tokens) {
   const auto quota = cold_call_quota_of(bounds, cold_requests_per_second, false);
   base::time_point now{std::chrono::hours(1)};
   for (int restart = 0; restart < 20; ++restart) {
--- a/tests/replicas/distance_test.cc
+++ b/tests/replicas/distance_test.cc
@@ -113,7 +113,7 @@
 
 BOOST_AUTO_TEST_SUITE(distance_test)
 
-BOOST_AUTO_TEST_CASE(locality_follows_zones_and_regions) {
+BOOST_AUTO_TEST_CASE(locality_is_same_zone_same_region_or_elsewhere) {
   const distance from_a(base::zone_id("a"), two_regions());
   BOOST_TEST((from_a.locality_of(base::zone_id("a")) == locality::zone));
   BOOST_TEST((from_a.locality_of(base::zone_id("b")) == locality::region));
@@ -144,7 +144,7 @@
   BOOST_TEST(fixture.preferred_zones() == (text_set{"a", "b"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_long_shared_prefix_has_one_preferred_engine_in_the_fleet) {
+BOOST_AUTO_TEST_CASE(a_long_shared_prefix_prefers_engines_of_all_permitted_regions) {
   constexpr std::uint32_t long_prefix = 13'000;
   chooser_fixture fixture(two_regions());
   BOOST_TEST(fixture.preferred_zones(long_prefix) == (text_set{"a", "b", "c", "d"}),
--- a/tests/replicas/replica_evidence_test.cc
+++ b/tests/replicas/replica_evidence_test.cc
@@ -16,8 +16,10 @@
 
 namespace {
 
-struct reported_table {
-  reported_table() : table(base::node_id("n"), base::zone_id("a"), settings, random) { publish(6); }
+struct health_report_fixture {
+  health_report_fixture() : table(base::node_id("n"), base::zone_id("a"), settings, random) {
+    publish(6);
+  }
 
   void publish(unsigned count) {
     for (unsigned index = 0; index < count; ++index) {
@@ -74,7 +76,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(replica_evidence_test, reported_table)
+BOOST_FIXTURE_TEST_SUITE(replica_evidence_test, health_report_fixture)
 
 BOOST_AUTO_TEST_CASE(two_reporters_eject_a_replica_and_one_does_not) {
   report(0, "x", replica_health::unresponsive);
@@ -145,7 +147,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(equal_failures_at_all_replicas_do_not_count) {
+BOOST_AUTO_TEST_CASE(equal_failures_at_all_replicas_add_no_failure_share) {
   for (int round = 0; round < 3; ++round) {
     for (unsigned replica = 0; replica < 6; ++replica) {
       report(replica, "x", replica_health::failing, 4, 6);
--- a/tests/replicas/replica_incarnations_test.cc
+++ b/tests/replicas/replica_incarnations_test.cc
@@ -233,7 +233,7 @@
   BOOST_TEST(state().in_flight == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(calls_begun_before_the_restart_is_seen_are_at_the_earlier_incarnation,
+BOOST_FIXTURE_TEST_CASE(calls_begun_before_a_restart_is_seen_were_sent_to_the_earlier_incarnation,
                         table_with_restart) {
   const auto began_at = now;
   BOOST_TEST(!table.is_at_earlier_incarnation(r0, began_at));
@@ -246,7 +246,7 @@
   BOOST_TEST(!table.is_at_earlier_incarnation(base::replica_id("nobody"), began_at));
 }
 
-BOOST_FIXTURE_TEST_CASE(calls_begun_after_a_failed_connection_are_at_the_new_incarnation,
+BOOST_FIXTURE_TEST_CASE(calls_begun_after_a_failed_connection_were_sent_to_the_new_incarnation,
                         table_with_restart) {
   const auto at_earlier_incarnation = now;
   now += seconds(1);
@@ -261,7 +261,8 @@
   BOOST_TEST(!table.is_at_earlier_incarnation(r0, at_new_incarnation));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_failed_connection_long_ago_does_not_date_a_restart, table_with_restart) {
+BOOST_FIXTURE_TEST_CASE(a_failed_connection_a_minute_ago_is_not_taken_as_the_time_of_a_restart,
+                        table_with_restart) {
   table.note_unreachable(r0, now);
   now += seconds(1);
   table.note_activity(r0, now);
