--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -57,9 +57,8 @@
   std::map<std::string, std::uint32_t> sent_since_report;
 };
 
-/// Nodes that receive the load reports of a node (the sender). The sender reports in rounds: some
-/// nodes receive the report of every round, other nodes receive one report in about five rounds. In
-/// a small fleet all nodes receive every report, whatever the value.
+/// Nodes that receive the load reports of a node (the sender). The sender reports in rounds, five
+/// per second. In a small fleet all nodes receive every report, whatever the value.
 enum class report_audience : std::uint8_t {
   /// No node: the sender is not a batcher.
   nobody,
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -2,12 +2,11 @@
 /// locality: the single model of distance for plain calls, engines and stage work. No network I/O;
 /// regions come from the settings.
 ///
-/// Usage: get the locality of a zone from `locality_of` (between two other zones:
-/// `zone_regions::locality_between`), search the localities from near to far, and prefer a
-/// candidate in a farther locality only if the candidate is better by more than the cost of its
-/// locality: `load_cost` for choices between replicas by load, `cost_seconds` for choices by
-/// expected wait. A cost in seconds is the wait that is accepted to avoid the distance. In a fleet
-/// of one region no zone is `elsewhere`, and all choices are the same as without regions.
+/// Usage: search the localities from near to far, and prefer a candidate in a farther locality only
+/// if the candidate is better by more than the cost of its locality: `load_cost` for choices
+/// between replicas by load, `cost_seconds` for choices by expected wait. A cost in seconds is the
+/// wait that is accepted to avoid the distance. In a fleet of one region no zone is `elsewhere`,
+/// and all choices are the same as without regions.
 #pragma once
 
 #include "base/ids.h"
@@ -22,6 +21,7 @@
  public:
   distance(const base::zone_id& own_zone, const model::zone_regions& regions);
 
+  /// The locality between two other zones is `zone_regions::locality_between`.
   [[nodiscard]] model::locality locality_of(const base::zone_id& zone) const;
 
   /// @return the load, relative to the slots, by which a replica in the locality must be less
--- a/src/replicas/replica_backoff.h
+++ b/src/replicas/replica_backoff.h
@@ -18,8 +18,7 @@
 /// Duration of the slow start after a backoff.
 inline constexpr base::duration slow_start_duration = std::chrono::seconds(10);
 
-/// Latest backoff that one replica requested from this node, and the slow start after it. Not
-/// thread-safe.
+/// Latest backoff and slow start of one replica. Not thread-safe.
 class replica_backoff {
  public:
   /// Records that the replica requested a backoff in an answer received at `now`. A backoff that
--- a/src/replicas/replica_state.h
+++ b/src/replicas/replica_state.h
@@ -25,7 +25,6 @@
   std::uint32_t in_flight = 0;
   std::optional<replica_load> reported_load;
   base::time_point load_reported_at;
-  /// Number of calls of this node in flight when the load was reported.
   std::uint32_t in_flight_at_load_report = 0;
   /// Whether another process answers at the replica's address.
   bool is_replaced = false;
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -65,8 +65,7 @@
 
 using published_replicas = std::map<base::replica_id, std::shared_ptr<const model::replica>>;
 
-/// Published replicas with what this node knows of them; decides which replicas may be sent a
-/// request. Not thread-safe.
+/// Decides which replicas may be sent a request. Not thread-safe.
 class replica_table {
  public:
   /// @param self id of this node.
