--- a/src/fleet_view/peer_directory.h
+++ b/src/fleet_view/peer_directory.h
@@ -57,9 +57,8 @@
   std::map<std::string, std::uint32_t> sent_since_report;
 };
 
-/// Nodes that receive the load reports of a node (the sender). The sender reports in rounds: some
-/// nodes receive the report of every round, other nodes receive one report in about five rounds. In
-/// a small fleet all nodes receive every report, whatever the value.
+/// Nodes that receive the load reports of a node (the sender). The sender reports in rounds, five
+/// per second. In a small fleet all nodes receive every report, whatever the value.
 enum class report_audience : std::uint8_t {
   /// No node: the sender is not a batcher.
   nobody,
@@ -75,7 +74,6 @@
 /// Peers that membership reports alive, with their state. Not thread-safe.
 class peer_directory {
  public:
-  /// @param self this node.
   explicit peer_directory(fleet_peer self, model::zone_regions regions = {});
 
   /// Replaces the peers with the nodes that membership reports alive. Keeps the state of peers that
@@ -119,17 +117,17 @@
  private:
   /// @return whether the fleet is so small that all nodes report to all other nodes in every round.
   [[nodiscard]] bool is_small_fleet() const;
-  /// @return the nodes of other zones that get this node's load reports as reports of a batcher for
-  ///         its zone. Each node of another zone gets the reports of only a few batchers of this
-  ///         node's zone; `is_report_receiver` chooses them.
+  /// @return the nodes of other zones that get this node's load reports while it is a batcher only
+  ///         for its own zone. Each node of another zone gets the reports of only a few batchers of
+  ///         this node's zone.
   const std::vector<base::node_id>& report_receivers();
   /// @param node node of another zone.
   /// @param zone_batchers this node and the other batchers of its zone.
   /// @return whether `node` gets the load reports of this node.
   [[nodiscard]] bool is_report_receiver(const fleet_peer& node,
                                         const std::vector<base::node_id>& zone_batchers) const;
-  /// @return whether a node of another region gets the load report of a batcher of this node's
-  ///         zone, and not of another zone of this node's region.
+  /// @return whether this node's zone is the one zone of its region from whose batchers a node of
+  ///         another region gets load reports.
   [[nodiscard]] bool receives_reports_of_own_zone(const base::node_id& node) const;
   [[nodiscard]] bool is_in_other_region(const base::zone_id& zone) const;
   /// @return whether the peer is watched and its last message is too old.
@@ -145,16 +143,14 @@
   std::map<base::node_id, peer_state> peers_;
   /// Peers that this node regards as batchers.
   std::set<base::node_id> batchers_;
-  /// Peers whose latest load report says that they are batchers.
   std::set<base::node_id> reporting_batchers_;
-  /// Peers that are marked unresponsive.
-  std::set<base::node_id> unresponsive_;
+  std::set<base::node_id> unresponsive_peers_;
   /// Other nodes of this node's zone.
-  std::vector<base::node_id> in_zone_;
+  std::vector<base::node_id> zone_peers_;
   /// Nodes of other zones of this node's region.
-  std::vector<base::node_id> in_region_;
+  std::vector<base::node_id> region_peers_;
   /// Nodes of other regions.
-  std::vector<base::node_id> elsewhere_;
+  std::vector<base::node_id> other_region_peers_;
   /// Result of `report_receivers`; std::nullopt if it must be recomputed. Never computed on a node
   /// that is not a batcher.
   std::optional<std::vector<base::node_id>> report_receivers_;
--- a/src/replicas/replica_chooser.h
+++ b/src/replicas/replica_chooser.h
@@ -12,7 +12,7 @@
 
 namespace spurrack::serving {
 
-/// Requirements of a request on the replica that is to run it. Refers to objects of the request,
+/// What a request requires of the replica that is to run it. Refers to objects of the request,
 /// which must outlive this object.
 struct replica_demand {
   const std::string& service;
@@ -20,7 +20,7 @@
   /// Regions in which the request may run.
   const model::residency& permitted_regions;
   /// Replicas that must not be chosen because the request was already sent to them.
-  const std::set<base::replica_id>& excluded;
+  const std::set<base::replica_id>& excluded_replicas;
   /// Zone that stores the results that the request needs; null if it needs none.
   const base::zone_id* results_zone = nullptr;
   /// Whether the request is only planned: it is sent later, when the rate-limit permits that this
--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -15,7 +15,7 @@
 /// `limit_stale_time` for a request with a long prompt: longer, because most of the prompt may be
 /// in the prefix cache of another engine.
 constexpr base::duration limit_stale_time_long_prompt = std::chrono::seconds(10);
-/// Maximum number of tokens of a prompt that is not long.
+/// Maximum number of tokens of a short prompt.
 constexpr std::uint32_t short_prompt_tokens = 1'000;
 
 } // namespace
@@ -69,8 +69,9 @@
 }
 
 const replica_state*
-replica_table::find_stale_limit(const std::vector<const replica_state*>& candidates,
-                                const replica_demand& demand, base::time_point now) const {
+replica_table::find_candidate_with_stale_limit(const std::vector<const replica_state*>& candidates,
+                                               const replica_demand& demand,
+                                               base::time_point now) const {
   if (limits_ == nullptr || !limits_->has_limits() || demand.is_planned) {
     return nullptr;
   }
