--- a/src/engines/engine_accounting.cc
+++ b/src/engines/engine_accounting.cc
@@ -3,10 +3,10 @@
 namespace spurrack::serving {
 namespace {
 
-/// Shortest backlog that is reported, in seconds of prefill: about three times the cost of
-/// prefilling a long shared prefix again, below which no prompt is sent to another engine. With
-/// 0.5, nodes send 1.9 kB/s on average under a burst and gain nothing; with 0.8, they send 1.5 kB/s
-/// (simulated callers of placement_test).
+/// Shortest backlog that is reported to other nodes, in seconds of prefill. No prompt is sent to
+/// another engine because of a shorter one: it is about three times the time that a long shared
+/// prefix takes to be prefilled again. With 0.5, nodes send 1.9 kB/s on average under a burst and
+/// gain nothing; with 0.8, they send 1.5 kB/s (simulated nodes of placement_test).
 constexpr double min_reported_seconds = 0.8;
 /// A backlog is reported again once it is longer than the other nodes assume by this many seconds
 /// of prefill.
--- a/src/engines/engine_accounting.h
+++ b/src/engines/engine_accounting.h
@@ -1,4 +1,5 @@
-/// Accounting of one engine at its accounting node: the prompts that all nodes have sent to it.
+/// Estimates the cached prefixes and the prefill backlog of one engine at its accounting node, to
+/// which all nodes report the prompts that they send to the engine.
 #pragma once
 
 #include "base/time.h"
@@ -30,8 +31,8 @@
   /// @param capacity in tokens, including the tokens of running requests.
   explicit prefix_cache_model(std::uint64_t capacity) : capacity_(capacity) {}
 
-  /// Records that the engine was sent a prompt: its shared prefix and its own tokens are cached
-  /// from now on.
+  /// Records a prompt that was sent to the engine, which caches the shared prefix and the own
+  /// tokens of the prompt.
   /// @return whether the shared prefix was cached before.
   bool use(const sent_prompt& prompt);
   [[nodiscard]] std::uint64_t used_tokens() const { return used_tokens_; }
--- a/src/engines/engine_chooser.cc
+++ b/src/engines/engine_chooser.cc
@@ -9,27 +9,27 @@
 namespace spurrack::serving {
 namespace {
 
-/// Load from which on an engine is ignored for a prompt, as a fraction of its slots.
+/// Load, as a fraction of its slots, from which on an engine is not chosen as a preferred engine.
 constexpr double max_engine_load = 0.6;
-/// Number of preferred engines of a prefix that are compared. Each of them may prefill the prefix
-/// again. They are in the zone of the first one if it has enough engines: the stages of a request
-/// run for that zone seconds before its prompt is sent, and waits that last less than the stages
-/// would move prompts away from their stage results, which then occupy memory for longer. With 60
-/// engines in five zones and all stage replicas busy, 6 in 100 long prompts were late, compared to
-/// 24 in 100 with later preferred engines in any zone.
+/// Number of preferred engines of a prefix whose expected waits are compared. Each of them may
+/// prefill the prefix again. They are in the zone of the first one if that zone has enough engines:
+/// the stages of a request run for that zone, seconds before the prompt is sent. Otherwise a wait
+/// that is over before the stages end would move the prompt away from its stage results, which then
+/// occupy memory for longer. With 60 engines in five zones and all stage replicas busy, 6 in 100
+/// long prompts were late, compared to 24 in 100 with later preferred engines in any zone.
 constexpr std::size_t max_preferred_engines = 4;
-/// The wait at a later preferred engine must be shorter by this many times the prefill time of the
-/// shared tokens: the time that one prompt gains there is lost by the prompts that wait behind the
-/// repeated prefill. Simulated in placement_test with 71 callers and 140 engines, a third of them
-/// evacuated under a burst: with a factor of 1, 6.4 M tokens are prefilled again and 1.7 in 100
-/// long prompts begin after more than 1.3 s; with 3, 5.3 M and 1.0; without messages between
-/// callers, 4.5 M and 1.6.
+/// The wait at a later preferred engine must be shorter than at the first one by this many times
+/// the prefill time of the shared tokens: the prompts that wait there behind the repeated prefill
+/// lose the time that the moved prompt gains. Simulated in placement_test with 71 nodes and 140
+/// engines, a third of them evacuated under a burst: with a factor of 1, 6.4 M tokens are prefilled
+/// again and 1.7 in 100 long prompts begin after more than 1.3 s; with 3, 5.3 M and 1.0; without
+/// messages between nodes, 4.5 M and 1.6.
 constexpr double repeated_prefill_weight = 3.0;
 /// Cost of sending a prompt to another region, as engine time: a round trip of some tens of
-/// milliseconds and the transfer of the prompt. A shared prefix that takes longer to prefill has
-/// its preferred engines chosen among all engines of the fleet: with preferred engines in each of
-/// three regions, all three regions prefilled 13,300 tokens that a few requests per minute share,
-/// each time a fifth of a second of an engine.
+/// milliseconds and the transfer of the prompt. If a shared prefix takes longer to prefill, its
+/// preferred engines are chosen among all engines of the fleet: with preferred engines in each of
+/// three regions, each region prefilled the same 13,300 tokens, a fifth of a second of an engine,
+/// although only a few requests per minute shared them.
 constexpr base::duration other_region_cost = std::chrono::milliseconds(50);
 
 /// Returns the first preferred engine, the next preferred ones of its zone, and preferred engines
@@ -108,9 +108,9 @@
   if (least_loaded == nullptr || !is_in_other_region(*least_loaded)) {
     return least_loaded;
   }
-  // The own region is loaded by more than the cost of the distance. All callers that send prompts
-  // with this prefix to another region choose the same engine there; otherwise each of them would
-  // have the prefix prefilled by a different engine.
+  // The engines of this node's region are so loaded that the prompt goes to another region. All
+  // nodes that send prompts with this prefix there choose the same engine; otherwise each of them
+  // would have the prefix prefilled by a different engine.
   const auto* engine = shortest_wait_engine(prefix, by_region.elsewhere, now);
   return engine != nullptr ? engine : least_loaded;
 }
--- a/src/engines/engine_chooser.h
+++ b/src/engines/engine_chooser.h
@@ -10,13 +10,13 @@
 
 namespace spurrack::serving {
 
-/// In an idle fleet, prompts with the same first part go to a few engines. Among these engines,
-/// chooses the first preferred engine of the shared prefix, unless a later preferred engine has a
-/// shorter expected wait even with the cost of prefilling the prefix there included. The later
-/// preferred engines are in the zone of the first one, as far as that zone has enough engines.
-/// Prefixes that take long to prefill have their preferred engines anywhere in the fleet; for
-/// shorter prefixes, engines of other regions are considered only if the engines of the own region
-/// are loaded by more than the cost of the distance. Not thread-safe.
+/// All nodes compute the same order of preferred engines for a shared prefix. Chooses the first
+/// one, unless a later one has a shorter expected wait even with the cost of prefilling the prefix
+/// there included. The later ones are in the zone of the first one, as far as that zone has enough
+/// engines. In an idle fleet, only a few engines are preferred for prompts with the same first
+/// part. Prefixes that take long to prefill have their preferred engines anywhere in the fleet; for
+/// shorter prefixes, engines of other regions are considered only if the load of this node's region
+/// exceeds that of other regions by more than the cost of the distance. Not thread-safe.
 class engine_chooser final : public replica_chooser {
  public:
   /// @param replicas, directory must outlive this object.
--- a/src/engines/engine_directory.cc
+++ b/src/engines/engine_directory.cc
@@ -8,24 +8,26 @@
 namespace spurrack::serving {
 namespace {
 
-/// Prompts of fewer tokens are not reported: an engine prefills 50,000 tokens per second, so these
-/// prompts take some 20 ms.
+/// Prompts of fewer tokens are not reported to the accounting node: an engine prefills 50,000
+/// tokens per second, so these prompts take at most some 20 ms.
 constexpr std::uint32_t min_reported_tokens = 1'000;
 /// Bytes of a message with one backlog and its envelope, as counted by placement_test, rounded up.
 constexpr double bytes_per_report = 150;
-/// Bytes per second of backlog reports that a node sends on average. Together with its reports to
-/// accounting nodes, some 500 bytes per second at four prompts per second, a node stays under
-/// 2 kB/s.
+/// Limit on the backlog reports of a node, in bytes per second on average. Together with its
+/// reports to accounting nodes, some 500 bytes per second at four prompts per second, a node stays
+/// under 2 kB/s.
 constexpr double report_bytes_per_second = 1'000;
-/// Largest unused allowance, in seconds of `reports_per_second`: enough for one message to each of
-/// 130 nodes. In a larger region each backlog is reported to a part of the nodes, in rotation.
+/// Largest allowance that a node saves while it sends no backlog reports, in seconds of
+/// `reports_per_second`: enough for one message to each of 130 nodes. In a larger region each
+/// backlog is reported to a part of the nodes, in rotation.
 constexpr double max_saved_seconds = 20;
 constexpr double reports_per_second = report_bytes_per_second / bytes_per_report;
 /// In an idle fleet, one in this many engines prefills a first part that many prompts share. The
 /// number is the same on all nodes, so that they place a prompt alike.
 constexpr std::size_t engines_per_prefix_replica = 32;
-/// Fewer engines would be overloaded by prompts that arrive at the same time by chance; and in a
-/// fleet with so few engines a first part is rarely prefilled again anyway.
+/// In a fleet in which fewer engines than this would prefill a first part, all engines do: so few
+/// engines would be overloaded by prompts that happen to arrive at the same time, and in such a
+/// small fleet a first part is rarely prefilled again anyway.
 constexpr std::size_t min_prefix_replicas = 16;
 /// The fleet is idle if the engines that prefill a first part would be busy for at most this
 /// fraction of their time even if all prompts of the fleet began with that part.
--- a/src/engines/engine_directory.h
+++ b/src/engines/engine_directory.h
@@ -5,8 +5,8 @@
 /// engine's region. Every node reports each long prompt that it sends to the engine to the
 /// accounting node, which sums the prefill backlog and reports it to all nodes of the region if the
 /// wait is long enough to choose another engine. The backlog that a node assumes decays at the
-/// prefill rate, so that after the crash of an accounting node, or on a partitioned node, placement
-/// falls back to hashing alone within a second or two. No I/O: messages are queued until
+/// prefill rate, so that after the crash of an accounting node, or on a partitioned node, engines
+/// are chosen by hashing alone after a second or two. No I/O: messages are queued until
 /// `take_messages`.
 #pragma once
 
@@ -76,9 +76,9 @@
   [[nodiscard]] base::duration prefill_time(double tokens) const;
 
   /// Returns the number of engines that prefill a first part that many prompts share. In an idle
-  /// fleet, judging by the recent sends of this node, only a few engines do: each engine gets a
-  /// prompt so rarely that it would prefill the part again for nearly every prompt. Under load all
-  /// engines do, since the load is even then.
+  /// fleet, judging by the recent sends of this node, these are only a few engines: if all engines
+  /// did, each would get such a prompt so rarely that it would prefill the part again nearly every
+  /// time. Under load all engines prefill the part, since the load is even then.
   /// @param engines number of available engines.
   [[nodiscard]] std::size_t prefix_replica_count(std::size_t engines, base::time_point now) const;
 
@@ -90,7 +90,7 @@
  private:
   /// Returns the peer that is an engine's accounting node; null if this node is.
   [[nodiscard]] const fleet_peer* accounting_node_of(const model::replica& engine) const;
-  /// Records a prompt as the engine's accounting node, and reports the backlog if necessary.
+  /// Records a sent prompt as the engine's accounting node, and reports the backlog if necessary.
   void account_send(const base::replica_id& engine, const sent_prompt& prompt,
                     base::time_point now);
   /// Reports the backlog of an engine to the nodes of the region.
--- a/src/engines/first_byte_model.cc
+++ b/src/engines/first_byte_model.cc
@@ -5,11 +5,11 @@
 namespace spurrack::serving {
 namespace {
 
-/// Expected time while too few calls were recorded.
+/// Expected time to the first byte until enough calls were recorded.
 constexpr base::duration default_first_byte_time = std::chrono::milliseconds(300);
-/// Factor on the weight of a call with each newer call: about the last fifty calls count.
+/// Factor by which each newer call reduces the weight of a call: about the last fifty calls matter.
 constexpr double decay_per_call = 0.98;
-/// Sum of the weights of calls from which on the regression is used.
+/// Sum of the weights of the recorded calls from which on the regression is used.
 constexpr double min_weight = 4;
 
 } // namespace
--- a/src/engines/first_byte_model.h
+++ b/src/engines/first_byte_model.h
@@ -19,7 +19,7 @@
   [[nodiscard]] base::duration expected(std::uint32_t tokens) const;
 
  private:
-  // Sums over the recorded calls, each weighted by the number of calls after it.
+  // Sums over the recorded calls, in which each call weighs less the more calls followed it.
   double weight_ = 0;
   double tokens_ = 0;
   double seconds_ = 0;
--- a/src/engines/prefill_rate.h
+++ b/src/engines/prefill_rate.h
@@ -7,20 +7,19 @@
 
 namespace spurrack::serving {
 
-/// Stays near the highest rate that calls have shown, since most calls also wait for others at the
-/// engine. Not thread-safe.
+/// Stays near the highest rate that calls have shown, since most calls also wait for other calls at
+/// the engine. Not thread-safe.
 class prefill_rate {
  public:
   /// Records a call.
   /// @param own_tokens tokens of the prompt that the engine cannot have cached.
   /// @param elapsed from sending the prompt to its first event.
   void note(std::uint32_t own_tokens, base::duration elapsed);
-  /// Returns the estimated prefill rate.
   [[nodiscard]] double tokens_per_second() const { return rate_; }
 
  private:
-  /// Initial estimate, in tokens per second. A large engine prefills some 50,000, so that waits are
-  /// overestimated rather than underestimated.
+  /// In tokens per second. The initial value is below the rate of a large engine, some 50,000, so
+  /// that waits are overestimated rather than underestimated.
   double rate_ = 30'000;
 };
 
--- a/src/engines/prefix_placement.h
+++ b/src/engines/prefix_placement.h
@@ -27,9 +27,9 @@
 /// Returns the report on a request's prompt to the accounting node of its engine.
 [[nodiscard]] sent_prompt sent_prompt_of(const request_content& content);
 
-/// Returns the engines that prefill the first part of a prompt, for all prompts that begin with
-/// that part; all engines if the first part is the only shared part. An engine that is added or
-/// removed replaces at most one of the engines returned.
+/// Returns the engines among which all prompts with the same first part are distributed; all
+/// engines if the first part is the only shared part. An engine that is added or removed replaces
+/// at most one of the engines returned.
 /// @param prefix must not be empty.
 /// @param max_count number of engines to return; all engines are returned if there are no more.
 [[nodiscard]] std::vector<const replica_state*>
@@ -38,8 +38,8 @@
 
 /// Returns the preferred engines of a prompt, in order of preference. Only the hash of the last
 /// shared part decides among the engines, so that the load is even. An engine that is added or
-/// removed does not change the order of the others, so that prompts that do not prefer it keep
-/// their preferred engines.
+/// removed does not change the order of the other engines, so that only the prompts that prefer it
+/// are sent to a different engine.
 /// @param prefix must not be empty.
 /// @param engines that the prompt may be sent to, in any order.
 /// @param max_count number of engines to return; fewer are returned if there are no more.
--- a/src/engines/sending_rate.cc
+++ b/src/engines/sending_rate.cc
@@ -9,7 +9,8 @@
 /// Time constant of the average. A node of a large fleet sends one prompt every few seconds, so
 /// that an average over a shorter time would be mostly noise.
 constexpr base::duration decay_time = std::chrono::seconds(30);
-/// The first prompts count as the prompts of at least this time.
+/// Shortest time over which the sent tokens are averaged, since the first prompts alone would show
+/// a rate that is far too high.
 constexpr base::duration min_observed_time = std::chrono::seconds(10);
 
 } // namespace
