--- a/src/flow/answer_memory.h
+++ b/src/flow/answer_memory.h
@@ -33,7 +33,7 @@
   /// Returns whether all memory of whole answers is held by answers that wait for more.
   [[nodiscard]] bool is_deadlocked() const;
   /// Returns whether the memory held by the other waiting answers would be enough for the first
-  /// one. If other uses hold the memory, aborting an answer does not help.
+  /// answer of the queue. If other uses hold the memory, aborting an answer does not help.
   [[nodiscard]] bool can_unblock_first() const;
   /// Returns the last answer in the queue that holds memory; null if none does.
   [[nodiscard]] const answer_memory* last_waiting_holder() const;
@@ -42,8 +42,8 @@
   std::list<answer_memory*> waiting_;
   /// Bytes that the answers in `waiting_` hold.
   std::size_t waiting_bytes_ = 0;
-  /// Bytes that the first waiting answer was refused even from the reserve; 0 if it was not
-  /// refused.
+  /// Bytes that the first waiting answer requested and was refused even within the limit of
+  /// `byte_use::lone_answer`; 0 if it was not refused.
   std::size_t first_unmet_bytes_ = 0;
 };
 
@@ -63,7 +63,8 @@
 
  private:
   [[nodiscard]] bool is_first() const { return queue_->waiting_.front() == this; }
-  /// Decides for a waiting answer while all memory of whole answers is held by waiting answers.
+  /// Decides whether this answer gets memory, waits or is aborted while waiting answers hold all
+  /// memory of whole answers.
   [[nodiscard]] memory_verdict resolve_deadlock(std::size_t additional_bytes);
   /// Acquires more bytes and leaves the queue. @return false, with nothing changed, if refused.
   bool try_grow(byte_use use, std::size_t additional_bytes);
--- a/src/flow/byte_budget.cc
+++ b/src/flow/byte_budget.cc
@@ -9,12 +9,13 @@
 /// Fraction of the capacity up to which each use is granted, in the order of `byte_use`. Uses that
 /// can be refused or can wait leave almost half to the windows of streams: 16 MB of 36 MB, which is
 /// a minimal window of 8 KB and an event of 2 KB for each of 1,500 clients. Events that have been
-/// read have the highest limit, since the refusal of an event breaks its stream off; a tenth is
-/// reserved for events, so that a large answer (8 MB of a budget of 10 MB) does not use the memory
-/// of events.
+/// read have the highest limit, since the refusal of an event breaks its stream off; a tenth of the
+/// capacity is reserved for events, so that a large answer (8 MB of a budget of 10 MB) does not use
+/// the memory of events.
 constexpr std::array<double, byte_uses> use_limits{0.3, 0.4, 0.5, 0.55, 0.9, 1.0};
-/// Fraction of the capacity beyond which an event requests relief before the budget is exhausted:
-/// the memory of the slowest readers, which are disconnected, is returned a moment later.
+/// Fraction of the capacity beyond which an event causes a call of the relief callback although the
+/// budget is not exhausted: the slowest readers return their memory only a moment after they were
+/// disconnected.
 constexpr double relief_threshold = 0.9;
 
 } // namespace
--- a/src/flow/byte_budget.h
+++ b/src/flow/byte_budget.h
@@ -22,10 +22,10 @@
 inline constexpr std::size_t byte_holders = 5;
 std::string_view name_of(byte_holder holder);
 
-/// Use that bytes are acquired for, in ascending order of its limit: earlier uses are refused while
-/// later ones are still granted.
+/// Purpose for which bytes are acquired, in ascending order of the limits: earlier uses are refused
+/// while later uses are still granted.
 enum class byte_use : std::uint8_t {
-  large_body,      ///< A new request with a large body; can be refused as not run.
+  large_body,      ///< A new request with a large body; can be refused as `not_run`.
   buffered_stream, ///< A stream that is read from its replica although its client does not read.
   small_body,      ///< A new request with a small body.
   whole_answer,    ///< A whole answer of a replica.
@@ -48,11 +48,11 @@
   byte_budget(const byte_budget&) = delete;
   byte_budget& operator=(const byte_budget&) = delete;
 
-  /// Sets the callback for an answer that lacks memory; it may free bytes at once or later.
+  /// Sets the callback that frees memory, at once or later.
   void set_relief(relief_callback callback) { relief_ = std::move(callback); }
 
-  /// Returns whether `bytes` more would be granted to `use` now. Calls the relief callback before
-  /// that if an answer would be refused, or if an event soon would be.
+  /// Returns whether `bytes` more would be granted to `use` now. Calls the relief callback first if
+  /// the bytes would be refused to an answer, or if the budget is almost exhausted for an event.
   [[nodiscard]] bool ensure_capacity(byte_use use, std::size_t bytes);
   /// Returns whether the limit of `use` allows `bytes` to be held in total.
   [[nodiscard]] bool is_within_limit(byte_use use, std::size_t bytes) const;
--- a/src/flow/stream_window.h
+++ b/src/flow/stream_window.h
@@ -9,19 +9,19 @@
 
 namespace spurrack::flow {
 
-/// Effect of an operation on a window.
+/// Whether an operation closed or opened the window.
 enum class window_change : std::uint8_t { none, closed, opened };
 
-/// Starts open. Not thread-safe.
+/// Closed while reading from the replica is paused. Starts open. Not thread-safe.
 class stream_window {
  public:
   /// Window size while memory is plentiful: with events of 100 bytes every 20 ms, a client may read
   /// nothing for 13 s before reading from its replica is paused.
   static constexpr std::size_t max_window_bytes = 65'536;
-  /// Window size once the budget is exhausted: one read from the replica.
+  /// Window size once the byte budget is exhausted: the size of one read from the replica.
   static constexpr std::size_t min_window_bytes = 8'192;
-  /// Fraction of the window size at which a closed window reopens: the margin keeps it from opening
-  /// and closing with each event.
+  /// Fraction of the window size to which the unread bytes must fall before a closed window
+  /// reopens: otherwise it might open and close with each event.
   static constexpr double reopen_fraction = 0.5;
 
   explicit stream_window(base::time_point now) : last_progress_at_(now) {}
@@ -31,10 +31,10 @@
   window_change add(std::size_t bytes, double utilization, base::time_point now);
   /// Records bytes that the client read.
   window_change consume(std::size_t bytes, base::time_point now);
-  /// Opens the window and keeps it open whatever the client has left unread, until `close`: the
-  /// stream is buffered although its client does not read.
+  /// Opens the window and keeps it open until `close`, however many bytes are unread: the stream is
+  /// buffered although its client does not read.
   window_change start_read_ahead(base::time_point now);
-  /// Ends reading ahead and closes the window, since there is no memory for it.
+  /// Ends reading ahead, for which there is no more memory, and closes the window.
   window_change close(base::time_point now);
 
   [[nodiscard]] bool is_open() const { return is_open_; }
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -1,12 +1,13 @@
 /// Keeps the requests per second that all nodes together send to a replica within the limit that
 /// the replica announces. No I/O: messages are queued until `take_messages`.
 ///
-/// `self_reports` provides the announced limits. One node, chosen by rendezvous hashing among
-/// the nodes of the replica's zone, issues permits for the replica at the announced rate, and each
-/// send spends one permit (leases of a shared rate, as in the paper on sharing networked resources
-/// that docs/design/rate-limits.md cites). In a partitioned fleet, an issuer scales the rate by the
-/// fraction of the fleet that it can reach: more than half of the fleet issues the whole limit, any
-/// smaller part its fraction, so that the two sides of a partition keep the limit together.
+/// `self_reports` provides the announced limits. One node, chosen by rendezvous hashing among the
+/// nodes of the replica's zone, issues permits for the replica at the announced rate, and each send
+/// spends one permit (leases of a shared rate, as in the paper on sharing networked resources that
+/// docs/design/rate-limits.md cites). In a partitioned fleet, an issuer scales the rate by the
+/// fraction of the fleet that it can reach: if that is more than half, it issues permits for the
+/// whole limit, otherwise for that fraction of the limit, so that the two sides of a partition do
+/// not both issue the whole limit.
 #pragma once
 
 #include "base/ids.h"
@@ -67,10 +68,10 @@
   [[nodiscard]] bool may_send(const base::replica_id& replica, base::time_point now) const;
   /// Records that a request is sent, which spends a permit if the replica is limited.
   void note_sent(const base::replica_id& replica, base::time_point now);
-  /// Records that a request could be sent to a limited replica but for the lack of a permit.
+  /// Records that only the lack of a permit kept a request from being sent to a limited replica.
   void note_unmet_demand(const base::replica_id& replica, base::time_point now);
   /// Records the number of requests that wait for a limited replica and cannot be sent to any other
-  /// now.
+  /// replica now.
   void note_waiting(const base::replica_id& replica, std::uint32_t count, base::time_point now);
 
   /// Discards the permits that this node holds or could issue, after a suspension of this process.
@@ -86,8 +87,8 @@
   [[nodiscard]] const limit_counts& counts() const { return counts_; }
   /// Returns the node that issues permits for a replica, from the view of this node.
   [[nodiscard]] base::node_id issuer_of(const base::replica_id& replica) const;
-  /// Returns the permits held for a replica; null if this node has not needed any since the replica
-  /// is limited.
+  /// Returns the permits held for a replica; null if this node has needed none since the replica
+  /// announced a limit.
   [[nodiscard]] const permit_stock* stock_of(const base::replica_id& replica) const;
 
  private:
@@ -102,9 +103,9 @@
   /// @param count 0 withdraws the pending query.
   void add_query(const base::replica_id& replica, std::uint32_t count, message_map& messages,
                  base::time_point now);
-  /// Withdraws queries whose waiting requests no longer need permits, which would expire unused.
+  /// Withdraws queries for waiting requests that no longer need permits: the permits would expire.
   void withdraw_queries(message_map& messages, base::time_point now);
-  /// Issues the permits that are due as an issuer.
+  /// Issues the permits that are due for the replicas whose issuer this node is.
   void issue_permits(base::time_point now);
   /// Adds permits to the stock of a replica, or counts them as expired.
   void record_grant(const base::replica_id& replica, const permit_grant& grant,
@@ -124,19 +125,20 @@
   std::deque<base::replica_id> replicas_to_query_;
   /// The elements of `replicas_to_query_`.
   std::set<base::replica_id> queued_replicas_;
-  /// Replicas for which requests waited at the last query.
+  /// Replicas for which requests waited when their issuer was last queried.
   std::set<base::replica_id> replicas_with_waiting_requests_;
   std::map<base::node_id, serving::fleet_peer> peers_;
   std::map<base::zone_id, std::vector<base::node_id>> nodes_by_zone_;
   std::vector<base::node_id> nodes_;
-  /// Fraction of a limit that is issued among the nodes that this node can reach.
+  /// Fraction of a limit for which this node, as an issuer, issues permits; below 1 if it can reach
+  /// no more than half of the fleet.
   double issued_fraction_ = 1;
   /// Cache of `issuer_of`, cleared when the set of live nodes changes.
   mutable std::unordered_map<base::replica_id, base::node_id> issuer_by_replica_;
   /// Number of the last query; starts at the incarnation of this node.
   std::uint64_t query_number_;
   base::time_point next_query_at_;
-  /// std::nullopt if no query is pending at this node.
+  /// Time at which this node next issues permits; std::nullopt if no query to this node is pending.
   std::optional<base::time_point> next_issue_at_;
   base::time_point next_cleanup_at_;
   wire::outbox messages_;
--- a/src/rate_limits/permit_issuer.h
+++ b/src/rate_limits/permit_issuer.h
@@ -1,4 +1,4 @@
-/// Issues permits for one limited replica, at the rate that it announces, to the nodes that query
+/// Issues permits for one limited replica, at the rate that it announces, to the nodes that ask for
 /// them. Since a single node issues permits for all sends of the fleet, the limit is not split into
 /// fixed shares, and one node may use all of it. No I/O.
 #pragma once
@@ -13,8 +13,8 @@
 
 namespace spurrack::rate_limits {
 
-/// Time after its receipt at which an unused permit expires: a node that accumulated permits would
-/// send a burst later.
+/// Time after which a received permit expires: a node that accumulated unused permits would send a
+/// burst later.
 inline constexpr base::duration permit_lifetime = std::chrono::milliseconds(200);
 /// Time after which an unanswered query expires and is sent again: the querying node may have
 /// stopped, or its requests may have gone to other replicas.
@@ -25,7 +25,7 @@
   base::node_id node;
   /// Returned with the permits, so that the querying node can match them to the query.
   std::uint64_t number = 0;
-  /// Number of permits queried; 0 withdraws the earlier query of the node.
+  /// Number of permits requested; 0 withdraws the earlier query of the node.
   std::uint32_t count = 1;
   /// Whether requests wait at the node that cannot be sent to any other replica now.
   bool has_waiting_requests = false;
--- a/src/rate_limits/permit_stock.cc
+++ b/src/rate_limits/permit_stock.cc
@@ -5,15 +5,16 @@
 namespace spurrack::rate_limits {
 namespace {
 
-/// Window over which demand is measured, and for which permits are queried ahead: several one-way
-/// delays between nodes, and well within the lifetime of a permit.
+/// Time over which demand (requests that need a permit) is counted, and for which permits are
+/// queried in advance: several one-way delays between nodes, and well within the lifetime of a
+/// permit.
 constexpr base::duration demand_window = std::chrono::milliseconds(100);
-/// Demand per window from which on permits are queried ahead: with less demand most of them would
-/// expire.
+/// Demand per window from which on permits are queried in advance: with less demand most of these
+/// permits would expire unused.
 constexpr std::uint32_t min_demand_to_prefetch = 2;
-/// Time for which a report of waiting requests is valid. The dispatcher reports more often.
+/// Time for which a report of waiting requests is valid. The dispatcher repeats it more often.
 constexpr base::duration waiting_report_lifetime = std::chrono::milliseconds(60);
-/// Time for which sends are kept, for operators.
+/// Time for which the times of sends are kept, to show their number to operators.
 constexpr base::duration recent_window = std::chrono::seconds(4);
 
 } // namespace
--- a/src/rate_limits/permit_stock.h
+++ b/src/rate_limits/permit_stock.h
@@ -17,15 +17,15 @@
  public:
   [[nodiscard]] bool has_permit(base::time_point now) const;
   /// Records that a request is sent and spends the permit that expires first. The send counts as
-  /// demand, so that a node that sends many requests queries its next permits ahead.
+  /// demand, so that a node that sends many requests queries its next permits in advance.
   void note_sent(base::time_point now);
-  /// Records that a request could be sent to the replica now but for the lack of a permit.
+  /// Records that only the lack of a permit kept a request from being sent to the replica.
   void note_unmet_demand(base::time_point now);
-  /// Records the number of requests that wait for this replica and cannot be sent to any other now.
+  /// Records the number of requests that wait for this replica and can be sent to no other replica.
   void note_waiting(std::uint32_t count, base::time_point now);
-  /// Returns the number of permits that a query sent now should ask for: the expected demand
-  /// without the permits held. Such a query replaces the pending one. Returns 0 if the pending
-  /// query already asks for enough.
+  /// Returns the number of permits that a query sent now should ask for: the expected demand less
+  /// the permits held. Such a query replaces the pending query. Returns 0 if the pending query
+  /// already asks for enough.
   [[nodiscard]] std::uint32_t permits_to_request(base::time_point now) const;
   /// Returns whether a query is pending for waiting requests although the permits held cover the
   /// expected demand.
@@ -34,17 +34,15 @@
   void note_query_withdrawn() { query_->outstanding = 0; }
   /// Records that a query for `count` permits is sent.
   void note_query_sent(std::uint64_t number, std::uint32_t count, base::time_point now);
-  /// Returns whether requests were recently reported to wait that cannot be sent to any other
-  /// replica.
+  /// Returns whether `note_waiting` recently reported waiting requests.
   [[nodiscard]] bool has_waiting_requests(base::time_point now) const;
-  /// Adds permits.
-  /// @return false, with nothing added, if they do not answer a valid query of this node.
+  /// Adds permits that an issuer granted.
+  /// @return false, with nothing added, if the grant does not answer a valid query of this node.
   bool add(const permit_grant& grant, base::time_point now);
   /// Discards the permits held and the pending query, and causes permits in transit to be rejected:
   /// this process was suspended.
   void clear();
 
-  /// Returns the number of permits held.
   [[nodiscard]] std::size_t held(base::time_point now) const;
   /// Returns the number of sends within the last four seconds.
   [[nodiscard]] std::size_t recent_sends(base::time_point now) const;
