--- a/tests/engines/engine_fleet.h
+++ b/tests/engines/engine_fleet.h
@@ -1,6 +1,6 @@
-/// Simulated fleet without a network: callers, each with its own view of the fleet, and engines
-/// with a simple prefix cache. Compares strategies to choose engines by the number of tokens that
-/// are prefilled again and by the balance of the load.
+/// Simulated fleet without a network: callers (nodes that send prompts), each with its own view of
+/// the fleet, and engines with a simple prefix cache. Compares strategies to choose engines by the
+/// number of tokens that are prefilled again and by the balance of the load.
 #pragma once
 
 #include "base/random.h"
@@ -29,7 +29,8 @@
 /// Kind of prompt: its shared parts, its own tokens and the tokens of the answer.
 struct prompt_kind {
   double per_second = 0;
-  /// Number of distinct parts of a level, and mean and spread of their length in tokens.
+  /// Position of a shared part in the prompt: number of distinct parts that requests have there,
+  /// and mean and spread of their length in tokens.
   struct level {
     std::uint32_t distinct = 1;
     double tokens = 0;
@@ -43,6 +44,7 @@
   double hot_fraction = 0;
 };
 
+/// Size, load and disturbances of a simulated fleet.
 struct fleet_shape {
   std::size_t callers = 71;
   std::size_t engines = 140;
@@ -69,8 +71,9 @@
   double prefilled_tokens = 0;
   /// Tokens of shared parts that some engine had prefilled before.
   double repeated_tokens = 0;
-  /// Of the repeated tokens, tokens of parts before the last shared one.
+  /// Part of `repeated_tokens`: the tokens of shared parts other than the last shared part.
   double repeated_first_part_tokens = 0;
+  /// Prefill time of the busiest engine, divided by the mean of the engines.
   double max_to_mean_load = 0;
   /// Prefill time per engine of the busiest zone, divided by the mean of the zones.
   double max_zone_to_mean_load = 0;
@@ -195,7 +198,7 @@
     base::zone_id zone;
     double speed = 1;
     engine_memory memory;
-    /// Time, in seconds, at which the prefill of all prompts, one after the other, is done.
+    /// Time, in seconds, at which the engine has prefilled all its prompts, one after the other.
     double free_at = 0;
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -390,7 +393,7 @@
         std::max(from.max_bytes_in_one_second, from.bytes_in_current_second);
   }
 
-  /// Returns the number of tokens of the prompt that the engine prefills, and caches its parts.
+  /// Returns the number of tokens of a prompt that the engine has to prefill, and caches the parts.
   double tokens_to_prefill(engine& target, const request_content& content) {
     double uncached_tokens = 0;
     bool is_cached = true;
--- a/tests/engines/placement_test.cc
+++ b/tests/engines/placement_test.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Strategy of the product, with or without reports to other nodes.
+/// Chooses engines as production nodes do, with or without reports to other nodes.
 class directory_caller final : public caller_strategy {
  public:
   directory_caller(const fleet_peer& self, const replica_table& table, base::random_source& random,
--- a/tests/flow/answer_memory_test.cc
+++ b/tests/flow/answer_memory_test.cc
@@ -132,7 +132,7 @@
   }
   BOOST_TEST(active.empty());
   BOOST_TEST(completed + aborted == answers);
-  // The first answer keeps the memory until it is complete; answers that hold none are not aborted.
+  // The first answer keeps its memory until it is complete; answers without memory are not aborted.
   BOOST_TEST(completed >= 1U);
   BOOST_TEST(budget->held() == 0U);
 }
--- a/tests/rate_limits/limit_policies_test.cc
+++ b/tests/rate_limits/limit_policies_test.cc
@@ -28,7 +28,7 @@
 const base::replica_id replica("r");
 const base::zone_id zone("a");
 constexpr base::duration step = milliseconds(5);
-/// Time that a request waits to be sent before it is dropped.
+/// Time for which a request waits for a replica before it is dropped.
 constexpr base::duration max_wait = seconds(2);
 
 /// Policy that decides whether a node may send a request to the replica now.
@@ -106,7 +106,7 @@
   std::vector<serving::cold_bucket> buckets_;
 };
 
-/// The exchange of the product, with a message delay of one step.
+/// `limit_exchange`, with a message delay of one step.
 class issued_permits final : public policy {
  public:
   issued_permits(std::size_t nodes, double limit, std::uint64_t seed, base::time_point now)
--- a/tests/rate_limits/limited_calls_test.cc
+++ b/tests/rate_limits/limited_calls_test.cc
@@ -79,7 +79,7 @@
   for (base::caller_id client = 1; node.now - started_at < seconds(30); ++client) {
     node.arrive(client, "/staged/", {3, 1});
     node.pass(milliseconds(1000));
-    // The pool answers its calls; each result causes one more call, which frees it.
+    // The replica answers its stage calls; each result causes one more call, which frees it.
     const auto calls = node.all<start_stage_call>();
     for (; answered_calls < calls.size(); ++answered_calls) {
       node.deliver_self_report(calls[answered_calls].call, limited_node::limited(limit));
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -1,7 +1,7 @@
 /// Simulated fleet of dispatchers and replicas in virtual time. The replicas report their own state
-/// in their answers: the requests per second that they accept, that they drain, and a backoff.
-/// Requests are counted as they arrive at each replica: from all nodes, and from nodes that had
-/// received such an answer.
+/// in their answers: the requests per second that they accept, whether they drain, and a requested
+/// backoff. Requests are counted as they arrive at each replica: from all nodes, and from nodes
+/// that had received such an answer.
 #pragma once
 
 #include "serving_fixture.h"
@@ -35,7 +35,7 @@
   base::duration step = milliseconds(1);
 };
 
-/// Number of requests sent, and of their outcomes.
+/// Number of requests that clients sent, in total and by outcome.
 struct request_counts {
   std::size_t sent = 0;
   std::size_t served = 0;
@@ -49,7 +49,7 @@
     base::time_point at;
     base::time_point sent_at;
     std::size_t node = 0;
-    /// Whether the node had received an answer with the limit half a second before or earlier.
+    /// Whether the node had received an answer with the limit at least half a second before.
     bool node_knows_limit = false;
   };
   struct emulated_replica {
@@ -65,7 +65,7 @@
     base::time_point refuses_until;
     /// Backoff that its refusals request.
     base::duration requested_backoff{};
-    /// Backoff that a node was requested, from the time at which the node received the answer.
+    /// Backoff that this replica requested of a node; begins when the node receives the request.
     struct backoff_request {
       std::size_t node = 0;
       base::time_point from;
@@ -121,7 +121,7 @@
                           1000 + replica.incarnation);
   }
 
-  /// Restarts a replica under its id. It announces nothing afterwards.
+  /// Restarts a replica under its id. The new incarnation has no limit and does not drain.
   void restart_replica(unsigned index) {
     auto& replica = replicas[index];
     ++replica.incarnation;
@@ -144,7 +144,7 @@
   /// Has the answers of a replica announce from now on that it drains.
   void begin_draining(unsigned index) { replicas[index].is_draining = true; }
 
-  /// Has a replica refuse all requests for `span`, and request a backoff of each node.
+  /// Has a replica refuse all requests for `span`, and request a backoff with each refusal.
   void refuse_requests(unsigned index, base::duration span, base::duration requested_backoff) {
     replicas[index].refuses_until = now + span;
     replicas[index].requested_backoff = requested_backoff;
@@ -212,8 +212,8 @@
     }
   }
 
-  /// Partitions the fleet: a node reaches the nodes for which `part` returns the same value; the
-  /// others are known to it and considered dead.
+  /// Partitions the fleet: a node reaches the nodes for which `part` returns the same value, and
+  /// knows the other nodes but considers them dead.
   void partition(std::function<std::size_t(std::size_t)> part) {
     partition_of = std::move(part);
     for (std::size_t index = 0; index < nodes.size(); ++index) {
@@ -243,7 +243,7 @@
     }
   }
 
-  /// Sends requests to the nodes that `choose_node` returns, `per_second` of them on average.
+  /// Sends `per_second` requests on average, for `span`, to the nodes that `choose_node` returns.
   void load(double per_second, base::duration span,
             const std::function<std::size_t()>& choose_node) {
     const auto end = now + span;
@@ -309,8 +309,9 @@
     node.wakeup_at = now;
   }
 
-  /// Returns the maximum number of requests in any span of `length` that ends after `since`, from
-  /// nodes that knew the limit, or from all nodes.
+  /// Returns the maximum number of requests that a replica got in any span of `length` that ends
+  /// after `since`.
+  /// @param only_knowing_nodes whether only requests of nodes that knew the limit are counted.
   [[nodiscard]] std::size_t max_arrivals_within(unsigned index, base::duration length,
                                                 base::time_point since,
                                                 bool only_knowing_nodes) const {
@@ -346,7 +347,7 @@
   std::vector<emulated_node> nodes;
   request_counts counts;
   std::function<std::size_t(std::size_t)> partition_of = [](std::size_t) { return 0; };
-  /// Values of Retry-After in refusals of the nodes.
+  /// Values of Retry-After in the nodes' refusals to clients.
   std::vector<base::duration> return_times;
 
  private:
--- a/tests/rate_limits/limited_replica_test.cc
+++ b/tests/rate_limits/limited_replica_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Time within which a limit is known to all nodes that are not partitioned.
+/// Time after which all nodes that are not partitioned know a limit.
 constexpr base::duration convergence_time = seconds(3);
 
 /// Returns the number of requests that a replica with a constant limit may get in four seconds.
@@ -191,7 +191,7 @@
 BOOST_AUTO_TEST_CASE(limits_that_change_often_are_kept) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .nodes = 8, .zones = 2, .replicas = 4});
-    // The largest limit in effect in a window bounds the requests in that window.
+    // The largest limit that is in effect within four seconds bounds the requests in that time.
     const std::vector<std::optional<double>> values{4.0, 2.0, 8.0, 4.0};
     fleet.set_limit(0, 4.0);
     const auto converged_at = fleet.now + convergence_time;
