--- a/src/engines/engine_directory.cc
+++ b/src/engines/engine_directory.cc
@@ -71,8 +71,8 @@
 const fleet_peer* engine_directory::accounting_node_of(const model::replica& engine) const {
   const auto seed = base::stable_hash(engine.id.text());
   const fleet_peer* best = nullptr;
-  const bool self_is_near = regions_.are_in_same_region(engine.zone, self_.zone);
-  std::uint64_t best_rank = self_is_near ? base::stable_hash(self_.node.text(), seed) : 0;
+  const bool self_is_in_same_region = regions_.are_in_same_region(engine.zone, self_.zone);
+  std::uint64_t best_rank = self_is_in_same_region ? base::stable_hash(self_.node.text(), seed) : 0;
   for (const auto& peer : peers_) {
     if (!regions_.are_in_same_region(engine.zone, peer.zone)) {
       continue;
@@ -195,9 +195,9 @@
                                                    base::time_point now) const {
   const auto replica_count = engines / engines_per_prefix_replica;
   const double nodes = static_cast<double>(peers_.size()) + 1;
-  const double busy =
+  const double busy_engines =
       sending_rate_.tokens_per_second(now) * nodes / prefill_rate_.tokens_per_second();
-  const bool is_idle = busy <= max_idle_utilization * static_cast<double>(replica_count);
+  const bool is_idle = busy_engines <= max_idle_utilization * static_cast<double>(replica_count);
   return replica_count >= min_prefix_replicas && is_idle ? replica_count : engines;
 }
 
--- a/src/flow/answer_memory.cc
+++ b/src/flow/answer_memory.cc
@@ -15,7 +15,7 @@
          budget_->is_within_limit(byte_use::lone_answer, remaining_bytes + first_unmet_bytes_);
 }
 
-const answer_memory* answer_queue::last_waiting_holder() const {
+const answer_memory* answer_queue::last_waiting_answer_with_memory() const {
   const auto found = std::find_if(waiting_.rbegin(), waiting_.rend(),
                                   [](const answer_memory* answer) { return answer->bytes() > 0; });
   return found == waiting_.rend() ? nullptr : *found;
@@ -71,7 +71,8 @@
     queue_->first_unmet_bytes_ = additional_bytes;
     return memory_verdict::wait;
   }
-  const bool should_abort = queue_->can_unblock_first() && queue_->last_waiting_holder() == this;
+  const bool should_abort =
+      queue_->can_unblock_first() && queue_->last_waiting_answer_with_memory() == this;
   return should_abort ? memory_verdict::abort_answer : memory_verdict::wait;
 }
 
--- a/src/flow/answer_memory.h
+++ b/src/flow/answer_memory.h
@@ -36,7 +36,7 @@
   /// answer of the queue. If other uses hold the memory, aborting an answer does not help.
   [[nodiscard]] bool can_unblock_first() const;
   /// Returns the last answer in the queue that holds memory; null if none does.
-  [[nodiscard]] const answer_memory* last_waiting_holder() const;
+  [[nodiscard]] const answer_memory* last_waiting_answer_with_memory() const;
 
   std::shared_ptr<byte_budget> budget_;
   std::list<answer_memory*> waiting_;
--- a/src/rate_limits/limit_exchange.cc
+++ b/src/rate_limits/limit_exchange.cc
@@ -253,7 +253,7 @@
   }
 }
 
-void limit_exchange::forget_unlimited(base::time_point now) {
+void limit_exchange::forget_stocks_without_limit(base::time_point now) {
   if (stocks_.empty() || now < next_cleanup_at_) {
     return;
   }
@@ -265,7 +265,7 @@
 void limit_exchange::advance(base::time_point now) {
   query_issuers(now);
   issue_permits(now);
-  forget_unlimited(now);
+  forget_stocks_without_limit(now);
 }
 
 std::optional<base::time_point> limit_exchange::next_wakeup() const {
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -111,7 +111,7 @@
   void record_grant(const base::replica_id& replica, const permit_grant& grant,
                     base::time_point now);
   /// Forgets the permits for replicas that no longer announce a limit.
-  void forget_unlimited(base::time_point now);
+  void forget_stocks_without_limit(base::time_point now);
   void send(message_map messages);
   /// Returns the permits per second that this node issues for a limit.
   [[nodiscard]] double issue_rate_of(double per_second) const;
--- a/tests/engines/engine_fleet.h
+++ b/tests/engines/engine_fleet.h
@@ -125,7 +125,7 @@
     lru_.splice(lru_.begin(), lru_, found->second);
     return true;
   }
-  void keep(const std::string& part, std::uint32_t tokens) {
+  void add(const std::string& part, std::uint32_t tokens) {
     if (use(part)) {
       return;
     }
@@ -203,7 +203,7 @@
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint64_t running_tokens = 0;
-    double busy = 0;
+    double busy_seconds = 0;
   };
   struct caller {
     fleet_peer self;
@@ -300,11 +300,11 @@
       path += "/" + std::to_string(is_hot ? 0 : random_.below(level.distinct));
       // A part of a later level always follows the same part of the level before.
       if (level.distinct > 100 && kind.shared.size() > 1) {
-        const auto thing = is_hot ? 0 : random_.below(level.distinct);
-        const auto parent =
-            std::to_string(kind_index) + "/" + std::to_string(thing % kind.shared.front().distinct);
+        const auto part_number = is_hot ? 0 : random_.below(level.distinct);
+        const auto parent = std::to_string(kind_index) + "/" +
+                            std::to_string(part_number % kind.shared.front().distinct);
         content->prompt_parts.front() = {parent, part_length(parent, kind.shared.front())};
-        path = parent + "/" + std::to_string(thing);
+        path = parent + "/" + std::to_string(part_number);
       }
       content->prompt_parts.push_back({path, part_length(path, level)});
     }
@@ -333,19 +333,19 @@
 
   void send_prompt(std::size_t kind) {
     const auto content = draw_prompt(kind);
-    auto& from = *callers_[random_.below(callers_.size())];
+    auto& sender = *callers_[random_.below(callers_.size())];
     const std::set<base::replica_id> none;
     const auto everywhere = model::residency::everywhere();
     const replica_demand demand{service_, *content, everywhere, none};
-    const auto* chosen = from.strategy->chooser().choose(demand, time_now());
+    const auto* chosen = sender.strategy->chooser().choose(demand, time_now());
     if (chosen == nullptr) {
       return;
     }
     const auto id = chosen->record->id;
-    from.table->call_started(id, time_now());
-    from.strategy->note_sent(*chosen, *content, time_now());
-    deliver_messages(from);
-    run(kind, from, engines_.at(id.text()), content);
+    sender.table->call_started(id, time_now());
+    sender.strategy->note_sent(*chosen, *content, time_now());
+    deliver_messages(sender);
+    run(kind, sender, engines_.at(id.text()), content);
   }
 
   void connect_callers() {
@@ -361,10 +361,10 @@
   }
 
   /// Delivers the messages of a caller after a delay of 2 ms.
-  void deliver_messages(caller& from) {
-    for (auto& outgoing : from.strategy->take_messages()) {
+  void deliver_messages(caller& sender) {
+    for (auto& outgoing : sender.strategy->take_messages()) {
       auto& message = outgoing.message;
-      message.set_sender(from.self.node.text());
+      message.set_sender(sender.self.node.text());
       message.set_sender_incarnation(1'791'999'664'651'219);
       message.set_sender_zone("zone-some-name");
       message.set_sender_address("127.100.100.100:41000");
@@ -372,25 +372,25 @@
       message.mutable_sent_at()->set_logical(3);
       message.set_catalog_hash(~0ULL);
       message.set_sender_processor_share(0.12F);
-      count_bytes(from, message.ByteSizeLong());
-      auto& to = *callers_.at(std::stoul(outgoing.to.text()));
-      at(now_ + 0.002, [this, &to, news = message.engine_news()] {
-        to.strategy->handle(news, time_now());
-        deliver_messages(to);
+      count_bytes(sender, message.ByteSizeLong());
+      auto& receiver = *callers_.at(std::stoul(outgoing.to.text()));
+      at(now_ + 0.002, [this, &receiver, news = message.engine_news()] {
+        receiver.strategy->handle(news, time_now());
+        deliver_messages(receiver);
       });
     }
   }
 
-  void count_bytes(caller& from, std::size_t bytes) {
-    from.bytes_sent += bytes;
+  void count_bytes(caller& sender, std::size_t bytes) {
+    sender.bytes_sent += bytes;
     const auto second = static_cast<long>(now_);
-    if (second != from.second) {
-      from.second = second;
-      from.bytes_in_current_second = 0;
+    if (second != sender.second) {
+      sender.second = second;
+      sender.bytes_in_current_second = 0;
     }
-    from.bytes_in_current_second += bytes;
-    from.max_bytes_in_one_second =
-        std::max(from.max_bytes_in_one_second, from.bytes_in_current_second);
+    sender.bytes_in_current_second += bytes;
+    sender.max_bytes_in_one_second =
+        std::max(sender.max_bytes_in_one_second, sender.bytes_in_current_second);
   }
 
   /// Returns the number of tokens of a prompt that the engine has to prefill, and caches the parts.
@@ -407,42 +407,42 @@
           repeated_tokens_ += part.tokens;
           repeated_first_part_tokens_ += index + 2 < content.prompt_parts.size() ? part.tokens : 0;
         }
-        target.memory.keep(part.id, part.tokens);
+        target.memory.add(part.id, part.tokens);
       }
     }
     return uncached_tokens;
   }
 
-  void run(std::size_t kind, caller& from, engine& target,
+  void run(std::size_t kind, caller& sender, engine& target,
            const std::shared_ptr<request_content>& content) {
     const double uncached_tokens = tokens_to_prefill(target, *content);
     const double prefill_seconds = uncached_tokens * target.speed / shape_.tokens_per_second;
     prefilled_tokens_ += uncached_tokens;
-    target.busy += prefill_seconds;
+    target.busy_seconds += prefill_seconds;
     const double sent_at = now_;
     target.free_at = std::max(target.free_at, now_) + prefill_seconds;
     ++target.waiting;
     const auto total = content->prompt_tokens + content->output_tokens;
-    at(target.free_at, [this, kind, &from, &target, content, sent_at, total] {
+    at(target.free_at, [this, kind, &sender, &target, content, sent_at, total] {
       --target.waiting;
       ++target.running;
       target.running_tokens += total;
       max_memory_utilization_ =
           std::max(max_memory_utilization_, static_cast<double>(target.running_tokens) /
                                                 static_cast<double>(shape_.memory_tokens));
-      from.table->note_load(base::replica_id(target.name), {target.running, target.waiting, 64},
-                            time_now());
-      from.strategy->note_first_event(*content, base::from_seconds(now_ - sent_at));
+      sender.table->note_load(base::replica_id(target.name), {target.running, target.waiting, 64},
+                              time_now());
+      sender.strategy->note_first_event(*content, base::from_seconds(now_ - sent_at));
       first_event_seconds_.push_back(now_ - sent_at);
       if (kind == 0) {
         first_event_seconds_of_first_kind_.push_back(now_ - sent_at);
       }
       const double decode_seconds =
           content->output_tokens * shape_.seconds_per_output_token * (1 + 0.05 * target.running);
-      at(now_ + decode_seconds, [&from, &target, total] {
+      at(now_ + decode_seconds, [&sender, &target, total] {
         --target.running;
         target.running_tokens -= total;
-        from.table->call_ended(base::replica_id(target.name));
+        sender.table->call_ended(base::replica_id(target.name));
       });
     });
   }
@@ -457,9 +457,9 @@
     std::map<base::zone_id, double> busy_by_zone;
     std::map<base::zone_id, double> engines_by_zone;
     for (const auto& [name, each] : engines_) {
-      total_busy += each.busy;
-      max_busy = std::max(max_busy, each.busy);
-      busy_by_zone[each.zone] += each.busy / each.speed;
+      total_busy += each.busy_seconds;
+      max_busy = std::max(max_busy, each.busy_seconds);
+      busy_by_zone[each.zone] += each.busy_seconds / each.speed;
       ++engines_by_zone[each.zone];
     }
     double max_zone_busy = 0;
--- a/tests/engines/placement_test.cc
+++ b/tests/engines/placement_test.cc
@@ -111,7 +111,7 @@
 }
 
 constexpr std::uint64_t seeds[] = {1, 2, 3};
-constexpr double max_bytes = 2'000;
+constexpr double max_allowed_bytes_per_second = 2'000;
 
 } // namespace
 
@@ -213,8 +213,10 @@
     }
     const auto result = simulate(shape, true);
     BOOST_TEST_MESSAGE(size << " nodes: " << text_of(result));
-    BOOST_TEST(result.mean_bytes_per_second <= max_bytes, size << " nodes: " << text_of(result));
-    BOOST_TEST(result.max_bytes_per_second <= max_bytes, size << " nodes: " << text_of(result));
+    BOOST_TEST(result.mean_bytes_per_second <= max_allowed_bytes_per_second,
+               size << " nodes: " << text_of(result));
+    BOOST_TEST(result.max_bytes_per_second <= max_allowed_bytes_per_second,
+               size << " nodes: " << text_of(result));
   }
 }
 
--- a/tests/rate_limits/limit_policies_test.cc
+++ b/tests/rate_limits/limit_policies_test.cc
@@ -52,7 +52,7 @@
 class few_callers final : public policy {
  public:
   few_callers(std::size_t nodes, double limit, base::time_point now)
-      : share_(serving::cold_call_quota_of({1, 0}, limit, false)), buckets_(nodes) {
+      : quota_(serving::cold_call_quota_of({1, 0}, limit, false)), buckets_(nodes) {
     std::vector<base::node_id> names;
     for (std::size_t node = 0; node < nodes; ++node) {
       names.push_back(name_of(node));
@@ -67,16 +67,16 @@
   void note_waiting(std::size_t /*node*/, std::size_t /*waiting*/,
                     base::time_point /*now*/) override {}
   bool try_send(std::size_t node, base::time_point now) override {
-    const bool may_send = callers_[node].includes_self(replica, zone, share_.callers) &&
-                          buckets_[node].has_token(share_, now);
+    const bool may_send = callers_[node].includes_self(replica, zone, quota_.callers) &&
+                          buckets_[node].has_token(quota_, now);
     if (may_send) {
-      buckets_[node].take_token(share_, now);
+      buckets_[node].take_token(quota_, now);
     }
     return may_send;
   }
 
  private:
-  serving::cold_call_quota share_;
+  serving::cold_call_quota quota_;
   std::vector<serving::cold_callers> callers_;
   std::vector<serving::cold_bucket> buckets_;
 };
@@ -85,7 +85,7 @@
 class equal_shares final : public policy {
  public:
   equal_shares(std::size_t nodes, double limit, base::time_point now)
-      : share_{nodes, limit / static_cast<double>(nodes)}, buckets_(nodes) {
+      : quota_{nodes, limit / static_cast<double>(nodes)}, buckets_(nodes) {
     for (auto& bucket : buckets_) {
       bucket.start(now);
     }
@@ -94,15 +94,15 @@
   void note_waiting(std::size_t /*node*/, std::size_t /*waiting*/,
                     base::time_point /*now*/) override {}
   bool try_send(std::size_t node, base::time_point now) override {
-    const bool may_send = buckets_[node].has_token(share_, now);
+    const bool may_send = buckets_[node].has_token(quota_, now);
     if (may_send) {
-      buckets_[node].take_token(share_, now);
+      buckets_[node].take_token(quota_, now);
     }
     return may_send;
   }
 
  private:
-  serving::cold_call_quota share_;
+  serving::cold_call_quota quota_;
   std::vector<serving::cold_bucket> buckets_;
 };
 
@@ -193,7 +193,7 @@
   policy_result result;
   double arrivals_due = 0;
   std::size_t served = 0;
-  double waited = 0;
+  double total_wait_seconds = 0;
   base::duration time_with_waiting{};
   std::uint64_t messages_before = 0;
   for (; now < end; now += step) {
@@ -216,7 +216,7 @@
       while (!queue.empty() && subject.try_send(node, now)) {
         sent.push_back(now);
         served += now >= counted_from ? 1 : 0;
-        waited += now >= counted_from ? base::to_seconds(now - queue.front()) : 0;
+        total_wait_seconds += now >= counted_from ? base::to_seconds(now - queue.front()) : 0;
         queue.pop_front();
       }
       if (!queue.empty()) {
@@ -230,7 +230,7 @@
   }
   result.used_fraction =
       static_cast<double>(served) / (limit * base::to_seconds(time_with_waiting));
-  result.mean_wait_seconds = served == 0 ? 0 : waited / static_cast<double>(served);
+  result.mean_wait_seconds = served == 0 ? 0 : total_wait_seconds / static_cast<double>(served);
   result.messages_per_second_and_node = static_cast<double>(subject.messages() - messages_before) /
                                         base::to_seconds(span) / static_cast<double>(nodes);
   return result;
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -68,8 +68,8 @@
     /// Backoff that this replica requested of a node; begins when the node receives the request.
     struct backoff_request {
       std::size_t node = 0;
-      base::time_point from;
-      base::time_point until;
+      base::time_point begins_at;
+      base::time_point ends_at;
     };
     std::vector<backoff_request> requested_backoffs;
     /// Time at which each node first received an answer that announced the draining.
@@ -181,8 +181,8 @@
           return std::any_of(replica.requested_backoffs.begin(), replica.requested_backoffs.end(),
                              [&](const auto& backoff) {
                                return backoff.node == request.node &&
-                                      backoff.from < request.sent_at &&
-                                      request.sent_at < backoff.until;
+                                      backoff.begins_at < request.sent_at &&
+                                      request.sent_at < backoff.ends_at;
                              });
         }));
   }
--- a/tests/rate_limits/limited_replica_test.cc
+++ b/tests/rate_limits/limited_replica_test.cc
@@ -101,8 +101,8 @@
   check_use("one node", 60, [](limited_fleet&) { return std::size_t{5}; });
   check_use("one zone", 60, [](limited_fleet& fleet) { return 4 * fleet.random.below(4) + 1; });
   check_use("bursts", 60, [](limited_fleet& fleet) {
-    const auto tenths = base::to_milliseconds(fleet.now.time_since_epoch()) / 400;
-    return static_cast<std::size_t>(tenths % 16);
+    const auto burst_number = base::to_milliseconds(fleet.now.time_since_epoch()) / 400;
+    return static_cast<std::size_t>(burst_number % 16);
   });
 }
 
