--- a/tests/engines/engine_directory_test.cc
+++ b/tests/engines/engine_directory_test.cc
@@ -135,7 +135,7 @@
   BOOST_TEST((fleet.wait_at(1, fleet.engine("engine-3")) == milliseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(accounting_moves_to_another_node_if_its_node_is_dead) {
+BOOST_AUTO_TEST_CASE(accounting_moves_to_another_node_if_the_accounting_node_is_dead) {
   directory_fleet fleet(9);
   const auto& busy = fleet.engine("engine-3");
   for (std::size_t dead_node = 0; dead_node < 9; ++dead_node) {
@@ -199,7 +199,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_wait_keeps_prompts_in_the_zone_of_their_stage_results) {
+BOOST_AUTO_TEST_CASE(prompts_that_avoid_a_wait_stay_in_the_zone_of_their_stage_results) {
   directory_fleet fleet(1);
   const distance from_here(fleet.peers[0].zone, two_regions_of_zones());
   least_loaded_chooser fallback(fleet.table.replicas, from_here, fleet.table.random);
@@ -224,7 +224,7 @@
   BOOST_TEST(moved == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(a_hot_prefix_gets_more_engines_alike_on_all_nodes) {
+BOOST_AUTO_TEST_CASE(all_nodes_send_a_hot_prefix_to_the_same_three_or_four_engines) {
   directory_fleet fleet(20);
   request_content content;
   content.model = "m";
--- a/tests/engines/first_byte_model_test.cc
+++ b/tests/engines/first_byte_model_test.cc
@@ -23,7 +23,7 @@
   BOOST_TEST(std::abs(base::to_milliseconds(model.expected(1000)) - 75) <= 2);
 }
 
-BOOST_AUTO_TEST_CASE(prompts_of_one_length_are_expected_to_take_the_mean) {
+BOOST_AUTO_TEST_CASE(after_calls_of_one_length_the_mean_time_is_expected_for_any_prompt) {
   first_byte_model model;
   for (const int milliseconds : {100, 200, 100, 200, 100, 200}) {
     model.note(500, std::chrono::milliseconds(milliseconds));
--- a/tests/engines/placement_test.cc
+++ b/tests/engines/placement_test.cc
@@ -127,7 +127,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_hot_prefix_under_load_is_prefilled_by_more_engines) {
+BOOST_AUTO_TEST_CASE(reports_between_nodes_make_fewer_prompts_with_a_hot_prefix_late) {
   double late_without_reports = 0;
   double late_with_reports = 0;
   for (const auto seed : seeds) {
@@ -157,7 +157,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(shared_reports_keep_repeated_prefills_few) {
+BOOST_AUTO_TEST_CASE(reports_between_nodes_add_few_repeated_prefills) {
   for (const auto seed : seeds) {
     for (const auto& shape : {large_prompts(seed), busy_region(seed)}) {
       const auto hash_only = simulate_hash_only(shape);
@@ -186,7 +186,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(shared_reports_make_fewer_prompts_late) {
+BOOST_AUTO_TEST_CASE(reports_between_nodes_make_fewer_prompts_late_during_an_evacuation) {
   double late_without_reports = 0;
   double late_with_reports = 0;
   for (const auto seed : seeds) {
--- a/tests/engines/prefix_placement_test.cc
+++ b/tests/engines/prefix_placement_test.cc
@@ -91,7 +91,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(removing_an_engine_moves_only_its_own_prompts) {
+BOOST_AUTO_TEST_CASE(removing_an_engine_moves_only_prompts_that_preferred_it) {
   engine_table table(60);
   engine_table smaller_table(60);
   const base::replica_id removed_id("engine-17");
@@ -109,7 +109,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(removing_an_engine_moves_no_other_prompt_with_the_same_first_part) {
+BOOST_AUTO_TEST_CASE(removing_an_engine_moves_no_prompt_of_other_engines_with_the_same_first_part) {
   engine_table table(60);
   engine_table smaller_table(60);
   const base::replica_id removed_id("engine-17");
@@ -127,7 +127,7 @@
   BOOST_TEST(moved == 0);
 }
 
-BOOST_AUTO_TEST_CASE(prefixes_of_different_models_differ) {
+BOOST_AUTO_TEST_CASE(equal_parts_of_different_models_have_different_hashes) {
   engine_table table(60);
   auto other_model = prompt("part");
   other_model.model = "n";
@@ -135,7 +135,7 @@
              shared_prompt_prefix_of(prompt("part")).last_part_hash);
 }
 
-BOOST_AUTO_TEST_CASE(a_report_contains_own_and_shared_tokens) {
+BOOST_AUTO_TEST_CASE(the_last_part_is_reported_as_own_tokens_and_the_others_as_shared_tokens) {
   const auto report = sent_prompt_of(prompt("first", 2'500, "last"));
   BOOST_TEST(report.own_tokens == 500U);
   BOOST_TEST(report.shared_tokens == 5'500U);
@@ -147,7 +147,7 @@
   BOOST_TEST(sent_prompt_of(no_shared_parts).shared_prefix == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(fewer_engines_for_a_first_part_are_a_subset_of_more_engines) {
+BOOST_AUTO_TEST_CASE(engines_for_a_first_part_stay_selected_if_more_are_requested) {
   const engine_table table(200);
   const auto prefix = shared_prompt_prefix_of(prompt("first", 2'500, "last"));
   const auto few_engines = engines_for_first_part(prefix, table.engines(), 16);
--- a/tests/flow/answer_memory_test.cc
+++ b/tests/flow/answer_memory_test.cc
@@ -42,7 +42,7 @@
   BOOST_TEST(answer->bytes() == 800U);
 }
 
-BOOST_AUTO_TEST_CASE(a_large_answer_waits_for_others_and_leaves_the_reserve_of_events) {
+BOOST_AUTO_TEST_CASE(a_large_answer_waits_for_a_small_one_and_leaves_a_tenth_of_memory_to_events) {
   auto small = begin();
   BOOST_TEST(is_granted(*small, 200));
   const auto large = begin();
@@ -64,7 +64,7 @@
   BOOST_CHECK(second->grow(100) == memory_verdict::wait);
 }
 
-BOOST_AUTO_TEST_CASE(of_deadlocked_answers_the_first_gets_the_reserve) {
+BOOST_AUTO_TEST_CASE(if_all_answers_wait_the_first_may_exceed_the_limit_of_whole_answers) {
   const auto first = begin();
   const auto second = begin();
   BOOST_TEST(is_granted(*first, 270));
@@ -77,7 +77,7 @@
   BOOST_TEST(second->bytes() == 270U);
 }
 
-BOOST_AUTO_TEST_CASE(if_the_reserve_is_too_small_the_last_answer_is_aborted) {
+BOOST_AUTO_TEST_CASE(if_the_first_waiting_answer_cannot_get_enough_memory_the_last_one_is_aborted) {
   const auto first = begin();
   auto second = begin();
   auto third = begin();
--- a/tests/flow/byte_budget_test.cc
+++ b/tests/flow/byte_budget_test.cc
@@ -55,7 +55,7 @@
   BOOST_TEST(budget->held() == 250U);
 }
 
-BOOST_AUTO_TEST_CASE(transfers_and_moves_keep_the_sum) {
+BOOST_AUTO_TEST_CASE(moving_a_reservation_keeps_the_sum_of_bytes_held) {
   const auto budget = std::make_shared<byte_budget>(capacity);
   {
     byte_reservation first(budget, byte_holder::request_bodies);
--- a/tests/flow/stream_window_test.cc
+++ b/tests/flow/stream_window_test.cc
@@ -57,7 +57,7 @@
   BOOST_CHECK(window.consume(11 * max_bytes, now) == window_change::opened);
 }
 
-BOOST_AUTO_TEST_CASE(only_unread_bytes_count_as_a_stall) {
+BOOST_AUTO_TEST_CASE(a_stall_lasts_only_while_bytes_are_unread) {
   now += milliseconds(5'000);
   BOOST_CHECK(window.stall_duration(now) == base::duration::zero());
   add(100);
@@ -67,7 +67,7 @@
   BOOST_CHECK(window.stall_duration(now) == base::duration::zero());
 }
 
-BOOST_AUTO_TEST_CASE(changes_alternate_and_unread_bytes_add_up) {
+BOOST_AUTO_TEST_CASE(a_window_closes_and_opens_in_turn_and_counts_unread_bytes) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     base::seeded_random random(seed);
     stream_window subject(now);
--- a/tests/rate_limits/limit_exchange_test.cc
+++ b/tests/rate_limits/limit_exchange_test.cc
@@ -93,7 +93,7 @@
 
 BOOST_AUTO_TEST_SUITE(limit_exchange_test)
 
-BOOST_AUTO_TEST_CASE(all_nodes_know_a_limit_and_its_end_within_three_seconds) {
+BOOST_AUTO_TEST_CASE(all_nodes_learn_that_a_limit_is_set_or_lifted_within_three_seconds) {
   for (const std::size_t size : {2U, 8U, 86U, 300U}) {
     for (const double loss_rate : {0.0, 0.3}) {
       exchange_fleet fleet(size, loss_rate);
@@ -119,7 +119,7 @@
   BOOST_TEST(fleet.nodes_with_limit(limited_replica) == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(bytes_are_bounded_while_all_replicas_announce_limits) {
+BOOST_AUTO_TEST_CASE(nodes_send_at_most_9_kb_per_second_while_all_replicas_announce_limits) {
   exchange_fleet fleet(86);
   for (int replica = 0; replica < 140; ++replica) {
     fleet.nodes[static_cast<std::size_t>(replica) % 86]->record_limit(
--- a/tests/rate_limits/limit_policies_test.cc
+++ b/tests/rate_limits/limit_policies_test.cc
@@ -261,7 +261,7 @@
 
 BOOST_AUTO_TEST_SUITE(limit_policies_test)
 
-BOOST_AUTO_TEST_CASE(issued_permits_keep_and_use_a_limit_unlike_other_policies) {
+BOOST_AUTO_TEST_CASE(with_issued_permits_nodes_stay_within_a_limit_and_use_most_of_it) {
   const base::time_point start{std::chrono::hours(1)};
   const std::vector<std::pair<std::string, policy_maker>> policies{
       {"few callers",
--- a/tests/rate_limits/limited_calls_test.cc
+++ b/tests/rate_limits/limited_calls_test.cc
@@ -42,7 +42,7 @@
   BOOST_TEST(node.called_since(commands_before).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(retries_count_like_first_sends) {
+BOOST_AUTO_TEST_CASE(retries_and_first_sends_together_stay_within_the_limit) {
   limited_node node;
   node.world.add_replica("plain-c", "plain", "a");
   node.subject.update(node.world.content, node.now);
@@ -70,7 +70,7 @@
   BOOST_TEST(node.subject.counts().retries > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(calls_with_pieces_and_freed_results_keep_the_limit) {
+BOOST_AUTO_TEST_CASE(calls_with_pieces_and_calls_that_free_results_stay_within_the_limit) {
   limited_node node;
   node.time_allowed = seconds(60);
   constexpr double limit = 2;
@@ -196,7 +196,7 @@
   BOOST_TEST(node.last<respond>().status == 200U);
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_of_a_replica_announces_its_limit_too) {
+BOOST_AUTO_TEST_CASE(a_limit_that_a_replica_announces_in_a_refusal_is_applied) {
   limited_node node;
   node.arrive(1, "/unsafe/");
   node.answer(node.last<start_call>().call, limited_node::limited(3),
--- a/tests/rate_limits/limited_replica_test.cc
+++ b/tests/rate_limits/limited_replica_test.cc
@@ -46,7 +46,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(any_limit_is_kept_and_used_at_any_fleet_size) {
+BOOST_AUTO_TEST_CASE(at_any_fleet_size_a_replica_gets_most_of_its_limit_and_no_more) {
   struct scenario {
     std::size_t nodes;
     double limit;
@@ -80,7 +80,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_limit_is_used_wherever_the_requests_arrive) {
+BOOST_AUTO_TEST_CASE(most_of_a_limit_is_used_whichever_nodes_get_the_requests) {
   constexpr double limit = 20;
   const auto check_use = [&](const std::string& description, double load,
                              const std::function<std::size_t(limited_fleet&)>& choose_node) {
@@ -106,7 +106,7 @@
   });
 }
 
-BOOST_AUTO_TEST_CASE(the_two_sides_of_a_partition_keep_a_limit_together) {
+BOOST_AUTO_TEST_CASE(both_halves_of_a_partitioned_fleet_together_stay_within_a_limit) {
   for (const double limit : {1.0, 40.0}) {
     limited_fleet fleet({.nodes = 8, .zones = 4, .replicas = 2});
     fleet.set_limit(0, limit);
@@ -162,7 +162,7 @@
   BOOST_TEST(fleet.nodes[0].subject->limits().limited_replicas() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_accepts_nothing_is_probed_rarely_and_used_again) {
+BOOST_AUTO_TEST_CASE(a_replica_that_accepts_nothing_is_probed_rarely_until_its_limit_is_lifted) {
   limited_fleet fleet({.nodes = 8, .zones = 2, .replicas = 4});
   fleet.set_limit(0, 0);
   fleet.load(40, convergence_time);
@@ -188,7 +188,7 @@
   BOOST_TEST(fleet.arrived_since(0, started_at) > 50U);
 }
 
-BOOST_AUTO_TEST_CASE(limits_that_change_often_are_kept) {
+BOOST_AUTO_TEST_CASE(a_replica_whose_limit_changes_often_gets_no_more_than_the_largest_limit) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .nodes = 8, .zones = 2, .replicas = 4});
     // The largest limit that is in effect within four seconds bounds the requests in that time.
--- a/tests/rate_limits/permit_issuer_test.cc
+++ b/tests/rate_limits/permit_issuer_test.cc
@@ -39,7 +39,7 @@
   BOOST_TEST(granted_to(issuer.issue(first_grant_at + milliseconds(100)), "a") == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(permits_accrue_at_the_rate_and_few_accumulate) {
+BOOST_AUTO_TEST_CASE(permits_accrue_at_the_rate_but_without_queries_only_for_a_tenth_of_a_second) {
   permit_issuer issuer(start);
   issuer.set_rate(20, start);
   const auto later = first_grant_at + seconds(60);
@@ -52,7 +52,7 @@
   BOOST_TEST(granted == 14U);
 }
 
-BOOST_AUTO_TEST_CASE(queries_are_served_in_turn_and_those_of_waiting_requests_first) {
+BOOST_AUTO_TEST_CASE(queries_are_served_in_turn_and_queries_for_waiting_requests_first) {
   permit_issuer issuer(start);
   issuer.set_rate(40, start);
   const auto now = first_grant_at + seconds(1);
@@ -77,7 +77,7 @@
   BOOST_TEST(!issuer.next_issue_at());
 }
 
-BOOST_AUTO_TEST_CASE(a_stock_queries_its_demand_and_spends_permits_before_they_expire) {
+BOOST_AUTO_TEST_CASE(a_stock_requests_permits_for_its_demand_once_and_ignores_expired_permits) {
   permit_stock stock;
   BOOST_TEST(stock.permits_to_request(start) == 0U);
   stock.note_unmet_demand(start);
@@ -94,7 +94,7 @@
   BOOST_TEST(stock.recent_sends(start) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(waiting_requests_cause_a_new_query) {
+BOOST_AUTO_TEST_CASE(waiting_requests_replace_a_pending_query_by_an_urgent_one) {
   permit_stock stock;
   stock.note_unmet_demand(start);
   stock.note_query_sent(1, stock.permits_to_request(start), start);
