--- a/src/engines/engine_accounting.h
+++ b/src/engines/engine_accounting.h
@@ -14,7 +14,6 @@
 
 namespace spurrack::serving {
 
-/// A prompt that was sent to an engine.
 struct sent_prompt {
   /// Tokens that no other request shares.
   std::uint32_t own_tokens = 0;
@@ -51,7 +50,7 @@
   std::unordered_map<std::uint64_t, std::list<entry>::iterator> entry_by_prefix_;
 };
 
-/// Prefix cache and prefill backlog of one engine. Not thread-safe.
+/// Not thread-safe.
 class engine_accounting {
  public:
   /// @param memory_tokens capacity of the engine's memory, in tokens.
--- a/src/engines/engine_directory.cc
+++ b/src/engines/engine_directory.cc
@@ -25,9 +25,9 @@
 /// In an idle fleet, one in this many engines prefills a first part that many prompts share. The
 /// number is the same on all nodes, so that they place a prompt alike.
 constexpr std::size_t engines_per_prefix_replica = 32;
-/// In a fleet in which fewer engines than this would prefill a first part, all engines do: so few
-/// engines would be overloaded by prompts that happen to arrive at the same time, and in such a
-/// small fleet a first part is rarely prefilled again anyway.
+/// If fewer engines than this would prefill a first part, all engines do: so few engines would be
+/// overloaded by prompts that happen to arrive at the same time, and in such a small fleet a first
+/// part is rarely prefilled again anyway.
 constexpr std::size_t min_prefix_replicas = 16;
 /// The fleet is idle if the engines that prefill a first part would be busy for at most this
 /// fraction of their time even if all prompts of the fleet began with that part.
--- a/src/engines/engine_directory.h
+++ b/src/engines/engine_directory.h
@@ -93,7 +93,6 @@
   /// Records a sent prompt as the engine's accounting node, and reports the backlog if necessary.
   void account_send(const base::replica_id& engine, const sent_prompt& prompt,
                     base::time_point now);
-  /// Reports the backlog of an engine to the nodes of the region.
   void report_backlog(const base::replica_id& engine, std::uint32_t tokens, base::time_point now);
   /// Returns the number of receivers, out of `receivers`, that a report may be sent to now, and
   /// deducts it from the allowance.
--- a/src/flow/answer_memory.h
+++ b/src/flow/answer_memory.h
@@ -69,7 +69,6 @@
   /// Acquires more bytes and leaves the queue. @return false, with nothing changed, if refused.
   bool try_grow(byte_use use, std::size_t additional_bytes);
   void enqueue();
-  /// Leaves the queue.
   /// @param held bytes that this answer held while it waited.
   void dequeue(std::size_t held);
 
--- a/src/flow/byte_budget.h
+++ b/src/flow/byte_budget.h
@@ -11,7 +11,6 @@
 
 namespace spurrack::flow {
 
-/// Holder of bytes.
 enum class byte_holder : std::uint8_t {
   request_bodies,    ///< Bodies that are being read from clients.
   kept_bodies,       ///< Bodies of active requests, kept for the replica and for a retry.
@@ -60,7 +59,6 @@
   /// of the use; the refusal is counted.
   [[nodiscard]] bool acquire(byte_holder holder, byte_use use, std::size_t bytes);
   void release(byte_holder holder, std::size_t bytes);
-  /// Moves bytes from one account to another.
   void transfer(byte_holder from, byte_holder to, std::size_t bytes);
 
   [[nodiscard]] std::size_t capacity() const { return capacity_; }
--- a/src/flow/stream_window.h
+++ b/src/flow/stream_window.h
@@ -54,7 +54,6 @@
   bool is_reading_ahead_ = false;
   /// Time at which the client last read bytes, or at which bytes first became unread after that.
   base::time_point last_progress_at_;
-  /// Time at which the window last closed.
   base::time_point closed_at_;
   /// Total time of the periods for which the window was closed, without the current period.
   base::duration total_closed_duration_{};
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -31,7 +31,6 @@
 
 namespace spurrack::rate_limits {
 
-/// For metrics.
 struct limit_counts {
   std::uint64_t messages = 0;
   std::uint64_t permits_issued = 0;
@@ -94,9 +93,7 @@
  private:
   using message_map = std::map<base::node_id, wire::rate_limits>;
 
-  /// Queues a replica for which permits are to be queried.
   void enqueue_query(const base::replica_id& replica);
-  /// Sends the queries for the permits that requests need.
   void query_issuers(base::time_point now);
   /// Adds a query for a replica to the message to its issuer, or records the query if this node is
   /// the issuer.
@@ -110,7 +107,6 @@
   /// Adds permits to the stock of a replica, or counts them as expired.
   void record_grant(const base::replica_id& replica, const permit_grant& grant,
                     base::time_point now);
-  /// Forgets the permits for replicas that no longer announce a limit.
   void forget_stocks_without_limit(base::time_point now);
   void send(message_map messages);
   /// Returns the permits per second that this node issues for a limit.
--- a/src/rate_limits/permit_issuer.h
+++ b/src/rate_limits/permit_issuer.h
@@ -20,7 +20,6 @@
 /// stopped, or its requests may have gone to other replicas.
 inline constexpr base::duration query_lifetime = std::chrono::milliseconds(800);
 
-/// Query of a node for permits.
 struct permit_query {
   base::node_id node;
   /// Returned with the permits, so that the querying node can match them to the query.
@@ -47,11 +46,9 @@
   /// Discards pending queries and accrued permits, and grants none for a while: the node was
   /// suspended, or has just become the issuer.
   void restart(base::time_point now);
-  /// Sets the rate at which permits accrue from now on.
-  /// @param per_second in permits per second.
+  /// Sets the rate, in permits per second, at which permits accrue from now on.
   void set_rate(double per_second, base::time_point now);
-  /// Records a query, which replaces the earlier query of the same node. A query for 0 permits
-  /// withdraws the earlier one.
+  /// Records a query, which replaces the earlier query of the same node.
   void record_query(permit_query query, base::time_point now);
   /// Grants the permits that are available to pending queries.
   std::map<base::node_id, permit_grant> issue(base::time_point now);
@@ -65,7 +62,6 @@
   };
   using query_queue = std::deque<pending_query>;
 
-  /// Adds the permits that have accrued up to `now`.
   void accrue(base::time_point now);
   /// Grants permits to the queries of a queue in round-robin order, one permit per turn.
   void grant_permits(query_queue& queue, std::map<base::node_id, permit_grant>& grants,
--- a/src/rate_limits/permit_stock.h
+++ b/src/rate_limits/permit_stock.h
@@ -32,7 +32,6 @@
   [[nodiscard]] bool has_unneeded_query(base::time_point now) const;
   /// Records that the pending query is withdrawn. Requires a pending query.
   void note_query_withdrawn() { query_->outstanding = 0; }
-  /// Records that a query for `count` permits is sent.
   void note_query_sent(std::uint64_t number, std::uint32_t count, base::time_point now);
   /// Returns whether `note_waiting` recently reported waiting requests.
   [[nodiscard]] bool has_waiting_requests(base::time_point now) const;
@@ -48,7 +47,6 @@
   [[nodiscard]] std::size_t recent_sends(base::time_point now) const;
 
  private:
-  /// Adds a request to the demand of the current window.
   void count_demand(base::time_point now);
   /// Returns the number of permits that requests are expected to need shortly.
   [[nodiscard]] std::uint32_t expected_demand(base::time_point now) const;
--- a/tests/engines/engine_fleet.h
+++ b/tests/engines/engine_fleet.h
@@ -66,7 +66,6 @@
   std::uint64_t seed = 1;
 };
 
-/// Result of one simulation.
 struct simulation_result {
   double prefilled_tokens = 0;
   /// Tokens of shared parts that some engine had prefilled before.
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -31,7 +31,6 @@
   base::duration message_delay = milliseconds(2);
   /// Fraction of the messages between nodes that are lost.
   double message_loss_rate = 0;
-  /// Step of the virtual time.
   base::duration step = milliseconds(1);
 };
 
