--- a/tests/engines/placement_test.cc
+++ b/tests/engines/placement_test.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Strategy of the product, with or without reports to other nodes.
+/// Chooses engines as production nodes do, with or without reports to other nodes.
 class directory_caller final : public caller_strategy {
  public:
   directory_caller(const fleet_peer& self, const replica_table& table, base::random_source& random,
@@ -111,7 +111,7 @@
 }
 
 constexpr std::uint64_t seeds[] = {1, 2, 3};
-constexpr double max_bytes = 2'000;
+constexpr double max_allowed_bytes_per_second = 2'000;
 
 } // namespace
 
@@ -127,7 +127,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_hot_prefix_under_load_is_prefilled_by_more_engines) {
+BOOST_AUTO_TEST_CASE(reports_between_nodes_make_fewer_prompts_with_a_hot_prefix_late) {
   double late_without_reports = 0;
   double late_with_reports = 0;
   for (const auto seed : seeds) {
@@ -157,7 +157,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(shared_reports_keep_repeated_prefills_few) {
+BOOST_AUTO_TEST_CASE(reports_between_nodes_add_few_repeated_prefills) {
   for (const auto seed : seeds) {
     for (const auto& shape : {large_prompts(seed), busy_region(seed)}) {
       const auto hash_only = simulate_hash_only(shape);
@@ -186,7 +186,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(shared_reports_make_fewer_prompts_late) {
+BOOST_AUTO_TEST_CASE(reports_between_nodes_make_fewer_prompts_late_during_an_evacuation) {
   double late_without_reports = 0;
   double late_with_reports = 0;
   for (const auto seed : seeds) {
@@ -213,8 +213,10 @@
     }
     const auto result = simulate(shape, true);
     BOOST_TEST_MESSAGE(size << " nodes: " << text_of(result));
-    BOOST_TEST(result.mean_bytes_per_second <= max_bytes, size << " nodes: " << text_of(result));
-    BOOST_TEST(result.max_bytes_per_second <= max_bytes, size << " nodes: " << text_of(result));
+    BOOST_TEST(result.mean_bytes_per_second <= max_allowed_bytes_per_second,
+               size << " nodes: " << text_of(result));
+    BOOST_TEST(result.max_bytes_per_second <= max_allowed_bytes_per_second,
+               size << " nodes: " << text_of(result));
   }
 }
 
