--- a/src/quarantine/crash_detector.h
+++ b/src/quarantine/crash_detector.h
@@ -1,7 +1,7 @@
 /// Detects whether a replica exited while it ran a request. A call that ended without a complete
 /// answer is called a lost call: a partitioned link, a connection reset, a replica that aborts
-/// answers and a replica that exited look the same at first. So the replica is probed with a
-/// connection and its published record is watched, and its lost calls are kept until it is known
+/// answers and a replica that exited look the same at first. So the replica is probed by opening a
+/// connection, its published record is watched, and its lost calls are kept until it is known
 /// whether the replica exited. No I/O.
 #pragma once
 
@@ -18,11 +18,11 @@
 
 namespace spurrack::quarantine {
 
-/// A call that ended without a complete answer, and the exit of its replica that may have ended it.
+/// A call that ended without a complete answer, and the exit of its replica that may be the reason.
 struct lost_call {
   /// Digest of the request.
   request_digest digest;
-  /// Exit of the incarnation that was called, at the time at which the call ended.
+  /// Assumed exit of the called incarnation; its time is the time at which the call ended.
   exit_observation exit;
 };
 
--- a/src/quarantine/crash_registry.cc
+++ b/src/quarantine/crash_registry.cc
@@ -6,35 +6,35 @@
 namespace spurrack::quarantine {
 namespace {
 
-/// Time after its last update after which the record of a request with too few exits for quarantine
-/// is dropped: clients send a request again within seconds, scheduled jobs within minutes. Indexed
-/// exits and withdrawn exits are dropped at the same age.
+/// Lifetime, after its last update, of a record with too few exits for quarantine, and lifetime of
+/// indexed and withdrawn exits. Clients send a request again within seconds, scheduled jobs within
+/// minutes.
 constexpr base::duration suspicion_lifetime = std::chrono::minutes(10);
 /// Time without an arrival of a quarantined request after which the request may be tried once more:
-/// the operators of the replicas may have repaired them in this time.
+/// the operators may have repaired the replicas in this time.
 constexpr base::duration first_quarantine_duration = std::chrono::hours(1);
-/// Time after the last exit, surviving run or refusal after which the record of a request with
-/// enough exits for quarantine is dropped.
+/// Lifetime of a record with enough exits for quarantine, after its last exit, surviving run or
+/// refusal.
 constexpr base::duration quarantine_record_lifetime = std::chrono::hours(24);
 /// Maximum number of exits in one record; more exits would not change the quarantine state.
 constexpr std::size_t max_exits_per_record = 12;
-/// Maximum number of withdrawn exits that are remembered; a further withdrawal evicts the exit that
-/// was withdrawn first.
+/// Maximum number of withdrawn exits that are kept; a further withdrawal evicts the exit that was
+/// withdrawn first.
 constexpr std::size_t max_withdrawn_exits = 64;
 
-/// Age after which the exits of replicas that did not run a request no longer raise the number of
-/// exits required for its quarantine: a request that is sent repeatedly has shown its effect within
-/// this time. Nodes neither send nor merge older exits outside of records.
+/// Age up to which exits of replicas that did not run a request raise the number of exits required
+/// for its quarantine: a crashing request that is sent repeatedly has crashed replicas within this
+/// time. Older exits are sent to other nodes and accepted from them only as parts of records.
 constexpr base::duration comparison_window = std::chrono::seconds(30);
 
-/// Maximum number of indexed exits, a limit on memory: 30 exits per second for 30 s.
+/// Maximum number of indexed exits, to limit memory: enough for 30 exits per second over 30 s.
 constexpr std::size_t max_indexed_exits = 1024;
 
 /// Withdrawn exits, with the times at which their replicas were found to be running.
 using withdrawn_exit_times = std::map<replica_exit, base::time_point>;
 
 /// @return whether the observed exit was withdrawn. An exit of the same incarnation after the
-///         withdrawal is another exit, which counts.
+///         withdrawal is a new exit, which was not withdrawn.
 bool is_withdrawn_exit(const withdrawn_exit_times& withdrawn, const exit_observation& observation) {
   const auto found = withdrawn.find(observation.exit);
   return found != withdrawn.end() && observation.at <= found->second;
@@ -233,10 +233,11 @@
   return found != explaining_exit_counts_.end() && found->second > record.exits.size();
 }
 
-/// Up to 128 requests run at a replica at the same time, and requests that are retried after an
-/// exit may reach the next replica together with the request that caused the exit. So exits that
-/// are explained by a request with more exits do not count, unless two or more exits remain
-/// unexplained: then this request probably causes exits as well, and all of its exits count.
+/// Harmless requests share exits with a crashing request: up to 128 requests run at a replica at
+/// the same time, and requests that are retried after an exit may reach the next replica together
+/// with the crashing request. So exits that are explained by a request with more exits are not
+/// counted. But if two or more exits remain unexplained, this request probably causes exits as
+/// well, and all of its exits are counted.
 std::size_t crash_registry::counted_exits(const crash_record& record) const {
   const auto all = record.exits.size();
   if (all < limits_.single_attempt) {
--- a/src/quarantine/crash_report_exchange.cc
+++ b/src/quarantine/crash_report_exchange.cc
@@ -13,24 +13,23 @@
 /// Number of random nodes to which each node forwards a change. In a large fleet one node in 400
 /// misses the change and receives it with a reminder.
 constexpr std::size_t fanout = 6;
-/// Minimum time between two batches of changes; the first batch is sent at once. With the limits on
-/// receivers and records, a node sends at most 15 kB per second, and only while replicas continue
-/// to exit.
+/// Minimum time between two batches of changed records; the first batch is sent at once. With
+/// `fanout` and `max_records_per_message`, a node sends changes of at most 15 kB per second, and
+/// only while replicas continue to exit.
 constexpr base::duration change_interval = std::chrono::milliseconds(200);
-/// Maximum number of records in one message with changes or in one reminder, 50 to 100 bytes each.
+/// Maximum number of records, of 50 to 100 bytes each, in one message with changes or one reminder.
 constexpr std::size_t max_records_per_message = 8;
 /// Interval between reminders, each to one random node: a third of the three seconds within which
 /// nodes in contact are to learn of each other's reports.
 constexpr base::duration reminder_interval = std::chrono::milliseconds(1000);
-/// Number of random nodes that a node queries for missed records in each round of queries, after
-/// its start or a suspension.
+/// Number of random nodes that a node queries for missed records in each round of queries.
 constexpr std::size_t query_fanout = 2;
-/// Number of rounds of queries.
+/// Number of rounds of queries after the start of a node or a suspension.
 constexpr std::size_t query_count = 3;
 /// Time between two rounds of queries.
 constexpr base::duration query_interval = std::chrono::milliseconds(300);
-/// Maximum number of exits that a message carries in addition to its records, 15 bytes each: the
-/// exits of the last six seconds if two replicas exit per second.
+/// Maximum number of exits, of 15 bytes each, that a message carries in addition to its records:
+/// the exits of the last six seconds if two replicas exit per second.
 constexpr std::size_t max_exits_per_message = 12;
 /// Maximum number of records in the reply to a query.
 constexpr std::size_t max_records_per_reply = 32;
--- a/src/quarantine/crash_report_exchange.h
+++ b/src/quarantine/crash_report_exchange.h
@@ -3,9 +3,10 @@
 /// The first exit under a request is reported to three nodes, the aggregators of the request, which
 /// are chosen by rendezvous hashing over all nodes: the aggregators combine exits that different
 /// nodes observed. Once two exits under the request are known, its record spreads to all nodes by
-/// gossip, so the traffic of a node does not grow with the fleet. Nodes send only changed records,
-/// and one reminder per second while they know any request that has had two exits. Reminders reach
-/// nodes that missed a message, were partitioned or restarted.
+/// gossip, so the traffic of a node does not grow with the fleet. Nodes send a record only when it
+/// changes. While they know any request that has had two exits, they also send one reminder per
+/// second, which repeats the latest records to a random node: reminders reach nodes that missed a
+/// message, were partitioned or restarted.
 #pragma once
 
 #include "base/ids.h"
@@ -37,7 +38,7 @@
 /// A request whose record changed because of a message from another node.
 struct learned_record {
   request_digest digest;
-  /// Whether the change has put the request into quarantine.
+  /// Whether the change put the request into quarantine.
   bool begins_quarantine = false;
 };
 
@@ -45,15 +46,13 @@
 /// into the registry. Outgoing messages are queued until `take_messages`. Not thread-safe.
 class crash_report_exchange {
  public:
-  /// @param registry holds the records that are sent, and receives those of other nodes; must
+  /// @param registry holds the records that are sent, and receives the records of other nodes; must
   ///        outlive this object.
-  /// @param self this node.
   /// @param random must outlive this object.
   crash_report_exchange(crash_registry& registry, base::node_id self, base::random_source& random);
 
-  /// Replaces the peers.
-  /// @param alive all live nodes of all regions, without this node: a client may send a request
-  ///        again to any node.
+  /// Replaces the peers with the live nodes of all regions, without this node: a client may send a
+  /// request again to any node.
   void set_peers(const std::vector<serving::fleet_peer>& alive);
   /// Schedules the record of a request for sending because it changed at this node.
   void note_changed(const request_digest& digest) { changed_digests_.insert(digest); }
@@ -80,7 +79,7 @@
   [[nodiscard]] std::vector<base::network_address> random_peers(std::size_t count) const;
   [[nodiscard]] std::vector<base::network_address>
   aggregators_of(const request_digest& digest) const;
-  /// @return up to `most` of the records that are sent to all nodes, the latest update first.
+  /// @return up to `most` of the records that are sent to all nodes, most recently updated first.
   [[nodiscard]] std::vector<const crash_record*> broadcast_records(std::size_t most) const;
   void send(const base::network_address& to, wire::crash_news report, base::time_point now);
 
