--- a/src/quarantine/crash_detector.h
+++ b/src/quarantine/crash_detector.h
@@ -20,7 +20,6 @@
 
 /// A call that ended without a complete answer, and the exit of its replica that may be the reason.
 struct lost_call {
-  /// Digest of the request.
   request_digest digest;
   /// Assumed exit of the called incarnation; its time is the time at which the call ended.
   exit_observation exit;
--- a/src/quarantine/crash_registry.h
+++ b/src/quarantine/crash_registry.h
@@ -45,8 +45,7 @@
   base::replica_id replica{};
 };
 
-/// Whether a node serves an arriving request without restriction, sends it to only one replica, or
-/// refuses it.
+/// What a node does with a request that arrives.
 enum class quarantine_state : std::uint8_t {
   unrestricted,   ///< The request is sent and retried as its route allows.
   single_attempt, ///< The request is sent to one replica and not retried: each arrival shows
@@ -93,7 +92,6 @@
   explicit crash_registry(serving::quarantine_limits limits = {}) : limits_(limits) {}
   [[nodiscard]] const serving::quarantine_limits& limits() const { return limits_; }
 
-  /// Records an exit under a request.
   registry_change note_exit(const request_digest& digest, const exit_observation& observation,
                             base::time_point now);
   /// Records a surviving run of a request and clears the exits under the request.
@@ -151,8 +149,8 @@
   [[nodiscard]] bool has_indistinguishable_record(const crash_record& record) const;
   /// @return number of exits in `record`, without those that another request probably caused.
   [[nodiscard]] std::size_t counted_exits(const crash_record& record) const;
-  /// @return number of exits from which the request of `record` is quarantined. The number is
-  ///         higher if many replicas that did not run the request exited recently.
+  /// @return number of exits from which the request is quarantined. The number is higher if many
+  ///         replicas that did not run the request exited recently.
   [[nodiscard]] std::size_t exits_required(const crash_record& record, base::time_point now) const;
   [[nodiscard]] quarantine_state quarantine_state_of(const crash_record& record,
                                                      base::time_point now) const;
@@ -163,8 +161,8 @@
 
   serving::quarantine_limits limits_;
   std::map<request_digest, crash_record> records_;
-  /// Index of all known exits, with their times: exits in present and dropped records, and exits
-  /// that other nodes reported without a record.
+  /// Times of all known exits: in present and dropped records, and reported by other nodes without
+  /// a record.
   std::map<replica_exit, base::time_point> exits_;
   /// For each exit, the largest number of exits under any one request that has this exit and enough
   /// exits for quarantine. Recomputed only on the first use after a change: without this map, the
--- a/src/quarantine/crash_report_exchange.h
+++ b/src/quarantine/crash_report_exchange.h
@@ -88,7 +88,6 @@
   base::random_source* random_;
   /// This node and its peers, from which aggregators are chosen.
   std::vector<base::node_id> nodes_;
-  /// Addresses of the peers.
   std::map<base::node_id, base::network_address> addresses_;
   /// Requests whose records are scheduled for sending.
   std::set<request_digest> changed_digests_;
--- a/src/self_reports/drain_registry.h
+++ b/src/self_reports/drain_registry.h
@@ -28,8 +28,8 @@
   base::time_point announced_at;
   /// Sender of the announcement, for logs: the replica, or the node that forwarded it.
   std::string source;
-  /// Time at which the process was last published, or at which this node learned of the
-  /// announcement.
+  /// Time at which this node last found the process published; until then, the time at which this
+  /// node learned of the announcement.
   base::time_point last_seen_at;
 };
 
--- a/src/self_reports/limit_registry.h
+++ b/src/self_reports/limit_registry.h
@@ -24,9 +24,10 @@
   incarnation_fingerprint incarnation = 0;
   /// Requests per second from all nodes together; std::nullopt if the replica lifted its limit.
   std::optional<double> per_second;
-  /// Increases with each change of the limit; see the head of this file.
+  /// Increases with each change of the limit.
   std::uint64_t version = 0;
-  /// Time at which any node received the latest answer with this limit.
+  /// Time at which any node received the latest answer with this limit, or without a limit if the
+  /// replica lifted it.
   base::time_point last_reported_at;
 };
 
@@ -41,19 +42,18 @@
 /// The latest limit record of each replica. Not thread-safe.
 class limit_registry {
  public:
-  /// Records the limit that an answer announces, or that it announces none. An answer loosens or
-  /// lifts the known limit only if its call began after the known limit was last reported:
-  /// otherwise the replica may have set the known limit after it wrote the answer.
+  /// Records the limit that an answer announces, or that the answer announces no limit. An answer
+  /// loosens or lifts the known limit only if its call began after the known limit was last
+  /// reported: otherwise the replica may have set the known limit after it wrote the answer.
   /// @return whether the record changed.
   bool record_answer(const base::replica_id& replica, incarnation_fingerprint incarnation,
                      const limit_announcement& announcement, base::time_point now);
-  /// Merges the record of another node.
+  /// Merges a record that another node sent.
   /// @return whether other nodes may not know the merged record yet, so that it must be sent.
   bool merge(const base::replica_id& replica, const limit_record& received);
-  /// Removes the record of a replica.
   void forget(const base::replica_id& replica) { records_.erase(replica); }
-  /// Drops the records of lifted limits that were last reported so long ago that all nodes know
-  /// that the limit is lifted.
+  /// Drops the record of a lifted limit if no answer without a limit has arrived for so long that
+  /// all nodes know that the limit is lifted.
   void drop_lifted(base::time_point now);
 
   /// @return null if the replica has announced no limit, or lifted its limit long ago.
--- a/src/self_reports/self_report_exchange.cc
+++ b/src/self_reports/self_report_exchange.cc
@@ -19,10 +19,9 @@
 constexpr base::duration reminder_interval = std::chrono::milliseconds(1000);
 /// Number of random nodes that receive each reminder.
 constexpr std::size_t reminder_fanout = 3;
-/// Minimum time between two log records on self-reports of one replica and topic that cannot be
-/// parsed.
+/// Minimum time between two log records about unparsable self-reports of one replica on one topic.
 constexpr base::duration unreadable_report_interval = std::chrono::minutes(1);
-/// Maximum number of limits, and of drain announcements, in one message; about 30 bytes each.
+/// Maximum number of limits in one message, and of drain announcements; about 30 bytes each.
 constexpr std::size_t max_records_per_message = 16;
 
 std::uint32_t age_in_milliseconds(base::time_point earlier, base::time_point now) {
@@ -62,8 +61,8 @@
   return wire_record;
 }
 
-/// Visits up to `most` entries of a map, from the entry after the key `last` on and from the
-/// beginning of the map after its end, and sets `last` to the key of the last visited entry.
+/// Visits up to `most` entries of a map, beginning after the key `last` and continuing at the
+/// beginning of the map when its end is reached. Sets `last` to the key of the last visited entry.
 template <typename map, typename key, typename visitor>
 void visit_round_robin(const map& entries, key& last, std::size_t most, const visitor& visit) {
   auto next = entries.upper_bound(last);
@@ -117,7 +116,8 @@
     note_unreadable(replica, topic::backoff, counts_.unreadable_backoffs, now);
   }
   // Most answers report nothing that concerns other nodes and skip the lookup below. An answer
-  // without a limit concerns them if a limit is known, since it may lift the limit.
+  // without a limit concerns other nodes if a limit of the replica is known, since the answer may
+  // lift that limit.
   const bool concerns_limit =
       !report.limit.is_unreadable && (report.limit.per_second || limits_.find(replica) != nullptr);
   if (!concerns_limit && !report.is_draining) {
@@ -195,8 +195,8 @@
   }
 }
 
-/// Announcements of processes that this node does not know are recorded as well: the published list
-/// of replicas that this node has received may be older than the list of the sender.
+/// Announcements are recorded even if this node does not know the process: the published list of
+/// replicas that this node has received may be older than the list of the sender.
 void self_report_exchange::merge(const base::node_id& sender,
                                  const wire::replica_departure& received, base::time_point now) {
   if (received.process_mark() != 0) {
--- a/src/self_reports/self_report_exchange.h
+++ b/src/self_reports/self_report_exchange.h
@@ -2,8 +2,8 @@
 /// and distributes them to all nodes. No I/O: messages are queued.
 ///
 /// Self-reports spread by gossip: a node sends each change to a few random nodes, which do the
-/// same. It also sends one reminder per second, so that nodes that missed a message or have just
-/// started receive the reports as well.
+/// same. It also sends one reminder per second, which repeats known reports, for nodes that missed
+/// a message or have just started.
 #pragma once
 
 #include "base/ids.h"
@@ -37,13 +37,12 @@
 using replica_lookup = std::function<std::optional<published_replica>(const base::replica_id&)>;
 
 /// A change of a limit or drain announcement that this node knows, or a self-report that cannot be
-/// parsed. Queued until `take_changes`.
+/// parsed. Queued until `take_changes`, for the log.
 struct self_report_change {
-  /// Kind of self-report.
   enum class topic : std::uint8_t { limit, drain, backoff };
   topic about = topic::limit;
   base::replica_id replica;
-  /// The limit in effect; meaningful only if `about` is `topic::limit`.
+  /// Limit in effect, in requests per second; meaningful only if `about` is `topic::limit`.
   std::optional<double> per_second;
   /// Whether the self-report cannot be parsed, so that it changes nothing.
   bool is_unreadable = false;
@@ -87,11 +86,12 @@
   void record_self_report(const base::replica_id& replica,
                           const serving::replica_self_report& report,
                           base::time_point call_started_at, base::time_point now);
-  /// Drops the limit of a replica that is no longer published or has restarted, and the times of
-  /// its latest log records. The drain announcements of its processes are kept.
+  /// Drops the limit of a replica that is no longer published or has restarted, and the times at
+  /// which its unparsable self-reports were logged. The drain announcements of its processes are
+  /// kept.
   void forget(const base::replica_id& replica);
 
-  /// Merges the reports of another node.
+  /// Merges the self-reports that another node forwarded.
   void handle(const base::node_id& sender, const wire::rate_limits& message, base::time_point now);
   /// Queues the messages that are due.
   void advance(base::time_point now);
@@ -125,7 +125,7 @@
   /// @param count counter to increment.
   void note_unreadable(const base::replica_id& replica, self_report_change::topic about,
                        std::uint64_t& count, base::time_point now);
-  /// Merges a limit or a drain announcement of another node.
+  /// Merges a limit or a drain announcement that another node forwarded.
   void merge(const base::node_id& sender, const wire::named_limit& received, base::time_point now);
   void merge(const base::node_id& sender, const wire::replica_departure& received,
              base::time_point now);
@@ -156,7 +156,7 @@
   base::time_point next_changes_at_;
   base::time_point next_reminder_at_;
   /// Keys of the last records in the latest reminder; the next reminder begins with the records
-  /// that follow them, since a reminder may not hold all records.
+  /// that follow them, since one reminder may be too small for all records.
   base::replica_id last_reminded_limit_;
   drain_registry::key last_reminded_drain_;
   std::vector<self_report_change> unreported_changes_;
--- a/src/serving/counters.h
+++ b/src/serving/counters.h
@@ -44,7 +44,8 @@
   /// answer was complete. Not counted are streams that this node breaks off after a failure, and
   /// requests that end with a replica's answer with status 502, 503 or 504.
   std::map<unsigned, std::uint64_t> answers;
-  /// Times from the arrival of a request to the first byte of a replica's answer for its client.
+  /// Times from the arrival of a request until this node begins to send a replica's answer to the
+  /// client.
   latency_histogram first_byte;
   /// Calls that send a request to a replica; calls with pieces of stages are not included.
   std::uint64_t calls = 0;
@@ -55,8 +56,8 @@
   /// Requests sent to a more distant replica although a nearer one was available outside their
   /// permitted regions.
   std::uint64_t confined_by_residency = 0;
-  /// Retries that the retry budget allowed, including those for streams of slow clients that are
-  /// suspended and resumed.
+  /// Retries that the retry budget allowed, including those that resume suspended streams of slow
+  /// clients.
   std::uint64_t retries = 0;
   /// Times that a retry was denied because the retry budget was used up.
   std::uint64_t retries_denied = 0;
@@ -80,8 +81,8 @@
   std::uint64_t ended_while_stopping = 0;
   /// Requests that had not ended at the end of a graceful stop and were aborted.
   std::uint64_t aborted_at_stop = 0;
-  /// Exits of replicas under requests of this node; an exit counts once for each request that the
-  /// replica ran. `quarantine/crash_registry.h` defines an exit.
+  /// Unplanned exits of replicas while they ran requests of this node, counted once for each of
+  /// these requests.
   std::uint64_t crashes_under_requests = 0;
   /// Requests refused or aborted because they were quarantined.
   std::uint64_t refused_in_quarantine = 0;
--- a/src/serving/events.h
+++ b/src/serving/events.h
@@ -22,14 +22,13 @@
 struct request_arrived {
   base::caller_id client = 0;
   std::shared_ptr<const request_content> content;
-  /// Time at which the head of the request reached this machine; its deadline counts from this
-  /// time.
+  /// Time at which the head of the request reached this machine; the deadline is relative to it.
   base::time_point arrived_at;
 };
 /// Why a client's connection ended before its answer was complete.
 enum class disconnect_reason : std::uint8_t {
   closed,    ///< The client closed its connection, or the connection broke.
-  unread,    ///< The client did not read for too long.
+  unread,    ///< For too long the client read nothing.
   no_memory, ///< The client was the slowest reader when memory for answers ran out.
 };
 /// A client's connection ended before its answer was complete.
@@ -37,20 +36,20 @@
   base::caller_id client = 0;
   disconnect_reason reason = disconnect_reason::closed;
 };
-/// The client of a stream reads more slowly than its replica sends, or has caught up.
+/// The client of a stream reads more slowly than the replica sends, or has caught up.
 struct client_window {
   base::caller_id client = 0;
   /// Whether reading the stream from the replica may continue.
   bool open = true;
 };
 
-/// What is known of a call that ended without an answer.
+/// Why a call ended without an answer for the client.
 enum class call_failure : std::uint8_t {
   not_sent,     ///< No byte was written to the replica.
   may_have_run, ///< Bytes were written; it is unknown whether the replica ran the request.
   no_memory,    ///< The replica answered, but this node has no memory to buffer the answer.
 };
-/// A call ended without an answer.
+/// A call ended without an answer for the client.
 struct call_failed {
   base::call_id call = 0;
   call_failure failure = call_failure::may_have_run;
@@ -101,13 +100,13 @@
 /// Why a piece has no result.
 enum class piece_fault : std::uint8_t {
   none,
-  late,          ///< Its deadline had passed when the replica was about to run it.
-  input_gone,    ///< A result that it needs no longer exists.
+  late,          ///< The deadline of the piece had passed when the replica was about to run it.
+  input_gone,    ///< A result that the piece needs no longer exists.
   out_of_memory, ///< The replica has no free memory for the result.
-  error,         ///< The replica failed to compute it.
-  not_run,       ///< The replica did not accept the call; nothing ran.
+  error,         ///< The replica failed to compute the result.
+  not_run,       ///< The replica did not accept the call and ran no piece.
   lost,          ///< The call ended without an answer.
-  expired,       ///< Its deadline passed before it was sent to a replica.
+  expired,       ///< The deadline of the piece passed before the piece was sent to a replica.
 };
 /// Outcome of one piece.
 struct piece_outcome {
@@ -120,10 +119,10 @@
   base::call_id call = 0;
   enum class result : std::uint8_t {
     answered,    ///< `pieces` holds one outcome for each piece, in the order of the call.
-    refused,     ///< The replica is full or draining and ran nothing.
-    misdirected, ///< Another replica has this address.
+    refused,     ///< The replica is full or draining and ran no piece.
+    misdirected, ///< Another replica has the called address.
     failed,      ///< No answer; the pieces may have been computed.
-    not_sent,    ///< No byte was written.
+    not_sent,    ///< No byte was written to the replica.
   };
   result how = result::failed;
   std::vector<piece_outcome> pieces;
@@ -140,8 +139,8 @@
 
 /// Result of opening a connection to a replica.
 enum class probe_result : std::uint8_t {
-  connected,    ///< A process listens at its address.
-  refused,      ///< No process listens at its address.
+  connected,    ///< A process listens at the replica's address.
+  refused,      ///< No process listens at the replica's address.
   unresponsive, ///< No connection in time, or another error: the state of the replica is unknown.
 };
 /// A probe of a replica ended.
@@ -164,13 +163,13 @@
   std::shared_ptr<const request_content> content;
   /// Time until the client's deadline.
   base::duration time_left{};
-  /// Empty if the request belongs to no tenant.
+  /// Tenant of the request; empty if there is none.
   std::string tenant;
   /// Whether the answer is forwarded as it arrives; otherwise it is buffered until complete.
   bool streaming = false;
   /// Whether the request may run only once. It is then sent only on a connection that was idle
-  /// briefly or not at all: if the replica closed the connection, it would be unknown whether the
-  /// request ran.
+  /// briefly or not at all: a replica may close a connection after a long idle time, and it would
+  /// then be unknown whether the request ran.
   bool runs_at_most_once = false;
   /// Identifier of the last event that the client has received, if the call resumes a stream.
   std::optional<std::uint64_t> resume_after;
@@ -187,18 +186,17 @@
 struct pause_call {
   base::call_id call = 0;
 };
-/// Resumes reading a streamed answer.
 struct resume_call {
   base::call_id call = 0;
 };
-/// One piece in a call.
+/// One piece of a stage, as part of a call.
 struct piece_item {
   base::request_id request;
   std::uint32_t stage = 0;
   std::uint32_t piece = 0;
   /// Time until the deadline of the piece.
   base::duration time_left{};
-  /// Set for stages that need no results of other stages; empty otherwise.
+  /// Key from the client's request; empty for stages that need results of other stages.
   std::string piece_key;
   /// Handles of the results of other stages that the piece needs.
   std::vector<std::string> inputs;
@@ -209,11 +207,10 @@
   call_target target;
   std::vector<piece_item> items;
 };
-/// Frees stage results that are no longer needed.
+/// Frees stage results that are no longer needed, by their handles.
 struct free_results {
   /// Replica that computed the results and holds them.
   call_target maker;
-  /// Handles of the results.
   std::vector<std::string> handles;
 };
 
--- a/src/serving/replica_self_report.h
+++ b/src/serving/replica_self_report.h
@@ -29,13 +29,13 @@
 
 /// Backoff that a replica requests from this node in an answer (Retry-After).
 struct requested_backoff {
-  /// Duration of the backoff, counted from the answer; std::nullopt if the answer requests none.
+  /// Duration of the backoff, from the arrival of the answer; std::nullopt if the answer requests
+  /// none.
   std::optional<base::duration> span;
   /// Whether the answer requests a backoff that cannot be parsed.
   bool is_unreadable = false;
 };
 
-/// All that one answer reports of its replica.
 struct replica_self_report {
   /// Whether the replica drains, so that it accepts no new requests.
   bool is_draining = false;
@@ -45,8 +45,8 @@
   announced_limit limit;
   /// std::nullopt if the answer reports no load.
   std::optional<replica_load> load;
-  /// Whether the answer reports a load that cannot be parsed; the earlier load is kept, with its
-  /// age.
+  /// Whether the answer reports a load that cannot be parsed; the load reported earlier is then
+  /// kept and ages further.
   bool is_load_unreadable = false;
   /// Time for which the replica stays cold (its caches are not warm yet); 0 if the answer does not
   /// report it.
--- a/src/serving/request.h
+++ b/src/serving/request.h
@@ -44,7 +44,7 @@
   /// Time for which the client waits for the answer, counted from the arrival of the request;
   /// std::nullopt if the client did not send it.
   std::optional<base::duration> time_allowed;
-  /// Empty if the client sent no key.
+  /// API key; empty if the client sent none.
   std::string api_key;
   /// Identifier of the last event that the client has received, if the request resumes a stream.
   std::optional<std::uint64_t> resume_after;
--- a/src/serving/request_codec.h
+++ b/src/serving/request_codec.h
@@ -30,7 +30,7 @@
 struct encoded_call {
   std::string method;
   std::string target;
-  /// Without the fields that frame the body or control the connection.
+  /// Header fields, without those that frame the body or control the connection.
   header_list headers;
   std::string body;
   bool has_body = false;
@@ -51,13 +51,11 @@
   request_codec& operator=(const request_codec&) = delete;
   virtual ~request_codec() = default;
 
-  /// Decodes a request of a client.
   [[nodiscard]] virtual std::variant<request_content, bad_request>
   read_request(raw_request raw) const = 0;
   /// @return the header fields of an answer that spurrack itself gives to a request.
   [[nodiscard]] virtual header_list own_answer_headers(const base::request_id& id) const = 0;
 
-  /// Encodes a call to a replica.
   [[nodiscard]] virtual encoded_call encode(const start_call& call) const = 0;
   [[nodiscard]] virtual encoded_call encode(const start_stage_call& call) const = 0;
   [[nodiscard]] virtual encoded_call encode(const free_results& results) const = 0;
--- a/src/serving/settings.h
+++ b/src/serving/settings.h
@@ -48,9 +48,9 @@
   base::duration streams = std::chrono::milliseconds(2'500);
   /// Time during which all other requests are accepted: one second more, for clients that were not
   /// directed to another node. Without this limit, requests that overlap each other would delay the
-  /// exit of the node, and a node that exits sooner restores its capacity sooner: in a fleet that
-  /// was restarted six nodes at a time, every two seconds and under 1.8 times its load, 2,000 to
-  /// 2,300 requests were refused with a Retry-After instead of 2,500 to 2,900.
+  /// exit of the node. A node that exits sooner is back sooner: with this limit, 2,000 to 2,300
+  /// requests instead of 2,500 to 2,900 were refused with a Retry-After in a fleet that was
+  /// restarted six nodes at a time, every two seconds and under 1.8 times its load.
   base::duration requests = std::chrono::milliseconds(3'500);
 };
 
@@ -59,19 +59,19 @@
 struct quarantine_limits {
   /// Number of exits from which the request is sent to only one replica each time it arrives: each
   /// arrival then shows whether the request crashes a replica, and two nodes that have not yet
-  /// learned of each other's exits lose two replicas instead of four.
+  /// exchanged the exits that they observed lose two replicas instead of four.
   std::size_t single_attempt = 2;
-  /// Number of exits from which the request is quarantined if fewer than half as many replicas exit
-  /// without running it. If a sixth of all runs end with an exit of their replica for other causes,
-  /// one harmless request in 1,300 has this number of exits by chance; a limit of three exits would
-  /// quarantine one harmless request in 200.
+  /// Number of exits from which the request is quarantined if fewer than half as many replicas
+  /// recently exited without running the request. If a sixth of all runs end with an exit of the
+  /// replica for other reasons, one harmless request in 1,300 has this number of exits by chance; a
+  /// limit of three exits would quarantine one harmless request in 200.
   std::size_t quarantine = 4;
-  /// Number of exits from which the request is quarantined if half as many replicas or more exit
-  /// without running it: one harmless request in 8,000 has this number of exits by chance.
+  /// Number of exits from which the request is quarantined if half as many replicas or more
+  /// recently exited without running it: one harmless request in 8,000 has this number of exits by
+  /// chance.
   std::size_t quarantine_with_unrelated_exits = 5;
 };
 
-/// All settings of the serving path.
 struct serving_settings {
   resource_limits resources;
   /// Region of each zone. Work that is confined to regions runs in no zone without an entry here.
@@ -83,8 +83,9 @@
   base::duration cold_time_after_evacuation = std::chrono::milliseconds(3000);
   /// Retry-After in the refusal of a request for which no replica is available.
   base::duration retry_after = std::chrono::milliseconds(300);
-  /// Time after which a replica that was sent a request is expected to have fetched the stage
-  /// results that the request needs; 0 to wait for the first bytes of the replica's answer instead.
+  /// Expected time from sending a request to a replica until the replica has fetched the stage
+  /// results that the request needs and they may be freed; 0 to free them only after the first
+  /// bytes of the replica's answer.
   base::duration input_fetch_time = std::chrono::milliseconds(80);
   /// Whether requests that are not expected to be served in time are refused on arrival, with a
   /// Retry-After.
