--- a/src/quarantine/crash_registry.h
+++ b/src/quarantine/crash_registry.h
@@ -161,8 +161,8 @@
 
   serving::quarantine_limits limits_;
   std::map<request_digest, crash_record> records_;
-  /// Times of all known exits: in present and dropped records, and reported by other nodes without
-  /// a record.
+  /// Index of known exits, with their times: exits in present and dropped records, and exits that
+  /// other nodes reported without a record.
   std::map<replica_exit, base::time_point> exits_;
   /// For each exit, the largest number of exits under any one request that has this exit and enough
   /// exits for quarantine. Recomputed only on the first use after a change: without this map, the
--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -30,22 +30,23 @@
   /// under a new id.
   bool keeps_ids_on_restart = false;
   quarantine_limits limits = {};
-  /// Emulates a policy without quarantine: nodes refuse all requests for this time after two
-  /// replicas have crashed within it; 0 to disable the policy.
+  /// Emulates a policy without quarantine: nodes refuse all requests while the latest two crashes
+  /// of replicas are both more recent than this time; 0 to disable the policy.
   base::duration route_pause{};
 };
 
-/// Outcomes of the attempts of a client to send one request.
+/// Number of attempts of clients to send one request, by outcome.
 struct attempt_counts {
   std::size_t attempts = 0;
   std::size_t served = 0;
-  /// Answered with 503, so that the request was not run.
+  /// Attempts that were answered with 503, so that the request was not run.
   std::size_t refused = 0;
-  /// Answered with another status, or with a stream that was cut.
+  /// Attempts that were answered with a status other than 200 or 503, or with a stream that was
+  /// cut.
   std::size_t failed = 0;
-  /// Refused because the request is quarantined.
+  /// Attempts that were refused because the request is quarantined.
   std::size_t quarantined = 0;
-  /// Refused because the request is quarantined, with a Retry-After header.
+  /// Quarantined attempts whose refusal has a Retry-After header.
   std::size_t quarantined_with_retry_after = 0;
 };
 
@@ -115,7 +116,7 @@
     return requests;
   }
 
-  /// Sends the same request to random nodes every 100 to 500 ms, for `span`.
+  /// Sends the same request to a random node every 100 to 500 ms, for `span`.
   void send_repeatedly(const std::string& path, const std::string& body, base::duration span) {
     const auto end = now + span;
     while (now < end) {
@@ -165,10 +166,9 @@
     }
   }
 
-  /// @return the index of a random replica.
   unsigned random_replica() { return static_cast<unsigned>(random.below(replicas.size())); }
 
-  /// @return bodies of the requests that any node refused because they were quarantined.
+  /// @return bodies of the requests that any node refused because of their quarantine.
   [[nodiscard]] std::set<std::string> quarantined() const {
     std::set<std::string> found;
     for (const auto& [body, count] : counts) {
@@ -182,7 +182,7 @@
   [[nodiscard]] dispatcher& node(std::size_t index) { return *nodes[index].subject; }
 
   /// @return number of times that a request reached a replica later than `span` after the third
-  ///         exit under this request.
+  ///         exit under it; 0 if there were fewer exits.
   [[nodiscard]] std::size_t sends_after_third_exit(const std::string& body,
                                                    base::duration span) const {
     const auto exits = exits_under.find(body);
@@ -215,7 +215,7 @@
   std::map<std::string, std::vector<base::time_point>> exits_under;
   /// Times at which a request reached replicas, by its body.
   std::map<std::string, std::vector<base::time_point>> reached;
-  /// Outcomes by body of the request.
+  /// Outcomes of attempts, by body of the request.
   std::map<std::string, attempt_counts> counts;
   /// Nodes that neither send nor receive messages.
   std::set<std::size_t> partitioned;
@@ -234,7 +234,7 @@
     std::unique_ptr<base::seeded_random> random;
     std::unique_ptr<dispatcher> subject;
     base::incarnation incarnation = 0;
-    /// Calls in flight, with whether the head of the stream has arrived.
+    /// Calls in flight; the value is whether the head of the stream has arrived.
     std::map<base::call_id, bool> calls;
     std::set<base::call_id> stage_calls;
   };
--- a/tests/quarantine/crash_ledger_test.cc
+++ b/tests/quarantine/crash_ledger_test.cc
@@ -25,7 +25,7 @@
   return request_digest(bytes);
 }
 
-/// Records exits with the given ids under a request. The id of an exit is also its time, in seconds
+/// Records exits with the given ids under a request. The time of each exit is its id, in seconds
 /// after `start`.
 void note(crash_registry& registry, unsigned request, std::initializer_list<replica_exit> exits) {
   for (const auto exit : exits) {
@@ -34,7 +34,7 @@
   }
 }
 
-/// @return a record of another node with the given exits, at the times that `note` gives them.
+/// @return a record of one request as another node sends it; the times of the exits are their ids.
 crash_record record_of(unsigned request, const std::vector<replica_exit>& exits) {
   crash_record record;
   record.digest = digest(request);
@@ -143,10 +143,10 @@
   BOOST_TEST(registry.counted_exits_of(digest(1)) == 3U);
 }
 
-/// Guards against a withdrawal that hides later exits: a replica was missing from the published
-/// list of replicas for some time, and was then in contact again in the same incarnation. When it
-/// exited later, the exit was attributed to no request, and a sixth replica exited under a crashing
-/// request.
+/// Guards against ignoring an exit because an earlier exit of the same incarnation was withdrawn. A
+/// replica was missing from the published list of replicas for some time, so that an exit was
+/// recorded, and then answered again in the same incarnation. Its real exit later was recorded
+/// under no request, so that a crashing request crashed six replicas instead of at most five.
 BOOST_AUTO_TEST_CASE(a_later_exit_of_a_withdrawn_incarnation_counts) {
   crash_registry registry;
   note(registry, 1, {1, 2, 3});
--- a/tests/quarantine/crash_news_test.cc
+++ b/tests/quarantine/crash_news_test.cc
@@ -30,7 +30,7 @@
   crash_report_exchange exchange;
 };
 
-/// Nodes that exchange crash records; messages take 1 ms.
+/// Nodes that exchange crash records; messages take at most 1 ms.
 struct crash_exchange_fleet {
   explicit crash_exchange_fleet(std::size_t count) {
     for (std::size_t index = 0; index < count; ++index) {
@@ -94,7 +94,7 @@
 
   base::time_point now{std::chrono::hours(1)};
   std::vector<std::unique_ptr<crash_exchange_node>> nodes;
-  /// Bytes of all messages.
+  /// Bytes of all messages since the end of the constructor.
   std::size_t bytes = 0;
 };
 
--- a/tests/quarantine/crashing_request_test.cc
+++ b/tests/quarantine/crashing_request_test.cc
@@ -1,6 +1,6 @@
-/// Guards against a request that crashes every replica which runs it, and that is sent repeatedly,
-/// to any node and under new ids. 45 replicas exited under one request of this kind, two per
-/// second, and each exit broke up to ten other requests: nodes recorded exits only per replica and
+/// Guards against a request that crashes every replica which runs it, and that clients send
+/// repeatedly, to any node and under new ids. 45 replicas exited under one such request, two per
+/// second, and each exit interrupted up to ten other requests: nodes recorded exits per replica and
 /// not per request, so each node sent each attempt to as many replicas as its route allows. Unless
 /// a test says otherwise, nothing else crashes replicas in these fleets; without the crash registry
 /// 60 to 90 replicas exit in 20 seconds.
@@ -18,11 +18,11 @@
 /// Maximum number of times that a crashing request may reach a replica later than `contact_time`
 /// after the third exit under it.
 constexpr std::size_t max_late_sends = 3;
-/// Maximum number of replicas that one crashing request may crash: three, and the replicas to which
-/// the request is on its way when the third replica exits.
+/// Maximum number of replicas that one crashing request may crash: three, and the replicas that run
+/// the request or are being sent it when the third replica exits.
 constexpr std::size_t max_exits = 5;
 
-/// Number of fleets in each test: each seed gives other nodes, times and replicas.
+/// Number of random fleets in each test: the seed determines nodes, times and replicas.
 constexpr std::uint64_t seed_count = 20;
 
 void check_bounded(const crash_fleet& fleet, const std::string& body, std::size_t allowed_exits) {
--- a/tests/quarantine/quarantine_policies_test.cc
+++ b/tests/quarantine/quarantine_policies_test.cc
@@ -1,6 +1,6 @@
-/// Compares policies that stop a request which crashes replicas. All policies run on the same
-/// random fleets; compared are the exits of replicas, the time to the last exit, and the number of
-/// harmless requests that are refused. docs/design/quarantine.md discusses the results.
+/// Compares policies against requests that crash replicas, on the same random fleets: by the exits
+/// of replicas, the time to the last exit, and the number of harmless requests that are refused.
+/// docs/design/quarantine.md discusses the results.
 #include "crash_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -33,8 +33,8 @@
   std::size_t harmless_requests = 0;
 };
 
-/// @return number of harmless requests that the policy of the fleet refused: by quarantine, or by
-///         the pause of the route.
+/// @return number of harmless requests that the policy of the fleet refused: requests in quarantine
+///         or, with `route_pause`, all requests during the pause.
 std::size_t count_refused_harmless(const crash_fleet& fleet) {
   std::size_t refused = 0;
   for (const auto& [body, count] : fleet.counts) {
--- a/tests/replica_statements/leaving_replica_test.cc
+++ b/tests/replica_statements/leaving_replica_test.cc
@@ -1,10 +1,10 @@
 /// Replicas that announce in their answers that they drain, whether or not the published list of
-/// replicas shows it.
+/// replicas shows them as draining.
 ///
 /// Guards against requests to a draining replica: a model replica announced that it drained while
 /// the published list could not be updated. Nodes that had forwarded answers with the announcement
-/// to clients sent the replica further requests 3 and 4 s later; two of six nodes did not react to
-/// the announcement at all.
+/// to clients still sent requests to the replica 3 and 4 s later; two of six nodes never reacted to
+/// the announcement.
 #include "limited_fleet.h"
 
 using namespace spurrack;
@@ -31,8 +31,6 @@
 
 BOOST_AUTO_TEST_SUITE(leaving_replica_test)
 
-// Guards against requests to a draining replica from a node that had forwarded an answer with the
-// replica's drain announcement to a client.
 BOOST_AUTO_TEST_CASE(a_node_sends_nothing_after_it_received_a_drain_announcement) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -1,8 +1,9 @@
 /// Replicas that refuse requests and request a backoff from the node.
 ///
-/// Guards against requests during a requested backoff: four of twelve model replicas requested a
-/// backoff of 3 s, and received 3 to 5 requests within it from nodes that had forwarded their
-/// answers; one of them received more requests than any replica that served requests.
+/// Guards against requests to a replica during a backoff that it requested: four of twelve model
+/// replicas requested a backoff of 3 s, and during it received 3 to 5 requests from nodes that had
+/// forwarded an answer with the backoff to a client. One of the four received more requests than
+/// any replica that served requests.
 #include "limited_fleet.h"
 
 using namespace spurrack;
@@ -10,8 +11,6 @@
 
 BOOST_AUTO_TEST_SUITE(replica_pauses_test)
 
-// Guards against requests of a node to a replica during a backoff that the replica requested of
-// this node.
 BOOST_AUTO_TEST_CASE(a_node_sends_nothing_during_a_requested_backoff) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
@@ -29,7 +28,7 @@
   }
 }
 
-// Guards against sends to replicas during their backoffs if all other replicas back off as well.
+// Guards against requests to replicas during their backoffs if all replicas back off.
 BOOST_AUTO_TEST_CASE(backoffs_are_respected_if_all_replicas_requested_one) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .replicas = 4});
@@ -45,7 +44,7 @@
   }
 }
 
-// Guards against a burst of all waiting requests when the backoff of a replica ends.
+// Guards against sending all queued requests to a replica at once when its backoff ends.
 BOOST_AUTO_TEST_CASE(few_requests_are_sent_at_once_when_a_backoff_ends) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .nodes = 2, .replicas = 1});
@@ -92,7 +91,7 @@
     learned += state.reported_backoff_until > fleet.now && state.reported_backoff_load > 0;
   }
   BOOST_TEST(learned >= 4U);
-  // The other nodes keep sending to the replica, and drop its reported backoff when it has ended.
+  // The other nodes do not stop sending to the replica, and drop the reported backoff at its end.
   fleet.load(40, seconds(8));
   const auto begun_at = fleet.now;
   fleet.load(40, seconds(10));
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -1,6 +1,6 @@
-/// A self-report of a replica affects calls of every kind to the replica (first sends, retries,
-/// resumed streams, calls with pieces of stages, freed results), and is read from answers of every
-/// kind.
+/// A self-report of a replica is read from answers of every kind and affects calls of every kind to
+/// the replica: first attempts, retries, resumed streams, calls with pieces of stages, and calls
+/// that free results.
 #include "serving_fixture.h"
 
 using namespace spurrack;
@@ -305,7 +305,7 @@
       std::find_if(refused.headers.begin(), refused.headers.end(),
                    [](const header& field) { return field.name == "Retry-After"; });
   BOOST_REQUIRE((retry_after != refused.headers.end()));
-  // The longest Retry-After that is sent: a third of the five seconds that the client waits.
+  // Retry-After is at most a third of the five seconds that the client waits.
   BOOST_TEST(std::stod(retry_after->value) >= 1.0);
 }
 
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -1,6 +1,6 @@
-/// Compares two policies for self-reports of replicas on the same random fleets. Without messages
-/// (all messages between nodes are lost), each node acts only on the answers that it receives
-/// itself; with messages, nodes send the reports to each other.
+/// Compares two policies for self-reports of replicas on the same random fleets. With messages,
+/// nodes forward the self-reports to each other; without messages (all messages between nodes are
+/// lost), each node knows only the self-reports in answers to its own calls.
 #include "limited_fleet.h"
 
 #include <iomanip>
@@ -15,12 +15,13 @@
 constexpr double all_messages_lost = 1;
 constexpr double no_messages_lost = 0;
 
-/// Results for a draining replica over all random fleets.
+/// Results for one draining replica in each random fleet.
 struct drain_figures {
-  /// Requests that all nodes sent to the replica after the first node received its drain
-  /// announcement, per fleet.
+  /// Average number of requests per fleet that all nodes together sent to the replica after the
+  /// first node received its drain announcement.
   double sent_after = 0;
-  /// Maximum time from the announcement to the last request, in seconds.
+  /// Maximum over all fleets of the time from that announcement to the last request to the replica,
+  /// in seconds.
   double last_send_after = 0;
 };
 
@@ -48,14 +49,15 @@
   return figures;
 }
 
-/// Results per fleet while a third of the replicas refuse all requests and request a backoff.
+/// Results while a third of the replicas refuse all requests and request a backoff: averages per
+/// fleet, except for the maximum.
 struct backoff_figures {
   /// Requests that arrived at replicas that refuse all requests.
   double refused_by_replicas = 0;
   /// Requests that nodes refused instead of sending them to a replica.
   double refused_by_nodes = 0;
-  /// Maximum number of requests that a replica which serves requests received within one second,
-  /// relative to the average over all replicas.
+  /// Maximum number of requests that one of the other replicas received within a second, relative
+  /// to the average over all replicas.
   double max_load_elsewhere = 0;
 };
 
