--- a/src/quarantine/crash_registry.cc
+++ b/src/quarantine/crash_registry.cc
@@ -9,7 +9,7 @@
 /// Lifetime, after its last update, of a record with too few exits for quarantine, and lifetime of
 /// indexed and withdrawn exits. Clients send a request again within seconds, scheduled jobs within
 /// minutes.
-constexpr base::duration suspicion_lifetime = std::chrono::minutes(10);
+constexpr base::duration short_record_lifetime = std::chrono::minutes(10);
 /// Time without an arrival of a quarantined request after which the request may be tried once more:
 /// the operators may have repaired the replicas in this time.
 constexpr base::duration first_quarantine_duration = std::chrono::hours(1);
@@ -25,7 +25,7 @@
 /// Age up to which exits of replicas that did not run a request raise the number of exits required
 /// for its quarantine: a crashing request that is sent repeatedly has crashed replicas within this
 /// time. Older exits are sent to other nodes and accepted from them only as parts of records.
-constexpr base::duration comparison_window = std::chrono::seconds(30);
+constexpr base::duration recent_exit_window = std::chrono::seconds(30);
 
 /// Maximum number of indexed exits, to limit memory: enough for 30 exits per second over 30 s.
 constexpr std::size_t max_indexed_exits = 1024;
@@ -40,7 +40,7 @@
   return found != withdrawn.end() && observation.at <= found->second;
 }
 
-bool knows(const crash_record& record, replica_exit exit) {
+bool contains_exit(const crash_record& record, replica_exit exit) {
   return std::any_of(record.exits.begin(), record.exits.end(),
                      [&](const exit_observation& known) { return known.exit == exit; });
 }
@@ -64,29 +64,29 @@
   if (found != records_.end()) {
     return found->second;
   }
-  evict_least_suspected();
+  evict_record_with_fewest_exits();
   auto& record = records_[digest];
   record.digest = digest;
   return record;
 }
 
-void crash_registry::evict_least_suspected() {
+void crash_registry::evict_record_with_fewest_exits() {
   if (records_.size() < max_records) {
     return;
   }
-  const auto least_suspected =
+  const auto evicted =
       std::min_element(records_.begin(), records_.end(), [](const auto& left, const auto& right) {
         return std::pair(left.second.exits.size(), left.second.last_update_at()) <
                std::pair(right.second.exits.size(), right.second.last_update_at());
       });
-  records_.erase(least_suspected);
+  records_.erase(evicted);
   explanations_are_stale_ = true;
 }
 
 void crash_registry::merge_exits(const std::vector<exit_observation>& received,
                                  base::time_point now) {
   for (const auto& observation : received) {
-    const bool is_recent = now - observation.at < comparison_window;
+    const bool is_recent = now - observation.at < recent_exit_window;
     if (is_recent && !is_withdrawn_exit(withdrawn_exits_, observation) &&
         exits_.size() < max_indexed_exits) {
       exits_.try_emplace(observation.exit, observation.at);
@@ -98,7 +98,7 @@
                                                            base::time_point now) const {
   std::vector<exit_observation> latest;
   for (const auto& [exit, at] : exits_) {
-    if (now - at < comparison_window) {
+    if (now - at < recent_exit_window) {
       latest.push_back({exit, at});
     }
   }
@@ -117,7 +117,7 @@
   for (const auto& observation : observations) {
     const bool is_refuted = record.survived_at && observation.at <= *record.survived_at;
     change.is_refuted = change.is_refuted && is_refuted;
-    if (is_refuted || knows(record, observation.exit) ||
+    if (is_refuted || contains_exit(record, observation.exit) ||
         is_withdrawn_exit(withdrawn_exits_, observation)) {
       continue;
     }
@@ -254,17 +254,19 @@
   return std::any_of(records_.begin(), records_.end(), [&](const auto& entry) {
     const auto& other = entry.second;
     return other.digest != record.digest && other.exits.size() == record.exits.size() &&
-           std::all_of(
-               record.exits.begin(), record.exits.end(),
-               [&](const exit_observation& observation) { return knows(other, observation.exit); });
+           std::all_of(record.exits.begin(), record.exits.end(),
+                       [&](const exit_observation& observation) {
+                         return contains_exit(other, observation.exit);
+                       });
   });
 }
 
 std::size_t crash_registry::exits_required(const crash_record& record, base::time_point now) const {
   std::size_t unrelated_exits = 0;
   for (const auto& [exit, at] : exits_) {
-    const bool is_recent = now - at < comparison_window;
-    unrelated_exits += is_recent && !knows(record, exit) && !is_explained(exit, record) ? 1 : 0;
+    const bool is_recent = now - at < recent_exit_window;
+    unrelated_exits +=
+        is_recent && !contains_exit(record, exit) && !is_explained(exit, record) ? 1 : 0;
   }
   const auto additional = 2 * unrelated_exits / record.exits.size();
   return std::min(limits_.quarantine + additional, limits_.quarantine_with_unrelated_exits);
@@ -306,7 +308,7 @@
 bool crash_registry::is_expired(const crash_record& record, base::time_point now) const {
   const bool was_quarantined = record.exits.size() >= limits_.quarantine;
   return now - record.last_update_at() >=
-         (was_quarantined ? quarantine_record_lifetime : suspicion_lifetime);
+         (was_quarantined ? quarantine_record_lifetime : short_record_lifetime);
 }
 
 void crash_registry::expire(base::time_point now) {
@@ -314,9 +316,9 @@
       std::erase_if(records_, [&](const auto& entry) { return is_expired(entry.second, now); });
   explanations_are_stale_ = explanations_are_stale_ || forgotten > 0;
   std::erase_if(exits_,
-                [&](const auto& entry) { return now - entry.second >= suspicion_lifetime; });
+                [&](const auto& entry) { return now - entry.second >= short_record_lifetime; });
   std::erase_if(withdrawn_exits_,
-                [&](const auto& entry) { return now - entry.second >= suspicion_lifetime; });
+                [&](const auto& entry) { return now - entry.second >= short_record_lifetime; });
 }
 
 } // namespace spurrack::quarantine
--- a/src/quarantine/crash_registry.h
+++ b/src/quarantine/crash_registry.h
@@ -135,7 +135,7 @@
  private:
   /// Returns the record of a request; creates a record if there is none.
   crash_record& record_of(const request_digest& digest);
-  void evict_least_suspected();
+  void evict_record_with_fewest_exits();
   registry_change add(crash_record& record, const std::vector<exit_observation>& observations,
                       base::time_point now);
   /// @return whether an exit in `record` is explained by another request, which is the more likely
--- a/src/self_reports/drain_registry.cc
+++ b/src/self_reports/drain_registry.cc
@@ -14,25 +14,26 @@
 bool drain_registry::note_drain(const key& draining, base::time_point announced_at,
                                 const std::string& source, base::time_point now) {
   const auto [entry, is_new] =
-      known_.try_emplace(draining, drain_announcement{announced_at, source, now});
+      announcements_.try_emplace(draining, drain_announcement{announced_at, source, now});
   fingerprints_.insert(draining.process);
   entry->second.announced_at = std::min(entry->second.announced_at, announced_at);
   return is_new;
 }
 
 void drain_registry::note_published(const key& published, base::time_point now) {
-  const auto found = known_.find(published);
-  if (found != known_.end()) {
+  const auto found = announcements_.find(published);
+  if (found != announcements_.end()) {
     found->second.last_seen_at = now;
   }
 }
 
 void drain_registry::drop_expired(base::time_point now) {
-  const auto forgotten = std::erase_if(
-      known_, [&](const auto& entry) { return now - entry.second.last_seen_at >= retention_time; });
+  const auto forgotten = std::erase_if(announcements_, [&](const auto& entry) {
+    return now - entry.second.last_seen_at >= retention_time;
+  });
   if (forgotten > 0) {
     fingerprints_.clear();
-    for (const auto& [process, known] : known_) {
+    for (const auto& [process, known] : announcements_) {
       fingerprints_.insert(process.process);
     }
   }
--- a/src/self_reports/drain_registry.h
+++ b/src/self_reports/drain_registry.h
@@ -58,14 +58,14 @@
   ///         at each choice of a replica: the lookup of the fingerprint rejects nearly all
   ///         processes without a search by replica id.
   [[nodiscard]] bool includes(const key& process) const {
-    return fingerprints_.contains(process.process) && known_.contains(process);
+    return fingerprints_.contains(process.process) && announcements_.contains(process);
   }
-  [[nodiscard]] bool empty() const { return known_.empty(); }
-  [[nodiscard]] const std::map<key, drain_announcement>& all() const { return known_; }
+  [[nodiscard]] bool empty() const { return announcements_.empty(); }
+  [[nodiscard]] const std::map<key, drain_announcement>& all() const { return announcements_; }
 
  private:
-  std::map<key, drain_announcement> known_;
-  /// Fingerprints of all processes in `known_`.
+  std::map<key, drain_announcement> announcements_;
+  /// Fingerprints of all processes in `announcements_`.
   std::unordered_set<process_fingerprint> fingerprints_;
 };
 
--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -169,7 +169,7 @@
   unsigned random_replica() { return static_cast<unsigned>(random.below(replicas.size())); }
 
   /// @return bodies of the requests that any node refused because of their quarantine.
-  [[nodiscard]] std::set<std::string> quarantined() const {
+  [[nodiscard]] std::set<std::string> quarantined_bodies() const {
     std::set<std::string> found;
     for (const auto& [body, count] : counts) {
       if (count.quarantined > 0) {
@@ -190,7 +190,7 @@
       return 0;
     }
     const auto since = exits->second[2] + span;
-    const auto& sent = reached.at(body);
+    const auto& sent = replica_arrivals.at(body);
     return static_cast<std::size_t>(
         std::count_if(sent.begin(), sent.end(), [&](auto at) { return at > since; }));
   }
@@ -214,7 +214,7 @@
   /// Times at which replicas crashed under a request, by its body.
   std::map<std::string, std::vector<base::time_point>> exits_under;
   /// Times at which a request reached replicas, by its body.
-  std::map<std::string, std::vector<base::time_point>> reached;
+  std::map<std::string, std::vector<base::time_point>> replica_arrivals;
   /// Outcomes of attempts, by body of the request.
   std::map<std::string, attempt_counts> counts;
   /// Nodes that neither send nor receive messages.
@@ -336,7 +336,7 @@
       called_bodies.insert(bodies_by_id.at(item.request));
     }
     for (const auto& body : called_bodies) {
-      reached[body].push_back(now);
+      replica_arrivals[body].push_back(now);
       if (bodies_crashing_in_stages.contains(body)) {
         schedule_crash(index, body);
       }
@@ -459,7 +459,7 @@
       return;
     }
     const auto& body = command.content->body;
-    reached[body].push_back(now);
+    replica_arrivals[body].push_back(now);
     const std::pair key{node, command.call};
     replica->calls.insert(key);
     const auto index = static_cast<unsigned>(replica - replicas.data());
@@ -515,12 +515,13 @@
       const bool is_lost = sent.message.has_crash_news() && (nodes_of_older_build.contains(from) ||
                                                              nodes_of_older_build.contains(index));
       if (peer_number(index).address == sent.to && is_reached && !is_lost) {
-        deliver_to(*nodes[index].subject, sender, sent.message);
+        handle_message(*nodes[index].subject, sender, sent.message);
       }
     }
   }
 
-  void deliver_to(dispatcher& receiver, const fleet_peer& sender, const wire::envelope& message) {
+  void handle_message(dispatcher& receiver, const fleet_peer& sender,
+                      const wire::envelope& message) {
     if (message.has_stage_work()) {
       receiver.handle_peer(sender.node, message.stage_work(), now);
     } else if (message.has_engine_news()) {
--- a/tests/quarantine/crash_ledger_test.cc
+++ b/tests/quarantine/crash_ledger_test.cc
@@ -27,7 +27,8 @@
 
 /// Records exits with the given ids under a request. The time of each exit is its id, in seconds
 /// after `start`.
-void note(crash_registry& registry, unsigned request, std::initializer_list<replica_exit> exits) {
+void note_exits(crash_registry& registry, unsigned request,
+                std::initializer_list<replica_exit> exits) {
   for (const auto exit : exits) {
     const base::time_point at = start + seconds(exit);
     registry.note_exit(digest(request), {exit, at}, at);
@@ -52,17 +53,17 @@
   crash_registry registry;
   const auto now = start + seconds(10);
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::unrestricted));
-  note(registry, 1, {1});
+  note_exits(registry, 1, {1});
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::unrestricted));
-  note(registry, 1, {2});
+  note_exits(registry, 1, {2});
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
-  note(registry, 1, {3, 4});
+  note_exits(registry, 1, {3, 4});
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
 }
 
 BOOST_AUTO_TEST_CASE(an_exit_reported_by_several_nodes_counts_once) {
   crash_registry registry;
-  note(registry, 1, {1, 1, 1, 1});
+  note_exits(registry, 1, {1, 1, 1, 1});
   registry.merge(record_of(1, {1}), start + seconds(5));
   BOOST_TEST(registry.counted_exits_of(digest(1)) == 1U);
 }
@@ -84,7 +85,7 @@
 
 BOOST_AUTO_TEST_CASE(a_surviving_run_clears_earlier_exits_and_refutes_late_reports) {
   crash_registry registry;
-  note(registry, 1, {1, 2, 3, 4});
+  note_exits(registry, 1, {1, 2, 3, 4});
   BOOST_TEST(registry.note_survived(digest(1), start + seconds(5)));
   BOOST_TEST((registry.quarantine_state_of(digest(1), start + seconds(6)) ==
               quarantine_state::unrestricted));
@@ -96,46 +97,46 @@
 
 BOOST_AUTO_TEST_CASE(exits_explained_by_a_request_with_more_exits_do_not_count) {
   crash_registry registry;
-  note(registry, 1, {1, 2, 3, 4, 5});
-  note(registry, 2, {1, 2, 3, 4});
+  note_exits(registry, 1, {1, 2, 3, 4, 5});
+  note_exits(registry, 2, {1, 2, 3, 4});
   const auto now = start + seconds(10);
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
   BOOST_TEST((registry.quarantine_state_of(digest(2), now) == quarantine_state::unrestricted));
 }
 
-BOOST_AUTO_TEST_CASE(two_requests_with_equal_exits_keep_a_single_attempt_until_they_differ) {
+BOOST_AUTO_TEST_CASE(two_requests_with_equal_exits_get_single_attempts_until_one_has_more_exits) {
   crash_registry registry;
-  note(registry, 1, {1, 2, 3, 4});
-  note(registry, 2, {1, 2, 3, 4});
+  note_exits(registry, 1, {1, 2, 3, 4});
+  note_exits(registry, 2, {1, 2, 3, 4});
   const auto now = start + seconds(10);
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
   BOOST_TEST((registry.quarantine_state_of(digest(2), now) == quarantine_state::single_attempt));
-  note(registry, 1, {5});
+  note_exits(registry, 1, {5});
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
   BOOST_TEST((registry.quarantine_state_of(digest(2), now) == quarantine_state::unrestricted));
 }
 
 BOOST_AUTO_TEST_CASE(a_second_crashing_request_is_quarantined_although_it_shares_an_exit) {
   crash_registry registry;
-  note(registry, 1, {1, 2, 3, 4, 5});
-  note(registry, 2, {1, 6, 7, 8});
+  note_exits(registry, 1, {1, 2, 3, 4, 5});
+  note_exits(registry, 2, {1, 6, 7, 8});
   BOOST_TEST((registry.quarantine_state_of(digest(2), start + seconds(10)) ==
               quarantine_state::quarantined));
 }
 
-BOOST_AUTO_TEST_CASE(unrelated_exits_raise_the_number_of_exits_required) {
+BOOST_AUTO_TEST_CASE(unrelated_exits_raise_the_number_of_exits_required_for_quarantine) {
   crash_registry registry;
-  note(registry, 1, {1, 2, 3, 4});
+  note_exits(registry, 1, {1, 2, 3, 4});
   const base::time_point now = start + seconds(10);
   registry.merge_exits({{21, now}, {22, now}, {23, now}, {24, now}}, now);
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::single_attempt));
-  note(registry, 1, {5});
+  note_exits(registry, 1, {5});
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
 }
 
 BOOST_AUTO_TEST_CASE(a_withdrawn_exit_is_removed_and_not_merged_again) {
   crash_registry registry;
-  note(registry, 1, {1, 2, 3, 4});
+  note_exits(registry, 1, {1, 2, 3, 4});
   const auto now = start + seconds(10);
   BOOST_TEST(registry.withdraw(3, now));
   BOOST_TEST(!registry.withdraw(3, now));
@@ -149,7 +150,7 @@
 /// under no request, so that a crashing request crashed six replicas instead of at most five.
 BOOST_AUTO_TEST_CASE(a_later_exit_of_a_withdrawn_incarnation_counts) {
   crash_registry registry;
-  note(registry, 1, {1, 2, 3});
+  note_exits(registry, 1, {1, 2, 3});
   registry.withdraw(3, start + seconds(10));
   const base::time_point later = start + seconds(20);
   registry.note_exit(digest(2), {3, later}, later);
@@ -160,7 +161,7 @@
 
 BOOST_AUTO_TEST_CASE(quarantine_lasts_while_the_request_arrives_and_then_allows_a_single_attempt) {
   crash_registry registry;
-  note(registry, 1, {1, 2, 3, 4});
+  note_exits(registry, 1, {1, 2, 3, 4});
   base::time_point now = start + minutes(59);
   registry.expire(now);
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
@@ -177,17 +178,17 @@
   BOOST_TEST((registry.quarantine_state_of(digest(1), now) == quarantine_state::quarantined));
 }
 
-BOOST_AUTO_TEST_CASE(a_single_exit_expires_after_minutes) {
+BOOST_AUTO_TEST_CASE(a_record_with_one_exit_expires_within_11_minutes) {
   crash_registry registry;
-  note(registry, 1, {1});
+  note_exits(registry, 1, {1});
   registry.expire(start + minutes(11));
   BOOST_TEST(registry.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_flood_of_requests_with_one_exit_evicts_no_request_with_more) {
+BOOST_AUTO_TEST_CASE(a_flood_of_requests_with_one_exit_evicts_no_request_with_more_exits) {
   crash_registry registry;
-  note(registry, 1, {1, 2, 3, 4});
-  note(registry, 2, {1, 2});
+  note_exits(registry, 1, {1, 2, 3, 4});
+  note_exits(registry, 2, {1, 2});
   for (unsigned number = 3; number < 3 + 2 * crash_registry::max_records; ++number) {
     const base::time_point at = start + seconds(10);
     registry.note_exit(digest(number), {1000 + number, at}, at);
--- a/tests/quarantine/crash_news_test.cc
+++ b/tests/quarantine/crash_news_test.cc
@@ -40,7 +40,7 @@
       update_peers(*node);
     }
     run(seconds(1));
-    bytes = 0;
+    sent_bytes = 0;
   }
 
   void update_peers(crash_exchange_node& node) {
@@ -55,7 +55,7 @@
   }
 
   /// Records an exit under a request at one node.
-  void note(std::size_t index, std::uint8_t request, replica_exit exit) {
+  void note_exit(std::size_t index, std::uint8_t request, replica_exit exit) {
     auto& node = *nodes[index];
     node.registry.note_exit(some_digest(request), {exit, now}, now);
     node.exchange.note_changed(some_digest(request));
@@ -68,7 +68,7 @@
       for (auto& node : nodes) {
         node->exchange.advance(now);
         for (const auto& message : node->exchange.take_messages()) {
-          bytes += message.message.ByteSizeLong();
+          sent_bytes += message.message.ByteSizeLong();
           deliver(*node, message);
         }
       }
@@ -95,7 +95,7 @@
   base::time_point now{std::chrono::hours(1)};
   std::vector<std::unique_ptr<crash_exchange_node>> nodes;
   /// Bytes of all messages since the end of the constructor.
-  std::size_t bytes = 0;
+  std::size_t sent_bytes = 0;
 };
 
 } // namespace
@@ -106,7 +106,7 @@
   for (const std::size_t count : {2, 6, 60, 300}) {
     crash_exchange_fleet fleet(count);
     for (std::uint8_t exit = 0; exit < 4; ++exit) {
-      fleet.note(exit % count, 1, 100 + exit);
+      fleet.note_exit(exit % count, 1, 100 + exit);
       fleet.run(milliseconds(300));
     }
     fleet.run(seconds(2));
@@ -118,7 +118,7 @@
 
 BOOST_AUTO_TEST_CASE(a_first_exit_is_reported_only_to_its_aggregators) {
   crash_exchange_fleet fleet(60);
-  fleet.note(0, 1, 100);
+  fleet.note_exit(0, 1, 100);
   fleet.run(seconds(5));
   BOOST_TEST(fleet.nodes_knowing(1, 1) <= 4U);
   BOOST_TEST(fleet.nodes_knowing(1, 1) >= 3U);
@@ -130,11 +130,11 @@
   for (const std::size_t count : {30, 100, 300}) {
     crash_exchange_fleet fleet(count);
     for (std::uint8_t exit = 0; exit < 8; ++exit) {
-      fleet.note(exit, 1, 100 + exit);
+      fleet.note_exit(exit, 1, 100 + exit);
       fleet.run(milliseconds(500));
     }
     const auto bytes_per_second_and_node =
-        static_cast<double>(fleet.bytes) / static_cast<double>(count) / 4;
+        static_cast<double>(fleet.sent_bytes) / static_cast<double>(count) / 4;
     BOOST_TEST_MESSAGE(count << " nodes: " << bytes_per_second_and_node
                              << " bytes per second and node");
     least = std::min(least, bytes_per_second_and_node);
@@ -148,7 +148,7 @@
 BOOST_AUTO_TEST_CASE(a_restarted_node_queries_the_records_that_it_missed) {
   crash_exchange_fleet fleet(30);
   for (std::uint8_t exit = 0; exit < 4; ++exit) {
-    fleet.note(exit, 1, 100 + exit);
+    fleet.note_exit(exit, 1, 100 + exit);
   }
   fleet.run(seconds(2));
   fleet.nodes[7] = std::make_unique<crash_exchange_node>(7);
@@ -160,7 +160,7 @@
 BOOST_AUTO_TEST_CASE(a_surviving_run_clears_the_request_on_all_nodes) {
   crash_exchange_fleet fleet(30);
   for (std::uint8_t exit = 0; exit < 4; ++exit) {
-    fleet.note(exit, 1, 100 + exit);
+    fleet.note_exit(exit, 1, 100 + exit);
   }
   fleet.run(seconds(2));
   fleet.nodes[3]->registry.note_survived(some_digest(1), fleet.now);
--- a/tests/quarantine/crashing_request_test.cc
+++ b/tests/quarantine/crashing_request_test.cc
@@ -25,7 +25,8 @@
 /// Number of random fleets in each test: the seed determines nodes, times and replicas.
 constexpr std::uint64_t seed_count = 20;
 
-void check_bounded(const crash_fleet& fleet, const std::string& body, std::size_t allowed_exits) {
+void check_exits_and_late_sends(const crash_fleet& fleet, const std::string& body,
+                                std::size_t allowed_exits) {
   const auto exits = fleet.exits_under.find(body);
   BOOST_TEST(fleet.sends_after_third_exit(body, contact_time) <= max_late_sends);
   BOOST_TEST((exits == fleet.exits_under.end() ? 0 : exits->second.size()) <= allowed_exits);
@@ -56,18 +57,18 @@
     fleet.harmless_per_second = 20;
     fleet.send_repeatedly("/stream/", "guilty", seconds(20));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      check_bounded(fleet, "guilty", max_exits);
+      check_exits_and_late_sends(fleet, "guilty", max_exits);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(few_replicas_crash_if_each_node_sends_the_request_once) {
+BOOST_AUTO_TEST_CASE(few_replicas_crash_if_streams_of_the_route_cannot_be_resumed) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed});
     fleet.crashing_bodies = {"guilty"};
     fleet.send_repeatedly("/fixed/", "guilty", seconds(20));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      check_bounded(fleet, "guilty", max_exits);
+      check_exits_and_late_sends(fleet, "guilty", max_exits);
     }
   }
 }
@@ -94,8 +95,8 @@
     fleet.run(seconds(3));
     fleet.send_repeatedly("/staged/", "guilty", seconds(20));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      check_bounded(fleet, "guilty", max_exits);
-      BOOST_TEST(fleet.quarantined() == std::set<std::string>{"guilty"},
+      check_exits_and_late_sends(fleet, "guilty", max_exits);
+      BOOST_TEST(fleet.quarantined_bodies() == std::set<std::string>{"guilty"},
                  boost::test_tools::per_element());
     }
   }
@@ -109,13 +110,13 @@
       fleet.arrive(node, "/stream/", "guilty");
     }
     fleet.run(seconds(4));
-    const auto first_round = fleet.reached["guilty"].size();
+    const auto first_round = fleet.replica_arrivals["guilty"].size();
     fleet.send_repeatedly("/stream/", "guilty", seconds(10));
     BOOST_TEST_CONTEXT("seed " << seed) {
       // Two attempts per node: if all exits occur at the same time, no node knows of the exits
       // that other nodes observed.
       BOOST_TEST(first_round <= 2 * fleet.settings.nodes);
-      BOOST_TEST(fleet.reached["guilty"].size() == first_round);
+      BOOST_TEST(fleet.replica_arrivals["guilty"].size() == first_round);
     }
   }
 }
@@ -137,9 +138,9 @@
     }
     BOOST_TEST_CONTEXT("seed " << seed) {
       for (const auto& body : fleet.crashing_bodies) {
-        check_bounded(fleet, body, max_exits + 1);
+        check_exits_and_late_sends(fleet, body, max_exits + 1);
       }
-      for (const auto& body : fleet.quarantined()) {
+      for (const auto& body : fleet.quarantined_bodies()) {
         BOOST_TEST(fleet.crashing_bodies.contains(body));
       }
     }
@@ -154,7 +155,7 @@
     fleet.clients_retry = true;
     fleet.send_repeatedly("/stream/", "guilty", seconds(15));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      BOOST_TEST(fleet.quarantined() == std::set<std::string>{"guilty"},
+      BOOST_TEST(fleet.quarantined_bodies() == std::set<std::string>{"guilty"},
                  boost::test_tools::per_element());
     }
   }
@@ -177,7 +178,7 @@
     }
     BOOST_TEST_CONTEXT("seed " << seed) {
       BOOST_TEST(fleet.crashes > 10U);
-      BOOST_TEST(fleet.quarantined().empty());
+      BOOST_TEST(fleet.quarantined_bodies().empty());
     }
   }
 }
@@ -203,7 +204,7 @@
       fleet.arrive(attempt % 3, "/stream/", "guilty");
       fleet.run(milliseconds(300));
     }
-    const auto before = fleet.reached["guilty"].size();
+    const auto before = fleet.replica_arrivals["guilty"].size();
     for (std::size_t node = 0; node < 3; ++node) {
       fleet.start_node(node);
     }
@@ -214,12 +215,12 @@
     }
     fleet.run(seconds(2));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      BOOST_TEST(fleet.reached["guilty"].size() == before);
+      BOOST_TEST(fleet.replica_arrivals["guilty"].size() == before);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(nodes_without_reports_are_bounded_by_their_own_observations) {
+BOOST_AUTO_TEST_CASE(nodes_that_exchange_no_reports_lose_at_most_four_replicas_each) {
   for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     crash_fleet fleet({seed});
     fleet.crashing_bodies = {"guilty"};
--- a/tests/replica_statements/leaving_replica_test.cc
+++ b/tests/replica_statements/leaving_replica_test.cc
@@ -70,7 +70,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_announcement_outlives_the_published_list) {
+BOOST_AUTO_TEST_CASE(a_drain_announcement_stays_in_effect_whatever_the_published_list_shows) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
   fleet.begin_draining(0);
@@ -123,7 +123,7 @@
   BOOST_TEST(fleet.arrived_since(0, published_at) > 10U);
 }
 
-BOOST_AUTO_TEST_CASE(a_started_node_learns_of_the_drain) {
+BOOST_AUTO_TEST_CASE(a_restarted_node_learns_of_the_drain_announcement) {
   limited_fleet fleet;
   fleet.load(40, seconds(3));
   fleet.begin_draining(0);
--- a/tests/replica_statements/limit_book_test.cc
+++ b/tests/replica_statements/limit_book_test.cc
@@ -81,7 +81,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_later_own_report_overrides_an_older_report_of_a_higher_version) {
+BOOST_AUTO_TEST_CASE(a_later_answer_at_this_node_overrides_an_older_report_of_a_higher_version) {
   limit_registry registry;
   registry.record_answer(replica, incarnation, {1.0, start}, start + seconds(5));
   BOOST_TEST(registry.merge(replica, {incarnation, std::nullopt, 9, start}));
@@ -89,7 +89,7 @@
   BOOST_TEST(registry.find(replica)->version == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_incarnation_starts_without_a_limit) {
+BOOST_AUTO_TEST_CASE(a_new_incarnation_replaces_the_limit_of_the_earlier_incarnation) {
   limit_registry registry;
   registry.record_answer(replica, incarnation, {1.0, start}, start);
   BOOST_TEST(registry.record_answer(replica, incarnation + 1, {3.0, start}, start));
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -61,7 +61,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(refusals_during_backoffs_carry_a_longer_retry_after) {
+BOOST_AUTO_TEST_CASE(refusals_during_long_backoffs_have_a_retry_after_of_at_least_one_second) {
   limited_fleet fleet({.replicas = 2});
   fleet.load(20, seconds(2));
   for (const unsigned replica : {0U, 1U}) {
@@ -78,7 +78,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(other_nodes_learn_of_a_backoff_as_load) {
+BOOST_AUTO_TEST_CASE(other_nodes_learn_of_a_backoff_and_drop_it_at_its_end) {
   // Nodes send reports on replicas only to nodes of their region, or of their zone if the zones
   // have no regions.
   limited_fleet fleet({.zones = 1});
@@ -98,7 +98,7 @@
   BOOST_TEST(fleet.arrived_since(0, begun_at) > 15U);
 }
 
-BOOST_AUTO_TEST_CASE(a_backoff_ends_with_the_incarnation_or_address_that_requested_it) {
+BOOST_AUTO_TEST_CASE(a_backoff_ends_when_its_replica_restarts_or_changes_its_address) {
   limited_fleet fleet({.replicas = 2});
   fleet.load(20, seconds(2));
   fleet.refuse_requests(0, seconds(1), seconds(60));
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-replica_self_report draining() {
+replica_self_report drain_report() {
   replica_self_report report;
   report.is_draining = true;
   return report;
@@ -25,7 +25,7 @@
 /// One node in front of a few replicas; counts the calls to each replica.
 struct self_report_node : dispatcher_driver {
   /// @return number of calls of any kind to a replica among the commands from index `first` on.
-  [[nodiscard]] std::size_t sent_to(const base::replica_id& replica, std::size_t first) const {
+  [[nodiscard]] std::size_t calls_to(const base::replica_id& replica, std::size_t first) const {
     const auto called = called_since(first);
     return static_cast<std::size_t>(std::count(called.begin(), called.end(), replica));
   }
@@ -63,7 +63,7 @@
 
 BOOST_AUTO_TEST_SUITE(stated_calls_test)
 
-BOOST_AUTO_TEST_CASE(refusals_and_errors_announce_a_drain) {
+BOOST_AUTO_TEST_CASE(a_drain_announcement_in_a_refusal_or_an_error_takes_effect) {
   for (const unsigned status : {503U, 500U, 429U}) {
     self_report_node node;
     node.arrive(1, "/safe/");
@@ -71,43 +71,43 @@
     auto head = dispatcher_driver::good_head(status);
     head.not_executed = status != 500;
     const auto before = node.commands.size();
-    node.answer(node.last<start_call>().call, draining(), head);
+    node.answer(node.last<start_call>().call, drain_report(), head);
     for (base::caller_id client = 2; client < 40; ++client) {
       node.arrive(client, "/safe/");
     }
-    BOOST_TEST(node.sent_to(first, before) == 0U, status);
+    BOOST_TEST(node.calls_to(first, before) == 0U, status);
   }
 }
 
-BOOST_AUTO_TEST_CASE(the_head_of_a_stream_announces_a_drain_before_the_stream_ends) {
+BOOST_AUTO_TEST_CASE(a_drain_announcement_in_the_head_of_a_stream_takes_effect_at_once) {
   self_report_node node;
   node.arrive(1, "/stream/");
   const auto call = node.last<start_call>();
-  node.deliver_self_report(call.call, draining());
+  node.deliver_self_report(call.call, drain_report());
   node.happen(stream_opened{call.call, dispatcher_driver::good_head()});
   node.happen(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 20; ++client) {
     node.arrive(client, "/stream/");
   }
-  BOOST_TEST(node.sent_to(call.target.replica, before) == 0U);
+  BOOST_TEST(node.calls_to(call.target.replica, before) == 0U);
   // The stream at the draining replica continues; a resumed stream goes to another replica.
   BOOST_TEST(node.all<cancel_call>().empty());
   node.happen(stream_closed{call.call, false});
-  BOOST_TEST(node.sent_to(call.target.replica, before) == 0U);
+  BOOST_TEST(node.calls_to(call.target.replica, before) == 0U);
   BOOST_TEST(node.last<start_call>().resume_after.value_or(0) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(the_head_of_a_buffered_answer_announces_a_drain) {
+BOOST_AUTO_TEST_CASE(a_drain_announcement_in_the_head_of_a_buffered_answer_takes_effect_at_once) {
   self_report_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
-  node.deliver_self_report(call.call, draining());
+  node.deliver_self_report(call.call, drain_report());
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 20; ++client) {
     node.arrive(client, "/safe/");
   }
-  BOOST_TEST(node.sent_to(call.target.replica, before) == 0U);
+  BOOST_TEST(node.calls_to(call.target.replica, before) == 0U);
   node.happen(call_answered{call.call, dispatcher_driver::good_head(), "body"});
   BOOST_TEST(node.last<respond>().status == 200U);
 }
@@ -118,7 +118,7 @@
   node.arrive(1, "/staged/", {3, 1});
   node.pass(milliseconds(20));
   const auto maker = node.last<start_stage_call>().target.replica;
-  node.answer_stage_calls(draining());
+  node.answer_stage_calls(drain_report());
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 10; ++client) {
     node.arrive(client, "/staged/", {3, 1});
@@ -128,7 +128,7 @@
     }
     node.serve_stream();
   }
-  BOOST_TEST(node.sent_to(maker, before) == 0U);
+  BOOST_TEST(node.calls_to(maker, before) == 0U);
   BOOST_TEST(node.all<start_stage_call>().size() > 8U);
   // The results that the draining replica computed are still used: no result is recomputed.
   const auto calls = node.all<start_call>();
@@ -147,14 +147,14 @@
   node.answer_stage_calls(backoff_report(seconds(2)));
   const auto before = node.commands.size();
   node.pass(milliseconds(1'950));
-  BOOST_TEST(node.sent_to(maker, before) == 0U);
+  BOOST_TEST(node.calls_to(maker, before) == 0U);
   for (int step = 0; step < 100; ++step) {
     node.pass(milliseconds(20));
     node.answer_stage_calls();
   }
   // The second stage runs after the backoff, and then the results that it has fetched are freed.
   BOOST_REQUIRE(!node.all<start_call>().empty());
-  BOOST_TEST(node.sent_to(maker, before) > 0U);
+  BOOST_TEST(node.calls_to(maker, before) > 0U);
   node.serve_stream();
   node.pass(milliseconds(100));
   BOOST_TEST(!node.all<free_results>().empty());
@@ -179,7 +179,7 @@
     }
   }
   node.pass(milliseconds(2'900));
-  BOOST_TEST(node.sent_to(backed_off_replica, before) == 0U);
+  BOOST_TEST(node.calls_to(backed_off_replica, before) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_to_an_earlier_call_ends_no_backoff) {
@@ -203,7 +203,7 @@
   for (base::caller_id client = 100; client < 130; ++client) {
     node.arrive(client, "/safe/");
   }
-  BOOST_TEST(node.sent_to(backed_off_replica, before) == 0U);
+  BOOST_TEST(node.calls_to(backed_off_replica, before) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_503_of_a_replica_that_ran_the_request_requests_a_backoff) {
@@ -216,14 +216,14 @@
   for (base::caller_id client = 2; client < 30; ++client) {
     node.arrive(client, "/unsafe/");
   }
-  BOOST_TEST(node.sent_to(call.target.replica, before) == 0U);
+  BOOST_TEST(node.calls_to(call.target.replica, before) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(one_answer_may_announce_a_limit_a_backoff_and_a_drain) {
   self_report_node node;
   node.arrive(1, "/safe/");
   const auto call = node.last<start_call>();
-  auto report = draining();
+  auto report = drain_report();
   report.limit.per_second = 5;
   report.backoff.span = milliseconds(300);
   node.answer(call.call, report, dispatcher_driver::not_executed_head());
@@ -232,7 +232,7 @@
     node.arrive(client, "/safe/");
     node.pass(milliseconds(50));
   }
-  BOOST_TEST(node.sent_to(call.target.replica, before) == 0U);
+  BOOST_TEST(node.calls_to(call.target.replica, before) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(unparsable_self_reports_are_counted_and_change_nothing) {
@@ -250,7 +250,7 @@
   for (base::caller_id client = 2; client < 30; ++client) {
     node.arrive(client, "/safe/");
   }
-  BOOST_TEST(node.sent_to(call.target.replica, before) > 0U);
+  BOOST_TEST(node.calls_to(call.target.replica, before) > 0U);
 }
 
 BOOST_AUTO_TEST_CASE(self_reports_of_an_earlier_incarnation_are_ignored) {
@@ -263,13 +263,13 @@
   node.pass(milliseconds(10));
   node.world.add_incarnation("plain-a", "plain", "a", "10.2.0.1:80", 2000);
   node.subject.update(node.world.content, node.now);
-  auto report = draining();
+  auto report = drain_report();
   report.backoff.span = seconds(60);
   node.deliver_self_report(call.call, report);
   node.pass(milliseconds(10));
   const auto before = node.commands.size();
   node.arrive(2, "/safe/");
-  BOOST_TEST(node.sent_to(base::replica_id("plain-a"), before) == 1U);
+  BOOST_TEST(node.calls_to(base::replica_id("plain-a"), before) == 1U);
 }
 
 // --- all replicas back off -----------------------------------------------------------------------
@@ -284,9 +284,9 @@
   const auto before = node.commands.size();
   node.arrive(2, "/safe/");
   node.pass(milliseconds(1'950));
-  BOOST_TEST(node.sent_to(base::replica_id("plain-a"), before) == 0U);
+  BOOST_TEST(node.calls_to(base::replica_id("plain-a"), before) == 0U);
   node.pass(milliseconds(100));
-  BOOST_TEST(node.sent_to(base::replica_id("plain-a"), before) == 1U);
+  BOOST_TEST(node.calls_to(base::replica_id("plain-a"), before) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_is_refused_at_once_if_no_backoff_ends_before_its_deadline) {
@@ -321,7 +321,7 @@
   BOOST_TEST(node.all<start_stage_call>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(urgent_requests_go_first_and_gradually_when_a_backoff_ends) {
+BOOST_AUTO_TEST_CASE(when_a_backoff_ends_urgent_requests_are_sent_first_and_the_others_gradually) {
   self_report_node node;
   node.world.add_route("/urgent/", wire::ROUTE_SAFE, "plain").set_priority(0);
   node.world.add_route("/usual/", wire::ROUTE_SAFE, "plain").set_priority(5);
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -58,7 +58,7 @@
   double refused_by_nodes = 0;
   /// Maximum number of requests that one of the other replicas received within a second, relative
   /// to the average over all replicas.
-  double max_load_elsewhere = 0;
+  double max_load_of_other_replicas = 0;
 };
 
 backoff_figures run_backoffs(std::size_t nodes, double loss_rate) {
@@ -84,8 +84,8 @@
             static_cast<double>(fleet.arrived_since(replica, begun_at)) / random_fleets;
       } else {
         const auto most = fleet.max_arrivals_within(replica, seconds(1), begun_at, false);
-        figures.max_load_elsewhere =
-            std::max(figures.max_load_elsewhere, static_cast<double>(most) * replicas / per_second);
+        figures.max_load_of_other_replicas = std::max(
+            figures.max_load_of_other_replicas, static_cast<double>(most) * replicas / per_second);
       }
     }
     figures.refused_by_nodes += static_cast<double>(fleet.counts.refused) / random_fleets;
@@ -113,7 +113,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(fewer_requests_are_refused_if_backoffs_are_shared_as_load) {
+BOOST_AUTO_TEST_CASE(replicas_refuse_fewer_requests_if_nodes_report_backoffs_to_each_other) {
   for (const std::size_t nodes : {6U, 86U}) {
     const auto without_messages = run_backoffs(nodes, all_messages_lost);
     const auto with_messages = run_backoffs(nodes, no_messages_lost);
@@ -123,8 +123,8 @@
           << " without messages, " << with_messages.refused_by_replicas
           << " with messages; refused by nodes: " << without_messages.refused_by_nodes << " and "
           << with_messages.refused_by_nodes
-          << "; maximum at another replica: " << without_messages.max_load_elsewhere << " and "
-          << with_messages.max_load_elsewhere << " times the average";
+          << "; maximum at another replica: " << without_messages.max_load_of_other_replicas
+          << " and " << with_messages.max_load_of_other_replicas << " times the average";
     BOOST_TEST_MESSAGE(table.str());
     BOOST_TEST(with_messages.refused_by_replicas <= without_messages.refused_by_replicas);
   }
