--- a/src/quarantine/crash_registry.h
+++ b/src/quarantine/crash_registry.h
@@ -112,7 +112,6 @@
   /// withdrawal, that is a new exit and is recorded.
   /// @return whether the registry knew the exit.
   bool withdraw(replica_exit exit, base::time_point now);
-  /// @return time of an exit; std::nullopt if the registry does not know the exit.
   [[nodiscard]] std::optional<base::time_point> exit_time_of(replica_exit exit) const;
 
   /// @return whether a request that arrives now is unrestricted, limited to a single attempt, or
@@ -165,8 +164,8 @@
   /// other nodes reported without a record.
   std::map<replica_exit, base::time_point> exits_;
   /// For each exit, the largest number of exits under any one request that has this exit and enough
-  /// exits for quarantine. Recomputed only on the first use after a change: without this map, the
-  /// record of each arriving request would be compared with all other records.
+  /// exits for quarantine. Recomputed on the first use after a change: without this map, the record
+  /// of each arriving request would be compared with all other records.
   mutable std::map<replica_exit, std::size_t> explaining_exit_counts_;
   mutable bool explanations_are_stale_ = false;
   /// Withdrawn exits, with the times at which their replicas were found to be running.
--- a/src/self_reports/limit_registry.h
+++ b/src/self_reports/limit_registry.h
@@ -52,8 +52,8 @@
   /// @return whether other nodes may not know the merged record yet, so that it must be sent.
   bool merge(const base::replica_id& replica, const limit_record& received);
   void forget(const base::replica_id& replica) { records_.erase(replica); }
-  /// Drops the record of a lifted limit if no answer without a limit has arrived for so long that
-  /// all nodes know that the limit is lifted.
+  /// Drops the records of lifted limits if the latest answer without a limit is so old that all
+  /// nodes know that the limit is lifted.
   void drop_lifted(base::time_point now);
 
   /// @return null if the replica has announced no limit, or lifted its limit long ago.
--- a/src/serving/counters.h
+++ b/src/serving/counters.h
@@ -72,9 +72,7 @@
   std::uint64_t calls_at_earlier_incarnations = 0;
   /// Replicas published with a service that is not configured.
   std::uint64_t replicas_of_unknown_services = 0;
-  /// Requests accepted after a graceful stop began.
   std::uint64_t accepted_while_stopping = 0;
-  /// Requests refused after a graceful stop began.
   std::uint64_t refused_while_stopping = 0;
   /// Accepted requests that a stopping node ended instead of sending them to a replica, since they
   /// were not expected to end before the node exits.
--- a/src/serving/events.h
+++ b/src/serving/events.h
@@ -108,7 +108,6 @@
   lost,          ///< The call ended without an answer.
   expired,       ///< The deadline of the piece passed before the piece was sent to a replica.
 };
-/// Outcome of one piece.
 struct piece_outcome {
   piece_fault fault = piece_fault::none;
   /// Handle under which the result is stored; empty if there is a fault.
@@ -151,12 +150,10 @@
 
 // --- commands ------------------------------------------------------------------------------------
 
-/// Replica that a call goes to.
 struct call_target {
   base::replica_id replica;
   base::network_address address;
 };
-/// Sends a request to a replica.
 struct start_call {
   base::call_id call = 0;
   call_target target;
--- a/src/serving/request.h
+++ b/src/serving/request.h
@@ -13,7 +13,6 @@
 
 namespace spurrack::serving {
 
-/// One HTTP header field.
 struct header {
   std::string name;
   std::string value;
--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -18,7 +18,6 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Parameters of a simulated fleet.
 struct crash_fleet_settings {
   /// Seed of all random choices.
   std::uint64_t seed = 1;
@@ -168,7 +167,7 @@
 
   unsigned random_replica() { return static_cast<unsigned>(random.below(replicas.size())); }
 
-  /// @return bodies of the requests that any node refused because of their quarantine.
+  /// @return bodies of the requests of which any node refused an attempt because of quarantine.
   [[nodiscard]] std::set<std::string> quarantined_bodies() const {
     std::set<std::string> found;
     for (const auto& [body, count] : counts) {
