--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -1,6 +1,6 @@
-/// Compares two policies for self-reports of replicas on the same random fleets. Without messages
-/// (all messages between nodes are lost), each node acts only on the answers that it receives
-/// itself; with messages, nodes send the reports to each other.
+/// Compares two policies for self-reports of replicas on the same random fleets. With messages,
+/// nodes forward the self-reports to each other; without messages (all messages between nodes are
+/// lost), each node knows only the self-reports in answers to its own calls.
 #include "limited_fleet.h"
 
 #include <iomanip>
@@ -15,12 +15,13 @@
 constexpr double all_messages_lost = 1;
 constexpr double no_messages_lost = 0;
 
-/// Results for a draining replica over all random fleets.
+/// Results for one draining replica in each random fleet.
 struct drain_figures {
-  /// Requests that all nodes sent to the replica after the first node received its drain
-  /// announcement, per fleet.
+  /// Average number of requests per fleet that all nodes together sent to the replica after the
+  /// first node received its drain announcement.
   double sent_after = 0;
-  /// Maximum time from the announcement to the last request, in seconds.
+  /// Maximum over all fleets of the time from that announcement to the last request to the replica,
+  /// in seconds.
   double last_send_after = 0;
 };
 
@@ -48,15 +49,16 @@
   return figures;
 }
 
-/// Results per fleet while a third of the replicas refuse all requests and request a backoff.
+/// Results while a third of the replicas refuse all requests and request a backoff: averages per
+/// fleet, except for the maximum.
 struct backoff_figures {
   /// Requests that arrived at replicas that refuse all requests.
   double refused_by_replicas = 0;
   /// Requests that nodes refused instead of sending them to a replica.
   double refused_by_nodes = 0;
-  /// Maximum number of requests that a replica which serves requests received within one second,
-  /// relative to the average over all replicas.
-  double max_load_elsewhere = 0;
+  /// Maximum number of requests that one of the other replicas received within a second, relative
+  /// to the average over all replicas.
+  double max_load_of_other_replicas = 0;
 };
 
 backoff_figures run_backoffs(std::size_t nodes, double loss_rate) {
@@ -82,8 +84,8 @@
             static_cast<double>(fleet.arrived_since(replica, begun_at)) / random_fleets;
       } else {
         const auto most = fleet.max_arrivals_within(replica, seconds(1), begun_at, false);
-        figures.max_load_elsewhere =
-            std::max(figures.max_load_elsewhere, static_cast<double>(most) * replicas / per_second);
+        figures.max_load_of_other_replicas = std::max(
+            figures.max_load_of_other_replicas, static_cast<double>(most) * replicas / per_second);
       }
     }
     figures.refused_by_nodes += static_cast<double>(fleet.counts.refused) / random_fleets;
@@ -111,7 +113,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(fewer_requests_are_refused_if_backoffs_are_shared_as_load) {
+BOOST_AUTO_TEST_CASE(replicas_refuse_fewer_requests_if_nodes_report_backoffs_to_each_other) {
   for (const std::size_t nodes : {6U, 86U}) {
     const auto without_messages = run_backoffs(nodes, all_messages_lost);
     const auto with_messages = run_backoffs(nodes, no_messages_lost);
@@ -121,8 +123,8 @@
           << " without messages, " << with_messages.refused_by_replicas
           << " with messages; refused by nodes: " << without_messages.refused_by_nodes << " and "
           << with_messages.refused_by_nodes
-          << "; maximum at another replica: " << without_messages.max_load_elsewhere << " and "
-          << with_messages.max_load_elsewhere << " times the average";
+          << "; maximum at another replica: " << without_messages.max_load_of_other_replicas
+          << " and " << with_messages.max_load_of_other_replicas << " times the average";
     BOOST_TEST_MESSAGE(table.str());
     BOOST_TEST(with_messages.refused_by_replicas <= without_messages.refused_by_replicas);
   }
