--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -8,9 +8,8 @@
 namespace spurrack::catalog {
 namespace {
 
-/// Time after which a foreign hash (`foreign_hash`) is dropped if no peer sends the same hash
-/// again.
-constexpr base::duration foreign_hash_lifetime = std::chrono::seconds(3);
+/// Time after which a content hash is removed from `differing_hashes_` if no peer sends it again.
+constexpr base::duration differing_hash_lifetime = std::chrono::seconds(3);
 /// Hash of an empty bucket.
 constexpr std::uint64_t empty_bucket_hash = 0;
 
@@ -69,9 +68,9 @@
     comparison_interval_ = min_comparison_interval;
     return;
   }
-  const bool is_settled = has_settled(peer_hash, now);
+  const bool has_lasting_difference = note_differing_hash(peer_hash, now);
   const auto interval = is_eager ? min_comparison_interval : comparison_interval_;
-  if ((!is_settled && !is_eager) || now - last_comparison_at_ < interval ||
+  if ((!has_lasting_difference && !is_eager) || now - last_comparison_at_ < interval ||
       is_answer_pending(now)) {
     return;
   }
@@ -85,14 +84,15 @@
   out.push_back(std::move(message));
 }
 
-bool replicator::has_settled(std::uint64_t peer_hash, base::time_point now) {
-  std::erase_if(foreign_hashes_, [&](const auto& entry) {
-    return now - entry.second.last_seen > foreign_hash_lifetime;
+bool replicator::note_differing_hash(std::uint64_t peer_hash, base::time_point now) {
+  std::erase_if(differing_hashes_, [&](const auto& entry) {
+    return now - entry.second.last_received_at > differing_hash_lifetime;
   });
-  const auto seen = foreign_hashes_.try_emplace(peer_hash, foreign_hash{now, now}).first;
-  seen->second.last_seen = now;
+  const auto seen = differing_hashes_.try_emplace(peer_hash, differing_hash_times{now, now}).first;
+  seen->second.last_received_at = now;
   differs_since_ = differs_since_.value_or(now);
-  return now - seen->second.first_seen >= settle_time || now - *differs_since_ >= settle_time;
+  return now - seen->second.first_received_at >= settle_time ||
+         now - *differs_since_ >= settle_time;
 }
 
 bool replicator::is_answer_pending(base::time_point now) const {
@@ -141,7 +141,7 @@
   }
 }
 
-bool replicator::may_answer(std::size_t entries, base::time_point now) {
+bool replicator::may_answer_with_entries(std::size_t entries, base::time_point now) {
   if (entries < large_answer_entries) {
     return true;
   }
@@ -177,13 +177,13 @@
   answer.set_answers_comparison(true);
   // The entries are counted first, and copied only if the answer may contain them: while a fleet
   // starts, the limit of large answers leaves most answers without entries.
-  const bool has_answer = may_answer(content_->count_in(differing), now);
-  if (has_answer) {
+  const bool may_send_entries = may_answer_with_entries(content_->count_in(differing), now);
+  if (may_send_entries) {
     pack_entries(content_->entries_in(differing), answer);
   }
   // The pull, which requests entries, is sent before the push, which contains entries. If the peer
   // applied the push first, its answer to the pull would contain the pushed entries again.
-  if (has_answer && body.buckets_size() > 0) {
+  if (may_send_entries && body.buckets_size() > 0) {
     out.push_back(std::move(pull));
   }
   out.push_back(std::move(push));
--- a/src/catalog/replicator.h
+++ b/src/catalog/replicator.h
@@ -120,7 +120,7 @@
   /// @param entries number of entries that the answer would contain.
   /// @return false if the answer is large and `max_large_answers` large answers have already been
   ///         given in the current `large_answer_period`.
-  bool may_answer(std::size_t entries, base::time_point now);
+  bool may_answer_with_entries(std::size_t entries, base::time_point now);
   /// @return whether this node waits for the answer to a comparison that it started; false after
   ///         `comparison_timeout`.
   [[nodiscard]] bool is_answer_pending(base::time_point now) const;
@@ -132,18 +132,18 @@
   catalog* content_;
   base::random_source* random_;
   apply_observer observer_;
-  /// Times at which a foreign hash was received. A foreign hash is a content hash that a peer sent
-  /// and that differs from this node's hash.
-  struct foreign_hash {
-    base::time_point first_seen;
-    base::time_point last_seen;
+  /// Times at which peers sent the same content hash, which differs from this node's hash.
+  struct differing_hash_times {
+    base::time_point first_received_at;
+    base::time_point last_received_at;
   };
   /// Records a content hash of a peer that differs from this node's hash.
-  /// @return whether the catalogs have differed for `settle_time`.
-  bool has_settled(std::uint64_t peer_hash, base::time_point now);
+  /// @return whether the catalogs of peers have differed from this node's catalog for
+  ///         `settle_time`.
+  bool note_differing_hash(std::uint64_t peer_hash, base::time_point now);
 
-  /// Foreign hashes that peers sent recently.
-  std::map<std::uint64_t, foreign_hash> foreign_hashes_;
+  /// Content hashes that peers sent recently and that differed from this node's hash.
+  std::map<std::uint64_t, differing_hash_times> differing_hashes_;
   /// Time since which all content hashes that peers sent have differed from this node's hash;
   /// std::nullopt if the last of them equals this node's hash.
   std::optional<base::time_point> differs_since_;
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -80,8 +80,8 @@
     entry->second.address = machine->address;
     zones_by_address_[machine->address] = machine->zone;
   }
-  is_list_known_ = is_list_known_ || !machines.empty();
-  if (is_list_known_) {
+  has_published_list_ = has_published_list_ || !machines.empty();
+  if (has_published_list_) {
     std::erase_if(members_, [&](const auto& entry) { return !listed.contains(entry.first); });
   }
 }
@@ -100,7 +100,7 @@
 }
 
 bool membership::may_be_member(const base::node_id& node) const {
-  return !is_list_known_ || members_.contains(node);
+  return !has_published_list_ || members_.contains(node);
 }
 
 void membership::observe(const wire::envelope& message, base::time_point now) {
@@ -131,7 +131,7 @@
   }
   auto found = members_.find(node);
   if (found == members_.end()) {
-    if (is_list_known_ || update.state() != wire::ALIVE) {
+    if (has_published_list_ || update.state() != wire::ALIVE) {
       return;
     }
     member new_member;
@@ -178,7 +178,7 @@
     subject.state_since = now;
     observer_(subject);
   }
-  if (in_zone(subject)) {
+  if (is_in_own_zone(subject)) {
     gossip(subject);
   }
 }
@@ -242,13 +242,13 @@
   } else if (message.has_acknowledgement()) {
     const auto& body = message.acknowledgement();
     note_member_reply(body.sequence(), now);
-    const auto relayed = indirect_probes_.find(body.sequence());
-    if (relayed != indirect_probes_.end()) {
-      wire::outgoing reply{relayed->second.requester, {}};
+    const auto indirect = indirect_probes_.find(body.sequence());
+    if (indirect != indirect_probes_.end()) {
+      wire::outgoing reply{indirect->second.requester, {}};
       *reply.message.mutable_acknowledgement() = body;
-      reply.message.mutable_acknowledgement()->set_sequence(relayed->second.requester_sequence);
+      reply.message.mutable_acknowledgement()->set_sequence(indirect->second.requester_sequence);
       out.push_back(std::move(reply));
-      indirect_probes_.erase(relayed);
+      indirect_probes_.erase(indirect);
     } else if (probe_ && probe_->sequence == body.sequence()) {
       probe_.reset();
     }
@@ -262,7 +262,7 @@
     next_probe_at_ = now + settings_.probe_period;
     start_probe(now, out);
   }
-  if (!is_list_known_ || members_.empty()) {
+  if (!has_published_list_ || members_.empty()) {
     request_members(now, out);
   }
   if (now >= next_dead_probe_at_) {
@@ -279,7 +279,7 @@
   while (true) {
     if (probe_order_.empty()) {
       for (const auto& [node, other] : members_) {
-        if (in_zone(other) && other.state != wire::DEAD) {
+        if (is_in_own_zone(other) && other.state != wire::DEAD) {
           probe_order_.push_back(node);
         }
       }
@@ -363,7 +363,7 @@
 void membership::probe_dead_member(wire::outbox& out) {
   std::vector<const member*> dead;
   for (const auto& [node, other] : members_) {
-    if (in_zone(other) && other.state == wire::DEAD) {
+    if (is_in_own_zone(other) && other.state == wire::DEAD) {
       dead.push_back(&other);
     }
   }
@@ -389,7 +389,7 @@
     live_.emplace();
     live_->zone_nodes.push_back(self_.node);
     for (const auto& [node, other] : members_) {
-      if (!in_zone(other)) {
+      if (!is_in_own_zone(other)) {
         live_->remote[other.zone].push_back(node);
       } else if (other.state != wire::DEAD) {
         live_->peers.push_back(other);
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -226,19 +226,19 @@
   void send_digests(base::time_point now, wire::outbox& out);
   /// Sends digests to the other zones of this node's region. In some rounds, the digests list the
   /// live members of this node's zone.
-  void send_to_other_zones(base::time_point now, wire::outbox& out);
+  void send_digests_to_other_zones(base::time_point now, wire::outbox& out);
   /// Sends digests to another zone of this node's region. The relays of that zone receive the time
   /// since the last contact with each zone of other regions; a random node of that zone receives
   /// `members`. Each receiver also records a contact with this node's zone.
-  void send_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
-                    base::time_point now, wire::outbox& out);
+  void send_digests_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
+                            base::time_point now, wire::outbox& out);
   /// Sends digests to the relays and to a random node of each other region. The digests contain the
   /// time since the last contact with each other zone of this node's region. In some rounds the
   /// digest to the random node also lists the live members of this node's region.
-  void send_to_other_regions(base::time_point now, wire::outbox& out);
+  void send_digests_to_other_regions(base::time_point now, wire::outbox& out);
   /// Sends the time since the last contact with each other zone to all live members of this node's
   /// zone.
-  void send_to_own_zone(base::time_point now, wire::outbox& out) const;
+  void send_digests_to_own_zone(base::time_point now, wire::outbox& out) const;
   /// @return the relays of a region: one relay of each of two zones, or both relays of a zone if
   ///         only this zone can be chosen. The zones are chosen among the reachable zones of the
   ///         region, or among all zones of the region if none of them is reachable.
@@ -259,7 +259,7 @@
   [[nodiscard]] float processor_share_of(const base::node_id& node) const;
   std::optional<base::node_id> next_probe_target();
   wire::envelope ping_message(std::uint64_t sequence, const member* target);
-  [[nodiscard]] bool in_zone(const member& other) const { return other.zone == self_.zone; }
+  [[nodiscard]] bool is_in_own_zone(const member& other) const { return other.zone == self_.zone; }
   /// @return number of messages that carry a member update.
   [[nodiscard]] unsigned gossip_sends() const;
   [[nodiscard]] const live_view& live() const;
@@ -270,7 +270,7 @@
   base::random_source* random_;
   state_observer observer_;
   base::incarnation incarnation_;
-  bool is_list_known_ = false;
+  bool has_published_list_ = false;
   std::map<base::node_id, member> members_;
   std::unordered_map<base::network_address, base::zone_id> zones_by_address_;
   std::uint64_t version_ = 0;
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -80,7 +80,7 @@
   last_member_request_ = next_sequence_++;
   auto message = ping_message(last_member_request_, nullptr);
   message.mutable_ping()->set_introduce(true);
-  name_filter_writer known(last_member_request_);
+  name_hash_set_writer known(last_member_request_);
   for (const auto& [node, other] : members_) {
     known.add(node);
   }
@@ -109,7 +109,7 @@
 }
 
 void membership::add_missing_members(const wire::envelope& request, wire::envelope& reply) const {
-  const name_filter known(request.ping().known_members(), request.ping().sequence());
+  const name_hash_set known(request.ping().known_members(), request.ping().sequence());
   const auto limit = known.is_empty() ? max_members_per_first_reply : max_members_per_reply;
   std::vector<const member*> same_zone;
   std::vector<const member*> other_zones;
@@ -140,15 +140,15 @@
 
 void membership::send_digests(base::time_point now, wire::outbox& out) {
   if (is_relay()) {
-    send_to_other_zones(now, out);
-    send_to_own_zone(now, out);
+    send_digests_to_other_zones(now, out);
+    send_digests_to_own_zone(now, out);
   }
   if (is_region_relay(now)) {
-    send_to_other_regions(now, out);
+    send_digests_to_other_regions(now, out);
   }
 }
 
-void membership::send_to_other_zones(base::time_point now, wire::outbox& out) {
+void membership::send_digests_to_other_zones(base::time_point now, wire::outbox& out) {
   const auto& view = live();
   const auto rounds = std::max<std::uint64_t>(1, view.zone_nodes.size() / members_per_round);
   wire::zone_digest members;
@@ -159,17 +159,17 @@
   }
   for (const auto& [zone, nodes] : view.remote) {
     if (!regions_.are_in_different_regions(self_.zone, zone)) {
-      send_to_zone(zone, members, now, out);
+      send_digests_to_zone(zone, members, now, out);
     }
   }
 }
 
-void membership::send_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
-                              base::time_point now, wire::outbox& out) {
-  wire::zone_digest ages;
-  zones_.add_ages_for_region(ages, now);
+void membership::send_digests_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
+                                      base::time_point now, wire::outbox& out) {
+  wire::zone_digest contact_reports;
+  zones_.add_contact_reports_to_other_zones(contact_reports, now);
   for (const auto& relay : live().relays.at(zone)) {
-    send_digest(relay, ages, out);
+    send_digest(relay, contact_reports, out);
   }
   // This node's knowledge of the other zone is often outdated, so this node may choose other relays
   // for that zone than the nodes of the zone do. Therefore a random node of the zone also receives
@@ -235,7 +235,7 @@
   return nodes;
 }
 
-void membership::send_to_other_regions(base::time_point now, wire::outbox& out) {
+void membership::send_digests_to_other_regions(base::time_point now, wire::outbox& out) {
   const auto own_region = *regions_.region_of(self_.zone);
   const auto own_nodes = nodes_of_region(own_region);
   const auto rounds = std::max<std::uint64_t>(1, own_nodes.size() / members_per_round);
@@ -245,12 +245,12 @@
       *members.add_members() = update_of(members_.at(node));
     }
   }
-  wire::zone_digest ages;
-  zones_.add_ages_for_other_regions(ages, now);
-  *members.mutable_heard() = ages.heard();
+  wire::zone_digest contact_reports;
+  zones_.add_contact_reports_to_other_regions(contact_reports, now);
+  *members.mutable_heard() = contact_reports.heard();
   for (const auto& region : other_regions()) {
     for (const auto& relay : region_relays(region, now)) {
-      send_digest(relay, ages, out);
+      send_digest(relay, contact_reports, out);
     }
     // This node's knowledge of the other region is often outdated, so this node may choose other
     // relays for that region than the nodes of the region do. Therefore a random node of the region
@@ -261,11 +261,11 @@
   }
 }
 
-void membership::send_to_own_zone(base::time_point now, wire::outbox& out) const {
-  wire::zone_digest ages;
-  zones_.add_ages_for_own_zone(ages, now);
+void membership::send_digests_to_own_zone(base::time_point now, wire::outbox& out) const {
+  wire::zone_digest contact_reports;
+  zones_.add_contact_reports_to_own_zone(contact_reports, now);
   for (const auto& peer : live_peers()) {
-    send_digest(peer.node, ages, out);
+    send_digest(peer.node, contact_reports, out);
   }
 }
 
--- a/src/membership/name_filter.cc
+++ b/src/membership/name_filter.cc
@@ -13,13 +13,13 @@
 
 } // namespace
 
-void name_filter_writer::add(const base::node_id& node) {
+void name_hash_set_writer::add(const base::node_id& node) {
   const auto hash = name_hash(node, salt_);
   bytes_.push_back(static_cast<char>(hash & 0xFFU));
   bytes_.push_back(static_cast<char>(hash >> bits_per_byte));
 }
 
-name_filter::name_filter(const std::string& bytes, std::uint64_t salt) : salt_(salt) {
+name_hash_set::name_hash_set(const std::string& bytes, std::uint64_t salt) : salt_(salt) {
   for (std::size_t index = 0; index + 1 < bytes.size(); index += 2) {
     const auto low = static_cast<unsigned char>(bytes[index]);
     const auto high = static_cast<unsigned char>(bytes[index + 1]);
@@ -27,7 +27,7 @@
   }
 }
 
-bool name_filter::may_contain(const base::node_id& node) const {
+bool name_hash_set::may_contain(const base::node_id& node) const {
   return hashes_.test(name_hash(node, salt_));
 }
 
--- a/src/membership/name_filter.h
+++ b/src/membership/name_filter.h
@@ -16,10 +16,10 @@
 namespace spurrack::membership {
 
 /// Builds the set of a request. Used by the requester.
-class name_filter_writer {
+class name_hash_set_writer {
  public:
   /// @param salt sequence number of the request.
-  explicit name_filter_writer(std::uint64_t salt) : salt_(salt) {}
+  explicit name_hash_set_writer(std::uint64_t salt) : salt_(salt) {}
 
   void add(const base::node_id& node);
   /// @return the encoded set. Empties the writer.
@@ -31,11 +31,11 @@
 };
 
 /// Decoded set of a received request. Used by the node that replies.
-class name_filter {
+class name_hash_set {
  public:
   /// @param bytes the encoded set. If the number of bytes is odd, the last byte is ignored.
   /// @param salt sequence number of the request.
-  name_filter(const std::string& bytes, std::uint64_t salt);
+  name_hash_set(const std::string& bytes, std::uint64_t salt);
 
   /// @return whether the hash of the node's name is in the set: always true if the requester knows
   ///         the node, rarely true otherwise.
--- a/src/membership/zone_contact.cc
+++ b/src/membership/zone_contact.cc
@@ -73,9 +73,9 @@
   }
 }
 
-void zone_contact::add_age(wire::zone_digest& digest, const base::zone_id& zone,
-                           const std::optional<base::time_point>& contact_at,
-                           base::time_point now) {
+void zone_contact::add_contact_report(wire::zone_digest& digest, const base::zone_id& zone,
+                                      const std::optional<base::time_point>& contact_at,
+                                      base::time_point now) {
   // A contact that is older than `max_contact_timeout` is not reported, because it would not make
   // the receiver regard the zone as reachable.
   if (contact_at && now - *contact_at < max_contact_timeout) {
@@ -85,30 +85,32 @@
   }
 }
 
-void zone_contact::add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const {
+void zone_contact::add_contact_reports_to_own_zone(wire::zone_digest& digest,
+                                                   base::time_point now) const {
   for (const auto& [zone, state] : zone_states_) {
     // A time that is std::nullopt does not affect the maximum, because std::nullopt compares less
     // than any time.
     const auto latest = std::max({state.direct_contact_at, state.region_reported_contact_at,
                                   state.relay_reported_contact_at});
-    add_age(digest, zone, latest, now);
+    add_contact_report(digest, zone, latest, now);
   }
 }
 
-void zone_contact::add_ages_for_region(wire::zone_digest& digest, base::time_point now) const {
+void zone_contact::add_contact_reports_to_other_zones(wire::zone_digest& digest,
+                                                      base::time_point now) const {
   for (const auto& [zone, state] : zone_states_) {
     if (regions_.are_in_different_regions(own_zone_, zone)) {
-      add_age(digest, zone, std::max(state.direct_contact_at, state.region_reported_contact_at),
-              now);
+      add_contact_report(digest, zone,
+                         std::max(state.direct_contact_at, state.region_reported_contact_at), now);
     }
   }
 }
 
-void zone_contact::add_ages_for_other_regions(wire::zone_digest& digest,
-                                              base::time_point now) const {
+void zone_contact::add_contact_reports_to_other_regions(wire::zone_digest& digest,
+                                                        base::time_point now) const {
   for (const auto& [zone, state] : zone_states_) {
     if (!regions_.are_in_different_regions(own_zone_, zone)) {
-      add_age(digest, zone, state.direct_contact_at, now);
+      add_contact_report(digest, zone, state.direct_contact_at, now);
     }
   }
 }
--- a/src/membership/zone_contact.h
+++ b/src/membership/zone_contact.h
@@ -42,14 +42,14 @@
   void observe(const wire::envelope& message, base::time_point now);
   /// Adds to a digest for the nodes of this node's zone the time since the last contact with each
   /// other zone, from messages that this node received and from reports of nodes of other zones.
-  void add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const;
+  void add_contact_reports_to_own_zone(wire::zone_digest& digest, base::time_point now) const;
   /// Adds to a digest for other zones of this node's region the time since the last contact with
   /// each zone of other regions, from messages that this node received and from reports of nodes of
   /// other regions.
-  void add_ages_for_region(wire::zone_digest& digest, base::time_point now) const;
+  void add_contact_reports_to_other_zones(wire::zone_digest& digest, base::time_point now) const;
   /// Adds to a digest for other regions the time since the last contact with each other zone of
   /// this node's region, only from messages that this node received.
-  void add_ages_for_other_regions(wire::zone_digest& digest, base::time_point now) const;
+  void add_contact_reports_to_other_regions(wire::zone_digest& digest, base::time_point now) const;
   /// Called after a suspension of this process. Moves the times of the last contacts forward, so
   /// that no zone counts as unreachable only because this process could not receive messages.
   void resume_after_suspension(base::time_point now);
@@ -90,8 +90,9 @@
   /// Adds a zone and the time since the last contact with the zone to a digest, unless the time is
   /// `max_contact_timeout` or longer.
   /// @param contact_at time of the last contact with the zone; std::nullopt if there was none.
-  static void add_age(wire::zone_digest& digest, const base::zone_id& zone,
-                      const std::optional<base::time_point>& contact_at, base::time_point now);
+  static void add_contact_report(wire::zone_digest& digest, const base::zone_id& zone,
+                                 const std::optional<base::time_point>& contact_at,
+                                 base::time_point now);
   /// Records the contacts with zones that the sender of a digest reports. A contact with this
   /// node's own zone is ignored.
   void record_reported_contacts(const wire::zone_digest& digest, const base::zone_id& sender_zone,
--- a/tests/catalog/replicator_test.cc
+++ b/tests/catalog/replicator_test.cc
@@ -19,8 +19,8 @@
 
 /// Catalog and replicator of one node.
 struct catalog_node {
-  explicit catalog_node(std::uint64_t seed)
-      : random(seed), subject(content, random, [](const auto&, const auto&) {}) {}
+  explicit catalog_node(std::uint64_t random_seed)
+      : random(random_seed), subject(content, random, [](const auto&, const auto&) {}) {}
 
   catalog::catalog content;
   base::seeded_random random;
--- a/tests/catalog/store_era_test.cc
+++ b/tests/catalog/store_era_test.cc
@@ -62,7 +62,7 @@
   BOOST_TEST(known_replica(content).address.text() == "10.0.0.2:80");
 }
 
-BOOST_AUTO_TEST_CASE(later_era_wins_at_equal_revisions) {
+BOOST_AUTO_TEST_CASE(entry_of_a_later_era_replaces_an_entry_with_the_same_revision) {
   const auto before = entry(1, 100, replica_key, replica(false, "10.0.0.1:80"));
   const auto after = entry(2, 100, replica_key, replica(false, "10.0.0.2:80"));
   for (const bool reversed : {false, true}) {
@@ -138,7 +138,7 @@
   BOOST_TEST(known_replica(content).may_be_deleted);
 }
 
-BOOST_AUTO_TEST_CASE(listing_of_a_new_era_yields_deletions_at_any_revision) {
+BOOST_AUTO_TEST_CASE(listing_of_a_new_era_yields_deletions_even_at_a_lower_revision) {
   catalog::catalog content;
   content.apply(entry(1, 500, replica_key, replica(false)));
   BOOST_TEST(content.deletions_of_unlisted_replicas({}, {1, 400}).empty());
@@ -148,7 +148,7 @@
   BOOST_TEST(content.replicas().empty());
 }
 
-BOOST_AUTO_TEST_CASE(entry_without_an_era_counts_as_one_of_the_latest_era) {
+BOOST_AUTO_TEST_CASE(entry_without_an_era_counts_as_an_entry_of_the_latest_era) {
   catalog::catalog content;
   content.apply(entry(2, 100, replica_key, replica(false)));
   BOOST_CHECK(content.apply(entry(0, 101, replica_key, replica(true))).verdict ==
--- a/tests/membership/hollow_fleet.h
+++ b/tests/membership/hollow_fleet.h
@@ -25,21 +25,22 @@
 }
 
 /// Node that runs only membership.
-struct hollow_node {
-  hollow_node(const identity& self, std::uint64_t seed, const model::zone_regions& regions)
-      : random(seed), members(
-                          self, platform_timing(), random, [](const auto&) {}, regions) {}
+struct membership_node {
+  membership_node(const identity& self, std::uint64_t random_seed,
+                  const model::zone_regions& regions)
+      : random(random_seed), members(
+                                 self, platform_timing(), random, [](const auto&) {}, regions) {}
   base::seeded_random random;
   membership members;
 };
 
-struct hollow_fleet {
+struct membership_fleet {
   /// @param region_count number of regions over which the zones are spread; 0 if the zones have no
   ///        regions.
   /// @param all_known whether each node knows all other nodes from the start, as in a fleet that
   ///        has run for a long time.
-  hollow_fleet(std::size_t nodes_per_zone, std::size_t zones, std::size_t region_count = 0,
-               bool all_known = true) {
+  membership_fleet(std::size_t nodes_per_zone, std::size_t zones, std::size_t region_count = 0,
+                   bool all_known = true) {
     for (std::size_t zone = 0; zone < zones && region_count > 0; ++zone) {
       region_by_zone[base::zone_id("z" + std::to_string(zone))] =
           base::region_id("r" + std::to_string(zone % region_count));
@@ -52,7 +53,7 @@
       self.address = base::network_address("n" + std::to_string(index) + ":1");
       self.process_start = 1;
       by_address[self.address] = nodes.size();
-      nodes.push_back(std::make_unique<hollow_node>(self, index + 1, regions));
+      nodes.push_back(std::make_unique<membership_node>(self, index + 1, regions));
     }
     if (all_known) {
       make_all_known();
@@ -154,7 +155,7 @@
     return views;
   }
 
-  std::vector<std::unique_ptr<hollow_node>> nodes;
+  std::vector<std::unique_ptr<membership_node>> nodes;
   std::unordered_map<base::network_address, std::size_t> by_address;
   std::vector<std::pair<std::size_t, wire::envelope>> in_flight;
   /// Zone whose nodes neither run nor receive messages; empty if the nodes of all zones run.
--- a/tests/membership/member_discovery_test.cc
+++ b/tests/membership/member_discovery_test.cc
@@ -11,7 +11,7 @@
 #include <cstddef>
 
 using namespace spurrack;
-using membership::hollow_fleet;
+using membership::membership_fleet;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -22,9 +22,9 @@
 constexpr std::size_t seed_count = 3;
 
 /// Fleet whose nodes know only the addresses of the gossip seeds, which are its first nodes.
-struct starting_fleet : hollow_fleet {
+struct starting_fleet : membership_fleet {
   explicit starting_fleet(std::size_t size)
-      : hollow_fleet(size / zone_count, zone_count, region_count, false) {
+      : membership_fleet(size / zone_count, zone_count, region_count, false) {
     for (auto& node : nodes) {
       for (std::size_t seed = 0; seed < seed_count; ++seed) {
         node->members.add_seed(nodes[seed]->members.self().address);
@@ -90,7 +90,7 @@
   request.set_sender_incarnation(1);
   request.mutable_ping()->set_introduce(true);
   request.mutable_ping()->set_sequence(7);
-  membership::name_filter_writer known(7);
+  membership::name_hash_set_writer known(7);
   for (const auto& [node, other] : requester.members()) {
     known.add(node);
   }
--- a/tests/membership/zone_contact_test.cc
+++ b/tests/membership/zone_contact_test.cc
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace spurrack;
-using membership::hollow_fleet;
+using membership::membership_fleet;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -26,7 +26,7 @@
 BOOST_AUTO_TEST_CASE(zone_failure_is_detected_by_all_nodes_within_two_seconds_at_any_size) {
   for (const auto& shape : {fleet_shape{3, 2}, fleet_shape{15, 4}, fleet_shape{50, 6},
                             fleet_shape{5, 6, 3}, fleet_shape{50, 6, 3}, fleet_shape{25, 12, 3}}) {
-    hollow_fleet fleet(shape.nodes_per_zone, shape.zones, shape.regions);
+    membership_fleet fleet(shape.nodes_per_zone, shape.zones, shape.regions);
     fleet.run(seconds(6));
     fleet.messages = 0;
     fleet.messages_between_regions = 0;
@@ -67,7 +67,7 @@
 BOOST_AUTO_TEST_CASE(region_partition_and_its_end_are_detected_on_both_sides) {
   constexpr std::size_t regions = 3;
   for (const auto& shape : {fleet_shape{5, 6, regions}, fleet_shape{50, 6, regions}}) {
-    hollow_fleet fleet(shape.nodes_per_zone, shape.zones, shape.regions);
+    membership_fleet fleet(shape.nodes_per_zone, shape.zones, shape.regions);
     fleet.run(seconds(6));
     const auto zones_inside = shape.zones / regions;
     const auto zones_outside = shape.zones - zones_inside;
