--- a/src/catalog/service_watch.h
+++ b/src/catalog/service_watch.h
@@ -119,9 +119,8 @@
   /// Starts a probe if a probe is due.
   /// @return whether the caller must now send a probe to the service.
   bool start_probe_if_due(base::time_point now);
-  /// Records the era and the revision of the latest known entry of the service. This node may have
-  /// received the entry from another node, before the service answers this node. Call before
-  /// `next_read`.
+  /// Records the era and the revision of the latest known entry of the service, which another node
+  /// may have sent before the service answers this node. Call before `next_read`.
   void note_latest_revision(base::store_era era, base::revision latest, base::time_point now);
 
   /// Records an answer and schedules the next read. After the first answer of a new era, the next
@@ -160,8 +159,7 @@
   base::time_point next_read_at_;
   watch_timing timing_;
   base::duration read_interval_ = min_read_interval;
-  /// Time of the last probe since the pending read was started; the time at which the read was
-  /// started if no probe has been sent since.
+  /// Time of the last probe during the pending read, or of the start of this read.
   base::time_point last_probe_at_;
   base::duration retry_interval_;
   std::optional<base::time_point> last_answer_at_;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -116,8 +116,8 @@
   /// Adds member updates from the gossip queue to an outgoing message.
   void piggyback(wire::envelope& message);
 
-  /// @return whether a node may be contacted as a member: it is on the published list of nodes, or
-  ///         no list has been published yet.
+  /// @return whether a node may be a member: it is on the published list of nodes, or no list has
+  ///         been published yet.
   [[nodiscard]] bool may_be_member(const base::node_id& node) const;
   /// @return live members of this node's zone, without this node.
   [[nodiscard]] const std::vector<member>& live_peers() const;
