--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -1,6 +1,5 @@
-/// Functions of `membership` by which nodes learn of each other and of reachable zones. A node
-/// requests members, from the seeds first. Relays send digests, which report members and contacts
-/// with zones (zone_contact.h).
+/// Functions of `membership` that exchange requests for members and that send the digests of relays
+/// (zone_contact.h).
 #include "membership/membership.h"
 
 #include "base/hashing.h"
@@ -15,45 +14,42 @@
 /// Maximum number of members in the reply to a request for members. With this number, 300 nodes
 /// that start together all know each other after 1.7 s (control_traffic test).
 constexpr std::size_t max_members_per_reply = 64;
-/// Maximum number of members in the reply to a node that knows no member. This maximum equals
-/// `max_gossip_per_message`, so that no gossip is added to a reply with this number of members. If
-/// 300 nodes start together, a seed sends 106 kB until all nodes know each other (member_discovery
-/// test). With 96 members per reply, the seed's link of 10 Mbit/s was saturated for ten seconds
-/// (control_traffic test).
+/// Maximum number of members in the reply to a node that knows no member. Equals
+/// `max_gossip_per_message`, so that no gossip is added to a reply of this size. If 300 nodes start
+/// together, a seed sends 106 kB until all nodes know each other (member_discovery test). With 96
+/// members per reply, the seed's link of 10 Mbit/s was saturated for ten seconds (control_traffic
+/// test).
 constexpr std::size_t max_members_per_first_reply = 6;
-/// Number of relays of a zone. Each relay sends digests to each other zone of its region. If one
-/// relay fails, the other zones still receive the digests of the other relay.
+/// Number of relays of a zone. If one relay fails, the other zones of the region still receive the
+/// digests of the other relay.
 constexpr std::size_t relays_per_zone = 2;
-/// Number of relays of a region. Each of these relays sends digests to each other region.
+/// Number of relays of a region.
 constexpr std::size_t relays_per_region = 2;
-/// Minimum number of cores of a relay, as a fraction of the cores of the node with the most cores
-/// in the zone of the relay.
+/// Minimum number of cores of a relay, as a fraction of the highest number of cores of a node in
+/// the same zone.
 constexpr float min_relay_processor_share = 0.5F;
-/// Mean number of members that a relay lists in its digests per round. A digest lists either all n
-/// members of the relay's zone (or region, in digests to other regions) or none of them. The
-/// members are listed only once in n / `members_per_round` rounds, so that the mean number of bytes
-/// per round does not grow with n. If n is smaller than `members_per_round`, the members are listed
-/// in each round.
+/// Mean number of members that a digest lists. A digest lists either all n members of the relay's
+/// zone (or region, in digests to other regions) or none of them. The members are listed in one of
+/// n / `members_per_round` rounds, so that the mean number of bytes per round does not grow with n;
+/// if n is smaller than `members_per_round`, they are listed in each round.
 constexpr std::size_t members_per_round = 8;
-/// Time after the last addition of a member during which the number of known members is considered
-/// to be growing. During this time, this node requests members at `member_request_interval`, and at
-/// once after a reply that added members. Later, this node requests members at
-/// `idle_member_request_interval`, so that two parts of the fleet that do not know each other
-/// eventually find each other.
+/// Time after the last addition of a member for which this node requests members at
+/// `member_request_interval`, and at once after a reply that added members. Later, this node
+/// requests members at `idle_member_request_interval`, so that two parts of the fleet that do not
+/// know each other eventually find each other.
 constexpr base::duration member_growth_timeout = std::chrono::seconds(3);
 constexpr base::duration member_request_interval = std::chrono::milliseconds(500);
-/// Interval between the requests of a node that knows no member. This interval is shorter than
+/// Interval between the requests of a node that knows no member. Shorter than
 /// `member_request_interval`, because the node is not notified when a seed becomes reachable.
 constexpr base::duration first_member_request_interval = std::chrono::milliseconds(100);
 constexpr base::duration idle_member_request_interval = std::chrono::seconds(10);
-/// Number of known members by which the interval between two requests grows by another
-/// `idle_member_request_interval`. A node that knows n members waits for
-/// `idle_member_request_interval` * (1 + n / `members_per_idle_interval`). The interval grows
-/// because the size of a request grows by two bytes per known member: at a constant interval, a
-/// seed of a fleet of 2,700 nodes would receive 0.5 MB of requests per second.
+/// A node that knows n members waits for `idle_member_request_interval` * (1 + n /
+/// `members_per_idle_interval`) between two requests. The interval grows with n because a request
+/// contains two bytes per known member: at a constant interval, a seed of a fleet of 2,700 nodes
+/// would receive 0.5 MB of requests per second.
 constexpr std::size_t members_per_idle_interval = 300;
-/// Mean number of requests to known members of which one is sent to a member of any region. The
-/// other requests are sent to members of this node's region.
+/// Of this number of requests to known members, on average one is sent to a member of any region.
+/// The others are sent to members of this node's region.
 constexpr std::uint64_t requests_per_remote_request = 8;
 
 } // namespace
@@ -84,7 +80,7 @@
   last_member_request_ = next_sequence_++;
   auto message = ping_message(last_member_request_, nullptr);
   message.mutable_ping()->set_introduce(true);
-  name_filter_writer known(last_member_request_);
+  name_hash_set_writer known(last_member_request_);
   for (const auto& [node, other] : members_) {
     known.add(node);
   }
@@ -113,7 +109,7 @@
 }
 
 void membership::add_missing_members(const wire::envelope& request, wire::envelope& reply) const {
-  const name_filter known(request.ping().known_members(), request.ping().sequence());
+  const name_hash_set known(request.ping().known_members(), request.ping().sequence());
   const auto limit = known.is_empty() ? max_members_per_first_reply : max_members_per_reply;
   std::vector<const member*> same_zone;
   std::vector<const member*> other_zones;
@@ -144,15 +140,15 @@
 
 void membership::send_digests(base::time_point now, wire::outbox& out) {
   if (is_relay()) {
-    send_to_other_zones(now, out);
-    send_to_own_zone(now, out);
+    send_digests_to_other_zones(now, out);
+    send_digests_to_own_zone(now, out);
   }
   if (is_region_relay(now)) {
-    send_to_other_regions(now, out);
+    send_digests_to_other_regions(now, out);
   }
 }
 
-void membership::send_to_other_zones(base::time_point now, wire::outbox& out) {
+void membership::send_digests_to_other_zones(base::time_point now, wire::outbox& out) {
   const auto& view = live();
   const auto rounds = std::max<std::uint64_t>(1, view.zone_nodes.size() / members_per_round);
   wire::zone_digest members;
@@ -163,17 +159,17 @@
   }
   for (const auto& [zone, nodes] : view.remote) {
     if (!regions_.are_in_different_regions(self_.zone, zone)) {
-      send_to_zone(zone, members, now, out);
+      send_digests_to_zone(zone, members, now, out);
     }
   }
 }
 
-void membership::send_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
-                              base::time_point now, wire::outbox& out) {
-  wire::zone_digest ages;
-  zones_.add_ages_for_region(ages, now);
+void membership::send_digests_to_zone(const base::zone_id& zone, const wire::zone_digest& members,
+                                      base::time_point now, wire::outbox& out) {
+  wire::zone_digest contact_reports;
+  zones_.add_contact_reports_to_other_zones(contact_reports, now);
   for (const auto& relay : live().relays.at(zone)) {
-    send_digest(relay, ages, out);
+    send_digest(relay, contact_reports, out);
   }
   // This node's knowledge of the other zone is often outdated, so this node may choose other relays
   // for that zone than the nodes of the zone do. Therefore a random node of the zone also receives
@@ -195,8 +191,8 @@
       }
     }
   }
-  // If no zone of the region is reachable, relays are chosen among all zones of the region. These
-  // relays still receive digests, so that the end of the partition is detected.
+  // Relays of an unreachable region still receive digests, so that the end of the partition is
+  // detected.
   const auto zones =
       base::rendezvous_top("region relay", reachable.empty() ? all : reachable, relays_per_region);
   std::vector<base::node_id> chosen;
@@ -204,7 +200,6 @@
   for (const auto& zone : zones) {
     chosen.push_back(live().relays.at(zone).front());
   }
-  // If only one zone is chosen, both relays of the zone are relays of the region.
   if (zones.size() == 1 && live().relays.at(zones.front()).size() > 1) {
     chosen.push_back(live().relays.at(zones.front()).back());
   }
@@ -240,7 +235,7 @@
   return nodes;
 }
 
-void membership::send_to_other_regions(base::time_point now, wire::outbox& out) {
+void membership::send_digests_to_other_regions(base::time_point now, wire::outbox& out) {
   const auto own_region = *regions_.region_of(self_.zone);
   const auto own_nodes = nodes_of_region(own_region);
   const auto rounds = std::max<std::uint64_t>(1, own_nodes.size() / members_per_round);
@@ -250,12 +245,12 @@
       *members.add_members() = update_of(members_.at(node));
     }
   }
-  wire::zone_digest ages;
-  zones_.add_ages_for_other_regions(ages, now);
-  *members.mutable_heard() = ages.heard();
+  wire::zone_digest contact_reports;
+  zones_.add_contact_reports_to_other_regions(contact_reports, now);
+  *members.mutable_heard() = contact_reports.heard();
   for (const auto& region : other_regions()) {
     for (const auto& relay : region_relays(region, now)) {
-      send_digest(relay, ages, out);
+      send_digest(relay, contact_reports, out);
     }
     // This node's knowledge of the other region is often outdated, so this node may choose other
     // relays for that region than the nodes of the region do. Therefore a random node of the region
@@ -266,11 +261,11 @@
   }
 }
 
-void membership::send_to_own_zone(base::time_point now, wire::outbox& out) const {
-  wire::zone_digest ages;
-  zones_.add_ages_for_own_zone(ages, now);
+void membership::send_digests_to_own_zone(base::time_point now, wire::outbox& out) const {
+  wire::zone_digest contact_reports;
+  zones_.add_contact_reports_to_own_zone(contact_reports, now);
   for (const auto& peer : live_peers()) {
-    send_digest(peer.node, ages, out);
+    send_digest(peer.node, contact_reports, out);
   }
 }
 
--- a/src/membership/zone_contact.cc
+++ b/src/membership/zone_contact.cc
@@ -8,12 +8,11 @@
 /// Minimum contact timeout of a zone. If there is no contact for a shorter time, the zone may still
 /// be reachable: a few messages may have been lost, or a node may be busy.
 constexpr base::duration min_contact_timeout = std::chrono::milliseconds(900);
-/// Factor by which the mean gap is multiplied in the contact timeout of a zone. A gap is the time
-/// between two successive contacts with the zone. With a factor of two, the zone still counts as
-/// reachable if one of its two relays fails and the gaps double.
+/// Factor of the mean gap in the contact timeout of a zone. With a factor of two, the zone still
+/// counts as reachable if one of its two relays fails and the gaps double.
 constexpr int mean_gap_factor = 2;
-/// Factor by which the mean deviation of the gaps is multiplied in the contact timeout of a zone,
-/// as in the retransmission timeout of TCP (RFC 6298).
+/// Factor of the mean deviation of the gaps in the contact timeout of a zone, as in the
+/// retransmission timeout of TCP (RFC 6298).
 constexpr int gap_deviation_factor = 4;
 /// Mean gap and mean deviation of the gaps before the first gap is measured. The contact timeout
 /// that results from these values is 1.2 s.
@@ -74,11 +73,11 @@
   }
 }
 
-void zone_contact::add_age(wire::zone_digest& digest, const base::zone_id& zone,
-                           const std::optional<base::time_point>& contact_at,
-                           base::time_point now) {
-  // A contact that is older than `max_contact_timeout` is not reported, because the receiver would
-  // regard the zone as unreachable whether it knows of this contact or not.
+void zone_contact::add_contact_report(wire::zone_digest& digest, const base::zone_id& zone,
+                                      const std::optional<base::time_point>& contact_at,
+                                      base::time_point now) {
+  // A contact that is older than `max_contact_timeout` is not reported, because it would not make
+  // the receiver regard the zone as reachable.
   if (contact_at && now - *contact_at < max_contact_timeout) {
     auto& reported = *digest.add_heard();
     reported.set_zone(zone.text());
@@ -86,30 +85,32 @@
   }
 }
 
-void zone_contact::add_ages_for_own_zone(wire::zone_digest& digest, base::time_point now) const {
+void zone_contact::add_contact_reports_to_own_zone(wire::zone_digest& digest,
+                                                   base::time_point now) const {
   for (const auto& [zone, state] : zone_states_) {
     // A time that is std::nullopt does not affect the maximum, because std::nullopt compares less
     // than any time.
     const auto latest = std::max({state.direct_contact_at, state.region_reported_contact_at,
                                   state.relay_reported_contact_at});
-    add_age(digest, zone, latest, now);
+    add_contact_report(digest, zone, latest, now);
   }
 }
 
-void zone_contact::add_ages_for_region(wire::zone_digest& digest, base::time_point now) const {
+void zone_contact::add_contact_reports_to_other_zones(wire::zone_digest& digest,
+                                                      base::time_point now) const {
   for (const auto& [zone, state] : zone_states_) {
     if (regions_.are_in_different_regions(own_zone_, zone)) {
-      add_age(digest, zone, std::max(state.direct_contact_at, state.region_reported_contact_at),
-              now);
+      add_contact_report(digest, zone,
+                         std::max(state.direct_contact_at, state.region_reported_contact_at), now);
     }
   }
 }
 
-void zone_contact::add_ages_for_other_regions(wire::zone_digest& digest,
-                                              base::time_point now) const {
+void zone_contact::add_contact_reports_to_other_regions(wire::zone_digest& digest,
+                                                        base::time_point now) const {
   for (const auto& [zone, state] : zone_states_) {
     if (!regions_.are_in_different_regions(own_zone_, zone)) {
-      add_age(digest, zone, state.direct_contact_at, now);
+      add_contact_report(digest, zone, state.direct_contact_at, now);
     }
   }
 }
