--- a/src/model/outcome.h
+++ b/src/model/outcome.h
@@ -1,5 +1,5 @@
-/// Outcome of a request, one of four values, and the tracker of its calls that makes it impossible
-/// to report `not_run` for a request that may have run.
+/// Outcome of a request, and the tracker of stage calls that determines the outcome of failed
+/// requests.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 /// Outcome of a request as reported to its caller.
 enum class outcome : std::uint8_t {
   completed, ///< The answer is complete.
-  not_run,   ///< No stage call ran: none was written to a socket, or back ends refused them.
-  failed,    ///< Calls may have run; the answer was not complete in time; no effect is in doubt.
-  unknown,   ///< A call that must not be repeated may have run.
+  not_run,   ///< No stage call ran: back ends refused all calls of which a byte was sent.
+  failed,    ///< Calls may have run; the answer is incomplete; every non-repeatable call has ended.
+  unknown,   ///< A call that must not be repeated may have run, and its end is not known.
 };
 
 /// @return the name of an outcome in answers, logs and metrics.
 std::string_view name_of(outcome value);
 
-/// Tracks the stage calls of one request. The only source of failure outcomes, so that `not_run`
-/// cannot be reported for a request that may have run.
+/// Tracks the stage calls of one request. The only source of the outcomes of failed requests, so
+/// that `not_run` cannot be reported for a request that may have run.
 class call_tracker {
  public:
   /// Records that a stage call is passed to the network.
--- a/src/model/records.h
+++ b/src/model/records.h
@@ -1,5 +1,4 @@
-/// Validated records that users publish: pipeline templates, tenants with their parameters,
-/// machines.
+/// Validated published records: pipeline templates, tenants with their parameters, machines.
 #pragma once
 
 #include "base/ids.h"
@@ -15,7 +14,8 @@
 
 namespace spurrack::model {
 
-/// Kind of work of a stage; determines how its answer is read (`generate` streams tokens).
+/// Kind of work of a stage; determines how answers of back ends are read (`generate` streams
+/// tokens).
 enum class stage_kind : std::uint8_t { encode, retrieve, rerank, generate, call };
 
 /// @return the name of a kind in published records.
@@ -27,8 +27,9 @@
   stage_kind kind = stage_kind::encode;
   /// Pool of back ends that run the stage.
   base::pool_id pool;
-  /// Whether the call may be retried after an attempt with unknown result.
+  /// Whether a call of the stage may be repeated after an attempt that may have run.
   bool repeatable = true;
+  /// Model, and adapter of the model, that the back end is told to use; may be empty.
   std::string model;
   std::string adapter;
   /// Maximum number of tokens of a `generate` stage; 0 for other kinds.
@@ -42,14 +43,14 @@
   base::duration deadline{};
 };
 
-/// Parameters that a tenant sets for a template. Parameters without a value keep that of the
-/// template.
+/// Parameters that a tenant sets for a template. The template's value applies where the tenant sets
+/// none.
 struct template_parameters {
   std::set<std::string> skipped_stages;
   std::optional<std::string> model;
   std::optional<std::string> adapter;
   std::optional<base::duration> deadline;
-  /// 0 (lowest) to 9 (highest).
+  /// Priority of the tenant's requests, 0 (lowest) to 9 (highest).
   int priority = 5;
 };
 
@@ -58,24 +59,24 @@
   base::tenant_id name;
   /// Lower-case hexadecimal SHA-256 of the tenant's token.
   std::string token_sha256;
-  /// Share of contended capacity relative to the other tenants, 1 to 1000.
+  /// Relative share of capacity for which tenants compete, 1 to 1000.
   int weight = 1;
-  /// Templates that the tenant may use, with its parameters.
+  /// Templates that the tenant may use, with the tenant's parameters for each template.
   std::map<base::template_id, template_parameters> templates;
 };
 
 enum class machine_role : std::uint8_t { node, backend };
 enum class machine_state : std::uint8_t { live, leaving };
 
-/// Machine of the platform's list, published under `machines/<id>`.
+/// Machine in the platform's machine list, published under `machines/<id>`.
 struct machine {
   std::string id;
   machine_role role = machine_role::backend;
   machine_state state = machine_state::live;
   base::zone_id zone;
   base::network_address address;
-  /// Increased by the platform each time the machine returns. A notice that the machine is leaving
-  /// has no effect on later generations.
+  /// Number that the platform increases each time the machine returns. A leave notice applies to
+  /// the generation that it names and to earlier generations.
   std::uint64_t generation = 1;
   /// Pool and maximum number of concurrent calls; only used for back ends.
   base::pool_id pool;
--- a/src/model/residency.h
+++ b/src/model/residency.h
@@ -1,4 +1,4 @@
-/// Regions in which the requests of a tenant may be served and their data may be stored.
+/// Regions in which a request may be served and its data may be stored, and regions of zones.
 #pragma once
 
 #include "base/ids.h"
@@ -14,17 +14,17 @@
 
 namespace spurrack::model {
 
-/// Set of regions that a request is confined to, or no restriction. Immutable: it is determined
-/// once when the request arrives, and all work for the request is checked against it.
+/// Set of regions that a request is confined to, or no restriction. Immutable: determined once when
+/// the request arrives; all work for the request is checked against this set.
 class residency {
  public:
   /// Constructs a residency without restriction.
   residency() = default;
   static residency everywhere() { return {}; }
-  /// @param regions the only allowed regions; if it is empty, no region is allowed.
+  /// @param regions the only allowed regions; if the set is empty, no region is allowed.
   static residency within(std::set<base::region_id> regions);
 
-  /// @return the residency that allows the regions that both allow.
+  /// @return the residency that allows only the regions that both residencies allow.
   [[nodiscard]] residency intersect(const residency& other) const;
   [[nodiscard]] bool is_restricted() const { return regions_.has_value(); }
   /// @return whether no region is allowed.
@@ -73,7 +73,6 @@
   [[nodiscard]] std::optional<base::region_id> region_of(const base::zone_id& zone) const;
   /// @return the region of each zone for which the settings name one.
   [[nodiscard]] const std::map<base::zone_id, base::region_id>& all() const { return regions_; }
-  /// @return the region of a zone, or the zone as a region of its own.
   [[nodiscard]] effective_region effective_region_of(const base::zone_id& zone) const;
   /// @return whether both zones are in the same region. A zone whose region is not known is in the
   ///         same region only as itself.
--- a/src/model/serving_record_parser.cc
+++ b/src/model/serving_record_parser.cc
@@ -10,7 +10,7 @@
 namespace spurrack::model {
 namespace {
 
-/// Error in a published configuration; thrown to stop building it.
+/// Error in a published configuration; thrown to stop building the configuration.
 struct validation_error {
   std::string text;
 };
@@ -45,7 +45,7 @@
 }
 
 /// @return whether any stages depend on each other in a cycle. Repeatedly marks the stages whose
-///         predecessors are all marked; stages that remain are on a cycle or depend on one.
+///         predecessors are all marked; stages left unmarked are on a cycle or depend on one.
 bool has_cycle(const std::vector<stage_step>& stages) {
   std::set<std::uint32_t> finished;
   bool progressed = true;
--- a/src/model/serving_record_parser.h
+++ b/src/model/serving_record_parser.h
@@ -10,8 +10,9 @@
 
 namespace spurrack::model {
 
-/// Key of the configuration in the catalog, and prefix of the keys of replicas.
+/// Key of the configuration in the catalog.
 inline constexpr std::string_view configuration_key = "serving/configuration";
+/// Prefix of the keys of replicas; the id of the replica follows.
 inline constexpr std::string_view replica_prefix = "replicas/";
 /// Prefix of the keys of evacuations; the name of the zone follows.
 inline constexpr std::string_view evacuation_prefix = "evacuations/";
--- a/src/model/serving_records.h
+++ b/src/model/serving_records.h
@@ -52,9 +52,9 @@
   /// Maximum time from the arrival of a request to the end of its answer; std::nullopt if the route
   /// sets no limit.
   std::optional<base::duration> timeout;
-  /// Time within which an answer has its full value.
+  /// Time from the arrival of a request within which the answer has its full value for the client.
   base::duration target_latency{};
-  /// 0 is the highest.
+  /// Priority of the requests; 0 is the highest.
   std::uint32_t priority = 0;
   /// Maximum number of replicas that a request is sent to.
   std::uint32_t max_attempts = 1;
@@ -62,7 +62,7 @@
   bool is_public = false;
   /// Whether a stream can be resumed at another replica.
   bool resumable = false;
-  /// Longest interval between two events of a stream that is still in time.
+  /// Interval after the previous event of a stream within which the next event is in time.
   base::duration gap_target{};
   /// Time after which clients disconnect if they have received nothing; std::nullopt if they wait
   /// until the deadline of their request.
@@ -77,7 +77,7 @@
   }
 };
 
-/// Capacity of one replica of a service that runs pieces of stages.
+/// Capacity of one replica of a service that runs pieces (parts of a stage of one request).
 struct piece_capacity {
   /// Number of calls that run at the same time.
   std::uint32_t slots = 1;
@@ -85,12 +85,12 @@
   std::uint32_t queue = 0;
   /// Maximum number of pieces in one call.
   std::uint32_t batch = 1;
-  /// Fixed time of a call, and the time that each piece adds to it.
+  /// Fixed time of a call, and the time that each piece adds to the call.
   base::duration call_time{};
   base::duration item_time{};
   /// Memory for results that wait to be fetched, in bytes.
   double result_capacity_bytes = 0;
-  /// Time after its call for which a result is kept.
+  /// Time for which a replica keeps a result after the call that computed the result.
   base::duration result_lifetime{};
 };
 
@@ -127,7 +127,7 @@
 /// Tenant that holds an access key, with the rights of the key.
 struct key_holder {
   base::tenant_id tenant;
-  /// Replaces the priority of the route if it is set.
+  /// If set, replaces the priority of the route.
   std::optional<std::uint32_t> priority;
   /// Regions in which the tenant's requests may be served and their data may be stored.
   residency permitted_regions;
@@ -146,7 +146,7 @@
  public:
   std::uint64_t version = 0;
   std::unordered_map<std::string, service> services;
-  /// Holders by the text of their key; empty if requests need no key.
+  /// Holders of access keys by the text of the key; empty if requests need no key.
   std::unordered_map<std::string, key_holder> keys;
   client_limits limits;
   /// Routes by host, for each host sorted by length of the path prefix, longest first.
@@ -156,7 +156,7 @@
   /// @return the route with the longest path prefix that matches `path`; null if none matches.
   [[nodiscard]] std::shared_ptr<const route> find_route(std::string_view host,
                                                         std::string_view path) const;
-  /// @return the service; null if it does not exist.
+  /// @return null if the service does not exist.
   [[nodiscard]] const service* find_service(const std::string& name) const;
 };
 
@@ -175,21 +175,21 @@
   std::string service;
   base::network_address address;
   base::zone_id zone;
-  /// Number of requests that run at the same time.
+  /// Number of requests that the replica can run at the same time.
   std::uint32_t slots = 1;
   bool draining = false;
-  /// Whether the record had been deleted and reappeared only because the store was restored from an
-  /// older copy.
+  /// Whether this node knew the record as deleted before a restore of the store from an older
+  /// backup brought the record back.
   bool may_be_deleted = false;
-  /// Remaining time for which the replica is cold, from the publication of the record; 0 if it is
-  /// warm.
+  /// Time after the publication of the record for which the replica is cold (has not warmed its
+  /// caches); 0 if the replica is warm.
   base::duration cold_for{};
   /// std::nullopt if the replica does not publish its incarnation.
   std::optional<replica_incarnation> incarnation;
 };
 
-/// Evacuation of a zone by an operator: while it is published, the replicas of the zone are sent no
-/// requests.
+/// Evacuation of a zone by an operator: while the evacuation is published, the replicas of the zone
+/// are sent no requests.
 struct evacuation {
   base::zone_id zone;
 };
--- a/src/model/yaml_reader.h
+++ b/src/model/yaml_reader.h
@@ -1,5 +1,5 @@
-/// Validating reader of YAML mappings. Each field has a name, a type and bounds; a fault names its
-/// line, its field and the allowed values. Used for published records and the daemon's settings.
+/// Validating reader of YAML mappings, for published records and the daemon's settings. Each fault
+/// names the line, the field and the allowed values.
 #pragma once
 
 #include "base/time.h"
@@ -17,10 +17,9 @@
 
 namespace spurrack::model {
 
-/// Fault of a document.
 struct document_fault {
   std::error_code code;
-  /// Line of the fault, from 1; 0 if it is not known.
+  /// Line of the fault, from 1; 0 if the line is not known.
   int line = 0;
   /// Dotted path of the field; empty if the fault concerns the whole document.
   std::string field;
@@ -31,13 +30,12 @@
 /// @return a fault as one line: `line 3: stages[1].pool: required field is missing (allowed: …)`.
 std::string describe(const document_fault& fault);
 
-/// Parses text into a document.
-/// @return the document; std::nullopt, with a fault added, if the text is not a well-formed YAML
-///         mapping.
+/// @return the parsed document; std::nullopt, with a fault added, if the text is not a well-formed
+///         YAML mapping.
 std::optional<YAML::Node> parse_yaml(const std::string& text, std::vector<document_fault>& faults);
 
-/// Reader of one mapping. Adds faults instead of throwing exceptions; `finish` reports the fields
-/// that were never read.
+/// Reader of one mapping. Adds faults instead of throwing exceptions. If a `fallback` is
+/// std::nullopt, the field is required.
 class mapping_reader {
  public:
   /// @param path dotted path of the mapping in the document; empty for the document itself.
@@ -48,38 +46,38 @@
   std::string required_text(const std::string& name, const std::string& allowed = "non-empty text");
   /// Reads a text that must not be empty if it is present.
   std::optional<std::string> optional_text(const std::string& name);
-  /// Reads a text from a fixed set; required if there is no fallback.
-  /// @return the index in `values`; `fallback`, or 0 without one, if the text is absent or invalid.
+  /// Reads a text that must be one of `values`.
+  /// @return the index in `values`; `fallback`, or 0 without a fallback, if the text is absent or
+  ///         invalid.
   std::size_t choice(const std::string& name, std::initializer_list<std::string_view> values,
                      std::optional<std::size_t> fallback);
-  /// Reads an integer within [low, high]; required if there is no fallback.
-  /// @return the value; `fallback`, or `low` without one, if it is absent or invalid.
+  /// Reads an integer within [low, high].
+  /// @return the value; `fallback`, or `low` without a fallback, if the value is absent or invalid.
   std::int64_t integer(const std::string& name, std::int64_t low, std::int64_t high,
                        std::optional<std::int64_t> fallback);
-  /// Reads a number within [low, high]; required if there is no fallback.
-  /// @return the value; `fallback`, or `low` without one, if it is absent or invalid.
+  /// Reads a number within [low, high]; returns the same as `integer`.
   double number(const std::string& name, double low, double high, std::optional<double> fallback);
-  /// @return the value; `fallback` if it is absent or invalid.
+  /// @return the value; `fallback` if the value is absent or invalid.
   bool boolean(const std::string& name, bool fallback);
   /// Reads an integer number of milliseconds like `integer`.
   base::duration milliseconds(const std::string& name, std::int64_t low, std::int64_t high,
                               std::optional<std::int64_t> fallback);
-  /// Reads a list of texts; empty if it is absent.
+  /// Reads a list of texts; empty if the field is absent.
   std::vector<std::string> text_list(const std::string& name);
   /// Returns readers of the mappings in a sequence.
   std::vector<mapping_reader> sequence(const std::string& name, bool required);
-  /// Returns a reader of a nested mapping; std::nullopt if it is absent or invalid.
+  /// Returns a reader of a nested mapping; std::nullopt if the mapping is absent or invalid.
   std::optional<mapping_reader> mapping(const std::string& name, bool required);
-  /// Returns the names of all entries of this mapping and marks them as known.
+  /// Returns the names of all fields of this mapping and counts all fields as read.
   std::vector<std::string> entry_names();
 
   /// Adds a fault of a field of this mapping.
   void add_fault(std::error_code code, const std::string& name, const std::string& allowed);
-  /// Adds a fault for each field that is not known. Call after all fields have been read.
+  /// Adds a fault for each field that was not read. Call after all known fields have been read.
   void finish();
 
  private:
-  /// Returns a field and marks its name as known.
+  /// Returns a field, undefined if absent, and counts the field as read.
   YAML::Node find(const std::string& name);
   [[nodiscard]] std::string path_of(const std::string& name) const;
 
--- a/src/node/events.h
+++ b/src/node/events.h
@@ -1,6 +1,5 @@
-/// Events that a node processes, and commands that a node returns. Events and commands are the
-/// interface between the decision logic and its environment. The daemon, the simulation and the
-/// tests drive the same decision logic through this interface.
+/// Events that a node processes and commands that a node returns: the interface through which the
+/// daemon, the simulation and the tests drive the same decision logic.
 #pragma once
 
 #include "base/event_log.h"
@@ -20,8 +19,8 @@
 
 namespace spurrack::node {
 
-/// The two platform services, from which nodes read the entries of the platform's store.
-/// `configuration` publishes the configuration; `machine_list` publishes the machines and replicas.
+/// The two platform services, which publish the entries of the platform's store: `configuration`
+/// publishes the configuration, `machine_list` the machines and replicas.
 enum class source_kind : std::uint8_t { configuration, machine_list };
 inline constexpr std::size_t source_count = 2;
 
@@ -31,20 +30,21 @@
 struct peer_message {
   wire::envelope message;
 };
-/// A caller sent a request.
+/// A caller sent a request for a pipeline. Requests on published routes, which clients send, arrive
+/// as `serving::request_arrived`.
 struct caller_arrived {
   base::caller_id caller = 0;
   execution::caller_request request;
-  /// Time at which the request reached this machine. If the process was suspended, this time is
-  /// earlier than the time of the event. Deadlines are computed from this time, so that a request
-  /// that waited during the suspension is not run late.
+  /// Time at which the request reached this machine; earlier than the time of the event if the
+  /// process was suspended. Deadlines are computed from this time, so that a request that waited
+  /// during the suspension is not run late.
   base::time_point arrived_at;
 };
 /// The connection of a caller was closed.
 struct caller_disconnected {
   base::caller_id caller = 0;
 };
-/// A caller requested a ticket.
+/// A caller requested a ticket: permission to run one later request once.
 struct ticket_requested {
   base::caller_id caller = 0;
   /// SHA-256 of the caller's token, in lower-case hexadecimal digits.
@@ -54,15 +54,15 @@
 struct service_answered {
   source_kind source = source_kind::configuration;
   std::vector<wire::catalog_entry> entries;
-  /// Revision of the service that the answer reflects.
+  /// Revision of the last write that the answer reflects.
   base::revision service_revision = 0;
-  /// Era of the service: a number that increases by one each time the store is restored from an
-  /// older backup; std::nullopt if the answer contains no readable era.
+  /// Era of the store: a number that increases by one each time the store is restored from an older
+  /// backup; std::nullopt if the answer contains no readable era.
   std::optional<base::store_era> era;
   /// Whether the answer contains an era that cannot be read.
   bool is_era_unreadable = false;
-  /// Whether the answer is a listing: `entries` contains all entries of the service at
-  /// `service_revision`, not only the entries that changed after the requested revision.
+  /// Whether `entries` contains all entries of the service at `service_revision` (a listing), not
+  /// only the entries that changed after the requested revision.
   bool is_listing = false;
 };
 /// A read or a probe of a platform service failed.
@@ -71,12 +71,12 @@
 };
 /// A graceful stop begins.
 struct stop_requested {};
-/// The settings were reloaded with other seeds.
+/// The settings were reloaded with other seeds (`node_settings::seeds`).
 struct seeds_changed {
   std::vector<base::network_address> seeds;
 };
-
-/// An operator releases a quarantined request.
+/// An operator ends the quarantine of a request, which nodes refuse because replicas exited while
+/// they ran the request.
 struct release_requested {
   quarantine::request_digest digest;
 };
@@ -97,9 +97,8 @@
   /// Maximum time for which the service may delay the answer.
   base::duration max_hold_time{};
 };
-/// Sends a small query to a platform service while the answer to a read is pending, to check that
-/// the service still answers. The event `service_failed` reports a failed query; a successful query
-/// causes no event.
+/// Sends a small query to a platform service, to check that the service still answers while the
+/// answer to a read is pending. Only a failed query causes an event, `service_failed`.
 struct probe_service {
   source_kind source = source_kind::configuration;
 };
@@ -114,8 +113,8 @@
 struct log_decision {
   base::event what;
 };
-/// The graceful stop is complete and the process may exit: no request is active, or the maximum
-/// duration of the stop has passed.
+/// The process may exit: no request is active, or the maximum duration of the graceful stop has
+/// passed.
 struct stop_completed {};
 
 using command =
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -7,20 +7,20 @@
 namespace {
 
 constexpr base::duration periodic_interval = std::chrono::milliseconds(100);
-/// Maximum interval between two events of a node that runs without interruption; a longer interval
-/// is a gap. Without a gap, a node processes an event at least every `periodic_interval`.
+/// Maximum interval between two events that is no gap: a node that runs without interruption
+/// processes an event at least every `periodic_interval`.
 constexpr base::duration max_regular_event_interval = 2 * periodic_interval;
-/// Maximum numbers of members of other zones that this node uses as replication peers at a time.
+/// Maximum numbers of members of other zones among the peers that `replication_peers` returns.
 /// Members in the region of this node are near; members in other regions are far, and traffic to
 /// far members is expensive.
 constexpr std::size_t max_near_replication_peers = 2;
 constexpr std::size_t max_far_replication_peers = 1;
-/// Maximum number of peers to which a resync request is sent at once. With 10 peers, one of the
-/// peers answers even if half of the fleet is starting, and a fleet that starts as a whole is not
-/// overloaded with requests.
+/// Maximum number of random peers to which a resync request is sent at once. With 10 peers, one
+/// answers even if half of the fleet is starting, and a fleet that starts as a whole is not
+/// overloaded.
 constexpr std::size_t max_resync_peers = 10;
 /// Maximum number of rounds, within one event, in which messages from this node to itself are
-/// processed. This limit prevents endless loops.
+/// processed; prevents endless loops.
 constexpr std::size_t max_loopback_rounds = 8;
 
 /// Copies the safety switches of a node to the settings of the guard and of routing.
@@ -147,8 +147,8 @@
 // --- suspension and readiness --------------------------------------------------------------------
 
 void node::detect_suspension(base::time_point now) {
-  // Requests may have waited in sockets during any gap, even if the gap is too short to count as a
-  // suspension. Therefore the time without new requests is counted anew from the end of each gap.
+  // Requests may have waited in sockets during a gap, even if the gap is too short to count as a
+  // suspension.
   if (now - last_event_at_ > max_regular_event_interval) {
     quiet_since_ = now;
   }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -2,10 +2,11 @@
 /// the function `node::handle`, which processes events. Uses no I/O, no clock and no threads.
 ///
 /// A peer is another node of the fleet. The catalog is a node's copy of the records that the
-/// platform services publish. A node watches a platform service if it reads the service
-/// continuously; most nodes receive the published records from peers instead. A resync is a request
-/// to a peer for the changes that this node missed. A leave notice announces to other nodes that a
-/// back end drains. The serving path serves requests on published routes.
+/// platform services publish. A few nodes watch a platform service, which means that they read the
+/// service continuously; the other nodes receive its records from peers. A leave notice announces
+/// to other nodes that a back end drains. A resync request asks a peer for the catalog changes and
+/// leave notices that this node missed. The executor runs requests of callers for pipelines; the
+/// serving path serves requests of clients on published routes.
 #pragma once
 
 #include "admission/stage_scheduler.h"
@@ -36,38 +37,38 @@
 /// Settings that a node receives at its start.
 struct node_settings {
   membership::identity self;
+  /// Addresses of nodes that this node contacts to join the fleet.
   std::vector<base::network_address> seeds;
   membership::timing membership_timing;
   execution::guard_settings guard;
   admission::scheduling_settings scheduling;
   routing::routing_limits routing;
-  /// Maximum interval between two events of a process that runs without interruption. After a
-  /// longer interval, the process counts as having been suspended.
+  /// Interval between two events of the node above which the process counts as having been
+  /// suspended.
   base::duration suspension_threshold = std::chrono::milliseconds(1000);
   catalog::watch_timing service_timing;
-  /// Time after the start of a node from which the answers of the platform services alone can make
-  /// the node ready. Before this time, the node becomes ready only if a peer has the same catalog.
-  /// Also the time after which dispatch resumes after a suspension if no peer with the same catalog
-  /// answers.
+  /// Time for which a node waits, after its start and after a suspension, for a peer with the same
+  /// catalog to answer. After this time, a starting node becomes ready once both platform services
+  /// have answered, and a resumed node dispatches stage calls again.
   base::duration resync_timeout = std::chrono::milliseconds(1000);
-  /// Time since the last new request after which a stopping node may exit. Requests may still
-  /// arrive during a graceful stop: load balancers learn of the stop late, and requests may have
-  /// waited in sockets while the process was suspended.
+  /// Minimum time from the last new request to the exit of a stopping node. Requests still arrive
+  /// during a graceful stop: load balancers learn of the stop late, and requests may have waited in
+  /// sockets while the process was suspended.
   base::duration stop_linger_time = std::chrono::milliseconds(300);
   /// Time after the start of a graceful stop from which `stop_linger_time` no longer applies, so
-  /// that callers that keep sending requests cannot delay the exit further.
+  /// that new requests cannot delay the exit further.
   base::duration max_stop_linger_time = std::chrono::seconds(10);
   /// Maximum number of events that the event log keeps.
   std::size_t event_log_capacity = 4096;
-  /// Difference between the two clocks, wall clock minus boot clock, in microseconds.
+  /// Wall clock minus boot clock, in microseconds.
   std::int64_t wall_offset_microseconds = 0;
   base::safety_switches switches;
   /// Settings of the serving path; std::nullopt if the node serves no published routes.
   std::optional<serving::serving_settings> serving;
 };
 
-/// Class of messages that a node sends to peers: the kind of the messages, and the locality of
-/// their receivers relative to the node.
+/// Class of messages to peers: kind of the message, and locality of the receiver relative to the
+/// sender.
 struct traffic_class {
   wire::envelope::BodyCase kind = wire::envelope::BODY_NOT_SET;
   model::locality locality = model::locality::elsewhere;
@@ -76,7 +77,7 @@
 
 /// Counts of the messages that a node exchanged with its peers.
 struct control_counters {
-  /// @return number of bytes sent in messages of one kind, to receivers of every locality.
+  /// @return number of bytes sent in messages of one kind, to receivers of all localities.
   [[nodiscard]] std::uint64_t bytes_sent_of(wire::envelope::BodyCase kind) const;
 
   std::uint64_t messages_sent = 0;
@@ -86,8 +87,7 @@
   std::uint64_t bytes_received = 0;
 };
 
-/// Counts of the answers of the platform services whose era is unusual. The era is a number that
-/// increases each time the store of the platform is restored from an older backup.
+/// Counts of the answers of the platform services with an unexpected era (`service_answered::era`).
 struct store_counters {
   /// Number of answers that showed that the store was restored from an older backup. Each restore
   /// is counted once for each platform service that this node reads.
@@ -126,19 +126,18 @@
   [[nodiscard]] const base::event_log& events() const { return events_; }
   [[nodiscard]] const control_counters& control() const { return control_; }
   [[nodiscard]] const store_counters& store() const { return store_; }
-  /// @return whether this node should read a platform service now, for one of three reasons: this
-  ///         node is one of the nodes that watch the service for a whole zone or region; or this
-  ///         node is starting and its peers have not sent the catalog within `peer_wait_time`; or
-  ///         this node watches the service in place of a node that cannot read the service.
+  /// @return whether this node should read a platform service now, for one of three reasons: the
+  ///         node has the job to watch the service; the node is starting and has waited for peers
+  ///         for `peer_wait_time`; or the node substitutes for a node that cannot read the service.
   [[nodiscard]] bool should_read_service(source_kind source, base::time_point now) const;
-  /// Sets the memory budget that limits the bytes of incomplete stream events buffered by the
-  /// serving path. Has no effect if the node serves no published routes.
+  /// Sets the memory budget for incomplete stream events that the serving path buffers. Has no
+  /// effect if the node serves no published routes.
   void set_budget(std::shared_ptr<flow::byte_budget> budget) {
     if (serving_) {
       serving_->set_budget(std::move(budget));
     }
   }
-  /// @return the dispatcher of the serving path; null if the node serves no published routes.
+  /// @return null if the node serves no published routes.
   [[nodiscard]] const serving::dispatcher* serving() const {
     return serving_ ? &*serving_ : nullptr;
   }
@@ -161,59 +160,52 @@
   void on(const release_requested& input_event, base::time_point now);
   void on(const serving::event& input_event, base::time_point now);
 
-  /// Checks the era and the revision that an answer names. Counts an answer with a new, outdated,
-  /// implausible or unreadable era in `store_counters`. Writes an event to the event log for each
-  /// of these cases, and if the revision is earlier than before.
+  /// Counts and logs a new, outdated, implausible or unreadable era of an answer. Logs a revision
+  /// that is earlier than in the previous answer.
   void note_era(const service_answered& answer, const catalog::answer_meaning& meaning);
-  /// Detects from the time since the last event that the process or its machine was suspended.
-  /// After a suspension, pauses dispatch and requests from peers the changes that this node missed.
+  /// Detects from the time since the last event that the process or its machine was suspended, and
+  /// then pauses the dispatch of stage calls and sends resync requests.
   void detect_suspension(base::time_point now);
-  /// Sends a resync request to several peers, to obtain the catalog changes and the leave notices
-  /// that this node missed.
   void request_resync(base::time_point now);
-  /// Checks whether the sender of a message has the same catalog as this node. If so, this node is
-  /// up to date, and the dispatch of this node resumes if the message answers a resync request.
+  /// If the sender of a message has the same catalog as this node, marks this node as up to date,
+  /// and ends a pause of dispatch if the message answers a resync request.
   void check_resync(const wire::envelope& message, base::time_point now);
-  /// Makes the node ready on two conditions: the catalog has the content that the node needs, and
-  /// either a peer has an equal catalog or, after `resync_timeout`, both platform services have
-  /// answered.
+  /// Makes the node ready once the catalog has the content that the node needs and either a peer
+  /// has the same catalog or, after `resync_timeout`, both platform services have answered.
   void update_readiness(base::time_point now);
   void run_periodic(base::time_point now);
-  /// @return whether this node is one of the nodes whose job is to watch a platform service for a
-  ///         whole zone or region.
+  /// @return whether this node is one of the nodes that watch a platform service for a whole zone
+  ///         or region.
   [[nodiscard]] bool has_watch_job(source_kind source, base::time_point now) const;
-  /// Starts each read and each probe of the platform services that is due.
+  /// Starts the reads and the probes of the platform services that are due.
   void read_services(base::time_point now);
-  /// Hands over the watch of a platform service to a peer, because this node failed to read the
-  /// service.
+  /// Asks a random peer to watch a platform service in place of this node, which failed to read the
+  /// service. `max_handovers` and `handover_interval` limit the number of handovers.
   void hand_over_watch(source_kind source, base::time_point now);
   void on_watch_handover(const wire::watch_handover& handover, base::time_point now);
   void apply_machine_changes(base::time_point now);
   void apply_serving_changes(base::time_point now);
   void update_serving_peers(base::time_point now);
-  /// @return time for which this node waits after its start for peers to send the catalog. If the
-  ///         node is not ready after this time, the node reads the platform services itself.
+  /// @return time after its start for which this node waits for peers to send the catalog before it
+  ///         reads the platform services.
   [[nodiscard]] base::duration peer_wait_time() const;
-  /// @return whether this node is strong, which means that it has at least the fraction
-  ///         `min_strong_node_fraction` of the cores of the strongest known node.
+  /// @return whether this node has at least `min_strong_node_fraction` times the cores of the
+  ///         strongest known node.
   [[nodiscard]] bool is_strong() const;
-  /// @return whether a zone may be in the region of this node: false if the settings name different
-  ///         regions for the zone and this node; true for every zone if the settings name no
-  ///         regions.
+  /// @return whether a zone may be in the region of this node: false only if the settings name
+  ///         different regions for this zone and for the node's zone.
   [[nodiscard]] bool is_near(const base::zone_id& zone) const;
-  /// @return locality of a peer relative to this node; `elsewhere` if the zone of the peer is not
-  ///         known.
+  /// @return locality of a peer relative to this node; `elsewhere` if the peer's zone is unknown.
   [[nodiscard]] model::locality peer_locality(const base::network_address& peer) const;
-  /// Updates the number of nodes that share the concurrency limits of back ends, and the position
-  /// of this node among them. The live nodes of this node's zone share the limits.
+  /// Divides the concurrency limits of back ends among the current live nodes of this node's zone.
   void update_sharing();
   void dispatch_message(const wire::envelope& message, base::time_point now);
   void on_backend_notice(const wire::backend_notice& notice, bool is_from_own_zone,
                          base::time_point now);
   /// Sends a leave notice for a back end to all nodes of this node's zone.
   void broadcast_notice(const wire::backend_notice& notice);
-  /// Sends leave notices to the nodes of this node's zone. Omits each notice that was already sent
-  /// to these nodes or received from one of them.
+  /// Sends to the nodes of this node's zone each leave notice that was not yet sent to these nodes
+  /// or received from one of them.
   void announce_new_leave_notices();
   void on_forwarded_request(const wire::envelope& message, base::time_point now);
   void execute_guard_decisions(base::time_point now);
@@ -221,9 +213,9 @@
   void execute(execution::attach_decision& decision, base::time_point now);
   void execute(execution::answer_decision& decision, base::time_point now);
   /// Refuses a request on arrival.
-  /// @param may_be_resent whether the request carries a ticket or an idempotency key. The caller
-  ///        may have sent such a request before, and the request may have run then, so the outcome
-  ///        in the answer is `unknown` instead of `not_run`.
+  /// @param may_be_resent whether the request carries a ticket or an idempotency key. Such a
+  ///        request may have been sent and run before, so its outcome is `unknown` instead of
+  ///        `not_run`.
   void refuse(const execution::caller_ref& caller, const base::request_id& id,
               execution::reason why, base::duration retry_after, bool may_be_resent);
   /// Advances the guard, the executor and the serving path, and collects their commands and
@@ -234,11 +226,10 @@
   /// request has arrived for `stop_linger_time`, or when the maximum duration of the stop has
   /// passed.
   void check_stop(base::time_point now);
-  /// Aborts the requests on published routes once the maximum duration of a graceful stop has
-  /// passed.
+  /// Aborts the requests on published routes if `must_abort_requests`.
   void abort_overdue_requests(base::time_point now);
-  /// @return whether the maximum duration of a graceful stop has passed for requests on published
-  ///         routes.
+  /// @return whether the maximum duration of a graceful stop has passed; false if the node serves
+  ///         no published routes.
   [[nodiscard]] bool must_abort_requests(base::time_point now) const;
   void emit(execution::send_answer&& answer);
   template <typename other_command>
@@ -248,8 +239,8 @@
   /// Adds the known leave notices to a message if the message is a digest or an answer to a resync
   /// request.
   void add_leave_notices(wire::envelope& message) const;
-  /// Adds the fields that describe the sender to each queued message. Then sends the message, or
-  /// processes the message at once if this node is also the receiver.
+  /// Adds the fields that describe the sender to the queued messages, and sends the messages or, if
+  /// this node is the receiver, processes them at once.
   void flush_messages(base::time_point now);
   void answer_peer(const execution::remote_caller& peer, const execution::answer& content,
                    bool is_owner);
@@ -257,9 +248,9 @@
               const std::string& detail);
   base::request_id next_request_id();
   [[nodiscard]] std::vector<base::network_address> zone_peer_addresses() const;
-  /// @return addresses of the peers with which this node exchanges published records: the live
-  ///         peers of its zone and, if the node serves published routes, a few random members of
-  ///         other zones.
+  /// @return addresses of peers for the exchange of published records: the live peers of this
+  ///         node's zone and, if the node serves published routes, a few random members of other
+  ///         zones.
   [[nodiscard]] std::vector<base::network_address> replication_peers();
   [[nodiscard]] std::optional<base::network_address> address_of(const base::node_id& node) const;
 
@@ -271,16 +262,15 @@
   catalog::catalog catalog_;
   catalog::replicator replicator_;
   std::array<catalog::service_watch, source_count> watches_;
-  /// State of the substitutions for one platform service. In a substitution, a node watches the
-  /// service in place of another node that cannot read the service.
+  /// State of the substitution for one platform service: this node watches the service in place of
+  /// another node that cannot read the service.
   struct watch_substitution {
-    /// End of the time for which this node watches the service in place of another node.
+    /// End of the substitution; not after the current time if this node replaces no other node.
     base::time_point ends_at;
-    /// Number of times that this node and the nodes after it may still hand over a watch that this
-    /// node took from another node. This node hands over the watch to a next node if this node
-    /// cannot read the service either.
+    /// Number of further handovers of the watch that this node took over: this node hands over the
+    /// watch to a next node if this node cannot read the service either.
     std::uint32_t handovers_left = 0;
-    /// Earliest time at which this node may hand over its own watch again.
+    /// Earliest time at which this node may again hand over the watch that is its own job.
     base::time_point next_handover_at;
   };
   std::array<watch_substitution, source_count> substitutions_;
@@ -301,25 +291,20 @@
   /// Value of `membership_.version()` when the members were last passed to the serving path.
   std::uint64_t seen_membership_version_ = 0;
   base::random_source* random_;
-  /// Whether a message since the start has shown that a peer has the same, non-empty catalog as
-  /// this node.
+  /// Whether a peer has had the same, non-empty catalog as this node since the start.
   bool is_synced_with_peer_ = false;
   bool is_ready_ = false;
   bool is_stopping_ = false;
-  /// Whether the command `stop_completed` has been emitted.
+  /// Whether `stop_completed` has been emitted.
   bool is_stop_reported_ = false;
   base::time_point stop_started_at_;
-  /// Time since which no request has arrived. This is the latest of three times: the last arrival
-  /// of a request; the end of the last gap between events, because requests may have waited in
-  /// sockets during the gap; and the start of the graceful stop. A stopping node without work exits
-  /// `stop_linger_time` after `quiet_since_`, and at the latest `max_stop_linger_time` after the
-  /// start of the stop.
+  /// Time since which no request has arrived: the latest of the last arrival of a request, the end
+  /// of the last gap between events (`max_regular_event_interval`), in which requests may have
+  /// waited in sockets, and the start of the graceful stop.
   base::time_point quiet_since_;
-  /// Random number from 0 to 1, chosen at the start of the node. The number determines the random
-  /// part of `peer_wait_time`.
+  /// Random number from 0 to 1 that determines the random part of `peer_wait_time`.
   double peer_wait_fraction_ = 0;
-  /// Time at which the pause of dispatch after a suspension ends; std::nullopt if dispatch is not
-  /// paused.
+  /// End of the pause of dispatch after a suspension; std::nullopt if dispatch is not paused.
   std::optional<base::time_point> dispatch_pause_ends_at_;
   base::time_point next_periodic_at_;
   std::uint64_t next_request_number_ = 1;
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -1,5 +1,5 @@
-/// Processing of requests by a node: checks on arrival, execution and answers. Callers send
-/// requests to the node, and peers forward requests to the node.
+/// Processing of requests that callers send or peers forward to a node: checks on arrival,
+/// execution and answers.
 #include "node/node.h"
 
 #include "execution/plan_resolver.h"
@@ -10,8 +10,7 @@
 namespace spurrack::node {
 namespace {
 
-/// Time after which a caller should retry a request that a starting or stopping node refuses. The
-/// answer to the request contains this time.
+/// Time after which a caller should retry, stated in the refusal by a starting or stopping node.
 constexpr base::duration not_ready_retry_after = std::chrono::milliseconds(500);
 
 } // namespace
--- a/src/node/node_peers.cc
+++ b/src/node/node_peers.cc
@@ -61,9 +61,8 @@
   const bool is_membership_message =
       message.has_ping() || message.has_acknowledgement() || message.has_zone_digest();
   if (is_membership_message) {
-    // If the catalogs of this node and of a node of another region differ, this node starts to
-    // compare the catalogs only after the difference has lasted for `settle_time`, because traffic
-    // between regions is expensive.
+    // This node compares its catalog with that of a node of another region only after the catalogs
+    // have differed for `settle_time`, because traffic between regions is expensive.
     const bool is_near_sender = is_near(base::zone_id(message.sender_zone()));
     const bool wants_all = !is_ready_ || dispatch_pause_ends_at_.has_value();
     const bool is_eager = wants_all && is_near_sender && message.sender_is_ready();
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -1,5 +1,5 @@
 /// Reads of the platform services: which nodes read a service at which time, and how a node
-/// processes the answers.
+/// processes the answers of the services.
 #include "node/node.h"
 
 #include <algorithm>
@@ -10,39 +10,37 @@
 namespace spurrack::node {
 namespace {
 
-/// A starting node that serves published routes waits for peers to send the catalog before it reads
-/// the platform services itself. The base time of this wait is `peer_wait_time_per_member`
-/// multiplied by the number of known members. A strong node waits for a random time up to half of
-/// the base time. Any other node waits for the base time and, in addition, a random fraction of the
-/// base time. If a node becomes ready during its wait, the node does not read the services.
-/// Therefore only a few nodes read the services if a large fleet starts as a whole, and a small
-/// fleet loses no time.
+/// Base time, for each known member, for which a starting node that serves published routes waits
+/// for peers to send the catalog before it reads the platform services itself. A strong node waits
+/// for a random time up to half of the base time, any other node for the base time plus a random
+/// fraction of it. A node that becomes ready during its wait does not read the services. Therefore
+/// only a few nodes read the services if a large fleet starts as a whole, and a small fleet loses
+/// no time.
 ///
-/// Strong nodes read first, because reading 3,000 replicas takes more than a second on a link of 10
-/// Mbit/s. Only a few nodes should read, because each reading node occupies the link of the store
-/// for 12 ms, at the expense of all other nodes.
+/// Only a few nodes should read, because each reading node occupies the link of the store for 12
+/// ms, at the expense of all other nodes. Strong nodes read first, because reading 3,000 replicas
+/// takes more than a second on a link of 10 Mbit/s.
 constexpr base::duration peer_wait_time_per_member = std::chrono::milliseconds(12);
 /// Maximum base time of the wait for peers.
 constexpr base::duration max_peer_wait_time = std::chrono::milliseconds(1200);
 /// Minimum number of cores of a strong node, as a fraction of the number of cores of the strongest
 /// known node.
 constexpr float min_strong_node_fraction = 0.5F;
-/// Time for which a starting node waits after it has added its first member. In this time, two
-/// rounds of requests for members, the node learns the size of the fleet and whether it is a strong
-/// node. Without this time, 178 of 300 nodes that restarted together read the store
-/// (control_traffic_test).
+/// Time for which a starting node waits after it has added its first member: two rounds of requests
+/// for members, in which the node learns the size of the fleet and whether it is strong. Without
+/// this time, 178 of 300 nodes that restarted together read the store (control_traffic_test).
 constexpr base::duration discovery_time = std::chrono::milliseconds(200);
 /// Time for which a starting node that knows no member waits for a seed to send members.
 constexpr base::duration join_timeout = std::chrono::milliseconds(300);
-/// Maximum number of times that a watch is handed over from node to node because nodes cannot read
-/// the service. If a third of the nodes cannot read the service, one watch in 27 reaches no node
-/// that can read the service. This is acceptable because several nodes watch each service.
+/// Maximum number of times that a watch is handed over from node to node. If a third of the nodes
+/// cannot read the service, one watch in 27 reaches no node that can read it. This is acceptable
+/// because several nodes watch each service.
 constexpr std::uint32_t max_handovers = 2;
-/// Time for which a node watches a service in place of another node. If the node receives another
-/// handover within this time, the time starts again. While the store answers no node, the store
-/// receives no more calls than the nodes with the job to watch would make without handovers.
+/// Time for which a node watches a service in place of another node; a further handover starts the
+/// time again. While the store answers no node, the store receives no more calls than the nodes
+/// with the job to watch would make without handovers.
 constexpr base::duration substitution_duration = std::chrono::seconds(10);
-/// Minimum interval between two handovers of the watch that is the job of a node.
+/// Minimum interval between two handovers, by one node, of the watch that is its own job.
 constexpr base::duration handover_interval = substitution_duration / 2;
 
 constexpr std::array<const char*, source_count> watch_jobs{"watch/configuration", "watch/machines"};
@@ -74,8 +72,8 @@
                                                             : catalog_.latest_operator_position();
     watch.note_latest_revision(latest.era, latest.revision, now);
     if (const auto after = watch.next_read(should_read_service(source, now), now)) {
-      // The first listing may be stale: the next read requests the changes after the revision of
-      // this listing, and the answer to this read returns the missing changes at once.
+      // The first listing may be stale: the next read requests the changes since this listing, and
+      // the service answers that read at once if there are any.
       const bool allow_stale = *after == 0 && !watch.has_answered();
       commands_.emplace_back(read_service{source, *after, allow_stale, watch.max_hold_time()});
     }
--- a/tests/base/due_times_test.cc
+++ b/tests/base/due_times_test.cc
@@ -38,7 +38,7 @@
   constexpr int operation_count = 1'000;
   base::due_times<counted_key> times;
   for (int number = 0; number < key_count; ++number) {
-    // The same time for all keys, so that every lookup compares keys.
+    // All keys get the same time, so that every lookup compares keys.
     times.set({number}, start + milliseconds(1));
   }
   counted_key::comparisons = 0;
--- a/tests/model/outcome_test.cc
+++ b/tests/model/outcome_test.cc
@@ -1,4 +1,5 @@
-/// Outcomes of a call tracker: `not_run` only if no started call may have run.
+/// Outcome that a call tracker derives for a failed request. Guards against reporting `not_run` for
+/// a request that may have run.
 #include "model/outcome.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/model/record_parser_test.cc
+++ b/tests/model/record_parser_test.cc
@@ -1,4 +1,5 @@
-/// Accepted and refused records. Faults name the line, the field and the allowed values.
+/// Accepted and refused published records. Guards against faults that do not show operators the
+/// line, the field and the allowed values.
 #include "model/record_parser.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/model/residency_test.cc
+++ b/tests/model/residency_test.cc
@@ -1,4 +1,5 @@
-/// Regions that a residency allows, and the regions of zones.
+/// Regions that a residency allows, and regions of zones. Guards against work in a region that is
+/// not allowed or not known.
 #include "model/residency.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/node/driven_node.h
+++ b/tests/node/driven_node.h
@@ -1,5 +1,4 @@
-/// Node whose events and clock a test controls, and whose commands the test reads. The node serves
-/// a published catalog.
+/// Driver of one node that serves published routes, for tests without I/O.
 #pragma once
 
 #include "node/node.h"
@@ -11,8 +10,8 @@
 
 namespace spurrack {
 
-/// The node, its clock and the commands that it has returned so far. The constructor delivers the
-/// published catalog to the node.
+/// Delivers events to one node, controls the node's clock and keeps the commands that the node
+/// returns. The constructor delivers the published catalog to the node.
 struct driven_node {
   /// @param step interval between two events while time advances.
   explicit driven_node(const node::node_settings& settings = usual_settings(),
--- a/tests/node/planned_stop_test.cc
+++ b/tests/node/planned_stop_test.cc
@@ -1,5 +1,5 @@
-/// Graceful stop of a node to which requests arrive until the last moment: the time at which it
-/// completes the stop, and the requests that are still active at the end.
+/// Graceful stop of a node to which requests arrive until its exit. Guards against overlapping
+/// requests that delay the exit and against requests that outlast the stop.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -26,7 +26,7 @@
     return settings;
   }
 
-  /// @return the latest call that the node has started; 0 if it has started none.
+  /// @return the latest call that the node has sent to a replica; 0 if there is no call.
   base::call_id deliver_request(base::caller_id client, const std::string& path) {
     driven_node::deliver_request(client, path, now, seconds(60));
     return all<serving::start_call>().empty() ? 0 : all<serving::start_call>().back().call;
@@ -59,8 +59,7 @@
   deliver(node::stop_requested{});
   advance_time(milliseconds(1'600));
   BOOST_REQUIRE(has_stopped());
-  // This request arrives on a connection that is still open, and its replica takes longer than it
-  // did for the earlier requests.
+  // This request arrives on a connection that is still open, and its replica does not answer.
   const auto call = deliver_request(10, "/unsafe/x");
   BOOST_TEST(all<serving::start_call>().size() == 5U);
   advance_time(milliseconds(5'600));
--- a/tests/node/store_era_test.cc
+++ b/tests/node/store_era_test.cc
@@ -1,4 +1,6 @@
-/// Behaviour of a node if the store of the platform is restored from an older backup.
+/// Restore of the platform's store from an older backup, which begins a new era with lower
+/// revisions. Guards against a node that deletes replicas which the restored store lacks only at
+/// first, ignores entries for their lower revisions, or applies answers of the earlier era.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -28,8 +30,8 @@
     deliver(answered);
   }
 
-  /// @return the revision after which the node last read a platform service; std::nullopt if it has
-  ///         not read the service.
+  /// @return the revision after which the node last requested the changes of a platform service;
+  ///         std::nullopt if the node has not read the service.
   [[nodiscard]] std::optional<base::revision> latest_read(node::source_kind source) const {
     std::optional<base::revision> latest;
     for (const auto& command : commands) {
@@ -41,7 +43,7 @@
     return latest;
   }
 
-  /// @return number of recorded events of a kind.
+  /// @return number of events of a kind in the event log.
   [[nodiscard]] std::size_t events(base::event_kind kind) const {
     const auto& all = subject.events().entries();
     return static_cast<std::size_t>(std::count_if(
@@ -58,7 +60,7 @@
   answer(2, 90, false, {});
   BOOST_TEST((latest_read(node::source_kind::machine_list) == 0U));
   BOOST_TEST(events(base::event_kind::service_era) == 1U);
-  // A listing without replicas, immediately after the store was restored.
+  // A listing that lacks the replicas, immediately after the store was restored.
   answer(2, 90, true, {});
   BOOST_TEST(!subject.content().replicas().empty());
   advance_time(seconds(4));
--- a/tests/node/suspension_test.cc
+++ b/tests/node/suspension_test.cc
@@ -1,7 +1,8 @@
 /// Behaviour of a node after its machine was suspended. During the suspension the steady clock,
 /// which drives the timers of the event loop, stops, while the boot clock, which all decisions use,
 /// advances. Therefore no timer fires when the machine resumes: the node first processes the input
-/// that waits in sockets, at a time of the boot clock after the suspension.
+/// that waits in sockets. Guards against a node that notices the suspension only after this input
+/// and takes the time of the suspension for a failure of replicas.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -37,8 +38,8 @@
     return all<serving::start_call>();
   }
 
-  /// @return whether the event log records the suspension immediately after its first
-  ///         `events_before` records.
+  /// @return whether the event log contains the suspension immediately after its first
+  ///         `events_before` events.
   [[nodiscard]] bool recorded_suspension_first(std::size_t events_before) const {
     const auto& entries = subject.events().entries();
     return entries.size() > events_before &&
--- a/tests/node/watch_handover_test.cc
+++ b/tests/node/watch_handover_test.cc
@@ -1,5 +1,6 @@
-/// Handover of the watch of a platform service: another node, which cannot read the service,
-/// requests the node to watch it instead.
+/// Handover of the watch of a platform service: a node that cannot read the service asks this node
+/// to watch the service instead. Guards against messages that name an unknown service or would let
+/// a watch be handed over without end.
 #include "driven_node.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +14,7 @@
 
 namespace {
 
-/// Ready node that gets no answers to its reads after its start.
+/// Ready node whose further reads get no answers.
 struct substitute_node : driven_node {
   substitute_node() {
     node::service_answered replicas;
--- a/tests/settings/settings_test.cc
+++ b/tests/settings/settings_test.cc
@@ -1,5 +1,4 @@
-/// Settings of the daemon: valid files are parsed, invalid files are refused before the process
-/// starts any work.
+/// Parsing of the daemon's settings. Guards against a process that starts with invalid settings.
 #include "settings/settings.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,8 +13,8 @@
     "operator_listen: 127.0.0.1:3\nplatform: {configuration: 127.0.0.1:4, "
     "machine_list: 127.0.0.1:5}\n";
 
-/// Removes the caller listener and the platform section, which a node that serves published routes
-/// does not have.
+/// Removes the caller listener and the platform section, which the settings of a node that serves
+/// published routes lack.
 std::string without_caller_interface(std::string text) {
   text.erase(text.find("caller_listen"), text.find("operator_listen") - text.find("caller_listen"));
   text.erase(text.find("platform"), text.find("serving") - text.find("platform"));
