--- a/src/model/outcome.h
+++ b/src/model/outcome.h
@@ -32,14 +32,14 @@
   void call_completed(bool repeatable);
 
   /// @return whether any non-repeatable call was started whose end is not known.
-  [[nodiscard]] bool has_effect_in_doubt() const { return open_effects_ > 0; }
+  [[nodiscard]] bool has_open_non_repeatable_call() const { return open_non_repeatable_calls_ > 0; }
   /// @return the outcome of the request if it is aborted now.
   [[nodiscard]] outcome failure_outcome() const;
 
  private:
   unsigned open_calls_ = 0;
   unsigned completed_calls_ = 0;
-  unsigned open_effects_ = 0;
+  unsigned open_non_repeatable_calls_ = 0;
 };
 
 } // namespace spurrack::model
--- a/src/model/yaml_reader.cc
+++ b/src/model/yaml_reader.cc
@@ -77,7 +77,7 @@
 }
 
 YAML::Node mapping_reader::find(const std::string& name) {
-  known_.insert(name);
+  names_read_.insert(name);
   return std::as_const(node_)[name];
 }
 
@@ -249,7 +249,7 @@
   for (const auto& entry : node_) {
     if (entry.first.IsScalar()) {
       names.push_back(entry.first.Scalar());
-      known_.insert(entry.first.Scalar());
+      names_read_.insert(entry.first.Scalar());
     }
   }
   return names;
@@ -257,11 +257,11 @@
 
 void mapping_reader::finish() {
   std::string known;
-  for (const auto& name : known_) {
+  for (const auto& name : names_read_) {
     known += known.empty() ? name : ", " + name;
   }
   for (const auto& entry : node_) {
-    if (entry.first.IsScalar() && !known_.contains(entry.first.Scalar())) {
+    if (entry.first.IsScalar() && !names_read_.contains(entry.first.Scalar())) {
       faults_->push_back(
           {errc::unknown_field, line_of(entry.first), path_of(entry.first.Scalar()), known});
     }
--- a/src/model/yaml_reader.h
+++ b/src/model/yaml_reader.h
@@ -85,7 +85,7 @@
   std::string path_;
   std::vector<document_fault>* faults_;
   /// Names of the fields that have been read.
-  std::set<std::string> known_;
+  std::set<std::string> names_read_;
 };
 
 } // namespace spurrack::model
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -216,7 +216,7 @@
 
 void node::run_periodic(base::time_point now) {
   membership_.tick(now, outbox_);
-  update_sharing();
+  update_limit_sharing();
   update_serving_peers(now);
   executor_.retry_stalled_calls(now);
   read_services(now);
@@ -246,7 +246,7 @@
   return settings_.serving->regions.locality_between(settings_.self.zone, *zone);
 }
 
-void node::update_sharing() {
+void node::update_limit_sharing() {
   const auto nodes = membership_.live_zone_nodes();
   const auto own_entry = std::find(nodes.begin(), nodes.end(), settings_.self.node);
   backends_.set_sharing_nodes(static_cast<std::uint32_t>(nodes.size()),
@@ -289,7 +289,7 @@
   membership_.set_published(catalog_.machines(), now);
   backends_.update(catalog_.machines());
   guard_.update_node_list(catalog_.machines(), now);
-  update_sharing();
+  update_limit_sharing();
 }
 
 // --- back ends -----------------------------------------------------------------------------------
@@ -431,9 +431,9 @@
     envelope.set_catalog_hash(hash);
     envelope.set_sender_is_ready(is_ready_);
     add_leave_notices(envelope);
-    const auto at = clock_.next(now);
-    envelope.mutable_sent_at()->set_wall_microseconds(at.wall_microseconds);
-    envelope.mutable_sent_at()->set_logical(at.logical);
+    const auto sent_at = clock_.next(now);
+    envelope.mutable_sent_at()->set_wall_microseconds(sent_at.wall_microseconds);
+    envelope.mutable_sent_at()->set_logical(sent_at.logical);
     if (message.to == settings_.self.address) {
       dispatch_message(envelope, now);
       continue;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -198,12 +198,12 @@
   /// @return locality of a peer relative to this node; `elsewhere` if the peer's zone is unknown.
   [[nodiscard]] model::locality peer_locality(const base::network_address& peer) const;
   /// Divides the concurrency limits of back ends among the current live nodes of this node's zone.
-  void update_sharing();
+  void update_limit_sharing();
   void dispatch_message(const wire::envelope& message, base::time_point now);
   void on_backend_notice(const wire::backend_notice& notice, bool is_from_own_zone,
                          base::time_point now);
   /// Sends a leave notice for a back end to all nodes of this node's zone.
-  void broadcast_notice(const wire::backend_notice& notice);
+  void broadcast_leave_notice(const wire::backend_notice& notice);
   /// Sends to the nodes of this node's zone each leave notice that was not yet sent to these nodes
   /// or received from one of them.
   void announce_new_leave_notices();
--- a/src/node/node_peers.cc
+++ b/src/node/node_peers.cc
@@ -64,8 +64,8 @@
     // This node compares its catalog with that of a node of another region only after the catalogs
     // have differed for `settle_time`, because traffic between regions is expensive.
     const bool is_near_sender = is_near(base::zone_id(message.sender_zone()));
-    const bool wants_all = !is_ready_ || dispatch_pause_ends_at_.has_value();
-    const bool is_eager = wants_all && is_near_sender && message.sender_is_ready();
+    const bool is_catching_up = !is_ready_ || dispatch_pause_ends_at_.has_value();
+    const bool is_eager = is_catching_up && is_near_sender && message.sender_is_ready();
     replicator_.compare(sender, message.catalog_hash(), is_eager, now, outbox_);
   }
   apply_machine_changes(now);
@@ -91,12 +91,12 @@
       wire::backend_notice notice;
       notice.set_backend(backend.text());
       notice.set_generation(generation);
-      broadcast_notice(notice);
+      broadcast_leave_notice(notice);
     }
   }
 }
 
-void node::broadcast_notice(const wire::backend_notice& notice) {
+void node::broadcast_leave_notice(const wire::backend_notice& notice) {
   for (const auto& [name, other] : membership_.members()) {
     // Nodes of other zones receive the leave notice in the digests that relays send.
     if (other.zone != settings_.self.zone || other.state == wire::DEAD) {
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -126,10 +126,10 @@
     for (const auto& entry : entries) {
       listed.insert(entry.key());
     }
-    const catalog::store_position at{meaning.era, answer.service_revision};
+    const catalog::store_position position{meaning.era, answer.service_revision};
     auto deletions = answer.source == source_kind::machine_list
-                         ? catalog_.deletions_of_unlisted_replicas(listed, at)
-                         : catalog_.deletions_of_unlisted_evacuations(listed, at);
+                         ? catalog_.deletions_of_unlisted_replicas(listed, position)
+                         : catalog_.deletions_of_unlisted_evacuations(listed, position);
     std::move(deletions.begin(), deletions.end(), std::back_inserter(entries));
   }
   replicator_.offer(entries, replication_peers(), outbox_);
--- a/tests/model/outcome_test.cc
+++ b/tests/model/outcome_test.cc
@@ -9,7 +9,7 @@
 
 BOOST_AUTO_TEST_SUITE(call_tracker_outcomes)
 
-BOOST_AUTO_TEST_CASE(the_failure_outcome_follows_the_calls) {
+BOOST_AUTO_TEST_CASE(failure_outcome_is_not_run_only_if_no_started_call_may_have_run) {
   call_tracker tracker;
   BOOST_CHECK(tracker.failure_outcome() == outcome::not_run);
   tracker.call_started(true);
--- a/tests/model/residency_test.cc
+++ b/tests/model/residency_test.cc
@@ -32,7 +32,7 @@
   BOOST_TEST(!allowed.permits(std::nullopt));
 }
 
-BOOST_AUTO_TEST_CASE(an_intersection_allows_only_the_regions_of_both) {
+BOOST_AUTO_TEST_CASE(an_intersection_allows_only_regions_that_both_residencies_allow) {
   const auto route = residency::within({north, south});
   const auto tenant = residency::within({south, west});
   BOOST_TEST((route.intersect(tenant) == residency::within({south})));
--- a/tests/node/driven_node.h
+++ b/tests/node/driven_node.h
@@ -12,9 +12,9 @@
 
 /// Delivers events to one node, controls the node's clock and keeps the commands that the node
 /// returns. The constructor delivers the published catalog to the node.
-struct driven_node {
+struct node_driver {
   /// @param step interval between two events while time advances.
-  explicit driven_node(const node::node_settings& settings = usual_settings(),
+  explicit node_driver(const node::node_settings& settings = usual_settings(),
                        base::duration step = std::chrono::milliseconds(50))
       : time_step(step), random(1), subject(settings, random, now) {
     catalog::catalog::bucket_set all_buckets;
@@ -48,31 +48,31 @@
   }
 
   /// Delivers a request on a published route to the node.
-  /// @param allowed time from the arrival of the request to its deadline.
+  /// @param time_allowed time from the arrival of the request to its deadline.
   void deliver_request(base::caller_id client, const std::string& path, base::time_point arrived_at,
-                       base::duration allowed) {
+                       base::duration time_allowed) {
     auto content = std::make_shared<serving::request_content>();
     content->method = "POST";
     content->host = "h";
     content->path = content->target = path;
     content->id = base::request_id("r" + std::to_string(client));
     content->api_key = "key";
-    content->time_allowed = allowed;
+    content->time_allowed = time_allowed;
     deliver(serving::event(serving::request_arrived{client, content, arrived_at}));
   }
 
   /// @return the commands of one type that the serving path has returned so far, oldest first.
   template <typename command_type>
-  [[nodiscard]] std::vector<command_type> all() const {
-    std::vector<command_type> found;
+  [[nodiscard]] std::vector<command_type> serving_commands() const {
+    std::vector<command_type> matches;
     for (const auto& command : commands) {
       if (const auto* serving = std::get_if<serving::command>(&command)) {
         if (const auto* match = std::get_if<command_type>(serving)) {
-          found.push_back(*match);
+          matches.push_back(*match);
         }
       }
     }
-    return found;
+    return matches;
   }
 
   base::duration time_step;
--- a/tests/node/planned_stop_test.cc
+++ b/tests/node/planned_stop_test.cc
@@ -14,9 +14,9 @@
 namespace {
 
 /// Node with a maximum duration of its graceful stop.
-struct stopping_node : driven_node {
+struct stopping_node : node_driver {
   explicit stopping_node(base::duration max_stop_duration = milliseconds(7'300))
-      : driven_node(settings_with(max_stop_duration), milliseconds(10)) {}
+      : node_driver(settings_with(max_stop_duration), milliseconds(10)) {}
 
   static node::node_settings settings_with(base::duration max_stop_duration) {
     auto settings = usual_settings();
@@ -28,8 +28,10 @@
 
   /// @return the latest call that the node has sent to a replica; 0 if there is no call.
   base::call_id deliver_request(base::caller_id client, const std::string& path) {
-    driven_node::deliver_request(client, path, now, seconds(60));
-    return all<serving::start_call>().empty() ? 0 : all<serving::start_call>().back().call;
+    node_driver::deliver_request(client, path, now, seconds(60));
+    return serving_commands<serving::start_call>().empty()
+               ? 0
+               : serving_commands<serving::start_call>().back().call;
   }
 
   void answer(base::call_id call) {
@@ -61,14 +63,14 @@
   BOOST_REQUIRE(has_stopped());
   // This request arrives on a connection that is still open, and its replica does not answer.
   const auto call = deliver_request(10, "/unsafe/x");
-  BOOST_TEST(all<serving::start_call>().size() == 5U);
+  BOOST_TEST(serving_commands<serving::start_call>().size() == 5U);
   advance_time(milliseconds(5'600));
-  BOOST_TEST(all<serving::respond>().size() == 4U);
+  BOOST_TEST(serving_commands<serving::respond>().size() == 4U);
   advance_time(milliseconds(200));
-  BOOST_REQUIRE(all<serving::respond>().size() == 5U);
-  BOOST_TEST(all<serving::respond>().back().client == 10U);
-  BOOST_TEST(all<serving::respond>().back().status == 504);
-  BOOST_TEST(all<serving::cancel_call>().back().call == call);
+  BOOST_REQUIRE(serving_commands<serving::respond>().size() == 5U);
+  BOOST_TEST(serving_commands<serving::respond>().back().client == 10U);
+  BOOST_TEST(serving_commands<serving::respond>().back().status == 504);
+  BOOST_TEST(serving_commands<serving::cancel_call>().back().call == call);
 }
 
 BOOST_AUTO_TEST_CASE(overlapping_requests_do_not_delay_a_stop) {
--- a/tests/node/store_era_test.cc
+++ b/tests/node/store_era_test.cc
@@ -15,7 +15,7 @@
 
 /// Node that reads the platform services itself and has received a listing of the replicas in
 /// era 1.
-struct reading_node : driven_node {
+struct reading_node : node_driver {
   reading_node() { answer(1, 100, true, entries); }
 
   void answer(std::optional<base::store_era> era, base::revision revision, bool is_listing,
@@ -32,7 +32,8 @@
 
   /// @return the revision after which the node last requested the changes of a platform service;
   ///         std::nullopt if the node has not read the service.
-  [[nodiscard]] std::optional<base::revision> latest_read(node::source_kind source) const {
+  [[nodiscard]] std::optional<base::revision>
+  latest_requested_revision(node::source_kind source) const {
     std::optional<base::revision> latest;
     for (const auto& command : commands) {
       const auto* read = std::get_if<node::read_service>(&command);
@@ -44,7 +45,7 @@
   }
 
   /// @return number of events of a kind in the event log.
-  [[nodiscard]] std::size_t events(base::event_kind kind) const {
+  [[nodiscard]] std::size_t event_count(base::event_kind kind) const {
     const auto& all = subject.events().entries();
     return static_cast<std::size_t>(std::count_if(
         all.begin(), all.end(), [&](const base::event& entry) { return entry.kind == kind; }));
@@ -58,8 +59,8 @@
 BOOST_AUTO_TEST_CASE(replicas_missing_in_a_new_era_are_kept_until_its_second_listing) {
   advance_time(milliseconds(1500));
   answer(2, 90, false, {});
-  BOOST_TEST((latest_read(node::source_kind::machine_list) == 0U));
-  BOOST_TEST(events(base::event_kind::service_era) == 1U);
+  BOOST_TEST((latest_requested_revision(node::source_kind::machine_list) == 0U));
+  BOOST_TEST(event_count(base::event_kind::service_era) == 1U);
   // A listing that lacks the replicas, immediately after the store was restored.
   answer(2, 90, true, {});
   BOOST_TEST(!subject.content().replicas().empty());
--- a/tests/node/suspension_test.cc
+++ b/tests/node/suspension_test.cc
@@ -18,7 +18,7 @@
 constexpr base::duration suspension_duration = seconds(30);
 
 /// Node with two active requests.
-struct suspended_node : driven_node {
+struct suspended_node : node_driver {
   suspended_node() {
     advance_time(seconds(2));
     deliver_request(1, "/stream/", now, seconds(20));
@@ -35,12 +35,12 @@
   }
 
   [[nodiscard]] std::vector<serving::start_call> calls() const {
-    return all<serving::start_call>();
+    return serving_commands<serving::start_call>();
   }
 
   /// @return whether the event log contains the suspension immediately after its first
   ///         `events_before` events.
-  [[nodiscard]] bool recorded_suspension_first(std::size_t events_before) const {
+  [[nodiscard]] bool has_suspension_record_after(std::size_t events_before) const {
     const auto& entries = subject.events().entries();
     return entries.size() > events_before &&
            entries[events_before].kind == base::event_kind::node_resumed_after_pause;
@@ -65,7 +65,7 @@
   suspend();
   const auto before = subject.events().entries().size();
   deliver_request(3, "/safe/", now, seconds(5));
-  BOOST_TEST(recorded_suspension_first(before));
+  BOOST_TEST(has_suspension_record_after(before));
 }
 
 BOOST_AUTO_TEST_CASE(a_request_that_expired_in_its_socket_during_a_suspension_is_not_run) {
@@ -73,7 +73,7 @@
   suspend();
   deliver_request(3, "/safe/", arrived_at, seconds(5));
   BOOST_TEST(calls().empty());
-  const auto answers = all<serving::respond>();
+  const auto answers = serving_commands<serving::respond>();
   BOOST_TEST(std::any_of(answers.begin(), answers.end(),
                          [](const auto& answer) { return answer.client == 3U; }));
 }
@@ -87,7 +87,7 @@
     BOOST_TEST((state.unresponsive_at == base::time_point{}));
   }
   deliver(serving::event(serving::call_answered{2, good_head(), "body"}));
-  const auto answers = all<serving::respond>();
+  const auto answers = serving_commands<serving::respond>();
   BOOST_TEST(std::any_of(answers.begin(), answers.end(), [](const auto& answer) {
     return answer.client == 2U && answer.status == 200U;
   }));
@@ -97,14 +97,14 @@
   suspend();
   const auto before = subject.events().entries().size();
   deliver(serving::event(serving::stream_bytes{1, "id: 1\ndata: x\n\n"}));
-  BOOST_TEST(recorded_suspension_first(before));
+  BOOST_TEST(has_suspension_record_after(before));
 }
 
 BOOST_AUTO_TEST_CASE(
     a_request_whose_deadline_passed_during_a_suspension_ends_with_the_first_event) {
   suspend();
   deliver(node::time_passed{});
-  const auto answers = all<serving::respond>();
+  const auto answers = serving_commands<serving::respond>();
   BOOST_TEST(std::any_of(answers.begin(), answers.end(),
                          [](const auto& answer) { return answer.client == 1U; }));
   BOOST_TEST(std::none_of(answers.begin(), answers.end(),
@@ -123,10 +123,11 @@
   evidence.set_sign(wire::SIGN_SILENT);
   evidence.set_calls(1);
   deliver(message);
-  BOOST_TEST(recorded_suspension_first(before));
+  BOOST_TEST(has_suspension_record_after(before));
 }
 
-BOOST_AUTO_TEST_CASE(a_call_lost_during_a_suspension_is_not_recorded_as_a_crash_without_proof) {
+BOOST_AUTO_TEST_CASE(
+    a_call_that_breaks_after_a_suspension_is_no_crash_if_its_replica_accepts_connections) {
   suspend();
   deliver(serving::event(serving::call_failed{2, serving::call_failure::may_have_run}));
   BOOST_TEST(subject.serving()->crashes().empty());
--- a/tests/node/watch_handover_test.cc
+++ b/tests/node/watch_handover_test.cc
@@ -15,7 +15,7 @@
 namespace {
 
 /// Ready node whose further reads get no answers.
-struct substitute_node : driven_node {
+struct substitute_node : node_driver {
   substitute_node() {
     node::service_answered replicas;
     replicas.source = node::source_kind::machine_list;
@@ -25,14 +25,14 @@
     commands.clear();
   }
   /// Delivers a handover from a peer.
-  void hand_over(std::uint32_t source, std::uint32_t handovers) {
+  void deliver_handover(std::uint32_t source, std::uint32_t handovers_left) {
     node::peer_message handover;
     handover.message.set_sender("other");
     handover.message.set_sender_zone("a");
     handover.message.set_sender_address("other:1");
     auto& body = *handover.message.mutable_watch_handover();
     body.set_source(source);
-    body.set_handovers_left(handovers);
+    body.set_handovers_left(handovers_left);
     deliver(handover);
   }
   /// @return number of handovers that this node sent to further nodes.
@@ -52,15 +52,15 @@
   substitute_node node;
   BOOST_REQUIRE(node.subject.is_ready());
   for (const std::uint32_t source : {2U, 1'000U, std::numeric_limits<std::uint32_t>::max()}) {
-    node.hand_over(source, 1);
+    node.deliver_handover(source, 1);
   }
   BOOST_TEST(node.subject.is_ready());
 }
 
-BOOST_AUTO_TEST_CASE(the_number_of_handovers_left_is_limited) {
+BOOST_AUTO_TEST_CASE(an_excessive_number_of_handovers_left_from_a_peer_is_limited) {
   substitute_node node;
   for (int attempt = 0; attempt < 100; ++attempt) {
-    node.hand_over(0, std::numeric_limits<std::uint32_t>::max());
+    node.deliver_handover(0, std::numeric_limits<std::uint32_t>::max());
     node.deliver(node::service_failed{node::source_kind::configuration});
   }
   // Each handover leads to at most one further handover.
