--- a/tests/model/residency_test.cc
+++ b/tests/model/residency_test.cc
@@ -1,4 +1,5 @@
-/// Regions that a residency allows, and the regions of zones.
+/// Regions that a residency allows, and regions of zones. Guards against work in a region that is
+/// not allowed or not known.
 #include "model/residency.h"
 
 #include <boost/test/unit_test.hpp>
@@ -31,7 +32,7 @@
   BOOST_TEST(!allowed.permits(std::nullopt));
 }
 
-BOOST_AUTO_TEST_CASE(an_intersection_allows_only_the_regions_of_both) {
+BOOST_AUTO_TEST_CASE(an_intersection_allows_only_regions_that_both_residencies_allow) {
   const auto route = residency::within({north, south});
   const auto tenant = residency::within({south, west});
   BOOST_TEST((route.intersect(tenant) == residency::within({south})));
