--- a/src/idempotency/effect_registry.h
+++ b/src/idempotency/effect_registry.h
@@ -1,6 +1,6 @@
-/// State of the effects that this node owns by a ticket or an idempotency key. An effect is the run
-/// of a request that may run at most once. Its state is kept in memory until the lifetime of the
-/// ticket or key ends.
+/// Effects that this node owns by a ticket or an idempotency key. An effect is the execution of a
+/// request that may run at most once; each ticket and each key allows one effect. Its record is
+/// kept in memory until the lifetime of the ticket or key ends.
 #pragma once
 
 #include "base/ids.h"
@@ -17,17 +17,19 @@
 /// State of an effect at its owner.
 enum class effect_state : std::uint8_t {
   issued,  ///< The ticket was issued and has not been redeemed.
-  running, ///< A request of this node runs the effect.
-  answered ///< The request that ran the effect was answered.
+  running, ///< A request with the ticket or key runs at this node.
+  answered ///< The request that ran with the ticket or key was answered.
 };
 
-/// Registry of the effects that this node owns. Not thread-safe.
-/// @tparam answer_type final answer that is stored for replay.
+/// Registry of the effects that this node owns, by a text that identifies the ticket or the
+/// idempotency key. Not thread-safe.
+/// @tparam answer_type final answer to a request.
 template <typename answer_type>
 class effect_registry {
  public:
   struct record {
     effect_state state = effect_state::issued;
+    /// Request that runs or ran with the ticket or key; empty if the state is `issued`.
     base::request_id request;
     base::time_point expires_at;
     /// Set if the state is `answered`.
@@ -39,14 +41,16 @@
     records_[key] = {effect_state::issued, {}, expires_at, nullptr};
   }
 
-  /// Marks an effect as running under a request. The record is kept at least until `expires_at`.
+  /// Records that `request` runs with the ticket or key from now on. The record is kept until the
+  /// request is answered, and at least until `expires_at`.
   void mark_running(const std::string& key, const base::request_id& request,
                     base::time_point expires_at) {
     records_[key] = {effect_state::running, request, expires_at, nullptr};
     keys_by_request_[request] = key;
   }
 
-  /// Stores the answer of a request for replay. Does nothing if the request owns no effect.
+  /// Stores the answer for later requests with the same ticket or key. Does nothing if
+  /// `mark_running` was not called for the request.
   void record_answer(const base::request_id& request, const answer_type& content) {
     const auto found = keys_by_request_.find(request);
     if (found == keys_by_request_.end()) {
@@ -57,13 +61,13 @@
     entry.answer = std::make_shared<const answer_type>(content);
   }
 
-  /// @return the record of a key; nullptr if there is none.
+  /// @return the record of a ticket or key; nullptr if there is none.
   [[nodiscard]] const record* find(const std::string& key) const {
     const auto found = records_.find(key);
     return found == records_.end() ? nullptr : &found->second;
   }
 
-  /// Drops expired records, except those of running effects.
+  /// Drops expired records, except records in state `running`.
   void expire(base::time_point now) {
     std::erase_if(records_, [&](const auto& entry) {
       const bool is_expired =
--- a/src/idempotency/key_acquisition.h
+++ b/src/idempotency/key_acquisition.h
@@ -19,16 +19,15 @@
 enum class acquisition_state : std::uint8_t {
   pending,  ///< More replies are needed.
   acquired, ///< A majority of every witness set granted the key.
-  held,     ///< Another request holds the key: see `holder`.
-  refused,  ///< A majority can no longer be reached.
+  held,     ///< No majority can be reached; a witness named the `holder` of the key.
+  refused,  ///< No majority can be reached, and no witness named a holder.
 };
 
 /// Counts the replies of the witnesses of one key. The state does not change after it is no longer
 /// `pending`. Not thread-safe.
 class key_acquisition {
  public:
-  /// @param sets witnesses of the key under each node list that counts. If empty, the key is
-  /// refused.
+  /// @param sets result of `witness_lists::sets_for`. If empty, the key is refused.
   key_acquisition(std::string key, std::vector<witness_set> sets);
 
   /// @return the witnesses of all sets, each once.
@@ -49,7 +48,8 @@
 
  private:
   [[nodiscard]] bool has_all_majorities() const;
-  /// @return whether so many witnesses of a set refused that the set cannot reach a majority.
+  /// @return whether so many witnesses of any set refused that no majority of the set can grant the
+  ///         key.
   [[nodiscard]] bool is_any_majority_lost() const;
   static std::size_t count_members_in(const witness_set& group,
                                       const std::set<base::node_id>& nodes);
--- a/src/idempotency/ticket.h
+++ b/src/idempotency/ticket.h
@@ -1,7 +1,7 @@
 /// Tickets: permission to run one request once, bound to one incarnation of one node. A caller
-/// obtains a ticket first and redeems it later with its request, as in brokered leases (Irwin et
-/// al., USENIX 2006). Only the issuer redeems a ticket, so that nodes need not agree and the
-/// guarantee holds under every partition.
+/// obtains a ticket first and redeems it later by sending it with its request, as in brokered
+/// leases (Irwin et al., USENIX 2006). Only the incarnation that issued a ticket accepts it, so
+/// nodes need not agree, and the request runs at most once even during network partitions.
 #pragma once
 
 #include "base/ids.h"
@@ -24,7 +24,7 @@
 
   /// @return `node~process_start~nonce`, with the numbers in hexadecimal.
   [[nodiscard]] std::string text() const;
-  /// @return ticket in its text form; std::nullopt if the text is not a ticket.
+  /// @return the ticket whose text form is `text`; std::nullopt if `text` is not a ticket.
   static std::optional<ticket> parse(const std::string& text);
 };
 
--- a/src/idempotency/witness_lists.h
+++ b/src/idempotency/witness_lists.h
@@ -1,6 +1,7 @@
-/// Lists of the nodes that the platform publishes. Witnesses are chosen from the current list, and
-/// from the lists that were replaced within the reconfiguration window, because witnesses from a
-/// replaced list may still hold records.
+/// Lists of nodes that the platform publishes, from which the witnesses of each idempotency key are
+/// chosen. A witness is a node that records which request holds the key. Recently replaced lists
+/// are used besides the current list, because witnesses from a replaced list may still hold
+/// records.
 #pragma once
 
 #include "base/ids.h"
@@ -14,7 +15,7 @@
 
 namespace spurrack::idempotency {
 
-/// Witnesses of one key under one node list.
+/// Witnesses of one key that were chosen from one node list.
 struct witness_set {
   std::vector<base::node_id> witnesses;
   /// @return number of witnesses that must grant the key.
@@ -24,10 +25,12 @@
 /// Chooses the witnesses of keys. Not thread-safe.
 class witness_lists {
  public:
-  /// Number of witnesses of one key under one list; a majority of them must grant the key.
+  /// Number of witnesses of one key that are chosen from each list.
   static constexpr std::size_t witnesses_per_key = 5;
 
-  /// @param window time after the replacement of a list during which the list still counts.
+  /// @param window time after the replacement of a list during which witnesses are still chosen
+  /// from
+  ///        the list.
   explicit witness_lists(base::duration window) : window_(window) {}
 
   /// Replaces the current list by the nodes in `machines` if they differ from the list and there is
@@ -37,8 +40,8 @@
   /// @return hash of the current list; 0 if there is none.
   [[nodiscard]] std::uint64_t current_hash() const { return current_.hash; }
 
-  /// @return the witnesses of a key under each list that counts, without duplicate sets; empty if
-  ///         no list is known.
+  /// @return the witnesses of a key from the current list and from each recently replaced list,
+  ///         without duplicate sets; empty if no list is known.
   [[nodiscard]] std::vector<witness_set> sets_for(const std::string& key, base::time_point now);
 
  private:
--- a/src/idempotency/witness_store.h
+++ b/src/idempotency/witness_store.h
@@ -22,13 +22,15 @@
   witness_store(base::time_point started_at, base::duration max_key_lifetime)
       : started_at_(started_at), max_key_lifetime_(max_key_lifetime) {}
 
-  /// Grants a key if the key is free or held by the same request, this witness has been up long
-  /// enough, and the node that sent the query has the same node list as this witness.
+  /// Grants a key if the key is free or held by the request in `query`, this witness has been up
+  /// long enough, and the node that sent the query has the same node list as this witness.
   /// @param own_list_hash hash of this witness's node list.
-  /// @return the verdict, with the holder if another request holds the key.
+  /// @return whether the key is granted or why not, and the holder if another request holds the
+  /// key.
   wire::record_key_reply record(const wire::record_key& query, std::uint64_t own_list_hash,
                                 base::time_point now);
-  /// Drops the record of a request that released the key before the request was dispatched.
+  /// Drops the record of a key if the request in `message` holds the key. Requests release a key
+  /// only if they have not been dispatched.
   void release(const wire::key_release& message);
   /// Drops expired records.
   void expire(base::time_point now);
