--- a/src/execution/commands.h
+++ b/src/execution/commands.h
@@ -19,7 +19,7 @@
   auto operator<=>(const local_caller&) const = default;
 };
 
-/// Peer that forwarded a request from a caller that is connected to the peer.
+/// Peer that forwarded a request of a caller to this node; the caller is connected to the peer.
 struct remote_caller {
   base::network_address peer;
   std::uint64_t forward_id = 0;
--- a/src/execution/effect_guard.cc
+++ b/src/execution/effect_guard.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr base::duration young_witness_retry_after = std::chrono::seconds(5);
-/// Queries and forwarded requests are sent again because messages may be lost; witnesses and owners
-/// recognize the duplicates.
+/// Queries to witnesses and forwarded requests are sent again because messages may be lost;
+/// witnesses and owners recognize the duplicates.
 constexpr base::duration resend_interval = std::chrono::milliseconds(100);
 constexpr base::duration no_majority_retry_after = std::chrono::seconds(1);
 
@@ -62,9 +62,9 @@
   } else if (!request.ticket.empty()) {
     submit_with_ticket(std::move(request), now);
   } else {
-    // A witness named this node as the holder of the key, but the request of this node released the
-    // key before the request was dispatched. Another node may have run a request with the key
-    // earlier.
+    // A witness named this node as the holder of the key, but this node has released the key
+    // because its own request could not acquire a majority. Another node may have run an earlier
+    // request with the key.
     refuse(request, {}, model::outcome::unknown, reason::key_in_use, no_majority_retry_after);
   }
 }
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -1,7 +1,8 @@
-/// Permission to run requests that may run at most once. The run of such a request is called an
-/// effect. The request carries a ticket or an idempotency key. The owner of the effect is the node
-/// that issued the ticket, or the node whose request acquired the key from a majority of the key's
-/// witnesses. Only the owner runs the effect; the other nodes forward their requests to the owner.
+/// Permission to run requests that may run at most once. The execution of such a request is called
+/// an effect. The request carries a ticket or an idempotency key. The owner of the effect is the
+/// node that issued the ticket, or the node whose request acquired the key from a majority of the
+/// key's witnesses (nodes that record which request holds the key). Only the owner runs a request
+/// with the ticket or key; the other nodes forward such requests to the owner.
 #pragma once
 
 #include "base/event_log.h"
@@ -33,15 +34,16 @@
   base::duration key_lifetime = std::chrono::minutes(10);
   /// Time from the issue of a ticket within which the ticket must be redeemed.
   base::duration ticket_lifetime = std::chrono::minutes(1);
-  /// Time after the replacement of a node list during which its witnesses must grant keys too.
+  /// Time after the replacement of a node list during which a majority of the witnesses chosen from
+  /// the replaced list must grant a key, too.
   base::duration list_window = std::chrono::minutes(60);
   /// Longest time that a request waits for the replies of witnesses.
   base::duration witness_timeout = std::chrono::milliseconds(500);
   base::safety_switches switches;
 };
 
-/// Request that needs permission to run. The key or the ticket is set; if both are set, the ticket
-/// counts.
+/// Request that may run at most once and therefore needs the permission of `effect_guard`. The key
+/// or the ticket is set; if both are set, the key is ignored.
 struct guarded_request {
   admitted_request request;
   std::string idempotency_key;
@@ -61,6 +63,7 @@
 struct answer_decision {
   caller_ref caller;
   answer content;
+  /// Tenant and template for which the answer is counted.
   pipeline_key key;
 };
 using guard_decision = std::variant<run_decision, attach_decision, answer_decision>;
@@ -69,7 +72,7 @@
 /// is not listed.
 using address_lookup = std::function<std::optional<base::network_address>(const base::node_id&)>;
 
-/// Decides which requests may run at this node. Decisions and messages are collected until
+/// Decides which guarded requests run at this node. Decisions and messages are collected until
 /// `take_decisions` and `take_messages` are called. Not thread-safe.
 class effect_guard {
  public:
@@ -86,13 +89,14 @@
   /// Like `submit`, for a request that a peer forwarded because this node owns its ticket or key.
   /// Never queries witnesses; a request with a key is never forwarded again.
   void submit_forwarded(guarded_request request, base::time_point now);
-  /// Processes messages of the witness protocol and replies to forwarded requests; ignores all
-  /// other messages.
+  /// Processes messages between requesters and witnesses, and replies of owners to requests that
+  /// this node forwarded. Ignores all other messages.
   void handle(const wire::envelope& message, base::time_point now);
-  /// Stores the answer for replay if this node owns the effect of the request.
+  /// Stores the answer for later requests with the same ticket or key. Ignores answers to requests
+  /// that this guard did not decide to run.
   void on_answer(const answer& content);
-  /// Drops expired records, refuses requests whose wait has timed out, and resends messages that
-  /// have not been answered.
+  /// Drops expired records, refuses requests that waited too long for witnesses or for an owner,
+  /// and resends unanswered messages.
   void tick(base::time_point now);
 
   /// @return time at which `tick` next has to refuse a request or resend a message; std::nullopt if
@@ -117,6 +121,7 @@
   struct acquiring_request {
     guarded_request guarded;
     idempotency::key_acquisition acquisition;
+    /// Callers of other requests with the same key, which get the same answer.
     std::vector<caller_ref> attached_callers;
     base::time_point acquisition_deadline;
     base::time_point resend_at;
@@ -132,16 +137,17 @@
 
   void submit_with_ticket(guarded_request guarded, base::time_point now);
   void submit_with_key(guarded_request guarded, base::time_point now);
-  /// Decides on a request whose effect this node already runs or has answered: attaches the request
-  /// to the running request or replays the answer. If the answer was `not_run`, the request may run
-  /// again under the same record, which still prevents all other nodes from running it.
+  /// Decides on a request if a request with the same ticket or key runs at this node or was
+  /// answered: lets the caller wait for the running request, or returns the stored answer. If that
+  /// answer was `not_run`, the new request may run; the record of the ticket or key still prevents
+  /// all other nodes from running it.
   /// @return whether a decision was made.
   bool join_known_effect(const std::string& key, const guarded_request& guarded);
   void query_witnesses(const acquiring_request& acquiring, const std::string& key);
   void on_record_reply(const wire::envelope& message, base::time_point now);
-  /// Runs, forwards or refuses the request if its acquisition has a result.
+  /// Runs, forwards or refuses the request if the acquisition of its key has succeeded or failed.
   void resolve_acquisition(const std::string& key, base::time_point now);
-  /// Sends a message to all witnesses of the key that drops the record of the request.
+  /// Tells all witnesses of the key to drop the record of the request.
   void release_key(const acquiring_request& acquiring);
   void forward_to_owner(guarded_request guarded, std::vector<caller_ref> attached_callers,
                         const base::network_address& owner, base::incarnation owner_incarnation,
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -21,8 +21,8 @@
 
 namespace spurrack::execution {
 
-/// Request that was resolved against the catalog and, if it may run at most once, has permission to
-/// run.
+/// Request that was resolved against the catalog. It may be passed to `executor::start` after it
+/// was admitted and, if it may run at most once, `effect_guard` has permitted it to run.
 struct admitted_request {
   base::request_id id;
   std::shared_ptr<const model::pipeline_plan> plan;
@@ -54,8 +54,8 @@
   /// @return false if the request is no longer active; the caller is not added then.
   bool attach(const base::request_id& id, const caller_ref& caller);
 
-  /// Completes, retries or aborts the stage whose call ended. If the call is no longer in flight,
-  /// the result is only counted.
+  /// Completes or retries the stage whose call ended, or aborts the request. Only counts a result
+  /// whose call is no longer in flight.
   void on_result(const call_result& result, base::time_point now);
   /// Appends a token to the generated text and sends it to a streaming caller. Ignores tokens of
   /// calls that are no longer in flight and tokens out of order.
--- a/src/execution/stage_call.h
+++ b/src/execution/stage_call.h
@@ -10,8 +10,8 @@
 
 namespace spurrack::execution {
 
-/// Identity of a call. The back end echoes the identity in its answer; a completed result with the
-/// identity of another call counts as `broken`.
+/// Identity of a call. The back end echoes the identity in its answer; a call whose answer has the
+/// identity of another call is treated as `broken`.
 struct call_identity {
   base::request_id request;
   std::string stage;
@@ -53,7 +53,7 @@
 /// @return the name of the status; it never changes between versions.
 std::string_view name_of(call_status value);
 
-/// Result of a call, completed or not.
+/// Result of a completed or failed call.
 struct call_result {
   base::call_id call = 0;
   call_status status = call_status::broken;
