--- a/src/admission/stage_scheduler.cc
+++ b/src/admission/stage_scheduler.cc
@@ -87,7 +87,7 @@
   if (!settings_.predict) {
     return std::nullopt;
   }
-  // The waits of several stages overlap in time, so only the longest wait counts.
+  // The waits of several stages overlap in time, so only the longest wait is added.
   const auto finish = now + wait + expected_service_time(plan, 0);
   if (finish <= deadline) {
     return std::nullopt;
--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -28,8 +28,7 @@
 
 /// Refusal of a request.
 struct refusal {
-  /// Whether the reason is that a pool of the plan has no back end. Otherwise the reason is that
-  /// the request is expected to miss its deadline.
+  /// True: a pool of the plan has no back end. False: the request is expected to miss its deadline.
   bool no_backend = false;
   /// Time after which the caller may send the request again.
   base::duration retry_after{};
@@ -64,12 +63,13 @@
   void note_stage_completed(const model::pipeline_plan& plan, std::size_t stage);
 
   /// Adds a request that waits for a call of one stage.
-  /// @param affinity see `routing::call_hint`.
+  /// @param affinity stable hash of the prompt prefix; 0 if the call has no preferred back end.
   void enqueue(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
                base::time_point deadline, std::uint64_t affinity);
+  /// Removes a request that waits for a call of one stage.
   void remove(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
               base::time_point deadline);
-  /// Removes the next request whose call can be started now, of any pool, from its queue.
+  /// Takes the next request whose call can be started now from the queue of any pool.
   /// @return the request and its back end; std::nullopt if no call can be started.
   std::optional<dispatch_choice> take_next(base::time_point now);
   /// @return earliest time at which the backoff or ejection of a back end ends in a pool with
@@ -83,7 +83,7 @@
   [[nodiscard]] base::duration expected_service_time(const model::pipeline_plan& plan,
                                                      std::size_t from_stage) const;
   /// @return time without progress after which a repeatable call is cancelled and retried;
-  ///         std::nullopt if there are too few samples of the stage.
+  ///         std::nullopt if too few service times of the stage were recorded.
   [[nodiscard]] std::optional<base::duration> stall_timeout(const model::pipeline_plan& plan,
                                                             std::size_t stage) const;
   retry_budget& retry_budget_of(const base::pool_id& pool) { return pools_[pool].retries; }
@@ -96,7 +96,7 @@
     stage_queue queue;
     retry_budget retries;
     std::map<base::request_id, std::uint64_t> affinities;
-    /// Number of stages of admitted requests that have not completed in this pool, by tenant.
+    /// Number of stages that admitted requests have yet to complete in this pool, by tenant.
     std::map<base::tenant_id, std::uint32_t> admitted;
     routing::latency_estimator service_time;
     std::unique_ptr<routing::balancing_policy> policy;
@@ -115,6 +115,7 @@
   /// @return estimated number of admitted stages that a pool serves before a stage of this plan.
   [[nodiscard]] double admitted_ahead(const pool_state& state,
                                       const model::pipeline_plan& plan) const;
+  /// @return expected time that a new request of this plan waits in the pool for free slots.
   [[nodiscard]] base::duration expected_wait(const base::pool_id& name,
                                              const model::pipeline_plan& plan,
                                              base::time_point now) const;
--- a/src/routing/backend_table.h
+++ b/src/routing/backend_table.h
@@ -36,7 +36,7 @@
   base::duration failure_backoff{};
   /// Moving average of the service time; zero before the first sample.
   base::duration average_latency{};
-  /// Number of samples since the last ejection.
+  /// Number of service times averaged since the last ejection.
   std::uint64_t samples = 0;
   /// Number of calls in flight from all nodes that the back end last reported, and time of the
   /// report.
@@ -57,17 +57,17 @@
   base::duration min_failure_backoff = std::chrono::milliseconds(100);
   base::duration max_failure_backoff = std::chrono::seconds(5);
   base::duration ejection_duration = std::chrono::seconds(3);
-  /// Ratio of a back end's latency to the mean latency of the other back ends of its pool at which
-  /// the back end is ejected.
+  /// A back end is ejected at this ratio of its latency to the mean latency of the other back ends
+  /// of its pool.
   double ejection_latency_ratio = 3.0;
-  /// Minimum number of samples of a back end before it can be ejected or other back ends are
-  /// compared with it.
+  /// Minimum number of latency samples of a back end before it can be ejected or other back ends
+  /// are compared with it.
   std::uint64_t min_ejection_samples = 8;
-  /// Maximum fraction of the back ends of a pool that may be ejected or backing off. No further
-  /// back end is ejected beyond this fraction.
+  /// Maximum fraction of the back ends of a pool that are ejected or backing off; no back end is
+  /// ejected beyond this fraction.
   double max_ejected_fraction = 0.34;
-  /// Maximum age of a load report. A newer report lets this node exceed its fair part of a back
-  /// end's limit.
+  /// Maximum age of a back end's load report. With a younger report, this node may exceed its fair
+  /// part of the back end's limit.
   base::duration load_report_lifetime = std::chrono::milliseconds(200);
   base::safety_switches switches;
 };
@@ -99,8 +99,8 @@
   ///        of the division.
   void set_sharing_nodes(std::uint32_t sharing_nodes, std::uint32_t own_rank);
 
-  /// @param ignore_limits includes back ends whose call quota is used up (policies without
-  ///        admission).
+  /// @param ignore_limits whether to include back ends whose call quota is used up, for policies
+  ///        that enforce no limits.
   /// @return usable back ends of this node's zone with a free slot; if there are none, usable back
   ///         ends of other zones with a free slot.
   [[nodiscard]] std::vector<candidate> candidates(const base::pool_id& pool, base::time_point now,
--- a/src/routing/balancing_policy.cc
+++ b/src/routing/balancing_policy.cc
@@ -67,8 +67,8 @@
 };
 
 /// Chooses by the expected wait, computed from the calls of this node in flight and the latency.
-/// Calls with a prompt prefix go to the preferred back end of the prefix while that back end has a
-/// free slot (bounded load: every candidate has a free slot).
+/// Calls with a prompt prefix go to the candidate that rendezvous hashing prefers for the prefix.
+/// Every candidate has a free slot, so the preference overloads no back end.
 class adaptive final : public balancing_policy {
  public:
   explicit adaptive(base::random_source& random) : random_(&random) {}
--- a/src/routing/balancing_policy.h
+++ b/src/routing/balancing_policy.h
@@ -14,16 +14,20 @@
 
 /// Kinds of policies. The names are values of the setting `policy`.
 enum class policy_kind : std::uint8_t {
-  round_robin,     ///< Chooses the back ends in turn, without limits and admission.
-  least_in_flight, ///< Chooses the fewest calls of this node in flight; enforces limits.
-  power_of_two,    ///< Draws two back ends, chooses fewer calls of this node; enforces limits.
-  adaptive,        ///< Draws two back ends, chooses the shorter expected wait; enforces limits and
-                   ///< has prefix affinity.
+  /// Chooses the back ends in turn; ignores their limits.
+  round_robin,
+  /// Chooses the back end with the fewest calls of this node in flight; enforces limits.
+  least_in_flight,
+  /// Chooses the better of two random back ends by calls of this node in flight; enforces limits.
+  power_of_two,
+  /// Chooses the better of two random back ends by expected wait, or the preferred back end of the
+  /// prompt prefix; enforces limits.
+  adaptive,
 };
 
 /// Properties of the call that a policy may use.
 struct call_hint {
-  /// Stable hash of the prompt prefix; 0 if the call has no affinity.
+  /// Stable hash of the prompt prefix; 0 if the call has no preferred back end.
   std::uint64_t affinity = 0;
 };
 
