--- a/src/admission/stage_queue.h
+++ b/src/admission/stage_queue.h
@@ -46,7 +46,7 @@
     }
   };
   struct tenant_queue {
-    std::set<queue_entry, by_deadline> waiting;
+    std::set<queue_entry, by_deadline> waiting_requests;
     /// Virtual time at which the next request of this tenant starts.
     double virtual_start = 0;
     double weight = 1;
--- a/src/admission/stage_scheduler.cc
+++ b/src/admission/stage_scheduler.cc
@@ -43,12 +43,12 @@
   return {request, plan.tenant, queue_weight(plan), deadline};
 }
 
-double stage_scheduler::admitted_ahead(const pool_state& state,
-                                       const model::pipeline_plan& plan) const {
-  const auto own = state.admitted.find(plan.tenant);
-  const double own_count = own == state.admitted.end() ? 0.0 : own->second;
+double stage_scheduler::admitted_stages_ahead(const pool_state& state,
+                                              const model::pipeline_plan& plan) const {
+  const auto own = state.admitted_stages.find(plan.tenant);
+  const double own_count = own == state.admitted_stages.end() ? 0.0 : own->second;
   double ahead = own_count;
-  for (const auto& [tenant, count] : state.admitted) {
+  for (const auto& [tenant, count] : state.admitted_stages) {
     if (tenant != plan.tenant) {
       // With fair queueing every other tenant is served at most as often as the tenant of the plan,
       // if the weights are equal. Equal weights are assumed here; the queue applies the real
@@ -67,7 +67,7 @@
     return base::duration::zero();
   }
   const double slots = std::max<std::uint32_t>(1, backends_->slots(name, now));
-  const double waiting = admitted_ahead(found->second, plan) + 1 - slots;
+  const double waiting = admitted_stages_ahead(found->second, plan) + 1 - slots;
   if (waiting <= 0) {
     return base::duration::zero();
   }
@@ -97,25 +97,25 @@
 
 void stage_scheduler::add_admitted(const model::pipeline_plan& plan) {
   for (const auto& step : plan.stages) {
-    ++pool(step.pool).admitted[plan.tenant];
+    ++pool(step.pool).admitted_stages[plan.tenant];
   }
 }
 
-void stage_scheduler::decrease_admitted(pool_state& state, const base::tenant_id& tenant) {
-  const auto found = state.admitted.find(tenant);
-  if (found != state.admitted.end() && --found->second == 0) {
-    state.admitted.erase(found);
+void stage_scheduler::decrement_admitted_stages(pool_state& state, const base::tenant_id& tenant) {
+  const auto found = state.admitted_stages.find(tenant);
+  if (found != state.admitted_stages.end() && --found->second == 0) {
+    state.admitted_stages.erase(found);
   }
 }
 
 void stage_scheduler::remove_admitted(const model::pipeline_plan& plan, std::size_t from_stage) {
   for (std::size_t stage = from_stage; stage < plan.stages.size(); ++stage) {
-    decrease_admitted(pool(plan.stages[stage].pool), plan.tenant);
+    decrement_admitted_stages(pool(plan.stages[stage].pool), plan.tenant);
   }
 }
 
 void stage_scheduler::note_stage_completed(const model::pipeline_plan& plan, std::size_t stage) {
-  decrease_admitted(pool(plan.stages[stage].pool), plan.tenant);
+  decrement_admitted_stages(pool(plan.stages[stage].pool), plan.tenant);
 }
 
 void stage_scheduler::enqueue(const model::pipeline_plan& plan, std::size_t stage,
--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -97,7 +97,7 @@
     retry_budget retries;
     std::map<base::request_id, std::uint64_t> affinities;
     /// Number of stages that admitted requests have yet to complete in this pool, by tenant.
-    std::map<base::tenant_id, std::uint32_t> admitted;
+    std::map<base::tenant_id, std::uint32_t> admitted_stages;
     routing::latency_estimator service_time;
     std::unique_ptr<routing::balancing_policy> policy;
   };
@@ -113,14 +113,14 @@
   static queue_entry make_entry(const model::pipeline_plan& plan, const base::request_id& request,
                                 base::time_point deadline);
   /// @return estimated number of admitted stages that a pool serves before a stage of this plan.
-  [[nodiscard]] double admitted_ahead(const pool_state& state,
-                                      const model::pipeline_plan& plan) const;
+  [[nodiscard]] double admitted_stages_ahead(const pool_state& state,
+                                             const model::pipeline_plan& plan) const;
   /// @return expected time that a new request of this plan waits in the pool for free slots.
   [[nodiscard]] base::duration expected_wait(const base::pool_id& name,
                                              const model::pipeline_plan& plan,
                                              base::time_point now) const;
   static stage_key key_of(const model::pipeline_plan& plan, std::size_t stage);
-  static void decrease_admitted(pool_state& state, const base::tenant_id& tenant);
+  static void decrement_admitted_stages(pool_state& state, const base::tenant_id& tenant);
 
   scheduling_settings settings_;
   routing::backend_table* backends_;
--- a/src/execution/effect_guard.cc
+++ b/src/execution/effect_guard.cc
@@ -56,8 +56,8 @@
   if (join_known_effect(key, request)) {
     return;
   }
-  const auto pending = acquiring_.find(key);
-  if (pending != acquiring_.end()) {
+  const auto pending = acquiring_requests_.find(key);
+  if (pending != acquiring_requests_.end()) {
     pending->second.attached_callers.push_back(request.request.caller);
   } else if (!request.ticket.empty()) {
     submit_with_ticket(std::move(request), now);
@@ -81,9 +81,9 @@
   const bool may_run_again = known->answer->outcome == model::outcome::not_run &&
                              guarded.request.deadline < known->expires_at;
   if (may_run_again) {
-    decide_run(guarded.request, key, {}, known->expires_at);
+    add_run_decision(guarded.request, key, {}, known->expires_at);
   } else {
-    decide_answer(guarded, guarded.request.caller, *known->answer);
+    add_answer_decision(guarded, guarded.request.caller, *known->answer);
   }
   return true;
 }
@@ -113,24 +113,24 @@
     refuse(guarded, {}, model::outcome::unknown, reason::ticket_expired, {});
     return;
   }
-  decide_run(std::move(guarded.request), key, {}, now + settings_.key_lifetime);
+  add_run_decision(std::move(guarded.request), key, {}, now + settings_.key_lifetime);
 }
 
 void effect_guard::submit_with_key(guarded_request guarded, base::time_point now) {
   const auto key = key_of(guarded);
-  const auto pending = acquiring_.find(key);
-  if (pending != acquiring_.end()) {
+  const auto pending = acquiring_requests_.find(key);
+  if (pending != acquiring_requests_.end()) {
     pending->second.attached_callers.push_back(guarded.request.caller);
     return;
   }
   if (!settings_.switches.witness_majority) {
-    decide_run(std::move(guarded.request), key, {}, now + settings_.key_lifetime);
+    add_run_decision(std::move(guarded.request), key, {}, now + settings_.key_lifetime);
     return;
   }
   idempotency::key_acquisition acquisition(key, witness_lists_.sets_for(key, now));
   const auto acquisition_deadline =
       std::min(now + settings_.witness_timeout, guarded.request.deadline);
-  const auto inserted = acquiring_
+  const auto inserted = acquiring_requests_
                             .emplace(key, acquiring_request{std::move(guarded),
                                                             std::move(acquisition),
                                                             {},
@@ -178,8 +178,9 @@
 
 void effect_guard::on_record_reply(const wire::envelope& message, base::time_point now) {
   const auto& reply = message.record_key_reply();
-  const auto found = acquiring_.find(reply.key());
-  if (found == acquiring_.end() || found->second.guarded.request.id.text() != reply.request()) {
+  const auto found = acquiring_requests_.find(reply.key());
+  if (found == acquiring_requests_.end() ||
+      found->second.guarded.request.id.text() != reply.request()) {
     return;
   }
   found->second.acquisition.on_reply(base::node_id(message.sender()), reply);
@@ -187,15 +188,15 @@
 }
 
 void effect_guard::resolve_acquisition(const std::string& key, base::time_point now) {
-  const auto state = acquiring_.at(key).acquisition.state();
+  const auto state = acquiring_requests_.at(key).acquisition.state();
   if (state == idempotency::acquisition_state::pending) {
     return;
   }
-  auto entry = std::move(acquiring_.extract(key).mapped());
+  auto entry = std::move(acquiring_requests_.extract(key).mapped());
   if (state == idempotency::acquisition_state::acquired) {
     record_(base::event_kind::key_recorded, entry.guarded.request.id, key, "majority of witnesses");
-    decide_run(std::move(entry.guarded.request), key, entry.attached_callers,
-               now + settings_.key_lifetime);
+    add_run_decision(std::move(entry.guarded.request), key, entry.attached_callers,
+                     now + settings_.key_lifetime);
     return;
   }
   release_key(entry);
@@ -238,7 +239,7 @@
                                     base::incarnation owner_incarnation, base::time_point now) {
   const auto id = next_forward_id_++;
   record_(base::event_kind::request_forwarded, guarded.request.id, owner.text(), "");
-  const auto inserted = forwarded_
+  const auto inserted = forwarded_requests_
                             .emplace(id, forwarded_entry{std::move(guarded),
                                                          std::move(attached_callers),
                                                          owner,
@@ -267,7 +268,7 @@
 }
 
 void effect_guard::on_forwarded_reply(const wire::forwarded_reply& reply) {
-  auto found = forwarded_.extract(reply.forward_id());
+  auto found = forwarded_requests_.extract(reply.forward_id());
   if (found.empty()) {
     return;
   }
@@ -278,15 +279,15 @@
     return;
   }
   const auto content = from_wire(reply.answer());
-  decide_answer(entry.guarded, entry.guarded.request.caller, content);
+  add_answer_decision(entry.guarded, entry.guarded.request.caller, content);
   for (const auto& caller : entry.attached_callers) {
-    decide_answer(entry.guarded, caller, content);
+    add_answer_decision(entry.guarded, caller, content);
   }
 }
 
-void effect_guard::decide_run(admitted_request request, const std::string& key,
-                              const std::vector<caller_ref>& attached_callers,
-                              base::time_point expires_at) {
+void effect_guard::add_run_decision(admitted_request request, const std::string& key,
+                                    const std::vector<caller_ref>& attached_callers,
+                                    base::time_point expires_at) {
   const auto id = request.id;
   effects_.mark_running(key, id, expires_at);
   decisions_.emplace_back(run_decision{std::move(request)});
@@ -303,14 +304,14 @@
   content.failure_reason = failure_reason;
   content.request = guarded.request.id;
   content.retry_after = retry_after;
-  decide_answer(guarded, guarded.request.caller, content);
+  add_answer_decision(guarded, guarded.request.caller, content);
   for (const auto& caller : attached_callers) {
-    decide_answer(guarded, caller, content);
+    add_answer_decision(guarded, caller, content);
   }
 }
 
-void effect_guard::decide_answer(const guarded_request& guarded, const caller_ref& caller,
-                                 const answer& content) {
+void effect_guard::add_answer_decision(const guarded_request& guarded, const caller_ref& caller,
+                                       const answer& content) {
   decisions_.emplace_back(answer_decision{
       caller, content, {guarded.request.plan->tenant, guarded.request.plan->template_name}});
 }
@@ -328,7 +329,7 @@
 
 void effect_guard::tick_acquisitions(base::time_point now) {
   std::vector<std::string> expired;
-  for (auto& [key, entry] : acquiring_) {
+  for (auto& [key, entry] : acquiring_requests_) {
     if (entry.acquisition_deadline <= now) {
       expired.push_back(key);
     } else if (entry.resend_at <= now) {
@@ -337,7 +338,7 @@
     }
   }
   for (const auto& key : expired) {
-    const auto entry = std::move(acquiring_.extract(key).mapped());
+    const auto entry = std::move(acquiring_requests_.extract(key).mapped());
     release_key(entry);
     record_(base::event_kind::key_refused, entry.guarded.request.id, key,
             "witnesses did not answer");
@@ -348,7 +349,7 @@
 
 void effect_guard::tick_forwards(base::time_point now) {
   std::vector<std::uint64_t> expired;
-  for (auto& [id, entry] : forwarded_) {
+  for (auto& [id, entry] : forwarded_requests_) {
     if (entry.guarded.request.deadline <= now) {
       expired.push_back(id);
     } else if (entry.resend_at <= now) {
@@ -356,7 +357,7 @@
     }
   }
   for (const auto id : expired) {
-    const auto entry = std::move(forwarded_.extract(id).mapped());
+    const auto entry = std::move(forwarded_requests_.extract(id).mapped());
     refuse(entry.guarded, entry.attached_callers, model::outcome::unknown,
            reason::owner_unreachable, {});
   }
@@ -367,10 +368,10 @@
   const auto consider = [&](base::time_point when) {
     earliest = earliest ? std::min(*earliest, when) : when;
   };
-  for (const auto& [key, entry] : acquiring_) {
+  for (const auto& [key, entry] : acquiring_requests_) {
     consider(std::min(entry.acquisition_deadline, entry.resend_at));
   }
-  for (const auto& [id, entry] : forwarded_) {
+  for (const auto& [id, entry] : forwarded_requests_) {
     consider(std::min(entry.guarded.request.deadline, entry.resend_at));
   }
   return earliest;
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -104,7 +104,9 @@
   [[nodiscard]] std::optional<base::time_point> next_deadline() const;
   /// @return number of requests that wait for witnesses, or for the answer of the owner to which
   ///         they were forwarded.
-  [[nodiscard]] std::size_t pending() const { return acquiring_.size() + forwarded_.size(); }
+  [[nodiscard]] std::size_t pending() const {
+    return acquiring_requests_.size() + forwarded_requests_.size();
+  }
   /// @return whether this node has been up long enough to grant keys as a witness.
   [[nodiscard]] bool may_witness(base::time_point now) const {
     return witness_store_.may_grant(now);
@@ -156,12 +158,13 @@
   void tick_acquisitions(base::time_point now);
   void tick_forwards(base::time_point now);
   void on_forwarded_reply(const wire::forwarded_reply& reply);
-  void decide_run(admitted_request request, const std::string& key,
-                  const std::vector<caller_ref>& attached_callers, base::time_point expires_at);
+  void add_run_decision(admitted_request request, const std::string& key,
+                        const std::vector<caller_ref>& attached_callers,
+                        base::time_point expires_at);
   void refuse(const guarded_request& guarded, const std::vector<caller_ref>& attached_callers,
               model::outcome outcome, reason failure_reason, base::duration retry_after);
-  void decide_answer(const guarded_request& guarded, const caller_ref& caller,
-                     const answer& content);
+  void add_answer_decision(const guarded_request& guarded, const caller_ref& caller,
+                           const answer& content);
   [[nodiscard]] static std::string key_of(const guarded_request& guarded);
 
   guard_settings settings_;
@@ -172,8 +175,8 @@
   idempotency::witness_store witness_store_;
   idempotency::witness_lists witness_lists_;
   idempotency::effect_registry<answer> effects_;
-  std::map<std::string, acquiring_request> acquiring_;
-  std::map<std::uint64_t, forwarded_entry> forwarded_;
+  std::map<std::string, acquiring_request> acquiring_requests_;
+  std::map<std::uint64_t, forwarded_entry> forwarded_requests_;
   std::uint64_t next_forward_id_ = 1;
   std::vector<guard_decision> decisions_;
   wire::outbox messages_;
--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -21,7 +21,7 @@
   return base::stable_hash(prefix, base::stable_hash(step.model + "/" + step.adapter)) | 1U;
 }
 
-bool is_visible(model::stage_kind kind) {
+bool is_returned_to_caller(model::stage_kind kind) {
   return kind == model::stage_kind::generate || kind == model::stage_kind::call;
 }
 
@@ -196,7 +196,7 @@
   scheduler_->retry_budget_of(step.pool).add_success();
   record_(base::event_kind::stage_completed, active.request.id, step.name, "");
   auto output = step.kind == model::stage_kind::generate ? active.generated : result.output;
-  if (is_visible(step.kind)) {
+  if (is_returned_to_caller(step.kind)) {
     active.outputs.push_back({step.name, output});
   }
   scheduler_->note_stage_completed(*active.request.plan, active.stage);
@@ -422,8 +422,8 @@
   }
   auto& active = request->second;
   std::erase(active.callers, caller_ref(local_caller{caller}));
-  const bool is_effect_running = active.call && !active.current_stage().repeatable;
-  if (active.callers.empty() && !is_effect_running) {
+  const bool has_non_repeatable_call_in_flight = active.call && !active.current_stage().repeatable;
+  if (active.callers.empty() && !has_non_repeatable_call_in_flight) {
     abort_request(active, reason::caller_gone, now);
   }
 }
--- a/src/idempotency/witness_lists.cc
+++ b/src/idempotency/witness_lists.cc
@@ -25,20 +25,21 @@
       updated_list.nodes.emplace_back(id);
     }
   }
-  if (updated_list.nodes.empty() || updated_list.nodes == current_.nodes) {
+  if (updated_list.nodes.empty() || updated_list.nodes == current_list_.nodes) {
     return;
   }
   updated_list.hash = hash_of(updated_list.nodes);
-  if (!current_.nodes.empty()) {
-    current_.replaced_at = now;
-    replaced_.push_back(std::move(current_));
+  if (!current_list_.nodes.empty()) {
+    current_list_.replaced_at = now;
+    replaced_lists_.push_back(std::move(current_list_));
   }
-  current_ = std::move(updated_list);
+  current_list_ = std::move(updated_list);
 }
 
 std::vector<witness_set> witness_lists::sets_for(const std::string& key, base::time_point now) {
-  while (!replaced_.empty() && now - replaced_.front().replaced_at > window_) {
-    replaced_.pop_front();
+  while (!replaced_lists_.empty() &&
+         now - replaced_lists_.front().replaced_at > replaced_list_lifetime_) {
+    replaced_lists_.pop_front();
   }
   std::vector<witness_set> sets;
   const auto add = [&](const node_list& list) {
@@ -54,8 +55,8 @@
       sets.push_back({std::move(chosen)});
     }
   };
-  add(current_);
-  for (const auto& list : replaced_) {
+  add(current_list_);
+  for (const auto& list : replaced_lists_) {
     add(list);
   }
   return sets;
--- a/src/idempotency/witness_lists.h
+++ b/src/idempotency/witness_lists.h
@@ -28,17 +28,17 @@
   /// Number of witnesses of one key that are chosen from each list.
   static constexpr std::size_t witnesses_per_key = 5;
 
-  /// @param window time after the replacement of a list during which witnesses are still chosen
-  /// from
-  ///        the list.
-  explicit witness_lists(base::duration window) : window_(window) {}
+  /// @param replaced_list_lifetime time after the replacement of a list during which witnesses are
+  ///        still chosen from the list.
+  explicit witness_lists(base::duration replaced_list_lifetime)
+      : replaced_list_lifetime_(replaced_list_lifetime) {}
 
   /// Replaces the current list by the nodes in `machines` if they differ from the list and there is
   /// at least one node.
   void update(const catalog::machine_map& machines, base::time_point now);
 
   /// @return hash of the current list; 0 if there is none.
-  [[nodiscard]] std::uint64_t current_hash() const { return current_.hash; }
+  [[nodiscard]] std::uint64_t current_hash() const { return current_list_.hash; }
 
   /// @return the witnesses of a key from the current list and from each recently replaced list,
   ///         without duplicate sets; empty if no list is known.
@@ -51,9 +51,9 @@
     base::time_point replaced_at;
   };
 
-  base::duration window_;
-  node_list current_;
-  std::deque<node_list> replaced_;
+  base::duration replaced_list_lifetime_;
+  node_list current_list_;
+  std::deque<node_list> replaced_lists_;
 };
 
 } // namespace spurrack::idempotency
--- a/src/routing/backend_table.cc
+++ b/src/routing/backend_table.cc
@@ -12,8 +12,8 @@
 /// Maximum number of calls that one node may have in flight at a back end of another zone.
 constexpr std::uint32_t other_zone_call_quota = 1;
 
-base::duration blend(base::duration old_value, base::duration sample) {
-  const double blended_seconds = base::to_seconds(old_value) * (1 - latency_smoothing) +
+base::duration updated_average(base::duration old_average, base::duration sample) {
+  const double blended_seconds = base::to_seconds(old_average) * (1 - latency_smoothing) +
                                  base::to_seconds(sample) * latency_smoothing;
   return base::from_seconds(blended_seconds);
 }
@@ -171,7 +171,7 @@
   }
   target.failure_backoff = base::duration::zero();
   target.average_latency =
-      target.samples == 0 ? *service_time : blend(target.average_latency, *service_time);
+      target.samples == 0 ? *service_time : updated_average(target.average_latency, *service_time);
   ++target.samples;
   return eject_if_slow(target, now);
 }
--- a/tests/admission/scheduling_test.cc
+++ b/tests/admission/scheduling_test.cc
@@ -111,7 +111,7 @@
   BOOST_TEST(retries <= 10);
 }
 
-BOOST_AUTO_TEST_CASE(quantiles_are_accurate_within_a_tenth_and_follow_a_change) {
+BOOST_AUTO_TEST_CASE(quantiles_are_accurate_within_a_tenth_and_follow_new_samples) {
   routing::latency_estimator estimator;
   for (int index = 1; index <= 1000; ++index) {
     estimator.add(milliseconds(index % 100 + 1));
--- a/tests/idempotency/witness_test.cc
+++ b/tests/idempotency/witness_test.cc
@@ -46,7 +46,7 @@
 
 BOOST_AUTO_TEST_SUITE(witnesses)
 
-BOOST_AUTO_TEST_CASE(key_is_granted_once_and_only_after_the_key_lifetime) {
+BOOST_AUTO_TEST_CASE(key_is_granted_to_one_request_and_only_by_a_witness_older_than_its_lifetime) {
   const time_point start{seconds(100)};
   witness_store store(start, seconds(10));
   const auto verdict = [&](const std::string& request, int at_seconds,
@@ -88,7 +88,7 @@
   BOOST_CHECK(key_acquisition("k", {}).state() == acquisition_state::refused);
 }
 
-BOOST_AUTO_TEST_CASE(replaced_node_list_counts_during_the_window) {
+BOOST_AUTO_TEST_CASE(replaced_node_list_is_used_until_its_lifetime_ends) {
   witness_lists lists(seconds(60));
   lists.update(make_machines({"a", "b", "c"}), time_point(seconds(0)));
   const auto first_hash = lists.current_hash();
