--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -69,7 +69,7 @@
   /// Removes a request that waits for a call of one stage.
   void remove(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
               base::time_point deadline);
-  /// Takes the next request whose call can be started now from the queue of any pool.
+  /// Dequeues the next request, of any pool, whose call can be started now.
   /// @return the request and its back end; std::nullopt if no call can be started.
   std::optional<dispatch_choice> take_next(base::time_point now);
   /// @return earliest time at which the backoff or ejection of a back end ends in a pool with
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -54,8 +54,8 @@
   /// @return false if the request is no longer active; the caller is not added then.
   bool attach(const base::request_id& id, const caller_ref& caller);
 
-  /// Completes or retries the stage whose call ended, or aborts the request. Only counts a result
-  /// whose call is no longer in flight.
+  /// Completes or retries the stage whose call ended, or aborts the request. If the call is no
+  /// longer in flight, the result is only counted.
   void on_result(const call_result& result, base::time_point now);
   /// Appends a token to the generated text and sends it to a streaming caller. Ignores tokens of
   /// calls that are no longer in flight and tokens out of order.
--- a/src/idempotency/key_acquisition.h
+++ b/src/idempotency/key_acquisition.h
@@ -48,8 +48,7 @@
 
  private:
   [[nodiscard]] bool has_all_majorities() const;
-  /// @return whether so many witnesses of any set refused that no majority of the set can grant the
-  ///         key.
+  /// @return whether refusals make a majority of some set impossible.
   [[nodiscard]] bool is_any_majority_lost() const;
   static std::size_t count_members_in(const witness_set& group,
                                       const std::set<base::node_id>& nodes);
--- a/src/idempotency/witness_lists.h
+++ b/src/idempotency/witness_lists.h
@@ -1,7 +1,6 @@
 /// Lists of nodes that the platform publishes, from which the witnesses of each idempotency key are
 /// chosen. A witness is a node that records which request holds the key. Recently replaced lists
-/// are used besides the current list, because witnesses from a replaced list may still hold
-/// records.
+/// are used besides the current list, because their witnesses may still hold records.
 #pragma once
 
 #include "base/ids.h"
--- a/src/idempotency/witness_store.h
+++ b/src/idempotency/witness_store.h
@@ -25,8 +25,7 @@
   /// Grants a key if the key is free or held by the request in `query`, this witness has been up
   /// long enough, and the node that sent the query has the same node list as this witness.
   /// @param own_list_hash hash of this witness's node list.
-  /// @return whether the key is granted or why not, and the holder if another request holds the
-  /// key.
+  /// @return whether the key is granted or why not; also the holder if another request holds it.
   wire::record_key_reply record(const wire::record_key& query, std::uint64_t own_list_hash,
                                 base::time_point now);
   /// Drops the record of a key if the request in `message` holds the key. Requests release a key
