--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -26,7 +26,6 @@
   bool predict = true;
 };
 
-/// Refusal of a request.
 struct refusal {
   /// True: a pool of the plan has no back end. False: the request is expected to miss its deadline.
   bool no_backend = false;
--- a/src/execution/answer.h
+++ b/src/execution/answer.h
@@ -37,7 +37,6 @@
   caller_gone,
 };
 
-/// @return the stable name of the reason, in lower case.
 std::string_view name_of(reason value);
 
 /// Request as a caller sent it: parsed and within the size limits, not yet checked against the
--- a/src/execution/counters.h
+++ b/src/execution/counters.h
@@ -34,8 +34,7 @@
   std::uint64_t retries = 0;
   /// Number of results that arrived for calls that had already ended or been cancelled.
   std::uint64_t late_answers = 0;
-  /// Number of results with status `completed` that echoed the identity of another call or lacked
-  /// tokens.
+  /// Number of `completed` results that echoed the identity of another call or lacked tokens.
   std::uint64_t misdirected_answers = 0;
   std::uint64_t cancelled_calls = 0;
 };
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -34,8 +34,7 @@
   base::duration key_lifetime = std::chrono::minutes(10);
   /// Time from the issue of a ticket within which the ticket must be redeemed.
   base::duration ticket_lifetime = std::chrono::minutes(1);
-  /// Time after the replacement of a node list during which a majority of the witnesses chosen from
-  /// the replaced list must grant a key, too.
+  /// Time for which a majority of the witnesses from a replaced node list must grant keys, too.
   base::duration list_window = std::chrono::minutes(60);
   /// Longest time that a request waits for the replies of witnesses.
   base::duration witness_timeout = std::chrono::milliseconds(500);
--- a/src/idempotency/key_acquisition.h
+++ b/src/idempotency/key_acquisition.h
@@ -15,7 +15,6 @@
 
 namespace spurrack::idempotency {
 
-/// Progress of an acquisition.
 enum class acquisition_state : std::uint8_t {
   pending,  ///< More replies are needed.
   acquired, ///< A majority of every witness set granted the key.
--- a/src/routing/balancing_policy.h
+++ b/src/routing/balancing_policy.h
@@ -39,7 +39,6 @@
   balancing_policy& operator=(const balancing_policy&) = delete;
   virtual ~balancing_policy() = default;
 
-  /// Chooses the back end of a call.
   /// @param candidates at least one element.
   /// @return the chosen element of `candidates`.
   virtual const candidate& choose(const std::vector<candidate>& candidates,
@@ -55,7 +54,6 @@
   return kind != policy_kind::round_robin;
 }
 
-/// @return name of the policy in the settings.
 std::string_view name_of(policy_kind kind);
 
 } // namespace spurrack::routing
