--- a/src/http/answer_json.h
+++ b/src/http/answer_json.h
@@ -29,10 +29,8 @@
 
 std::string_view name_of(request_fault fault);
 boost::beast::http::status status_of(request_fault fault);
-/// @return the HTTP status of an answer.
 boost::beast::http::status status_of(const execution::answer& content);
 
-/// @return the JSON body of an answer.
 boost::json::object to_json(const execution::answer& content);
 /// @return the JSON body of an error: outcome `not_run`, the name of the fault, and `detail` as the
 /// message.
--- a/src/http/caller_request_parser.h
+++ b/src/http/caller_request_parser.h
@@ -1,4 +1,4 @@
-/// Parses HTTP requests of callers; caller_server.h defines the term.
+/// Parses HTTP requests of callers, the users of spurrack's own pipelines interface.
 #pragma once
 
 #include "execution/answer.h"
@@ -14,13 +14,13 @@
 
 using http_request = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// Request for a ticket.
+/// Request for a ticket, which permits one later request to run once.
 struct ticket_request {
   std::string token_sha256;
 };
 /// Health check of the process.
 struct health_request {
-  /// Whether readiness for new requests is checked, instead of liveness.
+  /// Whether the check is for readiness to accept requests, instead of liveness.
   bool readiness = false;
 };
 /// Invalid request that is refused before it reaches the node.
--- a/src/http/caller_server.cc
+++ b/src/http/caller_server.cc
@@ -44,8 +44,8 @@
 using outgoing_item = std::variant<execution::answer, token_item, ticket_item>;
 
 /// @return time at which the last bytes of the request reached this machine; the current time if
-///         the kernel does not report it. The kernel records the arrival, so that the age of a
-///         request that waited in the socket while this process was suspended is known.
+///         the kernel does not report the arrival. The kernel also knows the arrival of a request
+///         that waited in the socket while this process was suspended.
 base::time_point arrival_time(beast::tcp_stream& stream) {
   const auto now = base::boot_clock::now();
   tcp_info info{};
@@ -296,8 +296,8 @@
     co_return false;
   }
 
-  /// Writes a token event, preceded by the head if it was not written yet. The end of the
-  /// connection marks the end of the stream.
+  /// Writes a token event; writes the head of the answer first if `is_head_written` is false. The
+  /// end of the connection marks the end of the stream.
   static asio::awaitable<bool> write_token(beast::tcp_stream& stream, const token_item& token,
                                            bool is_head_written) {
     std::string text;
--- a/src/http/connection_acceptor.cc
+++ b/src/http/connection_acceptor.cc
@@ -14,14 +14,14 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-/// Time for which a stopping acceptor waits for the handshakes that began before new handshakes
-/// were dropped: a hundred times the round trip within a site.
+/// Time that a stopping acceptor gives the handshakes in progress to complete: a hundred times the
+/// round trip within a site.
 constexpr std::chrono::milliseconds handshake_time{50};
-/// Time after the start of a graceful stop for which the stop waits for the first requests of new
-/// connections: twice the time for which clients wait for a new connection to be established.
+/// Time, counted from the start of a graceful stop, for which the stop waits for the first requests
+/// of new connections: twice the time that clients wait for a connection to be established.
 constexpr base::duration first_request_timeout = std::chrono::seconds(2);
 
-/// Attaches a packet filter to a listening socket that drops the packets that begin a handshake.
+/// Makes the kernel drop the packets that begin a handshake, by a filter on the listening socket.
 /// @return whether the kernel accepted the filter.
 bool drop_new_handshakes(tcp::acceptor& acceptor) {
   constexpr std::uint32_t flags_offset = 13;
--- a/src/http/connection_acceptor.h
+++ b/src/http/connection_acceptor.h
@@ -57,8 +57,8 @@
   };
 
   void begin_stop(base::time_point now) { stop_began_at_ = now; }
-  /// @return number of connections whose first request a graceful stop waits for; 0 before the
-  ///         stop, and after the time for which it waits.
+  /// @return number of connections whose first request a graceful stop waits for; 0 before a stop
+  ///         begins and once the stop no longer waits for them.
   [[nodiscard]] std::size_t awaiting_first_request(base::time_point now) const;
 
  private:
--- a/src/http/count_guard.h
+++ b/src/http/count_guard.h
@@ -1,4 +1,4 @@
-/// RAII guard for counters of current items.
+/// RAII guard for a counter, such as the number of busy connections.
 #pragma once
 
 #include <cstddef>
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -41,17 +41,17 @@
 /// which clients are known to stop reading.
 constexpr std::chrono::seconds unread_timeout{15};
 /// Time after which the kernel closes the connection to a client that acknowledges no data or keeps
-/// its receive window closed; longer than `unread_timeout`, so that `unread_timeout` decides for
-/// clients that are reachable.
+/// its receive window closed; longer than `unread_timeout`, so that reachable clients are
+/// disconnected by `unread_timeout`.
 constexpr std::chrono::milliseconds tcp_user_timeout{16'000};
 /// Size of the kernel's send buffer of a connection (the kernel doubles it, for its bookkeeping):
-/// 50 ms of a link of 10 Mbit/s, so that one client that does not read fills neither the memory nor
-/// the link.
+/// the bytes that a network link of 10 Mbit/s transfers in 50 ms, so that one client that does not
+/// read fills neither the memory nor the network link.
 constexpr int send_buffer_bytes = 65'536;
 /// Maximum number of bytes of one write; other connections are served between two writes.
 constexpr std::size_t max_write_bytes = 16'384;
 /// Maximum time for which the rest of a body is read and discarded after a refusal: the time in
-/// which a link of 10 Mbit/s transfers 4 MB.
+/// which a network link of 10 Mbit/s transfers 4 MB.
 constexpr std::chrono::seconds discard_timeout{4};
 /// Value that replaces `discard_timeout` during a graceful stop.
 constexpr std::chrono::seconds discard_timeout_at_stop{1};
@@ -64,9 +64,9 @@
 /// written to a replica.
 constexpr std::size_t body_copies = 2;
 /// Time for which a client must have read nothing before its answer may be aborted to free memory:
-/// longer than the pauses of links that lose packets.
+/// longer than the pauses in reading that lost packets cause.
 constexpr base::duration min_stall_duration = std::chrono::seconds(2);
-/// Minimum interval between two searches for the slowest clients, each of which checks all clients.
+/// Minimum interval between two searches for the slowest clients; a search checks all clients.
 constexpr base::duration min_relief_interval = std::chrono::milliseconds(100);
 /// Divisor of the byte budget: a search for the slowest clients frees at least the fraction 1 /
 /// `relief_divisor` of the budget, if the answers of slow clients hold as much.
@@ -294,8 +294,8 @@
                                                     reported_by_next_write);
   }
 
-  /// Queues events of a stream and reserves memory for them. Complete answers are not reserved
-  /// here: they have had a reservation since they were buffered.
+  /// Queues events of a stream and reserves memory for them. Memory of complete answers is not
+  /// reserved here: it was reserved when they were buffered.
   void push_events(client_exchange& client, std::string bytes) {
     const auto size = bytes.size();
     if (client.window.is_reading_ahead() &&
@@ -320,8 +320,8 @@
     observer_.on_window_change({client.id, is_open});
   }
 
-  /// Aborts an answer and returns its memory, except for the memory of bytes that are being
-  /// written, which is returned when the write ends.
+  /// Aborts an answer and releases its memory; the memory of bytes that are being written is
+  /// released when the write ends.
   void abort_answer(client_exchange& client, serving::disconnect_reason reason) {
     if (client.abort_reason) {
       return;
@@ -338,10 +338,10 @@
 
   /// Aborts answers of clients that have read nothing for `min_stall_duration`, in descending order
   /// of unread bytes times stall duration, until enough memory is freed.
-  /// @param use that lacks memory. For a stream event, which was already read from a replica, the
-  ///        answer of any stalled client may be aborted. For a complete answer, only answers with
-  ///        more unread bytes than two maximum windows are aborted.
-  /// @param bytes that `use` requests.
+  /// @param use purpose for which memory is lacking. For a stream event, which was already read
+  ///        from a replica, the answer to any stalled client may be aborted. For all other uses,
+  ///        only answers with more unread bytes than two maximum windows are aborted.
+  /// @param bytes number of bytes requested for `use`.
   void abort_slowest_readers(flow::byte_use use, std::size_t bytes) {
     const auto now = base::boot_clock::now();
     if (now < next_relief_at_) {
@@ -366,7 +366,7 @@
     std::sort(
         slow_readers.begin(), slow_readers.end(),
         [](const slow_reader& a, const slow_reader& b) { return a.byte_seconds > b.byte_seconds; });
-    // Frees more than is needed now, since each search checks all clients.
+    // Frees more than is requested, so that searches, which check all clients, stay rare.
     bytes = std::max(bytes, resources_.budget->capacity() / relief_divisor);
     std::size_t freed = 0;
     for (auto next = slow_readers.begin(); next != slow_readers.end() && freed < bytes; ++next) {
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -31,17 +31,17 @@
   std::size_t max_connections = 0;
 };
 
-/// Effects of slow readers and refused requests, for metrics.
+/// Counters of slow clients and of refused requests and connections, for metrics.
 struct ingress_counters {
   /// Number of times that reading from a replica was paused for a slow client.
   std::uint64_t windows_closed = 0;
-  /// Total time for which the flow control windows (`flow::stream_window`) of ended answers were
-  /// closed.
+  /// Total time for which the flow control windows (`flow::stream_window`) of answers were closed;
+  /// the time of an answer is added when it ends.
   base::duration closed_window_time{};
   /// Number of answers aborted because the client read nothing for too long.
   std::uint64_t aborted_unread = 0;
   /// Number of answers aborted because the client was the slowest reader when memory for answers
-  /// ran out, or because there was no memory for an event.
+  /// ran out, or because there was no memory for an event of its stream.
   std::uint64_t aborted_for_memory = 0;
   /// Number of requests refused because there was no memory for their body.
   std::uint64_t refused_for_memory = 0;
--- a/src/http/read_deadline.h
+++ b/src/http/read_deadline.h
@@ -1,4 +1,4 @@
-/// Deadline for reads that keeps the connection open.
+/// Deadline for reads that leaves the connection open when it passes.
 #pragma once
 
 #include "base/time.h"
@@ -10,9 +10,9 @@
 
 namespace spurrack::http {
 
-/// Cancels the pending operations on a connection if a deadline passes within a scope. Unlike the
-/// timer of the stream itself, it keeps the connection open, so that an error can be sent to the
-/// client. The stream must outlive the scope.
+/// Cancels the pending operations on a connection if a deadline passes while this object exists.
+/// Unlike the timer of the stream itself, this class leaves the connection open, so that an error
+/// can be sent to the client. The stream must outlive this object.
 class read_deadline {
  public:
   read_deadline(boost::beast::tcp_stream& stream, base::duration timeout)
@@ -32,7 +32,7 @@
   [[nodiscard]] bool has_passed() const { return state_->has_passed; }
 
  private:
-  /// Shared with the handler of the timer, which may run after the end of the scope.
+  /// Shared with the handler of the timer, which may run after this object is destroyed.
   struct state {
     bool has_passed = false;
     bool is_in_scope = true;
--- a/src/http/socket_options.cc
+++ b/src/http/socket_options.cc
@@ -15,7 +15,7 @@
   const auto timeout_milliseconds = static_cast<unsigned>(tcp_user_timeout.count());
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_milliseconds,
                sizeof(timeout_milliseconds));
-  // A peer that lost power sends no reset: only unacknowledged data or probes reveal it.
+  // A peer that lost power sends no reset: only unacknowledged data or probes reveal the loss.
   socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
   constexpr int probe_seconds = 1; // The minimum that the kernel accepts.
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_KEEPIDLE, &probe_seconds,
--- a/src/http/socket_options.h
+++ b/src/http/socket_options.h
@@ -8,8 +8,8 @@
 namespace spurrack::http {
 
 /// Disables Nagle's algorithm and lets the kernel close the connection if the peer acknowledges no
-/// data or keep-alive probe for `tcp_user_timeout`, so that a partition without a reset is
-/// detected. Keep-alive probes start after 1 s without traffic and repeat every second.
+/// data or keep-alive probe for `tcp_user_timeout`, so that a peer that becomes unreachable without
+/// a reset is detected. Keep-alive probes start after 1 s without traffic and repeat every second.
 void set_tcp_options(boost::asio::ip::tcp::socket& socket,
                      std::chrono::milliseconds tcp_user_timeout);
 
