--- a/src/backends/http_backend_client.cc
+++ b/src/backends/http_backend_client.cc
@@ -32,7 +32,7 @@
 using connection = beast::tcp_stream;
 
 /// @return whether an idle connection is open and has no bytes to read; unexpected bytes or a close
-/// make it unusable.
+///         make the connection unusable.
 bool is_reusable(connection& stream) {
   char byte = 0;
   const auto received = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -91,7 +91,7 @@
 
   asio::awaitable<bool> connect(call_state& state) {
     // If an idle connection closes during the write, it is unknown whether the call ran. Therefore
-    // calls that may not be repeated use a new connection.
+    // calls that must not be repeated use a new connection.
     if (state.call.repeatable) {
       state.stream = take_idle(state.call.address);
       if (state.stream) {
--- a/src/peers/peer_transport.h
+++ b/src/peers/peer_transport.h
@@ -9,7 +9,7 @@
 
 namespace spurrack::peers {
 
-/// Called with each message of an authenticated peer, on the thread of the io_context.
+/// Called with each message from an authenticated peer, on the thread of the io_context.
 using message_handler = std::function<void(wire::envelope)>;
 
 /// Sends messages to peers and receives their messages. Not thread-safe.
--- a/src/peers/zmq_transport.cc
+++ b/src/peers/zmq_transport.cc
@@ -31,7 +31,7 @@
 /// probes a second apart, a connection with unacknowledged bytes after two seconds. ZeroMQ
 /// heartbeats are not used: they cost two messages per second and connection, and their processor
 /// time grows with the square of the number of connections, since libzmq searches all its timers to
-/// cancel one.
+/// cancel one timer.
 constexpr int keepalive_idle_seconds = 1;
 constexpr int keepalive_interval_seconds = 1;
 constexpr int keepalive_probes = 2;
@@ -54,8 +54,8 @@
 }
 
 /// A ZeroMQ socket that is read through Asio. The descriptor of ZeroMQ is edge-triggered: the
-/// callback must receive all available messages after each wake-up, and must check the socket again
-/// after each send on it.
+/// callback must receive all available messages each time it is called, and must look for messages
+/// again after each send on this socket.
 class watched_socket {
  public:
   watched_socket(boost::asio::io_context& io, zmq::socket_t socket,
--- a/src/publication/http_publication_client.cc
+++ b/src/publication/http_publication_client.cc
@@ -22,8 +22,8 @@
 namespace json = boost::json;
 
 constexpr std::chrono::milliseconds connect_timeout{1'000};
-/// Maximum time for which the service may hold a read until it has changes after the requested
-/// revision.
+/// Maximum time for which the service may delay its answer while there are no changes after the
+/// requested revision.
 constexpr std::chrono::milliseconds long_poll_timeout{8'000};
 constexpr std::chrono::milliseconds read_timeout{12'000};
 /// Maximum size of an answer. At the target size of the platform, a complete listing has about
@@ -86,7 +86,7 @@
   void read(const node::read_service& command) override {
     asio::co_spawn(*io_, run_read(command), asio::detached);
   }
-  /// Does nothing: the service holds a read too briefly for a probe to be useful.
+  /// Does nothing: the service delays an answer too briefly for a probe to be useful.
   void probe(const node::probe_service& /*command*/) override {}
 
  private:
--- a/src/publication/publication_client.h
+++ b/src/publication/publication_client.h
@@ -9,8 +9,9 @@
 
 namespace spurrack::publication {
 
-/// Callbacks, called on the thread of the io_context: exactly one of the two for each read, unless
-/// a later read of the same service cancels the read; `on_failure` also for a failed probe.
+/// Callbacks, called on the thread of the io_context. For each read exactly one of the two is
+/// called, unless a later read of the same service cancels the earlier read. A failed probe calls
+/// `on_failure`.
 struct read_observer {
   std::function<void(node::service_answered)> on_answer;
   std::function<void(node::service_failed)> on_failure;
--- a/src/upstream/body_reader.h
+++ b/src/upstream/body_reader.h
@@ -26,9 +26,9 @@
 boost::system::error_code parse_received_body(boost::beast::flat_buffer& received,
                                               response_parser& parser, std::string& body);
 
-/// Parses the bytes of a body that were already received. If they hold no bytes of the body, waits
-/// until bytes arrive, reads at most once from the connection, and parses what was read.
-/// @param source its socket must be non-blocking.
+/// Parses the bytes that were already received. If they include no bytes of the body, waits until
+/// bytes arrive, reads at most once from the connection, and parses what was read.
+/// @param source connection to read from; its socket must be non-blocking.
 /// @param max_bytes maximum number of bytes to read.
 /// @param body text to which the parsed bytes of the body are appended; unchanged if only framing
 ///        arrived.
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -27,12 +27,13 @@
   /// Time from which the connection, if it is still idle, is not used again.
   base::time_point idle_deadline;
   /// Number of times that the connection was returned to the pool. `connection_pool::watch_idle`
-  /// compares it, so that the watch of an earlier idle period ends without closing the connection.
+  /// compares this number, so that a watch that began in an earlier idle period does not close the
+  /// connection.
   std::uint64_t idle_periods = 0;
   bool is_idle = false;
 };
 
-/// Range of the time for which a connection may have been idle when it is taken.
+/// Range of idle times within which a connection may be taken from the pool.
 struct idle_time_bounds {
   base::duration min{};
   base::duration max{};
@@ -44,11 +45,12 @@
   static constexpr std::size_t max_idle_per_address = 16;
 
   /// Takes an idle connection from the pool.
-  /// @return the most recently used connection within the bounds; null if there is none.
+  /// @return the most recently used connection whose idle time is within the bounds; null if there
+  ///         is none.
   std::shared_ptr<connection> take(const base::network_address& address, idle_time_bounds bounds,
                                    base::time_point now);
-  /// Returns a connection to the pool for later calls, or closes it if the pool of the address is
-  /// full.
+  /// Returns a connection to the pool for later calls, or closes it if the pool already holds
+  /// `max_idle_per_address` connections to the address.
   /// @param lifetime maximum idle time.
   void give_back(const base::network_address& address, std::shared_ptr<connection> returned,
                  base::duration lifetime, base::time_point now);
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -31,10 +31,10 @@
 /// between two reads. Equals the maximum write to a client (`max_write_bytes` in
 /// http/ingress_server.cc).
 constexpr std::size_t max_read_bytes = 16'384;
-/// Maximum number of bytes of one read of a stream while memory is not plentiful: the smallest
-/// window of a stream.
+/// Maximum number of bytes of one read of a stream while memory is not plentiful: the smallest flow
+/// control window of a stream.
 constexpr std::size_t max_low_memory_read_bytes = flow::stream_window::min_window_bytes;
-/// Fraction of the byte budget; memory is plentiful while less than this fraction is held.
+/// Memory is plentiful while less than this fraction of the byte budget is held.
 constexpr double plentiful_utilization = 0.5;
 /// Interval at which an answer that lacks memory retries the reservation: a tenth of the minimum
 /// stall duration after which the answer of a slow reader is aborted.
@@ -42,21 +42,20 @@
 constexpr std::uint32_t max_answer_header_bytes = 65'536;
 /// Maximum size of the body of an answer that is buffered until complete.
 constexpr std::size_t max_whole_answer_bytes = 8'000'000;
-/// Maximum number of surplus answers that arrive during one call before its own answer. A surplus
-/// answer is an answer that no call is waiting for, such as a second answer to an earlier call. At
-/// the next surplus answer, the call fails and its connection is closed.
+/// Maximum number of surplus answers (answers that belong to no call) that are skipped during one
+/// call. At the next surplus answer, the call fails and its connection is closed.
 constexpr unsigned max_surplus_answers = 4;
 /// Idle timeout of a connection to a replica that announces no timeout.
 constexpr std::chrono::seconds default_idle_timeout{4};
-/// Time before the end of a replica's idle timeout in which a connection to it is not used any
-/// longer: the replica may close the connection at the same time as a call is sent.
+/// Margin before the end of a replica's idle timeout: within it, an idle connection is not used,
+/// because the replica might close the connection while a call is sent.
 constexpr std::chrono::milliseconds idle_timeout_margin{700};
 /// Time after which the kernel closes the connection to a replica that acknowledges neither bytes
 /// nor keep-alive probes: three retransmissions, after 0.2, 0.4 and 0.8 s, have failed by then.
 constexpr std::chrono::milliseconds tcp_user_timeout{1'500};
-/// Minimum idle time of a connection for a call that may run only once, or that cannot recognize a
-/// surplus answer: bytes that a replica sends after a complete answer have arrived by the end of
-/// this time, so that the connection was closed.
+/// Time for which a pooled connection must have been idle before it carries a call that may run
+/// only once, or a call that cannot recognize a surplus answer: if the replica sends bytes after a
+/// complete answer, they arrive within this time, and the connection is closed.
 constexpr std::chrono::milliseconds surplus_settle_time{5};
 constexpr std::chrono::seconds free_results_timeout{2};
 
@@ -66,7 +65,7 @@
   base::call_id id = 0;
   explicit call_state(asio::io_context& io) : wake(io, asio::steady_timer::time_point::max()) {}
   std::shared_ptr<connection> replica_connection;
-  /// Cancelled when `is_paused` or `is_cancelled` changes.
+  /// Cancelled to wake the coroutine of the call when `is_paused` or `is_cancelled` changes.
   asio::steady_timer wake;
   bool is_paused = false;
   bool is_cancelled = false;
@@ -236,7 +235,7 @@
     }
   }
 
-  /// Returns when the call is not paused or was cancelled.
+  /// Waits until the call is not paused, or is cancelled.
   static asio::awaitable<void> wait_while_paused(const std::shared_ptr<call_state>& state) {
     boost::system::error_code ignored;
     while (state->is_paused && !state->is_cancelled) {
@@ -245,11 +244,11 @@
     }
   }
 
-  /// Waits until `bytes` more are reserved for an answer. Meanwhile nothing is read from the
-  /// replica; reports this pause, so that the missing progress does not count as evidence against
-  /// the replica.
-  /// @return false if the call was cancelled, or if the answer must be aborted in favor of another
-  ///         answer.
+  /// Waits until `bytes` more bytes are reserved for an answer. Meanwhile nothing is read from the
+  /// replica. Reports this pause, so that the missing progress does not count as evidence that the
+  /// replica is unresponsive.
+  /// @return false if the call was cancelled, or if the answer must be aborted because an answer
+  ///         that has waited longer needs its memory.
   asio::awaitable<bool> wait_for_memory(const std::shared_ptr<call_state>& state,
                                         answer_reservation& reservation, std::size_t bytes) {
     boost::system::error_code ignored;
@@ -347,8 +346,8 @@
     state->write_failed = error.failed();
   }
 
-  /// Connects and begins to write. Moves the body of the call to the write, so that it is freed
-  /// when the write ends.
+  /// Connects and begins to write. Moves the body of the call to the coroutine that writes the
+  /// call, so that the body is freed when the write ends.
   /// @return whether the write has begun.
   asio::awaitable<bool> send(const std::shared_ptr<call_state>& state, outgoing_call& call) {
     const bool connected = co_await connect(state, call);
--- a/src/upstream/replica_client.h
+++ b/src/upstream/replica_client.h
@@ -3,7 +3,8 @@
 ///
 /// A replica may send a surplus answer: an answer that belongs to no call, for example a second
 /// answer to an earlier call. If it arrives while its connection is idle, the connection is closed.
-/// If it arrives during a call, it is recognized by its request id, discarded, and counted.
+/// If it arrives during a call, it is recognized by the request id that it names, discarded, and
+/// counted.
 #pragma once
 
 #include "flow/byte_budget.h"
@@ -31,7 +32,7 @@
   std::uint64_t opened = 0;
   /// Number of calls that were sent on a pooled connection.
   std::uint64_t reused = 0;
-  /// Number of surplus answers that arrived during a call to which they did not belong.
+  /// Number of surplus answers that arrived during a call.
   std::uint64_t surplus_answers = 0;
   /// Number of answers that reported a load in an invalid format.
   std::uint64_t unreadable_loads = 0;
@@ -47,9 +48,11 @@
 
   virtual void start(serving::start_call command) = 0;
   virtual void start(serving::start_stage_call command) = 0;
-  /// Sends the call. It has no final event: its outcome is not reported.
+  /// Sends a call that frees stage results. This call has no final event: its outcome is not
+  /// reported.
   virtual void start(serving::free_results command) = 0;
-  /// Opens a connection, keeps it for later calls, and reports `replica_probed`.
+  /// Opens a connection to a replica, reports the result with the event `replica_probed`, and keeps
+  /// the connection for later calls.
   virtual void probe(serving::call_target target) = 0;
   /// Stops reading the streamed answer of a call until `resume`.
   virtual void pause(base::call_id call) = 0;
