--- a/src/base/due_times.h
+++ b/src/base/due_times.h
@@ -1,5 +1,4 @@
-/// Schedule of items with due times, which finds the items that are due without checking all
-/// others.
+/// Schedule of items with due times, which finds the due items without checking all items.
 #pragma once
 
 #include "base/time.h"
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -60,7 +60,7 @@
 struct event {
   hybrid_timestamp at;
   event_kind kind = event_kind::node_started;
-  /// Request that the event concerns; empty if it concerns none.
+  /// Request that the event concerns; empty if it concerns no request.
   request_id request;
   /// Machine, stage or key that the event concerns.
   std::string subject;
--- a/src/base/safety_switches.h
+++ b/src/base/safety_switches.h
@@ -6,11 +6,12 @@
 namespace spurrack::base {
 
 struct safety_switches {
-  /// A majority of the witnesses must record an idempotency key.
+  /// A request with an idempotency key runs only if a majority of the key's witnesses, the nodes
+  /// that record the key, granted the key.
   bool witness_majority = true;
-  /// A witness grants no key until it has run for the maximum lifetime of a key.
+  /// A witness grants no key until its process has run for the maximum lifetime of a key.
   bool young_witness_wait = true;
-  /// Only the incarnation of the node that issued a ticket redeems it.
+  /// Only the incarnation of a node that issued a ticket redeems the ticket.
   bool ticket_binds_process = true;
   /// A call that must not run twice is not retried once it may have been sent.
   bool no_repeat_after_send = true;
@@ -18,13 +19,14 @@
   bool answer_identity_check = true;
   /// Catalog entries are never replaced by earlier revisions.
   bool revision_order = true;
-  /// Leave notices from peers and refusals from back ends that are leaving are applied.
+  /// A back end gets no new calls once the machine list, a peer or its own refusal of a call has
+  /// shown that it drains.
   bool leave_notices = true;
-  /// `not_run` is reported only if the records of the calls prove it.
+  /// The outcome `not_run` is reported only if `model::call_tracker` shows that no call ran.
   bool truthful_outcome = true;
   /// The expiry time of a call is checked immediately before its first byte is written.
   bool expiry_check_before_send = true;
-  /// A stopping node completes the requests under way.
+  /// A stopping node completes its active requests before it exits.
   bool drain_before_stop = true;
 };
 
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -37,12 +37,10 @@
   return std::chrono::duration<double>(span).count();
 }
 
-/// @return `seconds` as a duration.
 constexpr duration from_seconds(double seconds) {
   return std::chrono::duration_cast<duration>(std::chrono::duration<double>(seconds));
 }
 
-/// @return `span` times `factor`.
 inline duration scaled(duration span, double factor) {
   return from_seconds(to_seconds(span) * factor);
 }
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -141,9 +141,9 @@
 /// delayed process.
 constexpr double stop_margin_seconds = 0.7;
 
-/// Time within which a change that one node has read reaches all other nodes.
+/// Time within which a published change that one node has read reaches all other nodes.
 constexpr base::duration propagation_time = std::chrono::milliseconds(1'000);
-/// Time after the end of the hold time at which a watch that has no answer is cancelled.
+/// Time for which a watch may stay unanswered beyond its hold time before it is cancelled.
 constexpr base::duration read_timeout_after_hold = std::chrono::milliseconds(1'000);
 
 /// Maximum interval between two reads of a watching node, as a fraction of the time within which a
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -21,7 +21,7 @@
 struct caller_limits {
   std::size_t max_body_bytes = 1'000'000;
   std::size_t max_header_bytes = 8'192;
-  /// Maximum time in which a caller must have sent a complete request.
+  /// Maximum time that a caller may take to send a request, from its first byte.
   base::duration receive_timeout = std::chrono::seconds(10);
   /// Maximum time that a connection may be idle between requests.
   base::duration idle_timeout = std::chrono::seconds(60);
@@ -48,7 +48,7 @@
   std::string caller_listen;
   std::string operator_listen;
   /// The two services of the platform; empty if the node serves published routes, since it then
-  /// reads `serving_endpoints::store`.
+  /// reads the store at `serving_endpoints::store` instead.
   std::string configuration_service;
   std::string machine_list_service;
   /// Set if the node serves published routes; `node.serving` is then set as well.
