--- a/tests/http/planned_stop_test.cc
+++ b/tests/http/planned_stop_test.cc
@@ -1,5 +1,5 @@
 /// Graceful stop of the listener for callers: closing the listening socket must not reset
-/// connections that clients consider established.
+/// connections that clients consider established but the server has not accepted yet.
 #include "http/caller_server.h"
 
 #include <boost/asio/connect.hpp>
--- a/tests/upstream/connection_pool_test.cc
+++ b/tests/upstream/connection_pool_test.cc
@@ -1,5 +1,5 @@
-/// Reuse and removal of idle connections. The connections to an address are closed when its replica
-/// has restarted, so that calls use new connections. The sockets are not connected.
+/// Reuse and removal of idle connections. The connections to an address are closed when the replica
+/// at the address has restarted, so that calls use new connections. The sockets are not connected.
 #include "upstream/connection_pool.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/wire/older_builds_test.cc
+++ b/tests/wire/older_builds_test.cc
@@ -57,7 +57,8 @@
 /// Sets a field, or adds one element to a repeated field, with a value other than the default.
 void set_value(protobuf::Message& message, const protobuf::FieldDescriptor& field);
 
-/// Sets all fields of a message; of the fields in a oneof, sets only the field named `body`.
+/// Sets all fields of a message; of the fields in a oneof, sets only the field whose name the
+/// parameter `body` gives.
 void fill(protobuf::Message& message, const std::string& body) {
   const auto* description = message.GetDescriptor();
   for (int number = 0; number < description->field_count(); ++number) {
