--- a/tests/platform/http_codec_test.cc
+++ b/tests/platform/http_codec_test.cc
@@ -261,8 +261,8 @@
            {"0", 0}, {"0.05", 0.05}, {"3", 3}, {" 3 ", 3}, {"120", 120}, {"2.75", 2.75}}) {
     BOOST_TEST(seconds_of(text) == value, boost::test_tools::tolerance(1e-9));
   }
-  // A backoff that is too long is reduced to a duration that no client waits and that can be added
-  // to a time point.
+  // A backoff above the maximum is reduced to the maximum, which exceeds the time that any client
+  // waits and can be added to a time point.
   BOOST_TEST(seconds_of("1e300") >= 86'400.0);
   for (const std::string text : {"", " ", "soon", "-1", "nan", "inf", "-inf", "3 s", "1,2",
                                  "Thu, 03 Dec 2026 09:00:00 GMT"}) {
