--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -79,7 +79,7 @@
 struct unwritten_bytes {
   std::string bytes;
   /// Memory reservation of the body of a complete answer; null for all other bytes.
-  std::shared_ptr<const serving::held_memory> held;
+  std::shared_ptr<const serving::held_memory> body_memory;
   /// Number of bytes reserved in `client_exchange::reservation`: the size of `bytes` if they are
   /// stream events, 0 otherwise.
   std::size_t reserved_bytes = 0;
@@ -87,7 +87,7 @@
   /// before the rest was queued.
   std::size_t written_bytes = 0;
   /// @return the bytes that are still to be written.
-  [[nodiscard]] std::string_view remaining() const {
+  [[nodiscard]] std::string_view remaining_bytes() const {
     return std::string_view(bytes).substr(written_bytes);
   }
 };
@@ -130,7 +130,7 @@
 /// Content of a request with the memory reservation of its body.
 struct content_with_memory {
   serving::request_content content;
-  flow::byte_reservation body;
+  flow::byte_reservation body_reservation;
 };
 
 /// Answer to a request that is refused before it reaches the serving path.
@@ -266,7 +266,7 @@
       return;
     }
     write_at_once(client, added);
-    const auto size = added.remaining().size();
+    const auto size = added.remaining_bytes().size();
     if (size > 0) {
       client.unwritten.push_back(std::move(added));
       report_window_change(client, client.window.add(size, resources_.budget->utilization(),
@@ -432,15 +432,15 @@
       }
     }
     const auto arrived_at = base::boot_clock::now();
-    flow::byte_reservation body(resources_.budget, flow::byte_holder::request_bodies);
-    bool has_memory = error || reserve_body(body, parser.content_length().value_or(0));
+    flow::byte_reservation body_reservation(resources_.budget, flow::byte_holder::request_bodies);
+    bool has_memory = error || reserve_body(body_reservation, parser.content_length().value_or(0));
     if (!error && has_memory && parser.get()[beast_http::field::expect] == "100-continue") {
       const std::string continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
       co_await asio::async_write(stream, asio::buffer(continue_response), await_into(error));
     }
     if (!error && has_memory) {
       const read_deadline deadline(stream, limits_.idle_timeout);
-      error = co_await read_body(stream, buffer, parser, body, has_memory);
+      error = co_await read_body(stream, buffer, parser, body_reservation, has_memory);
       if (deadline.has_passed()) {
         error = beast::error::timeout;
       }
@@ -463,7 +463,7 @@
     stream.expires_never();
     // The connection needs no buffer while it waits for the answer.
     buffer.shrink_to_fit();
-    co_return co_await answer(stream, parser, arrived_at, std::move(body));
+    co_return co_await answer(stream, parser, arrived_at, std::move(body_reservation));
   }
 
   /// Reserves memory for all copies of a body.
@@ -498,7 +498,8 @@
 
   asio::awaitable<bool> answer(beast::tcp_stream& stream,
                                beast_http::request_parser<beast_http::string_body>& parser,
-                               base::time_point arrived_at, flow::byte_reservation body) {
+                               base::time_point arrived_at,
+                               flow::byte_reservation body_reservation) {
     const auto client = next_client_++;
     auto exchange =
         std::make_shared<client_exchange>(*io_, client, stream.socket(), resources_.budget);
@@ -513,9 +514,9 @@
       co_return false;
     }
     exchanges_[client] = exchange;
-    body.move_to(flow::byte_holder::kept_bodies);
+    body_reservation.move_to(flow::byte_holder::kept_bodies);
     auto shared_content = std::make_shared<content_with_memory>(content_with_memory{
-        std::get<serving::request_content>(std::move(parsed)), std::move(body)});
+        std::get<serving::request_content>(std::move(parsed)), std::move(body_reservation)});
     // The memory stays reserved as long as any reference to the content exists.
     observer_.on_request(
         {client,
@@ -582,7 +583,7 @@
         const auto next = std::move(exchange.unwritten.front());
         exchange.unwritten.pop_front();
         exchange.is_writing = true;
-        const bool written = co_await write_in_parts(stream, exchange, next.remaining());
+        const bool written = co_await write_in_parts(stream, exchange, next.remaining_bytes());
         exchange.is_writing = false;
         exchange.reservation.shrink(next.reserved_bytes);
         if (!written) {
--- a/src/upstream/connection_pool.cc
+++ b/src/upstream/connection_pool.cc
@@ -41,7 +41,7 @@
 }
 
 void connection_pool::give_back(const base::network_address& address,
-                                std::shared_ptr<connection> returned, base::duration lifetime,
+                                std::shared_ptr<connection> returned, base::duration max_idle_time,
                                 base::time_point now) {
   auto& idle = idle_[address];
   close_expired(idle, now);
@@ -51,7 +51,7 @@
   }
   returned->stream.expires_never();
   returned->idle_since = now;
-  returned->idle_deadline = now + lifetime;
+  returned->idle_deadline = now + max_idle_time;
   returned->is_idle = true;
   ++returned->idle_periods;
   watch_idle(address, returned);
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -51,9 +51,8 @@
                                    base::time_point now);
   /// Returns a connection to the pool for later calls, or closes it if the pool already holds
   /// `max_idle_per_address` connections to the address.
-  /// @param lifetime maximum idle time.
   void give_back(const base::network_address& address, std::shared_ptr<connection> returned,
-                 base::duration lifetime, base::time_point now);
+                 base::duration max_idle_time, base::time_point now);
   /// Closes all idle connections to an address.
   void close_idle(const base::network_address& address);
 
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -254,11 +254,11 @@
     boost::system::error_code ignored;
     bool has_reported_pause = false;
     while (bytes > 0 && !state->is_cancelled) {
-      const auto verdict = reservation.grow(bytes);
-      if (verdict == flow::memory_verdict::granted) {
+      const auto grow_result = reservation.grow(bytes);
+      if (grow_result == flow::memory_verdict::granted) {
         break;
       }
-      if (verdict == flow::memory_verdict::abort_answer) {
+      if (grow_result == flow::memory_verdict::abort_answer) {
         state->lacked_memory = true;
         co_return false;
       }
--- a/tests/http/planned_stop_test.cc
+++ b/tests/http/planned_stop_test.cc
@@ -55,7 +55,7 @@
       return 0;
     });
   }
-  [[nodiscard]] std::size_t busy() {
+  [[nodiscard]] std::size_t busy_connections() {
     return on_server_thread([this] { return server_->busy_connections(); });
   }
 
@@ -159,12 +159,12 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   server.stop_accepting();
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
-  BOOST_TEST(server.busy() == 1U);
+  BOOST_TEST(server.busy_connections() == 1U);
   BOOST_TEST((result.get() == exchange_result::answered));
-  for (int tries = 0; server.busy() > 0 && tries < 100; ++tries) {
+  for (int tries = 0; server.busy_connections() > 0 && tries < 100; ++tries) {
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
-  BOOST_TEST(server.busy() == 0U);
+  BOOST_TEST(server.busy_connections() == 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/record_translator_test.cc
+++ b/tests/platform/record_translator_test.cc
@@ -198,7 +198,7 @@
                  .find("not a number") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(replicas_are_translated_or_rejected) {
+BOOST_AUTO_TEST_CASE(a_valid_replica_is_translated_and_an_empty_document_is_rejected) {
   const auto good = platform::translate_replica(
       "i-1",
       R"({"service":"llm","address":"10.0.0.1:80","zone":"z","slots":4,"state":"draining"})");
@@ -225,7 +225,7 @@
   BOOST_TEST(parsed_with("\"soon\"").index() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(replica_start_time_is_translated_or_rejected) {
+BOOST_AUTO_TEST_CASE(a_valid_start_time_is_translated_and_an_invalid_one_rejects_the_entry) {
   BOOST_TEST((std::get<0>(parsed_replica(with_field("born", "1790000000123")))->incarnation ==
               model::replica_incarnation{1'790'000'000'123}));
   BOOST_TEST((std::get<0>(parsed_replica(with_field("born", "1.5e3")))->incarnation ==
