--- a/src/backends/call_codec.h
+++ b/src/backends/call_codec.h
@@ -11,7 +11,6 @@
 namespace spurrack::backends {
 
 /// @param now current time, from which the remaining time until the call expires is computed.
-/// @return the request body of a call.
 std::string encode_call(const execution::stage_call& call, base::time_point now);
 
 /// @param body complete answer of a call that does not stream, or the final event of a call that
--- a/src/base/due_times.h
+++ b/src/base/due_times.h
@@ -17,7 +17,6 @@
 template <typename key>
 class due_times {
  public:
-  /// Sets or replaces the due time of a key.
   void set(const key& item, time_point due_at) {
     clear(item);
     times_.emplace(item, due_at);
@@ -33,7 +32,6 @@
     }
   }
 
-  /// Postpones all due times by `span`.
   void postpone_all(duration span) {
     std::set<std::pair<time_point, key>> moved;
     for (auto& [item, due_at] : times_) {
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -53,7 +53,6 @@
 inline constexpr std::size_t event_kind_count =
     static_cast<std::size_t>(event_kind::replica_backoff) + 1;
 
-/// @return the stable lower-case name of `kind`.
 std::string_view name_of(event_kind kind);
 
 /// One entry of the timeline.
@@ -73,7 +72,6 @@
  public:
   explicit event_log(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Adds an event; removes the oldest event if the buffer is full.
   void add(event entry);
 
   [[nodiscard]] const std::deque<event>& entries() const { return entries_; }
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -11,7 +11,7 @@
 
 namespace spurrack::base {
 
-/// Identifier in text form. `tag` only distinguishes the kinds.
+/// Identifier in text form. `tag` only distinguishes the kinds of identifiers.
 template <typename tag>
 class identifier {
  public:
@@ -45,7 +45,7 @@
 
 /// Number of a call, unique within one incarnation of a node.
 using call_id = std::uint64_t;
-/// Number of a request on a caller's connection, unique within one incarnation of a node.
+/// Number of a request of a caller or a client, unique within one incarnation of a node.
 using caller_id = std::uint64_t;
 /// Incarnation of a node's process; a higher number is a later incarnation. Taken from the wall
 /// clock at the start of the process, and increased to refute gossip that reports the node as
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,5 +1,5 @@
-/// Interface to a source of random numbers that is passed in, so that a run can be reproduced from
-/// its seed.
+/// Source of random numbers that is passed to the decision logic, so that a run can be reproduced
+/// from its seed.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace spurrack::base {
 
-/// Source of random numbers. Not thread-safe; owned by the caller of the decision logic.
+/// Not thread-safe; owned by the code that calls the decision logic.
 class random_source {
  public:
   random_source() = default;
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -32,7 +32,6 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
 }
 
-/// @return `span` in fractional seconds.
 constexpr double to_seconds(duration span) {
   return std::chrono::duration<double>(span).count();
 }
--- a/src/http/answer_json.h
+++ b/src/http/answer_json.h
@@ -11,8 +11,8 @@
 
 namespace spurrack::http {
 
-/// Errors of requests that are refused before they reach the node. Callers match the names of these
-/// errors, so the names must not change.
+/// Errors of requests that the listener itself refuses. Callers match the names of these errors, so
+/// the names must not change.
 enum class request_fault {
   malformed_http,
   malformed_json,
--- a/src/http/answer_writer.h
+++ b/src/http/answer_writer.h
@@ -16,7 +16,6 @@
 std::string fixed_length_head(unsigned status, const serving::header_list& headers,
                               std::size_t body_bytes, after_answer connection);
 
-/// @return whether answers of this status may have a body.
 bool has_body(unsigned status);
 
 /// @param head_only whether the request was a HEAD request: the body is left out.
--- a/src/http/caller_request_parser.h
+++ b/src/http/caller_request_parser.h
@@ -23,7 +23,7 @@
   /// Whether the check is for readiness to accept requests, instead of liveness.
   bool readiness = false;
 };
-/// Invalid request that is refused before it reaches the node.
+/// Invalid request, which the listener refuses without passing it on.
 struct refused_request {
   request_fault fault = request_fault::malformed_http;
   std::string detail;
@@ -32,7 +32,6 @@
 using parsed_request =
     std::variant<execution::caller_request, ticket_request, health_request, refused_request>;
 
-/// @return the parsed request, or the reason for its refusal.
 parsed_request parse_caller_request(const http_request& message);
 
 } // namespace spurrack::http
--- a/src/http/caller_server.h
+++ b/src/http/caller_server.h
@@ -1,5 +1,5 @@
-/// HTTP listener for callers: limits and parses requests, passes them to the node, and writes
-/// answers and token streams. docs/API.md describes the interface.
+/// HTTP listener for callers: parses requests within limits on their size and time, passes them to
+/// the node, and writes answers and token streams. docs/API.md describes the interface.
 ///
 /// A caller uses spurrack's own pipelines interface (`/v1/pipelines/`). A client of a published
 /// route uses the listener in ingress_server.h instead.
--- a/src/http/connection_acceptor.h
+++ b/src/http/connection_acceptor.h
@@ -4,8 +4,8 @@
 /// Closing a listening socket resets every connection whose handshake is complete but which was not
 /// accepted yet, including connections that arrive between the last accept and the close. Therefore
 /// a stop first attaches a packet filter that drops new handshakes, then accepts the connections
-/// that remain, then closes the socket. Clients whose handshake was dropped retry it and find the
-/// port closed.
+/// whose handshake is complete, then closes the socket. Clients whose handshake was dropped retry
+/// it and find the port closed.
 #pragma once
 
 #include "base/time.h"
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -53,7 +53,6 @@
 /// Maximum time for which the rest of a body is read and discarded after a refusal: the time in
 /// which a network link of 10 Mbit/s transfers 4 MB.
 constexpr std::chrono::seconds discard_timeout{4};
-/// Value that replaces `discard_timeout` during a graceful stop.
 constexpr std::chrono::seconds discard_timeout_at_stop{1};
 /// Maximum number of bytes of headers and framing that are discarded after a refusal, in addition
 /// to the body.
@@ -86,7 +85,6 @@
   /// Number of bytes at the start of `bytes` that the socket already accepted, without blocking,
   /// before the rest was queued.
   std::size_t written_bytes = 0;
-  /// @return the bytes that are still to be written.
   [[nodiscard]] std::string_view remaining_bytes() const {
     return std::string_view(bytes).substr(written_bytes);
   }
@@ -279,9 +277,9 @@
     }
   }
 
-  /// Writes as many bytes as the socket accepts without blocking, so that events for a client that
-  /// reads need neither a timer nor a wake-up of their own. Errors are ignored: the next
-  /// asynchronous write reports them.
+  /// Writes as many bytes as the socket accepts without blocking, so that an event needs neither a
+  /// timer nor a wake-up while its client keeps reading. Errors are ignored: the next asynchronous
+  /// write reports them.
   static void write_at_once(client_exchange& client, unwritten_bytes& added) {
     const bool is_idle = !client.is_writing && client.unwritten.empty();
     if (!is_idle || client.is_disconnected || added.bytes.empty() ||
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -1,6 +1,7 @@
-/// HTTP listener for clients of published routes: limits and reads requests, passes them to the
-/// serving path, and writes answers and streams as they arrive from the replicas. Callers of
-/// spurrack's own pipelines interface use the listener in caller_server.h instead.
+/// HTTP listener for clients of published routes: reads requests within limits on their size and
+/// time, passes them to the serving path, and writes answers and streams as they arrive from the
+/// replicas. Callers of spurrack's own pipelines interface use the listener in caller_server.h
+/// instead.
 #pragma once
 
 #include "flow/byte_budget.h"
@@ -64,7 +65,7 @@
   virtual void carry_out(serving::read_ahead command) = 0;
   virtual void carry_out(serving::end_stream command) = 0;
 
-  /// Sets the limits for requests that begin from now on.
+  /// Sets the limits on size and time for requests that begin to arrive from now on.
   virtual void set_limits(const model::client_limits& limits) = 0;
   /// Begins a graceful stop: from now on, answers announce that their connection closes.
   virtual void begin_stop() = 0;
--- a/src/http/operator_server.h
+++ b/src/http/operator_server.h
@@ -12,7 +12,6 @@
 
 namespace spurrack::http {
 
-/// A document served to operators.
 struct operator_document {
   std::string content_type;
   std::string body;
--- a/src/publication/publication_client.h
+++ b/src/publication/publication_client.h
@@ -25,8 +25,8 @@
   publication_client& operator=(const publication_client&) = delete;
   virtual ~publication_client() = default;
 
-  /// Begins a read. The service may hold the read, that is, delay its answer until it has a
-  /// revision later than `command.after` (long polling).
+  /// Begins a read. The service may hold the read, that is, delay its answer until the service has
+  /// a revision later than `command.after` (long polling).
   virtual void read(const node::read_service& command) = 0;
   /// Sends a small query to the service, to check that it still answers. Reports only a failure,
   /// with `on_failure`.
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -57,7 +57,6 @@
   caller_limits callers;
 };
 
-/// Result of parsing a settings file.
 struct settings_result {
   /// std::nullopt if there are any faults.
   std::optional<daemon_settings> value;
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -44,7 +44,6 @@
  public:
   static constexpr std::size_t max_idle_per_address = 16;
 
-  /// Takes an idle connection from the pool.
   /// @return the most recently used connection whose idle time is within the bounds; null if there
   ///         is none.
   std::shared_ptr<connection> take(const base::network_address& address, idle_time_bounds bounds,
@@ -53,7 +52,6 @@
   /// `max_idle_per_address` connections to the address.
   void give_back(const base::network_address& address, std::shared_ptr<connection> returned,
                  base::duration max_idle_time, base::time_point now);
-  /// Closes all idle connections to an address.
   void close_idle(const base::network_address& address);
 
  private:
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -395,7 +395,6 @@
     co_return false;
   }
 
-  /// @return maximum number of bytes of one read of a stream.
   [[nodiscard]] std::size_t stream_read_bytes() const {
     return budget_->utilization() < plentiful_utilization ? max_read_bytes
                                                           : max_low_memory_read_bytes;
