--- a/src/base/time.h
+++ b/src/base/time.h
@@ -32,17 +32,14 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
 }
 
-/// @return `span` in fractional seconds.
 constexpr double to_seconds(duration span) {
   return std::chrono::duration<double>(span).count();
 }
 
-/// @return `seconds` as a duration.
 constexpr duration from_seconds(double seconds) {
   return std::chrono::duration_cast<duration>(std::chrono::duration<double>(seconds));
 }
 
-/// @return `span` times `factor`.
 inline duration scaled(duration span, double factor) {
   return from_seconds(to_seconds(span) * factor);
 }
--- a/src/http/answer_json.h
+++ b/src/http/answer_json.h
@@ -11,8 +11,8 @@
 
 namespace spurrack::http {
 
-/// Errors of requests that are refused before they reach the node. Callers match the names of these
-/// errors, so the names must not change.
+/// Errors of requests that the listener itself refuses. Callers match the names of these errors, so
+/// the names must not change.
 enum class request_fault {
   malformed_http,
   malformed_json,
@@ -29,10 +29,8 @@
 
 std::string_view name_of(request_fault fault);
 boost::beast::http::status status_of(request_fault fault);
-/// @return the HTTP status of an answer.
 boost::beast::http::status status_of(const execution::answer& content);
 
-/// @return the JSON body of an answer.
 boost::json::object to_json(const execution::answer& content);
 /// @return the JSON body of an error: outcome `not_run`, the name of the fault, and `detail` as the
 /// message.
--- a/src/http/connection_acceptor.h
+++ b/src/http/connection_acceptor.h
@@ -4,8 +4,8 @@
 /// Closing a listening socket resets every connection whose handshake is complete but which was not
 /// accepted yet, including connections that arrive between the last accept and the close. Therefore
 /// a stop first attaches a packet filter that drops new handshakes, then accepts the connections
-/// that remain, then closes the socket. Clients whose handshake was dropped retry it and find the
-/// port closed.
+/// whose handshake is complete, then closes the socket. Clients whose handshake was dropped retry
+/// it and find the port closed.
 #pragma once
 
 #include "base/time.h"
@@ -57,8 +57,8 @@
   };
 
   void begin_stop(base::time_point now) { stop_began_at_ = now; }
-  /// @return number of connections whose first request a graceful stop waits for; 0 before the
-  ///         stop, and after the time for which it waits.
+  /// @return number of connections whose first request a graceful stop waits for; 0 before a stop
+  ///         begins and once the stop no longer waits for them.
   [[nodiscard]] std::size_t awaiting_first_request(base::time_point now) const;
 
  private:
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -1,6 +1,7 @@
-/// HTTP listener for clients of published routes: limits and reads requests, passes them to the
-/// serving path, and writes answers and streams as they arrive from the replicas. Callers of
-/// spurrack's own pipelines interface use the listener in caller_server.h instead.
+/// HTTP listener for clients of published routes: reads requests within limits on their size and
+/// time, passes them to the serving path, and writes answers and streams as they arrive from the
+/// replicas. Callers of spurrack's own pipelines interface use the listener in caller_server.h
+/// instead.
 #pragma once
 
 #include "flow/byte_budget.h"
@@ -31,17 +32,17 @@
   std::size_t max_connections = 0;
 };
 
-/// Effects of slow readers and refused requests, for metrics.
+/// Counters of slow clients and of refused requests and connections, for metrics.
 struct ingress_counters {
   /// Number of times that reading from a replica was paused for a slow client.
   std::uint64_t windows_closed = 0;
-  /// Total time for which the flow control windows (`flow::stream_window`) of ended answers were
-  /// closed.
+  /// Total time for which the flow control windows (`flow::stream_window`) of answers were closed;
+  /// the time of an answer is added when it ends.
   base::duration closed_window_time{};
   /// Number of answers aborted because the client read nothing for too long.
   std::uint64_t aborted_unread = 0;
   /// Number of answers aborted because the client was the slowest reader when memory for answers
-  /// ran out, or because there was no memory for an event.
+  /// ran out, or because there was no memory for an event of its stream.
   std::uint64_t aborted_for_memory = 0;
   /// Number of requests refused because there was no memory for their body.
   std::uint64_t refused_for_memory = 0;
@@ -64,7 +65,7 @@
   virtual void carry_out(serving::read_ahead command) = 0;
   virtual void carry_out(serving::end_stream command) = 0;
 
-  /// Sets the limits for requests that begin from now on.
+  /// Sets the limits on size and time for requests that begin to arrive from now on.
   virtual void set_limits(const model::client_limits& limits) = 0;
   /// Begins a graceful stop: from now on, answers announce that their connection closes.
   virtual void begin_stop() = 0;
