--- a/src/ctl/check.h
+++ b/src/ctl/check.h
@@ -7,8 +7,8 @@
 
 namespace spurrack::ctl {
 
-/// Exit codes of the tool. `problem_found` means that a file or an entry is invalid, that a node is
-/// not ready, or that the logs hold no event of a request.
+/// Exit codes of spurrackctl. `problem_found` means that a file or a published entry is invalid,
+/// that a node is not ready, or that the logs hold no event of the given request.
 enum class exit_code { success = 0, problem_found = 1, bad_usage = 2, unreachable = 3 };
 
 enum class output_format { text, json };
--- a/src/ctl/reports.h
+++ b/src/ctl/reports.h
@@ -9,8 +9,8 @@
 
 namespace spurrack::ctl {
 
-/// Fetches the documents of a command from all nodes and prints them. If a node does not answer,
-/// the documents of the other nodes are printed nevertheless.
+/// Fetches the document for a command from each node and prints the documents. If a node does not
+/// answer, the documents of the other nodes are printed nevertheless.
 /// @param arguments for `explain`, the request id.
 /// @param nodes operator listeners, `IP:port`.
 /// @return `unreachable` if any node did not answer; `problem_found` if `status` shows a node that
@@ -19,9 +19,11 @@
                  const std::vector<std::string>& nodes, output_format format, std::ostream& out,
                  std::ostream& errors);
 
-/// Asks nodes to release a quarantined request; a node that accepts informs all other nodes.
-/// @param digest 32 hexadecimal digits, as shown by `quarantine` and the logs.
-/// @return `unreachable` if no node accepted.
+/// Asks nodes to release a quarantined request. A node that accepts the release informs all other
+/// nodes.
+/// @param digest digest of the request: 32 hexadecimal digits, as shown by the command `quarantine`
+///        and in the logs.
+/// @return `unreachable` if no node accepted the release.
 exit_code release(const std::string& digest, const std::vector<std::string>& nodes,
                   std::ostream& out, std::ostream& errors);
 
--- a/src/ctl/request_log.cc
+++ b/src/ctl/request_log.cc
@@ -18,7 +18,7 @@
 namespace json = boost::json;
 
 constexpr std::uint64_t microseconds_per_millisecond = 1000;
-/// Reported if all requests were served: the number of nines would be infinite.
+/// Availability in nines that is reported if all requests were served, instead of infinity.
 constexpr double max_nines = 9;
 
 std::string text_of(const json::object& line, std::string_view name) {
--- a/src/ctl/request_log.h
+++ b/src/ctl/request_log.h
@@ -27,9 +27,9 @@
 /// Contents of one or more log files.
 struct request_log {
   std::vector<request_event> events;
-  /// Lines that are not valid log lines; events in them are missing from `events`.
+  /// Number of lines that are not valid log lines. Their events are missing from `events`.
   std::size_t unreadable_lines = 0;
-  /// Lines that nodes could not write, as reported in their later lines.
+  /// Number of lines that nodes could not write, as reported in later lines of these nodes.
   std::size_t dropped_lines = 0;
 };
 
@@ -45,9 +45,9 @@
   std::string route;
   std::size_t requests = 0;
   std::size_t served = 0;
-  /// Answered with status 429 or 503, which means that they were not run.
+  /// Requests answered with status 429 or 503, which means that they were not run.
   std::size_t refused = 0;
-  /// Other failures, including aborted streams.
+  /// Requests that failed in any other way, including aborted streams.
   std::size_t failed = 0;
   std::size_t client_disconnected = 0;
   /// Requests without an answer in the log.
@@ -57,8 +57,8 @@
   std::uint64_t median_unserved_ms = 0;
   std::uint64_t max_unserved_ms = 0;
 
-  /// @return availability in nines, at most 9: 2 if 99 of 100 requests were served. Requests whose
-  ///         client disconnected are not counted.
+  /// @return availability in nines, such as 2 if 99 of 100 requests were served; at most 9.
+  ///         Requests whose client disconnected are not counted.
   [[nodiscard]] double nines() const;
 };
 
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -22,7 +22,7 @@
 constexpr int exit_cannot_start = 3;
 
 /// Blocks or unblocks SIGHUP. The signal would end the process if it arrived before the runtime
-/// handles it.
+/// has installed its handler.
 /// @param how SIG_BLOCK or SIG_UNBLOCK.
 void mask_reload_signal(int how) {
   sigset_t reload;
@@ -70,8 +70,8 @@
         io, std::move(*settings),
         {spurrack::platform::make_http_codec(), spurrack::platform::make_store_client},
         [path] { return read_settings(path); });
-    // A SIGHUP that arrived in the meantime is handled now: the settings may have changed after
-    // they were read.
+    // A SIGHUP that arrived during the start takes effect now: the settings file may have changed
+    // after it was read.
     mask_reload_signal(SIG_UNBLOCK);
     io.run();
   } catch (const std::exception& error) {
--- a/src/daemon/operator_documents.h
+++ b/src/daemon/operator_documents.h
@@ -1,4 +1,4 @@
-/// Documents of the operator listener: JSON documents about one node, and its metrics.
+/// Documents that the operator listener serves: the state of the node as JSON, and its metrics.
 #pragma once
 
 #include "flow/byte_budget.h"
@@ -11,7 +11,7 @@
 
 namespace spurrack::daemon {
 
-/// State of the adapters of the process, which the node does not know.
+/// State of the network adapters of the process, which the node itself does not know.
 struct process_stats {
   std::uint64_t dropped_peer_messages = 0;
   std::size_t busy_connections = 0;
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -16,13 +16,13 @@
 namespace {
 
 constexpr std::chrono::milliseconds exit_poll_interval{20};
-/// Minimum time from the end of the stop to the exit, in which requests can arrive on the
-/// connections that were accepted last.
+/// Minimum time from the end of a graceful stop to the exit of the process. In this time requests
+/// can still arrive on the connections that were accepted last.
 constexpr std::chrono::milliseconds min_exit_delay{200};
-/// Time in which the last answers can be written after a stopping node has aborted its remaining
-/// requests. The process then exits, and does not wait longer for clients that do not read their
-/// answers and for connections without a request: it is killed 0.7 s after the requests are
-/// aborted, and the kill would cut off the other clients as well.
+/// Time for which a stopping process writes answers after its node has aborted the remaining
+/// requests. After this time the process exits even if some clients have not read their answers or
+/// some connections have no request: the process is killed 0.7 s after the requests are aborted,
+/// and the kill would also cut off the clients that do read.
 constexpr std::chrono::milliseconds last_answers_timeout{500};
 
 std::uint64_t random_seed() {
--- a/src/daemon/runtime.h
+++ b/src/daemon/runtime.h
@@ -1,5 +1,5 @@
-/// Runs one node on an Asio io_context: passes the events that the adapters report to the node, and
-/// carries out its commands through the adapters.
+/// Runs one node on an Asio io_context: passes events from the network adapters to the node, and
+/// carries out the commands of the node through the adapters.
 #pragma once
 
 #include "backends/backend_client.h"
@@ -32,7 +32,7 @@
       make_store_client;
 };
 
-/// Reads the settings in the same way as at the start of the process.
+/// Function that reads the settings file again.
 using settings_loader = std::function<settings::settings_result()>;
 
 /// Owns the node and all adapters; everything runs on the thread of the io_context.
@@ -46,8 +46,8 @@
           platform_adapters adapters, settings_loader load_settings);
 
  private:
-  /// Queues an event. It is handled by a later handler of the io_context, so never while another
-  /// event is handled.
+  /// Queues an event for the node. The node receives the event in a later handler of the
+  /// io_context, so never while it handles another event.
   void post(node::event input_event);
   /// Handles the events that are queued at the time of the call, in order.
   void handle_queued_events();
@@ -82,13 +82,13 @@
   std::unique_ptr<peers::peer_transport> peers_;
   std::unique_ptr<backends::backend_client> backends_;
   std::unique_ptr<publication::publication_client> publication_;
-  /// Set if the node serves its own interface: requests on pipeline templates.
+  /// Listener for requests on pipeline templates; null if the node serves published routes.
   std::unique_ptr<http::caller_server> callers_;
   platform_adapters adapters_;
   settings_loader load_settings_;
-  /// Set if the node serves published routes.
+  /// Null if the node does not serve published routes.
   std::unique_ptr<serving_adapters> serving_;
-  /// Configuration whose client limits are in effect.
+  /// Published configuration whose limits on clients are in effect.
   std::shared_ptr<const model::serving_configuration> applied_configuration_;
   std::unique_ptr<http::operator_server> operators_;
   /// Events that have not been handled yet.
--- a/src/simulation/emulated_backend.h
+++ b/src/simulation/emulated_backend.h
@@ -1,5 +1,5 @@
-/// Emulated back end in virtual time with slots, a short queue, random service times and injected
-/// faults. It reports every execution of a call, so that at-most-once execution can be verified.
+/// Simulated back end with slots, a short queue, random service times and injected faults. The back
+/// end reports every execution of a call, so that at-most-once execution can be verified.
 #pragma once
 
 #include "base/random.h"
@@ -21,7 +21,7 @@
   std::string pool;
   /// Number of slots: calls that can run at the same time.
   std::uint32_t concurrency = 8;
-  /// Maximum number of running and queued calls; the back end refuses further calls.
+  /// Maximum number of running and queued calls together; the back end refuses further calls.
   std::uint32_t max_calls = 16;
   /// Mean time of a call, without the time for generated tokens.
   base::duration service_time = std::chrono::milliseconds(5);
@@ -48,7 +48,7 @@
   bool is_hanging = false;
 };
 
-/// Result of a call.
+/// Result of a call, with the generated tokens.
 struct backend_reply {
   execution::call_result result;
   /// Generated tokens, in order; empty for calls that do not generate.
@@ -99,7 +99,7 @@
 
   void start_call(accepted_call accepted);
   void finish(std::uint64_t slot_id);
-  /// Schedules the early first token of a generating call, if the profile sends it.
+  /// Schedules the first token of a generating call if the profile has an early first token.
   void schedule_first_token(std::uint64_t slot_id, base::duration call_time);
   void start_queued_calls();
   base::duration sample_call_time(const execution::stage_call& call);
--- a/src/simulation/emulated_platform.h
+++ b/src/simulation/emulated_platform.h
@@ -1,4 +1,5 @@
-/// Emulated platform in virtual time: published entries with revisions, watches and outages.
+/// Simulated platform, the service that publishes the configuration and the machine list to nodes:
+/// published entries with revisions, watches (reads that wait for a change) and outages.
 #pragma once
 
 #include "node/events.h"
@@ -14,11 +15,11 @@
 namespace spurrack::simulation {
 
 /// Behaviour of the platform. In `down` mode every read fails. In `stale` mode the platform answers
-/// as of the revision at which the mode was set.
+/// with the entries and the revision that were current when the mode was set.
 enum class platform_mode : std::uint8_t { up, down, stale };
 
-/// Serves the configuration and the machine list, whose entries share one sequence of revisions.
-/// Not thread-safe.
+/// Serves the configuration and the machine list to simulated nodes. The entries of both share one
+/// sequence of revisions. Not thread-safe.
 class emulated_platform {
  public:
   using answer_handler = std::function<void(const std::optional<node::service_answered>&)>;
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -1,5 +1,5 @@
-/// Event queue of the virtual clock. Events run in the order of their times; events with equal
-/// times run in the order in which they were scheduled.
+/// Virtual clock of a simulation. Actions run in the order of their times; actions with equal times
+/// run in the order in which they were scheduled.
 #pragma once
 
 #include "base/time.h"
@@ -27,7 +27,7 @@
     schedule_at(now_ + delay, std::move(callback));
   }
 
-  /// Runs all events that are due up to and including `end`, then sets the clock to `end`.
+  /// Runs all actions that are due up to and including `end`, then sets the clock to `end`.
   void run_until(base::time_point end) {
     while (!entries_.empty() && entries_.top().due_at <= end) {
       auto entry = entries_.top();
@@ -43,7 +43,7 @@
     base::time_point due_at;
     std::uint64_t sequence_number = 0;
     action callback;
-    /// Order is inverted because std::priority_queue returns the largest entry first.
+    /// The order is inverted because std::priority_queue returns the largest entry first.
     bool operator<(const entry& other) const {
       return due_at != other.due_at ? due_at > other.due_at
                                     : sequence_number > other.sequence_number;
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -10,7 +10,7 @@
 constexpr base::duration connect_timeout = std::chrono::milliseconds(400);
 constexpr base::duration platform_delay = std::chrono::milliseconds(3);
 constexpr base::duration poll_interval = std::chrono::milliseconds(10);
-/// Number of bytes that TCP and ZeroMQ add to a message.
+/// Number of bytes that TCP and ZeroMQ add to each message.
 constexpr double transport_overhead_bytes = 80;
 constexpr std::uint64_t seed_stride = 0x9E3779B97F4A7C15;
 
@@ -465,7 +465,7 @@
                            [this, open] { end_call(open, execution::call_status::never_sent); });
     return;
   }
-  // Connecting takes one round trip; then the adapter writes the request.
+  // Connecting takes one round trip; then the node writes the request to the connection.
   events_.schedule_after(network_delay() + network_delay(), [this, open] {
     run_at_node(open->node, open->incarnation, [this, open] { write_call(open); });
   });
--- a/src/simulation/fleet_simulation.h
+++ b/src/simulation/fleet_simulation.h
@@ -24,7 +24,7 @@
 
 namespace spurrack::simulation {
 
-/// Delays and losses of messages.
+/// Delays and losses of messages in the simulated network.
 struct network_profile {
   /// One-way delay between any two machines. A random part of the jitter is added to the delay of
   /// each message, which reorders messages.
@@ -37,10 +37,11 @@
   double loss_probability = 0;
 };
 
-/// Transfer of answers from the platform's store to nodes. An answer is sent in pages. If one page
-/// is late, the whole read fails, as it does in the client of the store that the daemon uses.
+/// Simulated transfer of answers from the platform's store to nodes. An answer is sent in pages. If
+/// one page takes longer than `page_timeout`, the whole read fails, as it does in the client of the
+/// store that the daemon uses.
 struct store_profile {
-  /// Rate of all answers together; 0 for an unlimited rate.
+  /// Rate at which the store sends, for all answers together; 0 for an unlimited rate.
   double bytes_per_second = 0;
   std::size_t entries_per_page = 500;
   /// Number of bytes of an entry in an answer.
@@ -63,7 +64,7 @@
   std::uint64_t seed = 1;
   std::vector<node_profile> nodes;
   std::vector<backend_profile> backends;
-  /// Entries that are published at the start, such as templates and tenants: key and value.
+  /// Values of the entries that are published at the start, such as templates and tenants, by key.
   std::map<std::string, std::string> records;
   network_profile network;
   store_profile store;
@@ -72,11 +73,11 @@
   /// Whether the platform publishes the list of nodes. Otherwise nodes discover each other only
   /// through the seeds.
   bool should_publish_node_list = true;
-  /// Settings of all nodes; the identity of each node and the seeds are filled in.
+  /// Settings of all nodes. The simulation fills in the identity of each node and the seeds.
   node::node_settings node;
 };
 
-/// Request of a caller, and its answer.
+/// Request of a simulated caller, and the answer to the request.
 struct caller_record {
   base::caller_id id = 0;
   std::string node;
@@ -99,7 +100,7 @@
   bool is_dropped_by_stop = false;
 };
 
-/// Execution of a stage call at a back end.
+/// Execution of a stage call at a simulated back end.
 struct execution_record {
   std::string backend;
   execution::call_identity identity;
@@ -162,7 +163,7 @@
   void block_platform_access(std::set<std::string> zones) {
     zones_without_platform_ = std::move(zones);
   }
-  /// Lets the platform answer no reads for `duration`, including reads that it has already
+  /// Makes the platform answer no reads for `duration`, not even reads that it has already
   /// received.
   void hang_platform(base::duration duration) { platform_hangs_until_ = now() + duration; }
   void set_loss_probability(double loss_probability) {
@@ -183,7 +184,7 @@
   void publish_node(const std::string& name, bool is_listed);
 
   // --- callers
-  /// Sends a request to a node. @return id of the caller, which is the key of its record.
+  /// Sends a request to a node. @return id of the caller, which is the key in `callers`.
   base::caller_id send(const std::string& node, execution::caller_request request);
   /// Requests a ticket from a node, and runs the simulation until the ticket arrives.
   /// @return ticket; empty if the node issues no ticket within one second of virtual time.
@@ -212,7 +213,7 @@
     base::time_point frozen_until;
     /// Duration of the suspension before the next non-repeatable call is sent.
     std::optional<base::duration> freeze_before_effect;
-    /// Time of the scheduled wakeup.
+    /// Time at which the node's next scheduled wakeup is due.
     base::time_point wakeup_at;
     /// Number of reads that the node has started, by source.
     std::array<std::uint64_t, node::source_count> reads{};
@@ -238,8 +239,8 @@
   };
   using open_call_ref = std::shared_ptr<open_call>;
 
-  /// Runs an action at one incarnation of a node. If the node is frozen, runs the action at the end
-  /// of the suspension. Drops the action if the incarnation has ended.
+  /// Runs an action if a node is still in the given incarnation. If the node is frozen, runs the
+  /// action at the end of the suspension. Drops the action if the incarnation has ended.
   void run_at_node(const std::string& name, std::uint64_t incarnation,
                    std::function<void()> action);
   void deliver(const std::string& name, std::uint64_t incarnation, const node::event& event);
@@ -249,7 +250,7 @@
   [[nodiscard]] bool can_reach_platform(const node_instance& instance) const;
   void read_platform(node_instance& instance, const node::read_service& request);
   void probe_platform(const node_instance& instance, const node::probe_service& request);
-  /// Sends the remaining pages of an answer to the node that requested it, one after the other.
+  /// Sends the remaining pages of an answer, one after the other, to the node that requested them.
   void transfer_pages(const std::shared_ptr<store_transfer>& transfer);
   void start_call(node_instance& instance, const execution::stage_call& call);
   void write_call(const open_call_ref& open);
--- a/src/simulation/invariant_checker.cc
+++ b/src/simulation/invariant_checker.cc
@@ -8,7 +8,8 @@
 namespace spurrack::simulation {
 namespace {
 
-/// Request ids consist of the name of the node and two further fields, separated by '-'.
+/// @return name of the node that assigned a request id. The id consists of this name and two
+///         further fields, separated by '-'.
 std::string node_of(const base::request_id& request) {
   const auto& text = request.text();
   const auto last = text.rfind('-');
@@ -203,8 +204,8 @@
                        record.answer->request);
     }
   }
-  // All sends of a request under one key are the same request. If a send was executed before
-  // another send was answered, the answer 'not run' is false, regardless of the node that answered.
+  // A request that callers send several times under one key is one request. If it was executed
+  // before any node answered one of the callers with 'not run', that answer is false.
   for (const auto& [id, record] : fleet_->callers()) {
     const auto expected = expectations_.find(id);
     const bool is_refused = record.answer && record.answer->outcome == model::outcome::not_run &&
@@ -228,8 +229,8 @@
 }
 
 void invariant_checker::check_effects() {
-  // No two requests with different keys or without a key have the same input, and the input of a
-  // non-repeatable call contains the input of its request.
+  // The input of a non-repeatable call contains the input of its request, and only requests with
+  // the same key have the same input. Executions of the same call therefore have the same input.
   std::map<std::string, unsigned> execution_counts;
   std::map<std::string, base::request_id> last_request;
   for (const auto& executed_call : fleet_->executions()) {
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -20,14 +20,14 @@
   base::request_id request;
 };
 
-/// Checks one simulation. Call `check_step` every few tens of milliseconds of virtual time and
+/// Checks one simulated fleet. Call `check_step` every few tens of milliseconds of virtual time and
 /// `check_final_state` at the end. Not thread-safe.
 class invariant_checker {
  public:
-  /// Time for which nodes may still call a back end after the first node learned that the back end
-  /// drains.
+  /// Time, after the first node learned that a back end drains, in which nodes may still send calls to
+  /// the back end.
   static constexpr base::duration drain_grace_period = std::chrono::milliseconds(2500);
-  /// Maximum time by which an answer may exceed its deadline: one wakeup of the driver of the node.
+  /// Maximum time from the deadline of a request to its answer: one wakeup of the node's driver.
   static constexpr base::duration answer_slack = std::chrono::milliseconds(50);
 
   /// Maximum time after the expiry of a call at which the call may still reach a back end: one
@@ -36,8 +36,8 @@
 
   explicit invariant_checker(fleet_simulation& fleet) : fleet_(&fleet) {}
 
-  /// Computes the outputs that a caller's request must have from the input of the request, and
-  /// records them. Requests with the same key have the same input.
+  /// Computes, from the input of a caller's request, the outputs that the answer must contain, and
+  /// records the outputs. Requests with the same idempotency key have the same input.
   /// @param effect idempotency key or ticket under which the request may be executed at most once;
   ///        empty if the request has none.
   void add_expectation(base::caller_id caller, const model::pipeline_template& pipeline,
@@ -75,10 +75,11 @@
   void check_answers();
   /// Checks that no request that was answered with `not_run` was executed.
   void check_not_run_answers();
-  /// Checks the executions of non-repeatable calls.
+  /// Checks that non-repeatable calls ran at most once, and not after their deadline, and that each
+  /// completed answer comes from a call that ran.
   void check_effects();
   void check_convergence();
-  /// Records the nodes that are currently partitioned, frozen, not running or not ready.
+  /// Records which nodes are now partitioned, frozen, not running or not ready.
   void note_disturbances();
   [[nodiscard]] bool was_disturbed_since(const std::string& node, base::time_point since) const;
 
--- a/src/simulation/link.h
+++ b/src/simulation/link.h
@@ -1,4 +1,4 @@
-/// Network link with a limited rate in virtual time. Messages are transmitted one after the other.
+/// Simulated network link with a limited rate. Messages are transmitted one after the other.
 #pragma once
 
 #include "base/time.h"
@@ -8,7 +8,7 @@
 
 namespace spurrack::simulation {
 
-/// Computes when messages leave the link. Not thread-safe.
+/// Computes the times at which messages leave the link. Not thread-safe.
 class link {
  public:
   /// Maximum time for which a message may wait for the link. A message that would wait longer is
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -15,9 +15,9 @@
 /// Time after its first send within which a request may be sent again.
 constexpr base::duration resend_window = std::chrono::milliseconds(2500);
 constexpr base::duration request_deadline = std::chrono::milliseconds(1000);
-/// Probability, per step, that a caller without a certain answer sends its request again.
+/// Probability, per step, that a request that ended without the outcome `completed` is sent again.
 constexpr double resend_probability = 0.5;
-/// Probability, per step, that a request is sent again without need.
+/// Probability, per step, that any other request is sent again, as a duplicate.
 constexpr double duplicate_probability = 0.15;
 constexpr const char* answer_template = R"(name: answer
 deadline_ms: 1000
@@ -32,7 +32,7 @@
   - {name: notice, kind: call, pool: payouts, repeatable: false}
 )";
 
-/// Request with an idempotency key or ticket, which may be sent again.
+/// Request that may be sent again because it has an idempotency key or a ticket.
 struct resendable_request {
   execution::caller_request request;
   /// Idempotency key or ticket of the request; empty if the request has neither.
@@ -41,7 +41,7 @@
   base::caller_id last_caller = 0;
 };
 
-/// One run: load with faults, then the end of all faults, then the final checks.
+/// One run of the simulation: load with faults, then the end of all faults, then the final checks.
 class fault_run {
  public:
   explicit fault_run(const run_options& options)
@@ -164,8 +164,8 @@
     }
   }
 
-  /// Sends requests that received no certain answer again, to a random node. Sends some other
-  /// requests twice to inject duplicates.
+  /// Sends some of the requests that ended without the outcome `completed` again, to random nodes,
+  /// and some of the other requests as duplicates.
   void resend_due_requests() {
     auto pending = std::exchange(resendable_requests_, {});
     for (auto& resendable : pending) {
--- a/src/simulation/random_faults.h
+++ b/src/simulation/random_faults.h
@@ -11,21 +11,22 @@
 
 namespace spurrack::simulation {
 
-/// Kinds of faults. A run draws one or two of them unless its options name the faults.
+/// Kinds of faults of a simulated fleet. A run injects the kinds that its options name, or else one
+/// or two kinds that are drawn at random.
 enum class fault_kind : std::uint8_t {
   message_loss,
   zone_cut,
   zone_cut_from_platform,
   node_freeze,
-  freeze_before_effect,
+  freeze_before_effect, ///< Suspends a node before it sends its next non-repeatable call.
   node_kill,
   node_stop,
   backend_crash,
   bad_answers,
   platform_down,
   platform_stale,
-  platform_restored,
-  operators_race,
+  platform_restored, ///< Sets the platform back to an earlier revision.
+  operators_race,    ///< Publishes three changes in a row, the last of them invalid.
   backend_leaving,
   node_list_changes,
 };
@@ -33,7 +34,7 @@
 
 std::string_view name_of(fault_kind kind);
 
-/// Options of one run.
+/// Options of one simulation run.
 struct run_options {
   std::uint64_t seed = 1;
   base::safety_switches switches;
@@ -44,7 +45,7 @@
   base::duration load_duration = std::chrono::seconds(15);
 };
 
-/// Result of one run.
+/// Result of one simulation run.
 struct run_report {
   std::uint64_t seed = 0;
   std::vector<fault_kind> faults;
--- a/src/simulation/traffic_counters.h
+++ b/src/simulation/traffic_counters.h
@@ -1,5 +1,5 @@
-/// Counts the bytes that nodes send to each other, by kind of message. The bytes of a message are
-/// its serialized size, without the overhead of the transport.
+/// Counts the bytes that simulated nodes send to each other, by kind of message. The bytes of a
+/// message are its serialized size, without the overhead of the transport.
 #pragma once
 
 #include "wire/peer.pb.h"
