--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -24,8 +24,8 @@
 /// `check_final_state` at the end. Not thread-safe.
 class invariant_checker {
  public:
-  /// Time, after the first node learned that a back end drains, in which nodes may still send calls to
-  /// the back end.
+  /// Time, after the first node learned that a back end drains, in which nodes may still send calls
+  /// to the back end.
   static constexpr base::duration drain_grace_period = std::chrono::milliseconds(2500);
   /// Maximum time from the deadline of a request to its answer: one wakeup of the node's driver.
   static constexpr base::duration answer_slack = std::chrono::milliseconds(50);
--- a/tools/capacity.cc
+++ b/tools/capacity.cc
@@ -1,7 +1,6 @@
-/// Measures the cost of the control plane per node of a simulated fleet: processor time, memory,
-/// and the messages between nodes. All nodes of the fleet are simulated in one process and in
-/// virtual time, and serve no requests. Each execution of the program measures one fleet, so that
-/// the memory of one fleet does not count towards another.
+/// Simulates a fleet that serves no requests, in one process and in virtual time, and measures the
+/// cost of the control plane per node: processor time, memory, and messages between nodes. Each
+/// execution of the program measures one fleet, so that no memory of another fleet is counted.
 #include "logging/guarded_main.h"
 #include "logging/usual_options.h"
 #include "simulation/fleet_simulation.h"
@@ -40,17 +39,17 @@
 }
 
 /// Size of the fleet. Only the nodes of the zone `z0` are simulated. The nodes of other zones and
-/// all replicas are entries of the published list of machines, but are not simulated.
+/// all replicas are only entries of the published list of machines.
 struct fleet_size {
   /// Number of simulated nodes.
   int nodes = 8;
-  /// Number of further zones, and number of listed nodes in all of these zones.
+  /// Number of further zones, and total number of listed nodes in these zones.
   int other_zones = 0;
   int other_nodes = 0;
   int replicas = 0;
   int tenants = 5;
-  /// Number of configuration changes that are published one after another. The reported cost of a
-  /// change is the average over these changes.
+  /// Number of configuration changes that are published one after another. The report shows their
+  /// mean cost.
   int changes = 20;
 };
 
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -20,7 +20,7 @@
   std::string input;
   std::string expected_stage;
   std::string expected_output;
-  /// Whether the request is sent with a ticket, a permission of a node to run one request once.
+  /// Whether the request carries a ticket, the permission of a node to run the request once.
   bool has_ticket = false;
 };
 
--- a/tools/experiment.cc
+++ b/tools/experiment.cc
@@ -20,8 +20,7 @@
 
 using namespace spurrack::experiment;
 
-/// Combination of a user, a scenario and a balancing policy, with the result of the run of each
-/// seed.
+/// Combination of a user, a scenario and a balancing policy, with one result for each seed.
 struct experiment_case {
   user_profile user;
   scenario load_scenario;
@@ -30,7 +29,7 @@
 };
 
 /// Formats the mean of a field over all runs as `mean ±deviation`. The deviation is the largest
-/// difference between the field of one run and the mean.
+/// difference between the value of one run and the mean.
 /// @param scale factor by which the mean and the deviation are multiplied, such as 100 for percent.
 /// @param digits number of decimal places.
 std::string format_mean_and_deviation(const std::vector<measurement>& runs,
@@ -71,7 +70,7 @@
 }
 
 /// Writes the data file and the gnuplot script of a plot that shows the goodput of one user by
-/// scenario and policy. This program does not run gnuplot: the script must be run in `folder`.
+/// scenario and policy. This program does not run gnuplot: run the script in `folder`.
 void write_plot(const std::vector<experiment_case>& cases, const std::string& user,
                 const std::filesystem::path& folder) {
   std::ofstream data(folder / (user + ".dat"));
--- a/tools/fleet/background_load.cc
+++ b/tools/fleet/background_load.cc
@@ -62,8 +62,7 @@
 void background_load::record_answer(const std::string& input, const http_answer& answer) {
   const std::lock_guard lock(mutex_);
   if (answer.status == 0) {
-    // No request was sent on a refused connection, so `broken_connections` does not count the
-    // connection.
+    // A refused connection carried no request, so it does not count as broken.
     if (answer.error != "Connection refused") {
       ++totals_.broken_connections;
       totals_.last_connection_error = input + ": " + answer.error;
--- a/tools/fleet/background_load.h
+++ b/tools/fleet/background_load.h
@@ -21,13 +21,12 @@
   std::map<std::string, std::uint64_t> error_codes;
   /// Number of answers with the outcome `completed` whose output does not match the request.
   std::uint64_t wrong_answers = 0;
-  /// Number of requests without an answer because the connection of the request failed or timed
-  /// out. Refused connections are not counted.
+  /// Number of requests without an answer because their connection failed or timed out. Refused
+  /// connections are not counted.
   std::uint64_t broken_connections = 0;
-  /// Input of the last request that `broken_connections` counts, followed by the error of the
-  /// connection of this request.
+  /// Input of the last request counted in `broken_connections`, and the error of its connection.
   std::string last_connection_error;
-  /// Number of answers received.
+  /// Number of all answers.
   std::uint64_t answered = 0;
 
   [[nodiscard]] std::uint64_t count(const std::string& outcome) const {
@@ -42,8 +41,7 @@
 class background_load {
  public:
   /// @param nodes names of the nodes to which each thread sends in turn. If a node refuses a
-  ///        connection, the request is neither counted nor sent again; the thread sends its next
-  ///        request to the next node.
+  ///        connection, the request is neither counted nor sent again.
   /// @param threads number of concurrent callers.
   background_load(const local_fleet& fleet, std::vector<std::string> nodes, unsigned threads);
   ~background_load();
@@ -55,7 +53,7 @@
   load_totals stop();
   [[nodiscard]] load_totals totals() const;
   /// Waits until `additional` further requests have completed.
-  /// @return whether the requests completed before the timeout.
+  /// @return whether they completed within `local_fleet::wait_timeout`.
   bool wait_for_completed(std::uint64_t additional) const;
 
  private:
--- a/tools/fleet/child_process.cc
+++ b/tools/fleet/child_process.cc
@@ -27,9 +27,9 @@
 }
 
 /// Returns the offset from `first_port` of the next port to try. All processes of this machine
-/// share one counter, stored in a locked file. The counter passes through all ports before it
-/// returns to the same port: a test that restarts a node must find the ports of the node free, even
-/// if another test chooses ports in the meantime.
+/// share one counter in a locked file. The counter passes through all ports before it repeats one:
+/// a test that restarts a node must find the node's ports free, even if other tests choose ports in
+/// the meantime.
 unsigned next_port_index() {
   const auto path = std::filesystem::temp_directory_path() / "spurrack-next-port";
   constexpr int file_mode = 0666;
--- a/tools/fleet/child_process.h
+++ b/tools/fleet/child_process.h
@@ -1,4 +1,4 @@
-/// Child processes of tests and of the demo. The destructor of a `child_process` kills its process.
+/// Child processes of tests and of the demo.
 #pragma once
 
 #include <filesystem>
@@ -17,12 +17,12 @@
   /// @throws std::system_error if the process cannot be started.
   child_process(const std::filesystem::path& program, const std::vector<std::string>& arguments,
                 const std::filesystem::path& log, output stdout_target = output::inherited);
-  /// Kills the process if it has not exited, and reaps it.
+  /// Kills the child process if it has not exited, and reaps it.
   ~child_process();
   child_process(const child_process&) = delete;
   child_process& operator=(const child_process&) = delete;
 
-  /// Sends a signal to the process. Does nothing if the process has been reaped.
+  /// Sends a signal to the child process. Does nothing if the process has been reaped.
   void signal(int signal_number) const;
   /// Waits for the process to exit.
   /// @return the exit code; 128 + signal number if a signal terminated the process.
--- a/tools/fleet/example_records.h
+++ b/tools/fleet/example_records.h
@@ -1,13 +1,13 @@
-/// Example templates, tenants and back ends of the two users of the project, a remittance house and
-/// a cold-chain association, for the demo, tests and measurements.
+/// Example pipeline templates, tenants and back ends for the demo, tests and measurements. They
+/// model the two users of the project, a remittance house and a cold-chain association.
 #pragma once
 
 #include "local_fleet.h"
 
 namespace spurrack::fleet {
 
-/// Access tokens of the example tenants: the agents of the remittance house and the members of the
-/// cold-chain association.
+/// Access tokens of the example tenants `agents` (of the remittance house) and `members` (of the
+/// cold-chain association).
 inline constexpr const char* agents_token = "agents-secret";
 inline constexpr const char* members_token = "members-secret";
 
--- a/tools/fleet/local_fleet.h
+++ b/tools/fleet/local_fleet.h
@@ -1,17 +1,15 @@
 /// Fleet of real processes on this machine: an emulated platform, emulated back ends, nodes, and a
 /// fault proxy in front of the peer listener of each node and in front of each back end.
 ///
-/// The platform is the service that publishes records: pipeline templates, tenants, and the list of
-/// machines, which has one machine record for each node and each back end. Nodes only read from the
-/// platform. A back end runs the calls of the stages that name its pool; a back end that generates
-/// tokens is called an engine.
+/// The platform publishes records for the nodes: pipeline templates, tenants, and the list of
+/// machines, with one record for each node and each back end. A back end runs the calls of stages
+/// that name its pool; an engine is a back end that generates tokens.
 ///
-/// A caller may send a request several times if the request has a ticket or an idempotency key: the
-/// calls of the request that must not be repeated still run at most once. A ticket is the
-/// permission of a node to run one request once. A witness of a key is a node that records which
-/// request owns the key; witnesses are chosen from the published list of nodes. A witness grants
-/// the key to the first request that asks for the key. A request runs only if a majority of the
-/// key's witnesses granted the key to the request.
+/// A request with a ticket or an idempotency key may be sent several times; its calls that must not
+/// be repeated still run at most once. A ticket is the permission of a node to run one request
+/// once. A request with a key runs only if a majority of the key's witnesses grant it the key. The
+/// witnesses of a key are nodes chosen from the published list of nodes; each grants the key to the
+/// first request that asks.
 #pragma once
 
 #include "child_process.h"
@@ -40,9 +38,9 @@
   std::string zone;
   std::string pool;
   int concurrency = 8;
-  /// Time that the back end takes for a call, in microseconds, without the time to generate tokens.
+  /// Duration of a call in microseconds, without the time to generate tokens.
   int service_microseconds = 1'000;
-  /// Time that the back end takes to generate one token, in microseconds.
+  /// Time to generate one token, in microseconds.
   int token_microseconds = 500;
   /// Maximum number of calls in flight at the back end; the back end refuses further calls.
   int max_in_flight = 64;
@@ -56,14 +54,13 @@
   /// Lifetime of an idempotency key. A restarted witness has lost its records of granted keys, so
   /// it grants no keys until it has been up for this time.
   int key_lifetime_ms = 1'000;
-  /// Time after a change of the published list of nodes during which two majorities must grant a
-  /// key: a majority of the witnesses that are chosen from the new list, and a majority of the
-  /// witnesses that were chosen from the old list.
+  /// Time after a change of the published list of nodes during which both a majority of the
+  /// witnesses from the new list and a majority of the witnesses from the old list must grant a
+  /// key.
   int list_window_ms = 3'600'000;
   /// YAML lines that are appended to the settings file of each node.
   std::string extra_settings;
-  /// Whether connections to the peer listeners of nodes and connections to back ends pass through
-  /// the fault proxy.
+  /// Whether connections to peer listeners and to back ends pass through the fault proxy.
   bool uses_proxy = true;
 };
 
@@ -77,9 +74,9 @@
   std::string peers_advertised;
 };
 
-/// Starts and owns the processes of the fleet. A function that waits for a condition returns as
-/// soon as the condition holds. If the condition does not hold within `wait_timeout`, the function
-/// throws std::runtime_error, except `wait_until`, which returns false.
+/// Starts and owns the processes of the fleet. Functions that wait for a condition throw
+/// std::runtime_error if it does not hold within `wait_timeout`, except `wait_until`, which returns
+/// false.
 class local_fleet {
  public:
   static constexpr std::chrono::seconds wait_timeout{30};
@@ -92,16 +89,14 @@
 
   /// Starts all nodes and waits until all nodes are ready.
   void start_all_nodes();
-  /// Starts a node, or restarts a node that has been stopped. Does not wait until the node is
-  /// ready.
+  /// Starts a node, or restarts a stopped node. Does not wait until the node is ready.
   void start_node(const std::string& name);
-  /// Sets the YAML lines that are appended to the settings file of each node that is started after
-  /// this call.
+  /// Sets the YAML lines for the settings files of nodes that are started after this call.
   void set_extra_settings(const std::string& lines) { description_.extra_settings = lines; }
   /// Waits until a node is ready to accept requests.
   void wait_until_ready(const std::string& name);
-  /// Waits until all nodes may grant idempotency keys as witnesses. A node may grant keys once it
-  /// has been up for `key_lifetime_ms`.
+  /// Waits until all nodes may grant idempotency keys as witnesses, that is until each has been up
+  /// for `key_lifetime_ms`.
   void wait_until_all_may_witness();
   /// Polls a condition until the condition holds or `wait_timeout` has passed.
   /// @return whether the condition holds.
@@ -126,13 +121,13 @@
   /// @param state `live` or `leaving`.
   /// @param generation number that the platform increases each time a back end that left returns.
   void publish_backend(const std::string& name, const std::string& state, int generation) const;
-  /// Sets the mode of the emulated platform, which determines how the platform answers nodes: `up`
-  /// (normal), `down`, `slow` or `stale`, as described in standins/platform_stand_in.cc.
+  /// Sets how the emulated platform answers nodes.
+  /// @param mode `up` (normally), `down` (resets the connection), `slow` or `stale` (no new
+  /// entries).
   void set_platform_mode(const std::string& mode) const;
-  /// Sets the fault of links of the fault proxy.
-  /// @param links names of the links. A link has the name of the node or back end to which it
-  ///        leads.
-  /// @param fault fields of the JSON body of `/admin/fault` of the proxy, such as `cut`. An absent
+  /// Sets the faults of links of the fault proxy.
+  /// @param links names of the nodes or back ends to which the links lead.
+  /// @param fault fields of the JSON body of the proxy's `/admin/fault`, such as `cut`. An absent
   ///        field clears the fault of this name.
   void set_link_fault(const std::vector<std::string>& links,
                       const boost::json::object& fault) const;
@@ -145,17 +140,16 @@
   ///         `/v1/status`; an empty object on failure.
   [[nodiscard]] boost::json::object get_document(const std::string& node,
                                                  const std::string& path) const;
-  /// @return number of calls that a back end has executed, summed over all requests.
+  /// @return number of calls that a back end has executed.
   [[nodiscard]] std::int64_t executions(const std::string& backend) const;
   [[nodiscard]] std::int64_t executions_in_pool(const std::string& pool) const;
   [[nodiscard]] const fleet_description& description() const { return description_; }
-  /// Folder that contains the settings and logs of the processes. The destructor deletes the
-  /// folder.
+  /// Folder with the settings and logs of the processes. The destructor deletes the folder.
   [[nodiscard]] const std::filesystem::path& folder() const { return folder_; }
 
-  /// Requests a ticket, the permission to run one request once, from a node.
+  /// Requests a ticket from a node.
   /// @param token access token of a tenant.
-  /// @return the ticket; empty if the answer of the node contains no ticket.
+  /// @return the ticket; empty if the answer of the node contains none.
   [[nodiscard]] std::string request_ticket(const std::string& node, const std::string& token) const;
   /// Sends a pipeline request to the caller listener of a node and waits for the answer.
   [[nodiscard]] http_answer
--- a/tools/load_scenario.cc
+++ b/tools/load_scenario.cc
@@ -33,8 +33,8 @@
   - {name: rerank, kind: rerank, pool: rerankers}
   - {name: generate, kind: generate, pool: engines, max_tokens: 20}
 )";
-/// Pipeline template that mainly loads the retrievers and rerankers: it has two retrieval stages
-/// and two reranking stages, and generates only a few tokens.
+/// Pipeline template that mainly loads the retrievers and rerankers: it has two stages for each of
+/// them, and generates only a few tokens.
 constexpr const char* review_template = R"(name: review
 deadline_ms: 1500
 stages:
@@ -55,8 +55,8 @@
     profile.name = pool + "-" + profile.zone + std::to_string(index);
     profile.pool = pool;
     profile.concurrency = concurrency;
-    // Like real engines, a simulated back end queues the calls that it cannot run at once. The back
-    // end refuses a call only if its queue is very long.
+    // Like real engines, a simulated back end queues calls that it cannot run at once, and refuses
+    // a call only if its queue is very long.
     profile.max_calls = concurrency * 40;
     profile.service_time = service;
     profile.time_per_token = token;
--- a/tools/load_scenario.h
+++ b/tools/load_scenario.h
@@ -1,7 +1,6 @@
-/// Compares balancing policies under open-loop load: callers send requests at a given rate, whether
-/// or not earlier requests have been answered. The load runs on simulated fleets of the size that
-/// the fleet of each user of the project has at present. An engine is a back end that generates
-/// tokens.
+/// Simulates the fleet of each user of the project, at its present size, under load, to compare
+/// balancing policies. The load is open-loop: callers send requests at a given rate, whether or not
+/// earlier requests have been answered. An engine is a back end that generates tokens.
 #pragma once
 
 #include "routing/balancing_policy.h"
@@ -13,8 +12,7 @@
 
 namespace spurrack::experiment {
 
-/// Balancing policy to compare, combined with the choice whether admission predicts missed
-/// deadlines.
+/// Balancing policy to compare, with or without the prediction of missed deadlines at admission.
 struct policy_variant {
   std::string name;
   routing::policy_kind policy = routing::policy_kind::adaptive;
@@ -22,7 +20,7 @@
   bool predict = true;
 };
 
-/// Fault that is injected at the start of the measured time.
+/// Fault that is injected into the simulated fleet at the start of the measured time.
 enum class scenario_fault : std::uint8_t {
   none,
   slow_replica,
@@ -34,10 +32,9 @@
 /// Load and fault of one simulation run.
 struct scenario {
   std::string name;
-  /// Offered load: rate at which callers send requests, as a multiple of `user_profile::capacity`.
+  /// Rate at which callers send requests, as a multiple of `user_profile::capacity`.
   double offered_load = 0.7;
-  /// Offered load during the burst, as a multiple of `user_profile::capacity`; 0 for no burst. The
-  /// burst is the middle third of the measured time.
+  /// This rate during the burst, the middle third of the measured time; 0 for no burst.
   double burst_load = 0;
   /// Name of the pipeline template of all requests during the burst; empty if the burst uses the
   /// usual mix of templates.
@@ -45,7 +42,7 @@
   scenario_fault fault = scenario_fault::none;
 };
 
-/// Fleet of a user of the project, and the mix of the requests that the user sends.
+/// Simulated fleet of a user of the project, and the mix of the requests that the user sends.
 struct user_profile {
   std::string name;
   std::vector<simulation::node_profile> nodes;
@@ -61,31 +58,31 @@
   double capacity = 0;
 };
 
-/// Result of one simulation run. Covers the requests that callers send after the warm-up. Times are
+/// Result of one simulation run, over the requests that callers send after the warm-up. Times are
 /// in seconds.
 struct measurement {
   /// Number of requests sent per second.
   double offered_rate = 0;
   /// Fraction of the sent requests that completed within their deadline.
   double attainment = 0;
-  /// Number of requests that completed within their deadline, divided by the smaller of two
-  /// numbers: the number of sent requests, and the number of requests that `user_profile::capacity`
-  /// allows in the measured time.
+  /// Number of requests that completed within their deadline, divided by the smaller of the number
+  /// of sent requests and the number that `user_profile::capacity` allows in the measured time.
   double goodput = 0;
-  /// `attainment` of the tenant that sends the smallest fraction of the requests.
+  /// Fraction of the sent requests that completed within their deadline, of the tenant that sends
+  /// the fewest requests.
   double smallest_tenant_attainment = 0;
   /// Fraction of the time of back ends that was spent on calls whose result no completed request
-  /// used. The time of an aborted call is counted from the dispatch of the call, so it includes the
-  /// time in the network and in the queue of the back end.
+  /// used. The time of an aborted call begins at its dispatch, so it includes the time in the
+  /// network and in the queue of the back end.
   double wasted_share = 0;
-  /// 99th percentile of the time between sending a request and its refusal.
+  /// 99th percentile of the time from sending a request to its refusal.
   double refusal_p99 = 0;
-  /// Percentiles of the latency of completed requests.
+  /// Percentiles of the time from sending a completed request to its answer.
   double p50 = 0;
   double p95 = 0;
   double p99 = 0;
-  /// 95th percentile of the time between sending a request and the arrival of its first token at
-  /// the caller, over all requests whose stream of tokens began.
+  /// 95th percentile of the time from sending a request to the arrival of its first token at the
+  /// caller, over all requests whose stream of tokens began.
   double first_token_p95 = 0;
   std::uint64_t requests = 0;
 };
--- a/tools/speed.cc
+++ b/tools/speed.cc
@@ -70,9 +70,8 @@
   return std::chrono::duration<double>(clock_type::now() - started_at).count();
 }
 
-/// @return latencies in seconds of `count` sequences of direct calls. Each sequence calls, one
-///         after another, one back end of each of the four stages. The calls do not pass through a
-///         node.
+/// @return latencies in seconds of `count` sequences of direct calls, which pass through no node.
+///         Each sequence calls, one after another, one back end of each of the four stages.
 std::vector<double> measure_direct_latencies(const fleet::local_fleet& fleet, int count) {
   const std::vector<std::pair<std::string, std::string>> stages{{"encode", "encoder"},
                                                                 {"retrieve", "retriever"},
