--- a/standins/backend_stand_in.cc
+++ b/standins/backend_stand_in.cc
@@ -1,7 +1,7 @@
-/// Emulates a back end: an engine (generates tokens), a back end of another stage pool (encodes,
-/// retrieves or reranks), or a plain service. The path of a call names the kind of its stage. Each
-/// call takes a configured time. Executions are counted by request. `/admin/fault` sets the fault
-/// that the back end injects into calls.
+/// Emulates a back end for tests: an engine (generates tokens), a back end of another stage pool
+/// (encodes, retrieves or reranks), or a plain service. The path of a call names the kind of its
+/// stage. Each call takes a configured time. `/admin/counts` returns the executions by request,
+/// `/admin/fault` sets the fault that the back end injects into calls.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -52,9 +52,9 @@
 
 struct backend_settings {
   std::string id;
-  /// Time that the back end takes for a call, without the time to generate tokens.
+  /// Duration of a call without the time to generate tokens.
   std::chrono::microseconds service_time{0};
-  /// Time that the back end takes to generate one token.
+  /// Time to generate one token.
   std::chrono::microseconds token_time{0};
   std::int64_t concurrency = 8;
   /// Maximum number of calls in flight at the back end; the back end refuses further calls.
@@ -102,9 +102,7 @@
     return body;
   }
 
-  /// Chooses the fault of a new call. If the call has a fault, decrements the number of further
-  /// calls that get this fault.
-  /// @return fault of the call.
+  /// Returns the fault of a new call, and decrements the number of faulty calls that remain.
   fault take_next_fault() {
     if (current_fault_ == fault::none || remaining_faulty_calls_ <= 0) {
       return fault::none;
@@ -237,7 +235,7 @@
   std::int64_t in_flight_ = 0;
   /// Number of calls whose caller closed the connection before the back end had sent all tokens.
   std::int64_t cancelled_ = 0;
-  /// Number of executed calls, by id of the request to which the calls belong.
+  /// Number of executed calls by request id.
   std::map<std::string, std::int64_t> executions_;
 };
 
--- a/standins/fault_proxy.cc
+++ b/standins/fault_proxy.cc
@@ -1,8 +1,8 @@
 /// TCP proxy that injects faults. A link consists of a listening address and a target: the proxy
-/// accepts connections at the listening address and forwards the connections to the target.
-/// `--link` defines the links. `/admin/fault` sets the fault of a link: a cut link resets its
-/// connections, a delayed link forwards bytes later, and a black hole keeps its connections open
-/// but holds back all bytes.
+/// forwards the connections that it accepts at the listening address to the target. `--link`
+/// defines the links. `/admin/fault` sets the fault of a link: a cut link resets its connections, a
+/// delayed link forwards bytes later, and a black hole keeps its connections open but holds back
+/// all bytes.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -36,18 +36,18 @@
 /// hole.
 constexpr std::chrono::milliseconds black_hole_poll_interval{20};
 
-/// State of a link. All connections of the link share this state.
+/// State of a link, which all its connections share.
 struct proxy_link {
   tcp::endpoint target;
   /// Whether the link is cut: new connections are reset. Existing connections are reset at the
   /// moment of the cut.
   bool is_cut = false;
-  /// Whether the link is a black hole: connections stay open, but their bytes are held back. The
-  /// bytes are forwarded once the link is no longer a black hole, because after a real network
-  /// failure the kernel of the sender would retransmit the bytes. No byte of a stream is lost.
+  /// Whether the link is a black hole: connections stay open, but their bytes are held back. No
+  /// byte is lost: all are forwarded once the link is no longer a black hole, as the sender's
+  /// kernel would retransmit them after a real network failure.
   bool is_black_hole = false;
-  /// Time for which each block of bytes is delayed between reading the block from one socket and
-  /// writing the block to the other socket.
+  /// Time for which each block of bytes is delayed between its read from one socket and its write
+  /// to the other socket.
   std::chrono::milliseconds delay{0};
   /// Both sockets of each connection of the link.
   std::list<std::weak_ptr<tcp::socket>> sockets;
--- a/standins/http_service.h
+++ b/standins/http_service.h
@@ -1,5 +1,5 @@
-/// Small HTTP server that the emulated services share. One coroutine serves each connection, and a
-/// handler answers each request.
+/// Small HTTP server of the emulated services. One coroutine serves each connection, and a handler
+/// answers each request.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,8 +16,8 @@
 
 using service_request = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// HTTP request, with functions that answer the request. Refers to the stream of the connection,
-/// which must outlive this object.
+/// HTTP request, with functions to answer it. Refers to the stream of the connection, which must
+/// outlive this object.
 class service_exchange {
  public:
   service_exchange(boost::beast::tcp_stream& stream, service_request request)
--- a/standins/platform_stand_in.cc
+++ b/standins/platform_stand_in.cc
@@ -1,7 +1,7 @@
 /// Emulates the platform, the service that publishes the configuration and the list of machines.
-/// Nodes only read from the platform. Serves `GET /v1/entries` for nodes and `/admin/...` for
-/// tests. Counts the calls of nodes. The platform can be slow, stale (answers without new entries)
-/// or down, and can be restored to an earlier revision.
+/// Serves `GET /v1/entries` for nodes, which only read, and `/admin/...` for tests. Counts the
+/// calls of nodes. Tests can make the platform slow, stale (it answers without new entries) or
+/// down, and can restore it to an earlier revision.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -83,9 +83,9 @@
     return body;
   }
 
-  /// Answers with the entries that were published after the revision `after_revision`. If no entry
-  /// was published after this revision, first waits for the next change by a test, for at most
-  /// `wait_ms` milliseconds. The modes `down`, `slow` and `stale` change this behaviour.
+  /// Answers with the entries that were published after the revision `after_revision`. If there are
+  /// none, first waits at most `wait_ms` milliseconds for the next change by a test. The modes
+  /// `down`, `slow` and `stale` change this behaviour.
   asio::awaitable<void> reply_with_entries(service_exchange& exchange, std::uint64_t after_revision,
                                            std::uint64_t wait_ms) {
     ++calls_;
@@ -181,11 +181,10 @@
   std::uint64_t revision_ = 0;
   std::uint64_t calls_ = 0;
   mode mode_ = mode::up;
-  /// Revision of the platform at the last call of `/admin/mode`. Answers in the mode `stale`
-  /// contain this revision.
+  /// Revision at the last call of `/admin/mode`; answers in the mode `stale` contain it.
   std::uint64_t stale_revision_ = 0;
   std::chrono::milliseconds slow_delay_{0};
-  /// Timers that limit the waits of pending reads for a change. Cancelling a timer wakes its read.
+  /// One timer for each read that waits for a change. Cancelling the timer wakes the read.
   std::set<std::shared_ptr<asio::steady_timer>> waiting_reads_;
 };
 
--- a/tests/fleet/answers_test.cc
+++ b/tests/fleet/answers_test.cc
@@ -1,6 +1,6 @@
-/// Tests with real processes: late, duplicated and truncated answers of back ends, answers with the
-/// id of another request, broken streams of tokens, callers that disconnect, and malformed
-/// requests.
+/// Tests with real processes: back ends whose answers are late, duplicated, truncated, broken off
+/// in the stream of tokens or carry the id of another request; callers that disconnect or send
+/// malformed requests.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 
 /// Small fleet whose nodes have a short timeout for receiving a request and a low limit for the
-/// size of its body.
+/// size of request bodies.
 struct small_fleet_fixture {
   small_fleet_fixture() : fleet(binaries(), describe()) { fleet.start_all_nodes(); }
   static fleet_description describe() {
--- a/tests/fleet/disturbance_test.cc
+++ b/tests/fleet/disturbance_test.cc
@@ -1,9 +1,7 @@
 /// Tests with real processes: nodes that are killed, suspended, partitioned or stopped, outages of
-/// the platform, and back ends that hang or announce a drain. Most tests run under load.
-///
-/// The platform is the service that publishes the configuration and the list of machines; nodes
-/// only read from the platform. The configuration that changes in the tests is `client-answer`, an
-/// example pipeline template from tools/fleet/example_records.cc.
+/// the platform (the service that publishes the configuration), and back ends that hang or announce
+/// a drain. Most tests run under load. To change the configuration, tests publish the pipeline
+/// template `client-answer` with another deadline.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -18,7 +16,7 @@
     fleet.start_all_nodes();
   }
 
-  /// @return whether the node `node` reports that the node `subject` is in the state `state`.
+  /// @return whether `node` reports that the node `subject` is in `state`.
   [[nodiscard]] bool reports_state(const std::string& node, const std::string& subject,
                                    const std::string& state) const {
     const auto document = fleet.get_document(node, "/v1/nodes");
@@ -56,8 +54,7 @@
     fleet.publish({{"templates/client-answer", template_text}});
   }
 
-  /// @return whether the node `node` uses the deadline `deadline_ms` for the pipeline template
-  ///         `client-answer`.
+  /// @return whether `node` uses the deadline `deadline_ms` for the template `client-answer`.
   [[nodiscard]] bool is_in_effect(const std::string& node, int deadline_ms) const {
     const auto document = fleet.get_document(node, "/v1/templates");
     const auto* templates = document.if_contains("templates");
@@ -144,8 +141,8 @@
   fleet.set_platform_mode("down");
   fleet.node("entry-south1").signal(SIGKILL);
   fleet.node("entry-south1").wait();
-  // Because the platform is down, the restarted node gets the published configuration from the
-  // other nodes.
+  // While the platform is down, the restarted node can get the configuration only from the other
+  // nodes.
   fleet.start_node("entry-south1");
   fleet.wait_until_ready("entry-south1");
   BOOST_TEST(is_in_effect("entry-south1", 2'700));
@@ -267,7 +264,7 @@
         "curve:\n  public_key: '" + public_key + "'\n  secret_key: '" + secret_key + "'\n";
     return description;
   };
-  // CURVE key pairs from the ZeroMQ examples. The key pairs are not used outside tests.
+  // CURVE key pairs from the ZeroMQ examples, not used outside tests.
   const std::string first_public = "rq:rM>}U?@Lns47E1%kR.o@n%FcmmsL/@{H8]yf7";
   const std::string first_secret = "JTKVSB%%)wK0E.X)V>+}o?pNmC{O&4W4b!Ni{Lh6";
   local_fleet fleet(binaries(), with_keys(first_public, first_secret));
@@ -295,9 +292,8 @@
     const std::string name = "\nspurrack_control_sent_bytes_total ";
     return std::stod(body.substr(body.find(name) + name.size()));
   };
-  // Number of bytes that the restarted node entry-north2 has sent by the time at which several
-  // membership probes were sent. The node entry-north1 has a different key pair, so it must not
-  // accept any of these probes.
+  // Number of bytes that entry-north2 has sent once several of its membership probes were sent. The
+  // node entry-north1 has a different key pair, so it must accept none of these probes.
   constexpr double several_probes_bytes = 600;
   bool was_seen_alive = false;
   BOOST_TEST(local_fleet::wait_until([&] {
--- a/tests/fleet/effects_test.cc
+++ b/tests/fleet/effects_test.cc
@@ -1,10 +1,9 @@
-/// Tests with real processes: a call that must not be repeated (here a payout) runs at most once.
-/// The tests check how many payouts the back ends report as executed.
+/// Tests with real processes: a payout, a call that must not be repeated, runs at most once. The
+/// tests check how many payouts the back ends report as executed.
 ///
-/// Each request has an idempotency key or a ticket. A ticket is the permission of a node to run one
-/// request once. A witness of a key is a node that records which request owns the key; a request
-/// runs only if a majority of the key's witnesses granted the key to the request. The owner node of
-/// a key is the node that runs the request that owns the key.
+/// Each request has a ticket or an idempotency key, as described in tools/fleet/local_fleet.h: a
+/// request runs only if a node permits it to run once, or if a majority of the key's witnesses
+/// grant it the key. The owner of a key is the node that runs this request.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -14,7 +13,8 @@
 
 using namespace spurrack::fleet;
 
-/// Fleet of three zones with one node each. If one node fails, a majority of the witnesses remains.
+/// Fleet of three zones with one node each, so that a majority of the witnesses remains if one node
+/// fails.
 struct payout_fleet {
   payout_fleet() : fleet(binaries(), describe()) {
     fleet.start_all_nodes();
@@ -75,9 +75,8 @@
       std::async(std::launch::async, [this] { return pay(fleet, "entry-north1", "k4", 300); });
   const auto other_answer = pay(fleet, "entry-south1", "k4");
   BOOST_TEST(string_field(other_answer, "outcome") == "completed");
-  // Waits until the witnesses' records of the key have expired. After that, no witness prevents the
-  // suspended node entry-north1 from running the payout a second time when the node resumes. Only
-  // the age of the waiting request can prevent this.
+  // Waits until the witnesses' records of the key have expired. They can then no longer prevent a
+  // second payout when entry-north1 resumes; only the age of its waiting request can.
   BOOST_TEST(local_fleet::wait_until(
       [&, until = std::chrono::steady_clock::now() + std::chrono::milliseconds(3'500)] {
         return std::chrono::steady_clock::now() >= until;
@@ -95,9 +94,8 @@
     const char* outcome;
     std::int64_t executions;
   };
-  // A back end that refuses a call has not run the call, so the node sends the call to another back
-  // end. If a call fails while the node sends the call or waits for the answer, the node cannot
-  // know whether the call ran.
+  // A back end that refuses a call has not run it, so the node sends the call to another back end.
+  // If a call fails in any other way after the node began to send it, it may have run.
   int number = 0;
   for (const auto& [fault, outcome, executions] :
        {row{"reset_early", "unknown", 0}, row{"reset", "unknown", 1}, row{"truncate", "unknown", 1},
@@ -122,8 +120,8 @@
 
 BOOST_AUTO_TEST_CASE(refused_connection_is_retried_at_another_back_end) {
   auto description = describe();
-  // The fault proxy would accept the connection to the killed back end. Without the proxy, the
-  // kernel refuses this connection.
+  // Without the fault proxy, which would accept the connection to the killed back end, the kernel
+  // refuses it.
   description.uses_proxy = false;
   local_fleet direct(binaries(), description);
   direct.start_all_nodes();
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -10,7 +10,7 @@
 
 namespace spurrack::fleet {
 
-/// @return folder of the programs under test. The build defines the folder as a macro.
+/// @return folder of the programs under test, which the build defines as a macro.
 inline std::filesystem::path binaries() {
   return SPURRACK_BINARIES;
 }
@@ -22,8 +22,8 @@
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : "";
 }
 
-/// @return description of a fleet of one zone with two nodes and a single back end of each pool.
-///         Every request therefore uses the back end in which a test injects a fault.
+/// @return description of a fleet of one zone with two nodes and a single back end of each pool, so
+///         that every request uses the back end in which a test injects a fault.
 inline fleet_description small_fleet() {
   auto fleet = example_fleet({"north"}, 2);
   std::erase_if(fleet.backends, [](const auto& backend) { return backend.name.ends_with("2"); });
--- a/tests/fleet/golden_test.cc
+++ b/tests/fleet/golden_test.cc
@@ -1,8 +1,7 @@
-/// Runs a session (a few requests to a new fleet) for each example user and compares the recorded
-/// session with a golden file. The record holds the bytes that the caller sends and receives, and
-/// the timeline of the node. Ids, tickets, durations, lengths and names of back ends are
-/// normalised. `SPURRACK_UPDATE_GOLDEN=1` rewrites the golden files. Also tests the exit codes of
-/// spurrackctl.
+/// Runs a session (a few requests to a new fleet) for each example user and compares it with a
+/// golden file: the bytes that the caller sends and receives, and the timeline of the node. Ids,
+/// tickets, durations, lengths and names of back ends are normalised. `SPURRACK_UPDATE_GOLDEN=1`
+/// rewrites the golden files. Also tests the exit codes of spurrackctl.
 #include "fleet_fixture.h"
 
 #include <fstream>
@@ -17,20 +16,18 @@
   std::string pipeline;
   std::string input;
   bool stream = false;
-  /// Whether the request is sent with a ticket, a permission of a node to run one request once.
+  /// Whether the request carries a ticket, the permission of a node to run the request once.
   bool has_ticket = false;
 };
 
-/// Replaces the parts of a recorded session that differ from one test run to the next, such as ids,
-/// by fixed words.
+/// Replaces the parts of a session that differ between test runs, such as ids, by fixed words.
 std::string normalise(std::string text) {
   static const std::vector<std::pair<std::regex, std::string>> rules{
       {std::regex("entry-north1-[0-9a-f]+-([0-9]+)"), "REQUEST-$1"},
       {std::regex("entry-north1~[0-9a-f]+~[0-9a-f]+"), "TICKET"},
       {std::regex("\"(backend_ms|wasted_ms)\":[-+.0-9E]+"), "\"$1\":TIME"},
       {std::regex("(engine|encoder|retriever|reranker)-north[0-9]"), "$1-ANY"},
-      // The Content-Length of an answer depends on the number of digits of the durations in its
-      // body (`backend_ms` and `wasted_ms`).
+      // The Content-Length of an answer depends on the number of digits of the durations in it.
       {std::regex("Content-Length: [0-9]+"), "Content-Length: LENGTH"},
       {std::regex("\r"), ""}};
   for (const auto& [pattern, replacement] : rules) {
@@ -57,8 +54,7 @@
   return answer;
 }
 
-/// @return the events of the timeline of the node entry-north1 that name a request, one event per
-///         line.
+/// @return the events in the timeline of the node entry-north1 that name a request, one per line.
 std::string format_timeline(const local_fleet& fleet) {
   std::ostringstream lines;
   const auto document = fleet.get_document("entry-north1", "/v1/timeline");
@@ -72,7 +68,7 @@
   return lines.str();
 }
 
-/// Runs a session on a new fleet and compares the recorded session with the golden file `name`.
+/// Runs a session on a new fleet and compares it with the golden file `name`.
 void check_session(const std::string& name, const std::string& token,
                    const std::vector<session_step>& steps) {
   local_fleet fleet(binaries(), example_fleet({"north"}, 1));
--- a/tests/simulation/control_traffic_test.cc
+++ b/tests/simulation/control_traffic_test.cc
@@ -1,6 +1,6 @@
-/// Control traffic (messages between nodes) of a fleet in three regions: by kind of message, by
-/// node and between regions. Measured in steady state, and after all nodes exited at once and were
-/// started again.
+/// Simulated fleets in three regions: control traffic (messages between nodes) by kind of message,
+/// by node and between regions. Measured in steady state, and after all nodes exited at once and
+/// were started again.
 #include "regional_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -21,7 +21,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Maximum time between the starts of two nodes of a fleet.
+/// Time within which all nodes of a fleet are started.
 constexpr int start_spread_milliseconds = 300;
 constexpr double kilobyte = 1000;
 
@@ -30,15 +30,15 @@
   return field == nullptr ? "none" : field->name();
 }
 
-/// Rates of the messages of a fleet over a measured time.
+/// Mean rates of the messages of a fleet over a measured time.
 class traffic_report {
  public:
   traffic_report(fleet_simulation& fleet, double measured_seconds)
       : fleet_(&fleet), measured_seconds_(measured_seconds),
         node_count_(fleet.node_names().size()) {}
 
-  /// @return rate of each node in kilobytes per second, sent and received together, with the name
-  ///         of the node; in ascending order.
+  /// @return kilobytes per second that each node sends and receives together, with the name of the
+  ///         node; in ascending order.
   [[nodiscard]] std::vector<std::pair<double, std::string>> by_node() const {
     std::map<std::string, std::uint64_t> sums;
     for (const auto& [flow, bytes] : fleet_->traffic().flows()) {
@@ -100,12 +100,12 @@
   std::size_t node_count_;
 };
 
-/// State that every node of a starting fleet reaches, and the time at which each node reached the
-/// state.
+/// State that every node of a starting fleet reaches, and the times at which the nodes reached it.
 struct milestone {
   std::string label;
   std::function<bool(const node::node&)> is_reached;
-  /// Time at which each node reached the state, in milliseconds after the start of the fleet.
+  /// Time at which each node reached the state, by name of the node, in milliseconds after the
+  /// start of the fleet.
   std::map<std::string, double> reached_at{};
 
   [[nodiscard]] std::vector<double> sorted_times() const {
@@ -174,7 +174,8 @@
   return timeline;
 }
 
-/// Checks that the sent bytes that each node counts by class add up to the total of the node.
+/// Checks that the sent bytes that a node counts by kind of message and locality of the receiver
+/// add up to its total, for each node.
 void check_counters(const fleet_simulation& fleet) {
   for (const auto& name : fleet.node_names()) {
     const auto& control = fleet.node(name).control();
@@ -229,7 +230,7 @@
   BOOST_TEST(timeline.all_members_known.reached_at.size() == static_cast<std::size_t>(nodes));
   BOOST_TEST(timeline.all_members_known.last() <= max_restart_milliseconds);
   BOOST_TEST(report.between_regions() <= 2 * max_kilobytes_between_regions(nodes));
-  // A fifth of the rate of a 10 Mbit/s link; both directions of the node's traffic together.
+  // A fifth of the rate of a 10 Mbit/s link, for sent and received bytes together.
   constexpr double max_kilobytes_per_node = 250;
   BOOST_TEST(report.by_node().back().first <= max_kilobytes_per_node);
 }
--- a/tests/simulation/evacuation_spread_test.cc
+++ b/tests/simulation/evacuation_spread_test.cc
@@ -1,5 +1,6 @@
-/// Time from the publication of an evacuation until the evacuation takes effect at all nodes of a
-/// fleet: with and without access to the store, at the start of a node and after a partition.
+/// Simulated fleets: time from the publication of the evacuation of a zone until all nodes apply
+/// the evacuation, with and without access to the store, at the start of a node and after a
+/// partition.
 #include "regional_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Maximum time from the publication of an evacuation until it takes effect at all nodes.
+/// Maximum time from the publication of an evacuation until all nodes apply it.
 constexpr base::duration max_spread_time = seconds(1);
 const std::string key = std::string(model::evacuation_prefix) + "z1";
 
@@ -23,8 +24,8 @@
   return record.SerializeAsString();
 }
 
-/// @return whether all nodes run and the catalog of each node shows the zone `z1` as evacuated; as
-///         not evacuated if `evacuated` is false.
+/// @return whether all nodes run and the zone `z1` is evacuated in the catalog of each node; not
+///         evacuated if `evacuated` is false.
 bool all_have_evacuation_state(const fleet_simulation& fleet, bool evacuated) {
   for (const auto& name : fleet.node_names()) {
     const bool has_expected_state =
--- a/tests/simulation/large_catalog_test.cc
+++ b/tests/simulation/large_catalog_test.cc
@@ -1,5 +1,5 @@
-/// Number of bytes that the nodes of a fleet send to each other to distribute a catalog of up to
-/// 1,000 replicas: after the start of the fleet, and after all nodes exited at once and were
+/// Simulated fleets: number of bytes that nodes send to each other to distribute a catalog of up to
+/// 1,000 replicas, after the start of the fleet, and after all nodes exited at once and were
 /// started again.
 #include "catalog/entry_packing.h"
 #include "serving_fleet.h"
@@ -81,15 +81,15 @@
   return static_cast<double>(message.ByteSizeLong());
 }
 
-/// Maximum number of bytes that a node sends to distribute the catalog, as a multiple of the size
-/// of the whole catalog; mean over all nodes.
+/// Maximum of the mean, over all nodes, of the bytes that a node sends to distribute the catalog,
+/// as a multiple of the size of the whole catalog.
 constexpr double max_mean_catalogs_sent = 2.5;
-/// Maximum number of bytes that a single node sends to distribute the catalog, as a multiple of the
+/// Maximum of the bytes that a single node sends to distribute the catalog, as a multiple of the
 /// size of the whole catalog. Higher than the mean because all other nodes request the catalog from
 /// the nodes that received it first.
 constexpr double max_catalogs_sent = 40;
-/// Maximum number of bytes that a node sends to compare its catalog with the catalogs of other
-/// nodes, in addition to the bytes of entries. A comparison has two kilobytes.
+/// Maximum number of bytes that a node sends, besides entries, to compare its catalog with the
+/// catalogs of other nodes. One comparison takes two kilobytes.
 constexpr double comparison_bytes = 10'000;
 
 void check_traffic(const fleet_simulation& fleet, const std::string& label) {
--- a/tests/simulation/long_cut_test.cc
+++ b/tests/simulation/long_cut_test.cc
@@ -1,6 +1,6 @@
-/// Two tests of long runs: a zone that is partitioned from the other zones and from the platform
-/// for hours of virtual time, and the number of reads that fleets of different sizes send to the
-/// platform.
+/// Long runs of simulated fleets: a zone that is partitioned from the other zones and from the
+/// platform for hours of virtual time, and the number of reads that fleets of different sizes send
+/// to the platform.
 #include "simulation/random_faults.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/simulation/promises_test.cc
+++ b/tests/simulation/promises_test.cc
@@ -1,5 +1,6 @@
-/// Checks the invariants of a fleet under seeded random faults, and that a run with any single
-/// safety mechanism switched off violates an invariant, which shows that the checks can fail.
+/// Checks the invariants of simulated fleets under seeded random faults. Also checks that a run
+/// with any single safety mechanism switched off violates an invariant, to show that the checks can
+/// fail.
 #include "simulation/random_faults.h"
 
 #include <boost/test/data/monomorphic.hpp>
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -1,5 +1,5 @@
-/// Number of reads that a fleet in one region sends to the platform's store, and time until changes
-/// reach all nodes while only some nodes have access to the store.
+/// Simulated fleets in one region: number of reads that a fleet sends to the platform's store, and
+/// time until changes reach all nodes while only some nodes have access to the store.
 #include "serving_fleet.h"
 
 #include "node/node_roles.h"
@@ -36,7 +36,7 @@
   return settings;
 }
 
-/// @return number of reads of the store in 48 s without changes.
+/// @return number of reads that a fleet sends to the store in 48 s without changes.
 std::uint64_t idle_calls(int nodes, int zones) {
   fleet_simulation fleet(region_settings(nodes, zones));
   fleet.start_all_nodes();
--- a/tools/fleet/local_fleet.h
+++ b/tools/fleet/local_fleet.h
@@ -122,8 +122,8 @@
   /// @param generation number that the platform increases each time a back end that left returns.
   void publish_backend(const std::string& name, const std::string& state, int generation) const;
   /// Sets how the emulated platform answers nodes.
-  /// @param mode `up` (normally), `down` (resets the connection), `slow` or `stale` (no new
-  /// entries).
+  /// @param mode `up` (normally), `down` (resets the connection), `slow` (after a delay) or `stale`
+  ///        (without new entries).
   void set_platform_mode(const std::string& mode) const;
   /// Sets the faults of links of the fault proxy.
   /// @param links names of the nodes or back ends to which the links lead.
--- a/tools/load_scenario.h
+++ b/tools/load_scenario.h
@@ -34,7 +34,8 @@
   std::string name;
   /// Rate at which callers send requests, as a multiple of `user_profile::capacity`.
   double offered_load = 0.7;
-  /// This rate during the burst, the middle third of the measured time; 0 for no burst.
+  /// Rate of requests during the burst, which is the middle third of the measured time, as a
+  /// multiple of `user_profile::capacity`; 0 for no burst.
   double burst_load = 0;
   /// Name of the pipeline template of all requests during the burst; empty if the burst uses the
   /// usual mix of templates.
