--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -376,28 +376,30 @@
   }
 }
 
-void add_readers(Registry& registry, const http::ingress_counters& readers) {
+void add_client_counters(Registry& registry, const http::ingress_counters& client_counters) {
   const auto add = count_adder(registry);
   add("spurrack_windows_closed_total",
       "Times reading a stream from a replica was paused until its client reads on.",
-      readers.windows_closed);
+      client_counters.windows_closed);
   add_counter(
       registry, "spurrack_streams_paused_seconds_total",
       "Time for which reading streams from replicas was paused; counted when a stream ends.",
-      base::to_seconds(readers.closed_window_time));
+      base::to_seconds(client_counters.closed_window_time));
   auto& ended = BuildCounter()
                     .Name("spurrack_readers_ended_total")
                     .Help("Clients whose answer was ended before it was complete, by reason.")
                     .Register(registry);
-  ended.Add({{"reason", "unread"}}).Increment(static_cast<double>(readers.aborted_unread));
-  ended.Add({{"reason", "no_memory"}}).Increment(static_cast<double>(readers.aborted_for_memory));
+  ended.Add({{"reason", "unread"}}).Increment(static_cast<double>(client_counters.aborted_unread));
+  ended.Add({{"reason", "no_memory"}})
+      .Increment(static_cast<double>(client_counters.aborted_for_memory));
   auto& refused = BuildCounter()
                       .Name("spurrack_arrivals_refused_total")
                       .Help("Requests refused before they were read, by missing resource.")
                       .Register(registry);
-  refused.Add({{"missing", "memory"}}).Increment(static_cast<double>(readers.refused_for_memory));
+  refused.Add({{"missing", "memory"}})
+      .Increment(static_cast<double>(client_counters.refused_for_memory));
   refused.Add({{"missing", "connection"}})
-      .Increment(static_cast<double>(readers.refused_connections));
+      .Increment(static_cast<double>(client_counters.refused_connections));
 }
 
 } // namespace
@@ -430,7 +432,7 @@
   }
   if (stats.budget != nullptr) {
     add_budget(registry, *stats.budget);
-    add_readers(registry, *stats.readers);
+    add_client_counters(registry, *stats.client_counters);
     add_count(registry, "spurrack_unreadable_loads_total",
               "Answers of replicas that report an unreadable load.",
               stats.replica_connections->unreadable_loads);
--- a/src/daemon/operator_documents.h
+++ b/src/daemon/operator_documents.h
@@ -16,7 +16,7 @@
   std::uint64_t dropped_peer_messages = 0;
   std::size_t busy_connections = 0;
   /// This and the following pointers are null if the node does not serve published routes.
-  const http::ingress_counters* readers = nullptr;
+  const http::ingress_counters* client_counters = nullptr;
   const flow::byte_budget* budget = nullptr;
   const upstream::connection_counters* replica_connections = nullptr;
 };
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -212,7 +212,7 @@
 process_stats runtime::stats() const {
   process_stats current{peers_->dropped_messages(), busy_connections(), nullptr, nullptr, nullptr};
   if (serving_) {
-    current.readers = &serving_->readers();
+    current.client_counters = &serving_->client_counters();
     current.budget = serving_->budget().get();
     current.replica_connections = &serving_->replica_connections();
   }
--- a/src/daemon/serving_adapters.h
+++ b/src/daemon/serving_adapters.h
@@ -33,7 +33,9 @@
   void stop_accepting() { clients_->stop_accepting(); }
   [[nodiscard]] std::size_t busy_connections() const { return clients_->busy_connections(); }
   [[nodiscard]] std::size_t client_connections() const { return clients_->connections(); }
-  [[nodiscard]] const http::ingress_counters& readers() const { return clients_->counters(); }
+  [[nodiscard]] const http::ingress_counters& client_counters() const {
+    return clients_->counters();
+  }
   [[nodiscard]] const std::shared_ptr<flow::byte_budget>& budget() const { return budget_; }
   [[nodiscard]] const upstream::connection_counters& replica_connections() const {
     return replicas_->counts();
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -71,7 +71,7 @@
   node_settings.self.zone = base::zone_id(instance.profile.zone);
   node_settings.self.address = base::network_address(name);
   node_settings.self.process_start = microseconds_of(now());
-  node_settings.self.processor_share = static_cast<float>(instance.profile.processor_share);
+  node_settings.self.processor_share = static_cast<float>(instance.profile.processor_cores);
   for (const auto& seed : settings_.seeds) {
     node_settings.seeds.emplace_back(seed);
   }
--- a/src/simulation/fleet_simulation.h
+++ b/src/simulation/fleet_simulation.h
@@ -57,7 +57,7 @@
   /// Rate of the node's network link in each direction; 0 for an unlimited rate.
   double link_bytes_per_second = 0;
   /// Number of cores that the node may use.
-  double processor_share = 1;
+  double processor_cores = 1;
 };
 
 struct simulation_settings {
--- a/src/simulation/invariant_checker.cc
+++ b/src/simulation/invariant_checker.cc
@@ -25,9 +25,9 @@
 
 void invariant_checker::add_expectation(base::caller_id caller,
                                         const model::pipeline_template& pipeline,
-                                        const std::string& effect) {
+                                        const std::string& key_or_ticket) {
   auto& expected = expectations_[caller];
-  expected.effect = effect;
+  expected.key_or_ticket = key_or_ticket;
   auto text = fleet_->callers().at(caller).request.input;
   for (const auto& stage : pipeline.stages) {
     text = expected_output(stage.kind, text, stage.max_tokens);
@@ -209,7 +209,8 @@
   for (const auto& [id, record] : fleet_->callers()) {
     const auto expected = expectations_.find(id);
     const bool is_refused = record.answer && record.answer->outcome == model::outcome::not_run &&
-                            expected != expectations_.end() && !expected->second.effect.empty();
+                            expected != expectations_.end() &&
+                            !expected->second.key_or_ticket.empty();
     if (!is_refused) {
       continue;
     }
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -38,10 +38,10 @@
 
   /// Computes, from the input of a caller's request, the outputs that the answer must contain, and
   /// records the outputs. Requests with the same idempotency key have the same input.
-  /// @param effect idempotency key or ticket under which the request may be executed at most once;
-  ///        empty if the request has none.
+  /// @param key_or_ticket idempotency key or ticket under which the request may be executed at most
+  ///        once; empty if the request has none.
   void add_expectation(base::caller_id caller, const model::pipeline_template& pipeline,
-                       const std::string& effect);
+                       const std::string& key_or_ticket);
   /// Records that a back end was published as draining, or as live again.
   void note_backend_published(const std::string& name, bool is_draining);
 
@@ -59,7 +59,7 @@
     std::map<std::string, std::string> outputs;
     /// Text that a streaming caller receives.
     std::string generated;
-    std::string effect;
+    std::string key_or_ticket;
   };
   struct drain_observation {
     /// Time at which the first node recorded the back end as draining.
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -36,7 +36,7 @@
 struct resendable_request {
   execution::caller_request request;
   /// Idempotency key or ticket of the request; empty if the request has neither.
-  std::string effect;
+  std::string key_or_ticket;
   base::time_point first_sent_at;
   base::caller_id last_caller = 0;
 };
@@ -145,21 +145,21 @@
     }
     request.pipeline = base::template_id("payout");
     const auto guard_kind = random_.below(3);
-    std::string effect;
+    std::string key_or_ticket;
     if (guard_kind == 0) {
       request.idempotency_key = "key" + std::to_string(sent_requests_);
-      effect = request.idempotency_key;
+      key_or_ticket = request.idempotency_key;
     } else if (guard_kind == 1) {
       request.ticket = fleet_.request_ticket(pick_node(), example_token_hash);
-      effect = request.ticket;
+      key_or_ticket = request.ticket;
     }
-    send_payout({request, effect, fleet_.now(), 0});
+    send_payout({request, key_or_ticket, fleet_.now(), 0});
   }
 
   void send_payout(resendable_request resendable) {
     resendable.last_caller = fleet_.send(pick_node(), resendable.request);
-    checker_.add_expectation(resendable.last_caller, *payout_, resendable.effect);
-    if (!resendable.effect.empty()) {
+    checker_.add_expectation(resendable.last_caller, *payout_, resendable.key_or_ticket);
+    if (!resendable.key_or_ticket.empty()) {
       resendable_requests_.push_back(std::move(resendable));
     }
   }
--- a/tests/ctl/request_log_test.cc
+++ b/tests/ctl/request_log_test.cc
@@ -81,7 +81,7 @@
   BOOST_TEST(summary.causes.front().cause == "503 expected to take # ms");
 }
 
-BOOST_AUTO_TEST_CASE(nines_are_limited_if_all_requests_are_served) {
+BOOST_AUTO_TEST_CASE(availability_is_nine_nines_if_all_requests_are_served) {
   const auto summary = summarize(read(line(0, "a", "request_received", "r", "x", "") +
                                       line(1, "a", "request_answered", "r", "200", "")));
   BOOST_TEST(summary.routes.front().nines() == 9);
--- a/tests/fleet/golden_test.cc
+++ b/tests/fleet/golden_test.cc
@@ -104,7 +104,7 @@
 
 BOOST_AUTO_TEST_SUITE(golden_sessions)
 
-BOOST_AUTO_TEST_CASE(remittance_house) {
+BOOST_AUTO_TEST_CASE(session_of_the_remittance_house_matches_its_golden_file) {
   check_session("remittance_house", agents_token,
                 {{"client-answer", "donde esta mi giro", false, false},
                  {"client-answer", "y el de mi madre", true, false},
@@ -112,7 +112,7 @@
                  {"excursion-report", "not ours", false, false}});
 }
 
-BOOST_AUTO_TEST_CASE(cold_chain_association) {
+BOOST_AUTO_TEST_CASE(session_of_the_cold_chain_association_matches_its_golden_file) {
   check_session("cold_chain_association", members_token,
                 {{"excursion-report", "probe 12", false, false},
                  {"officer-alert", "store 3 at 11 C", false, true},
--- a/tests/simulation/control_traffic_test.cc
+++ b/tests/simulation/control_traffic_test.cc
@@ -239,7 +239,8 @@
 
 BOOST_AUTO_TEST_SUITE(control_traffic)
 
-BOOST_AUTO_TEST_CASE(traffic_between_regions_is_limited_and_all_nodes_recover_from_a_joint_loss) {
+BOOST_AUTO_TEST_CASE(
+    traffic_is_limited_and_all_nodes_are_ready_within_three_seconds_after_all_restarted) {
   for (const int nodes : {30, 100, 300}) {
     fleet_simulation fleet(simulation::regional_fleet_settings(nodes));
     start_all_within(fleet, start_spread_milliseconds);
--- a/tests/simulation/promises_test.cc
+++ b/tests/simulation/promises_test.cc
@@ -72,14 +72,14 @@
 
 BOOST_AUTO_TEST_SUITE(promises)
 
-BOOST_DATA_TEST_CASE(hold_for_regression_seeds, boost::unit_test::data::make(regression_seeds),
-                     seed) {
+BOOST_DATA_TEST_CASE(invariants_hold_for_regression_seeds,
+                     boost::unit_test::data::make(regression_seeds), seed) {
   simulation::run_options options;
   options.seed = seed;
   require_no_violations(options);
 }
 
-BOOST_AUTO_TEST_CASE(hold_for_many_seeds) {
+BOOST_AUTO_TEST_CASE(invariants_hold_for_many_seeds) {
   for (auto seed = first_ci_seed; seed < first_ci_seed + ci_seed_count; ++seed) {
     simulation::run_options options;
     options.seed = seed;
@@ -87,7 +87,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(hold_for_each_fault_alone_and_each_pair) {
+BOOST_AUTO_TEST_CASE(invariants_hold_for_each_fault_alone_and_each_pair_of_faults) {
   std::uint64_t seed = 50'000;
   for (std::size_t first = 0; first < simulation::fault_kind_count; ++first) {
     for (std::size_t second = first; second < simulation::fault_kind_count; ++second) {
@@ -99,7 +99,7 @@
   }
 }
 
-BOOST_DATA_TEST_CASE(break_with_a_safety_mechanism_off,
+BOOST_DATA_TEST_CASE(an_invariant_is_violated_if_a_safety_mechanism_is_off,
                      boost::unit_test::data::make(disabled_mechanisms), row) {
   constexpr std::uint64_t max_seeds = 20;
   bool is_found = false;
--- a/tools/experiment.cc
+++ b/tools/experiment.cc
@@ -57,15 +57,17 @@
     const auto& runs = entry.runs;
     out << "| " << entry.user.name << " | " << entry.load_scenario.name << " | "
         << entry.variant.name << " | "
-        << format_mean_and_deviation(runs, &measurement::attainment, percent, 2) << " | "
+        << format_mean_and_deviation(runs, &measurement::in_time_fraction, percent, 2) << " | "
         << format_mean_and_deviation(runs, &measurement::goodput, percent, 1) << " | "
-        << format_mean_and_deviation(runs, &measurement::smallest_tenant_attainment, percent, 1)
-        << " | " << format_mean_and_deviation(runs, &measurement::wasted_share, percent, 1) << " | "
-        << format_mean_and_deviation(runs, &measurement::refusal_p99, milli, 1) << " | "
-        << format_mean_and_deviation(runs, &measurement::p50, milli, 0) << " | "
-        << format_mean_and_deviation(runs, &measurement::p95, milli, 0) << " | "
-        << format_mean_and_deviation(runs, &measurement::p99, milli, 0) << " | "
-        << format_mean_and_deviation(runs, &measurement::first_token_p95, milli, 0) << " |\n";
+        << format_mean_and_deviation(runs, &measurement::smallest_tenant_in_time_fraction, percent,
+                                     1)
+        << " | " << format_mean_and_deviation(runs, &measurement::wasted_time_fraction, percent, 1)
+        << " | " << format_mean_and_deviation(runs, &measurement::refusal_p99_seconds, milli, 1)
+        << " | " << format_mean_and_deviation(runs, &measurement::latency_p50_seconds, milli, 0)
+        << " | " << format_mean_and_deviation(runs, &measurement::latency_p95_seconds, milli, 0)
+        << " | " << format_mean_and_deviation(runs, &measurement::latency_p99_seconds, milli, 0)
+        << " | " << format_mean_and_deviation(runs, &measurement::first_token_p95_seconds, milli, 0)
+        << " |\n";
   }
 }
 
--- a/tools/load_scenario.cc
+++ b/tools/load_scenario.cc
@@ -234,15 +234,15 @@
     const double sent = static_cast<double>(result.requests);
     const double capacity_requests = user_->capacity * base::to_seconds(measured_time);
     result.offered_rate = sent / base::to_seconds(measured_time);
-    result.attainment = completed_in_time / sent;
+    result.in_time_fraction = completed_in_time / sent;
     result.goodput = completed_in_time / std::min(sent, capacity_requests);
-    result.smallest_tenant_attainment = by_tenant["t5"].first / by_tenant["t5"].second;
-    result.wasted_share = wasted_time / (used_time + wasted_time);
-    result.refusal_p99 = quantile(refusals, 0.99);
-    result.p50 = quantile(latencies, 0.5);
-    result.p95 = quantile(latencies, 0.95);
-    result.p99 = quantile(latencies, 0.99);
-    result.first_token_p95 = quantile(first_tokens, 0.95);
+    result.smallest_tenant_in_time_fraction = by_tenant["t5"].first / by_tenant["t5"].second;
+    result.wasted_time_fraction = wasted_time / (used_time + wasted_time);
+    result.refusal_p99_seconds = quantile(refusals, 0.99);
+    result.latency_p50_seconds = quantile(latencies, 0.5);
+    result.latency_p95_seconds = quantile(latencies, 0.95);
+    result.latency_p99_seconds = quantile(latencies, 0.99);
+    result.first_token_p95_seconds = quantile(first_tokens, 0.95);
     return result;
   }
 
--- a/tools/load_scenario.h
+++ b/tools/load_scenario.h
@@ -65,26 +65,26 @@
   /// Number of requests sent per second.
   double offered_rate = 0;
   /// Fraction of the sent requests that completed within their deadline.
-  double attainment = 0;
+  double in_time_fraction = 0;
   /// Number of requests that completed within their deadline, divided by the smaller of the number
   /// of sent requests and the number that `user_profile::capacity` allows in the measured time.
   double goodput = 0;
   /// Fraction of the sent requests that completed within their deadline, of the tenant that sends
   /// the fewest requests.
-  double smallest_tenant_attainment = 0;
+  double smallest_tenant_in_time_fraction = 0;
   /// Fraction of the time of back ends that was spent on calls whose result no completed request
   /// used. The time of an aborted call begins at its dispatch, so it includes the time in the
   /// network and in the queue of the back end.
-  double wasted_share = 0;
+  double wasted_time_fraction = 0;
   /// 99th percentile of the time from sending a request to its refusal.
-  double refusal_p99 = 0;
+  double refusal_p99_seconds = 0;
   /// Percentiles of the time from sending a completed request to its answer.
-  double p50 = 0;
-  double p95 = 0;
-  double p99 = 0;
+  double latency_p50_seconds = 0;
+  double latency_p95_seconds = 0;
+  double latency_p99_seconds = 0;
   /// 95th percentile of the time from sending a request to the arrival of its first token at the
   /// caller, over all requests whose stream of tokens began.
-  double first_token_p95 = 0;
+  double first_token_p95_seconds = 0;
   std::uint64_t requests = 0;
 };
 
