--- a/tests/simulation/regional_fleet.h
+++ b/tests/simulation/regional_fleet.h
@@ -12,7 +12,7 @@
 inline constexpr int regional_zone_count = 6;
 inline constexpr int regional_region_count = 3;
 inline constexpr int regional_replicas_per_node = 10;
-/// Number of nodes of a zone for each node that has a strong processor and a fast link.
+/// One of this many nodes of a zone has a strong processor and a fast link.
 inline constexpr int nodes_per_strong_node = 8;
 inline constexpr double fast_link_bytes_per_second = 25e6;   // 200 Mbit/s
 inline constexpr double slow_link_bytes_per_second = 1.25e6; // 10 Mbit/s
