--- a/src/simulation/fleet_simulation.h
+++ b/src/simulation/fleet_simulation.h
@@ -111,7 +111,7 @@
   base::time_point not_after;
 };
 
-/// Simulated fleet with its network, platform, back ends and callers. Not thread-safe.
+/// Simulated fleet. Not thread-safe.
 class fleet_simulation {
  public:
   explicit fleet_simulation(simulation_settings settings);
@@ -189,7 +189,6 @@
   /// Requests a ticket from a node, and runs the simulation until the ticket arrives.
   /// @return ticket; empty if the node issues no ticket within one second of virtual time.
   std::string request_ticket(const std::string& node, const std::string& token_sha256);
-  /// Closes the connection of a caller.
   void disconnect_caller(base::caller_id caller);
   [[nodiscard]] const std::map<base::caller_id, caller_record>& callers() const { return callers_; }
   [[nodiscard]] const std::vector<execution_record>& executions() const { return executions_; }
@@ -225,7 +224,6 @@
     std::string node;
     std::uint64_t incarnation = 0;
     node::service_answered answer;
-    /// Number of entries that have not been transferred.
     std::size_t entries_left = 0;
   };
   /// Unfinished call from a node to a back end.
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -11,9 +11,7 @@
 
 namespace spurrack::simulation {
 
-/// Violation of an invariant.
 struct violation {
-  /// Name of the invariant.
   std::string invariant;
   std::string detail;
   /// Request concerned; empty if the violation concerns no single request.
--- a/src/simulation/random_faults.h
+++ b/src/simulation/random_faults.h
@@ -50,9 +50,7 @@
   std::uint64_t seed = 0;
   std::vector<fault_kind> faults;
   std::vector<violation> violations;
-  /// Number of requests that were sent.
   std::size_t requests = 0;
-  /// Number of requests whose outcome was `completed`.
   std::size_t completed = 0;
   /// Number of executions of non-repeatable calls.
   std::size_t effects = 0;
