--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -217,7 +217,7 @@
   }
 }
 
-void stage_exchange::move(piece_ticket ticket, placement& placed, base::time_point now) {
+void stage_exchange::move_piece(piece_ticket ticket, placement& placed, base::time_point now) {
   ++placed.moves;
   const auto chosen = placed.moves <= max_moves
                           ? choose_batcher(placed.work, placed.work.result_bytes, now)
