--- a/tests/dispatch/client_leaves_test.cc
+++ b/tests/dispatch/client_leaves_test.cc
@@ -20,28 +20,28 @@
                                                           std::to_string(call.call) + "-" +
                                                           std::to_string(index)});
     }
-    happen(call_ended);
+    deliver(call_ended);
   }
 
   /// Sends a request with one piece per stage and completes its first `stages` stages.
   void send_and_complete_stages(std::size_t stages) {
-    arrive(1, "/staged/x", {1, 1});
+    send_request(1, "/staged/x", {1, 1});
     for (std::size_t stage = 0; stage < stages; ++stage) {
-      pass(milliseconds(50));
+      advance_time(milliseconds(50));
       answer_pieces(last<start_stage_call>());
     }
-    pass(milliseconds(50));
+    advance_time(milliseconds(50));
   }
 
   /// Disconnects the client and counts the calls sent so far.
   void disconnect() {
-    happen(client_disconnected{1});
+    deliver(client_disconnected{1});
     calls_before_ = all<start_call>().size();
     stage_calls_before_ = all<start_stage_call>().size();
   }
 
   void check_nothing_sent_since_disconnect() {
-    pass(seconds(3));
+    advance_time(seconds(3));
     BOOST_TEST(all<start_call>().size() == calls_before_);
     BOOST_TEST(all<start_stage_call>().size() == stage_calls_before_);
     BOOST_TEST(all<respond>().empty());
@@ -66,7 +66,7 @@
 BOOST_FIXTURE_TEST_SUITE(client_leaves_test, disconnect_driver)
 
 BOOST_AUTO_TEST_CASE(disconnect_before_first_stage_call_sends_nothing) {
-  arrive(1, "/staged/x", {1, 1});
+  send_request(1, "/staged/x", {1, 1});
   BOOST_TEST(all<start_stage_call>().empty());
   disconnect();
   check_nothing_sent_since_disconnect();
@@ -77,7 +77,7 @@
   const auto call = last<start_stage_call>();
   disconnect();
   answer_pieces(call);
-  pass(milliseconds(50));
+  advance_time(milliseconds(50));
   check_nothing_sent_since_disconnect();
   BOOST_TEST(freed_results() == 1U);
 }
@@ -87,7 +87,7 @@
   const auto second = last<start_stage_call>();
   disconnect();
   answer_pieces(second);
-  pass(milliseconds(50));
+  advance_time(milliseconds(50));
   check_nothing_sent_since_disconnect();
   BOOST_TEST(freed_results() == 2U);
 }
@@ -103,23 +103,23 @@
 BOOST_AUTO_TEST_CASE(disconnect_during_stream_cancels_call) {
   send_and_complete_stages(2);
   const auto call = last<start_call>();
-  happen(stream_opened{call.call, good_head()});
-  happen(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
+  deliver(stream_opened{call.call, good_head()});
+  deliver(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
   disconnect();
   BOOST_TEST(last<cancel_call>().call == call.call);
   // Later bytes of the cancelled call are dropped.
-  happen(stream_bytes{call.call, "id: 2\ndata: x\n\n"});
-  happen(stream_closed{call.call, false});
+  deliver(stream_bytes{call.call, "id: 2\ndata: x\n\n"});
+  deliver(stream_closed{call.call, false});
   check_nothing_sent_since_disconnect();
   BOOST_TEST(all<stream_data>().size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(disconnect_while_stream_resumes_cancels_new_call) {
-  arrive(1, "/stream/x");
+  send_request(1, "/stream/x");
   const auto first = last<start_call>();
-  happen(stream_opened{first.call, good_head()});
-  happen(stream_bytes{first.call, "id: 1\ndata: x\n\n"});
-  happen(stream_closed{first.call, false});
+  deliver(stream_opened{first.call, good_head()});
+  deliver(stream_bytes{first.call, "id: 1\ndata: x\n\n"});
+  deliver(stream_closed{first.call, false});
   BOOST_TEST(all<start_call>().size() == 2U);
   disconnect();
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
@@ -127,14 +127,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(disconnect_during_stalled_call_sends_no_retry) {
-  world.add_replica("llm-b", "llm", "b", true);
-  subject.update(world.content, now);
-  arrive(1, "/stream/x");
-  pass(milliseconds(1500));
+  published.add_replica("llm-b", "llm", "b", true);
+  subject.update(published.content, now);
+  send_request(1, "/stream/x");
+  advance_time(milliseconds(1500));
   disconnect();
-  world.add_replica("llm-b", "llm", "b");
-  subject.update(world.content, now);
-  pass(seconds(1));
+  published.add_replica("llm-b", "llm", "b");
+  subject.update(published.content, now);
+  advance_time(seconds(1));
   check_nothing_sent_since_disconnect();
 }
 
--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -7,14 +7,14 @@
 BOOST_FIXTURE_TEST_SUITE(dispatcher_test, dispatcher_driver)
 
 BOOST_AUTO_TEST_CASE(request_is_sent_and_answer_forwarded) {
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   const auto call = last<start_call>();
   BOOST_TEST(call.tenant == "tenant");
   BOOST_TEST(base::to_milliseconds(call.time_left) == 5000);
   BOOST_TEST(!call.target.replica.empty());
   auto head = good_head();
   head.headers = {{"Seal", "s"}};
-  happen(call_answered{call.call, head, "body"});
+  deliver(call_answered{call.call, head, "body"});
   const auto answer = last<respond>();
   BOOST_TEST(answer.status == 200);
   BOOST_TEST(answer.body == "body");
@@ -24,14 +24,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(own_answers_say_why) {
-  arrive(1, "/none/x");
+  send_request(1, "/none/x");
   BOOST_TEST(last<respond>().status == 404);
   api_key = "wrong";
-  arrive(2, "/safe/x");
+  send_request(2, "/safe/x");
   BOOST_TEST(last<respond>().status == 401);
   api_key = "key";
   subject.begin_stop(now, now);
-  arrive(3, "/safe/x");
+  send_request(3, "/safe/x");
   BOOST_TEST(last<respond>().status == 503);
   BOOST_TEST(all<start_call>().empty());
 }
@@ -49,16 +49,16 @@
 }
 
 BOOST_AUTO_TEST_CASE(an_unsafe_request_that_may_have_run_is_never_sent_again) {
-  arrive(1, "/unsafe/x");
-  happen(call_failed{last<start_call>().call, call_failure::may_have_run});
+  send_request(1, "/unsafe/x");
+  deliver(call_failed{last<start_call>().call, call_failure::may_have_run});
   BOOST_TEST(all<start_call>().size() == 1);
   BOOST_TEST(last<respond>().status == 502);
 }
 
 BOOST_AUTO_TEST_CASE(unsent_unsafe_request_goes_to_another_replica) {
-  arrive(1, "/unsafe/x");
+  send_request(1, "/unsafe/x");
   const auto first = last<start_call>();
-  happen(call_failed{first.call, call_failure::not_sent});
+  deliver(call_failed{first.call, call_failure::not_sent});
   const auto second = last<start_call>();
   BOOST_TEST(second.call != first.call);
   BOOST_TEST(second.target.replica != first.target.replica);
@@ -66,8 +66,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(unsafe_request_refused_by_replica_is_answered_as_not_run) {
-  arrive(1, "/unsafe/x");
-  happen(call_answered{last<start_call>().call, not_executed_head(), ""});
+  send_request(1, "/unsafe/x");
+  deliver(call_answered{last<start_call>().call, not_executed_head(), ""});
   const auto answer = last<respond>();
   BOOST_TEST(answer.status == 503);
   BOOST_TEST(answer.own_answer_to.has_value());
@@ -77,316 +77,316 @@
 }
 
 BOOST_AUTO_TEST_CASE(never_not_run_after_an_attempt_that_may_have_run) {
-  arrive(1, "/safe/x");
-  happen(call_failed{last<start_call>().call, call_failure::may_have_run});
-  happen(call_answered{last<start_call>().call, not_executed_head(), ""});
+  send_request(1, "/safe/x");
+  deliver(call_failed{last<start_call>().call, call_failure::may_have_run});
+  deliver(call_answered{last<start_call>().call, not_executed_head(), ""});
   BOOST_TEST(last<respond>().status == 502);
 }
 
 BOOST_AUTO_TEST_CASE(a_safe_request_is_repeated_within_its_attempts) {
-  arrive(1, "/safe/x");
-  happen(call_answered{last<start_call>().call, good_head(500), "first"});
+  send_request(1, "/safe/x");
+  deliver(call_answered{last<start_call>().call, good_head(500), "first"});
   BOOST_TEST(all<start_call>().size() == 2);
-  happen(call_answered{last<start_call>().call, good_head(500), "second"});
+  deliver(call_answered{last<start_call>().call, good_head(500), "second"});
   BOOST_TEST(all<start_call>().size() == 2);
   BOOST_TEST(last<respond>().status == 500);
   BOOST_TEST(last<respond>().body == "second");
 }
 
 BOOST_AUTO_TEST_CASE(unsealed_or_encoded_answer_is_not_forwarded) {
-  arrive(1, "/unsafe/x");
+  send_request(1, "/unsafe/x");
   auto unsealed = good_head();
   unsealed.sealed = false;
-  happen(call_answered{last<start_call>().call, unsealed, "body"});
+  deliver(call_answered{last<start_call>().call, unsealed, "body"});
   BOOST_TEST(last<respond>().status == 502);
-  arrive(2, "/unsafe/x");
+  send_request(2, "/unsafe/x");
   auto encoded = good_head();
   encoded.encoded = true;
-  happen(call_answered{last<start_call>().call, encoded, "body"});
+  deliver(call_answered{last<start_call>().call, encoded, "body"});
   BOOST_TEST(last<respond>().status == 502);
   BOOST_TEST(last<respond>().own_answer_to->text() == "r2");
 }
 
 BOOST_AUTO_TEST_CASE(deadline_aborts_request_and_cancels_call) {
-  arrive(1, "/unsafe/x");
-  pass(std::chrono::milliseconds(5001));
+  send_request(1, "/unsafe/x");
+  advance_time(std::chrono::milliseconds(5001));
   BOOST_TEST(last<respond>().status == 504);
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
   BOOST_TEST(subject.active() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(disconnect_cancels_call) {
-  arrive(1, "/stream/x");
-  happen(client_disconnected{1});
+  send_request(1, "/stream/x");
+  deliver(client_disconnected{1});
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
   BOOST_TEST(all<respond>().empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_replica_that_drains_or_is_gone_gets_nothing) {
-  world.add_replica("plain-a", "plain", "a", true);
-  world.remove_replica("plain-b");
-  subject.update(world.content, now);
-  arrive(1, "/safe/x");
+  published.add_replica("plain-a", "plain", "a", true);
+  published.remove_replica("plain-b");
+  subject.update(published.content, now);
+  send_request(1, "/safe/x");
   BOOST_TEST(all<start_call>().empty());
   BOOST_TEST(last<respond>().status == 503);
 }
 
 BOOST_AUTO_TEST_CASE(an_address_that_belongs_to_another_replica_is_left_alone) {
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   const auto first = last<start_call>();
   answer_head misdirected;
   misdirected.status = 421;
   misdirected.misdirected = true;
-  happen(call_answered{first.call, misdirected, ""});
+  deliver(call_answered{first.call, misdirected, ""});
   BOOST_TEST(last<start_call>().target.replica != first.target.replica);
-  arrive(2, "/safe/x");
+  send_request(2, "/safe/x");
   BOOST_TEST(last<start_call>().target.replica != first.target.replica);
 }
 
 BOOST_AUTO_TEST_CASE(stream_is_forwarded_event_by_event) {
-  arrive(1, "/stream/x");
+  send_request(1, "/stream/x");
   const auto call = last<start_call>().call;
-  happen(stream_opened{call, good_head()});
+  deliver(stream_opened{call, good_head()});
   BOOST_TEST(all<open_stream>().empty());
-  happen(stream_bytes{call, "id: 1\ndata: a\n\nid: 2\nda"});
+  deliver(stream_bytes{call, "id: 1\ndata: a\n\nid: 2\nda"});
   BOOST_TEST(all<open_stream>().size() == 1);
   BOOST_TEST(last<stream_data>().bytes == "id: 1\ndata: a\n\n");
-  happen(stream_bytes{call, "ta: b\n\n"});
-  happen(stream_closed{call, true});
+  deliver(stream_bytes{call, "ta: b\n\n"});
+  deliver(stream_closed{call, true});
   BOOST_TEST(last<end_stream>().complete);
 }
 
 BOOST_AUTO_TEST_CASE(a_broken_stream_goes_on_elsewhere_inside_the_same_answer) {
-  arrive(1, "/stream/x");
+  send_request(1, "/stream/x");
   const auto first = last<start_call>();
-  happen(stream_opened{first.call, good_head()});
-  happen(stream_bytes{first.call, "id: 1\ndata: a\n\nid: 2\nda"});
-  happen(stream_closed{first.call, false});
+  deliver(stream_opened{first.call, good_head()});
+  deliver(stream_bytes{first.call, "id: 1\ndata: a\n\nid: 2\nda"});
+  deliver(stream_closed{first.call, false});
   const auto second = last<start_call>();
   BOOST_TEST(second.target.replica != first.target.replica);
   BOOST_TEST(second.resume_after.value() == 1);
-  happen(stream_opened{second.call, good_head()});
-  happen(stream_bytes{second.call, "id: 2\ndata: b\n\n"});
-  happen(stream_closed{second.call, true});
+  deliver(stream_opened{second.call, good_head()});
+  deliver(stream_bytes{second.call, "id: 2\ndata: b\n\n"});
+  deliver(stream_closed{second.call, true});
   BOOST_TEST(all<open_stream>().size() == 1);
   BOOST_TEST(last<stream_data>().bytes == "id: 2\ndata: b\n\n");
   BOOST_TEST(last<end_stream>().complete);
 }
 
 BOOST_AUTO_TEST_CASE(a_broken_stream_that_cannot_be_resumed_is_broken_off) {
-  arrive(1, "/fixed/x");
+  send_request(1, "/fixed/x");
   const auto call = last<start_call>().call;
-  happen(stream_opened{call, good_head()});
-  happen(stream_bytes{call, "id: 1\ndata: a\n\n"});
-  happen(stream_closed{call, false});
+  deliver(stream_opened{call, good_head()});
+  deliver(stream_bytes{call, "id: 1\ndata: a\n\n"});
+  deliver(stream_closed{call, false});
   BOOST_TEST(all<start_call>().size() == 1);
   BOOST_TEST(!last<end_stream>().complete);
 }
 
 BOOST_AUTO_TEST_CASE(stream_that_ends_inside_an_event_is_incomplete) {
-  arrive(1, "/fixed/x");
+  send_request(1, "/fixed/x");
   const auto call = last<start_call>().call;
-  happen(stream_opened{call, good_head()});
-  happen(stream_bytes{call, "id: 1\ndata: a\n\nid: 2\n"});
-  happen(stream_closed{call, true});
+  deliver(stream_opened{call, good_head()});
+  deliver(stream_bytes{call, "id: 1\ndata: a\n\nid: 2\n"});
+  deliver(stream_closed{call, true});
   BOOST_TEST(!last<end_stream>().complete);
 }
 
 BOOST_AUTO_TEST_CASE(stages_run_in_order_and_their_results_are_freed) {
-  arrive(1, "/staged/x", {2, 1});
-  pass(std::chrono::milliseconds(20));
+  send_request(1, "/staged/x", {2, 1});
+  advance_time(std::chrono::milliseconds(20));
   BOOST_REQUIRE(all<start_stage_call>().size() == 1);
   const auto first = last<start_stage_call>();
   BOOST_REQUIRE(first.items.size() == 2);
   BOOST_TEST(first.items[0].piece_key == "pk");
   const auto maker = first.target.address.text();
-  happen(stage_call_ended{first.call,
-                          stage_call_ended::result::answered,
-                          {{piece_fault::none, maker + "/1"}, {piece_fault::none, maker + "/2"}}});
-  pass(std::chrono::milliseconds(20));
+  deliver(stage_call_ended{first.call,
+                           stage_call_ended::result::answered,
+                           {{piece_fault::none, maker + "/1"}, {piece_fault::none, maker + "/2"}}});
+  advance_time(std::chrono::milliseconds(20));
   const auto second = last<start_stage_call>();
   BOOST_REQUIRE(second.items.size() == 1);
   BOOST_TEST(second.items[0].inputs == (std::vector<std::string>{maker + "/1", maker + "/2"}),
              boost::test_tools::per_element());
   BOOST_TEST(second.items[0].piece_key.empty());
   const auto second_maker = second.target.address.text();
-  happen(stage_call_ended{
+  deliver(stage_call_ended{
       second.call, stage_call_ended::result::answered, {{piece_fault::none, second_maker + "/3"}}});
   BOOST_TEST(last<free_results>().handles.size() == 2);
   const auto call = last<start_call>();
   BOOST_TEST(call.inputs == std::vector<std::string>{second_maker + "/3"},
              boost::test_tools::per_element());
-  happen(stream_opened{call.call, good_head()});
-  happen(stream_bytes{call.call, "id: 1\ndata: a\n\n"});
+  deliver(stream_opened{call.call, good_head()});
+  deliver(stream_bytes{call.call, "id: 1\ndata: a\n\n"});
   BOOST_TEST(last<free_results>().handles == std::vector<std::string>{second_maker + "/3"},
              boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(results_are_freed_once_the_next_stage_has_fetched_them) {
-  arrive(1, "/staged/x", {2, 1});
-  pass(std::chrono::milliseconds(20));
+  send_request(1, "/staged/x", {2, 1});
+  advance_time(std::chrono::milliseconds(20));
   const auto first = last<start_stage_call>();
   const auto maker = first.target.address.text();
-  happen(stage_call_ended{first.call,
-                          stage_call_ended::result::answered,
-                          {{piece_fault::none, maker + "/1"}, {piece_fault::none, maker + "/2"}}});
-  pass(std::chrono::milliseconds(30));
+  deliver(stage_call_ended{first.call,
+                           stage_call_ended::result::answered,
+                           {{piece_fault::none, maker + "/1"}, {piece_fault::none, maker + "/2"}}});
+  advance_time(std::chrono::milliseconds(30));
   BOOST_TEST(all<start_stage_call>().size() == 2);
   BOOST_TEST(all<free_results>().empty());
-  pass(std::chrono::milliseconds(100));
+  advance_time(std::chrono::milliseconds(100));
   BOOST_REQUIRE(all<free_results>().size() == 1);
   BOOST_TEST(last<free_results>().handles.size() == 2);
 }
 
 BOOST_AUTO_TEST_CASE(results_are_kept_longer_after_a_piece_missed_its_input) {
   const auto complete_first_stage = [&](base::caller_id client) {
-    arrive(client, "/staged/x", {1, 1});
-    pass(std::chrono::milliseconds(20));
+    send_request(client, "/staged/x", {1, 1});
+    advance_time(std::chrono::milliseconds(20));
     const auto first = last<start_stage_call>();
-    happen(stage_call_ended{first.call,
-                            stage_call_ended::result::answered,
-                            {{piece_fault::none, first.target.address.text() + "/1"}}});
-    pass(std::chrono::milliseconds(100));
+    deliver(stage_call_ended{first.call,
+                             stage_call_ended::result::answered,
+                             {{piece_fault::none, first.target.address.text() + "/1"}}});
+    advance_time(std::chrono::milliseconds(100));
     return last<start_stage_call>().call;
   };
   const auto second = complete_first_stage(1);
   BOOST_TEST(all<free_results>().size() == 1);
-  happen(stage_call_ended{
+  deliver(stage_call_ended{
       second, stage_call_ended::result::answered, {{piece_fault::input_gone, ""}}});
-  happen(client_disconnected{1});
+  deliver(client_disconnected{1});
   commands.clear();
   complete_first_stage(2);
   BOOST_TEST(all<free_results>().empty());
 }
 
 BOOST_AUTO_TEST_CASE(lost_result_is_recomputed) {
-  arrive(1, "/staged/x", {1, 1});
-  pass(std::chrono::milliseconds(20));
+  send_request(1, "/staged/x", {1, 1});
+  advance_time(std::chrono::milliseconds(20));
   const auto first = last<start_stage_call>();
-  happen(stage_call_ended{first.call,
-                          stage_call_ended::result::answered,
-                          {{piece_fault::none, first.target.address.text() + "/1"}}});
-  pass(std::chrono::milliseconds(20));
+  deliver(stage_call_ended{first.call,
+                           stage_call_ended::result::answered,
+                           {{piece_fault::none, first.target.address.text() + "/1"}}});
+  advance_time(std::chrono::milliseconds(20));
   const auto second = last<start_stage_call>();
-  happen(stage_call_ended{
+  deliver(stage_call_ended{
       second.call, stage_call_ended::result::answered, {{piece_fault::input_gone, ""}}});
-  pass(std::chrono::milliseconds(20));
+  advance_time(std::chrono::milliseconds(20));
   BOOST_TEST(last<start_stage_call>().items.front().stage == 0);
 }
 
 BOOST_AUTO_TEST_CASE(stages_that_fail_under_a_begun_stream_break_it_off) {
   // Regression: a whole answer was written into the stream that had begun.
-  world.configuration.mutable_routes(4)->set_resumable(true);
-  world.publish_configuration();
-  subject.update(world.content, now);
-  arrive(1, "/staged/x", {1, 1});
+  published.configuration.mutable_routes(4)->set_resumable(true);
+  published.publish_configuration();
+  subject.update(published.content, now);
+  send_request(1, "/staged/x", {1, 1});
   for (const std::string handle : {"/1", "/2"}) {
-    pass(std::chrono::milliseconds(20));
+    advance_time(std::chrono::milliseconds(20));
     const auto stage_call = last<start_stage_call>();
-    happen(stage_call_ended{stage_call.call,
-                            stage_call_ended::result::answered,
-                            {{piece_fault::none, stage_call.target.address.text() + handle}}});
+    deliver(stage_call_ended{stage_call.call,
+                             stage_call_ended::result::answered,
+                             {{piece_fault::none, stage_call.target.address.text() + handle}}});
   }
   const auto first = last<start_stage_call>();
   const auto call = last<start_call>().call;
-  happen(stream_opened{call, good_head()});
-  happen(stream_bytes{call, "id: 1\ndata: a\n\n"});
-  happen(stream_closed{call, false});
-  pass(std::chrono::milliseconds(20));
+  deliver(stream_opened{call, good_head()});
+  deliver(stream_bytes{call, "id: 1\ndata: a\n\n"});
+  deliver(stream_closed{call, false});
+  advance_time(std::chrono::milliseconds(20));
   const auto again = last<start_stage_call>();
   BOOST_TEST(again.call != first.call);
-  happen(
+  deliver(
       stage_call_ended{again.call, stage_call_ended::result::answered, {{piece_fault::late, ""}}});
   BOOST_TEST(all<respond>().empty());
   BOOST_TEST(!last<end_stream>().complete);
 }
 
 BOOST_AUTO_TEST_CASE(request_with_failed_stages_is_answered_as_not_run) {
-  arrive(1, "/staged/x", {1, 1});
-  pass(std::chrono::milliseconds(20));
-  happen(stage_call_ended{last<start_stage_call>().call,
-                          stage_call_ended::result::answered,
-                          {{piece_fault::late, ""}}});
+  send_request(1, "/staged/x", {1, 1});
+  advance_time(std::chrono::milliseconds(20));
+  deliver(stage_call_ended{last<start_stage_call>().call,
+                           stage_call_ended::result::answered,
+                           {{piece_fault::late, ""}}});
   BOOST_TEST(last<respond>().status == 503);
   BOOST_TEST(all<start_call>().empty());
 }
 
 BOOST_AUTO_TEST_CASE(stalled_safe_call_is_retried_and_stalled_unsafe_call_is_not) {
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   const auto first = last<start_call>();
-  pass(std::chrono::milliseconds(900));
+  advance_time(std::chrono::milliseconds(900));
   const auto second = last<start_call>();
   BOOST_TEST(second.target.replica != first.target.replica);
   BOOST_TEST(last<cancel_call>().call == first.call);
-  arrive(2, "/unsafe/x");
+  send_request(2, "/unsafe/x");
   const auto calls = all<start_call>().size();
-  pass(std::chrono::milliseconds(900));
+  advance_time(std::chrono::milliseconds(900));
   BOOST_TEST(all<start_call>().size() == calls);
 }
 
 BOOST_AUTO_TEST_CASE(abort_all_requests_removes_every_request) {
-  arrive(1, "/unsafe/x");
-  arrive(2, "/staged/x", {1, 1});
+  send_request(1, "/unsafe/x");
+  send_request(2, "/staged/x", {1, 1});
   subject.abort_all_requests(now);
   BOOST_TEST(subject.active() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(stalled_call_is_retried_when_another_replica_appears) {
-  world.add_replica("llm-b", "llm", "b", true);
-  subject.update(world.content, now);
-  arrive(1, "/stream/x");
+  published.add_replica("llm-b", "llm", "b", true);
+  subject.update(published.content, now);
+  send_request(1, "/stream/x");
   BOOST_TEST(last<start_call>().target.replica.text() == "llm-a");
   // The target latency passes while no other replica is available.
-  pass(std::chrono::milliseconds(1500));
+  advance_time(std::chrono::milliseconds(1500));
   BOOST_TEST(all<start_call>().size() == 1U);
-  world.add_replica("llm-b", "llm", "b");
-  subject.update(world.content, now);
-  pass(std::chrono::milliseconds(150));
+  published.add_replica("llm-b", "llm", "b");
+  subject.update(published.content, now);
+  advance_time(std::chrono::milliseconds(150));
   BOOST_TEST(all<start_call>().size() == 2U);
   BOOST_TEST(last<start_call>().target.replica.text() == "llm-b");
   BOOST_TEST(last<cancel_call>().call == all<start_call>().front().call);
 }
 
 BOOST_AUTO_TEST_CASE(replica_with_stalled_call_gets_no_new_calls) {
-  arrive(1, "/stream/x");
+  send_request(1, "/stream/x");
   const auto first = last<start_call>();
-  pass(std::chrono::milliseconds(1100));
+  advance_time(std::chrono::milliseconds(1100));
   BOOST_TEST(all<start_call>().size() == 2U);
   for (base::caller_id client = 2; client < 8; ++client) {
-    arrive(client, "/stream/x");
+    send_request(client, "/stream/x");
     BOOST_TEST(last<start_call>().target.replica != first.target.replica);
   }
 }
 
 BOOST_AUTO_TEST_CASE(stream_events_postpone_stall_timeout) {
   time_allowed = std::chrono::seconds(20);
-  arrive(1, "/stream/x");
+  send_request(1, "/stream/x");
   const auto call = last<start_call>();
-  happen(stream_opened{call.call, good_head()});
+  deliver(stream_opened{call.call, good_head()});
   for (int event = 1; event <= 20; ++event) {
-    happen(stream_bytes{call.call, "id: " + std::to_string(event) + "\ndata: x\n\n"});
-    pass(std::chrono::milliseconds(200));
+    deliver(stream_bytes{call.call, "id: " + std::to_string(event) + "\ndata: x\n\n"});
+    advance_time(std::chrono::milliseconds(200));
   }
   BOOST_TEST(all<start_call>().size() == 1U);
   // The stall timeout: two and a half times the target gap between events.
-  pass(std::chrono::milliseconds(1100));
+  advance_time(std::chrono::milliseconds(1100));
   BOOST_TEST(all<start_call>().size() == 2U);
   BOOST_TEST(*last<start_call>().resume_after == 20U);
 }
 
 BOOST_AUTO_TEST_CASE(request_is_aborted_when_its_stage_loses_the_last_replica) {
-  world.remove_replica("pool-b");
-  subject.update(world.content, now);
+  published.remove_replica("pool-b");
+  subject.update(published.content, now);
   time_allowed = std::chrono::seconds(5);
-  arrive(1, "/staged/x", {1, 1});
+  send_request(1, "/staged/x", {1, 1});
   // A replica for the stages is available until well after the first feasibility check.
-  pass(std::chrono::milliseconds(2500));
+  advance_time(std::chrono::milliseconds(2500));
   BOOST_TEST(all<respond>().empty());
   const auto lost_at = now;
-  world.remove_replica("pool-a");
-  subject.update(world.content, now);
+  published.remove_replica("pool-a");
+  subject.update(published.content, now);
   while (all<respond>().empty() && now - lost_at < std::chrono::seconds(3)) {
-    pass(std::chrono::milliseconds(50));
+    advance_time(std::chrono::milliseconds(50));
   }
   BOOST_TEST(last<respond>().status == 503U);
   BOOST_TEST(base::to_milliseconds(now - lost_at) <= 1000);
--- a/tests/dispatch/down_replica_test.cc
+++ b/tests/dispatch/down_replica_test.cc
@@ -26,7 +26,7 @@
     entry.set_replica(replica.text());
     entry.set_sign(wire::SIGN_SILENT);
     subject.handle_peer(base::node_id(reporter), message, now);
-    pass(milliseconds(1));
+    advance_time(milliseconds(1));
   }
 
   /// @return health reports sent since the last call.
@@ -61,7 +61,7 @@
     answer.mutable_lent()->set_service(query.asked().service());
     answer.mutable_lent()->set_thousandths(thousandths);
     subject.handle_peer(base::node_id("other"), base::network_address("other:1"), answer, now);
-    pass(milliseconds(1));
+    advance_time(milliseconds(1));
   }
 };
 
@@ -70,53 +70,53 @@
 BOOST_FIXTURE_TEST_SUITE(down_replica_test, reporting_driver)
 
 BOOST_AUTO_TEST_CASE(unsafe_request_at_down_replica_is_answered_before_deadline) {
-  arrive(1, "/unsafe/x");
+  send_request(1, "/unsafe/x");
   const auto replica = last<start_call>().target.replica;
-  pass(milliseconds(1010));
+  advance_time(milliseconds(1010));
   BOOST_TEST(all<respond>().empty());
   report_unresponsive(replica, "other");
-  pass(milliseconds(900));
+  advance_time(milliseconds(900));
   BOOST_TEST(last<respond>().status == 502);
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
   BOOST_TEST(all<start_call>().size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(an_unsafe_request_is_not_ended_where_another_node_hears_the_replica) {
-  arrive(1, "/unsafe/x");
+  send_request(1, "/unsafe/x");
   const auto replica = last<start_call>().target.replica;
-  pass(milliseconds(1010));
+  advance_time(milliseconds(1010));
   report_unresponsive(replica, "other");
-  pass(milliseconds(200));
+  advance_time(milliseconds(200));
   wire::replica_news message;
   message.add_evidence()->set_replica(replica.text());
   subject.handle_peer(base::node_id("hearer"), message, now);
-  pass(milliseconds(900));
+  advance_time(milliseconds(900));
   BOOST_TEST(all<respond>().empty());
 }
 
 BOOST_AUTO_TEST_CASE(answer_of_replica_reported_unresponsive_sends_healthy_report) {
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   const auto call = last<start_call>();
   report_unresponsive(call.target.replica, "other");
   BOOST_TEST(sent_reports().empty());
-  happen(call_answered{call.call, good_head(), "body"});
+  deliver(call_answered{call.call, good_head(), "body"});
   const auto reports = sent_reports();
   BOOST_REQUIRE(reports.size() == 1);
   BOOST_TEST(reports[0].evidence(0).sign() == wire::SIGN_WELL);
 }
 
 BOOST_AUTO_TEST_CASE(reports_of_peers_fail_no_unsafe_request_before_its_target_latency) {
-  arrive(1, "/unsafe/x");
+  send_request(1, "/unsafe/x");
   report_unresponsive(last<start_call>().target.replica, "x");
   report_unresponsive(last<start_call>().target.replica, "y");
-  pass(milliseconds(500));
+  advance_time(milliseconds(500));
   BOOST_TEST(all<respond>().empty());
-  happen(call_answered{last<start_call>().call, good_head(), "body"});
+  deliver(call_answered{last<start_call>().call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
 }
 
 BOOST_AUTO_TEST_CASE(safe_request_is_retried_when_two_nodes_report_unresponsive_replica) {
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   const auto first = last<start_call>();
   report_unresponsive(first.target.replica, "x");
   BOOST_TEST(all<start_call>().size() == 1);
@@ -127,68 +127,68 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_stream_that_goes_on_is_left_where_it_is) {
-  arrive(1, "/stream/x");
+  send_request(1, "/stream/x");
   const auto call = last<start_call>();
-  happen(stream_opened{call.call, good_head()});
-  happen(stream_bytes{call.call, "id: 1\ndata: a\n\n"});
-  pass(milliseconds(50));
-  happen(stream_bytes{call.call, "id: 2\ndata: b\n\n"});
+  deliver(stream_opened{call.call, good_head()});
+  deliver(stream_bytes{call.call, "id: 1\ndata: a\n\n"});
+  advance_time(milliseconds(50));
+  deliver(stream_bytes{call.call, "id: 2\ndata: b\n\n"});
   report_unresponsive(call.target.replica, "x");
-  pass(milliseconds(50));
-  happen(stream_bytes{call.call, "id: 3\ndata: c\n\n"});
+  advance_time(milliseconds(50));
+  deliver(stream_bytes{call.call, "id: 3\ndata: c\n\n"});
   BOOST_TEST(all<start_call>().size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(replica_that_stays_unresponsive_is_reported_again) {
-  arrive(1, "/unsafe/x");
-  pass(milliseconds(990));
+  send_request(1, "/unsafe/x");
+  advance_time(milliseconds(990));
   BOOST_TEST(sent_reports().empty());
-  pass(milliseconds(30));
+  advance_time(milliseconds(30));
   const auto reports = sent_reports();
   BOOST_REQUIRE(reports.size() == 1);
   BOOST_TEST(reports[0].evidence(0).replica() == last<start_call>().target.replica.text());
   BOOST_TEST(reports[0].evidence(0).sign() == wire::SIGN_SILENT);
-  pass(milliseconds(900));
+  advance_time(milliseconds(900));
   BOOST_TEST(sent_reports().empty());
-  pass(milliseconds(400));
+  advance_time(milliseconds(400));
   BOOST_TEST(sent_reports().size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(answered_call_sends_no_report) {
-  arrive(1, "/safe/x");
-  happen(call_answered{last<start_call>().call, good_head(), "body"});
-  pass(milliseconds(2000));
+  send_request(1, "/safe/x");
+  deliver(call_answered{last<start_call>().call, good_head(), "body"});
+  advance_time(milliseconds(2000));
   BOOST_TEST(sent_reports().empty());
 }
 
 BOOST_FIXTURE_TEST_CASE(failed_request_is_retried_with_transferred_budget,
                         driver_without_own_budget) {
-  arrive(1, "/safe/x");
-  happen(call_answered{last<start_call>().call, good_head(500), "first"});
+  send_request(1, "/safe/x");
+  deliver(call_answered{last<start_call>().call, good_head(500), "first"});
   BOOST_TEST(all<respond>().empty());
   transfer(sent_query(), 1000);
   BOOST_TEST(all<start_call>().size() == 2);
-  happen(call_answered{last<start_call>().call, good_head(), "second"});
+  deliver(call_answered{last<start_call>().call, good_head(), "second"});
   BOOST_TEST(last<respond>().body == "second");
   BOOST_TEST(subject.counts().retries_on_transferred_budget == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(stalled_call_is_retried_with_transferred_budget,
                         driver_without_own_budget) {
-  arrive(1, "/stream/x");
+  send_request(1, "/stream/x");
   const auto first = last<start_call>();
-  pass(milliseconds(1010));
+  advance_time(milliseconds(1010));
   BOOST_TEST(all<start_call>().size() == 1);
   transfer(sent_query(), 1000);
-  pass(milliseconds(100));
+  advance_time(milliseconds(100));
   BOOST_REQUIRE(all<start_call>().size() == 2);
   BOOST_TEST(last<start_call>().target.replica != first.target.replica);
 }
 
 BOOST_FIXTURE_TEST_CASE(failed_answer_is_forwarded_if_no_budget_is_transferred,
                         driver_without_own_budget) {
-  arrive(1, "/safe/x");
-  happen(call_answered{last<start_call>().call, good_head(500), "first"});
+  send_request(1, "/safe/x");
+  deliver(call_answered{last<start_call>().call, good_head(500), "first"});
   transfer(sent_query(), 0);
   BOOST_TEST(all<start_call>().size() == 1);
   BOOST_TEST(last<respond>().status == 500);
@@ -196,18 +196,18 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(request_fails_if_budget_query_is_not_answered, driver_without_own_budget) {
-  arrive(1, "/safe/x");
-  happen(call_answered{last<start_call>().call, good_head(500), "first"});
-  pass(milliseconds(200));
+  send_request(1, "/safe/x");
+  deliver(call_answered{last<start_call>().call, good_head(500), "first"});
+  advance_time(milliseconds(200));
   BOOST_TEST(last<respond>().status == 500);
   BOOST_TEST(subject.active() == 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(disconnect_while_awaiting_budget_removes_request,
                         driver_without_own_budget) {
-  arrive(1, "/safe/x");
-  happen(call_answered{last<start_call>().call, good_head(500), "first"});
-  happen(client_disconnected{1});
+  send_request(1, "/safe/x");
+  deliver(call_answered{last<start_call>().call, good_head(500), "first"});
+  deliver(client_disconnected{1});
   transfer(sent_query(), 1000);
   BOOST_TEST(all<start_call>().size() == 1);
   BOOST_TEST(subject.active() == 0);
--- a/tests/dispatch/engine_requests_test.cc
+++ b/tests/dispatch/engine_requests_test.cc
@@ -26,18 +26,18 @@
 class engine_driver : public dispatcher_driver {
  public:
   engine_driver() : dispatcher_driver(settings_with_large_retry_budget()) {
-    for (auto& service : *world.configuration.mutable_services()) {
+    for (auto& service : *published.configuration.mutable_services()) {
       if (service.name() == "llm") {
         service.mutable_engine()->set_memory_tokens(10'000);
       }
     }
-    world.publish_configuration();
+    published.publish_configuration();
     // With this number of slots the choice of an engine depends on its prefill backlog, not on its
     // number of calls.
     constexpr std::uint32_t slots = 64;
-    world.add_replica("llm-a", "llm", "a", false, 0, slots);
-    world.add_replica("llm-b", "llm", "b", false, 0, slots);
-    subject.update(world.content, now);
+    published.add_replica("llm-a", "llm", "a", false, 0, slots);
+    published.add_replica("llm-b", "llm", "b", false, 0, slots);
+    subject.update(published.content, now);
   }
 
   void send_prompt(base::caller_id client, std::uint32_t prompt_tokens,
@@ -52,7 +52,7 @@
     content->prompt_tokens = prompt_tokens;
     content->output_tokens = output_tokens;
     content->prompt_parts = {{"shared", shared_tokens}, {"own", prompt_tokens - shared_tokens}};
-    happen(request_arrived{client, content, now});
+    deliver(request_arrived{client, content, now});
   }
 
   [[nodiscard]] bool is_cancelled(base::call_id call) const {
@@ -115,10 +115,10 @@
   BOOST_TEST(last->call >= first.call + 5);
   // Both engines are unresponsive. No prompt is ahead of the first call, so it stalls at its target
   // latency of 1 s.
-  pass(std::chrono::milliseconds(1'050));
+  advance_time(std::chrono::milliseconds(1'050));
   BOOST_TEST(is_cancelled(first.call));
   BOOST_TEST(!is_cancelled(last->call));
-  pass(std::chrono::milliseconds(3'000));
+  advance_time(std::chrono::milliseconds(3'000));
   BOOST_TEST(is_cancelled(last->call));
 }
 
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -27,13 +27,13 @@
   }
 
   void evacuate(const std::string& zone) {
-    world.evacuate(zone);
-    subject.update(world.content, now);
+    published.evacuate(zone);
+    subject.update(published.content, now);
   }
 
   void end_evacuation(const std::string& zone) {
-    world.end_evacuation(zone);
-    subject.update(world.content, now);
+    published.end_evacuation(zone);
+    subject.update(published.content, now);
   }
 };
 
@@ -44,37 +44,37 @@
 BOOST_AUTO_TEST_CASE(calls_and_streams_avoid_evacuated_zone) {
   evacuate("a");
   for (base::caller_id client = 1; client <= 20; ++client) {
-    arrive(client, client % 2 == 0 ? "/safe/x" : "/stream/x");
+    send_request(client, client % 2 == 0 ? "/safe/x" : "/stream/x");
   }
   BOOST_TEST(all<start_call>().size() == 20U);
   BOOST_TEST(called_zones() == std::set<std::string>{"b"}, boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(retry_avoids_evacuated_zone) {
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   BOOST_TEST(zone_of(last<start_call>()) == "a");
   // The other zone has the only untried replica, and is evacuated before the retry.
   evacuate("b");
-  happen(call_failed{last<start_call>().call, call_failure::may_have_run});
+  deliver(call_failed{last<start_call>().call, call_failure::may_have_run});
   BOOST_TEST(all<start_call>().size() == 1U);
   BOOST_TEST(last<respond>().status == 502U);
 }
 
 BOOST_AUTO_TEST_CASE(resumed_stream_avoids_evacuated_zone) {
-  arrive(1, "/stream/x");
+  send_request(1, "/stream/x");
   const auto first = last<start_call>();
-  happen(stream_opened{first.call, good_head()});
-  happen(stream_bytes{first.call, "id: 1\ndata: x\n\n"});
+  deliver(stream_opened{first.call, good_head()});
+  deliver(stream_bytes{first.call, "id: 1\ndata: x\n\n"});
   evacuate(zone_of(first) == "a" ? "b" : "a");
-  happen(stream_closed{first.call, false});
+  deliver(stream_closed{first.call, false});
   BOOST_TEST(all<start_call>().size() == 1U);
   BOOST_TEST(!last<end_stream>().complete);
 }
 
 BOOST_AUTO_TEST_CASE(request_is_refused_if_only_evacuated_zone_has_service) {
-  world.remove_replica("plain-b");
+  published.remove_replica("plain-b");
   evacuate("a");
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   BOOST_TEST(all<start_call>().empty());
   BOOST_TEST(last<respond>().status == 503U);
   BOOST_TEST(subject.active() == 0U);
@@ -83,68 +83,68 @@
 BOOST_AUTO_TEST_CASE(calls_avoid_zones_of_overlapping_and_repeated_evacuations) {
   evacuate("a");
   evacuate("b");
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   BOOST_TEST(last<respond>().status == 503U);
   end_evacuation("a");
-  arrive(2, "/safe/x");
+  send_request(2, "/safe/x");
   BOOST_TEST(zone_of(last<start_call>()) == "a");
   evacuate("a");
   end_evacuation("b");
-  arrive(3, "/safe/x");
+  send_request(3, "/safe/x");
   BOOST_TEST(zone_of(last<start_call>()) == "b");
 }
 
 BOOST_AUTO_TEST_CASE(evacuation_of_unknown_zone_has_no_effect) {
   evacuate("elsewhere");
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   BOOST_TEST(zone_of(last<start_call>()) == "a");
 }
 
 BOOST_AUTO_TEST_CASE(no_piece_and_no_free_command_is_sent_to_evacuated_zone) {
   time_allowed = seconds(20);
-  arrive(1, "/staged/x", {1, 1});
-  pass(milliseconds(50));
+  send_request(1, "/staged/x", {1, 1});
+  advance_time(milliseconds(50));
   const auto first = last<start_stage_call>();
   const auto name = first.target.replica.text();
   const auto zone = name.substr(name.rfind('-') + 1);
   evacuate(zone);
-  happen(stage_call_ended{first.call,
-                          stage_call_ended::result::answered,
-                          {{piece_fault::none, first.target.address.text() + "/h"}}});
-  pass(milliseconds(50));
+  deliver(stage_call_ended{first.call,
+                           stage_call_ended::result::answered,
+                           {{piece_fault::none, first.target.address.text() + "/h"}}});
+  advance_time(milliseconds(50));
   BOOST_TEST(all<start_stage_call>().size() == 2U);
   BOOST_TEST(last<start_stage_call>().target.replica.text() != name);
-  happen(client_disconnected{1});
-  pass(milliseconds(50));
+  deliver(client_disconnected{1});
+  advance_time(milliseconds(50));
   for (const auto& command : all<free_results>()) {
     BOOST_TEST(command.maker.address != first.target.address);
   }
 }
 
 BOOST_AUTO_TEST_CASE(a_zone_that_is_given_back_is_taken_for_cold_for_a_while) {
-  world.configuration.mutable_services(0)->set_cold_requests_per_second(4);
-  world.publish_configuration();
+  published.configuration.mutable_services(0)->set_cold_requests_per_second(4);
+  published.publish_configuration();
   evacuate("a");
   end_evacuation("a");
   for (base::caller_id client = 1; client <= 10; ++client) {
-    arrive(client, "/stream/x");
+    send_request(client, "/stream/x");
   }
   // The replicas of zone a count as cold, and the limit for cold replicas permits no call yet.
   BOOST_TEST(called_zones() == std::set<std::string>{"b"}, boost::test_tools::per_element());
-  pass(serving_settings{}.cold_time_after_evacuation);
+  advance_time(serving_settings{}.cold_time_after_evacuation);
   commands.clear();
   for (base::caller_id client = 11; client <= 20; ++client) {
-    arrive(client, "/stream/x");
+    send_request(client, "/stream/x");
   }
   BOOST_TEST(called_zones().contains("a"));
 }
 
 BOOST_AUTO_TEST_CASE(batchers_make_no_calls_to_evacuated_zone) {
-  exchange_fleet fleet(6, 2, one_region());
-  fleet.world.evacuate("a");
+  exchange_fleet fleet(6, 2, one_region_settings());
+  fleet.published.evacuate("a");
   for (auto& node : fleet.nodes) {
-    node->replicas.set_evacuated(fleet.world.content.evacuated_zones(), fleet.now);
-    node->subject.set_configuration(fleet.world.content.serving());
+    node->replicas.set_evacuated(fleet.published.content.evacuated_zones(), fleet.now);
+    node->subject.set_configuration(fleet.published.content.serving());
   }
   for (auto& node : fleet.nodes) {
     for (int piece = 0; piece < 5; ++piece) {
--- a/tests/dispatch/planned_stop_requests_test.cc
+++ b/tests/dispatch/planned_stop_requests_test.cc
@@ -13,9 +13,9 @@
 BOOST_AUTO_TEST_CASE(stream_with_enough_time_is_accepted) {
   learn_run_times("/fixed/x");
   begin_stop();
-  pass(seconds(1));
+  advance_time(seconds(1));
   const auto calls = all<start_call>().size();
-  arrive(10, "/fixed/x");
+  send_request(10, "/fixed/x");
   BOOST_TEST(all<start_call>().size() == calls + 1);
   BOOST_TEST(subject.counts().accepted_while_stopping == 1U);
 }
@@ -23,9 +23,9 @@
 BOOST_AUTO_TEST_CASE(stream_without_enough_time_is_refused) {
   learn_run_times("/fixed/x");
   begin_stop();
-  pass(milliseconds(5'200));
+  advance_time(milliseconds(5'200));
   const auto calls = all<start_call>().size();
-  arrive(10, "/fixed/x");
+  send_request(10, "/fixed/x");
   BOOST_TEST(all<start_call>().size() == calls);
   BOOST_TEST(last<respond>().client == 10U);
   BOOST_TEST(last<respond>().status == 503);
@@ -35,14 +35,14 @@
 
 BOOST_AUTO_TEST_CASE(stream_whose_stages_end_too_late_is_not_sent) {
   learn_run_times("/staged/x", {1, 0});
-  arrive(10, "/staged/x", {1, 0});
+  send_request(10, "/staged/x", {1, 0});
   const auto calls = all<start_call>().size();
-  pass(milliseconds(20));
+  advance_time(milliseconds(20));
   begin_stop();
-  pass(milliseconds(5'500));
+  advance_time(milliseconds(5'500));
   BOOST_TEST(subject.active() == 1U);
   complete_stage_call();
-  pass(milliseconds(10));
+  advance_time(milliseconds(10));
   BOOST_TEST(all<start_call>().size() == calls);
   BOOST_TEST(last<respond>().client == 10U);
   BOOST_TEST(last<respond>().status == 503);
@@ -50,17 +50,17 @@
 
 BOOST_AUTO_TEST_CASE(broken_stream_without_enough_time_is_not_retried) {
   learn_run_times("/stream/x");
-  arrive(10, "/stream/x");
+  send_request(10, "/stream/x");
   const auto call = last<start_call>().call;
-  happen(stream_opened{call, good_head()});
+  deliver(stream_opened{call, good_head()});
   send_next_event(call);
   begin_stop();
   for (int steps = 0; steps < 11; ++steps) {
-    pass(milliseconds(500));
+    advance_time(milliseconds(500));
     send_next_event(call);
   }
   const auto calls = all<start_call>().size();
-  happen(stream_closed{call, false});
+  deliver(stream_closed{call, false});
   BOOST_TEST(all<start_call>().size() == calls);
   BOOST_TEST(!last<end_stream>().complete);
   BOOST_TEST(subject.active() == 0);
@@ -69,17 +69,17 @@
 BOOST_AUTO_TEST_CASE(short_requests_are_accepted_longer_than_streams) {
   constexpr base::caller_id completed_requests = 4;
   for (base::caller_id client = 1; client <= completed_requests; ++client) {
-    arrive(client, "/unsafe/x");
-    pass(milliseconds(50));
-    happen(call_answered{last<start_call>().call, good_head(), "body"});
+    send_request(client, "/unsafe/x");
+    advance_time(milliseconds(50));
+    deliver(call_answered{last<start_call>().call, good_head(), "body"});
   }
   begin_stop();
-  pass(milliseconds(3'400));
-  arrive(10, "/unsafe/x");
-  happen(call_answered{last<start_call>().call, good_head(), "body"});
+  advance_time(milliseconds(3'400));
+  send_request(10, "/unsafe/x");
+  deliver(call_answered{last<start_call>().call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
-  pass(milliseconds(200));
-  arrive(11, "/unsafe/x");
+  advance_time(milliseconds(200));
+  send_request(11, "/unsafe/x");
   BOOST_TEST(last<respond>().status == 503);
 }
 
@@ -94,19 +94,19 @@
     base::caller_id client = 100;
     while (node.now - node.stop_began_at < stop_duration) {
       const auto calls = node.all<start_call>().size();
-      node.arrive(++client, "/fixed/x");
+      node.send_request(++client, "/fixed/x");
       if (node.all<start_call>().size() > calls) {
         const auto call = node.last<start_call>().call;
-        node.happen(stream_opened{call, node.good_head()});
+        node.deliver(stream_opened{call, node.good_head()});
         node.send_next_event(call);
         ends_by_call[call] = node.now + milliseconds(500 + random.below(1'500));
       }
-      node.pass(milliseconds(100));
+      node.advance_time(milliseconds(100));
       std::erase_if(ends_by_call, [&](const auto& entry) {
         const bool has_ended = entry.second <= node.now;
         node.send_next_event(entry.first);
         if (has_ended) {
-          node.happen(stream_closed{entry.first, true});
+          node.deliver(stream_closed{entry.first, true});
         }
         return has_ended;
       });
--- a/tests/dispatch/replica_changes_test.cc
+++ b/tests/dispatch/replica_changes_test.cc
@@ -11,20 +11,20 @@
 
 namespace {
 
-/// A dispatcher that knows `size` replicas besides those of `published_world`.
+/// A dispatcher that knows `size` replicas besides those of `published_catalog`.
 struct large_fleet_driver : dispatcher_driver {
   explicit large_fleet_driver(int size) {
     for (int number = 0; number < size; ++number) {
-      world.add_replica(replica_name(number), "llm", number % 2 == 0 ? "a" : "b");
+      published.add_replica(replica_name(number), "llm", number % 2 == 0 ? "a" : "b");
     }
-    subject.update(world.content, now);
+    subject.update(published.content, now);
   }
 
   static std::string replica_name(int number) { return "r" + std::to_string(number); }
   /// @return number of records that an update compares.
   std::uint64_t records_compared_by_update() {
     const auto before = subject.replicas().records_compared();
-    subject.update(world.content, now);
+    subject.update(published.content, now);
     return subject.replicas().records_compared() - before;
   }
 };
@@ -57,10 +57,10 @@
 BOOST_AUTO_TEST_CASE(update_with_one_changed_replica_compares_one_record) {
   for (const int size : {250, 1'000}) {
     large_fleet_driver node(size);
-    node.world.add_replica(large_fleet_driver::replica_name(7), "llm", "a", true);
+    node.published.add_replica(large_fleet_driver::replica_name(7), "llm", "a", true);
     BOOST_TEST(node.records_compared_by_update() == 1U);
     BOOST_TEST(node.subject.replicas().find(base::replica_id("r7"))->record->draining);
-    node.world.remove_replica(large_fleet_driver::replica_name(8));
+    node.published.remove_replica(large_fleet_driver::replica_name(8));
     BOOST_TEST(node.records_compared_by_update() == 0U);
     BOOST_TEST(node.subject.replicas().find(base::replica_id("r8")) == nullptr);
     BOOST_TEST(node.records_compared_by_update() == 0U);
@@ -69,21 +69,21 @@
 
 BOOST_AUTO_TEST_CASE(update_with_new_configuration_compares_each_record_once) {
   large_fleet_driver node(250);
-  node.world.publish_configuration();
-  BOOST_TEST(node.records_compared_by_update() == node.world.content.replicas().size());
+  node.published.publish_configuration();
+  BOOST_TEST(node.records_compared_by_update() == node.published.content.replicas().size());
 }
 
 BOOST_AUTO_TEST_CASE(more_changes_than_the_change_log_keeps_are_applied) {
   large_fleet_driver node(10);
   for (std::size_t change = 0; change <= catalog::change_log::max_kept_changes; ++change) {
-    node.world.add_replica("r3", "llm", change % 2 == 0 ? "a" : "b");
+    node.published.add_replica("r3", "llm", change % 2 == 0 ? "a" : "b");
   }
-  node.world.remove_replica("r4");
-  node.subject.update(node.world.content, node.now);
+  node.published.remove_replica("r4");
+  node.subject.update(node.published.content, node.now);
   const auto& replicas = node.subject.replicas();
   BOOST_TEST(replicas.find(base::replica_id("r4")) == nullptr);
   BOOST_TEST((replicas.find(base::replica_id("r3"))->record ==
-              node.world.content.replicas().at(base::replica_id("r3"))));
+              node.published.content.replicas().at(base::replica_id("r3"))));
 }
 
 BOOST_AUTO_TEST_CASE(incremental_updates_equal_full_update) {
@@ -94,26 +94,27 @@
     for (int round = 0; round < 60; ++round) {
       for (std::uint64_t change = random.below(6); change > 0; --change) {
         const auto id = large_fleet_driver::replica_name(static_cast<int>(random.below(24)));
-        if (random.below(4) == 0 && node.world.content.replicas().contains(base::replica_id(id))) {
-          node.world.remove_replica(id);
+        if (random.below(4) == 0 &&
+            node.published.content.replicas().contains(base::replica_id(id))) {
+          node.published.remove_replica(id);
         } else {
           // Some replicas get the address of another replica or of a removed replica.
-          node.world.add_incarnation(id, services[random.below(4)], "a",
-                                     "10.1.0." + std::to_string(random.below(12)) + ":80",
-                                     1 + random.below(3));
+          node.published.add_incarnation(id, services[random.below(4)], "a",
+                                         "10.1.0." + std::to_string(random.below(12)) + ":80",
+                                         1 + random.below(3));
         }
       }
       if (random.below(20) == 0) {
-        node.world.publish_configuration();
+        node.published.publish_configuration();
       }
-      node.subject.update(node.world.content, node.now);
+      node.subject.update(node.published.content, node.now);
     }
-    node.world.publish_configuration();
-    node.subject.update(node.world.content, node.now);
+    node.published.publish_configuration();
+    node.subject.update(node.published.content, node.now);
     serving_settings settings;
     replica_table full(base::node_id("n"), base::zone_id("a"), settings, random);
-    full.set_configuration(node.world.content.serving());
-    full.update(node.world.content.replicas(), node.now);
+    full.set_configuration(node.published.content.serving());
+    full.update(node.published.content.replicas(), node.now);
     for (const auto& [id, state] : node.subject.replicas().all()) {
       // Replicas whose service is no longer configured are kept; here all services stay configured.
       BOOST_TEST(full.find(id) != nullptr);
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -17,7 +17,8 @@
 struct restart_driver : dispatcher_driver {
   restart_driver() {
     for (const std::string service : {"llm", "plain", "pool"}) {
-      world.add_incarnation(service + "-a", service, "a", address_of(service, old_address), 1000);
+      published.add_incarnation(service + "-a", service, "a", address_of(service, old_address),
+                                1000);
     }
     update();
   }
@@ -33,7 +34,7 @@
   }
 
   void update() {
-    subject.update(world.content, now);
+    subject.update(published.content, now);
     subject.advance(now);
     for (auto& command : subject.take_commands()) {
       commands.push_back(std::move(command));
@@ -42,14 +43,14 @@
 
   void restart(const std::string& service, const std::string& base = old_address,
                std::uint64_t started_at = 2000) {
-    world.add_incarnation(service + "-a", service, "a", address_of(service, base), started_at);
+    published.add_incarnation(service + "-a", service, "a", address_of(service, base), started_at);
     update();
   }
 
   /// Sends a request.
   /// @return call of the request, which goes to the replica of zone a.
   base::call_id call_at_zone_a(const std::string& path, base::caller_id client) {
-    arrive(client, path);
+    send_request(client, path);
     const auto call = last<start_call>();
     BOOST_REQUIRE(call.target.replica.text().ends_with("-a"));
     return call.call;
@@ -78,18 +79,18 @@
 
 BOOST_AUTO_TEST_CASE(safe_request_at_earlier_incarnation_is_retried_at_once) {
   const auto call = call_at_zone_a("/safe/x", 1);
-  pass(milliseconds(50));
+  advance_time(milliseconds(50));
   restart("plain");
   BOOST_TEST(last<cancel_call>().call == call);
   BOOST_REQUIRE(all<start_call>().size() == 2);
-  happen(call_answered{last<start_call>().call, good_head(), "body"});
+  deliver(call_answered{last<start_call>().call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
   BOOST_TEST(subject.counts().calls_at_earlier_incarnations == 1U);
   BOOST_TEST(subject.counts().replica_restarts == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(request_at_earlier_incarnation_may_be_retried_at_restarted_replica) {
-  world.remove_replica("plain-b");
+  published.remove_replica("plain-b");
   update();
   call_at_zone_a("/safe/x", 1);
   restart("plain", new_address);
@@ -102,7 +103,7 @@
   const auto call = call_at_zone_a("/unsafe/x", 1);
   restart("plain");
   BOOST_TEST(all<respond>().empty());
-  pass(milliseconds(510));
+  advance_time(milliseconds(510));
   BOOST_TEST(last<respond>().status == 502);
   for (const auto& field : last<respond>().headers) {
     BOOST_TEST(field.name != "Retry-After");
@@ -114,8 +115,8 @@
 BOOST_AUTO_TEST_CASE(answer_after_restart_is_delivered) {
   const auto call = call_at_zone_a("/unsafe/x", 1);
   restart("plain");
-  pass(milliseconds(100));
-  happen(call_answered{call, good_head(), "body"});
+  advance_time(milliseconds(100));
+  deliver(call_answered{call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
   BOOST_TEST(last<respond>().body == "body");
 }
@@ -123,7 +124,7 @@
 BOOST_AUTO_TEST_CASE(failure_at_earlier_incarnation_does_not_count_for_current) {
   const auto call = call_at_zone_a("/unsafe/x", 1);
   restart("plain");
-  happen(call_failed{call, call_failure::may_have_run});
+  deliver(call_failed{call, call_failure::may_have_run});
   BOOST_TEST(last<respond>().status == 502);
   BOOST_TEST(state("plain-a").failure_share == 0);
   BOOST_TEST((state("plain-a").paused_until <= now));
@@ -132,9 +133,9 @@
 
 BOOST_AUTO_TEST_CASE(resumable_stream_resumes_at_another_replica_after_restart) {
   const auto call = call_at_zone_a("/stream/x", 1);
-  happen(stream_opened{call, good_head()});
-  happen(stream_bytes{call, "id: 4\ndata: a\n\n"});
-  pass(milliseconds(600));
+  deliver(stream_opened{call, good_head()});
+  deliver(stream_bytes{call, "id: 4\ndata: a\n\n"});
+  advance_time(milliseconds(600));
   restart("llm");
   BOOST_REQUIRE(all<start_call>().size() == 2);
   BOOST_TEST(last<start_call>().resume_after.value() == 4U);
@@ -142,24 +143,24 @@
 
 BOOST_AUTO_TEST_CASE(stream_with_recent_events_continues_after_restart) {
   const auto call = call_at_zone_a("/stream/x", 1);
-  pass(milliseconds(10));
-  happen(stream_opened{call, good_head()});
-  happen(stream_bytes{call, "id: 1\ndata: a\n\n"});
-  pass(milliseconds(100));
+  advance_time(milliseconds(10));
+  deliver(stream_opened{call, good_head()});
+  deliver(stream_bytes{call, "id: 1\ndata: a\n\n"});
+  advance_time(milliseconds(100));
   restart("llm");
   BOOST_TEST(all<start_call>().size() == 1);
   BOOST_TEST(state("llm-a").in_flight == 1U);
-  happen(stream_closed{call, true});
+  deliver(stream_closed{call, true});
   BOOST_TEST(last<end_stream>().complete);
 }
 
 BOOST_AUTO_TEST_CASE(non_resumable_stream_is_broken_off_after_restart) {
   const auto call = call_at_zone_a("/fixed/x", 1);
-  happen(stream_opened{call, good_head()});
-  happen(stream_bytes{call, "id: 1\ndata: a\n\n"});
-  pass(milliseconds(600));
+  deliver(stream_opened{call, good_head()});
+  deliver(stream_bytes{call, "id: 1\ndata: a\n\n"});
+  advance_time(milliseconds(600));
   restart("llm");
-  pass(milliseconds(510));
+  advance_time(milliseconds(510));
   BOOST_TEST(!last<end_stream>().complete);
   BOOST_TEST(subject.active() == 0U);
 }
@@ -167,31 +168,31 @@
 BOOST_AUTO_TEST_CASE(request_sent_after_restart_does_not_fail) {
   restart("plain");
   const auto call = call_at_zone_a("/unsafe/x", 1);
-  pass(milliseconds(600));
+  advance_time(milliseconds(600));
   BOOST_TEST(all<respond>().empty());
-  happen(call_answered{call, good_head(), "body"});
+  deliver(call_answered{call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
 }
 
 BOOST_AUTO_TEST_CASE(replica_that_was_removed_and_republished_counts_as_restarted) {
   call_at_zone_a("/unsafe/x", 1);
-  world.remove_replica("plain-a");
+  published.remove_replica("plain-a");
   update();
-  pass(milliseconds(300));
+  advance_time(milliseconds(300));
   restart("plain");
-  pass(milliseconds(510));
+  advance_time(milliseconds(510));
   BOOST_TEST(last<respond>().status == 502);
 }
 
 BOOST_AUTO_TEST_CASE(changed_entry_of_same_incarnation_fails_no_request) {
   const auto call = call_at_zone_a("/unsafe/x", 1);
-  world.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 1000, 500);
+  published.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 1000, 500);
   update();
-  world.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 0);
+  published.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 0);
   update();
-  pass(milliseconds(600));
+  advance_time(milliseconds(600));
   BOOST_TEST(all<respond>().empty());
-  happen(call_answered{call, good_head(), "body"});
+  deliver(call_answered{call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
 }
 
@@ -202,7 +203,7 @@
 
 BOOST_AUTO_TEST_CASE(reports_on_earlier_incarnation_are_ignored) {
   const auto call = call_at_zone_a("/unsafe/x", 1);
-  happen(call_answered{call, good_head(), "body"});
+  deliver(call_answered{call, good_head(), "body"});
   restart("plain");
   report("plain-a", wire::SIGN_SILENT, 1000, "x");
   report("plain-a", wire::SIGN_UNREACHABLE, 1000, "y");
@@ -218,7 +219,7 @@
   add_peer();
   call_at_zone_a("/unsafe/x", 1);
   static_cast<void>(subject.take_messages());
-  pass(milliseconds(1010));
+  advance_time(milliseconds(1010));
   std::uint32_t incarnation_fingerprint = 0;
   for (const auto& message : subject.take_messages()) {
     if (message.message.has_replica_news()) {
@@ -230,12 +231,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(pieces_at_earlier_incarnation_are_recomputed) {
-  arrive(1, "/staged/x", {1, 1});
-  pass(milliseconds(20));
+  send_request(1, "/staged/x", {1, 1});
+  advance_time(milliseconds(20));
   const auto first = last<start_stage_call>();
   BOOST_REQUIRE(first.target.replica.text() == "pool-a");
   restart("pool");
-  pass(milliseconds(30));
+  advance_time(milliseconds(30));
   BOOST_TEST(last<cancel_call>().call == first.call);
   BOOST_REQUIRE(all<start_stage_call>().size() == 2);
   BOOST_TEST(last<start_stage_call>().items.front().piece_key == "pk");
@@ -243,14 +244,14 @@
 
 BOOST_AUTO_TEST_CASE(lost_final_results_are_recomputed_before_retry) {
   const auto complete_next_piece = [&](const std::string& name) {
-    pass(milliseconds(30));
+    advance_time(milliseconds(30));
     const auto call = last<start_stage_call>();
     auto handle = call.target.address.text() + "/" + name;
-    happen(stage_call_ended{
+    deliver(stage_call_ended{
         call.call, stage_call_ended::result::answered, {{piece_fault::none, handle}}});
     return handle;
   };
-  arrive(1, "/staged/x", {1, 1});
+  send_request(1, "/staged/x", {1, 1});
   complete_next_piece("1");
   const auto lost = complete_next_piece("2");
   BOOST_REQUIRE(lost.starts_with(address_of("pool", old_address)));
@@ -260,7 +261,7 @@
   // recomputed.
   auto head = not_executed_head();
   head.status = 409;
-  happen(call_answered{call.call, head, ""});
+  deliver(call_answered{call.call, head, ""});
   BOOST_TEST(all<start_call>().size() == 1);
   complete_next_piece("3");
   BOOST_TEST(all<start_call>().size() == 1);
@@ -271,39 +272,39 @@
 }
 
 BOOST_AUTO_TEST_CASE(replica_whose_entry_turns_malformed_gets_no_request) {
-  world.write_malformed("plain-a");
+  published.write_malformed("plain-a");
   update();
   for (base::caller_id client = 1; client <= 20; ++client) {
-    arrive(client, "/safe/x");
+    send_request(client, "/safe/x");
     BOOST_TEST(last<start_call>().target.replica.text() == "plain-b");
   }
-  world.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 1000);
+  published.add_incarnation("plain-a", "plain", "a", address_of("plain", old_address), 1000);
   update();
-  arrive(21, "/safe/x");
+  send_request(21, "/safe/x");
   BOOST_TEST(last<start_call>().target.replica.text() == "plain-a");
   BOOST_TEST(subject.counts().replica_restarts == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(malformed_entry_does_not_fail_active_request) {
   const auto call = call_at_zone_a("/unsafe/x", 1);
-  world.write_malformed("plain-a");
+  published.write_malformed("plain-a");
   update();
-  happen(call_answered{call, good_head(), "body"});
+  deliver(call_answered{call, good_head(), "body"});
   BOOST_TEST(last<respond>().status == 200);
 }
 
 BOOST_AUTO_TEST_CASE(replica_of_unknown_service_is_reported_once) {
-  world.add_incarnation("stranger", "nowhere", "a", "10.0.9.9:80", 1000);
+  published.add_incarnation("stranger", "nowhere", "a", "10.0.9.9:80", 1000);
   update();
-  world.add_incarnation("stranger", "nowhere", "a", "10.0.9.9:80", 1000, 50);
+  published.add_incarnation("stranger", "nowhere", "a", "10.0.9.9:80", 1000, 50);
   update();
   BOOST_TEST(subject.counts().replicas_of_unknown_services == 1U);
-  world.add_incarnation("stranger", "elsewhere", "a", "10.0.9.9:80", 1000);
+  published.add_incarnation("stranger", "elsewhere", "a", "10.0.9.9:80", 1000);
   update();
   BOOST_TEST(subject.counts().replicas_of_unknown_services == 2U);
   // The service is configured now.
-  world.add_service("elsewhere");
-  world.publish_configuration();
+  published.add_service("elsewhere");
+  published.publish_configuration();
   update();
   BOOST_TEST(subject.replicas().find(base::replica_id("stranger")) != nullptr);
 }
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -23,7 +23,7 @@
       for (const auto& zone : residency_zones) {
         if (zone > "b") {
           auto name = service;
-          world.add_replica(name.append("-").append(zone), service, zone);
+          published.add_replica(name.append("-").append(zone), service, zone);
         }
       }
     }
@@ -32,12 +32,12 @@
   }
 
   void publish() {
-    world.publish_configuration();
-    subject.update(world.content, now);
+    published.publish_configuration();
+    subject.update(published.content, now);
   }
 
   void restrict_routes(const text_set& regions) {
-    for (auto& route : *world.configuration.mutable_routes()) {
+    for (auto& route : *published.configuration.mutable_routes()) {
       route.clear_permitted_regions();
       for (const auto& region : regions) {
         route.add_permitted_regions(region);
@@ -47,7 +47,7 @@
   }
 
   void restrict_tenant(const text_set& regions) {
-    auto& tenant = *world.configuration.mutable_tenants(0);
+    auto& tenant = *published.configuration.mutable_tenants(0);
     tenant.clear_permitted_regions();
     for (const auto& region : regions) {
       tenant.add_permitted_regions(region);
@@ -91,7 +91,7 @@
         ended.pieces.push_back({piece_fault::none, call.target.address.text() + "/h" +
                                                        std::to_string(++handle_count)});
       }
-      happen(ended);
+      deliver(ended);
     }
   }
 
@@ -107,7 +107,7 @@
   restrict_routes({"south", "west"});
   restrict_tenant({"north", "south"});
   for (base::caller_id client = 1; client <= 40; ++client) {
-    arrive(client, client % 2 == 0 ? "/safe/x" : "/stream/x");
+    send_request(client, client % 2 == 0 ? "/safe/x" : "/stream/x");
   }
   BOOST_TEST(all<start_call>().size() == 40U);
   BOOST_TEST(called_zones() == (text_set{"c", "d"}), boost::test_tools::per_element());
@@ -115,9 +115,9 @@
 
 BOOST_AUTO_TEST_CASE(pieces_and_final_call_stay_in_permitted_region) {
   restrict_routes({"west"});
-  arrive(1, "/staged/x", {3, 2});
+  send_request(1, "/staged/x", {3, 2});
   for (int round = 0; round < 10; ++round) {
-    pass(milliseconds(30));
+    advance_time(milliseconds(30));
     answer_piece_calls();
   }
   BOOST_TEST(all<start_call>().size() == 1U);
@@ -128,10 +128,10 @@
 BOOST_AUTO_TEST_CASE(empty_intersection_is_refused_without_retry_after) {
   restrict_routes({"south"});
   restrict_tenant({"north"});
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   BOOST_TEST(last<respond>().status == 503U);
   BOOST_TEST(retry_after() == "");
-  arrive(2, "/staged/x", {1, 1});
+  send_request(2, "/staged/x", {1, 1});
   BOOST_TEST(all<respond>().size() == 2U);
   BOOST_TEST(retry_after() == "");
   BOOST_TEST(subject.active() == 0U);
@@ -141,7 +141,7 @@
 
 BOOST_AUTO_TEST_CASE(unknown_region_permits_no_call) {
   restrict_routes({"atlantis"});
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   BOOST_TEST(last<respond>().status == 503U);
   BOOST_TEST(retry_after() == "");
   BOOST_TEST(called_zones().empty());
@@ -149,54 +149,54 @@
 
 BOOST_AUTO_TEST_CASE(evacuated_region_is_refused_with_retry_after) {
   restrict_routes({"west"});
-  world.evacuate("e");
-  subject.update(world.content, now);
-  arrive(1, "/safe/x");
-  arrive(2, "/staged/x", {1, 1});
+  published.evacuate("e");
+  subject.update(published.content, now);
+  send_request(1, "/safe/x");
+  send_request(2, "/staged/x", {1, 1});
   BOOST_TEST(all<respond>().size() == 2U);
   BOOST_TEST(retry_after() != "");
   BOOST_TEST(subject.active() == 0U);
-  world.end_evacuation("e");
-  subject.update(world.content, now);
-  arrive(3, "/safe/x");
+  published.end_evacuation("e");
+  subject.update(published.content, now);
+  send_request(3, "/safe/x");
   BOOST_TEST(called_zones() == text_set{"e"}, boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(stage_without_replica_in_permitted_region_is_refused) {
   restrict_routes({"west"});
-  world.remove_replica("pool-e");
-  subject.update(world.content, now);
-  arrive(1, "/staged/x", {1, 1});
+  published.remove_replica("pool-e");
+  subject.update(published.content, now);
+  send_request(1, "/staged/x", {1, 1});
   BOOST_TEST(last<respond>().status == 503U);
   BOOST_TEST(retry_after() == "");
-  arrive(2, "/stream/x");
+  send_request(2, "/stream/x");
   BOOST_TEST(all<start_call>().size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(zone_without_region_accepts_only_unrestricted_requests) {
   for (const auto& zone : residency_zones) {
     if (zone != "f") {
-      world.remove_replica("plain-" + zone);
+      published.remove_replica("plain-" + zone);
     }
   }
-  subject.update(world.content, now);
-  arrive(1, "/safe/x");
+  subject.update(published.content, now);
+  send_request(1, "/safe/x");
   BOOST_TEST(called_zones() == text_set{"f"}, boost::test_tools::per_element());
   restrict_routes({"north", "south", "west"});
-  arrive(2, "/safe/x");
+  send_request(2, "/safe/x");
   BOOST_TEST(all<start_call>().size() == 1U);
   BOOST_TEST(last<respond>().status == 503U);
 }
 
 BOOST_AUTO_TEST_CASE(retries_and_resumed_streams_stay_in_permitted_region) {
   restrict_routes({"west"});
-  arrive(1, "/safe/x");
-  happen(call_failed{last<start_call>().call, call_failure::may_have_run});
-  arrive(2, "/stream/x");
+  send_request(1, "/safe/x");
+  deliver(call_failed{last<start_call>().call, call_failure::may_have_run});
+  send_request(2, "/stream/x");
   const auto stream = last<start_call>().call;
-  happen(stream_opened{stream, good_head()});
-  happen(stream_bytes{stream, "id: 1\ndata: x\n\n"});
-  happen(stream_closed{stream, false});
+  deliver(stream_opened{stream, good_head()});
+  deliver(stream_bytes{stream, "id: 1\ndata: x\n\n"});
+  deliver(stream_closed{stream, false});
   // The only replica of each service in the region has been tried.
   BOOST_TEST(all<start_call>().size() == 2U);
   BOOST_TEST(last<respond>().status == 502U);
@@ -205,12 +205,12 @@
 
 BOOST_AUTO_TEST_CASE(request_keeps_permitted_regions_of_its_arrival) {
   restrict_routes({"west"});
-  arrive(1, "/staged/x", {1, 1});
+  send_request(1, "/staged/x", {1, 1});
   restrict_routes({"north"});
-  arrive(2, "/staged/x", {1, 1});
+  send_request(2, "/staged/x", {1, 1});
   restrict_routes({});
   for (int round = 0; round < 10; ++round) {
-    pass(milliseconds(30));
+    advance_time(milliseconds(30));
     answer_piece_calls();
   }
   std::map<std::string, text_set> zones;
@@ -229,10 +229,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(requests_confined_away_from_nearer_replica_are_counted) {
-  arrive(1, "/safe/x");
+  send_request(1, "/safe/x");
   BOOST_TEST(subject.counts().confined_by_residency == 0U);
   restrict_routes({"south"});
-  arrive(2, "/safe/x");
+  send_request(2, "/safe/x");
   BOOST_TEST(subject.counts().confined_by_residency == 1U);
   const auto& calls_by_locality = subject.counts().calls_by_locality;
   BOOST_TEST(calls_by_locality[static_cast<std::size_t>(model::locality::zone)] == 1U);
@@ -290,7 +290,7 @@
       subject.set_unreachable_zones({base::zone_id(random_zone())});
       break;
     default:
-      pass(milliseconds(random_.below(150)));
+      advance_time(milliseconds(random_.below(150)));
       break;
     }
   }
@@ -310,9 +310,9 @@
 
   void begin_request() {
     const auto index = static_cast<int>(
-        random_.below(static_cast<std::uint64_t>(world.configuration.routes_size())));
-    const auto& route = world.configuration.routes(index);
-    const auto& tenant = world.configuration.tenants(0);
+        random_.below(static_cast<std::uint64_t>(published.configuration.routes_size())));
+    const auto& route = published.configuration.routes(index);
+    const auto& tenant = published.configuration.tenants(0);
     const auto client = ++last_client_;
     auto& allowed = allowed_["r" + std::to_string(client)];
     for (const auto& zone : residency_zones) {
@@ -321,8 +321,8 @@
         allowed.insert(zone);
       }
     }
-    arrive(client, route.path_prefix() + "x",
-           {1 + static_cast<std::uint32_t>(random_.below(5)), 2});
+    send_request(client, route.path_prefix() + "x",
+                 {1 + static_cast<std::uint32_t>(random_.below(5)), 2});
     if (allowed.empty() && (all<respond>().empty() || last<respond>().client != client)) {
       ++late_refusals;
     }
@@ -343,21 +343,21 @@
         calls[calls.size() - 1 - random_.below(std::min<std::size_t>(8, calls.size()))];
     switch (random_.below(6)) {
     case 0:
-      happen(call_failed{call.call, call_failure::may_have_run});
+      deliver(call_failed{call.call, call_failure::may_have_run});
       break;
     case 1:
-      happen(call_failed{call.call, call_failure::not_sent});
+      deliver(call_failed{call.call, call_failure::not_sent});
       break;
     case 2:
-      happen(call_answered{call.call, not_executed_head(), ""});
+      deliver(call_answered{call.call, not_executed_head(), ""});
       break;
     case 3:
-      happen(call_answered{call.call, good_head(500), ""});
+      deliver(call_answered{call.call, good_head(500), ""});
       break;
     default:
-      happen(stream_opened{call.call, good_head()});
-      happen(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
-      happen(stream_closed{call.call, random_.below(3) == 0});
+      deliver(stream_opened{call.call, good_head()});
+      deliver(stream_bytes{call.call, "id: 1\ndata: x\n\n"});
+      deliver(stream_closed{call.call, random_.below(3) == 0});
       break;
     }
   }
@@ -388,7 +388,7 @@
     if (ended.how != result::answered) {
       ended.pieces.clear();
     }
-    happen(ended);
+    deliver(ended);
   }
 
   void change_replica() {
@@ -398,27 +398,27 @@
     const auto name = service + "-" + zone;
     switch (random_.below(4)) {
     case 0:
-      world.remove_replica(name);
+      published.remove_replica(name);
       break;
     case 1:
-      world.add_replica(name, service, zone, true);
+      published.add_replica(name, service, zone, true);
       break;
     default:
-      world.add_replica(name + "-" + std::to_string(random_.below(3)), service, zone);
+      published.add_replica(name + "-" + std::to_string(random_.below(3)), service, zone);
       break;
     }
-    subject.update(world.content, now);
+    subject.update(published.content, now);
   }
 
   void change_evacuation() {
     const auto zone = random_zone();
     if (evacuated_.erase(zone) > 0) {
-      world.end_evacuation(zone);
+      published.end_evacuation(zone);
     } else {
       evacuated_.insert(zone);
-      world.evacuate(zone);
+      published.evacuate(zone);
     }
-    subject.update(world.content, now);
+    subject.update(published.content, now);
   }
 
   void change_configuration() {
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -17,9 +17,9 @@
 
 /// Publishes routes `/safe/`, `/unsafe/`, `/stream/`, `/fixed/` (a stream that cannot be resumed)
 /// and `/staged/` on host `h`, with two replicas of every service, one in zone a and one in zone b.
-class published_world {
+class published_catalog {
  public:
-  published_world() {
+  published_catalog() {
     auto& llm = add_service("llm");
     llm.mutable_engine()->set_slots(8);
     add_service("plain");
@@ -159,16 +159,16 @@
       : random(1),
         subject({base::node_id("n"), base::zone_id("a"), base::network_address("n:1")}, settings,
                 random, 1, [](auto, const auto&, const auto&, const auto&) {}) {
-    subject.update(world.content, now);
+    subject.update(published.content, now);
   }
 
   /// Delivers a request to the dispatcher.
-  void arrive(base::caller_id client, const std::string& path,
-              std::vector<std::uint32_t> pieces = {}) {
+  void send_request(base::caller_id client, const std::string& path,
+                    std::vector<std::uint32_t> pieces = {}) {
     auto content = content_for(client, path);
     content->pieces = std::move(pieces);
     content->piece_key = "pk";
-    happen(request_arrived{client, content, now});
+    deliver(request_arrived{client, content, now});
   }
 
   /// @return request content for a path, which the test may change before the request arrives.
@@ -184,7 +184,7 @@
     return content;
   }
 
-  void happen(const event& input_event) {
+  void deliver(const event& input_event) {
     subject.handle(input_event, now);
     subject.advance(now);
     collect_commands();
@@ -193,15 +193,15 @@
   /// Delivers a self-report of a replica from the head of its answer to a call of any kind.
   void deliver_self_report(base::call_id call, const replica_self_report& report) {
     const auto& sent = made_calls_.at(call);
-    happen(self_report_received{sent.replica, sent.at, report});
+    deliver(self_report_received{sent.replica, sent.at, report});
   }
   /// Delivers a whole answer to a call together with a self-report of its replica.
   void answer(base::call_id call, const replica_self_report& report, const answer_head& head) {
     deliver_self_report(call, report);
-    happen(call_answered{call, head, ""});
+    deliver(call_answered{call, head, ""});
   }
 
-  void pass(base::duration span) {
+  void advance_time(base::duration span) {
     constexpr base::duration step = std::chrono::milliseconds(5);
     const auto end = now + span;
     while (now < end) {
@@ -260,7 +260,7 @@
     return head;
   }
 
-  published_world world;
+  published_catalog published;
   base::seeded_random random;
   dispatcher subject;
   base::time_point now{std::chrono::hours(1)};
--- a/tests/dispatch/shared_evidence_test.cc
+++ b/tests/dispatch/shared_evidence_test.cc
@@ -29,11 +29,11 @@
 }
 
 struct fleet_node {
-  fleet_node(std::size_t index, const published_world& world, base::time_point now)
+  fleet_node(std::size_t index, const published_catalog& published, base::time_point now)
       : self(peer_number(index)), random(index + 1),
         subject(self, fleet_settings(), random, 1,
                 [](auto, const auto&, const auto&, const auto&) {}) {
-    subject.update(world.content, now);
+    subject.update(published.content, now);
     std::vector<fleet_peer> others;
     for (std::size_t other = 0; other < node_count; ++other) {
       if (other != index) {
@@ -55,13 +55,13 @@
 struct reporting_fleet {
   reporting_fleet() {
     for (const std::string id : {"plain-a", "plain-b"}) {
-      world.remove_replica(id);
+      published.remove_replica(id);
     }
     for (unsigned index = 0; index < replica_count; ++index) {
-      world.add_replica("plain-" + std::to_string(index), "plain", "a");
+      published.add_replica("plain-" + std::to_string(index), "plain", "a");
     }
     for (std::size_t index = 0; index < node_count; ++index) {
-      nodes.push_back(std::make_unique<fleet_node>(index, world, now));
+      nodes.push_back(std::make_unique<fleet_node>(index, published, now));
       nodes.back()->next_request = now + milliseconds(nodes.back()->random.below(1500));
     }
   }
@@ -153,7 +153,7 @@
     }
   }
 
-  published_world world;
+  published_catalog published;
   base::time_point now{std::chrono::hours(1)};
   std::vector<std::unique_ptr<fleet_node>> nodes;
   /// Indexes of nodes that get no answers from the unresponsive replica.
--- a/tests/dispatch/stopping_dispatcher.h
+++ b/tests/dispatch/stopping_dispatcher.h
@@ -23,9 +23,9 @@
   void learn_run_times(const std::string& path, const std::vector<std::uint32_t>& pieces = {}) {
     constexpr base::caller_id stream_count = 4;
     for (base::caller_id client = 1; client <= stream_count; ++client) {
-      arrive(client, path, pieces);
+      send_request(client, path, pieces);
       if (!pieces.empty()) {
-        pass(std::chrono::milliseconds(20));
+        advance_time(std::chrono::milliseconds(20));
         complete_stage_call();
       }
       complete_stream_of_last_call(std::chrono::milliseconds(200), std::chrono::seconds(2));
@@ -38,25 +38,25 @@
     ended.call = last<start_stage_call>().call;
     ended.how = stage_call_ended::result::answered;
     ended.pieces = {{piece_fault::none, "10.0.0.1:80/h"}};
-    happen(ended);
+    deliver(ended);
   }
 
   void complete_stream_of_last_call(base::duration to_first_event, base::duration events) {
     const auto call = last<start_call>().call;
-    pass(to_first_event);
-    happen(stream_opened{call, good_head()});
+    advance_time(to_first_event);
+    deliver(stream_opened{call, good_head()});
     send_next_event(call);
     // The interval of the events is shorter than the stall timeout.
     for (base::duration elapsed{}; elapsed < events; elapsed += std::chrono::milliseconds(500)) {
-      pass(std::chrono::milliseconds(500));
+      advance_time(std::chrono::milliseconds(500));
       send_next_event(call);
     }
-    happen(stream_closed{call, true});
+    deliver(stream_closed{call, true});
   }
 
   void send_next_event(base::call_id call) {
     const auto id = std::to_string(++events_by_call[call]);
-    happen(stream_bytes{call, "id: " + id + "\ndata: a\n\n"});
+    deliver(stream_bytes{call, "id: " + id + "\ndata: a\n\n"});
   }
 
   void begin_stop() {
--- a/tests/dispatch/virtual_time.h
+++ b/tests/dispatch/virtual_time.h
@@ -13,7 +13,7 @@
   base::time_point now{std::chrono::hours(1)};
 
   /// Schedules an action that `run_due` runs once `span` has passed.
-  void later(base::duration span, std::function<void()> action) {
+  void schedule(base::duration span, std::function<void()> action) {
     actions_.emplace(now + span, std::move(action));
   }
 
--- a/tests/node/driven_node.h
+++ b/tests/node/driven_node.h
@@ -19,11 +19,11 @@
       : time_step(step), random(1), subject(settings, random, now) {
     catalog::catalog::bucket_set all_buckets;
     all_buckets.set();
-    entries = world.content.entries_in(all_buckets);
-    node::service_answered published;
-    published.entries = entries;
-    published.service_revision = 100;
-    deliver(published);
+    entries = published.content.entries_in(all_buckets);
+    node::service_answered answered;
+    answered.entries = entries;
+    answered.service_revision = 100;
+    deliver(answered);
   }
 
   static node::node_settings usual_settings() {
@@ -78,7 +78,7 @@
   base::duration time_step;
   base::time_point now{std::chrono::hours(1)};
   base::seeded_random random;
-  serving::published_world world;
+  serving::published_catalog published;
   std::vector<wire::catalog_entry> entries;
   node::command_list commands;
   node::node subject;
--- a/tests/platform/stated_words_test.cc
+++ b/tests/platform/stated_words_test.cc
@@ -33,7 +33,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(stated_words_test)
+BOOST_AUTO_TEST_SUITE(replica_statement_table_test)
 
 BOOST_AUTO_TEST_CASE(every_header_field_is_in_the_table) {
   const auto table = read_source("docs/design/replica-statements.md");
--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -53,7 +53,7 @@
   explicit crash_fleet(const crash_fleet_settings& initial = {})
       : settings(initial), random(initial.seed) {
     for (const std::string id : {"llm-a", "llm-b", "pool-a", "pool-b"}) {
-      world.remove_replica(id);
+      published.remove_replica(id);
     }
     for (unsigned index = 0; index < settings.replicas + settings.stage_replicas; ++index) {
       replicas.push_back({});
@@ -80,14 +80,14 @@
     node.subject =
         std::make_unique<dispatcher>(peer_number(index), limits, *node.random, node.incarnation,
                                      [](auto, const auto&, const auto&, const auto&) {});
-    node.subject->update(world.content, now);
+    node.subject->update(published.content, now);
     for (std::size_t other = 0; other < nodes.size(); ++other) {
       update_peers(other);
     }
   }
 
   /// Sends a request to a node. @return id of the client.
-  base::caller_id arrive(std::size_t node, const std::string& path, const std::string& body) {
+  base::caller_id send_request(std::size_t node, const std::string& path, const std::string& body) {
     auto content = std::make_shared<request_content>();
     content->method = "POST";
     content->host = "h";
@@ -119,7 +119,7 @@
   void send_repeatedly(const std::string& path, const std::string& body, base::duration span) {
     const auto end = now + span;
     while (now < end) {
-      arrive(random.below(nodes.size()), path, body);
+      send_request(random.below(nodes.size()), path, body);
       run(milliseconds(100 + random.below(400)));
     }
   }
@@ -150,12 +150,12 @@
     }
     const base::replica_id id = replica.id;
     if (!settings.keeps_ids_on_restart) {
-      later(milliseconds(1800), [this, id] {
-        world.remove_replica(id.text());
+      schedule(milliseconds(1800), [this, id] {
+        published.remove_replica(id.text());
         publish();
       });
     }
-    later(milliseconds(1500 + random.below(500)), [this, index] { start_replica(index); });
+    schedule(milliseconds(1500 + random.below(500)), [this, index] { start_replica(index); });
   }
 
   /// Resets all connections to a replica, which keeps running.
@@ -195,7 +195,7 @@
   }
 
   crash_fleet_settings settings;
-  published_world world;
+  published_catalog published;
   base::seeded_random random;
   /// Bodies of requests that crash each replica which runs them.
   std::set<std::string> crashing_bodies;
@@ -263,7 +263,7 @@
 
   void publish() {
     for (auto& node : nodes) {
-      node.subject->update(world.content, now);
+      node.subject->update(published.content, now);
     }
   }
 
@@ -276,14 +276,15 @@
     const auto id =
         settings.keeps_ids_on_restart ? name : name + "-" + std::to_string(replica.incarnation);
     replica.id = base::replica_id(id);
-    world.add_incarnation(id, replica.service, index % 2 == 0 ? "a" : "b", replica.address,
-                          settings.keeps_ids_on_restart ? 1000 + replica.incarnation : 0);
+    published.add_incarnation(id, replica.service, index % 2 == 0 ? "a" : "b", replica.address,
+                              settings.keeps_ids_on_restart ? 1000 + replica.incarnation : 0);
     publish();
   }
 
   void send_harmless_requests() {
     if (harmless_per_second > 0 && random.below(1000) < harmless_per_second) {
-      arrive(random.below(nodes.size()), harmless_path, "innocent-" + std::to_string(requests + 1));
+      send_request(random.below(nodes.size()), harmless_path,
+                   "innocent-" + std::to_string(requests + 1));
     }
   }
 
@@ -294,7 +295,7 @@
       std::visit([&](const auto& typed_command) { execute(index, typed_command); }, command);
     }
     for (auto& message : node.subject->take_messages()) {
-      later(milliseconds(2), [this, index, message] { deliver(index, message); });
+      schedule(milliseconds(2), [this, index, message] { deliver(index, message); });
     }
   }
 
@@ -303,7 +304,7 @@
 
   void execute(std::size_t node, const start_call& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, command] {
+    schedule(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation == incarnation) {
         reach_replica(node, command);
       }
@@ -313,7 +314,7 @@
 
   void execute(std::size_t node, const start_stage_call& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, command] {
+    schedule(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation == incarnation) {
         reach_stage_replica(node, command);
       }
@@ -340,7 +341,7 @@
         schedule_crash(index, body);
       }
     }
-    later(milliseconds(200), [this, index, key, count = command.items.size()] {
+    schedule(milliseconds(200), [this, index, key, count = command.items.size()] {
       if (replicas[index].calls.erase(key) > 0) {
         end_stage_call(key, stage_call_ended::result::answered, count);
       }
@@ -363,7 +364,7 @@
   /// Crashes a replica after 20 to 120 ms, unless its current incarnation exits earlier.
   void schedule_crash(unsigned index, const std::string& body) {
     const auto incarnation = replicas[index].incarnation;
-    later(milliseconds(20 + random.below(100)), [this, index, incarnation, body] {
+    schedule(milliseconds(20 + random.below(100)), [this, index, incarnation, body] {
       if (replicas[index].is_up && replicas[index].incarnation == incarnation) {
         exits_under[body].push_back(now);
         crash(index);
@@ -381,7 +382,7 @@
 
   void execute(std::size_t node, const probe_replica& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, command] {
+    schedule(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation != incarnation) {
         return;
       }
@@ -426,8 +427,8 @@
     if (!clients_retry || crashing_bodies.contains(body) || counts[body].attempts >= max_attempts) {
       return;
     }
-    later(milliseconds(50 + random.below(200)), [this, body, path = paths.at(client)] {
-      arrive(random.below(nodes.size()), path, body);
+    schedule(milliseconds(50 + random.below(200)), [this, body, path = paths.at(client)] {
+      send_request(random.below(nodes.size()), path, body);
     });
   }
 
@@ -462,8 +463,8 @@
     const std::pair key{node, command.call};
     replica->calls.insert(key);
     const auto index = static_cast<unsigned>(replica - replicas.data());
-    later(milliseconds(50 + random.below(100)),
-          [this, index, key, body] { begin_run(index, key, body); });
+    schedule(milliseconds(50 + random.below(100)),
+             [this, index, key, body] { begin_run(index, key, body); });
   }
 
   void begin_run(unsigned index, std::pair<std::size_t, base::call_id> key,
@@ -478,7 +479,7 @@
       schedule_crash(index, body);
       return;
     }
-    later(milliseconds(300 + random.below(900)), [this, index, key] { end_run(index, key); });
+    schedule(milliseconds(300 + random.below(900)), [this, index, key] { end_run(index, key); });
   }
 
   void end_run(unsigned index, std::pair<std::size_t, base::call_id> key) {
--- a/tests/quarantine/crashing_request_test.cc
+++ b/tests/quarantine/crashing_request_test.cc
@@ -78,7 +78,7 @@
   fleet.crashing_bodies = {"guilty"};
   fleet.send_repeatedly("/stream/", "guilty", seconds(10));
   const auto before = fleet.counts["guilty"];
-  fleet.arrive(0, "/stream/", "guilty");
+  fleet.send_request(0, "/stream/", "guilty");
   fleet.run(milliseconds(1));
   const auto& after = fleet.counts["guilty"];
   BOOST_TEST(after.quarantined == before.quarantined + 1);
@@ -107,7 +107,7 @@
     crash_fleet fleet({seed});
     fleet.crashing_bodies = {"guilty"};
     for (std::size_t node = 0; node < fleet.settings.nodes; ++node) {
-      fleet.arrive(node, "/stream/", "guilty");
+      fleet.send_request(node, "/stream/", "guilty");
     }
     fleet.run(seconds(4));
     const auto first_round = fleet.replica_arrivals["guilty"].size();
@@ -131,7 +131,7 @@
     for (unsigned round = 0; round < 100; ++round) {
       for (const auto& body : fleet.crashing_bodies) {
         if (fleet.random.below(4) == 0) {
-          fleet.arrive(fleet.random.below(fleet.settings.nodes), "/stream/", body);
+          fleet.send_request(fleet.random.below(fleet.settings.nodes), "/stream/", body);
         }
       }
       fleet.run(milliseconds(100));
@@ -173,7 +173,7 @@
         fleet.reset(fleet.random_replica());
       }
       // The same request, sent by many clients with one API key.
-      fleet.arrive(fleet.random.below(fleet.settings.nodes), "/stream/", "common");
+      fleet.send_request(fleet.random.below(fleet.settings.nodes), "/stream/", "common");
       fleet.run(milliseconds(300));
     }
     BOOST_TEST_CONTEXT("seed " << seed) {
@@ -201,7 +201,7 @@
     fleet.crashing_bodies = {"guilty"};
     fleet.partitioned = {5};
     for (std::size_t attempt = 0; attempt < 10; ++attempt) {
-      fleet.arrive(attempt % 3, "/stream/", "guilty");
+      fleet.send_request(attempt % 3, "/stream/", "guilty");
       fleet.run(milliseconds(300));
     }
     const auto before = fleet.replica_arrivals["guilty"].size();
@@ -211,7 +211,7 @@
     fleet.partitioned.clear();
     fleet.run(contact_time);
     for (std::size_t node = 0; node < fleet.settings.nodes; ++node) {
-      fleet.arrive(node, "/stream/", "guilty");
+      fleet.send_request(node, "/stream/", "guilty");
     }
     fleet.run(seconds(2));
     BOOST_TEST_CONTEXT("seed " << seed) {
@@ -243,7 +243,7 @@
   fleet.run(seconds(1));
   const auto quarantined = fleet.counts["guilty"].quarantined;
   for (std::size_t node = 0; node < fleet.settings.nodes; ++node) {
-    fleet.arrive(node, "/stream/", "guilty");
+    fleet.send_request(node, "/stream/", "guilty");
   }
   // Longer than a stream that is resumed once at another replica.
   fleet.run(seconds(5));
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -92,7 +92,7 @@
   explicit limited_fleet(const limited_fleet_settings& initial = {})
       : settings(initial), random(initial.seed) {
     for (const std::string id : {"llm-a", "llm-b", "pool-a", "pool-b", "plain-a", "plain-b"}) {
-      world.remove_replica(id);
+      published.remove_replica(id);
     }
     for (unsigned index = 0; index < settings.replicas; ++index) {
       replicas.push_back({});
@@ -116,8 +116,8 @@
   void publish(unsigned index) {
     const auto& replica = replicas[index];
     const std::string zone(1, static_cast<char>('a' + index % settings.zones));
-    world.add_incarnation(replica.id.text(), "plain", zone, replica.address,
-                          1000 + replica.incarnation);
+    published.add_incarnation(replica.id.text(), "plain", zone, replica.address,
+                              1000 + replica.incarnation);
   }
 
   /// Restarts a replica under its id. The new incarnation has no limit and does not drain.
@@ -135,7 +135,7 @@
 
   void update_nodes() {
     for (auto& node : nodes) {
-      node.subject->update(world.content, now);
+      node.subject->update(published.content, now);
       node.wakeup_at = now;
     }
   }
@@ -198,7 +198,7 @@
     const auto incarnation = static_cast<base::incarnation>(now.time_since_epoch().count());
     node.subject = std::make_unique<dispatcher>(peer_of(index), limits, *node.random, incarnation,
                                                 [](auto, const auto&, const auto&, const auto&) {});
-    node.subject->update(world.content, now);
+    node.subject->update(published.content, now);
     node.wakeup_at = now;
     for (auto& replica : replicas) {
       replica.limit_announced_at.erase(index);
@@ -243,23 +243,23 @@
   }
 
   /// Sends `per_second` requests on average, for `span`, to the nodes that `choose_node` returns.
-  void load(double per_second, base::duration span,
-            const std::function<std::size_t()>& choose_node) {
+  void send_requests(double per_second, base::duration span,
+                     const std::function<std::size_t()>& choose_node) {
     const auto end = now + span;
     double due = 0;
     while (now < end) {
       due += per_second * base::to_seconds(settings.step) * 2 * random.unit();
       for (; due >= 1; due -= 1) {
-        arrive(choose_node());
+        send_request(choose_node());
       }
       step();
     }
   }
-  void load(double per_second, base::duration span) {
-    load(per_second, span, [this] { return random.below(nodes.size()); });
+  void send_requests(double per_second, base::duration span) {
+    send_requests(per_second, span, [this] { return random.below(nodes.size()); });
   }
 
-  void arrive(std::size_t index) {
+  void send_request(std::size_t index) {
     auto& node = nodes[index];
     auto content = std::make_shared<request_content>();
     content->method = "POST";
@@ -333,21 +333,21 @@
     return most;
   }
 
-  [[nodiscard]] std::size_t arrived_since(unsigned index, base::time_point since) const {
+  [[nodiscard]] std::size_t arrivals_since(unsigned index, base::time_point since) const {
     const auto& all = replicas[index].arrivals;
     return static_cast<std::size_t>(std::count_if(
         all.begin(), all.end(), [&](const auto& arrival) { return arrival.at >= since; }));
   }
 
   limited_fleet_settings settings;
-  published_world world;
+  published_catalog published;
   base::seeded_random random;
   std::vector<emulated_replica> replicas;
   std::vector<emulated_node> nodes;
   request_counts counts;
   std::function<std::size_t(std::size_t)> partition_of = [](std::size_t) { return 0; };
   /// Values of Retry-After in the nodes' refusals to clients.
-  std::vector<base::duration> return_times;
+  std::vector<base::duration> retry_after_values;
 
  private:
   void advance(std::size_t index) {
@@ -362,7 +362,7 @@
       if (random.unit() < settings.message_loss_rate) {
         continue;
       }
-      later(settings.message_delay, [this, index, message] { deliver(index, message); });
+      schedule(settings.message_delay, [this, index, message] { deliver(index, message); });
     }
     const auto next = node.subject->next_wakeup(now);
     node.wakeup_at =
@@ -375,7 +375,7 @@
   void execute(std::size_t index, const start_call& command) {
     const auto incarnation = nodes[index].incarnation;
     nodes[index].calls[command.call] = now;
-    later(milliseconds(1), [this, index, incarnation, command, sent_at = now] {
+    schedule(milliseconds(1), [this, index, incarnation, command, sent_at = now] {
       if (nodes[index].incarnation == incarnation) {
         receive_call(index, command, sent_at);
       }
@@ -390,7 +390,7 @@
     const auto is_retry_after = [](const header& field) { return field.name == "Retry-After"; };
     const auto field = std::find_if(answer.headers.begin(), answer.headers.end(), is_retry_after);
     if (answer.status == 503 && field != answer.headers.end()) {
-      return_times.push_back(base::from_seconds(std::stod(field->value)));
+      retry_after_values.push_back(base::from_seconds(std::stod(field->value)));
     }
     if (answer.status == 200) {
       ++counts.served;
@@ -414,7 +414,7 @@
     const auto incarnation = nodes[index].incarnation;
     const bool is_refused = now < replica.refuses_until;
     const auto work = milliseconds(is_refused ? 1 : 20 + random.below(60));
-    later(work, [this, index, incarnation, replica_index, is_refused, call = command.call] {
+    schedule(work, [this, index, incarnation, replica_index, is_refused, call = command.call] {
       answer_call(index, incarnation, replica_index, call, is_refused);
     });
   }
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -14,11 +14,11 @@
 BOOST_AUTO_TEST_CASE(a_node_sends_nothing_during_a_requested_backoff) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     limited_fleet fleet({.seed = seed});
-    fleet.load(40, seconds(3));
+    fleet.send_requests(40, seconds(3));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
       fleet.refuse_requests(replica, seconds(8), seconds(3));
     }
-    fleet.load(40, seconds(15));
+    fleet.send_requests(40, seconds(15));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
       BOOST_TEST(!fleet.replicas[replica].requested_backoffs.empty());
       BOOST_TEST(fleet.sends_during_backoffs(replica) == 0U,
@@ -32,11 +32,11 @@
 BOOST_AUTO_TEST_CASE(backoffs_are_respected_if_all_replicas_requested_one) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .replicas = 4});
-    fleet.load(60, seconds(3));
+    fleet.send_requests(60, seconds(3));
     for (unsigned replica = 0; replica < 4; ++replica) {
       fleet.refuse_requests(replica, seconds(6), seconds(2));
     }
-    fleet.load(60, seconds(12));
+    fleet.send_requests(60, seconds(12));
     for (unsigned replica = 0; replica < 4; ++replica) {
       BOOST_TEST(fleet.sends_during_backoffs(replica) == 0U,
                  "seed " << seed << ", replica " << replica);
@@ -48,32 +48,32 @@
 BOOST_AUTO_TEST_CASE(few_requests_are_sent_at_once_when_a_backoff_ends) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .nodes = 2, .replicas = 1});
-    fleet.load(100, seconds(2));
+    fleet.send_requests(100, seconds(2));
     fleet.refuse_requests(0, milliseconds(50), seconds(1));
-    fleet.load(100, milliseconds(900));
+    fleet.send_requests(100, milliseconds(900));
     const auto begun_at = fleet.now;
-    fleet.load(100, seconds(1));
+    fleet.send_requests(100, seconds(1));
     // After the backoff, each of the two nodes begins with one call in flight at the replica, and
     // each answer allows the node two more calls in flight; answers take 20 to 80 ms.
     const auto within = fleet.max_arrivals_within(0, milliseconds(20), begun_at, false);
     BOOST_TEST(within <= 8U, within << " in 20 ms, seed " << seed);
-    BOOST_TEST(fleet.arrived_since(0, begun_at) > 40U, "seed " << seed);
+    BOOST_TEST(fleet.arrivals_since(0, begun_at) > 40U, "seed " << seed);
   }
 }
 
 BOOST_AUTO_TEST_CASE(refusals_during_long_backoffs_have_a_retry_after_of_at_least_one_second) {
   limited_fleet fleet({.replicas = 2});
-  fleet.load(20, seconds(2));
+  fleet.send_requests(20, seconds(2));
   for (const unsigned replica : {0U, 1U}) {
     fleet.refuse_requests(replica, seconds(20), seconds(10));
   }
-  fleet.load(20, seconds(2));
-  fleet.return_times.clear();
+  fleet.send_requests(20, seconds(2));
+  fleet.retry_after_values.clear();
   fleet.counts = {};
-  fleet.load(20, seconds(5));
+  fleet.send_requests(20, seconds(5));
   BOOST_TEST(fleet.counts.refused > 50U);
-  BOOST_TEST(fleet.return_times.size() == fleet.counts.refused);
-  for (const auto time : fleet.return_times) {
+  BOOST_TEST(fleet.retry_after_values.size() == fleet.counts.refused);
+  for (const auto time : fleet.retry_after_values) {
     BOOST_TEST(base::to_seconds(time) >= 1.0);
   }
 }
@@ -82,9 +82,9 @@
   // Nodes send reports on replicas only to nodes of their region, or of their zone if the zones
   // have no regions.
   limited_fleet fleet({.zones = 1});
-  fleet.load(40, seconds(3));
+  fleet.send_requests(40, seconds(3));
   fleet.refuse_requests(0, seconds(4), seconds(3));
-  fleet.load(40, seconds(2));
+  fleet.send_requests(40, seconds(2));
   std::size_t learned = 0;
   for (const auto& node : fleet.nodes) {
     const auto& state = *node.subject->replicas().find(fleet.replicas[0].id);
@@ -92,29 +92,29 @@
   }
   BOOST_TEST(learned >= 4U);
   // The other nodes do not stop sending to the replica, and drop the reported backoff at its end.
-  fleet.load(40, seconds(8));
+  fleet.send_requests(40, seconds(8));
   const auto begun_at = fleet.now;
-  fleet.load(40, seconds(10));
-  BOOST_TEST(fleet.arrived_since(0, begun_at) > 15U);
+  fleet.send_requests(40, seconds(10));
+  BOOST_TEST(fleet.arrivals_since(0, begun_at) > 15U);
 }
 
 BOOST_AUTO_TEST_CASE(a_backoff_ends_when_its_replica_restarts_or_changes_its_address) {
   limited_fleet fleet({.replicas = 2});
-  fleet.load(20, seconds(2));
+  fleet.send_requests(20, seconds(2));
   fleet.refuse_requests(0, seconds(1), seconds(60));
-  fleet.load(20, seconds(2));
+  fleet.send_requests(20, seconds(2));
   fleet.restart_replica(0);
   auto begun_at = fleet.now;
-  fleet.load(20, seconds(5));
-  BOOST_TEST(fleet.arrived_since(0, begun_at) > 10U);
+  fleet.send_requests(20, seconds(5));
+  BOOST_TEST(fleet.arrivals_since(0, begun_at) > 10U);
   fleet.refuse_requests(0, seconds(1), seconds(60));
-  fleet.load(20, seconds(2));
+  fleet.send_requests(20, seconds(2));
   fleet.replicas[0].address = "10.1.9.9:80";
   fleet.publish(0);
   fleet.update_nodes();
   begun_at = fleet.now;
-  fleet.load(20, seconds(5));
-  BOOST_TEST(fleet.arrived_since(0, begun_at) > 10U);
+  fleet.send_requests(20, seconds(5));
+  BOOST_TEST(fleet.arrivals_since(0, begun_at) > 10U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -34,9 +34,9 @@
                          .replicas = 12,
                          .message_loss_rate = loss_rate,
                          .step = milliseconds(2)});
-    fleet.load(60, seconds(2));
+    fleet.send_requests(60, seconds(2));
     fleet.begin_draining(0);
-    fleet.load(60, seconds(8));
+    fleet.send_requests(60, seconds(8));
     const auto announced_at = fleet.first_drain_announcement_at(0);
     for (const auto& arrival : fleet.replicas[0].arrivals) {
       if (arrival.sent_at > announced_at) {
@@ -72,16 +72,16 @@
                          .replicas = replicas,
                          .message_loss_rate = loss_rate,
                          .step = milliseconds(2)});
-    fleet.load(per_second, seconds(2));
+    fleet.send_requests(per_second, seconds(2));
     for (const unsigned replica : {0U, 1U, 2U, 3U}) {
       fleet.refuse_requests(replica, seconds(8), seconds(3));
     }
     const auto begun_at = fleet.now;
-    fleet.load(per_second, seconds(8));
+    fleet.send_requests(per_second, seconds(8));
     for (unsigned replica = 0; replica < replicas; ++replica) {
       if (replica < 4) {
         figures.refused_by_replicas +=
-            static_cast<double>(fleet.arrived_since(replica, begun_at)) / random_fleets;
+            static_cast<double>(fleet.arrivals_since(replica, begun_at)) / random_fleets;
       } else {
         const auto most = fleet.max_arrivals_within(replica, seconds(1), begun_at, false);
         figures.max_load_of_other_replicas = std::max(
--- a/tests/replicas/replica_failures_test.cc
+++ b/tests/replicas/replica_failures_test.cc
@@ -19,14 +19,14 @@
                                                      base::caller_id& client) {
   std::map<std::string, std::size_t> requests;
   for (const auto end = driver.now + span; driver.now < end;) {
-    driver.arrive(++client, "/unsafe/");
+    driver.send_request(++client, "/unsafe/");
     const auto call = driver.last<start_call>();
     const auto& replica = call.target.replica.text();
     ++requests[replica];
-    driver.pass(milliseconds(20));
+    driver.advance_time(milliseconds(20));
     auto head = dispatcher_driver::good_head(replica == failing ? 500 : 200);
-    driver.happen(call_answered{call.call, head, ""});
-    driver.pass(milliseconds(180));
+    driver.deliver(call_answered{call.call, head, ""});
+    driver.advance_time(milliseconds(180));
   }
   return requests;
 }
@@ -38,9 +38,9 @@
 BOOST_AUTO_TEST_CASE(a_recovered_replica_gets_calls_again_under_light_load) {
   dispatcher_driver driver;
   // Both replicas are in the zone of the node, so that the replicas differ only in their failures.
-  driver.world.remove_replica("plain-b");
-  driver.world.add_replica("plain-c", "plain", "a");
-  driver.subject.update(driver.world.content, driver.now);
+  driver.published.remove_replica("plain-b");
+  driver.published.add_replica("plain-c", "plain", "a");
+  driver.subject.update(driver.published.content, driver.now);
   base::caller_id client = 0;
   const auto while_failing = send_requests_for(driver, seconds(10), "plain-c", client);
   send_requests_for(driver, seconds(3), "", client);
--- a/tests/stage_work/exchange_fleet.h
+++ b/tests/stage_work/exchange_fleet.h
@@ -18,7 +18,7 @@
 namespace spurrack::serving {
 
 /// @return settings in which the zones `a` to `e` are one region.
-inline serving_settings one_region() {
+inline serving_settings one_region_settings() {
   std::map<base::zone_id, base::region_id> regions;
   for (const char* zone : {"a", "b", "c", "d", "e"}) {
     regions[base::zone_id(zone)] = base::region_id("region");
@@ -31,14 +31,14 @@
 /// A node with its stage exchange, and the calls, requests to free results and finished pieces that
 /// the exchange has produced.
 struct exchange_node {
-  exchange_node(const fleet_peer& self, published_world& world, std::uint64_t incarnation,
+  exchange_node(const fleet_peer& self, published_catalog& published, std::uint64_t incarnation,
                 const serving_settings& settings = {})
       : identity(self), random(incarnation), replicas(self.node, self.zone, settings, random),
         subject(
             self, replicas, settings, [this] { return next_call++; }, incarnation,
             [](auto, const auto&, const auto&, const auto&) {}) {
-    replicas.update(world.content.replicas(), {});
-    subject.set_configuration(world.content.serving());
+    replicas.update(published.content.replicas(), {});
+    subject.set_configuration(published.content.serving());
   }
 
   fleet_peer identity;
@@ -76,7 +76,7 @@
       nodes.resize(static_cast<std::size_t>(index) + 1);
     }
     nodes[static_cast<std::size_t>(index)] =
-        std::make_unique<exchange_node>(peer(index), world, incarnation, settings_);
+        std::make_unique<exchange_node>(peer(index), published, incarnation, settings_);
   }
 
   /// Gives each node the list of the other nodes, and advances the time by half a second.
@@ -202,7 +202,7 @@
   }
 
   /// Replicas, services and evacuations that are published to all nodes.
-  published_world world;
+  published_catalog published;
   std::vector<std::unique_ptr<exchange_node>> nodes;
   bool loses_first_messages = false;
   /// Number of messages that all nodes sent.
--- a/tests/stage_work/piece_residency_test.cc
+++ b/tests/stage_work/piece_residency_test.cc
@@ -24,7 +24,7 @@
       : exchange_fleet(node_count, zone_count, residency_settings()) {
     for (const auto& zone : residency_zones) {
       for (int index = 0; index < replicas_per_zone; ++index) {
-        world.add_replica("pool-" + zone + "-" + std::to_string(index), "pool", zone);
+        published.add_replica("pool-" + zone + "-" + std::to_string(index), "pool", zone);
       }
     }
     apply_published();
@@ -34,9 +34,9 @@
   /// Applies the published replicas, evacuations and services at every node.
   void apply_published() {
     for (auto& node : nodes) {
-      node->replicas.update(world.content.replicas(), now);
-      node->replicas.set_evacuated(world.content.evacuated_zones(), now);
-      node->subject.set_configuration(world.content.serving());
+      node->replicas.update(published.content.replicas(), now);
+      node->replicas.set_evacuated(published.content.evacuated_zones(), now);
+      node->subject.set_configuration(published.content.serving());
     }
   }
 
@@ -53,10 +53,10 @@
         pool(
             replicas, residency_settings(), [this] { return next_call++; },
             [](auto, const auto&, const auto&, const auto&) {}) {
-    world.remove_replica("pool-b");
-    world.add_replica("pool-e", "pool", "e");
-    replicas.update(world.content.replicas(), {});
-    pool.set_configuration(world.content.serving());
+    published.remove_replica("pool-b");
+    published.add_replica("pool-e", "pool", "e");
+    replicas.update(published.content.replicas(), {});
+    pool.set_configuration(published.content.serving());
   }
 
   /// Submits a piece with preferred zone `a`; all pieces belong to one request.
@@ -86,7 +86,7 @@
     return zones;
   }
 
-  published_world world;
+  published_catalog published;
   base::seeded_random random;
   replica_table replicas;
   base::call_id next_call = 1;
@@ -151,10 +151,10 @@
   void change_evacuation() {
     const auto zone = random_zone();
     if (evacuated_.erase(zone) > 0) {
-      world.end_evacuation(zone);
+      published.end_evacuation(zone);
     } else {
       evacuated_.insert(zone);
-      world.evacuate(zone);
+      published.evacuate(zone);
     }
     apply_published();
   }
@@ -163,9 +163,9 @@
     const auto zone = random_zone();
     const auto name = "pool-" + zone + "-" + std::to_string(random_.below(2));
     if (random_.below(2) == 0) {
-      world.remove_replica(name);
+      published.remove_replica(name);
     } else {
-      world.add_replica(name, "pool", zone, random_.below(4) == 0);
+      published.add_replica(name, "pool", zone, random_.below(4) == 0);
     }
     apply_published();
   }
--- a/tests/stage_work/region_batchers_test.cc
+++ b/tests/stage_work/region_batchers_test.cc
@@ -21,12 +21,12 @@
     for (const auto& zone : residency_zones) {
       for (const char* number : {"-0", "-1", "-2"}) {
         auto name = "pool-" + zone;
-        world.add_replica(name.append(number), "pool", zone);
+        published.add_replica(name.append(number), "pool", zone);
       }
     }
     for (auto& node : nodes) {
-      node->replicas.update(world.content.replicas(), now);
-      node->subject.set_configuration(world.content.serving());
+      node->replicas.update(published.content.replicas(), now);
+      node->subject.set_configuration(published.content.serving());
     }
     run(seconds(3));
   }
--- a/tests/stage_work/shard_map_test.cc
+++ b/tests/stage_work/shard_map_test.cc
@@ -18,11 +18,11 @@
 struct large_service {
   large_service(int nodes, int replicas) {
     for (int number = 0; number < replicas; ++number) {
-      world.add_replica("p" + std::to_string(number), "pool", "a");
-      world.add_replica("e" + std::to_string(number), "llm", "a");
+      published.add_replica("p" + std::to_string(number), "pool", "a");
+      published.add_replica("e" + std::to_string(number), "llm", "a");
     }
-    table.set_configuration(world.content.serving());
-    table.update(world.content.replicas(), {});
+    table.set_configuration(published.content.serving());
+    table.update(published.content.replicas(), {});
     std::vector<fleet_peer> others;
     for (int number = 0; number < nodes; ++number) {
       const auto name = "n" + std::to_string(number);
@@ -33,11 +33,11 @@
   /// @return number of replicas and nodes evaluated by one assignment.
   std::uint64_t evaluations_of_assignment() {
     const auto before = subject.evaluations();
-    subject.assign(*world.content.serving(), false);
+    subject.assign(*published.content.serving(), false);
     return subject.evaluations() - before;
   }
 
-  published_world world;
+  published_catalog published;
   serving_settings settings;
   base::seeded_random random{1};
   fleet_peer self{base::node_id("self"), base::zone_id("a"), base::network_address("self"), 1};
@@ -53,7 +53,7 @@
 BOOST_AUTO_TEST_CASE(replica_change_evaluates_only_replicas_that_run_pieces) {
   for (const int size : {40, 160}) {
     large_service fleet(size, size);
-    // `published_world` starts with two further replicas that run pieces, and this node is
+    // `published_catalog` starts with two further replicas that run pieces, and this node is
     // evaluated along with the other nodes.
     const auto replicas = static_cast<std::uint64_t>(size) + 2;
     const auto nodes = static_cast<std::uint64_t>(size) + 1;
@@ -65,25 +65,25 @@
 }
 
 BOOST_AUTO_TEST_CASE(consecutive_replica_changes_cause_one_assignment) {
-  published_world world;
+  published_catalog published;
   for (int number = 0; number < 40; ++number) {
-    world.add_replica("p" + std::to_string(number), "pool", "a");
+    published.add_replica("p" + std::to_string(number), "pool", "a");
   }
-  exchange_node node({base::node_id("n"), base::zone_id("a"), base::network_address("n"), 1}, world,
-                     1);
+  exchange_node node({base::node_id("n"), base::zone_id("a"), base::network_address("n"), 1},
+                     published, 1);
   base::time_point now{std::chrono::hours(1)};
   node.subject.dispatch_waiting(now);
   const auto before = node.subject.shards().evaluations();
   for (int change = 0; change < 40; ++change) {
     now += std::chrono::milliseconds(1);
-    world.remove_replica("p" + std::to_string(change));
-    node.replicas.update(world.content.replicas(), now);
+    published.remove_replica("p" + std::to_string(change));
+    node.replicas.update(published.content.replicas(), now);
     node.subject.on_replicas_changed();
     node.subject.dispatch_waiting(now);
   }
   now += std::chrono::milliseconds(50);
   node.subject.dispatch_waiting(now);
-  // One assignment: the 40 replicas above and the two that `published_world` starts with.
+  // One assignment: the 40 replicas above and the two that `published_catalog` starts with.
   const std::uint64_t max_evaluations = 42;
   BOOST_TEST(node.subject.shards().evaluations() - before <= max_evaluations);
   for (const auto& entry : node.subject.shards().shards()) {
--- a/tests/stage_work/stage_exchange_test.cc
+++ b/tests/stage_work/stage_exchange_test.cc
@@ -11,7 +11,7 @@
 
 /// Three nodes, with all replicas in one region, so that one node is the batcher of all replicas.
 struct one_region_fleet : exchange_fleet {
-  one_region_fleet() : exchange_fleet(3, 1, one_region()) {}
+  one_region_fleet() : exchange_fleet(3, 1, one_region_settings()) {}
 };
 
 /// A fleet that is too large for every node to report to all other nodes.
@@ -215,7 +215,7 @@
   }
   for (int index = 0; index < 60; ++index) {
     nodes[static_cast<std::size_t>(index)] =
-        std::make_unique<exchange_node>(peer(index), world, 2'000'000, one_region());
+        std::make_unique<exchange_node>(peer(index), published, 2'000'000, one_region_settings());
   }
   exchange_peers();
   run(std::chrono::seconds(3));
--- a/tests/stage_work/stage_pool_test.cc
+++ b/tests/stage_work/stage_pool_test.cc
@@ -14,8 +14,8 @@
         pool(
             replicas, {}, [this] { return next_call++; },
             [](auto, const auto&, const auto&, const auto&) {}) {
-    replicas.update(world.content.replicas(), {});
-    pool.set_configuration(world.content.serving());
+    replicas.update(published.content.replicas(), {});
+    pool.set_configuration(published.content.serving());
   }
 
   piece_ticket submit(const std::string& request, base::duration due, double bytes = 1000,
@@ -56,7 +56,7 @@
     return ended;
   }
 
-  published_world world;
+  published_catalog published;
   base::seeded_random random;
   replica_table replicas;
   base::call_id next_call = 1;
@@ -283,12 +283,12 @@
 /// A pool with one replica, `pool-a`, that can restart.
 struct restart_driver : pool_driver {
   restart_driver() {
-    world.remove_replica("pool-b");
+    published.remove_replica("pool-b");
     publish(1000);
   }
   void publish(std::uint64_t started_at) {
-    world.add_incarnation("pool-a", "pool", "a", "10.0.1.1:80", started_at);
-    replicas.update(world.content.replicas(), now);
+    published.add_incarnation("pool-a", "pool", "a", "10.0.1.1:80", started_at);
+    replicas.update(published.content.replicas(), now);
   }
   void restart() {
     publish(2000);
@@ -345,10 +345,10 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(inputs_lost_in_a_restart_do_not_extend_the_fetch_time, input_driver) {
-  world.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 1000);
-  replicas.update(world.content.replicas(), now);
-  world.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 2000);
-  replicas.update(world.content.replicas(), now);
+  published.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 1000);
+  replicas.update(published.content.replicas(), now);
+  published.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 2000);
+  replicas.update(published.content.replicas(), now);
   pool.on_replica_restarted(base::replica_id("pool-b"), now);
   fail_with_missing_input(false);
   BOOST_TEST(are_inputs_fetched_after(std::chrono::milliseconds(100)));
--- a/tests/stage_work/zone_shards_test.cc
+++ b/tests/stage_work/zone_shards_test.cc
@@ -13,15 +13,15 @@
 
 /// Thirty nodes in three zones of one region; each zone has enough replicas for a shard of its own.
 struct divided_fleet : exchange_fleet {
-  divided_fleet() : exchange_fleet(node_count, zone_count, one_region()) {
+  divided_fleet() : exchange_fleet(node_count, zone_count, one_region_settings()) {
     for (const std::string zone : {"a", "b", "c"}) {
       for (std::size_t index = 0; index < replicas_per_zone; ++index) {
-        world.add_replica("more-" + zone + std::to_string(index), "pool", zone);
+        published.add_replica("more-" + zone + std::to_string(index), "pool", zone);
       }
     }
     for (auto& node : nodes) {
-      node->replicas.update(world.content.replicas(), now);
-      node->subject.set_configuration(world.content.serving());
+      node->replicas.update(published.content.replicas(), now);
+      node->subject.set_configuration(published.content.serving());
     }
     run(std::chrono::seconds(3));
   }
