--- a/src/base/random.h
+++ b/src/base/random.h
@@ -27,7 +27,7 @@
   }
 
   /// @return a number in [0, 1).
-  double unit();
+  double next_fraction();
 };
 
 /// Removes and returns a random item. Does not preserve the order of the remaining items.
--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -258,7 +258,7 @@
       counts.unreadable_limits);
   add("spurrack_limit_news_other_lives_total",
       "Limits reported by other nodes for an unknown replica or incarnation; they are ignored.",
-      counts.of_other_incarnations);
+      counts.limits_of_other_incarnations);
   add("spurrack_replica_departures_total",
       "Drain announcements that were new to this node, from replicas or from other nodes.",
       counts.drain_announcements);
@@ -349,7 +349,7 @@
       "Streams resumed after their upstream call was cancelled for a slow client.",
       counts.suspended_streams_resumed);
   add_gauge(registry, "spurrack_active_routed_requests", "Active requests on published routes.",
-            static_cast<double>(dispatcher.active()));
+            static_cast<double>(dispatcher.active_requests()));
 }
 
 void add_budget(Registry& registry, const flow::byte_budget& budget) {
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -38,7 +38,8 @@
   body["ready"] = subject.is_ready();
   body["stopping"] = subject.is_stopping();
   const auto* serving = subject.serving();
-  body["active_requests"] = subject.executor().active() + (serving ? serving->active() : 0);
+  body["active_requests"] =
+      subject.executor().active() + (serving ? serving->active_requests() : 0);
   if (const auto published = content.serving()) {
     body["serving_configuration"] = published->version;
     body["replicas"] = content.replicas().size();
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -87,7 +87,7 @@
       *io_, *settings_.serving, *settings_.node.serving, *adapters_.codec,
       [this](serving::event event) { post(std::move(event)); },
       [this] { return node_.is_ready(); });
-  node_.set_budget(serving_->budget());
+  node_.set_byte_budget(serving_->budget());
   publication_ = adapters_.make_store_client(
       *io_, settings_.serving->store,
       {[this](node::service_answered answer) { post(std::move(answer)); },
--- a/src/dispatch/admission_estimate.cc
+++ b/src/dispatch/admission_estimate.cc
@@ -12,13 +12,13 @@
 constexpr double typical_wait_fraction = 0.5;
 
 base::duration typical_call_time(const model::piece_capacity& capacity) {
-  const double items = typical_batch_fill * capacity.batch;
-  return capacity.call_time + base::from_seconds(base::to_seconds(capacity.item_time) * items);
+  const double items = typical_batch_fill * capacity.max_pieces_per_call;
+  return capacity.call_time + base::from_seconds(base::to_seconds(capacity.piece_time) * items);
 }
 
 /// @return time of a call with a full batch plus the typical wait for a replica.
 base::duration conservative_stage_time(const model::piece_capacity& capacity) {
-  return capacity.call_time + capacity.item_time * capacity.batch +
+  return capacity.call_time + capacity.piece_time * capacity.max_pieces_per_call +
          base::scaled(capacity.call_time, typical_wait_fraction);
 }
 
@@ -26,14 +26,14 @@
 
 void admission_estimate::note_first_byte(const std::string& service, std::uint32_t own_tokens,
                                          base::duration duration) {
-  first_byte_models_[service].note(own_tokens, duration);
+  first_byte_models_[service].record_call(own_tokens, duration);
 }
 
 base::duration admission_estimate::first_byte_time_of(const std::string& service,
                                                       std::uint32_t own_tokens) const {
   const auto found = first_byte_models_.find(service);
   return (found == first_byte_models_.end() ? first_byte_model{} : found->second)
-      .expected(own_tokens);
+      .expected_time(own_tokens);
 }
 
 std::optional<base::duration> admission_estimate::time_to_first_byte(
@@ -66,7 +66,7 @@
     const bool is_known = found != nullptr && found->pieces;
     return is_known ? conservative_stage_time(*found->pieces) : base::duration::zero();
   };
-  return graph.time_from(stage, call_time) + first_byte_time_of(service, own_tokens);
+  return graph.time_from_start_of(stage, call_time) + first_byte_time_of(service, own_tokens);
 }
 
 } // namespace spurrack::serving
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -181,7 +181,7 @@
     answer_with_error(arrival.client, content.id, status::not_found, "no such route", {});
     return;
   }
-  std::optional<model::key_holder> holder;
+  std::optional<model::access_key_holder> holder;
   if (const auto found = configuration_->keys.find(content.api_key);
       found != configuration_->keys.end()) {
     holder = found->second;
@@ -194,7 +194,8 @@
 }
 
 void dispatcher::admit(const request_arrived& arrival, std::shared_ptr<const model::route> route,
-                       const std::optional<model::key_holder>& holder, base::time_point now) {
+                       const std::optional<model::access_key_holder>& holder,
+                       base::time_point now) {
   active_request request;
   request.client = arrival.client;
   request.content = arrival.content;
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -70,7 +70,9 @@
   void set_peers(std::vector<fleet_peer> alive, std::size_t known_peers);
   /// Sets the limit on this process's memory that the bytes of incomplete stream events count
   /// against; by default there is no limit.
-  void set_budget(std::shared_ptr<flow::byte_budget> budget) { byte_budget_ = std::move(budget); }
+  void set_byte_budget(std::shared_ptr<flow::byte_budget> budget) {
+    byte_budget_ = std::move(budget);
+  }
   /// Replaces the zones that this node cannot reach. Their replicas are called only if no other
   /// replica is available.
   void set_unreachable_zones(std::set<base::zone_id> zones) {
@@ -117,7 +119,7 @@
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
   [[nodiscard]] command_list take_commands();
   [[nodiscard]] wire::outbox take_messages();
-  [[nodiscard]] std::size_t active() const { return active_.size(); }
+  [[nodiscard]] std::size_t active_requests() const { return active_.size(); }
   [[nodiscard]] const serving_counters& counts() const { return counters_; }
   [[nodiscard]] const replica_table& replicas() const { return replicas_; }
   [[nodiscard]] const stage_exchange& stages() const { return stages_; }
@@ -271,7 +273,7 @@
   void on_event(const replica_probed& probe, base::time_point now);
 
   void admit(const request_arrived& arrival, std::shared_ptr<const model::route> route,
-             const std::optional<model::key_holder>& holder, base::time_point now);
+             const std::optional<model::access_key_holder>& holder, base::time_point now);
   /// Refuses a request that may run in no region, or only in regions that cannot serve it now. Like
   /// all `refuse_` and `abort_if_` functions of type bool, returns whether the request was ended.
   bool refuse_by_residency(active_request& request);
@@ -350,7 +352,7 @@
                                                 const replica_state& replica,
                                                 base::time_point now) const;
   const replica_state* choose_replica(const active_request& request, base::time_point now);
-  const replica_state* choose_replica_for(const replica_demand& demand, base::time_point now);
+  const replica_state* choose_replica_for(const replica_requirements& demand, base::time_point now);
   /// @return digest of a request, computed on first use.
   static const quarantine::request_digest& digest_of(const active_request& request);
   /// @return text with the digest, for the log entry of a call that ended without a whole answer.
@@ -368,7 +370,7 @@
   [[nodiscard]] std::optional<self_reports::published_replica>
   find_published(const base::replica_id& id) const;
   /// @return requirements of a request on the replica that runs it.
-  [[nodiscard]] static replica_demand demand_of(const active_request& request);
+  [[nodiscard]] static replica_requirements requirements_of(const active_request& request);
   /// Requests a permit for a replica that could serve the request if this node held a permit.
   void request_permit(const active_request& request, base::time_point now);
   [[nodiscard]] static waiting_request queue_entry_of(const active_request& request);
--- a/src/dispatch/dispatcher_admission_queue.cc
+++ b/src/dispatch/dispatcher_admission_queue.cc
@@ -36,7 +36,7 @@
   process_admission_queues(now);
 }
 
-replica_demand dispatcher::demand_of(const active_request& request) {
+replica_requirements dispatcher::requirements_of(const active_request& request) {
   const auto* results_zone = request.graph ? &request.expected_zone : nullptr;
   return {request.service, *request.content, request.permitted_regions, request.tried_replicas,
           results_zone};
@@ -48,7 +48,7 @@
   if (!limits_.has_limits()) {
     return;
   }
-  auto limited = replicas_.candidates_without_permit(demand_of(request), now);
+  auto limited = replicas_.candidates_without_permit(requirements_of(request), now);
   if (request.graph) {
     // To another zone the results of the request's stages would have to be transferred, so a permit
     // of a replica there is of no use.
@@ -67,7 +67,7 @@
   // other requests could use the same replicas, except for differences in permitted regions and
   // tried replicas.
   const auto limited =
-      replicas_.candidates_without_permit(demand_of(active_.at(queue.begin()->client)), now);
+      replicas_.candidates_without_permit(requirements_of(active_.at(queue.begin()->client)), now);
   if (limited.empty()) {
     return;
   }
@@ -91,7 +91,7 @@
 std::optional<base::duration> dispatcher::expected_queue_wait(const active_request& request,
                                                               std::size_t requests_ahead,
                                                               base::time_point now) const {
-  const auto demand = demand_of(request);
+  const auto demand = requirements_of(request);
   std::optional<base::duration> shortest_wait;
   if (const auto backoff_wait = replicas_.time_until_backoff_ends(demand, now)) {
     shortest_wait = expected_backoff_wait(request.service, *backoff_wait, requests_ahead, now);
@@ -159,7 +159,7 @@
   if (is_unlimited || !request.graph) {
     return false;
   }
-  auto demand = demand_of(request);
+  auto demand = requirements_of(request);
   demand.is_planned = true;
   if (choose_replica_for(demand, now) != nullptr) {
     return false;
@@ -238,8 +238,8 @@
 base::duration dispatcher::shortest_retry_after(const active_request& request,
                                                 base::time_point now) const {
   const std::set<base::replica_id> no_tried_replicas;
-  const replica_demand demand{request.service, *request.content, request.permitted_regions,
-                              no_tried_replicas, nullptr};
+  const replica_requirements demand{request.service, *request.content, request.permitted_regions,
+                                    no_tried_replicas, nullptr};
   const auto backoff_wait = replicas_.time_until_backoff_ends(demand, now);
   const bool can_be_called_now = !backoff_wait || !replicas_.candidates_for(demand, now).empty();
   return can_be_called_now ? base::duration{settings_.retry_after}
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -35,10 +35,10 @@
 
 const replica_state* dispatcher::choose_replica(const active_request& request,
                                                 base::time_point now) {
-  return choose_replica_for(demand_of(request), now);
+  return choose_replica_for(requirements_of(request), now);
 }
 
-const replica_state* dispatcher::choose_replica_for(const replica_demand& demand,
+const replica_state* dispatcher::choose_replica_for(const replica_requirements& demand,
                                                     base::time_point now) {
   return is_engine(demand.service) ? engine_chooser_.choose(demand, now)
                                    : plain_chooser_.choose(demand, now);
@@ -285,7 +285,7 @@
     commands_.emplace_back(end_stream{request.client, false});
   } else {
     commands_.emplace_back(respond{request.client, std::nullopt, answer.head.status,
-                                   answer.head.headers, answer.body, answer.held});
+                                   answer.head.headers, answer.body, answer.body_memory});
     counters_.first_byte.add(now - request.arrived_at);
   }
   finish(request, answer.head.status, "the replica's answer", now);
--- a/src/dispatch/dispatcher_replica_restarts.cc
+++ b/src/dispatch/dispatcher_replica_restarts.cc
@@ -52,7 +52,8 @@
     auto& request = active_.at(client);
     const bool shows_events = request.latest_event_at > request.call->started_at &&
                               now - request.latest_event_at < restart_confirm_time;
-    if (!shows_events && replicas_.is_at_earlier_incarnation(replica, request.call->started_at)) {
+    if (!shows_events &&
+        replicas_.was_sent_to_earlier_incarnation(replica, request.call->started_at)) {
       detach_from_restarted_replica(request, now);
     } else {
       request.tried_replicas.insert(replica);
--- a/src/dispatch/dispatcher_self_reports.cc
+++ b/src/dispatch/dispatcher_self_reports.cc
@@ -35,9 +35,9 @@
 
 std::string text_of(const self_report_change& change) {
   if (change.is_unreadable) {
-    return unreadable_text(change.about);
+    return unreadable_text(change.reported_topic);
   }
-  if (change.about == self_report_change::topic::drain) {
+  if (change.reported_topic == self_report_change::topic::drain) {
     return "drains, reported by " + change.source;
   }
   if (!change.per_second) {
@@ -75,8 +75,8 @@
 
 void dispatcher::record_self_report_changes() {
   for (const auto& change : self_reports_.take_changes()) {
-    record_(kind_of(change.about), {}, change.replica.text(), text_of(change));
-    if (change.about == self_report_change::topic::drain) {
+    record_(kind_of(change.reported_topic), {}, change.replica.text(), text_of(change));
+    if (change.reported_topic == self_report_change::topic::drain) {
       stages_.on_drain_announced();
     }
   }
--- a/src/dispatch/dispatcher_stages.cc
+++ b/src/dispatch/dispatcher_stages.cc
@@ -176,7 +176,7 @@
 }
 
 base::zone_id dispatcher::preferred_zone(const active_request& request, base::time_point now) {
-  auto demand = demand_of(request);
+  auto demand = requirements_of(request);
   demand.is_planned = true;
   if (const auto* expected = choose_replica_for(demand, now)) {
     return expected->record->zone;
--- a/src/dispatch/replica_report_exchange.cc
+++ b/src/dispatch/replica_report_exchange.cc
@@ -67,12 +67,12 @@
 }
 
 std::optional<base::time_point> replica_report_exchange::next_wakeup() const {
-  const bool has_reports = !pending_.empty() || replicas_->has_changed();
+  const bool has_reports = !pending_.empty() || replicas_->has_changed_health();
   return has_reports ? std::optional(next_message_at_) : std::nullopt;
 }
 
 wire::replica_news replica_report_exchange::collect_reports(base::time_point now) {
-  pending_.merge(replicas_->take_changed());
+  pending_.merge(replicas_->take_replicas_with_changed_health());
   std::vector<std::pair<base::replica_id, replica_health_report>> reports;
   for (const auto& id : pending_) {
     const auto* state = replicas_->find(id);
@@ -107,7 +107,7 @@
 }
 
 void replica_report_exchange::advance(base::time_point now) {
-  if (now < next_message_at_ || (pending_.empty() && !replicas_->has_changed())) {
+  if (now < next_message_at_ || (pending_.empty() && !replicas_->has_changed_health())) {
     return;
   }
   const auto report_batch = collect_reports(now);
--- a/src/dispatch/retry_after.cc
+++ b/src/dispatch/retry_after.cc
@@ -15,7 +15,7 @@
   if (time_left <= base::duration::zero()) {
     return {};
   }
-  const auto jittered = base::scaled(wait, 1 + jitter_fraction * random.unit());
+  const auto jittered = base::scaled(wait, 1 + jitter_fraction * random.next_fraction());
   return std::min(jittered, base::scaled(time_left, max_retry_after_fraction));
 }
 
--- a/src/engines/engine_chooser.cc
+++ b/src/engines/engine_chooser.cc
@@ -90,7 +90,8 @@
   return best;
 }
 
-const replica_state* engine_chooser::choose(const replica_demand& demand, base::time_point now) {
+const replica_state* engine_chooser::choose(const replica_requirements& demand,
+                                            base::time_point now) {
   if (demand.content.prompt_parts.empty()) {
     return fallback_->choose(demand, now);
   }
--- a/src/engines/engine_chooser.h
+++ b/src/engines/engine_chooser.h
@@ -26,7 +26,7 @@
   engine_chooser(const replica_table& replicas, const engine_directory& directory,
                  distance from_here, replica_chooser& fallback);
 
-  [[nodiscard]] const replica_state* choose(const replica_demand& demand,
+  [[nodiscard]] const replica_state* choose(const replica_requirements& demand,
                                             base::time_point now) override;
 
  private:
--- a/src/engines/first_byte_model.cc
+++ b/src/engines/first_byte_model.cc
@@ -14,7 +14,7 @@
 
 } // namespace
 
-void first_byte_model::note(std::uint32_t tokens, base::duration elapsed) {
+void first_byte_model::record_call(std::uint32_t tokens, base::duration elapsed) {
   for (auto* sum : {&weight_, &tokens_, &seconds_, &tokens_squared_, &tokens_by_seconds_}) {
     *sum *= decay_per_call;
   }
@@ -27,7 +27,7 @@
   tokens_by_seconds_ += length * seconds;
 }
 
-base::duration first_byte_model::expected(std::uint32_t tokens) const {
+base::duration first_byte_model::expected_time(std::uint32_t tokens) const {
   if (weight_ < min_weight) {
     return default_first_byte_time;
   }
--- a/src/engines/first_byte_model.h
+++ b/src/engines/first_byte_model.h
@@ -14,9 +14,9 @@
   /// Records a call.
   /// @param tokens of the prompt that no other request shares.
   /// @param elapsed from sending the prompt to the first byte.
-  void note(std::uint32_t tokens, base::duration elapsed);
+  void record_call(std::uint32_t tokens, base::duration elapsed);
   /// Returns the expected time to the first byte; a default while too few calls were recorded.
-  [[nodiscard]] base::duration expected(std::uint32_t tokens) const;
+  [[nodiscard]] base::duration expected_time(std::uint32_t tokens) const;
 
  private:
   // Sums over the recorded calls, in which each call weighs less the more calls followed it.
--- a/src/flow/answer_memory.cc
+++ b/src/flow/answer_memory.cc
@@ -4,27 +4,28 @@
 
 namespace spurrack::flow {
 
-bool answer_queue::is_deadlocked() const {
+bool answer_memory_queue::is_deadlocked() const {
   return waiting_bytes_ == budget_->held(byte_holder::gathered_answers);
 }
 
-bool answer_queue::can_unblock_first() const {
+bool answer_memory_queue::can_unblock_first() const {
   const auto other_bytes = waiting_bytes_ - waiting_.front()->bytes();
   const auto remaining_bytes = budget_->held() - other_bytes;
   return first_unmet_bytes_ > 0 &&
          budget_->is_within_limit(byte_use::lone_answer, remaining_bytes + first_unmet_bytes_);
 }
 
-const answer_memory* answer_queue::last_waiting_answer_with_memory() const {
-  const auto found = std::find_if(waiting_.rbegin(), waiting_.rend(),
-                                  [](const answer_memory* answer) { return answer->bytes() > 0; });
+const answer_memory_reservation* answer_memory_queue::last_waiting_answer_with_memory() const {
+  const auto found =
+      std::find_if(waiting_.rbegin(), waiting_.rend(),
+                   [](const answer_memory_reservation* answer) { return answer->bytes() > 0; });
   return found == waiting_.rend() ? nullptr : *found;
 }
 
-answer_memory::answer_memory(std::shared_ptr<answer_queue> queue)
+answer_memory_reservation::answer_memory_reservation(std::shared_ptr<answer_memory_queue> queue)
     : queue_(std::move(queue)), bytes_(queue_->budget_, byte_holder::gathered_answers) {}
 
-void answer_memory::enqueue() {
+void answer_memory_reservation::enqueue() {
   if (!is_waiting_) {
     is_waiting_ = true;
     queue_position_ = queue_->waiting_.insert(queue_->waiting_.end(), this);
@@ -32,7 +33,7 @@
   }
 }
 
-void answer_memory::dequeue(std::size_t held) {
+void answer_memory_reservation::dequeue(std::size_t held) {
   if (!is_waiting_) {
     return;
   }
@@ -44,7 +45,7 @@
   queue_->waiting_bytes_ -= held;
 }
 
-bool answer_memory::try_grow(byte_use use, std::size_t additional_bytes) {
+bool answer_memory_reservation::try_grow(byte_use use, std::size_t additional_bytes) {
   const auto held_before = bytes();
   if (!bytes_.grow(use, additional_bytes)) {
     return false;
@@ -53,27 +54,27 @@
   return true;
 }
 
-memory_verdict answer_memory::grow(std::size_t additional_bytes) {
+memory_request_result answer_memory_reservation::grow(std::size_t additional_bytes) {
   const bool is_large =
       !queue_->budget_->is_within_limit(byte_use::whole_answer, bytes() + additional_bytes);
   if (try_grow(is_large ? byte_use::lone_answer : byte_use::whole_answer, additional_bytes)) {
-    return memory_verdict::granted;
+    return memory_request_result::granted;
   }
   enqueue();
-  return queue_->is_deadlocked() ? resolve_deadlock(additional_bytes) : memory_verdict::wait;
+  return queue_->is_deadlocked() ? resolve_deadlock(additional_bytes) : memory_request_result::wait;
 }
 
-memory_verdict answer_memory::resolve_deadlock(std::size_t additional_bytes) {
+memory_request_result answer_memory_reservation::resolve_deadlock(std::size_t additional_bytes) {
   if (is_first()) {
     if (try_grow(byte_use::lone_answer, additional_bytes)) {
-      return memory_verdict::granted;
+      return memory_request_result::granted;
     }
     queue_->first_unmet_bytes_ = additional_bytes;
-    return memory_verdict::wait;
+    return memory_request_result::wait;
   }
   const bool should_abort =
       queue_->can_unblock_first() && queue_->last_waiting_answer_with_memory() == this;
-  return should_abort ? memory_verdict::abort_answer : memory_verdict::wait;
+  return should_abort ? memory_request_result::abort_answer : memory_request_result::wait;
 }
 
 } // namespace spurrack::flow
--- a/src/flow/answer_memory.h
+++ b/src/flow/answer_memory.h
@@ -12,34 +12,34 @@
 namespace spurrack::flow {
 
 /// Result of a request for memory.
-enum class memory_verdict : std::uint8_t {
+enum class memory_request_result : std::uint8_t {
   granted,
   wait,         ///< Retry later; the memory held so far is kept.
   abort_answer, ///< Return the memory held: an answer that has waited longer needs it to complete.
 };
 
-class answer_memory;
+class answer_memory_reservation;
 
 /// The answers of one process that wait for memory, in the order in which they began to wait. Not
 /// thread-safe.
-class answer_queue {
+class answer_memory_queue {
  public:
-  explicit answer_queue(std::shared_ptr<byte_budget> budget) : budget_(std::move(budget)) {}
-  answer_queue(const answer_queue&) = delete;
-  answer_queue& operator=(const answer_queue&) = delete;
+  explicit answer_memory_queue(std::shared_ptr<byte_budget> budget) : budget_(std::move(budget)) {}
+  answer_memory_queue(const answer_memory_queue&) = delete;
+  answer_memory_queue& operator=(const answer_memory_queue&) = delete;
 
  private:
-  friend class answer_memory;
+  friend class answer_memory_reservation;
   /// Returns whether all memory of whole answers is held by answers that wait for more.
   [[nodiscard]] bool is_deadlocked() const;
   /// Returns whether the memory held by the other waiting answers would be enough for the first
   /// answer of the queue. If other uses hold the memory, aborting an answer does not help.
   [[nodiscard]] bool can_unblock_first() const;
   /// Returns the last answer in the queue that holds memory; null if none does.
-  [[nodiscard]] const answer_memory* last_waiting_answer_with_memory() const;
+  [[nodiscard]] const answer_memory_reservation* last_waiting_answer_with_memory() const;
 
   std::shared_ptr<byte_budget> budget_;
-  std::list<answer_memory*> waiting_;
+  std::list<answer_memory_reservation*> waiting_;
   /// Bytes that the answers in `waiting_` hold.
   std::size_t waiting_bytes_ = 0;
   /// Bytes that the first waiting answer requested and was refused even within the limit of
@@ -48,35 +48,35 @@
 };
 
 /// Memory of one answer; returned by the destructor.
-class answer_memory {
+class answer_memory_reservation {
  public:
-  explicit answer_memory(std::shared_ptr<answer_queue> queue);
-  ~answer_memory() { dequeue(bytes()); }
-  answer_memory(const answer_memory&) = delete;
-  answer_memory& operator=(const answer_memory&) = delete;
+  explicit answer_memory_reservation(std::shared_ptr<answer_memory_queue> queue);
+  ~answer_memory_reservation() { dequeue(bytes()); }
+  answer_memory_reservation(const answer_memory_reservation&) = delete;
+  answer_memory_reservation& operator=(const answer_memory_reservation&) = delete;
 
   /// Acquires more bytes, or appends the answer to the queue of waiting answers. An answer that by
   /// itself exceeds the limit of `byte_use::whole_answer`, and the first of several answers that
   /// wait for one another, may use the budget up to the limit of `byte_use::lone_answer`.
-  [[nodiscard]] memory_verdict grow(std::size_t additional_bytes);
+  [[nodiscard]] memory_request_result grow(std::size_t additional_bytes);
   [[nodiscard]] std::size_t bytes() const { return bytes_.bytes(); }
 
  private:
   [[nodiscard]] bool is_first() const { return queue_->waiting_.front() == this; }
   /// Decides whether this answer gets memory, waits or is aborted while waiting answers hold all
   /// memory of whole answers.
-  [[nodiscard]] memory_verdict resolve_deadlock(std::size_t additional_bytes);
+  [[nodiscard]] memory_request_result resolve_deadlock(std::size_t additional_bytes);
   /// Acquires more bytes and leaves the queue. @return false, with nothing changed, if refused.
   bool try_grow(byte_use use, std::size_t additional_bytes);
   void enqueue();
   /// @param held bytes that this answer held while it waited.
   void dequeue(std::size_t held);
 
-  std::shared_ptr<answer_queue> queue_;
+  std::shared_ptr<answer_memory_queue> queue_;
   byte_reservation bytes_;
   bool is_waiting_ = false;
   /// Position in the queue; valid while `is_waiting_`.
-  std::list<answer_memory*>::iterator queue_position_;
+  std::list<answer_memory_reservation*>::iterator queue_position_;
 };
 
 } // namespace spurrack::flow
--- a/src/flow/byte_budget.h
+++ b/src/flow/byte_budget.h
@@ -28,7 +28,8 @@
   buffered_stream, ///< A stream that is read from its replica although its client does not read.
   small_body,      ///< A new request with a small body.
   whole_answer,    ///< A whole answer of a replica.
-  lone_answer,     ///< A whole answer that cannot complete within the limit (`answer_memory`).
+  lone_answer,     ///< A whole answer that cannot complete within the limit
+                   ///< (`answer_memory_reservation`).
   stream_event,    ///< An event that has been read from a replica.
 };
 inline constexpr std::size_t byte_uses = 6;
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -78,7 +78,7 @@
 struct unwritten_bytes {
   std::string bytes;
   /// Memory reservation of the body of a complete answer; null for all other bytes.
-  std::shared_ptr<const serving::held_memory> body_memory;
+  std::shared_ptr<const serving::memory_reservation> body_memory;
   /// Number of bytes reserved in `client_exchange::reservation`: the size of `bytes` if they are
   /// stream events, 0 otherwise.
   std::size_t reserved_bytes = 0;
@@ -186,8 +186,8 @@
       return;
     }
     auto& client = *found->second;
-    if (command.own_answer_to) {
-      auto own_headers = codec_->own_answer_headers(*command.own_answer_to);
+    if (command.locally_answered_request) {
+      auto own_headers = codec_->local_answer_headers(*command.locally_answered_request);
       std::move(own_headers.begin(), own_headers.end(), std::back_inserter(command.headers));
     }
     client.connection = is_stopping_ ? after_answer::close : client.connection;
@@ -203,7 +203,7 @@
                                     client.connection),
                   nullptr});
     if (has_body(command.status) && !client.head_only && !command.body.empty()) {
-      push(client, {std::move(command.body), std::move(command.held)});
+      push(client, {std::move(command.body), std::move(command.body_memory)});
     }
   }
 
--- a/src/model/serving_record_parser.cc
+++ b/src/model/serving_record_parser.cc
@@ -158,8 +158,8 @@
 }
 
 void add_keys(const wire::published_access& published, serving_configuration& configuration) {
-  key_holder holder{base::tenant_id(published.tenant()), std::nullopt,
-                    build_residency(published.permitted_regions())};
+  access_key_holder holder{base::tenant_id(published.tenant()), std::nullopt,
+                           build_residency(published.permitted_regions())};
   if (published.has_priority()) {
     holder.priority = published.priority();
   }
--- a/src/model/serving_records.h
+++ b/src/model/serving_records.h
@@ -84,10 +84,10 @@
   /// Number of calls that may wait at the replica for a slot.
   std::uint32_t queue = 0;
   /// Maximum number of pieces in one call.
-  std::uint32_t batch = 1;
+  std::uint32_t max_pieces_per_call = 1;
   /// Fixed time of a call, and the time that each piece adds to the call.
   base::duration call_time{};
-  base::duration item_time{};
+  base::duration piece_time{};
   /// Memory for results that wait to be fetched, in bytes.
   double result_capacity_bytes = 0;
   /// Time for which a replica keeps a result after the call that computed the result.
@@ -125,7 +125,7 @@
 };
 
 /// Tenant that holds an access key, with the rights of the key.
-struct key_holder {
+struct access_key_holder {
   base::tenant_id tenant;
   /// If set, replaces the priority of the route.
   std::optional<std::uint32_t> priority;
@@ -147,7 +147,7 @@
   std::uint64_t version = 0;
   std::unordered_map<std::string, service> services;
   /// Holders of access keys by the text of the key; empty if requests need no key.
-  std::unordered_map<std::string, key_holder> keys;
+  std::unordered_map<std::string, access_key_holder> keys;
   client_limits limits;
   /// Routes by host, for each host sorted by length of the path prefix, longest first.
   std::unordered_map<std::string, std::vector<std::shared_ptr<const route>>> routes_by_host;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -88,7 +88,7 @@
           now),
       random_(&random), next_periodic_at_(now) {
   if (settings_.serving) {
-    peer_wait_fraction_ = random.unit();
+    peer_wait_fraction_ = random.next_fraction();
     const serving::fleet_peer self{settings_.self.node, settings_.self.zone, settings_.self.address,
                                    settings_.self.processor_share};
     serving_.emplace(self, *settings_.serving, random, settings_.self.process_start,
@@ -389,7 +389,7 @@
 }
 
 void node::abort_overdue_requests(base::time_point now) {
-  if (must_abort_requests(now) && serving_->active() > 0) {
+  if (must_abort_requests(now) && serving_->active_requests() > 0) {
     serving_->abort_all_requests(now);
     for (auto& queued : serving_->take_commands()) {
       commands_.emplace_back(std::move(queued));
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -132,9 +132,9 @@
   [[nodiscard]] bool should_read_service(source_kind source, base::time_point now) const;
   /// Sets the memory budget for incomplete stream events that the serving path buffers. Has no
   /// effect if the node serves no published routes.
-  void set_budget(std::shared_ptr<flow::byte_budget> budget) {
+  void set_byte_budget(std::shared_ptr<flow::byte_budget> budget) {
     if (serving_) {
-      serving_->set_budget(std::move(budget));
+      serving_->set_byte_budget(std::move(budget));
     }
   }
   /// @return null if the node serves no published routes.
--- a/src/replicas/least_loaded_chooser.cc
+++ b/src/replicas/least_loaded_chooser.cc
@@ -40,7 +40,7 @@
   return best;
 }
 
-const replica_state* least_loaded_chooser::choose(const replica_demand& demand,
+const replica_state* least_loaded_chooser::choose(const replica_requirements& demand,
                                                   base::time_point now) {
   const auto candidates = split_by_region(replicas_->candidates_for(demand, now), from_here_);
   const bool spills_over = spillover_.should_spill_over(candidates, now);
--- a/src/replicas/least_loaded_chooser.h
+++ b/src/replicas/least_loaded_chooser.h
@@ -18,7 +18,7 @@
   least_loaded_chooser(const replica_table& replicas, distance from_here,
                        base::random_source& random);
 
-  [[nodiscard]] const replica_state* choose(const replica_demand& demand,
+  [[nodiscard]] const replica_state* choose(const replica_requirements& demand,
                                             base::time_point now) override;
 
  private:
--- a/src/replicas/region_spillover.cc
+++ b/src/replicas/region_spillover.cc
@@ -88,7 +88,7 @@
       elsewhere ? (excess_load - *elsewhere) /
                       (spillover_load_range * std::max(1.0, *elsewhere * *elsewhere))
                 : sampling_fraction;
-  return spillover_fraction > 0 && random_->unit() < spillover_fraction;
+  return spillover_fraction > 0 && random_->next_fraction() < spillover_fraction;
 }
 
 } // namespace spurrack::serving
--- a/src/replicas/replica_chooser.h
+++ b/src/replicas/replica_chooser.h
@@ -14,7 +14,7 @@
 
 /// What a request requires of the replica that is to run it. Refers to objects of the request,
 /// which must outlive this object.
-struct replica_demand {
+struct replica_requirements {
   const std::string& service;
   const request_content& content;
   /// Regions in which the request may run.
@@ -39,7 +39,7 @@
 
   /// @return the replica to call, owned by the replica table; null if no replica can accept the
   ///         request.
-  [[nodiscard]] virtual const replica_state* choose(const replica_demand& demand,
+  [[nodiscard]] virtual const replica_state* choose(const replica_requirements& demand,
                                                     base::time_point now) = 0;
 };
 
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -159,8 +159,8 @@
   }
 }
 
-bool replica_table::is_at_earlier_incarnation(const base::replica_id& id,
-                                              base::time_point began_at) const {
+bool replica_table::was_sent_to_earlier_incarnation(const base::replica_id& id,
+                                                    base::time_point began_at) const {
   const auto* state = find(id);
   return state != nullptr && state->restart_seen_at &&
          began_at <= state->earlier_incarnation_calls_until;
@@ -249,12 +249,13 @@
          cold_limit_permits(state, now);
 }
 
-bool replica_table::could_serve(const replica_demand& demand, const replica_state& state) const {
+bool replica_table::could_serve(const replica_requirements& demand,
+                                const replica_state& state) const {
   return !demand.excluded_replicas.contains(state.record->id) &&
          permits(demand.permitted_regions, state);
 }
 
-std::vector<const replica_state*> replica_table::usable_replicas(const replica_demand& demand,
+std::vector<const replica_state*> replica_table::usable_replicas(const replica_requirements& demand,
                                                                  base::time_point now,
                                                                  bool ignore_pauses) const {
   std::vector<const replica_state*> found;
@@ -268,7 +269,7 @@
   return found;
 }
 
-std::vector<const replica_state*> replica_table::candidates_for(const replica_demand& demand,
+std::vector<const replica_state*> replica_table::candidates_for(const replica_requirements& demand,
                                                                 base::time_point now) const {
   auto found = usable_replicas(demand, now, false);
   exclude_limited(found, demand);
@@ -473,8 +474,8 @@
 void replica_table::note_occupied(const base::replica_id& id, base::duration usual,
                                   base::time_point now) {
   if (auto* state = mutable_find(id)) {
-    const auto pause = base::from_seconds(base::to_seconds(usual) *
-                                          (min_occupied_pause_in_call_times + random_->unit()));
+    const auto pause = base::from_seconds(
+        base::to_seconds(usual) * (min_occupied_pause_in_call_times + random_->next_fraction()));
     state->paused_until = std::max<base::time_point>(state->paused_until, now + pause);
     state->backoff.note_rejected();
   }
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -43,7 +43,7 @@
 
 namespace spurrack::serving {
 
-struct replica_demand;
+struct replica_requirements;
 
 /// Backoff that a replica requested from this node, or an extension of a backoff in effect.
 struct backoff_change {
@@ -93,8 +93,8 @@
   }
   /// @return whether a call that began at `began_at` was sent to an earlier incarnation of the
   ///         replica.
-  [[nodiscard]] bool is_at_earlier_incarnation(const base::replica_id& id,
-                                               base::time_point began_at) const;
+  [[nodiscard]] bool was_sent_to_earlier_incarnation(const base::replica_id& id,
+                                                     base::time_point began_at) const;
   void set_configuration(std::shared_ptr<const model::serving_configuration> configuration);
   /// Enforces the request limits that replicas announce; without this call no replica is limited.
   /// @param limits must outlive the table.
@@ -127,7 +127,7 @@
   ///         is stale, only that replica. If no replica may be sent the request now and none is
   ///         expected to accept it soon (when a backoff ends or a permit arrives): the replicas
   ///         that are paused after failures.
-  [[nodiscard]] std::vector<const replica_state*> candidates_for(const replica_demand& demand,
+  [[nodiscard]] std::vector<const replica_state*> candidates_for(const replica_requirements& demand,
                                                                  base::time_point now) const;
   /// @return the calls of all nodes at a replica, as far as this node knows, divided by the
   ///         replica's slots, plus a load for backoffs that the replica requested from other nodes.
@@ -176,7 +176,7 @@
   /// @return replicas with an announced limit that accept calls and could serve the request, but
   ///         for which this node holds no permit now.
   [[nodiscard]] std::vector<const replica_state*>
-  candidates_without_permit(const replica_demand& demand, base::time_point now) const;
+  candidates_without_permit(const replica_requirements& demand, base::time_point now) const;
   /// @return whether only the requested backoff of a replica, or the slow start after it, prevents
   ///         a call.
   [[nodiscard]] bool is_blocked_only_by_backoff(const replica_state& state,
@@ -189,11 +189,12 @@
   /// @return the time until the first backoff ends among the replicas that could serve a request
   ///         and are blocked only by their backoff; zero during a slow start; std::nullopt if there
   ///         is no such replica.
-  [[nodiscard]] std::optional<base::duration> time_until_backoff_ends(const replica_demand& demand,
-                                                                      base::time_point now) const;
+  [[nodiscard]] std::optional<base::duration>
+  time_until_backoff_ends(const replica_requirements& demand, base::time_point now) const;
   /// Records that `count` calls wait for a permit of a limited replica and cannot be sent to any
   /// other replica now. Has no effect if the replica announces no limit.
-  void note_waiting(const base::replica_id& id, std::uint32_t count, base::time_point now);
+  void note_calls_waiting_for_permit(const base::replica_id& id, std::uint32_t count,
+                                     base::time_point now);
   /// @return null if the table does not hold the replica.
   [[nodiscard]] const replica_state* find(const base::replica_id& id) const;
   /// @return null if no replica of the table has the address.
@@ -246,10 +247,10 @@
   own_health_report(const replica_state& state, base::time_point now);
   /// @return replicas whose health, as this node's calls show it, has changed since the last call
   ///         of this function.
-  [[nodiscard]] std::set<base::replica_id> take_changed() {
+  [[nodiscard]] std::set<base::replica_id> take_replicas_with_changed_health() {
     return std::exchange(changed_health_, {});
   }
-  [[nodiscard]] bool has_changed() const { return !changed_health_.empty(); }
+  [[nodiscard]] bool has_changed_health() const { return !changed_health_.empty(); }
   /// @return the number of ejections of replicas because of reports of other nodes.
   [[nodiscard]] std::uint64_t ejections() const { return ejections_; }
   /// Records the time that a call took.
@@ -300,21 +301,23 @@
                     base::time_point now);
   /// @return whether a replica is neither excluded from a request nor outside the permitted regions
   ///         of the request.
-  [[nodiscard]] bool could_serve(const replica_demand& demand, const replica_state& state) const;
+  [[nodiscard]] bool could_serve(const replica_requirements& demand,
+                                 const replica_state& state) const;
   /// @param ignore_pauses whether to include replicas that are paused, that were sent a probe, or
   ///        that are in an unreachable zone.
   /// @return the replicas that could serve a request and may be sent it now.
   [[nodiscard]] std::vector<const replica_state*>
-  usable_replicas(const replica_demand& demand, base::time_point now, bool ignore_pauses) const;
+  usable_replicas(const replica_requirements& demand, base::time_point now,
+                  bool ignore_pauses) const;
   /// Removes candidates with an announced limit on which the request should not depend: those
   /// outside the zone that stores its results, or all of them if the request is only planned.
   /// Removes none if all candidates have a limit.
   void exclude_limited(std::vector<const replica_state*>& candidates,
-                       const replica_demand& demand) const;
+                       const replica_requirements& demand) const;
   /// @return a candidate whose limit no recent answer has confirmed; null if there is none.
   [[nodiscard]] const replica_state*
   find_candidate_with_stale_limit(const std::vector<const replica_state*>& candidates,
-                                  const replica_demand& demand, base::time_point now) const;
+                                  const replica_requirements& demand, base::time_point now) const;
   /// @return whether a replica accepts work, is neither paused nor in an unreachable zone, and may
   ///         be called while it is cold. Does not check its backoff and limit.
   [[nodiscard]] bool accepts_calls(const replica_state& state, base::time_point now) const;
--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -30,15 +30,16 @@
   return limit ? std::min(1.0, *limit * base::to_seconds(call_time)) : 1;
 }
 
-void replica_table::note_waiting(const base::replica_id& id, std::uint32_t count,
-                                 base::time_point now) {
+void replica_table::note_calls_waiting_for_permit(const base::replica_id& id, std::uint32_t count,
+                                                  base::time_point now) {
   if (limits_ != nullptr && limits_->announced_limits().limit_of(id)) {
     limits_->note_waiting(id, count, now);
   }
 }
 
 std::vector<const replica_state*>
-replica_table::candidates_without_permit(const replica_demand& demand, base::time_point now) const {
+replica_table::candidates_without_permit(const replica_requirements& demand,
+                                         base::time_point now) const {
   std::vector<const replica_state*> found;
   if (limits_ == nullptr || !limits_->has_limits()) {
     return found;
@@ -54,7 +55,7 @@
 }
 
 void replica_table::exclude_limited(std::vector<const replica_state*>& candidates,
-                                    const replica_demand& demand) const {
+                                    const replica_requirements& demand) const {
   const bool depends_on_replica = demand.results_zone != nullptr || demand.is_planned;
   if (limits_ == nullptr || !limits_->has_limits() || !depends_on_replica) {
     return;
@@ -70,7 +71,7 @@
 
 const replica_state*
 replica_table::find_candidate_with_stale_limit(const std::vector<const replica_state*>& candidates,
-                                               const replica_demand& demand,
+                                               const replica_requirements& demand,
                                                base::time_point now) const {
   if (limits_ == nullptr || !limits_->has_limits() || demand.is_planned) {
     return nullptr;
--- a/src/replicas/replica_table_self_reports.cc
+++ b/src/replicas/replica_table_self_reports.cc
@@ -41,8 +41,9 @@
   return !state.backoff.permits_call(state.in_flight, now) && accepts_calls(state, backoff_ends_at);
 }
 
-std::optional<base::duration> replica_table::time_until_backoff_ends(const replica_demand& demand,
-                                                                     base::time_point now) const {
+std::optional<base::duration>
+replica_table::time_until_backoff_ends(const replica_requirements& demand,
+                                       base::time_point now) const {
   std::optional<base::duration> shortest;
   if (!has_backoffs(now)) {
     return shortest;
@@ -59,7 +60,8 @@
 
 void replica_table::note_self_report(const self_report_received& received, base::time_point now) {
   auto* state = mutable_find(received.replica);
-  if (state == nullptr || is_at_earlier_incarnation(received.replica, received.call_started_at)) {
+  if (state == nullptr ||
+      was_sent_to_earlier_incarnation(received.replica, received.call_started_at)) {
     return;
   }
   if (self_reports_ != nullptr) {
@@ -75,7 +77,7 @@
 
 void replica_table::note_backoff(replica_state& state, const self_report_received& received,
                                  base::time_point now) {
-  const auto& span = received.report.backoff.span;
+  const auto& span = received.report.backoff.duration;
   if (!span) {
     state.backoff.note_answer(received.call_started_at, state.record->slots);
     return;
--- a/src/self_reports/self_report_exchange.cc
+++ b/src/self_reports/self_report_exchange.cc
@@ -180,7 +180,7 @@
   const base::replica_id replica(received.replica());
   const auto published = lookup_(replica);
   if (!published || published->incarnation != received.life_mark()) {
-    ++counts_.of_other_incarnations;
+    ++counts_.limits_of_other_incarnations;
     return;
   }
   const auto before = limits_.limit_of(replica);
--- a/src/self_reports/self_report_exchange.h
+++ b/src/self_reports/self_report_exchange.h
@@ -40,9 +40,10 @@
 /// parsed. Queued until `take_changes`, for the log.
 struct self_report_change {
   enum class topic : std::uint8_t { limit, drain, backoff };
-  topic about = topic::limit;
+  topic reported_topic = topic::limit;
   base::replica_id replica;
-  /// Limit in effect, in requests per second; meaningful only if `about` is `topic::limit`.
+  /// Limit in effect, in requests per second; meaningful only if `reported_topic` is
+  /// `topic::limit`.
   std::optional<double> per_second;
   /// Whether the self-report cannot be parsed, so that it changes nothing.
   bool is_unreadable = false;
@@ -61,7 +62,7 @@
   std::uint64_t unreadable_backoffs = 0;
   /// Limits received from other nodes for a replica that is not published, or for another
   /// incarnation than the published incarnation; they are ignored.
-  std::uint64_t of_other_incarnations = 0;
+  std::uint64_t limits_of_other_incarnations = 0;
   /// Drain announcements that were new to this node, from replicas or from other nodes.
   std::uint64_t drain_announcements = 0;
   /// Drain announcements that this node received in an answer of the replica before it received
--- a/src/serving/events.h
+++ b/src/serving/events.h
@@ -56,12 +56,12 @@
 };
 /// Memory reservation for an answer. Its bytes count against the memory budget of this process
 /// until this object is destroyed.
-class held_memory {
+class memory_reservation {
  public:
-  held_memory() = default;
-  held_memory(const held_memory&) = delete;
-  held_memory& operator=(const held_memory&) = delete;
-  virtual ~held_memory() = default;
+  memory_reservation() = default;
+  memory_reservation(const memory_reservation&) = delete;
+  memory_reservation& operator=(const memory_reservation&) = delete;
+  virtual ~memory_reservation() = default;
 };
 /// Reading an answer was paused because there is no memory for it. The missing progress is no
 /// evidence that the replica is unresponsive.
@@ -78,7 +78,7 @@
   answer_head head;
   std::string body;
   /// Memory reservation of the body, kept as long as the body; may be null.
-  std::shared_ptr<const held_memory> held = nullptr;
+  std::shared_ptr<const memory_reservation> body_memory = nullptr;
 };
 /// The head of a streamed answer arrived.
 struct stream_opened {
@@ -123,7 +123,7 @@
     failed,      ///< No answer; the pieces may have been computed.
     not_sent,    ///< No byte was written to the replica.
   };
-  result how = result::failed;
+  result outcome = result::failed;
   std::vector<piece_outcome> pieces;
 };
 
@@ -207,7 +207,7 @@
 /// Frees stage results that are no longer needed, by their handles.
 struct free_results {
   /// Replica that computed the results and holds them.
-  call_target maker;
+  call_target producer;
   std::vector<std::string> handles;
 };
 
@@ -226,12 +226,12 @@
 struct respond {
   base::caller_id client = 0;
   /// Id of the request if spurrack itself answers; std::nullopt if the answer is a replica's.
-  std::optional<base::request_id> own_answer_to;
+  std::optional<base::request_id> locally_answered_request;
   unsigned status = 0;
   header_list headers;
   std::string body;
   /// Memory reservation of the body, kept as long as the body; may be null.
-  std::shared_ptr<const held_memory> held = nullptr;
+  std::shared_ptr<const memory_reservation> body_memory = nullptr;
 };
 /// Begins a streamed answer.
 struct open_stream {
--- a/src/serving/replica_self_report.h
+++ b/src/serving/replica_self_report.h
@@ -31,7 +31,7 @@
 struct requested_backoff {
   /// Duration of the backoff, from the arrival of the answer; std::nullopt if the answer requests
   /// none.
-  std::optional<base::duration> span;
+  std::optional<base::duration> duration;
   /// Whether the answer requests a backoff that cannot be parsed.
   bool is_unreadable = false;
 };
--- a/src/serving/request_codec.h
+++ b/src/serving/request_codec.h
@@ -54,7 +54,7 @@
   [[nodiscard]] virtual std::variant<request_content, bad_request>
   read_request(raw_request raw) const = 0;
   /// @return the header fields of an answer that spurrack itself gives to a request.
-  [[nodiscard]] virtual header_list own_answer_headers(const base::request_id& id) const = 0;
+  [[nodiscard]] virtual header_list local_answer_headers(const base::request_id& id) const = 0;
 
   [[nodiscard]] virtual encoded_call encode(const start_call& call) const = 0;
   [[nodiscard]] virtual encoded_call encode(const start_stage_call& call) const = 0;
--- a/src/simulation/emulated_backend.cc
+++ b/src/simulation/emulated_backend.cc
@@ -61,7 +61,7 @@
 }
 
 base::duration emulated_backend::sample_call_time(const execution::stage_call& call) {
-  const double exponential = -std::log(1.0 - random_->unit());
+  const double exponential = -std::log(1.0 - random_->next_fraction());
   const double factor = (1.0 - profile_.variation) + profile_.variation * exponential;
   const auto tokens =
       static_cast<double>(call.max_tokens - std::min(call.max_tokens, call.resume_offset));
@@ -117,10 +117,10 @@
   } else {
     reply.result.output = expected_output(call.kind, call.input, 0);
   }
-  if (random_->unit() < faults_.misdirected_answer_probability) {
+  if (random_->next_fraction() < faults_.misdirected_answer_probability) {
     reply.result.identity.request = base::request_id("another-request");
     reply.result.output = "another answer";
-  } else if (random_->unit() < faults_.truncated_answer_probability) {
+  } else if (random_->next_fraction() < faults_.truncated_answer_probability) {
     reply.result.status = execution::call_status::broken;
     reply.tokens.resize(reply.tokens.size() / 2);
   }
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -269,7 +269,7 @@
 
 base::duration fleet_simulation::network_delay() {
   return settings_.network.delay +
-         base::from_seconds(base::to_seconds(settings_.network.jitter) * random_.unit());
+         base::from_seconds(base::to_seconds(settings_.network.jitter) * random_.next_fraction());
 }
 
 base::duration fleet_simulation::delay_between(const std::string& zone,
@@ -282,7 +282,7 @@
 
 void fleet_simulation::send_message(node_instance& sender, wire::outgoing& message) {
   const auto found = nodes_.find(message.to.text());
-  if (found == nodes_.end() || random_.unit() < settings_.network.loss_probability) {
+  if (found == nodes_.end() || random_.next_fraction() < settings_.network.loss_probability) {
     return;
   }
   const auto message_bytes = message.message.ByteSizeLong();
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -90,7 +90,7 @@
     if (has_load) {
       constexpr double fault_probability = 0.06;
       for (const auto kind : report_.faults) {
-        if (random_.unit() < fault_probability) {
+        if (random_.next_fraction() < fault_probability) {
           inject(kind);
         }
       }
@@ -137,7 +137,7 @@
     request.input = "r" + std::to_string(++sent_requests_);
     request.deadline = request_deadline;
     constexpr double payout_fraction = 0.5;
-    if (random_.unit() > payout_fraction) {
+    if (random_.next_fraction() > payout_fraction) {
       request.pipeline = base::template_id("answer");
       request.stream = random_.below(2) == 0;
       checker_.add_expectation(fleet_.send(pick_node(), request), *answer_, "");
@@ -176,8 +176,8 @@
       const bool is_certain = record.answer && record.answer->outcome == model::outcome::completed;
       const bool has_ended = record.answer || record.is_connection_lost;
       const bool should_resend =
-          (has_ended && !is_certain && random_.unit() < resend_probability) ||
-          random_.unit() < duplicate_probability;
+          (has_ended && !is_certain && random_.next_fraction() < resend_probability) ||
+          random_.next_fraction() < duplicate_probability;
       if (should_resend) {
         send_payout(std::move(resendable));
       } else {
@@ -203,7 +203,7 @@
   void inject(fault_kind kind) {
     switch (kind) {
     case fault_kind::message_loss:
-      fleet_.set_loss_probability(random_.unit() * 0.2);
+      fleet_.set_loss_probability(random_.next_fraction() * 0.2);
       break;
     case fault_kind::zone_cut:
     case fault_kind::zone_cut_from_platform: {
@@ -232,8 +232,8 @@
     }
     case fault_kind::bad_answers: {
       auto& faults = fleet_.backend(pick_backend()).faults();
-      faults.misdirected_answer_probability = random_.unit() * 0.3;
-      faults.truncated_answer_probability = random_.unit() * 0.3;
+      faults.misdirected_answer_probability = random_.next_fraction() * 0.3;
+      faults.truncated_answer_probability = random_.next_fraction() * 0.3;
       break;
     }
     default:
--- a/src/stage_work/stage_exchange_batchers.cc
+++ b/src/stage_work/stage_exchange_batchers.cc
@@ -66,7 +66,7 @@
 stage_exchange::callable_replica_count
 stage_exchange::count_callable_replicas_of(const shard& entry, base::time_point now) const {
   const auto& capacity = *configuration_->find_service(entry.service)->pieces;
-  const auto full_call_time = nominal_call_time(capacity, capacity.batch);
+  const auto full_call_time = nominal_call_time(capacity, capacity.max_pieces_per_call);
   callable_replica_count callable;
   for (const auto& id : entry.replicas) {
     const auto* replica = replicas_->find(id);
@@ -194,11 +194,12 @@
   const auto& capacity = *found->pieces;
   const auto load = load_of(candidate.node, service, now);
   const double full_call_time =
-      base::to_seconds(capacity.call_time) + base::to_seconds(capacity.item_time) * capacity.batch;
+      base::to_seconds(capacity.call_time) +
+      base::to_seconds(capacity.piece_time) * capacity.max_pieces_per_call;
   const double pieces_ahead = order == piece_order::in_time
                                   ? load.waiting_in_time
                                   : load.waiting_in_time + load.waiting_past_due;
-  const double calls_ahead = pieces_ahead / capacity.batch + load.calls_under_way / 2;
+  const double calls_ahead = pieces_ahead / capacity.max_pieces_per_call + load.calls_under_way / 2;
   // If the number of callable replicas is not known, the capacity of one replica is assumed.
   const double replicas = candidate.callable_replicas > 0 ? candidate.callable_replicas : 1;
   const double wait_by_capacity = calls_ahead * full_call_time / replicas;
--- a/src/stage_work/stage_graph.cc
+++ b/src/stage_work/stage_graph.cc
@@ -245,13 +245,13 @@
   return longest;
 }
 
-base::duration
-stage_graph::time_from(std::uint32_t stage,
-                       const std::function<base::duration(std::uint32_t stage)>& stage_time) const {
+base::duration stage_graph::time_from_start_of(
+    std::uint32_t stage,
+    const std::function<base::duration(std::uint32_t stage)>& stage_time) const {
   base::duration longest{};
   for (std::uint32_t consumer = 0; consumer < stages_.size(); ++consumer) {
     if (depends_on(consumer, stage)) {
-      longest = std::max(longest, time_from(consumer, stage_time));
+      longest = std::max(longest, time_from_start_of(consumer, stage_time));
     }
   }
   return stage_time(stage) + longest;
--- a/src/stage_work/stage_graph.h
+++ b/src/stage_work/stage_graph.h
@@ -79,8 +79,8 @@
   /// @return time from the start of `stage` to the end of all stages that depend on it, along the
   ///         critical path, including `stage`.
   [[nodiscard]] base::duration
-  time_from(std::uint32_t stage,
-            const std::function<base::duration(std::uint32_t stage)>& stage_time) const;
+  time_from_start_of(std::uint32_t stage,
+                     const std::function<base::duration(std::uint32_t stage)>& stage_time) const;
   /// @return number of times that results had to be recomputed.
   [[nodiscard]] std::uint32_t recomputations() const { return recomputations_; }
 
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -44,7 +44,7 @@
   const auto* capacity = capacity_of(work.service);
   pieces_[ticket] = {std::move(work), now};
   enqueue(ticket);
-  const bool is_full_batch = capacity == nullptr || queue.size() >= capacity->batch;
+  const bool is_full_batch = capacity == nullptr || queue.size() >= capacity->max_pieces_per_call;
   next_check_at_ =
       is_full_batch ? base::time_point{} : std::min(next_check_at_, now + settings_.batch_wait);
   return ticket;
@@ -154,7 +154,7 @@
 void stage_pool::apply_answer(const open_call& call, const stage_call_ended& answer,
                               base::time_point now) {
   const auto& replica = call.command.target.replica;
-  switch (answer.how) {
+  switch (answer.outcome) {
   case stage_call_ended::result::answered:
     replicas_->note_success(replica, now);
     note_call_time(call, now);
@@ -182,7 +182,7 @@
     replicas_->note_full(replica, now);
     break;
   }
-  const bool was_not_run = answer.how != stage_call_ended::result::failed;
+  const bool was_not_run = answer.outcome != stage_call_ended::result::failed;
   for (const auto ticket : call.tickets) {
     const auto found = pieces_.find(ticket);
     if (found != pieces_.end() && was_not_run && found->second.attempts > 0) {
@@ -225,7 +225,7 @@
   std::vector<base::call_id> interrupted;
   for (const auto& [call, open] : calls_) {
     if (open.command.target.replica == replica &&
-        replicas_->is_at_earlier_incarnation(replica, open.started_at)) {
+        replicas_->was_sent_to_earlier_incarnation(replica, open.started_at)) {
       interrupted.push_back(call);
     }
   }
@@ -236,7 +236,7 @@
   std::vector<std::string> lost_results;
   for (const auto& [handle, result] : results_) {
     if (result.replica == replica &&
-        replicas_->is_at_earlier_incarnation(replica, result.call_started_at)) {
+        replicas_->was_sent_to_earlier_incarnation(replica, result.call_started_at)) {
       lost_results.push_back(handle);
     }
   }
@@ -290,7 +290,7 @@
   record_(base::event_kind::stage_completed, call.command.items.front().request,
           call.command.target.replica.text(),
           "call " + std::to_string(call.command.call) + " ended " +
-              std::to_string(static_cast<int>(answer.how)) + " after " +
+              std::to_string(static_cast<int>(answer.outcome)) + " after " +
               std::to_string(base::to_milliseconds(now - call.started_at)) + " ms" +
               (faults.empty() ? "" : ", piece faults" + faults));
 }
@@ -315,7 +315,7 @@
 
 bool stage_pool::is_batch_due(const service_queue& queue, const model::piece_capacity& capacity,
                               base::time_point now) const {
-  if (queue.size() >= capacity.batch) {
+  if (queue.size() >= capacity.max_pieces_per_call) {
     return true;
   }
   return std::any_of(queue.begin(), queue.end(), [&](const queue_position& position) {
@@ -355,7 +355,7 @@
     const bool has_free_slot = under_way < capacity.slots && may_serve_any(*state, residencies);
     const bool can_send = has_free_slot && replicas_->may_send_to(*state, now);
     if (has_free_slot && !can_send) {
-      replicas_->note_waiting(state->record->id, 1, now);
+      replicas_->note_calls_waiting_for_permit(state->record->id, 1, now);
     }
     return !can_send;
   });
--- a/src/stage_work/stage_pool_batches.cc
+++ b/src/stage_work/stage_pool_batches.cc
@@ -79,7 +79,7 @@
     until = std::max<base::time_point>(until, open.started_at +
                                                   nominal_call_time(capacity, open.tickets.size()));
   }
-  const auto full_call_time = nominal_call_time(capacity, capacity.batch);
+  const auto full_call_time = nominal_call_time(capacity, capacity.max_pieces_per_call);
   zone_wait_estimates estimates;
   for (const auto* replica : replicas_->accepting_calls(name, now)) {
     if (!may_serve_any(*replica, residencies)) {
@@ -99,7 +99,7 @@
     if (limit && !replicas_->has_permit(*replica, now)) {
       free_at = std::max<base::time_point>(free_at, now + base::from_seconds(1 / *limit));
     }
-    const zone_wait_estimate initial{free_at, full_call_time, capacity.batch, 0, 0};
+    const zone_wait_estimate initial{free_at, full_call_time, capacity.max_pieces_per_call, 0, 0};
     auto& estimate = estimates.try_emplace(replica->record->zone, initial).first->second;
     estimate.free_at = std::min(estimate.free_at, free_at);
     ++estimate.replicas;
@@ -113,13 +113,14 @@
                        base::time_point now) const {
   double free_bytes = available_result_bytes(replica.record->id, capacity, now);
   const double slowdown = replica_table::slowdown_of(replica, now);
-  const auto delay = slowdown < slow_replica_slowdown
-                         ? base::duration::zero()
-                         : base::scaled(nominal_call_time(capacity, capacity.batch), slowdown - 1);
+  const auto delay =
+      slowdown < slow_replica_slowdown
+          ? base::duration::zero()
+          : base::scaled(nominal_call_time(capacity, capacity.max_pieces_per_call), slowdown - 1);
   std::vector<queue_position> batch;
   for (const bool in_time : {true, false}) {
     for (auto& group : groups) {
-      if (batch.size() == capacity.batch || free_bytes <= 0) {
+      if (batch.size() == capacity.max_pieces_per_call || free_bytes <= 0) {
         return batch;
       }
       const bool is_permitted = may_serve(replica, *group.permitted_regions);
@@ -136,9 +137,9 @@
         estimates.at(*group.preferred_zone).pieces_ahead += group.pieces.size();
         continue;
       }
-      const auto free_slots = capacity.batch - batch.size();
+      const auto free_slots = capacity.max_pieces_per_call - batch.size();
       const bool is_divisible =
-          group.pieces.size() > capacity.batch ||
+          group.pieces.size() > capacity.max_pieces_per_call ||
           group.result_bytes > capacity.result_capacity_bytes * usable_memory_share;
       const bool does_fit = group.pieces.size() <= free_slots && group.result_bytes <= free_bytes;
       if (!does_fit && !is_divisible) {
--- a/src/stage_work/stage_pool_limits.h
+++ b/src/stage_work/stage_pool_limits.h
@@ -31,7 +31,8 @@
 
 /// @return published duration of a call with `size` pieces at a healthy replica.
 inline base::duration nominal_call_time(const model::piece_capacity& capacity, std::size_t size) {
-  return std::chrono::duration_cast<base::duration>(capacity.call_time + capacity.item_time * size);
+  return std::chrono::duration_cast<base::duration>(capacity.call_time +
+                                                    capacity.piece_time * size);
 }
 
 } // namespace spurrack::serving
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -70,7 +70,7 @@
   }
   for (auto& command : commands_) {
     auto* pending = std::get_if<free_results>(&command);
-    if (pending != nullptr && pending->maker.address == producer) {
+    if (pending != nullptr && pending->producer.address == producer) {
       pending->handles.push_back(handle);
       return;
     }
@@ -97,7 +97,7 @@
     }
     const bool can_send = replica != nullptr && replicas_->may_send_to(*replica, now);
     if (replica != nullptr && !can_send) {
-      replicas_->note_waiting(entry->first, 1, now);
+      replicas_->note_calls_waiting_for_permit(entry->first, 1, now);
       ++entry;
       continue;
     }
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -93,15 +93,15 @@
 
 /// Memory reservation of an answer. All holders of the answer's body share it; the memory is
 /// released when the last holder is destroyed.
-class answer_reservation final : public serving::held_memory {
+class answer_reservation final : public serving::memory_reservation {
  public:
-  explicit answer_reservation(std::shared_ptr<flow::answer_queue> queue)
+  explicit answer_reservation(std::shared_ptr<flow::answer_memory_queue> queue)
       : memory_(std::move(queue)) {}
-  [[nodiscard]] flow::memory_verdict grow(std::size_t bytes) { return memory_.grow(bytes); }
+  [[nodiscard]] flow::memory_request_result grow(std::size_t bytes) { return memory_.grow(bytes); }
   [[nodiscard]] std::size_t bytes() const { return memory_.bytes(); }
 
  private:
-  flow::answer_memory memory_;
+  flow::answer_memory_reservation memory_;
 };
 
 /// An answer that is buffered until complete.
@@ -160,8 +160,8 @@
                       const serving::serving_settings& settings,
                       std::shared_ptr<flow::byte_budget> budget, event_handler handler)
       : io_(&io), codec_(&codec), settings_(settings), budget_(std::move(budget)),
-        answer_queue_(std::make_shared<flow::answer_queue>(budget_)), handler_(std::move(handler)) {
-  }
+        answer_queue_(std::make_shared<flow::answer_memory_queue>(budget_)),
+        handler_(std::move(handler)) {}
 
   void start(serving::start_call command) override {
     outgoing_call call{command.call,
@@ -187,7 +187,7 @@
 
   void start(serving::free_results command) override {
     outgoing_call call{0,
-                       command.maker,
+                       command.producer,
                        codec_->encode(command),
                        std::nullopt,
                        false,
@@ -255,10 +255,10 @@
     bool has_reported_pause = false;
     while (bytes > 0 && !state->is_cancelled) {
       const auto grow_result = reservation.grow(bytes);
-      if (grow_result == flow::memory_verdict::granted) {
+      if (grow_result == flow::memory_request_result::granted) {
         break;
       }
-      if (grow_result == flow::memory_verdict::abort_answer) {
+      if (grow_result == flow::memory_request_result::abort_answer) {
         state->lacked_memory = true;
         co_return false;
       }
@@ -574,16 +574,16 @@
     ended.call = call.id;
     auto answer = co_await exchange(state, call);
     if (!answer) {
-      ended.how = state->has_sent_bytes ? result::failed : result::not_sent;
+      ended.outcome = state->has_sent_bytes ? result::failed : result::not_sent;
     } else {
-      ended.how = result::failed;
+      ended.outcome = result::failed;
       if (answer->head.misdirected) {
-        ended.how = result::misdirected;
+        ended.outcome = result::misdirected;
       } else if (answer->head.not_executed) {
-        ended.how = result::refused;
+        ended.outcome = result::refused;
       } else if (is_success(answer->head.status)) {
         if (auto pieces = codec_->read_pieces(command, answer->body)) {
-          ended.how = result::answered;
+          ended.outcome = result::answered;
           ended.pieces = std::move(*pieces);
         }
       }
@@ -606,7 +606,7 @@
   const serving::request_codec* codec_;
   serving::serving_settings settings_;
   std::shared_ptr<flow::byte_budget> budget_;
-  std::shared_ptr<flow::answer_queue> answer_queue_;
+  std::shared_ptr<flow::answer_memory_queue> answer_queue_;
   event_handler handler_;
   connection_pool pool_;
   std::unordered_map<base::call_id, std::shared_ptr<call_state>> calls_;
--- a/tests/dispatch/client_leaves_test.cc
+++ b/tests/dispatch/client_leaves_test.cc
@@ -45,7 +45,7 @@
     BOOST_TEST(all<start_call>().size() == calls_before_);
     BOOST_TEST(all<start_stage_call>().size() == stage_calls_before_);
     BOOST_TEST(all<respond>().empty());
-    BOOST_TEST(subject.active() == 0U);
+    BOOST_TEST(subject.active_requests() == 0U);
   }
 
   std::size_t freed_results() const {
--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -19,8 +19,8 @@
   BOOST_TEST(answer.status == 200);
   BOOST_TEST(answer.body == "body");
   BOOST_TEST(answer.headers.front().name == "Seal");
-  BOOST_TEST(!answer.own_answer_to.has_value());
-  BOOST_TEST(subject.active() == 0);
+  BOOST_TEST(!answer.locally_answered_request.has_value());
+  BOOST_TEST(subject.active_requests() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(own_answers_say_why) {
@@ -70,7 +70,7 @@
   deliver(call_answered{last<start_call>().call, not_executed_head(), ""});
   const auto answer = last<respond>();
   BOOST_TEST(answer.status == 503);
-  BOOST_TEST(answer.own_answer_to.has_value());
+  BOOST_TEST(answer.locally_answered_request.has_value());
   const auto wait = std::find_if(answer.headers.begin(), answer.headers.end(),
                                  [](const header& field) { return field.name == "Retry-After"; });
   BOOST_TEST((wait != answer.headers.end()));
@@ -104,7 +104,7 @@
   encoded.encoded = true;
   deliver(call_answered{last<start_call>().call, encoded, "body"});
   BOOST_TEST(last<respond>().status == 502);
-  BOOST_TEST(last<respond>().own_answer_to->text() == "r2");
+  BOOST_TEST(last<respond>().locally_answered_request->text() == "r2");
 }
 
 BOOST_AUTO_TEST_CASE(deadline_aborts_request_and_cancels_call) {
@@ -112,7 +112,7 @@
   advance_time(std::chrono::milliseconds(5001));
   BOOST_TEST(last<respond>().status == 504);
   BOOST_TEST(last<cancel_call>().call == last<start_call>().call);
-  BOOST_TEST(subject.active() == 0);
+  BOOST_TEST(subject.active_requests() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(disconnect_cancels_call) {
@@ -328,7 +328,7 @@
   send_request(1, "/unsafe/x");
   send_request(2, "/staged/x", {1, 1});
   subject.abort_all_requests(now);
-  BOOST_TEST(subject.active() == 0);
+  BOOST_TEST(subject.active_requests() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(stalled_call_is_retried_when_another_replica_appears) {
--- a/tests/dispatch/down_replica_test.cc
+++ b/tests/dispatch/down_replica_test.cc
@@ -200,7 +200,7 @@
   deliver(call_answered{last<start_call>().call, good_head(500), "first"});
   advance_time(milliseconds(200));
   BOOST_TEST(last<respond>().status == 500);
-  BOOST_TEST(subject.active() == 0);
+  BOOST_TEST(subject.active_requests() == 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(disconnect_while_awaiting_budget_removes_request,
@@ -210,7 +210,7 @@
   deliver(client_disconnected{1});
   transfer(sent_query(), 1000);
   BOOST_TEST(all<start_call>().size() == 1);
-  BOOST_TEST(subject.active() == 0);
+  BOOST_TEST(subject.active_requests() == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/dispatch/engine_requests_test.cc
+++ b/tests/dispatch/engine_requests_test.cc
@@ -73,7 +73,7 @@
   BOOST_TEST(std::none_of(answer.headers.begin(), answer.headers.end(),
                           [](const header& field) { return field.name == "Retry-After"; }));
   BOOST_TEST(all<start_call>().empty());
-  BOOST_TEST(subject.active() == 0U);
+  BOOST_TEST(subject.active_requests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(request_that_fills_engine_memory_is_sent) {
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -77,7 +77,7 @@
   send_request(1, "/safe/x");
   BOOST_TEST(all<start_call>().empty());
   BOOST_TEST(last<respond>().status == 503U);
-  BOOST_TEST(subject.active() == 0U);
+  BOOST_TEST(subject.active_requests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(calls_avoid_zones_of_overlapping_and_repeated_evacuations) {
@@ -117,7 +117,7 @@
   deliver(client_disconnected{1});
   advance_time(milliseconds(50));
   for (const auto& command : all<free_results>()) {
-    BOOST_TEST(command.maker.address != first.target.address);
+    BOOST_TEST(command.producer.address != first.target.address);
   }
 }
 
--- a/tests/dispatch/planned_stop_requests_test.cc
+++ b/tests/dispatch/planned_stop_requests_test.cc
@@ -30,7 +30,7 @@
   BOOST_TEST(last<respond>().client == 10U);
   BOOST_TEST(last<respond>().status == 503);
   BOOST_TEST(subject.counts().refused_while_stopping == 1U);
-  BOOST_TEST(subject.active() == 0);
+  BOOST_TEST(subject.active_requests() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(stream_whose_stages_end_too_late_is_not_sent) {
@@ -40,7 +40,7 @@
   advance_time(milliseconds(20));
   begin_stop();
   advance_time(milliseconds(5'500));
-  BOOST_TEST(subject.active() == 1U);
+  BOOST_TEST(subject.active_requests() == 1U);
   complete_stage_call();
   advance_time(milliseconds(10));
   BOOST_TEST(all<start_call>().size() == calls);
@@ -63,7 +63,7 @@
   deliver(stream_closed{call, false});
   BOOST_TEST(all<start_call>().size() == calls);
   BOOST_TEST(!last<end_stream>().complete);
-  BOOST_TEST(subject.active() == 0);
+  BOOST_TEST(subject.active_requests() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(short_requests_are_accepted_longer_than_streams) {
--- a/tests/dispatch/planned_stop_retries_test.cc
+++ b/tests/dispatch/planned_stop_retries_test.cc
@@ -63,7 +63,7 @@
   BOOST_TEST(all<start_call>().size() == calls);
   BOOST_TEST(last<respond>().status == 500);
   BOOST_TEST(last<respond>().body == "failed");
-  BOOST_TEST(subject.active() == 0);
+  BOOST_TEST(subject.active_requests() == 0);
   // A retry that is not sent does not use retry budget.
   BOOST_TEST(subject.counts().retries == 0U);
 }
@@ -110,7 +110,7 @@
   report_unresponsive(replica);
   advance_time(milliseconds(1'000));
   BOOST_TEST(all<start_call>().size() == calls);
-  BOOST_TEST(subject.active() == 1U);
+  BOOST_TEST(subject.active_requests() == 1U);
   send_next_event(call);
   deliver(stream_closed{call, true});
   BOOST_TEST(last<end_stream>().complete);
--- a/tests/dispatch/replica_restart_test.cc
+++ b/tests/dispatch/replica_restart_test.cc
@@ -162,7 +162,7 @@
   restart("llm");
   advance_time(milliseconds(510));
   BOOST_TEST(!last<end_stream>().complete);
-  BOOST_TEST(subject.active() == 0U);
+  BOOST_TEST(subject.active_requests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(request_sent_after_restart_does_not_fail) {
--- a/tests/dispatch/request_residency_test.cc
+++ b/tests/dispatch/request_residency_test.cc
@@ -134,7 +134,7 @@
   send_request(2, "/staged/x", {1, 1});
   BOOST_TEST(all<respond>().size() == 2U);
   BOOST_TEST(retry_after() == "");
-  BOOST_TEST(subject.active() == 0U);
+  BOOST_TEST(subject.active_requests() == 0U);
   BOOST_TEST(called_zones().empty());
   BOOST_TEST(subject.counts().refused_by_residency == 2U);
 }
@@ -155,7 +155,7 @@
   send_request(2, "/staged/x", {1, 1});
   BOOST_TEST(all<respond>().size() == 2U);
   BOOST_TEST(retry_after() != "");
-  BOOST_TEST(subject.active() == 0U);
+  BOOST_TEST(subject.active_requests() == 0U);
   published.end_evacuation("e");
   subject.update(published.content, now);
   send_request(3, "/safe/x");
@@ -385,7 +385,7 @@
                                                        std::to_string(++handle_count)});
       }
     }
-    if (ended.how != result::answered) {
+    if (ended.outcome != result::answered) {
       ended.pieces.clear();
     }
     deliver(ended);
--- a/tests/dispatch/retry_budget_exchange_test.cc
+++ b/tests/dispatch/retry_budget_exchange_test.cc
@@ -75,10 +75,10 @@
   void collect(budget_node& sender, base::time_point now) {
     for (auto& message : sender.exchange.take_messages()) {
       ++messages;
-      if (random.unit() < loss_rate || is_partitioned(sender.self.address, message.to)) {
+      if (random.next_fraction() < loss_rate || is_partitioned(sender.self.address, message.to)) {
         continue;
       }
-      const std::size_t copies = random.unit() < duplication_rate ? 2 : 1;
+      const std::size_t copies = random.next_fraction() < duplication_rate ? 2 : 1;
       for (std::size_t copy = 0; copy < copies; ++copy) {
         const auto delay = milliseconds(1 + random.below(max_delay_milliseconds));
         in_flight.push_back({now + delay, sender.self, message});
@@ -169,8 +169,8 @@
   std::size_t total_granted = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     budget_fleet fleet(12, {0, fleet_budget, seconds(10)}, seed);
-    fleet.loss_rate = fleet.random.unit() * 0.4;
-    fleet.duplication_rate = fleet.random.unit() * 0.4;
+    fleet.loss_rate = fleet.random.next_fraction() * 0.4;
+    fleet.duplication_rate = fleet.random.next_fraction() * 0.4;
     fleet.max_delay_milliseconds = 1 + fleet.random.below(4000);
     for (auto& node : fleet.all) {
       node->waiting_retries = fleet.random.below(5);
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -241,7 +241,7 @@
       } else if (const auto* pieces = std::get_if<start_stage_call>(&command)) {
         called.push_back(pieces->target.replica);
       } else if (const auto* freed = std::get_if<free_results>(&command)) {
-        called.push_back(freed->maker.replica);
+        called.push_back(freed->producer.replica);
       }
     }
     return called;
--- a/tests/dispatch/slow_client_test.cc
+++ b/tests/dispatch/slow_client_test.cc
@@ -91,7 +91,7 @@
   BOOST_TEST(all<open_stream>().size() == 1U);
   BOOST_TEST(last<end_stream>().complete);
   BOOST_TEST(subject.counts().suspended_streams_resumed == 1U);
-  BOOST_TEST(subject.active() == 0U);
+  BOOST_TEST(subject.active_requests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_stream_that_may_run_once_is_buffered_and_never_sent_twice) {
@@ -134,7 +134,7 @@
   open_window();
   advance_time(seconds(3));
   BOOST_TEST(all<start_call>().size() == 1U);
-  BOOST_TEST(subject.active() == 0U);
+  BOOST_TEST(subject.active_requests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(disconnect_while_paused_cancels_call) {
@@ -142,7 +142,7 @@
   close_window();
   deliver(client_disconnected{1});
   BOOST_TEST(last<cancel_call>().call == call.call);
-  BOOST_TEST(subject.active() == 0U);
+  BOOST_TEST(subject.active_requests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(one_let_go_past_its_deadline_ends_as_not_whole) {
@@ -151,7 +151,7 @@
   close_window();
   advance_time(seconds(6));
   BOOST_TEST(!last<end_stream>().complete);
-  BOOST_TEST(subject.active() == 0U);
+  BOOST_TEST(subject.active_requests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(stream_that_breaks_while_paused_is_resumed_paused) {
@@ -167,7 +167,7 @@
 
 BOOST_AUTO_TEST_CASE(bytes_of_an_event_that_is_not_whole_are_counted_and_returned) {
   const auto budget = std::make_shared<flow::byte_budget>(1'000);
-  subject.set_budget(budget);
+  subject.set_byte_budget(budget);
   const auto call = begin("/stream/x");
   BOOST_TEST(budget->held(flow::byte_holder::partial_events) == 8U);
   deliver(stream_bytes{call.call, "ta: y\n\n"});
@@ -179,7 +179,7 @@
 
 BOOST_AUTO_TEST_CASE(event_beyond_memory_ends_stream_as_incomplete) {
   const auto budget = std::make_shared<flow::byte_budget>(1'000);
-  subject.set_budget(budget);
+  subject.set_byte_budget(budget);
   const auto call = begin("/fixed/x");
   deliver(stream_bytes{call.call, std::string(2'000, 'x')});
   BOOST_TEST(!last<end_stream>().complete);
--- a/tests/dispatch/stopping_dispatcher.h
+++ b/tests/dispatch/stopping_dispatcher.h
@@ -36,7 +36,7 @@
   void complete_stage_call() {
     stage_call_ended ended;
     ended.call = last<start_stage_call>().call;
-    ended.how = stage_call_ended::result::answered;
+    ended.outcome = stage_call_ended::result::answered;
     ended.pieces = {{piece_fault::none, "10.0.0.1:80/h"}};
     deliver(ended);
   }
--- a/tests/engines/engine_directory_test.cc
+++ b/tests/engines/engine_directory_test.cc
@@ -212,7 +212,7 @@
     content.model = "m";
     content.prompt_parts = {{"part" + std::to_string(part), 400}, {"own", 20'000}};
     content.prompt_tokens = 20'400;
-    const replica_demand demand{service, content, everywhere, fleet.no_replicas};
+    const replica_requirements demand{service, content, everywhere, fleet.no_replicas};
     const auto* planned_engine = chooser.choose(demand, fleet.table.now);
     // Other prompts at the first engine make it cheaper to prefill the prefix at another one.
     fleet.nodes[0]->note_sent(*planned_engine, sent_prompt_of(content), fleet.table.now);
@@ -232,7 +232,7 @@
   content.prompt_tokens = 2'400;
   const std::string service = "llm";
   const auto everywhere = model::residency::everywhere();
-  const replica_demand demand{service, content, everywhere, fleet.no_replicas};
+  const replica_requirements demand{service, content, everywhere, fleet.no_replicas};
   std::vector<std::unique_ptr<least_loaded_chooser>> fallbacks;
   std::vector<std::unique_ptr<engine_chooser>> choosers;
   for (std::size_t node = 0; node < fleet.nodes.size(); ++node) {
--- a/tests/engines/engine_fleet.h
+++ b/tests/engines/engine_fleet.h
@@ -272,7 +272,7 @@
   double standard_normal() {
     double sum = 0;
     for (int sample = 0; sample < 12; ++sample) {
-      sum += random_.unit();
+      sum += random_.next_fraction();
     }
     return sum - 6;
   }
@@ -294,7 +294,7 @@
     auto content = std::make_shared<request_content>();
     content->model = "m";
     std::string path = std::to_string(kind_index);
-    const bool is_hot = random_.unit() < kind.hot_fraction;
+    const bool is_hot = random_.next_fraction() < kind.hot_fraction;
     for (const auto& level : kind.shared) {
       path += "/" + std::to_string(is_hot ? 0 : random_.below(level.distinct));
       // A part of a later level always follows the same part of the level before.
@@ -321,7 +321,7 @@
       double when = 0;
       const double rate = shape_.kinds[kind].per_second;
       for (;;) {
-        when += -std::log(1 - random_.unit()) / rate;
+        when += -std::log(1 - random_.next_fraction()) / rate;
         if (when > shape_.duration_seconds) {
           break;
         }
@@ -335,7 +335,7 @@
     auto& sender = *callers_[random_.below(callers_.size())];
     const std::set<base::replica_id> none;
     const auto everywhere = model::residency::everywhere();
-    const replica_demand demand{service_, *content, everywhere, none};
+    const replica_requirements demand{service_, *content, everywhere, none};
     const auto* chosen = sender.strategy->chooser().choose(demand, time_now());
     if (chosen == nullptr) {
       return;
--- a/tests/engines/placement_test.cc
+++ b/tests/engines/placement_test.cc
@@ -55,7 +55,7 @@
   replica_chooser& chooser() override { return *this; }
 
  private:
-  const replica_state* choose(const replica_demand& demand, base::time_point now) override {
+  const replica_state* choose(const replica_requirements& demand, base::time_point now) override {
     const auto prefix = shared_prompt_prefix_of(demand.content);
     const auto preferred = preferred_engines_of(prefix, table_->candidates_for(demand, now), 1);
     return preferred.empty() ? nullptr : preferred.front();
--- a/tests/flow/answer_memory_test.cc
+++ b/tests/flow/answer_memory_test.cc
@@ -15,19 +15,19 @@
 
 struct answer_fixture {
   std::shared_ptr<byte_budget> budget = std::make_shared<byte_budget>(capacity);
-  std::shared_ptr<answer_queue> queue = std::make_shared<answer_queue>(budget);
+  std::shared_ptr<answer_memory_queue> queue = std::make_shared<answer_memory_queue>(budget);
 
-  [[nodiscard]] std::unique_ptr<answer_memory> begin() const {
-    return std::make_unique<answer_memory>(queue);
+  [[nodiscard]] std::unique_ptr<answer_memory_reservation> begin() const {
+    return std::make_unique<answer_memory_reservation>(queue);
   }
-  static bool is_granted(answer_memory& answer, std::size_t bytes) {
-    return answer.grow(bytes) == memory_verdict::granted;
+  static bool is_granted(answer_memory_reservation& answer, std::size_t bytes) {
+    return answer.grow(bytes) == memory_request_result::granted;
   }
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(answer_memory_test, answer_fixture)
+BOOST_FIXTURE_TEST_SUITE(answer_memory_reservation_test, answer_fixture)
 
 BOOST_AUTO_TEST_CASE(a_single_answer_may_exceed_the_limit_of_whole_answers) {
   const auto answer = begin();
@@ -46,11 +46,11 @@
   auto small = begin();
   BOOST_TEST(is_granted(*small, 200));
   const auto large = begin();
-  BOOST_CHECK(large->grow(800) == memory_verdict::wait);
+  BOOST_CHECK(large->grow(800) == memory_request_result::wait);
   small.reset();
   BOOST_TEST(is_granted(*large, 800));
   const auto next = begin();
-  BOOST_CHECK(next->grow(1) == memory_verdict::wait);
+  BOOST_CHECK(next->grow(1) == memory_request_result::wait);
   byte_reservation event(budget, byte_holder::unwritten_streams);
   BOOST_TEST(event.grow(byte_use::stream_event, 100));
 }
@@ -59,9 +59,9 @@
   const auto first = begin();
   BOOST_TEST(is_granted(*first, 500));
   const auto second = begin();
-  BOOST_CHECK(second->grow(100) == memory_verdict::wait);
+  BOOST_CHECK(second->grow(100) == memory_request_result::wait);
   // The first answer does not wait and can complete, so there is no deadlock.
-  BOOST_CHECK(second->grow(100) == memory_verdict::wait);
+  BOOST_CHECK(second->grow(100) == memory_request_result::wait);
 }
 
 BOOST_AUTO_TEST_CASE(if_all_answers_wait_the_first_may_exceed_the_limit_of_whole_answers) {
@@ -69,11 +69,11 @@
   const auto second = begin();
   BOOST_TEST(is_granted(*first, 270));
   BOOST_TEST(is_granted(*second, 270));
-  BOOST_CHECK(first->grow(200) == memory_verdict::wait);
-  BOOST_CHECK(second->grow(200) == memory_verdict::wait);
+  BOOST_CHECK(first->grow(200) == memory_request_result::wait);
+  BOOST_CHECK(second->grow(200) == memory_request_result::wait);
   BOOST_TEST(is_granted(*first, 200));
   // The first answer can complete; the second one waits and keeps its memory.
-  BOOST_CHECK(second->grow(200) == memory_verdict::wait);
+  BOOST_CHECK(second->grow(200) == memory_request_result::wait);
   BOOST_TEST(second->bytes() == 270U);
 }
 
@@ -85,11 +85,11 @@
     BOOST_TEST(is_granted(*waiting, 180));
   }
   for (auto* waiting : {first.get(), second.get(), third.get()}) {
-    BOOST_CHECK(waiting->grow(400) == memory_verdict::wait);
+    BOOST_CHECK(waiting->grow(400) == memory_request_result::wait);
   }
-  BOOST_CHECK(first->grow(400) == memory_verdict::wait);
-  BOOST_CHECK(second->grow(400) == memory_verdict::wait);
-  BOOST_CHECK(third->grow(400) == memory_verdict::abort_answer);
+  BOOST_CHECK(first->grow(400) == memory_request_result::wait);
+  BOOST_CHECK(second->grow(400) == memory_request_result::wait);
+  BOOST_CHECK(third->grow(400) == memory_request_result::abort_answer);
   third.reset();
   BOOST_TEST(is_granted(*first, 400));
 }
@@ -102,8 +102,8 @@
   byte_reservation streams(budget, byte_holder::unwritten_streams);
   BOOST_TEST(streams.grow(byte_use::stream_event, 800));
   for (int turn = 0; turn < 3; ++turn) {
-    BOOST_CHECK(first->grow(200) == memory_verdict::wait);
-    BOOST_CHECK(second->grow(200) == memory_verdict::wait);
+    BOOST_CHECK(first->grow(200) == memory_request_result::wait);
+    BOOST_CHECK(second->grow(200) == memory_request_result::wait);
   }
   streams.shrink(400);
   BOOST_TEST(is_granted(*first, 200));
@@ -112,7 +112,7 @@
 BOOST_AUTO_TEST_CASE(any_number_of_growing_answers_complete_or_are_aborted) {
   constexpr std::size_t full_size = 700;
   constexpr std::size_t answers = 20;
-  std::vector<std::unique_ptr<answer_memory>> active;
+  std::vector<std::unique_ptr<answer_memory_reservation>> active;
   active.reserve(answers);
   for (std::size_t number = 0; number < answers; ++number) {
     active.push_back(begin());
@@ -123,8 +123,8 @@
     for (auto& answer : active) {
       const auto verdict = answer->grow(10);
       completed += answer->bytes() >= full_size ? 1 : 0;
-      aborted += verdict == memory_verdict::abort_answer ? 1 : 0;
-      if (verdict == memory_verdict::abort_answer || answer->bytes() >= full_size) {
+      aborted += verdict == memory_request_result::abort_answer ? 1 : 0;
+      if (verdict == memory_request_result::abort_answer || answer->bytes() >= full_size) {
         answer.reset();
       }
     }
--- a/tests/platform/http_codec_test.cc
+++ b/tests/platform/http_codec_test.cc
@@ -254,7 +254,7 @@
     return codec->read_self_report({status, headers}).value().backoff;
   };
   const auto seconds_of = [&](const std::string& text) {
-    const auto span = backoff_of(503, {{"Retry-After", text}}).span;
+    const auto span = backoff_of(503, {{"Retry-After", text}}).duration;
     return span ? base::to_seconds(*span) : -1;
   };
   for (const auto& [text, value] : std::vector<std::pair<std::string, double>>{
@@ -267,18 +267,18 @@
   for (const std::string text : {"", " ", "soon", "-1", "nan", "inf", "-inf", "3 s", "1,2",
                                  "Thu, 03 Dec 2026 09:00:00 GMT"}) {
     const auto backoff = backoff_of(503, {{"Retry-After", text}});
-    BOOST_TEST(!backoff.span, text);
+    BOOST_TEST(!backoff.duration, text);
     BOOST_TEST(backoff.is_unreadable, text);
   }
   BOOST_TEST(backoff_of(503, {{"Retry-After", "1"}, {"Retry-After", "2"}}).is_unreadable);
-  BOOST_TEST(!backoff_of(503, {}).span);
+  BOOST_TEST(!backoff_of(503, {}).duration);
   BOOST_TEST(!backoff_of(503, {}).is_unreadable);
   for (const unsigned status : {200U, 429U, 500U}) {
-    BOOST_TEST(!backoff_of(status, {{"Retry-After", "3"}}).span, status);
+    BOOST_TEST(!backoff_of(status, {{"Retry-After", "3"}}).duration, status);
     BOOST_TEST(!backoff_of(status, {{"Retry-After", "soon"}}).is_unreadable, status);
   }
   // A backoff is also read from an answer that reports the request as not executed.
-  BOOST_TEST(backoff_of(503, {{"Retry-After", "3"}, {"X-Not-Executed", "1"}}).span.has_value());
+  BOOST_TEST(backoff_of(503, {{"Retry-After", "3"}, {"X-Not-Executed", "1"}}).duration.has_value());
   // The field is forwarded to the client.
   const auto head = codec->read_answer({503, {{"Retry-After", "3"}}});
   BOOST_TEST(value_of(head.headers, "Retry-After") == "3");
--- a/tests/platform/record_translator_test.cc
+++ b/tests/platform/record_translator_test.cc
@@ -100,7 +100,7 @@
   BOOST_TEST(!configuration.find_route("other.example", "/a/"));
   const auto* pool = configuration.find_service("one");
   BOOST_REQUIRE(pool != nullptr && pool->pieces.has_value());
-  BOOST_TEST(pool->pieces->batch == 8);
+  BOOST_TEST(pool->pieces->max_pieces_per_call == 8);
   BOOST_TEST(pool->pieces->result_capacity_bytes == 18e6);
   BOOST_TEST(configuration.find_service("llm")->engine->slots == 128);
   BOOST_TEST(configuration.keys.at("k2").tenant.text() == "t");
--- a/tests/rate_limits/limit_exchange_test.cc
+++ b/tests/rate_limits/limit_exchange_test.cc
@@ -56,7 +56,7 @@
         nodes[index]->advance(now);
         for (const auto& sent : nodes[index]->take_messages()) {
           bytes += sent.message.ByteSizeLong();
-          if (random.unit() >= message_loss_rate) {
+          if (random.next_fraction() >= message_loss_rate) {
             in_transit.push_back({std::stoul(sent.to.text().substr(1)), peers[index].node,
                                   sent.message.rate_limits()});
           }
@@ -154,7 +154,7 @@
   unknown.set_life_mark(1);
   fleet.nodes[0]->handle(base::node_id("n1"), limits_message, fleet.now);
   BOOST_TEST(!fleet.nodes[0]->permits().has_limits());
-  BOOST_TEST(fleet.nodes[0]->replica_self_reports().counts().of_other_incarnations == 2U);
+  BOOST_TEST(fleet.nodes[0]->replica_self_reports().counts().limits_of_other_incarnations == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(unsolicited_permits_are_discarded) {
--- a/tests/rate_limits/limit_policies_test.cc
+++ b/tests/rate_limits/limit_policies_test.cc
@@ -197,7 +197,7 @@
   base::duration time_with_waiting{};
   std::uint64_t messages_before = 0;
   for (; now < end; now += step) {
-    for (arrivals_due += 1.5 * limit * base::to_seconds(step) * 2 * random.unit();
+    for (arrivals_due += 1.5 * limit * base::to_seconds(step) * 2 * random.next_fraction();
          arrivals_due >= 1; arrivals_due -= 1) {
       waiting[arrivals == pattern::one_node ? 0 : random.below(nodes)].push_back(now);
     }
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -248,7 +248,7 @@
     const auto end = now + span;
     double due = 0;
     while (now < end) {
-      due += per_second * base::to_seconds(settings.step) * 2 * random.unit();
+      due += per_second * base::to_seconds(settings.step) * 2 * random.next_fraction();
       for (; due >= 1; due -= 1) {
         send_request(choose_node());
       }
@@ -359,7 +359,7 @@
     for (auto& message : node.subject->take_messages()) {
       ++node.messages;
       node.message_bytes += message.message.ByteSizeLong();
-      if (random.unit() < settings.message_loss_rate) {
+      if (random.next_fraction() < settings.message_loss_rate) {
         continue;
       }
       schedule(settings.message_delay, [this, index, message] { deliver(index, message); });
@@ -428,7 +428,7 @@
     self_report.limit.per_second = replica.limit;
     self_report.is_draining = replica.is_draining;
     if (is_refused) {
-      self_report.backoff.span = replica.requested_backoff;
+      self_report.backoff.duration = replica.requested_backoff;
     }
     const auto apply_answer = [this, index, incarnation, replica_index, call, head, self_report] {
       auto& node = nodes[index];
@@ -443,9 +443,9 @@
       if (self_report.is_draining) {
         replicas[replica_index].drain_announced_at.try_emplace(index, now);
       }
-      if (self_report.backoff.span) {
+      if (self_report.backoff.duration) {
         replicas[replica_index].requested_backoffs.push_back(
-            {index, now, now + *self_report.backoff.span});
+            {index, now, now + *self_report.backoff.duration});
       }
       node.subject->handle(self_report_received{replicas[replica_index].id, began, self_report},
                            now);
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -18,7 +18,7 @@
 
 replica_self_report backoff_report(base::duration span) {
   replica_self_report report;
-  report.backoff.span = span;
+  report.backoff.duration = span;
   return report;
 }
 
@@ -225,7 +225,7 @@
   const auto call = node.last<start_call>();
   auto report = drain_report();
   report.limit.per_second = 5;
-  report.backoff.span = milliseconds(300);
+  report.backoff.duration = milliseconds(300);
   node.answer(call.call, report, dispatcher_driver::not_executed_head());
   const auto before = node.commands.size();
   for (base::caller_id client = 2; client < 60; ++client) {
@@ -264,7 +264,7 @@
   node.published.add_incarnation("plain-a", "plain", "a", "10.2.0.1:80", 2000);
   node.subject.update(node.published.content, node.now);
   auto report = drain_report();
-  report.backoff.span = seconds(60);
+  report.backoff.duration = seconds(60);
   node.deliver_self_report(call.call, report);
   node.advance_time(milliseconds(10));
   const auto before = node.commands.size();
--- a/tests/replicas/distance_test.cc
+++ b/tests/replicas/distance_test.cc
@@ -85,7 +85,7 @@
     content.model = "m";
     content.prompt_parts = {{prefix, prefix_tokens}, {"own", 10}};
     content.prompt_tokens = prefix_tokens + 10;
-    const replica_demand demand{service_name, content, allowed, excluded};
+    const replica_requirements demand{service_name, content, allowed, excluded};
     return policy.choose(demand, now);
   }
 
--- a/tests/replicas/region_spill_test.cc
+++ b/tests/replicas/region_spill_test.cc
@@ -179,7 +179,7 @@
   /// Sets the evacuated zones at each caller, at a random time within the next second.
   void spread_evacuation(const std::set<base::zone_id>& evacuated) {
     for (auto& sender : callers_) {
-      at(now_ + base::from_seconds(draws_.unit()),
+      at(now_ + base::from_seconds(draws_.next_fraction()),
          [this, &sender, evacuated] { sender->replicas.set_evacuated(evacuated, now_); });
     }
   }
@@ -200,7 +200,7 @@
 
   void schedule_arrival(int region, const std::array<double, region_count>& loads) {
     const double rate = loads[static_cast<std::size_t>(region)] * region_capacity;
-    const auto gap = base::from_seconds(-std::log(1 - draws_.unit()) / rate);
+    const auto gap = base::from_seconds(-std::log(1 - draws_.next_fraction()) / rate);
     at(now_ + gap, [this, region, loads] {
       const auto& near = in_region_[static_cast<std::size_t>(region)];
       send(near[draws_.below(near.size())]);
--- a/tests/replicas/replica_evidence_test.cc
+++ b/tests/replicas/replica_evidence_test.cc
@@ -47,7 +47,7 @@
     return table.is_available(*table.find(id(replica)), now);
   }
 
-  [[nodiscard]] replica_demand demand() const { return {service, content, anywhere, none}; }
+  [[nodiscard]] replica_requirements demand() const { return {service, content, anywhere, none}; }
 
   [[nodiscard]] bool is_candidate(unsigned replica) const {
     const auto found = table.candidates_for(demand(), now);
--- a/tests/replicas/replica_incarnations_test.cc
+++ b/tests/replicas/replica_incarnations_test.cc
@@ -197,7 +197,7 @@
 BOOST_FIXTURE_TEST_CASE(the_health_of_an_earlier_incarnation_is_not_reported, table_with_restart) {
   table.note_unresponsive(r0, now);
   restart();
-  BOOST_TEST(!table.has_changed());
+  BOOST_TEST(!table.has_changed_health());
   BOOST_TEST(!replica_table::own_health_report(state(), now).has_value());
 }
 
@@ -236,14 +236,14 @@
 BOOST_FIXTURE_TEST_CASE(calls_begun_before_a_restart_is_seen_were_sent_to_the_earlier_incarnation,
                         table_with_restart) {
   const auto began_at = now;
-  BOOST_TEST(!table.is_at_earlier_incarnation(r0, began_at));
+  BOOST_TEST(!table.was_sent_to_earlier_incarnation(r0, began_at));
   now += seconds(1);
   restart();
-  BOOST_TEST(table.is_at_earlier_incarnation(r0, began_at));
+  BOOST_TEST(table.was_sent_to_earlier_incarnation(r0, began_at));
   now += milliseconds(1);
-  BOOST_TEST(!table.is_at_earlier_incarnation(r0, now));
-  BOOST_TEST(!table.is_at_earlier_incarnation(base::replica_id("r1"), began_at));
-  BOOST_TEST(!table.is_at_earlier_incarnation(base::replica_id("nobody"), began_at));
+  BOOST_TEST(!table.was_sent_to_earlier_incarnation(r0, now));
+  BOOST_TEST(!table.was_sent_to_earlier_incarnation(base::replica_id("r1"), began_at));
+  BOOST_TEST(!table.was_sent_to_earlier_incarnation(base::replica_id("nobody"), began_at));
 }
 
 BOOST_FIXTURE_TEST_CASE(calls_begun_after_a_failed_connection_were_sent_to_the_new_incarnation,
@@ -257,8 +257,8 @@
   table.note_activity(r0, now);
   now += seconds(2);
   restart();
-  BOOST_TEST(table.is_at_earlier_incarnation(r0, at_earlier_incarnation));
-  BOOST_TEST(!table.is_at_earlier_incarnation(r0, at_new_incarnation));
+  BOOST_TEST(table.was_sent_to_earlier_incarnation(r0, at_earlier_incarnation));
+  BOOST_TEST(!table.was_sent_to_earlier_incarnation(r0, at_new_incarnation));
 }
 
 BOOST_FIXTURE_TEST_CASE(a_failed_connection_a_minute_ago_is_not_taken_as_the_time_of_a_restart,
@@ -269,7 +269,7 @@
   now += minutes(1);
   const auto began_at = now;
   restart();
-  BOOST_TEST(table.is_at_earlier_incarnation(r0, began_at));
+  BOOST_TEST(table.was_sent_to_earlier_incarnation(r0, began_at));
 }
 
 BOOST_FIXTURE_TEST_CASE(a_restart_is_seen_after_the_entry_was_unpublished, table_with_restart) {
@@ -278,7 +278,7 @@
   now += seconds(20);
   restart();
   BOOST_TEST(table.take_restarts().size() == 1U);
-  BOOST_TEST(table.is_at_earlier_incarnation(r0, now - seconds(1)));
+  BOOST_TEST(table.was_sent_to_earlier_incarnation(r0, now - seconds(1)));
 }
 
 BOOST_FIXTURE_TEST_CASE(the_same_incarnation_published_again_is_no_restart, table_with_restart) {
--- a/tests/stage_work/piece_residency_test.cc
+++ b/tests/stage_work/piece_residency_test.cc
@@ -192,7 +192,7 @@
     constexpr std::array<how, 6> outcomes{how::answered, how::answered, how::answered,
                                           how::refused,  how::failed,   how::not_sent};
     stage_call_ended ended{call.call, outcomes[random_.below(outcomes.size())], {}};
-    if (ended.how == how::answered) {
+    if (ended.outcome == how::answered) {
       for (std::size_t index = 0; index < call.items.size(); ++index) {
         const bool fails = random_.below(6) == 0;
         ended.pieces.push_back(
--- a/tests/stage_work/stage_graph_test.cc
+++ b/tests/stage_work/stage_graph_test.cc
@@ -138,9 +138,9 @@
   const auto stage_time = [](std::uint32_t stage) -> base::duration {
     return std::chrono::milliseconds(100 + stage);
   };
-  BOOST_TEST((graph.time_from(0, stage_time) == std::chrono::milliseconds(100)));
-  BOOST_TEST((graph.time_from(1, stage_time) == std::chrono::milliseconds(203)));
-  BOOST_TEST((graph.time_from(2, stage_time) == std::chrono::milliseconds(102)));
+  BOOST_TEST((graph.time_from_start_of(0, stage_time) == std::chrono::milliseconds(100)));
+  BOOST_TEST((graph.time_from_start_of(1, stage_time) == std::chrono::milliseconds(203)));
+  BOOST_TEST((graph.time_from_start_of(2, stage_time) == std::chrono::milliseconds(102)));
 }
 
 BOOST_AUTO_TEST_CASE(only_results_of_a_restarted_producer_are_recomputed) {
--- a/tools/load_scenario.cc
+++ b/tools/load_scenario.cc
@@ -153,7 +153,7 @@
   }
 
   void schedule_next() {
-    const double interarrival_time = -std::log(1.0 - random_.unit()) / rate();
+    const double interarrival_time = -std::log(1.0 - random_.next_fraction()) / rate();
     fleet_.events().schedule_after(base::from_seconds(interarrival_time), [this] {
       if (fleet_.now() < measurement_ends_at_) {
         send();
@@ -164,12 +164,12 @@
 
   void send() {
     execution::caller_request request;
-    const auto tenant = pick_by_share(user_->tenant_shares, random_.unit());
+    const auto tenant = pick_by_share(user_->tenant_shares, random_.next_fraction());
     request.token_sha256 = token_of(tenant);
     request.pipeline =
         base::template_id(in_burst() && !scenario_->burst_template.empty()
                               ? scenario_->burst_template
-                              : pick_by_share(user_->template_shares, random_.unit()));
+                              : pick_by_share(user_->template_shares, random_.next_fraction()));
     request.input = "q" + std::to_string(++sent_);
     request.stream = true;
     const auto& node = user_->nodes[random_.below(user_->nodes.size())].name;
