--- a/src/admission/stage_scheduler.cc
+++ b/src/admission/stage_scheduler.cc
@@ -84,7 +84,7 @@
     }
     wait = std::max(wait, expected_wait(step.pool, plan, now));
   }
-  if (!settings_.predict) {
+  if (!settings_.refuse_expected_late) {
     return std::nullopt;
   }
   // The waits of several stages overlap in time, so only the longest wait is added.
@@ -200,7 +200,7 @@
   return std::max(min_stall_timeout, base::from_seconds(usual_seconds * stall_factor));
 }
 
-std::size_t stage_scheduler::waiting() const {
+std::size_t stage_scheduler::waiting_requests() const {
   std::size_t total = 0;
   for (const auto& [name, state] : pools_) {
     total += state.queue.size();
--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -23,7 +23,7 @@
 struct scheduling_settings {
   routing::policy_kind policy = routing::policy_kind::adaptive;
   /// Whether requests that are expected to miss their deadline are refused at once.
-  bool predict = true;
+  bool refuse_expected_late = true;
 };
 
 struct refusal {
@@ -87,7 +87,7 @@
                                                             std::size_t stage) const;
   retry_budget& retry_budget_of(const base::pool_id& pool) { return pools_[pool].retries; }
   /// @return number of waiting requests in all pools.
-  [[nodiscard]] std::size_t waiting() const;
+  [[nodiscard]] std::size_t waiting_requests() const;
   [[nodiscard]] const scheduling_settings& settings() const { return settings_; }
 
  private:
--- a/src/catalog/replicator.cc
+++ b/src/catalog/replicator.cc
@@ -29,8 +29,9 @@
   return result.verdict != apply_verdict::older;
 }
 
-void replicator::offer(const std::vector<wire::catalog_entry>& entries,
-                       const std::vector<base::network_address>& peers, wire::outbox& out) {
+void replicator::apply_and_gossip(const std::vector<wire::catalog_entry>& entries,
+                                  const std::vector<base::network_address>& peers,
+                                  wire::outbox& out) {
   std::vector<wire::catalog_entry> new_entries;
   for (const auto& entry : entries) {
     if (apply_entry(entry)) {
--- a/src/catalog/replicator.h
+++ b/src/catalog/replicator.h
@@ -85,8 +85,8 @@
 
   /// Applies entries that were read from a platform service, and gossips the new entries to peers
   /// unless the read counts as the first listing.
-  void offer(const std::vector<wire::catalog_entry>& entries,
-             const std::vector<base::network_address>& peers, wire::outbox& out);
+  void apply_and_gossip(const std::vector<wire::catalog_entry>& entries,
+                        const std::vector<base::network_address>& peers, wire::outbox& out);
 
   /// Starts a comparison with a peer if the content hash of the peer differs from this node's hash,
   /// the difference has lasted for `settle_time`, and the comparison interval has passed since the
--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -447,32 +447,32 @@
       "Answers that did not match their call; they are dropped and the call counts as failed.",
       static_cast<double>(counts.misdirected_answers));
   add_counter(registry, "spurrack_control_sent_bytes_total", "Bytes sent to peers.",
-              static_cast<double>(subject.control().bytes_sent));
-  add_control_flows(registry, subject.control());
-  add_store(registry, subject.store());
+              static_cast<double>(subject.message_counters().bytes_sent));
+  add_control_flows(registry, subject.message_counters());
+  add_store(registry, subject.store_answer_counters());
   add_store_calls(registry, subject);
   add_roles(registry, subject, now);
   add_counter(registry, "spurrack_control_received_bytes_total", "Bytes received from peers.",
-              static_cast<double>(subject.control().bytes_received));
+              static_cast<double>(subject.message_counters().bytes_received));
   add_counter(registry, "spurrack_peer_messages_dropped_total",
               "Messages to peers that could not be queued.",
               static_cast<double>(stats.dropped_peer_messages));
   add_gauge(registry, "spurrack_active_requests",
             "Active requests, except for those on published routes.",
-            static_cast<double>(subject.executor().active()));
+            static_cast<double>(subject.executor().active_requests()));
   add_gauge(registry, "spurrack_waiting_calls", "Stage calls that wait for a back end.",
-            static_cast<double>(subject.scheduler().waiting()));
+            static_cast<double>(subject.scheduler().waiting_requests()));
   add_gauge(registry, "spurrack_ready", "1 if the node accepts new requests, otherwise 0.",
             subject.is_ready() ? 1 : 0);
   add_gauge(registry, "spurrack_configuration_revision",
             "Highest known revision of the published configuration.",
-            static_cast<double>(subject.content().highest_revision()));
+            static_cast<double>(subject.published_catalog().highest_revision()));
   add_gauge(registry, "spurrack_configuration_rejected",
             "Published entries that are rejected as invalid.",
-            static_cast<double>(subject.content().rejections().size()));
+            static_cast<double>(subject.published_catalog().rejections().size()));
   add_count(registry, "spurrack_replica_entries_refused_total",
             "Published entries of replicas rejected as malformed.",
-            subject.content().rejected_replica_entries());
+            subject.published_catalog().rejected_replica_entries());
   const auto answered_at = subject.watch(node::source_kind::configuration).last_answer_at();
   if (answered_at) {
     add_gauge(registry, "spurrack_configuration_age_seconds",
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -31,7 +31,7 @@
 }
 
 json::object status_document(const node::node& subject, base::time_point now) {
-  const auto& content = subject.content();
+  const auto& content = subject.published_catalog();
   json::object body;
   body["node"] = subject.settings().self.node.text();
   body["zone"] = subject.settings().self.zone.text();
@@ -39,12 +39,12 @@
   body["stopping"] = subject.is_stopping();
   const auto* serving = subject.serving();
   body["active_requests"] =
-      subject.executor().active() + (serving ? serving->active_requests() : 0);
+      subject.executor().active_requests() + (serving ? serving->active_requests() : 0);
   if (const auto published = content.serving()) {
     body["serving_configuration"] = published->version;
     body["replicas"] = content.replicas().size();
   }
-  body["waiting_calls"] = subject.scheduler().waiting();
+  body["waiting_calls"] = subject.scheduler().waiting_requests();
   body["may_witness"] = subject.guard().may_witness(now);
   body["configuration_hash"] = std::to_string(content.content_hash());
   body["highest_revision"] = content.highest_revision();
@@ -115,7 +115,7 @@
 }
 
 json::object templates_document(const node::node& subject) {
-  const auto& content = subject.content();
+  const auto& content = subject.published_catalog();
   json::array templates;
   for (const auto& [name, pipeline] : content.templates()) {
     json::array stages;
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -131,8 +131,8 @@
   for (auto& command : commands) {
     carry_out(command);
   }
-  if (serving_ && node_.content().serving() != applied_configuration_) {
-    applied_configuration_ = node_.content().serving();
+  if (serving_ && node_.published_catalog().serving() != applied_configuration_) {
+    applied_configuration_ = node_.published_catalog().serving();
     serving_->set_limits(applied_configuration_->limits);
   }
   if (node_.is_ready() != was_ready) {
@@ -180,8 +180,8 @@
     publication_->probe(*probe);
   } else if (auto* serving = std::get_if<serving::command>(&command)) {
     serving_->carry_out(std::move(*serving));
-  } else if (auto* decision = std::get_if<node::log_decision>(&command)) {
-    log_decision(decision->what);
+  } else if (auto* logged = std::get_if<node::log_event>(&command)) {
+    log_event(logged->entry);
   } else if (std::holds_alternative<node::stop_completed>(command)) {
     if (serving_) {
       serving_->stop_accepting();
@@ -202,11 +202,10 @@
                   {"reason", std::string(execution::name_of(content.failure_reason))}});
 }
 
-void runtime::log_decision(const base::event& decision) {
-  logging::write(logging::severity::info, base::name_of(decision.kind),
-                 {{"request_id", decision.request.text()},
-                  {"subject", decision.subject},
-                  {"detail", decision.detail}});
+void runtime::log_event(const base::event& entry) {
+  logging::write(
+      logging::severity::info, base::name_of(entry.kind),
+      {{"request_id", entry.request.text()}, {"subject", entry.subject}, {"detail", entry.detail}});
 }
 
 process_stats runtime::stats() const {
--- a/src/daemon/runtime.h
+++ b/src/daemon/runtime.h
@@ -55,7 +55,7 @@
   void carry_out(node::command& command);
   void start_pipeline_interface();
   void start_serving_path();
-  void log_decision(const base::event& decision);
+  void log_event(const base::event& entry);
   [[nodiscard]] std::size_t busy_connections() const;
   [[nodiscard]] process_stats stats() const;
   /// Queues the action that an operator requested.
--- a/src/execution/effect_guard.cc
+++ b/src/execution/effect_guard.cc
@@ -21,7 +21,7 @@
       lookup_address_(std::move(lookup_address)), record_(std::move(record)),
       witness_store_(started_at, settings.switches.young_witness_wait ? settings.key_lifetime
                                                                       : base::duration::zero()),
-      witness_lists_(settings.list_window) {}
+      witness_lists_(settings.replaced_list_lifetime) {}
 
 void effect_guard::update_node_list(const catalog::machine_map& machines, base::time_point now) {
   witness_lists_.update(machines, now);
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -35,7 +35,7 @@
   /// Time from the issue of a ticket within which the ticket must be redeemed.
   base::duration ticket_lifetime = std::chrono::minutes(1);
   /// Time for which a majority of the witnesses from a replaced node list must grant keys, too.
-  base::duration list_window = std::chrono::minutes(60);
+  base::duration replaced_list_lifetime = std::chrono::minutes(60);
   /// Longest time that a request waits for the replies of witnesses.
   base::duration witness_timeout = std::chrono::milliseconds(500);
   base::safety_switches switches;
@@ -55,7 +55,7 @@
 };
 /// Decision to let the caller wait for the answer of a running request.
 struct attach_decision {
-  base::request_id running;
+  base::request_id running_request;
   caller_ref caller;
 };
 /// Decision to answer the caller without running the request at this node.
@@ -63,7 +63,7 @@
   caller_ref caller;
   answer content;
   /// Tenant and template for which the answer is counted.
-  pipeline_key key;
+  pipeline_key counted_pipeline;
 };
 using guard_decision = std::variant<run_decision, attach_decision, answer_decision>;
 
@@ -103,7 +103,7 @@
   [[nodiscard]] std::optional<base::time_point> next_deadline() const;
   /// @return number of requests that wait for witnesses, or for the answer of the owner to which
   ///         they were forwarded.
-  [[nodiscard]] std::size_t pending() const {
+  [[nodiscard]] std::size_t pending_requests() const {
     return acquiring_requests_.size() + forwarded_requests_.size();
   }
   /// @return whether this node has been up long enough to grant keys as a witness.
--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -89,7 +89,7 @@
       abort_request(active, reason::deadline_passed, now);
       continue;
     }
-    if (scheduler_->settings().predict &&
+    if (scheduler_->settings().refuse_expected_late &&
         now + scheduler_->expected_service_time(*active.request.plan, active.stage) >
             active.request.deadline) {
       abort_request(active, reason::deadline_unreachable, now);
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -80,7 +80,7 @@
   /// @return earliest deadline of an active request; std::nullopt if none is active.
   [[nodiscard]] std::optional<base::time_point> next_deadline() const;
   /// @return number of active requests.
-  [[nodiscard]] std::size_t active() const { return active_.size(); }
+  [[nodiscard]] std::size_t active_requests() const { return active_.size(); }
   [[nodiscard]] const counters& counts() const { return counters_; }
   /// Counts a request that was refused before it became active.
   void count_refusal(const pipeline_key& key, const answer& refusal);
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -62,7 +62,7 @@
   ++version_;
 }
 
-void membership::set_published(const catalog::machine_map& machines, base::time_point now) {
+void membership::set_published_nodes(const catalog::machine_map& machines, base::time_point now) {
   note_change();
   std::set<base::node_id> listed;
   for (const auto& [id, machine] : machines) {
@@ -86,16 +86,16 @@
   }
 }
 
-void membership::add_seed(const base::network_address& address) {
+void membership::add_gossip_seed(const base::network_address& address) {
   if (address != self_.address) {
-    seeds_.push_back(address);
+    gossip_seeds_.push_back(address);
   }
 }
 
-void membership::set_seeds(const std::vector<base::network_address>& addresses) {
-  seeds_.clear();
+void membership::set_gossip_seeds(const std::vector<base::network_address>& addresses) {
+  gossip_seeds_.clear();
   for (const auto& address : addresses) {
-    add_seed(address);
+    add_gossip_seed(address);
   }
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -95,11 +95,11 @@
 
   /// Replaces the published list of nodes by the machines with the role `node`. Members that are
   /// not on the list are dropped, unless no machine has ever been published.
-  void set_published(const catalog::machine_map& machines, base::time_point now);
+  void set_published_nodes(const catalog::machine_map& machines, base::time_point now);
   /// Adds a gossip seed: an address of a node from which this node requests members. The address of
   /// this node itself is ignored.
-  void add_seed(const base::network_address& address);
-  void set_seeds(const std::vector<base::network_address>& addresses);
+  void add_gossip_seed(const base::network_address& address);
+  void set_gossip_seeds(const std::vector<base::network_address>& addresses);
 
   /// Records that the sender of a message is alive, and applies the member updates and the zone
   /// digest in the message. Call for each received message, whatever its body.
@@ -124,7 +124,9 @@
   /// @return live members of this node's zone, including this node, sorted.
   [[nodiscard]] const std::vector<base::node_id>& live_zone_nodes() const;
   [[nodiscard]] const std::map<base::node_id, member>& members() const { return members_; }
-  [[nodiscard]] const std::vector<base::network_address>& seeds() const { return seeds_; }
+  [[nodiscard]] const std::vector<base::network_address>& gossip_seeds() const {
+    return gossip_seeds_;
+  }
   /// A zone job is work that a few nodes of a zone do for all nodes of the zone, such as watching a
   /// platform service. These nodes are chosen among the live nodes of the zone by rendezvous
   /// hashing with the name of the job.
@@ -276,7 +278,7 @@
   std::uint64_t version_ = 0;
   zone_contact zones_;
   mutable std::optional<live_view> live_;
-  std::vector<base::network_address> seeds_;
+  std::vector<base::network_address> gossip_seeds_;
   std::deque<gossip_update> gossip_queue_;
   std::vector<base::node_id> probe_order_;
   std::optional<probe> probe_;
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -57,13 +57,13 @@
 // --- requests for members -----------------------------------------------------------------------
 
 void membership::request_members(base::time_point now, wire::outbox& out) {
-  if (seeds_.empty() || now < next_member_request_at_) {
+  if (gossip_seeds_.empty() || now < next_member_request_at_) {
     return;
   }
   const bool is_growing = now - last_member_added_at_ < member_growth_timeout;
   if (members_.empty()) {
     next_member_request_at_ = now + first_member_request_interval;
-    for (const auto& seed : seeds_) {
+    for (const auto& seed : gossip_seeds_) {
       send_member_request(seed, out);
     }
   } else if (is_growing) {
@@ -72,7 +72,7 @@
   } else {
     const auto factor = 1 + members_.size() / members_per_idle_interval;
     next_member_request_at_ = now + idle_member_request_interval * factor;
-    send_member_request(seeds_[random_->below(seeds_.size())], out);
+    send_member_request(gossip_seeds_[random_->below(gossip_seeds_.size())], out);
   }
 }
 
@@ -97,7 +97,7 @@
       candidates.push_back(&other);
     }
   }
-  return candidates.empty() ? seeds_[random_->below(seeds_.size())]
+  return candidates.empty() ? gossip_seeds_[random_->below(gossip_seeds_.size())]
                             : candidates[random_->below(candidates.size())]->address;
 }
 
--- a/src/node/events.h
+++ b/src/node/events.h
@@ -110,8 +110,8 @@
 };
 /// Writes a recorded event to the log of the daemon. Returned only by nodes that serve published
 /// routes.
-struct log_decision {
-  base::event what;
+struct log_event {
+  base::event entry;
 };
 /// The process may exit: no request is active, or the maximum duration of the graceful stop has
 /// passed.
@@ -120,7 +120,7 @@
 using command =
     std::variant<wire::outgoing, execution::start_call, execution::cancel_call,
                  execution::send_token, execution::send_answer, read_service, probe_service,
-                 send_ticket, stop_completed, serving::command, log_decision>;
+                 send_ticket, stop_completed, serving::command, log_event>;
 using command_list = std::vector<command>;
 
 } // namespace spurrack::node
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -97,7 +97,7 @@
                             const std::string& detail) { record(kind, request, subject, detail); });
   }
   for (const auto& seed : settings_.seeds) {
-    membership_.add_seed(seed);
+    membership_.add_gossip_seed(seed);
   }
   record(base::event_kind::node_started, {}, settings_.self.node.text(), "");
 }
@@ -139,7 +139,7 @@
                   const std::string& subject, const std::string& detail) {
   base::event entry{clock_.next(last_event_at_), kind, request, subject, detail};
   if (settings_.serving) {
-    commands_.emplace_back(log_decision{entry});
+    commands_.emplace_back(log_event{entry});
   }
   events_.add(std::move(entry));
 }
@@ -286,7 +286,7 @@
     return;
   }
   seen_machine_changes_ = catalog_.machine_changes();
-  membership_.set_published(catalog_.machines(), now);
+  membership_.set_published_nodes(catalog_.machines(), now);
   backends_.update(catalog_.machines());
   guard_.update_node_list(catalog_.machines(), now);
   update_limit_sharing();
@@ -303,7 +303,7 @@
 }
 
 void node::on(const seeds_changed& input_event, base::time_point /*now*/) {
-  membership_.set_seeds(input_event.seeds);
+  membership_.set_gossip_seeds(input_event.seeds);
 }
 
 void node::on(const release_requested& input_event, base::time_point now) {
@@ -374,8 +374,8 @@
   if (is_stop_reported_) {
     return;
   }
-  const bool is_idle =
-      executor_.active() == 0 && guard_.pending() == 0 && (!serving_ || !serving_->is_busy());
+  const bool is_idle = executor_.active_requests() == 0 && guard_.pending_requests() == 0 &&
+                       (!serving_ || !serving_->is_busy());
   const bool is_quiet = now - quiet_since_ >= settings_.stop_linger_time ||
                         now - stop_started_at_ >= settings_.max_stop_linger_time;
   if ((is_idle && is_quiet) || must_abort_requests(now) || !settings_.switches.drain_before_stop) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -118,14 +118,14 @@
   [[nodiscard]] bool is_stopping() const { return is_stopping_; }
   [[nodiscard]] const node_settings& settings() const { return settings_; }
   [[nodiscard]] const membership::membership& members() const { return membership_; }
-  [[nodiscard]] const catalog::catalog& content() const { return catalog_; }
+  [[nodiscard]] const catalog::catalog& published_catalog() const { return catalog_; }
   [[nodiscard]] const routing::backend_table& backends() const { return backends_; }
   [[nodiscard]] const execution::executor& executor() const { return executor_; }
   [[nodiscard]] const execution::effect_guard& guard() const { return guard_; }
   [[nodiscard]] const admission::stage_scheduler& scheduler() const { return scheduler_; }
   [[nodiscard]] const base::event_log& events() const { return events_; }
-  [[nodiscard]] const control_counters& control() const { return control_; }
-  [[nodiscard]] const store_counters& store() const { return store_; }
+  [[nodiscard]] const control_counters& message_counters() const { return control_; }
+  [[nodiscard]] const store_counters& store_answer_counters() const { return store_; }
   /// @return whether this node should read a platform service now, for one of three reasons: the
   ///         node has the job to watch the service; the node is starting and has waited for peers
   ///         for `peer_wait_time`; or the node substitutes for a node that cannot read the service.
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -144,18 +144,18 @@
 }
 
 void node::execute(execution::attach_decision& decision, base::time_point /*now*/) {
-  if (!executor_.attach(decision.running, decision.caller)) {
+  if (!executor_.attach(decision.running_request, decision.caller)) {
     execution::answer content;
     content.outcome = model::outcome::unknown;
     content.failure_reason = execution::reason::key_in_use;
-    content.request = decision.running;
+    content.request = decision.running_request;
     execution::answer_decision answered{decision.caller, std::move(content), {}};
     execute(answered, last_event_at_);
   }
 }
 
 void node::execute(execution::answer_decision& decision, base::time_point /*now*/) {
-  executor_.count_refusal(decision.key, decision.content);
+  executor_.count_refusal(decision.counted_pipeline, decision.content);
   record(base::event_kind::request_answered, decision.content.request,
          std::string(model::name_of(decision.content.outcome)),
          std::string(execution::name_of(decision.content.failure_reason)));
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -89,7 +89,7 @@
   }
   const auto known = static_cast<int>(membership_.members().size());
   if (known == 0) {
-    return membership_.seeds().empty() ? base::duration{} : join_timeout;
+    return membership_.gossip_seeds().empty() ? base::duration{} : join_timeout;
   }
   const auto max_wait = std::min(peer_wait_time_per_member * known, max_peer_wait_time);
   const double fraction = is_strong() ? peer_wait_fraction_ / 2 : 1 + peer_wait_fraction_;
@@ -132,7 +132,7 @@
                          : catalog_.deletions_of_unlisted_evacuations(listed, position);
     std::move(deletions.begin(), deletions.end(), std::back_inserter(entries));
   }
-  replicator_.offer(entries, replication_peers(), outbox_);
+  replicator_.apply_and_gossip(entries, replication_peers(), outbox_);
   apply_machine_changes(now);
   update_readiness(now);
   read_services(now);
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -75,11 +75,11 @@
                                              milliseconds_of(guard.key_lifetime));
   guard.ticket_lifetime = section->milliseconds("ticket_lifetime_ms", 1'000, one_day_milliseconds,
                                                 milliseconds_of(guard.ticket_lifetime));
-  guard.list_window = section->milliseconds("list_window_ms", 1'000, one_day_milliseconds,
-                                            milliseconds_of(guard.list_window));
+  guard.replaced_list_lifetime = section->milliseconds(
+      "list_window_ms", 1'000, one_day_milliseconds, milliseconds_of(guard.replaced_list_lifetime));
   guard.witness_timeout = section->milliseconds("witness_timeout_ms", 10, 60'000,
                                                 milliseconds_of(guard.witness_timeout));
-  if (guard.list_window < guard.key_lifetime) {
+  if (guard.replaced_list_lifetime < guard.key_lifetime) {
     section->add_fault(model::errc::out_of_range, "list_window_ms", "at least key_lifetime_ms");
   }
   section->finish();
@@ -93,7 +93,7 @@
   scheduling.policy = static_cast<routing::policy_kind>(
       section->choice("policy", {"round_robin", "least_in_flight", "power_of_two", "adaptive"},
                       static_cast<std::size_t>(scheduling.policy)));
-  scheduling.predict = section->boolean("predict", scheduling.predict);
+  scheduling.refuse_expected_late = section->boolean("predict", scheduling.refuse_expected_late);
   section->finish();
 }
 
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -99,8 +99,8 @@
     return;
   }
   instance.is_alive = false;
-  earlier_control_totals_.messages_sent += instance.logic->control().messages_sent;
-  earlier_control_totals_.bytes_sent += instance.logic->control().bytes_sent;
+  earlier_control_totals_.messages_sent += instance.logic->message_counters().messages_sent;
+  earlier_control_totals_.bytes_sent += instance.logic->message_counters().bytes_sent;
   for (auto& [id, record] : callers_) {
     record.is_connection_lost =
         record.is_connection_lost || (record.node == name && record.answer_count == 0);
@@ -247,8 +247,8 @@
   auto totals = earlier_control_totals_;
   for (const auto& [name, instance] : nodes_) {
     if (instance.is_alive) {
-      totals.messages_sent += instance.logic->control().messages_sent;
-      totals.bytes_sent += instance.logic->control().bytes_sent;
+      totals.messages_sent += instance.logic->message_counters().messages_sent;
+      totals.bytes_sent += instance.logic->message_counters().bytes_sent;
     }
   }
   return totals;
@@ -330,11 +330,11 @@
   const auto incarnation = instance.incarnation;
   const auto is_reachable = [this, name] { return can_reach_platform(nodes_.at(name)); };
   const auto source = static_cast<std::size_t>(request.source);
-  const auto read_number = ++instance.reads[source];
+  const auto read_number = ++instance.service_reads_started[source];
   // Answers to earlier reads of the source are ignored, as in the client of the store that the
   // daemon uses.
   const auto is_latest = [this, name, source, read_number] {
-    return nodes_.at(name).reads[source] == read_number;
+    return nodes_.at(name).service_reads_started[source] == read_number;
   };
   const auto fail_after = [=, this](base::duration delay) {
     events_.schedule_after(delay, [=, this] {
--- a/src/simulation/fleet_simulation.h
+++ b/src/simulation/fleet_simulation.h
@@ -214,8 +214,8 @@
     std::optional<base::duration> freeze_before_effect;
     /// Time at which the node's next scheduled wakeup is due.
     base::time_point wakeup_at;
-    /// Number of reads that the node has started, by source.
-    std::array<std::uint64_t, node::source_count> reads{};
+    /// Number of reads of each platform service that the node has started, by `source_kind`.
+    std::array<std::uint64_t, node::source_count> service_reads_started{};
     link uplink;
     link downlink;
   };
--- a/src/simulation/invariant_checker.cc
+++ b/src/simulation/invariant_checker.cc
@@ -84,9 +84,9 @@
       seen_incarnations_[name] = incarnation;
       revisions.clear();
     }
-    for (const auto& [id, pipeline] : node.content().templates()) {
+    for (const auto& [id, pipeline] : node.published_catalog().templates()) {
       const auto key = "templates/" + id.text();
-      const auto revision = node.content().revision_of(key);
+      const auto revision = node.published_catalog().revision_of(key);
       if (revision < revisions[key]) {
         std::ostringstream detail;
         detail << name << " reverted from " << revisions[key] << " to " << revision << " for "
@@ -107,7 +107,7 @@
       if (!fleet_->is_alive(name)) {
         continue;
       }
-      const auto& machines = fleet_->node(name).content().machines();
+      const auto& machines = fleet_->node(name).published_catalog().machines();
       const auto found = machines.find(backend);
       if (found != machines.end() && found->second->state == model::machine_state::leaving) {
         observation.first_known_at = fleet_->now();
@@ -278,7 +278,7 @@
       continue;
     }
     const auto& node = fleet_->node(name);
-    hashes.insert(node.content().content_hash());
+    hashes.insert(node.published_catalog().content_hash());
     if (!node.is_ready()) {
       report_violation("nodes become ready", name + " is not ready in a whole fleet");
     }
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -403,7 +403,7 @@
       ", templates: {answer: {}, payout: {}}}";
   settings.node.guard.key_lifetime = key_lifetime;
   settings.node.guard.ticket_lifetime = std::chrono::seconds(5);
-  settings.node.guard.list_window = std::chrono::seconds(30);
+  settings.node.guard.replaced_list_lifetime = std::chrono::seconds(30);
   settings.node.resync_timeout = std::chrono::milliseconds(500);
   settings.node.event_log_capacity = 20'000;
   settings.node.switches = options.switches;
--- a/tests/catalog/replicator_test.cc
+++ b/tests/catalog/replicator_test.cc
@@ -40,7 +40,7 @@
     peers.emplace_back("10.0.0." + std::to_string(index) + ":1");
   }
   wire::outbox out;
-  reader.subject.offer({entry(1, "a")}, peers, out);
+  reader.subject.apply_and_gossip({entry(1, "a")}, peers, out);
   BOOST_TEST(out.size() == peers.size());
 }
 
@@ -48,15 +48,15 @@
   catalog_node behind(1);
   catalog_node ahead(2);
   wire::outbox unused;
-  ahead.subject.offer({entry(1, "missed")}, {}, unused);
+  ahead.subject.apply_and_gossip({entry(1, "missed")}, {}, unused);
   base::time_point now{std::chrono::hours(1)};
   bool compared = false;
   constexpr int rounds = 8;
   for (int round = 0; round < rounds && !compared; ++round) {
     now += std::chrono::milliseconds(200);
     const auto new_entry = entry(static_cast<std::uint64_t>(round) + 2, "changing");
-    ahead.subject.offer({new_entry}, {}, unused);
-    behind.subject.offer({new_entry}, {}, unused);
+    ahead.subject.apply_and_gossip({new_entry}, {}, unused);
+    behind.subject.apply_and_gossip({new_entry}, {}, unused);
     wire::outbox out;
     behind.subject.compare(base::network_address("a:1"), ahead.content.content_hash(), false, now,
                            out);
@@ -71,11 +71,11 @@
   wire::outbox out;
   base::time_point now{std::chrono::hours(1)};
   for (std::uint64_t revision = 1; revision < 10; ++revision) {
-    peer.subject.offer({entry(revision, "a")}, {}, out);
+    peer.subject.apply_and_gossip({entry(revision, "a")}, {}, out);
     now += std::chrono::milliseconds(400);
     node.subject.compare(base::network_address("a:1"), peer.content.content_hash(), false, now,
                          out);
-    node.subject.offer({entry(revision, "a")}, {}, out);
+    node.subject.apply_and_gossip({entry(revision, "a")}, {}, out);
     now += std::chrono::milliseconds(10);
     node.subject.compare(base::network_address("a:1"), peer.content.content_hash(), false, now,
                          out);
@@ -90,10 +90,10 @@
     listing.push_back(entry(number, "t" + std::to_string(number)));
   }
   wire::outbox out;
-  reader.subject.offer(listing, {base::network_address("a:1")}, out);
+  reader.subject.apply_and_gossip(listing, {base::network_address("a:1")}, out);
   BOOST_TEST(out.empty());
   // A change that is read after the first listing is forwarded.
-  reader.subject.offer({entry(300, "t1")}, {base::network_address("a:1")}, out);
+  reader.subject.apply_and_gossip({entry(300, "t1")}, {base::network_address("a:1")}, out);
   BOOST_TEST(out.size() == 1U);
 }
 
@@ -141,7 +141,7 @@
   catalog_node ahead(1);
   wire::outbox unused;
   for (std::uint64_t number = 1; number <= 400; ++number) {
-    ahead.subject.offer({entry(number, "t" + std::to_string(number))}, {}, unused);
+    ahead.subject.apply_and_gossip({entry(number, "t" + std::to_string(number))}, {}, unused);
   }
   wire::envelope comparison;
   comparison.mutable_catalog_buckets()->mutable_hashes()->Resize(catalog::catalog::bucket_count, 0);
--- a/tests/membership/member_discovery_test.cc
+++ b/tests/membership/member_discovery_test.cc
@@ -27,7 +27,7 @@
       : membership_fleet(size / zone_count, zone_count, region_count, false) {
     for (auto& node : nodes) {
       for (std::size_t seed = 0; seed < seed_count; ++seed) {
-        node->members.add_seed(nodes[seed]->members.self().address);
+        node->members.add_gossip_seed(nodes[seed]->members.self().address);
       }
     }
   }
--- a/tests/membership/seed_contact_test.cc
+++ b/tests/membership/seed_contact_test.cc
@@ -21,7 +21,7 @@
 struct isolated_node {
   isolated_node() : subject(identity_of("n"), {}, random, [](const auto&) {}) {
     for (const char* seed : {"s1:1", "s2:1", "s3:1"}) {
-      subject.add_seed(base::network_address(seed));
+      subject.add_gossip_seed(base::network_address(seed));
     }
   }
 
--- a/tests/node/store_era_test.cc
+++ b/tests/node/store_era_test.cc
@@ -63,10 +63,10 @@
   BOOST_TEST(event_count(base::event_kind::service_era) == 1U);
   // A listing that lacks the replicas, immediately after the store was restored.
   answer(2, 90, true, {});
-  BOOST_TEST(!subject.content().replicas().empty());
+  BOOST_TEST(!subject.published_catalog().replicas().empty());
   advance_time(seconds(4));
   answer(2, 95, true, {});
-  BOOST_TEST(subject.content().replicas().empty());
+  BOOST_TEST(subject.published_catalog().replicas().empty());
 }
 
 BOOST_AUTO_TEST_CASE(entries_of_a_new_era_are_accepted_at_lower_revisions) {
@@ -76,7 +76,7 @@
   }
   answer(2, 60, true, rewritten);
   for (const auto& entry : rewritten) {
-    BOOST_TEST(subject.content().revision_of(entry.key()) == entry.revision());
+    BOOST_TEST(subject.published_catalog().revision_of(entry.key()) == entry.revision());
   }
 }
 
@@ -87,8 +87,8 @@
     entry.set_revision(900);
   }
   answer(1, 900, true, late);
-  BOOST_TEST(subject.content().highest_revision() < 900U);
-  BOOST_TEST(subject.store().outdated_answers == 1U);
+  BOOST_TEST(subject.published_catalog().highest_revision() < 900U);
+  BOOST_TEST(subject.store_answer_counters().outdated_answers == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(a_missing_or_unreadable_era_counts_as_the_latest_era) {
@@ -98,9 +98,9 @@
   unreadable.service_revision = 102;
   unreadable.is_era_unreadable = true;
   deliver(unreadable);
-  BOOST_TEST(subject.store().unreadable_eras == 1U);
-  BOOST_TEST(subject.store().era_changes == 0U);
-  BOOST_TEST(!subject.content().replicas().empty());
+  BOOST_TEST(subject.store_answer_counters().unreadable_eras == 1U);
+  BOOST_TEST(subject.store_answer_counters().era_changes == 0U);
+  BOOST_TEST(!subject.published_catalog().replicas().empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/settings/settings_test.cc
+++ b/tests/settings/settings_test.cc
@@ -51,7 +51,7 @@
   BOOST_TEST_REQUIRE(full.value.has_value());
   BOOST_TEST(full.value->node.self.address.text() == "10.0.0.1:7");
   BOOST_CHECK(full.value->node.guard.key_lifetime == std::chrono::seconds(2));
-  BOOST_TEST(!full.value->node.scheduling.predict);
+  BOOST_TEST(!full.value->node.scheduling.refuse_expected_late);
 }
 
 BOOST_AUTO_TEST_CASE(resource_limits_are_parsed) {
--- a/tests/simulation/control_traffic_test.cc
+++ b/tests/simulation/control_traffic_test.cc
@@ -134,8 +134,9 @@
   milestone first_member_known{"knows another node",
                                [](const auto& node) { return !node.members().members().empty(); }};
   milestone all_members_known;
-  milestone configured{"has the configuration",
-                       [](const auto& node) { return node.content().serving() != nullptr; }};
+  milestone configured{"has the configuration", [](const auto& node) {
+                         return node.published_catalog().serving() != nullptr;
+                       }};
   milestone ready{"ready", [](const auto& node) { return node.is_ready(); }};
 
   explicit start_timeline(std::size_t nodes)
@@ -178,7 +179,7 @@
 /// add up to its total, for each node.
 void check_counters(const fleet_simulation& fleet) {
   for (const auto& name : fleet.node_names()) {
-    const auto& control = fleet.node(name).control();
+    const auto& control = fleet.node(name).message_counters();
     std::uint64_t sum = 0;
     for (const auto& [flow, bytes] : control.bytes_sent_by_class) {
       sum += bytes;
--- a/tests/simulation/evacuation_spread_test.cc
+++ b/tests/simulation/evacuation_spread_test.cc
@@ -29,8 +29,8 @@
 bool all_have_evacuation_state(const fleet_simulation& fleet, bool evacuated) {
   for (const auto& name : fleet.node_names()) {
     const bool has_expected_state =
-        fleet.is_alive(name) &&
-        fleet.node(name).content().evacuated_zones().contains(base::zone_id("z1")) == evacuated;
+        fleet.is_alive(name) && fleet.node(name).published_catalog().evacuated_zones().contains(
+                                    base::zone_id("z1")) == evacuated;
     if (!has_expected_state) {
       return false;
     }
@@ -75,8 +75,9 @@
   fleet.start_node("node-5");
   // A node becomes ready only after it has the evacuations that are in effect.
   BOOST_TEST(fleet.run_until([&] { return fleet.node("node-5").is_ready(); }, seconds(5)));
-  BOOST_TEST(fleet.node("node-5").content().evacuated_zones().contains(base::zone_id("z1")));
-  BOOST_TEST(fleet.node("node-2").content().evacuated_zones().empty());
+  BOOST_TEST(
+      fleet.node("node-5").published_catalog().evacuated_zones().contains(base::zone_id("z1")));
+  BOOST_TEST(fleet.node("node-2").published_catalog().evacuated_zones().empty());
   fleet.heal_zone("z2");
   BOOST_TEST(fleet.run_until([&] { return all_have_evacuation_state(fleet, true); }, seconds(4)));
 }
--- a/tests/simulation/large_catalog_test.cc
+++ b/tests/simulation/large_catalog_test.cc
@@ -61,7 +61,7 @@
   const auto names = fleet.node_names();
   const auto size = static_cast<double>(names.size());
   for (const auto& name : names) {
-    const auto& control = fleet.node(name).control();
+    const auto& control = fleet.node(name).message_counters();
     const auto bytes = static_cast<double>(catalog_bytes(control));
     traffic.mean += bytes / size;
     traffic.max = std::max(traffic.max, bytes);
@@ -77,7 +77,8 @@
 double whole_catalog_bytes(const fleet_simulation& fleet) {
   wire::catalog_push message;
   catalog::pack_entries(
-      fleet.node("node-0").content().entries_in(catalog::catalog::bucket_set().set()), message);
+      fleet.node("node-0").published_catalog().entries_in(catalog::catalog::bucket_set().set()),
+      message);
   return static_cast<double>(message.ByteSizeLong());
 }
 
--- a/tests/simulation/long_cut_test.cc
+++ b/tests/simulation/long_cut_test.cc
@@ -26,8 +26,8 @@
 
 bool all_catalogs_are_equal(const fleet_simulation& fleet) {
   for (const auto& name : fleet.node_names()) {
-    if (fleet.node(name).content().content_hash() !=
-        fleet.node("node-a1").content().content_hash()) {
+    if (fleet.node(name).published_catalog().content_hash() !=
+        fleet.node("node-a1").published_catalog().content_hash()) {
       return false;
     }
   }
@@ -69,7 +69,7 @@
   BOOST_TEST(!all_catalogs_are_equal(fleet));
   fleet.heal_zone("c");
   BOOST_TEST(fleet.run_until([&] { return all_catalogs_are_equal(fleet); }, seconds(13)));
-  BOOST_TEST(fleet.node("node-c2").content().templates().size() == 14U);
+  BOOST_TEST(fleet.node("node-c2").published_catalog().templates().size() == 14U);
 }
 
 BOOST_AUTO_TEST_CASE(calls_to_the_platform_do_not_grow_with_the_nodes) {
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -59,7 +59,7 @@
   return fleet.run_until(
       [&] {
         return std::all_of(names.begin(), names.end(), [&](const auto& name) {
-          const auto configuration = fleet.node(name).content().serving();
+          const auto configuration = fleet.node(name).published_catalog().serving();
           return configuration != nullptr && configuration->version >= version;
         });
       },
--- a/tools/capacity.cc
+++ b/tools/capacity.cc
@@ -95,7 +95,7 @@
 bool all_nodes_have(const simulation::fleet_simulation& fleet, const std::string& key,
                     base::revision revision) {
   for (const auto& name : fleet.node_names()) {
-    if (fleet.node(name).content().revision_of(key) != revision) {
+    if (fleet.node(name).published_catalog().revision_of(key) != revision) {
       return false;
     }
   }
--- a/tools/load_scenario.cc
+++ b/tools/load_scenario.cc
@@ -137,7 +137,7 @@
     settings.backends = user.backends;
     settings.records = user.records;
     settings.node.scheduling.policy = variant.policy;
-    settings.node.scheduling.predict = variant.predict;
+    settings.node.scheduling.refuse_expected_late = variant.refuse_expected_late;
     settings.node.event_log_capacity = 16;
     return settings;
   }
--- a/tools/load_scenario.h
+++ b/tools/load_scenario.h
@@ -17,7 +17,7 @@
   std::string name;
   routing::policy_kind policy = routing::policy_kind::adaptive;
   /// Whether admission refuses a request that is expected to miss its deadline.
-  bool predict = true;
+  bool refuse_expected_late = true;
 };
 
 /// Fault that is injected into the simulated fleet at the start of the measured time.
