--- a/src/flow/answer_memory.cc
+++ b/src/flow/answer_memory_reservation.cc
@@ -1,4 +1,4 @@
-#include "flow/answer_memory.h"
+#include "flow/answer_memory_reservation.h"
 
 #include <algorithm>
 
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -3,7 +3,7 @@
 #include "membership/membership.h"
 
 #include "base/hashing.h"
-#include "membership/name_filter.h"
+#include "membership/name_hash_set.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/membership/name_filter.cc
+++ b/src/membership/name_hash_set.cc
@@ -1,4 +1,4 @@
-#include "membership/name_filter.h"
+#include "membership/name_hash_set.h"
 
 #include "base/hashing.h"
 
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -1,6 +1,6 @@
 #include "upstream/replica_client.h"
 
-#include "flow/answer_memory.h"
+#include "flow/answer_memory_reservation.h"
 #include "flow/stream_window.h"
 #include "http/awaitable.h"
 #include "http/endpoint.h"
--- a/tests/flow/answer_memory_test.cc
+++ b/tests/flow/answer_memory_reservation_test.cc
@@ -1,5 +1,5 @@
 /// Whole answers that lack memory: large ones, and several that hold memory and wait for more.
-#include "flow/answer_memory.h"
+#include "flow/answer_memory_reservation.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/membership/member_discovery_test.cc
+++ b/tests/membership/member_discovery_test.cc
@@ -1,9 +1,9 @@
 /// Requests for members when all nodes of a fleet start at once and know only the addresses of
 /// three gossip seeds. The tests limit the time until all nodes know each other, and the bytes that
 /// a seed sends, because the link of a seed may be slow.
-#include "hollow_fleet.h"
+#include "membership_fleet.h"
 
-#include "membership/name_filter.h"
+#include "membership/name_hash_set.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/membership/zone_contact_test.cc
+++ b/tests/membership/zone_contact_test.cc
@@ -1,6 +1,6 @@
 /// Detection of the failure of a zone by all nodes of the other zones. Neither the time until the
 /// detection nor the number of messages per node may grow with the fleet.
-#include "hollow_fleet.h"
+#include "membership_fleet.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/node/planned_stop_test.cc
+++ b/tests/node/planned_stop_test.cc
@@ -1,6 +1,6 @@
 /// Graceful stop of a node to which requests arrive until its exit. Guards against overlapping
 /// requests that delay the exit and against requests that outlast the stop.
-#include "driven_node.h"
+#include "node_driver.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/node/store_era_test.cc
+++ b/tests/node/store_era_test.cc
@@ -1,7 +1,7 @@
 /// Restore of the platform's store from an older backup, which begins a new era with lower
 /// revisions. Guards against a node that deletes replicas which the restored store lacks only at
 /// first, ignores entries for their lower revisions, or applies answers of the earlier era.
-#include "driven_node.h"
+#include "node_driver.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/node/suspension_test.cc
+++ b/tests/node/suspension_test.cc
@@ -3,7 +3,7 @@
 /// advances. Therefore no timer fires when the machine resumes: the node first processes the input
 /// that waits in sockets. Guards against a node that notices the suspension only after this input
 /// and takes the time of the suspension for a failure of replicas.
-#include "driven_node.h"
+#include "node_driver.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/node/watch_handover_test.cc
+++ b/tests/node/watch_handover_test.cc
@@ -1,7 +1,7 @@
 /// Handover of the watch of a platform service: a node that cannot read the service asks this node
 /// to watch the service instead. Guards against messages that name an unknown service or would let
 /// a watch be handed over without end.
-#include "driven_node.h"
+#include "node_driver.h"
 
 #include <boost/test/unit_test.hpp>
 
