--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -53,14 +53,13 @@
 inline constexpr std::size_t event_kind_count =
     static_cast<std::size_t>(event_kind::replica_backoff) + 1;
 
-/// @return the stable lower-case name of `kind`.
 std::string_view name_of(event_kind kind);
 
 /// One entry of the timeline.
 struct event {
   hybrid_timestamp at;
   event_kind kind = event_kind::node_started;
-  /// Request that the event concerns; empty if it concerns none.
+  /// Request that the event concerns; empty if it concerns no request.
   request_id request;
   /// Machine, stage or key that the event concerns.
   std::string subject;
@@ -73,7 +72,6 @@
  public:
   explicit event_log(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Adds an event; removes the oldest event if the buffer is full.
   void add(event entry);
 
   [[nodiscard]] const std::deque<event>& entries() const { return entries_; }
--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -258,7 +258,7 @@
       counts.unreadable_limits);
   add("spurrack_limit_news_other_lives_total",
       "Limits reported by other nodes for an unknown replica or incarnation; they are ignored.",
-      counts.of_other_incarnations);
+      counts.limits_of_other_incarnations);
   add("spurrack_replica_departures_total",
       "Drain announcements that were new to this node, from replicas or from other nodes.",
       counts.drain_announcements);
@@ -349,7 +349,7 @@
       "Streams resumed after their upstream call was cancelled for a slow client.",
       counts.suspended_streams_resumed);
   add_gauge(registry, "spurrack_active_routed_requests", "Active requests on published routes.",
-            static_cast<double>(dispatcher.active()));
+            static_cast<double>(dispatcher.active_requests()));
 }
 
 void add_budget(Registry& registry, const flow::byte_budget& budget) {
@@ -376,28 +376,30 @@
   }
 }
 
-void add_readers(Registry& registry, const http::ingress_counters& readers) {
+void add_client_counters(Registry& registry, const http::ingress_counters& client_counters) {
   const auto add = count_adder(registry);
   add("spurrack_windows_closed_total",
       "Times reading a stream from a replica was paused until its client reads on.",
-      readers.windows_closed);
+      client_counters.windows_closed);
   add_counter(
       registry, "spurrack_streams_paused_seconds_total",
       "Time for which reading streams from replicas was paused; counted when a stream ends.",
-      base::to_seconds(readers.closed_window_time));
+      base::to_seconds(client_counters.closed_window_time));
   auto& ended = BuildCounter()
                     .Name("spurrack_readers_ended_total")
                     .Help("Clients whose answer was ended before it was complete, by reason.")
                     .Register(registry);
-  ended.Add({{"reason", "unread"}}).Increment(static_cast<double>(readers.aborted_unread));
-  ended.Add({{"reason", "no_memory"}}).Increment(static_cast<double>(readers.aborted_for_memory));
+  ended.Add({{"reason", "unread"}}).Increment(static_cast<double>(client_counters.aborted_unread));
+  ended.Add({{"reason", "no_memory"}})
+      .Increment(static_cast<double>(client_counters.aborted_for_memory));
   auto& refused = BuildCounter()
                       .Name("spurrack_arrivals_refused_total")
                       .Help("Requests refused before they were read, by missing resource.")
                       .Register(registry);
-  refused.Add({{"missing", "memory"}}).Increment(static_cast<double>(readers.refused_for_memory));
+  refused.Add({{"missing", "memory"}})
+      .Increment(static_cast<double>(client_counters.refused_for_memory));
   refused.Add({{"missing", "connection"}})
-      .Increment(static_cast<double>(readers.refused_connections));
+      .Increment(static_cast<double>(client_counters.refused_connections));
 }
 
 } // namespace
@@ -430,7 +432,7 @@
   }
   if (stats.budget != nullptr) {
     add_budget(registry, *stats.budget);
-    add_readers(registry, *stats.readers);
+    add_client_counters(registry, *stats.client_counters);
     add_count(registry, "spurrack_unreadable_loads_total",
               "Answers of replicas that report an unreadable load.",
               stats.replica_connections->unreadable_loads);
@@ -445,32 +447,32 @@
       "Answers that did not match their call; they are dropped and the call counts as failed.",
       static_cast<double>(counts.misdirected_answers));
   add_counter(registry, "spurrack_control_sent_bytes_total", "Bytes sent to peers.",
-              static_cast<double>(subject.control().bytes_sent));
-  add_control_flows(registry, subject.control());
-  add_store(registry, subject.store());
+              static_cast<double>(subject.message_counters().bytes_sent));
+  add_control_flows(registry, subject.message_counters());
+  add_store(registry, subject.store_answer_counters());
   add_store_calls(registry, subject);
   add_roles(registry, subject, now);
   add_counter(registry, "spurrack_control_received_bytes_total", "Bytes received from peers.",
-              static_cast<double>(subject.control().bytes_received));
+              static_cast<double>(subject.message_counters().bytes_received));
   add_counter(registry, "spurrack_peer_messages_dropped_total",
               "Messages to peers that could not be queued.",
               static_cast<double>(stats.dropped_peer_messages));
   add_gauge(registry, "spurrack_active_requests",
             "Active requests, except for those on published routes.",
-            static_cast<double>(subject.executor().active()));
+            static_cast<double>(subject.executor().active_requests()));
   add_gauge(registry, "spurrack_waiting_calls", "Stage calls that wait for a back end.",
-            static_cast<double>(subject.scheduler().waiting()));
+            static_cast<double>(subject.scheduler().waiting_requests()));
   add_gauge(registry, "spurrack_ready", "1 if the node accepts new requests, otherwise 0.",
             subject.is_ready() ? 1 : 0);
   add_gauge(registry, "spurrack_configuration_revision",
             "Highest known revision of the published configuration.",
-            static_cast<double>(subject.content().highest_revision()));
+            static_cast<double>(subject.published_catalog().highest_revision()));
   add_gauge(registry, "spurrack_configuration_rejected",
             "Published entries that are rejected as invalid.",
-            static_cast<double>(subject.content().rejections().size()));
+            static_cast<double>(subject.published_catalog().rejections().size()));
   add_count(registry, "spurrack_replica_entries_refused_total",
             "Published entries of replicas rejected as malformed.",
-            subject.content().rejected_replica_entries());
+            subject.published_catalog().rejected_replica_entries());
   const auto answered_at = subject.watch(node::source_kind::configuration).last_answer_at();
   if (answered_at) {
     add_gauge(registry, "spurrack_configuration_age_seconds",
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -16,13 +16,13 @@
 namespace {
 
 constexpr std::chrono::milliseconds exit_poll_interval{20};
-/// Minimum time from the end of the stop to the exit, in which requests can arrive on the
-/// connections that were accepted last.
+/// Minimum time from the end of a graceful stop to the exit of the process. In this time requests
+/// can still arrive on the connections that were accepted last.
 constexpr std::chrono::milliseconds min_exit_delay{200};
-/// Time in which the last answers can be written after a stopping node has aborted its remaining
-/// requests. The process then exits, and does not wait longer for clients that do not read their
-/// answers and for connections without a request: it is killed 0.7 s after the requests are
-/// aborted, and the kill would cut off the other clients as well.
+/// Time for which a stopping process writes answers after its node has aborted the remaining
+/// requests. After this time the process exits even if some clients have not read their answers or
+/// some connections have no request: the process is killed 0.7 s after the requests are aborted,
+/// and the kill would also cut off the clients that do read.
 constexpr std::chrono::milliseconds last_answers_timeout{500};
 
 std::uint64_t random_seed() {
@@ -87,7 +87,7 @@
       *io_, *settings_.serving, *settings_.node.serving, *adapters_.codec,
       [this](serving::event event) { post(std::move(event)); },
       [this] { return node_.is_ready(); });
-  node_.set_budget(serving_->budget());
+  node_.set_byte_budget(serving_->budget());
   publication_ = adapters_.make_store_client(
       *io_, settings_.serving->store,
       {[this](node::service_answered answer) { post(std::move(answer)); },
@@ -131,8 +131,8 @@
   for (auto& command : commands) {
     carry_out(command);
   }
-  if (serving_ && node_.content().serving() != applied_configuration_) {
-    applied_configuration_ = node_.content().serving();
+  if (serving_ && node_.published_catalog().serving() != applied_configuration_) {
+    applied_configuration_ = node_.published_catalog().serving();
     serving_->set_limits(applied_configuration_->limits);
   }
   if (node_.is_ready() != was_ready) {
@@ -180,8 +180,8 @@
     publication_->probe(*probe);
   } else if (auto* serving = std::get_if<serving::command>(&command)) {
     serving_->carry_out(std::move(*serving));
-  } else if (auto* decision = std::get_if<node::log_decision>(&command)) {
-    log_decision(decision->what);
+  } else if (auto* logged = std::get_if<node::log_event>(&command)) {
+    log_event(logged->entry);
   } else if (std::holds_alternative<node::stop_completed>(command)) {
     if (serving_) {
       serving_->stop_accepting();
@@ -202,17 +202,16 @@
                   {"reason", std::string(execution::name_of(content.failure_reason))}});
 }
 
-void runtime::log_decision(const base::event& decision) {
-  logging::write(logging::severity::info, base::name_of(decision.kind),
-                 {{"request_id", decision.request.text()},
-                  {"subject", decision.subject},
-                  {"detail", decision.detail}});
+void runtime::log_event(const base::event& entry) {
+  logging::write(
+      logging::severity::info, base::name_of(entry.kind),
+      {{"request_id", entry.request.text()}, {"subject", entry.subject}, {"detail", entry.detail}});
 }
 
 process_stats runtime::stats() const {
   process_stats current{peers_->dropped_messages(), busy_connections(), nullptr, nullptr, nullptr};
   if (serving_) {
-    current.readers = &serving_->readers();
+    current.client_counters = &serving_->client_counters();
     current.budget = serving_->budget().get();
     current.replica_connections = &serving_->replica_connections();
   }
--- a/src/dispatch/dispatcher_admission_queue.cc
+++ b/src/dispatch/dispatcher_admission_queue.cc
@@ -13,15 +13,14 @@
 namespace spurrack::serving {
 namespace {
 
-/// Interval at which the admission queues are processed; they are also processed when permits
-/// arrive.
+/// Interval at which the admission queues are processed, besides when permits arrive.
 constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
-/// Fraction of the expected wait that must exceed the remaining time of a queued request before the
-/// request is refused: waits vary by about their own length, and a refusal wastes the time that the
-/// request has already waited.
+/// A queued request is refused only if this fraction of its expected wait exceeds its remaining
+/// time: waits vary by about their own length, and a refusal wastes the time that the request has
+/// already waited.
 constexpr double certain_wait_fraction = 0.5;
-/// Maximum expected wait, also used if the limits allow no requests; longer than any request may
-/// wait.
+/// Maximum expected wait for a permit, also used if all limits are zero; no request may wait as
+/// long.
 constexpr base::duration unbounded_wait = std::chrono::hours(1);
 
 } // namespace
@@ -37,7 +36,7 @@
   process_admission_queues(now);
 }
 
-replica_demand dispatcher::demand_of(const active_request& request) {
+replica_requirements dispatcher::requirements_of(const active_request& request) {
   const auto* results_zone = request.graph ? &request.expected_zone : nullptr;
   return {request.service, *request.content, request.permitted_regions, request.tried_replicas,
           results_zone};
@@ -49,7 +48,7 @@
   if (!limits_.has_limits()) {
     return;
   }
-  auto limited = replicas_.candidates_without_permit(demand_of(request), now);
+  auto limited = replicas_.candidates_without_permit(requirements_of(request), now);
   if (request.graph) {
     // To another zone the results of the request's stages would have to be transferred, so a permit
     // of a replica there is of no use.
@@ -68,7 +67,7 @@
   // other requests could use the same replicas, except for differences in permitted regions and
   // tried replicas.
   const auto limited =
-      replicas_.candidates_without_permit(demand_of(active_.at(queue.begin()->client)), now);
+      replicas_.candidates_without_permit(requirements_of(active_.at(queue.begin()->client)), now);
   if (limited.empty()) {
     return;
   }
@@ -92,7 +91,7 @@
 std::optional<base::duration> dispatcher::expected_queue_wait(const active_request& request,
                                                               std::size_t requests_ahead,
                                                               base::time_point now) const {
-  const auto demand = demand_of(request);
+  const auto demand = requirements_of(request);
   std::optional<base::duration> shortest_wait;
   if (const auto backoff_wait = replicas_.time_until_backoff_ends(demand, now)) {
     shortest_wait = expected_backoff_wait(request.service, *backoff_wait, requests_ahead, now);
@@ -150,8 +149,8 @@
     answer_failed(request, status::bad_gateway, reason, now);
     return;
   }
-  refuse(request.client, request.content->id, status::unavailable, reason,
-         jittered_retry_after(wait, request.deadline - now, *random_));
+  answer_with_error(request.client, request.content->id, status::unavailable, reason,
+                    jittered_retry_after(wait, request.deadline - now, *random_));
   finish(request, status::unavailable, reason, now);
 }
 
@@ -160,12 +159,12 @@
   if (is_unlimited || !request.graph) {
     return false;
   }
-  auto demand = demand_of(request);
+  auto demand = requirements_of(request);
   demand.is_planned = true;
   if (choose_replica_for(demand, now) != nullptr) {
     return false;
   }
-  // Requests whose stages are being computed also count as ahead because they need the same slots.
+  // Requests whose stages are being computed are also ahead because they need the same slots.
   const auto requests_ahead = std::count_if(active_.begin(), active_.end(), [&](const auto& entry) {
     const auto& other = entry.second;
     return other.client != request.client && other.service == request.service && !other.call;
@@ -239,8 +238,8 @@
 base::duration dispatcher::shortest_retry_after(const active_request& request,
                                                 base::time_point now) const {
   const std::set<base::replica_id> no_tried_replicas;
-  const replica_demand demand{request.service, *request.content, request.permitted_regions,
-                              no_tried_replicas, nullptr};
+  const replica_requirements demand{request.service, *request.content, request.permitted_regions,
+                                    no_tried_replicas, nullptr};
   const auto backoff_wait = replicas_.time_until_backoff_ends(demand, now);
   const bool can_be_called_now = !backoff_wait || !replicas_.candidates_for(demand, now).empty();
   return can_be_called_now ? base::duration{settings_.retry_after}
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -14,30 +14,31 @@
 /// have run.
 constexpr std::uint32_t max_unreached_attempts = 4;
 /// Time after which a call of a safe route counts as stalled, as a fraction of the target latency.
-constexpr double plain_stall_fraction = 0.7;
+constexpr double safe_route_stall_fraction = 0.7;
 /// Time without an event after which a stream counts as stalled, as a multiple of the target gap
 /// between two events.
 constexpr double stream_stall_factor = 2.5;
 /// Minimum interval at which the events of a stream are recorded as contact with its replica;
 /// recording each event would cost a look-up per event.
 constexpr base::duration contact_note_interval = std::chrono::milliseconds(100);
-/// Time after which a prompt at an engine with a backlog counts as stalled, as a multiple of its
-/// expected time to the first event. The wait saves long prompts a second prefill of the same
-/// tokens, which would not make the first event arrive sooner (docs/design/engines.md).
+/// Time after which a call at an engine that has other prompts to read first counts as stalled, as
+/// a multiple of the call's expected time to the first event. An earlier retry would make a second
+/// engine read a long prompt again, and the first event would not arrive sooner
+/// (docs/design/engines.md).
 constexpr double engine_stall_factor = 2;
 
-bool is_success(unsigned code) {
-  return code >= 200 && code < 300;
+bool is_success(unsigned http_status) {
+  return http_status >= 200 && http_status < 300;
 }
 
 } // namespace
 
 const replica_state* dispatcher::choose_replica(const active_request& request,
                                                 base::time_point now) {
-  return choose_replica_for(demand_of(request), now);
+  return choose_replica_for(requirements_of(request), now);
 }
 
-const replica_state* dispatcher::choose_replica_for(const replica_demand& demand,
+const replica_state* dispatcher::choose_replica_for(const replica_requirements& demand,
                                                     base::time_point now) {
   return is_engine(demand.service) ? engine_chooser_.choose(demand, now)
                                    : plain_chooser_.choose(demand, now);
@@ -85,7 +86,7 @@
     return;
   }
   if (request.graph && request.graph->has_missing_final_inputs()) {
-    // The results were freed after an earlier attempt, and are recomputed for this attempt.
+    // The stage results were freed after an earlier attempt, and are recomputed for this attempt.
     recompute_final_inputs(request, now);
     return;
   }
@@ -149,8 +150,8 @@
   // While reading from the replica is paused, missing progress says nothing about the replica.
   const bool is_read = !request.is_window_closed;
   if (is_read && timeout > base::duration::zero()) {
-    const bool is_plain = request.route->kind == model::route_kind::safe;
-    const double factor = is_plain ? plain_stall_fraction : 1.0;
+    const bool is_safe_route = request.route->kind == model::route_kind::safe;
+    const double factor = is_safe_route ? safe_route_stall_fraction : 1.0;
     request.call->stalls_at = now + std::chrono::duration_cast<base::duration>(timeout * factor);
   }
   schedule_check(request);
@@ -284,7 +285,7 @@
     commands_.emplace_back(end_stream{request.client, false});
   } else {
     commands_.emplace_back(respond{request.client, std::nullopt, answer.head.status,
-                                   answer.head.headers, answer.body, answer.held});
+                                   answer.head.headers, answer.body, answer.body_memory});
     counters_.first_byte.add(now - request.arrived_at);
   }
   finish(request, answer.head.status, "the replica's answer", now);
--- a/src/dispatch/dispatcher_residency.cc
+++ b/src/dispatch/dispatcher_residency.cc
@@ -1,5 +1,5 @@
-/// Residency of requests: refusal on arrival if the permitted regions cannot serve a request, and
-/// counts of calls by locality.
+/// Residency of requests (the regions in which they may run): refusal on arrival if no permitted
+/// region can serve a request, and counts of calls by the locality of their replica.
 #include "dispatch/dispatcher.h"
 #include "dispatch/dispatcher_constants.h"
 
@@ -44,8 +44,8 @@
   }
   ++counters_.refused_by_residency;
   record(base::event_kind::residency_refused, request, request.route->name, refusal->reason);
-  refuse(request.client, request.content->id, status::unavailable, refusal->reason,
-         refusal->is_temporary ? settings_.retry_after : base::duration{});
+  answer_with_error(request.client, request.content->id, status::unavailable, refusal->reason,
+                    refusal->is_temporary ? settings_.retry_after : base::duration{});
   finish(request, status::unavailable, refusal->reason, {});
   return true;
 }
--- a/src/dispatch/stop_plan.h
+++ b/src/dispatch/stop_plan.h
@@ -28,15 +28,16 @@
 /// Evaluates requests against the end of a graceful stop. Not thread-safe.
 class stop_plan {
  public:
-  explicit stop_plan(const stop_admission_windows& windows = {}) : windows_(windows) {}
+  explicit stop_plan(const stop_admission_windows& windows = {}) : admission_windows_(windows) {}
 
   /// Begins the stop.
   /// @param must_end_at time at which the requests that are still active are aborted.
   void begin(base::time_point now, base::time_point must_end_at);
   [[nodiscard]] bool has_begun() const { return times_.has_value(); }
 
-  /// @return whether a request that has just arrived is accepted: it arrived in the admission
-  ///         window for its kind of answer, and `may_send` permits it; true if no stop has begun.
+  /// @return whether a request that has just arrived is accepted: its kind (stream or not) is still
+  ///         accepted at this time of the stop, and `may_send` permits it; true if no stop has
+  ///         begun.
   [[nodiscard]] bool accepts(const remaining_work& work, base::time_point now) const;
   /// @return whether an accepted request may still be sent to a replica: it is expected to complete
   ///         before the stop ends, or its deadline is earlier than that; true if no stop has begun.
@@ -48,7 +49,7 @@
     base::time_point must_end_at;
   };
 
-  stop_admission_windows windows_;
+  stop_admission_windows admission_windows_;
   std::optional<stop_times> times_;
 };
 
--- a/src/engines/first_byte_model.cc
+++ b/src/engines/first_byte_model.cc
@@ -5,16 +5,16 @@
 namespace spurrack::serving {
 namespace {
 
-/// Expected time while too few calls were recorded.
+/// Expected time to the first byte until enough calls were recorded.
 constexpr base::duration default_first_byte_time = std::chrono::milliseconds(300);
-/// Factor on the weight of a call with each newer call: about the last fifty calls count.
+/// Factor by which each newer call reduces the weight of a call: about the last fifty calls matter.
 constexpr double decay_per_call = 0.98;
-/// Sum of the weights of calls from which on the regression is used.
+/// Sum of the weights of the recorded calls from which on the regression is used.
 constexpr double min_weight = 4;
 
 } // namespace
 
-void first_byte_model::note(std::uint32_t tokens, base::duration elapsed) {
+void first_byte_model::record_call(std::uint32_t tokens, base::duration elapsed) {
   for (auto* sum : {&weight_, &tokens_, &seconds_, &tokens_squared_, &tokens_by_seconds_}) {
     *sum *= decay_per_call;
   }
@@ -27,7 +27,7 @@
   tokens_by_seconds_ += length * seconds;
 }
 
-base::duration first_byte_model::expected(std::uint32_t tokens) const {
+base::duration first_byte_model::expected_time(std::uint32_t tokens) const {
   if (weight_ < min_weight) {
     return default_first_byte_time;
   }
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -41,19 +41,18 @@
 /// which clients are known to stop reading.
 constexpr std::chrono::seconds unread_timeout{15};
 /// Time after which the kernel closes the connection to a client that acknowledges no data or keeps
-/// its receive window closed; longer than `unread_timeout`, so that `unread_timeout` decides for
-/// clients that are reachable.
+/// its receive window closed; longer than `unread_timeout`, so that reachable clients are
+/// disconnected by `unread_timeout`.
 constexpr std::chrono::milliseconds tcp_user_timeout{16'000};
 /// Size of the kernel's send buffer of a connection (the kernel doubles it, for its bookkeeping):
-/// 50 ms of a link of 10 Mbit/s, so that one client that does not read fills neither the memory nor
-/// the link.
+/// the bytes that a network link of 10 Mbit/s transfers in 50 ms, so that one client that does not
+/// read fills neither the memory nor the network link.
 constexpr int send_buffer_bytes = 65'536;
 /// Maximum number of bytes of one write; other connections are served between two writes.
 constexpr std::size_t max_write_bytes = 16'384;
 /// Maximum time for which the rest of a body is read and discarded after a refusal: the time in
-/// which a link of 10 Mbit/s transfers 4 MB.
+/// which a network link of 10 Mbit/s transfers 4 MB.
 constexpr std::chrono::seconds discard_timeout{4};
-/// Value that replaces `discard_timeout` during a graceful stop.
 constexpr std::chrono::seconds discard_timeout_at_stop{1};
 /// Maximum number of bytes of headers and framing that are discarded after a refusal, in addition
 /// to the body.
@@ -64,9 +63,9 @@
 /// written to a replica.
 constexpr std::size_t body_copies = 2;
 /// Time for which a client must have read nothing before its answer may be aborted to free memory:
-/// longer than the pauses of links that lose packets.
+/// longer than the pauses in reading that lost packets cause.
 constexpr base::duration min_stall_duration = std::chrono::seconds(2);
-/// Minimum interval between two searches for the slowest clients, each of which checks all clients.
+/// Minimum interval between two searches for the slowest clients; a search checks all clients.
 constexpr base::duration min_relief_interval = std::chrono::milliseconds(100);
 /// Divisor of the byte budget: a search for the slowest clients frees at least the fraction 1 /
 /// `relief_divisor` of the budget, if the answers of slow clients hold as much.
@@ -79,15 +78,14 @@
 struct unwritten_bytes {
   std::string bytes;
   /// Memory reservation of the body of a complete answer; null for all other bytes.
-  std::shared_ptr<const serving::held_memory> held;
+  std::shared_ptr<const serving::memory_reservation> body_memory;
   /// Number of bytes reserved in `client_exchange::reservation`: the size of `bytes` if they are
   /// stream events, 0 otherwise.
   std::size_t reserved_bytes = 0;
   /// Number of bytes at the start of `bytes` that the socket already accepted, without blocking,
   /// before the rest was queued.
   std::size_t written_bytes = 0;
-  /// @return the bytes that are still to be written.
-  [[nodiscard]] std::string_view remaining() const {
+  [[nodiscard]] std::string_view remaining_bytes() const {
     return std::string_view(bytes).substr(written_bytes);
   }
 };
@@ -130,7 +128,7 @@
 /// Content of a request with the memory reservation of its body.
 struct content_with_memory {
   serving::request_content content;
-  flow::byte_reservation body;
+  flow::byte_reservation body_reservation;
 };
 
 /// Answer to a request that is refused before it reaches the serving path.
@@ -188,8 +186,8 @@
       return;
     }
     auto& client = *found->second;
-    if (command.own_answer_to) {
-      auto own_headers = codec_->own_answer_headers(*command.own_answer_to);
+    if (command.locally_answered_request) {
+      auto own_headers = codec_->local_answer_headers(*command.locally_answered_request);
       std::move(own_headers.begin(), own_headers.end(), std::back_inserter(command.headers));
     }
     client.connection = is_stopping_ ? after_answer::close : client.connection;
@@ -205,7 +203,7 @@
                                     client.connection),
                   nullptr});
     if (has_body(command.status) && !client.head_only && !command.body.empty()) {
-      push(client, {std::move(command.body), std::move(command.held)});
+      push(client, {std::move(command.body), std::move(command.body_memory)});
     }
   }
 
@@ -266,7 +264,7 @@
       return;
     }
     write_at_once(client, added);
-    const auto size = added.remaining().size();
+    const auto size = added.remaining_bytes().size();
     if (size > 0) {
       client.unwritten.push_back(std::move(added));
       report_window_change(client, client.window.add(size, resources_.budget->utilization(),
@@ -279,9 +277,9 @@
     }
   }
 
-  /// Writes as many bytes as the socket accepts without blocking, so that events for a client that
-  /// reads need neither a timer nor a wake-up of their own. Errors are ignored: the next
-  /// asynchronous write reports them.
+  /// Writes as many bytes as the socket accepts without blocking, so that an event needs neither a
+  /// timer nor a wake-up while its client keeps reading. Errors are ignored: the next asynchronous
+  /// write reports them.
   static void write_at_once(client_exchange& client, unwritten_bytes& added) {
     const bool is_idle = !client.is_writing && client.unwritten.empty();
     if (!is_idle || client.is_disconnected || added.bytes.empty() ||
@@ -294,8 +292,8 @@
                                                     reported_by_next_write);
   }
 
-  /// Queues events of a stream and reserves memory for them. Complete answers are not reserved
-  /// here: they have had a reservation since they were buffered.
+  /// Queues events of a stream and reserves memory for them. Memory of complete answers is not
+  /// reserved here: it was reserved when they were buffered.
   void push_events(client_exchange& client, std::string bytes) {
     const auto size = bytes.size();
     if (client.window.is_reading_ahead() &&
@@ -320,8 +318,8 @@
     observer_.on_window_change({client.id, is_open});
   }
 
-  /// Aborts an answer and returns its memory, except for the memory of bytes that are being
-  /// written, which is returned when the write ends.
+  /// Aborts an answer and releases its memory; the memory of bytes that are being written is
+  /// released when the write ends.
   void abort_answer(client_exchange& client, serving::disconnect_reason reason) {
     if (client.abort_reason) {
       return;
@@ -338,10 +336,10 @@
 
   /// Aborts answers of clients that have read nothing for `min_stall_duration`, in descending order
   /// of unread bytes times stall duration, until enough memory is freed.
-  /// @param use that lacks memory. For a stream event, which was already read from a replica, the
-  ///        answer of any stalled client may be aborted. For a complete answer, only answers with
-  ///        more unread bytes than two maximum windows are aborted.
-  /// @param bytes that `use` requests.
+  /// @param use purpose for which memory is lacking. For a stream event, which was already read
+  ///        from a replica, the answer to any stalled client may be aborted. For all other uses,
+  ///        only answers with more unread bytes than two maximum windows are aborted.
+  /// @param bytes number of bytes requested for `use`.
   void abort_slowest_readers(flow::byte_use use, std::size_t bytes) {
     const auto now = base::boot_clock::now();
     if (now < next_relief_at_) {
@@ -366,7 +364,7 @@
     std::sort(
         slow_readers.begin(), slow_readers.end(),
         [](const slow_reader& a, const slow_reader& b) { return a.byte_seconds > b.byte_seconds; });
-    // Frees more than is needed now, since each search checks all clients.
+    // Frees more than is requested, so that searches, which check all clients, stay rare.
     bytes = std::max(bytes, resources_.budget->capacity() / relief_divisor);
     std::size_t freed = 0;
     for (auto next = slow_readers.begin(); next != slow_readers.end() && freed < bytes; ++next) {
@@ -432,15 +430,15 @@
       }
     }
     const auto arrived_at = base::boot_clock::now();
-    flow::byte_reservation body(resources_.budget, flow::byte_holder::request_bodies);
-    bool has_memory = error || reserve_body(body, parser.content_length().value_or(0));
+    flow::byte_reservation body_reservation(resources_.budget, flow::byte_holder::request_bodies);
+    bool has_memory = error || reserve_body(body_reservation, parser.content_length().value_or(0));
     if (!error && has_memory && parser.get()[beast_http::field::expect] == "100-continue") {
       const std::string continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
       co_await asio::async_write(stream, asio::buffer(continue_response), await_into(error));
     }
     if (!error && has_memory) {
       const read_deadline deadline(stream, limits_.idle_timeout);
-      error = co_await read_body(stream, buffer, parser, body, has_memory);
+      error = co_await read_body(stream, buffer, parser, body_reservation, has_memory);
       if (deadline.has_passed()) {
         error = beast::error::timeout;
       }
@@ -463,7 +461,7 @@
     stream.expires_never();
     // The connection needs no buffer while it waits for the answer.
     buffer.shrink_to_fit();
-    co_return co_await answer(stream, parser, arrived_at, std::move(body));
+    co_return co_await answer(stream, parser, arrived_at, std::move(body_reservation));
   }
 
   /// Reserves memory for all copies of a body.
@@ -498,7 +496,8 @@
 
   asio::awaitable<bool> answer(beast::tcp_stream& stream,
                                beast_http::request_parser<beast_http::string_body>& parser,
-                               base::time_point arrived_at, flow::byte_reservation body) {
+                               base::time_point arrived_at,
+                               flow::byte_reservation body_reservation) {
     const auto client = next_client_++;
     auto exchange =
         std::make_shared<client_exchange>(*io_, client, stream.socket(), resources_.budget);
@@ -513,9 +512,9 @@
       co_return false;
     }
     exchanges_[client] = exchange;
-    body.move_to(flow::byte_holder::kept_bodies);
+    body_reservation.move_to(flow::byte_holder::kept_bodies);
     auto shared_content = std::make_shared<content_with_memory>(content_with_memory{
-        std::get<serving::request_content>(std::move(parsed)), std::move(body)});
+        std::get<serving::request_content>(std::move(parsed)), std::move(body_reservation)});
     // The memory stays reserved as long as any reference to the content exists.
     observer_.on_request(
         {client,
@@ -582,7 +581,7 @@
         const auto next = std::move(exchange.unwritten.front());
         exchange.unwritten.pop_front();
         exchange.is_writing = true;
-        const bool written = co_await write_in_parts(stream, exchange, next.remaining());
+        const bool written = co_await write_in_parts(stream, exchange, next.remaining_bytes());
         exchange.is_writing = false;
         exchange.reservation.shrink(next.reserved_bytes);
         if (!written) {
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -13,12 +13,12 @@
 /// Number of other members that are requested to probe a member that did not acknowledge the probe
 /// of this node.
 constexpr std::size_t indirect_probe_count = 2;
-/// Maximum number of member updates in a message up to which `piggyback` fills the message. If the
-/// message already contains this number or more, such as a large reply to a request for members,
-/// `piggyback` adds no updates.
+/// Number of member updates up to which `piggyback` fills a message. If the message already
+/// contains this number or more, such as a large reply to a request for members, `piggyback` adds
+/// none.
 constexpr std::size_t max_gossip_per_message = 6;
-/// Factor by which log2 of the number of members is multiplied. The product is the number of
-/// messages with which a member update is sent, as in SWIM.
+/// Number of messages that carry a member update, divided by log2 of the number of members, as in
+/// SWIM.
 constexpr unsigned gossip_multiplier = 3;
 /// Returns the precedence of a member state. If two reports on a member have the same incarnation,
 /// the state with the higher precedence replaces the other state.
@@ -62,7 +62,7 @@
   ++version_;
 }
 
-void membership::set_published(const catalog::machine_map& machines, base::time_point now) {
+void membership::set_published_nodes(const catalog::machine_map& machines, base::time_point now) {
   note_change();
   std::set<base::node_id> listed;
   for (const auto& [id, machine] : machines) {
@@ -80,27 +80,27 @@
     entry->second.address = machine->address;
     zones_by_address_[machine->address] = machine->zone;
   }
-  is_list_known_ = is_list_known_ || !machines.empty();
-  if (is_list_known_) {
+  has_published_list_ = has_published_list_ || !machines.empty();
+  if (has_published_list_) {
     std::erase_if(members_, [&](const auto& entry) { return !listed.contains(entry.first); });
   }
 }
 
-void membership::add_seed(const base::network_address& address) {
+void membership::add_gossip_seed(const base::network_address& address) {
   if (address != self_.address) {
-    seeds_.push_back(address);
+    gossip_seeds_.push_back(address);
   }
 }
 
-void membership::set_seeds(const std::vector<base::network_address>& addresses) {
-  seeds_.clear();
+void membership::set_gossip_seeds(const std::vector<base::network_address>& addresses) {
+  gossip_seeds_.clear();
   for (const auto& address : addresses) {
-    add_seed(address);
+    add_gossip_seed(address);
   }
 }
 
 bool membership::may_be_member(const base::node_id& node) const {
-  return !is_list_known_ || members_.contains(node);
+  return !has_published_list_ || members_.contains(node);
 }
 
 void membership::observe(const wire::envelope& message, base::time_point now) {
@@ -131,7 +131,7 @@
   }
   auto found = members_.find(node);
   if (found == members_.end()) {
-    if (is_list_known_ || update.state() != wire::ALIVE) {
+    if (has_published_list_ || update.state() != wire::ALIVE) {
       return;
     }
     member new_member;
@@ -178,7 +178,7 @@
     subject.state_since = now;
     observer_(subject);
   }
-  if (in_zone(subject)) {
+  if (is_in_own_zone(subject)) {
     gossip(subject);
   }
 }
@@ -242,13 +242,13 @@
   } else if (message.has_acknowledgement()) {
     const auto& body = message.acknowledgement();
     note_member_reply(body.sequence(), now);
-    const auto relayed = indirect_probes_.find(body.sequence());
-    if (relayed != indirect_probes_.end()) {
-      wire::outgoing reply{relayed->second.requester, {}};
+    const auto indirect = indirect_probes_.find(body.sequence());
+    if (indirect != indirect_probes_.end()) {
+      wire::outgoing reply{indirect->second.requester, {}};
       *reply.message.mutable_acknowledgement() = body;
-      reply.message.mutable_acknowledgement()->set_sequence(relayed->second.requester_sequence);
+      reply.message.mutable_acknowledgement()->set_sequence(indirect->second.requester_sequence);
       out.push_back(std::move(reply));
-      indirect_probes_.erase(relayed);
+      indirect_probes_.erase(indirect);
     } else if (probe_ && probe_->sequence == body.sequence()) {
       probe_.reset();
     }
@@ -262,7 +262,7 @@
     next_probe_at_ = now + settings_.probe_period;
     start_probe(now, out);
   }
-  if (!is_list_known_ || members_.empty()) {
+  if (!has_published_list_ || members_.empty()) {
     request_members(now, out);
   }
   if (now >= next_dead_probe_at_) {
@@ -279,7 +279,7 @@
   while (true) {
     if (probe_order_.empty()) {
       for (const auto& [node, other] : members_) {
-        if (in_zone(other) && other.state != wire::DEAD) {
+        if (is_in_own_zone(other) && other.state != wire::DEAD) {
           probe_order_.push_back(node);
         }
       }
@@ -363,7 +363,7 @@
 void membership::probe_dead_member(wire::outbox& out) {
   std::vector<const member*> dead;
   for (const auto& [node, other] : members_) {
-    if (in_zone(other) && other.state == wire::DEAD) {
+    if (is_in_own_zone(other) && other.state == wire::DEAD) {
       dead.push_back(&other);
     }
   }
@@ -389,7 +389,7 @@
     live_.emplace();
     live_->zone_nodes.push_back(self_.node);
     for (const auto& [node, other] : members_) {
-      if (!in_zone(other)) {
+      if (!is_in_own_zone(other)) {
         live_->remote[other.zone].push_back(node);
       } else if (other.state != wire::DEAD) {
         live_->peers.push_back(other);
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -7,20 +7,20 @@
 namespace {
 
 constexpr base::duration periodic_interval = std::chrono::milliseconds(100);
-/// Maximum interval between two events of a node that runs without interruption; a longer interval
-/// is a gap. Without a gap, a node processes an event at least every `periodic_interval`.
+/// Maximum interval between two events that is no gap: a node that runs without interruption
+/// processes an event at least every `periodic_interval`.
 constexpr base::duration max_regular_event_interval = 2 * periodic_interval;
-/// Maximum numbers of members of other zones that this node uses as replication peers at a time.
+/// Maximum numbers of members of other zones among the peers that `replication_peers` returns.
 /// Members in the region of this node are near; members in other regions are far, and traffic to
 /// far members is expensive.
 constexpr std::size_t max_near_replication_peers = 2;
 constexpr std::size_t max_far_replication_peers = 1;
-/// Maximum number of peers to which a resync request is sent at once. With 10 peers, one of the
-/// peers answers even if half of the fleet is starting, and a fleet that starts as a whole is not
-/// overloaded with requests.
+/// Maximum number of random peers to which a resync request is sent at once. With 10 peers, one
+/// answers even if half of the fleet is starting, and a fleet that starts as a whole is not
+/// overloaded.
 constexpr std::size_t max_resync_peers = 10;
 /// Maximum number of rounds, within one event, in which messages from this node to itself are
-/// processed. This limit prevents endless loops.
+/// processed; prevents endless loops.
 constexpr std::size_t max_loopback_rounds = 8;
 
 /// Copies the safety switches of a node to the settings of the guard and of routing.
@@ -88,7 +88,7 @@
           now),
       random_(&random), next_periodic_at_(now) {
   if (settings_.serving) {
-    peer_wait_fraction_ = random.unit();
+    peer_wait_fraction_ = random.next_fraction();
     const serving::fleet_peer self{settings_.self.node, settings_.self.zone, settings_.self.address,
                                    settings_.self.processor_share};
     serving_.emplace(self, *settings_.serving, random, settings_.self.process_start,
@@ -97,7 +97,7 @@
                             const std::string& detail) { record(kind, request, subject, detail); });
   }
   for (const auto& seed : settings_.seeds) {
-    membership_.add_seed(seed);
+    membership_.add_gossip_seed(seed);
   }
   record(base::event_kind::node_started, {}, settings_.self.node.text(), "");
 }
@@ -139,7 +139,7 @@
                   const std::string& subject, const std::string& detail) {
   base::event entry{clock_.next(last_event_at_), kind, request, subject, detail};
   if (settings_.serving) {
-    commands_.emplace_back(log_decision{entry});
+    commands_.emplace_back(log_event{entry});
   }
   events_.add(std::move(entry));
 }
@@ -147,8 +147,8 @@
 // --- suspension and readiness --------------------------------------------------------------------
 
 void node::detect_suspension(base::time_point now) {
-  // Requests may have waited in sockets during any gap, even if the gap is too short to count as a
-  // suspension. Therefore the time without new requests is counted anew from the end of each gap.
+  // Requests may have waited in sockets during a gap, even if the gap is too short to count as a
+  // suspension.
   if (now - last_event_at_ > max_regular_event_interval) {
     quiet_since_ = now;
   }
@@ -216,7 +216,7 @@
 
 void node::run_periodic(base::time_point now) {
   membership_.tick(now, outbox_);
-  update_sharing();
+  update_limit_sharing();
   update_serving_peers(now);
   executor_.retry_stalled_calls(now);
   read_services(now);
@@ -246,7 +246,7 @@
   return settings_.serving->regions.locality_between(settings_.self.zone, *zone);
 }
 
-void node::update_sharing() {
+void node::update_limit_sharing() {
   const auto nodes = membership_.live_zone_nodes();
   const auto own_entry = std::find(nodes.begin(), nodes.end(), settings_.self.node);
   backends_.set_sharing_nodes(static_cast<std::uint32_t>(nodes.size()),
@@ -286,10 +286,10 @@
     return;
   }
   seen_machine_changes_ = catalog_.machine_changes();
-  membership_.set_published(catalog_.machines(), now);
+  membership_.set_published_nodes(catalog_.machines(), now);
   backends_.update(catalog_.machines());
   guard_.update_node_list(catalog_.machines(), now);
-  update_sharing();
+  update_limit_sharing();
 }
 
 // --- back ends -----------------------------------------------------------------------------------
@@ -303,7 +303,7 @@
 }
 
 void node::on(const seeds_changed& input_event, base::time_point /*now*/) {
-  membership_.set_seeds(input_event.seeds);
+  membership_.set_gossip_seeds(input_event.seeds);
 }
 
 void node::on(const release_requested& input_event, base::time_point now) {
@@ -374,8 +374,8 @@
   if (is_stop_reported_) {
     return;
   }
-  const bool is_idle =
-      executor_.active() == 0 && guard_.pending() == 0 && (!serving_ || !serving_->is_busy());
+  const bool is_idle = executor_.active_requests() == 0 && guard_.pending_requests() == 0 &&
+                       (!serving_ || !serving_->is_busy());
   const bool is_quiet = now - quiet_since_ >= settings_.stop_linger_time ||
                         now - stop_started_at_ >= settings_.max_stop_linger_time;
   if ((is_idle && is_quiet) || must_abort_requests(now) || !settings_.switches.drain_before_stop) {
@@ -389,7 +389,7 @@
 }
 
 void node::abort_overdue_requests(base::time_point now) {
-  if (must_abort_requests(now) && serving_->active() > 0) {
+  if (must_abort_requests(now) && serving_->active_requests() > 0) {
     serving_->abort_all_requests(now);
     for (auto& queued : serving_->take_commands()) {
       commands_.emplace_back(std::move(queued));
@@ -431,9 +431,9 @@
     envelope.set_catalog_hash(hash);
     envelope.set_sender_is_ready(is_ready_);
     add_leave_notices(envelope);
-    const auto at = clock_.next(now);
-    envelope.mutable_sent_at()->set_wall_microseconds(at.wall_microseconds);
-    envelope.mutable_sent_at()->set_logical(at.logical);
+    const auto sent_at = clock_.next(now);
+    envelope.mutable_sent_at()->set_wall_microseconds(sent_at.wall_microseconds);
+    envelope.mutable_sent_at()->set_logical(sent_at.logical);
     if (message.to == settings_.self.address) {
       dispatch_message(envelope, now);
       continue;
--- a/src/publication/publication_client.h
+++ b/src/publication/publication_client.h
@@ -9,8 +9,9 @@
 
 namespace spurrack::publication {
 
-/// Callbacks, called on the thread of the io_context: exactly one of the two for each read, unless
-/// a later read of the same service cancels the read; `on_failure` also for a failed probe.
+/// Callbacks, called on the thread of the io_context. For each read exactly one of the two is
+/// called, unless a later read of the same service cancels the earlier read. A failed probe calls
+/// `on_failure`.
 struct read_observer {
   std::function<void(node::service_answered)> on_answer;
   std::function<void(node::service_failed)> on_failure;
@@ -24,8 +25,8 @@
   publication_client& operator=(const publication_client&) = delete;
   virtual ~publication_client() = default;
 
-  /// Begins a read. The service may hold the read, that is, delay its answer until it has a
-  /// revision later than `command.after` (long polling).
+  /// Begins a read. The service may hold the read, that is, delay its answer until the service has
+  /// a revision later than `command.after` (long polling).
   virtual void read(const node::read_service& command) = 0;
   /// Sends a small query to the service, to check that it still answers. Reports only a failure,
   /// with `on_failure`.
--- a/src/rate_limits/permit_issuer.h
+++ b/src/rate_limits/permit_issuer.h
@@ -1,4 +1,4 @@
-/// Issues permits for one limited replica, at the rate that it announces, to the nodes that query
+/// Issues permits for one limited replica, at the rate that it announces, to the nodes that ask for
 /// them. Since a single node issues permits for all sends of the fleet, the limit is not split into
 /// fixed shares, and one node may use all of it. No I/O.
 #pragma once
@@ -13,19 +13,18 @@
 
 namespace spurrack::rate_limits {
 
-/// Time after its receipt at which an unused permit expires: a node that accumulated permits would
-/// send a burst later.
+/// Time after which a received permit expires: a node that accumulated unused permits would send a
+/// burst later.
 inline constexpr base::duration permit_lifetime = std::chrono::milliseconds(200);
 /// Time after which an unanswered query expires and is sent again: the querying node may have
 /// stopped, or its requests may have gone to other replicas.
 inline constexpr base::duration query_lifetime = std::chrono::milliseconds(800);
 
-/// Query of a node for permits.
 struct permit_query {
   base::node_id node;
   /// Returned with the permits, so that the querying node can match them to the query.
   std::uint64_t number = 0;
-  /// Number of permits queried; 0 withdraws the earlier query of the node.
+  /// Number of permits requested; 0 withdraws the earlier query of the node.
   std::uint32_t count = 1;
   /// Whether requests wait at the node that cannot be sent to any other replica now.
   bool has_waiting_requests = false;
@@ -47,11 +46,9 @@
   /// Discards pending queries and accrued permits, and grants none for a while: the node was
   /// suspended, or has just become the issuer.
   void restart(base::time_point now);
-  /// Sets the rate at which permits accrue from now on.
-  /// @param per_second in permits per second.
+  /// Sets the rate, in permits per second, at which permits accrue from now on.
   void set_rate(double per_second, base::time_point now);
-  /// Records a query, which replaces the earlier query of the same node. A query for 0 permits
-  /// withdraws the earlier one.
+  /// Records a query, which replaces the earlier query of the same node.
   void record_query(permit_query query, base::time_point now);
   /// Grants the permits that are available to pending queries.
   std::map<base::node_id, permit_grant> issue(base::time_point now);
@@ -65,7 +62,6 @@
   };
   using query_queue = std::deque<pending_query>;
 
-  /// Adds the permits that have accrued up to `now`.
   void accrue(base::time_point now);
   /// Grants permits to the queries of a queue in round-robin order, one permit per turn.
   void grant_permits(query_queue& queue, std::map<base::node_id, permit_grant>& grants,
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -2,12 +2,11 @@
 /// locality: the single model of distance for plain calls, engines and stage work. No network I/O;
 /// regions come from the settings.
 ///
-/// Usage: get the locality of a zone from `locality_of` (between two other zones:
-/// `zone_regions::locality_between`), search the localities from near to far, and prefer a
-/// candidate in a farther locality only if the candidate is better by more than the cost of its
-/// locality: `load_cost` for choices between replicas by load, `cost_seconds` for choices by
-/// expected wait. A cost in seconds is the wait that is accepted to avoid the distance. In a fleet
-/// of one region no zone is `elsewhere`, and all choices are the same as without regions.
+/// Usage: search the localities from near to far, and prefer a candidate in a farther locality only
+/// if the candidate is better by more than the cost of its locality: `load_cost` for choices
+/// between replicas by load, `cost_seconds` for choices by expected wait. A cost in seconds is the
+/// wait that is accepted to avoid the distance. In a fleet of one region no zone is `elsewhere`,
+/// and all choices are the same as without regions.
 #pragma once
 
 #include "base/ids.h"
@@ -20,10 +19,9 @@
 /// Distance of zones from this node. Immutable.
 class distance {
  public:
-  /// @param own_zone zone of this node.
   distance(const base::zone_id& own_zone, const model::zone_regions& regions);
 
-  /// @return the locality of a zone as seen from this node.
+  /// The locality between two other zones is `zone_regions::locality_between`.
   [[nodiscard]] model::locality locality_of(const base::zone_id& zone) const;
 
   /// @return the load, relative to the slots, by which a replica in the locality must be less
@@ -32,13 +30,14 @@
   /// @return cost of transferring bytes to or from the locality, in seconds of waiting.
   [[nodiscard]] static double transfer_seconds(model::locality locality, double bytes);
   /// @param bytes bytes transferred to or from the locality.
-  /// @return cost of work in the locality in addition to its wait, in seconds of waiting.
+  /// @return cost of work in the locality in addition to the wait for a replica there, in seconds
+  ///         of waiting.
   [[nodiscard]] static double cost_seconds(model::locality locality, double bytes);
 
  private:
   /// Localities of the zones of this node's region. A hash map, because every choice looks up the
   /// zone of every replica of the service.
-  std::unordered_map<base::zone_id, model::locality> near_;
+  std::unordered_map<base::zone_id, model::locality> region_localities_;
 };
 
 } // namespace spurrack::serving
--- a/src/replicas/replica_backoff.h
+++ b/src/replicas/replica_backoff.h
@@ -1,5 +1,5 @@
 /// Backoff that a replica requested from this node (Retry-After) and the slow start after the
-/// backoff. No I/O.
+/// backoff, during which calls to the replica are limited. No I/O.
 ///
 /// Without a slow start, a replica that rejected requests would get all waiting requests at once
 /// when its backoff ends. Therefore the slow start begins with a single call, and each answer
@@ -18,13 +18,12 @@
 /// Duration of the slow start after a backoff.
 inline constexpr base::duration slow_start_duration = std::chrono::seconds(10);
 
-/// Latest backoff that one replica requested from this node, and the slow start after it. Not
-/// thread-safe.
+/// Latest backoff and slow start of one replica. Not thread-safe.
 class replica_backoff {
  public:
   /// Records that the replica requested a backoff in an answer received at `now`. A backoff that
-  /// would end before the backoff in effect is ignored; a backoff that is longer than any caller
-  /// waits is shortened.
+  /// would end before the backoff in effect is ignored; a backoff of more than two minutes, the
+  /// longest wait of any request, is shortened to two minutes.
   /// @param in_flight other calls of this node in flight at the replica.
   /// @return whether the backoff now ends later than before.
   bool note_requested(base::duration span, std::uint32_t in_flight, base::time_point now);
@@ -34,7 +33,6 @@
   [[nodiscard]] bool permits_call(std::uint32_t in_flight, base::time_point now) const;
   /// Records the head of an answer that requests no backoff.
   /// @param call_began_at time at which the answered call was made.
-  /// @param slots slots of the replica.
   void note_answer(base::time_point call_began_at, std::uint32_t slots);
   /// Records that the replica rejected a call without requesting a backoff: the slow start begins
   /// again with a single call.
--- a/src/replicas/replica_chooser.h
+++ b/src/replicas/replica_chooser.h
@@ -12,15 +12,15 @@
 
 namespace spurrack::serving {
 
-/// Requirements of a request on the replica that is to run it. Refers to objects of the request,
+/// What a request requires of the replica that is to run it. Refers to objects of the request,
 /// which must outlive this object.
-struct replica_demand {
+struct replica_requirements {
   const std::string& service;
   const request_content& content;
   /// Regions in which the request may run.
   const model::residency& permitted_regions;
   /// Replicas that must not be chosen because the request was already sent to them.
-  const std::set<base::replica_id>& excluded;
+  const std::set<base::replica_id>& excluded_replicas;
   /// Zone that stores the results that the request needs; null if it needs none.
   const base::zone_id* results_zone = nullptr;
   /// Whether the request is only planned: it is sent later, when the rate-limit permits that this
@@ -39,7 +39,7 @@
 
   /// @return the replica to call, owned by the replica table; null if no replica can accept the
   ///         request.
-  [[nodiscard]] virtual const replica_state* choose(const replica_demand& demand,
+  [[nodiscard]] virtual const replica_state* choose(const replica_requirements& demand,
                                                     base::time_point now) = 0;
 };
 
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -10,7 +10,7 @@
 constexpr base::duration connect_timeout = std::chrono::milliseconds(400);
 constexpr base::duration platform_delay = std::chrono::milliseconds(3);
 constexpr base::duration poll_interval = std::chrono::milliseconds(10);
-/// Number of bytes that TCP and ZeroMQ add to a message.
+/// Number of bytes that TCP and ZeroMQ add to each message.
 constexpr double transport_overhead_bytes = 80;
 constexpr std::uint64_t seed_stride = 0x9E3779B97F4A7C15;
 
@@ -71,7 +71,7 @@
   node_settings.self.zone = base::zone_id(instance.profile.zone);
   node_settings.self.address = base::network_address(name);
   node_settings.self.process_start = microseconds_of(now());
-  node_settings.self.processor_share = static_cast<float>(instance.profile.processor_share);
+  node_settings.self.processor_share = static_cast<float>(instance.profile.processor_cores);
   for (const auto& seed : settings_.seeds) {
     node_settings.seeds.emplace_back(seed);
   }
@@ -99,8 +99,8 @@
     return;
   }
   instance.is_alive = false;
-  earlier_control_totals_.messages_sent += instance.logic->control().messages_sent;
-  earlier_control_totals_.bytes_sent += instance.logic->control().bytes_sent;
+  earlier_control_totals_.messages_sent += instance.logic->message_counters().messages_sent;
+  earlier_control_totals_.bytes_sent += instance.logic->message_counters().bytes_sent;
   for (auto& [id, record] : callers_) {
     record.is_connection_lost =
         record.is_connection_lost || (record.node == name && record.answer_count == 0);
@@ -247,8 +247,8 @@
   auto totals = earlier_control_totals_;
   for (const auto& [name, instance] : nodes_) {
     if (instance.is_alive) {
-      totals.messages_sent += instance.logic->control().messages_sent;
-      totals.bytes_sent += instance.logic->control().bytes_sent;
+      totals.messages_sent += instance.logic->message_counters().messages_sent;
+      totals.bytes_sent += instance.logic->message_counters().bytes_sent;
     }
   }
   return totals;
@@ -269,7 +269,7 @@
 
 base::duration fleet_simulation::network_delay() {
   return settings_.network.delay +
-         base::from_seconds(base::to_seconds(settings_.network.jitter) * random_.unit());
+         base::from_seconds(base::to_seconds(settings_.network.jitter) * random_.next_fraction());
 }
 
 base::duration fleet_simulation::delay_between(const std::string& zone,
@@ -282,7 +282,7 @@
 
 void fleet_simulation::send_message(node_instance& sender, wire::outgoing& message) {
   const auto found = nodes_.find(message.to.text());
-  if (found == nodes_.end() || random_.unit() < settings_.network.loss_probability) {
+  if (found == nodes_.end() || random_.next_fraction() < settings_.network.loss_probability) {
     return;
   }
   const auto message_bytes = message.message.ByteSizeLong();
@@ -330,11 +330,11 @@
   const auto incarnation = instance.incarnation;
   const auto is_reachable = [this, name] { return can_reach_platform(nodes_.at(name)); };
   const auto source = static_cast<std::size_t>(request.source);
-  const auto read_number = ++instance.reads[source];
+  const auto read_number = ++instance.service_reads_started[source];
   // Answers to earlier reads of the source are ignored, as in the client of the store that the
   // daemon uses.
   const auto is_latest = [this, name, source, read_number] {
-    return nodes_.at(name).reads[source] == read_number;
+    return nodes_.at(name).service_reads_started[source] == read_number;
   };
   const auto fail_after = [=, this](base::duration delay) {
     events_.schedule_after(delay, [=, this] {
@@ -465,7 +465,7 @@
                            [this, open] { end_call(open, execution::call_status::never_sent); });
     return;
   }
-  // Connecting takes one round trip; then the adapter writes the request.
+  // Connecting takes one round trip; then the node writes the request to the connection.
   events_.schedule_after(network_delay() + network_delay(), [this, open] {
     run_at_node(open->node, open->incarnation, [this, open] { write_call(open); });
   });
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -15,9 +15,9 @@
 /// Time after its first send within which a request may be sent again.
 constexpr base::duration resend_window = std::chrono::milliseconds(2500);
 constexpr base::duration request_deadline = std::chrono::milliseconds(1000);
-/// Probability, per step, that a caller without a certain answer sends its request again.
+/// Probability, per step, that a request that ended without the outcome `completed` is sent again.
 constexpr double resend_probability = 0.5;
-/// Probability, per step, that a request is sent again without need.
+/// Probability, per step, that any other request is sent again, as a duplicate.
 constexpr double duplicate_probability = 0.15;
 constexpr const char* answer_template = R"(name: answer
 deadline_ms: 1000
@@ -32,16 +32,16 @@
   - {name: notice, kind: call, pool: payouts, repeatable: false}
 )";
 
-/// Request with an idempotency key or ticket, which may be sent again.
+/// Request that may be sent again because it has an idempotency key or a ticket.
 struct resendable_request {
   execution::caller_request request;
   /// Idempotency key or ticket of the request; empty if the request has neither.
-  std::string effect;
+  std::string key_or_ticket;
   base::time_point first_sent_at;
   base::caller_id last_caller = 0;
 };
 
-/// One run: load with faults, then the end of all faults, then the final checks.
+/// One run of the simulation: load with faults, then the end of all faults, then the final checks.
 class fault_run {
  public:
   explicit fault_run(const run_options& options)
@@ -90,7 +90,7 @@
     if (has_load) {
       constexpr double fault_probability = 0.06;
       for (const auto kind : report_.faults) {
-        if (random_.unit() < fault_probability) {
+        if (random_.next_fraction() < fault_probability) {
           inject(kind);
         }
       }
@@ -137,7 +137,7 @@
     request.input = "r" + std::to_string(++sent_requests_);
     request.deadline = request_deadline;
     constexpr double payout_fraction = 0.5;
-    if (random_.unit() > payout_fraction) {
+    if (random_.next_fraction() > payout_fraction) {
       request.pipeline = base::template_id("answer");
       request.stream = random_.below(2) == 0;
       checker_.add_expectation(fleet_.send(pick_node(), request), *answer_, "");
@@ -145,27 +145,27 @@
     }
     request.pipeline = base::template_id("payout");
     const auto guard_kind = random_.below(3);
-    std::string effect;
+    std::string key_or_ticket;
     if (guard_kind == 0) {
       request.idempotency_key = "key" + std::to_string(sent_requests_);
-      effect = request.idempotency_key;
+      key_or_ticket = request.idempotency_key;
     } else if (guard_kind == 1) {
       request.ticket = fleet_.request_ticket(pick_node(), example_token_hash);
-      effect = request.ticket;
+      key_or_ticket = request.ticket;
     }
-    send_payout({request, effect, fleet_.now(), 0});
+    send_payout({request, key_or_ticket, fleet_.now(), 0});
   }
 
   void send_payout(resendable_request resendable) {
     resendable.last_caller = fleet_.send(pick_node(), resendable.request);
-    checker_.add_expectation(resendable.last_caller, *payout_, resendable.effect);
-    if (!resendable.effect.empty()) {
+    checker_.add_expectation(resendable.last_caller, *payout_, resendable.key_or_ticket);
+    if (!resendable.key_or_ticket.empty()) {
       resendable_requests_.push_back(std::move(resendable));
     }
   }
 
-  /// Sends requests that received no certain answer again, to a random node. Sends some other
-  /// requests twice to inject duplicates.
+  /// Sends some of the requests that ended without the outcome `completed` again, to random nodes,
+  /// and some of the other requests as duplicates.
   void resend_due_requests() {
     auto pending = std::exchange(resendable_requests_, {});
     for (auto& resendable : pending) {
@@ -176,8 +176,8 @@
       const bool is_certain = record.answer && record.answer->outcome == model::outcome::completed;
       const bool has_ended = record.answer || record.is_connection_lost;
       const bool should_resend =
-          (has_ended && !is_certain && random_.unit() < resend_probability) ||
-          random_.unit() < duplicate_probability;
+          (has_ended && !is_certain && random_.next_fraction() < resend_probability) ||
+          random_.next_fraction() < duplicate_probability;
       if (should_resend) {
         send_payout(std::move(resendable));
       } else {
@@ -203,7 +203,7 @@
   void inject(fault_kind kind) {
     switch (kind) {
     case fault_kind::message_loss:
-      fleet_.set_loss_probability(random_.unit() * 0.2);
+      fleet_.set_loss_probability(random_.next_fraction() * 0.2);
       break;
     case fault_kind::zone_cut:
     case fault_kind::zone_cut_from_platform: {
@@ -232,8 +232,8 @@
     }
     case fault_kind::bad_answers: {
       auto& faults = fleet_.backend(pick_backend()).faults();
-      faults.misdirected_answer_probability = random_.unit() * 0.3;
-      faults.truncated_answer_probability = random_.unit() * 0.3;
+      faults.misdirected_answer_probability = random_.next_fraction() * 0.3;
+      faults.truncated_answer_probability = random_.next_fraction() * 0.3;
       break;
     }
     default:
@@ -403,7 +403,7 @@
       ", templates: {answer: {}, payout: {}}}";
   settings.node.guard.key_lifetime = key_lifetime;
   settings.node.guard.ticket_lifetime = std::chrono::seconds(5);
-  settings.node.guard.list_window = std::chrono::seconds(30);
+  settings.node.guard.replaced_list_lifetime = std::chrono::seconds(30);
   settings.node.resync_timeout = std::chrono::milliseconds(500);
   settings.node.event_log_capacity = 20'000;
   settings.node.switches = options.switches;
--- a/src/stage_work/stage_graph.cc
+++ b/src/stage_work/stage_graph.cc
@@ -95,8 +95,8 @@
   return piece.is_submitted && piece.handle.empty();
 }
 
-void stage_graph::forget_result(std::uint32_t stage, piece_state& piece,
-                                std::vector<std::string>& obsolete) {
+void stage_graph::schedule_recomputation(std::uint32_t stage, piece_state& piece,
+                                         std::vector<std::string>& obsolete) {
   if (!piece.is_freed) {
     obsolete.push_back(piece.handle);
   }
@@ -107,7 +107,7 @@
         candidate = {};
       }
       if (depends_on(stage, other) && candidate.is_freed) {
-        forget_result(other, candidate, obsolete);
+        schedule_recomputation(other, candidate, obsolete);
       }
     }
   }
@@ -120,8 +120,8 @@
     return !piece.handle.empty() &&
            (piece.is_freed || piece.is_lost || is_result_lost(piece.handle));
   };
-  // Only the first recomputation is limited to results that are known to be lost: if results are
-  // missing again, that was not enough, and all results are recomputed.
+  // Only the first recomputation is limited to results that are known to be lost. If results are
+  // missing again, more were lost than is known, and all results of the stages are recomputed.
   const bool has_suspects =
       recomputations_ == 0 && std::any_of(stages.begin(), stages.end(), [&](auto stage) {
         return std::any_of(stages_[stage].begin(), stages_[stage].end(), is_suspect);
@@ -131,7 +131,7 @@
   for (const auto stage : stages) {
     for (auto& piece : stages_[stage]) {
       if (!piece.handle.empty() && (!has_suspects || is_suspect(piece))) {
-        forget_result(stage, piece, obsolete);
+        schedule_recomputation(stage, piece, obsolete);
       }
     }
   }
@@ -245,13 +245,13 @@
   return longest;
 }
 
-base::duration
-stage_graph::time_from(std::uint32_t stage,
-                       const std::function<base::duration(std::uint32_t stage)>& stage_time) const {
+base::duration stage_graph::time_from_start_of(
+    std::uint32_t stage,
+    const std::function<base::duration(std::uint32_t stage)>& stage_time) const {
   base::duration longest{};
   for (std::uint32_t consumer = 0; consumer < stages_.size(); ++consumer) {
     if (depends_on(consumer, stage)) {
-      longest = std::max(longest, time_from(consumer, stage_time));
+      longest = std::max(longest, time_from_start_of(consumer, stage_time));
     }
   }
   return stage_time(stage) + longest;
--- a/src/stage_work/stage_pool_limits.h
+++ b/src/stage_work/stage_pool_limits.h
@@ -14,8 +14,8 @@
 /// Fraction of a replica's result memory that may be filled with results; the rest is a margin,
 /// because the sizes of results are approximate.
 inline constexpr double usable_memory_share = 0.95;
-/// Fraction of a replica's result memory: a replica with less free memory is not expected to accept
-/// the next call.
+/// Fraction of a replica's result memory. A replica with less free memory is short of memory: it is
+/// not expected to accept another call within the duration of a call with a full batch.
 inline constexpr double low_memory_share = 0.2;
 /// Slowdown (time of a call divided by its published time) from which a replica counts as slow: it
 /// receives no piece that would become past due in the additional time of its calls.
@@ -31,7 +31,8 @@
 
 /// @return published duration of a call with `size` pieces at a healthy replica.
 inline base::duration nominal_call_time(const model::piece_capacity& capacity, std::size_t size) {
-  return std::chrono::duration_cast<base::duration>(capacity.call_time + capacity.item_time * size);
+  return std::chrono::duration_cast<base::duration>(capacity.call_time +
+                                                    capacity.piece_time * size);
 }
 
 } // namespace spurrack::serving
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -16,10 +16,10 @@
 namespace spurrack::serving {
 
 /// Publishes routes `/safe/`, `/unsafe/`, `/stream/`, `/fixed/` (a stream that cannot be resumed)
-/// and `/staged/` on host `h`, with two replicas of every service in zones a and b.
-class published_world {
+/// and `/staged/` on host `h`, with two replicas of every service, one in zone a and one in zone b.
+class published_catalog {
  public:
-  published_world() {
+  published_catalog() {
     auto& llm = add_service("llm");
     llm.mutable_engine()->set_slots(8);
     add_service("plain");
@@ -99,7 +99,7 @@
     put(std::string(model::replica_prefix) + id, replica.SerializeAsString(), false);
   }
 
-  /// Publishes an incarnation of a replica; a start of 0 leaves the start unset.
+  /// Publishes an incarnation of a replica; without a start time if `started_at_milliseconds` is 0.
   void add_incarnation(const std::string& id, const std::string& service, const std::string& zone,
                        const std::string& address, std::uint64_t started_at_milliseconds,
                        std::uint32_t cold_milliseconds = 0) {
@@ -114,7 +114,7 @@
     put(std::string(model::replica_prefix) + id, replica.SerializeAsString(), false);
   }
 
-  /// Overwrites the entry of a replica with a malformed record, as another writer may do.
+  /// Overwrites the entry of a replica with a malformed record, as another process may do.
   void write_malformed(const std::string& id) {
     wire::published_replica replica;
     replica.set_id(id);
@@ -152,23 +152,23 @@
   unsigned addresses_ = 1;
 };
 
-/// Drives one dispatcher and keeps its commands.
+/// Delivers events to one dispatcher and keeps its commands.
 class dispatcher_driver {
  public:
   explicit dispatcher_driver(const serving_settings& settings = {})
       : random(1),
         subject({base::node_id("n"), base::zone_id("a"), base::network_address("n:1")}, settings,
                 random, 1, [](auto, const auto&, const auto&, const auto&) {}) {
-    subject.update(world.content, now);
+    subject.update(published.content, now);
   }
 
-  /// Delivers a request to the dispatcher and collects the resulting commands.
-  void arrive(base::caller_id client, const std::string& path,
-              std::vector<std::uint32_t> pieces = {}) {
+  /// Delivers a request to the dispatcher.
+  void send_request(base::caller_id client, const std::string& path,
+                    std::vector<std::uint32_t> pieces = {}) {
     auto content = content_for(client, path);
     content->pieces = std::move(pieces);
     content->piece_key = "pk";
-    happen(request_arrived{client, content, now});
+    deliver(request_arrived{client, content, now});
   }
 
   /// @return request content for a path, which the test may change before the request arrives.
@@ -184,7 +184,7 @@
     return content;
   }
 
-  void happen(const event& input_event) {
+  void deliver(const event& input_event) {
     subject.handle(input_event, now);
     subject.advance(now);
     collect_commands();
@@ -193,15 +193,15 @@
   /// Delivers a self-report of a replica from the head of its answer to a call of any kind.
   void deliver_self_report(base::call_id call, const replica_self_report& report) {
     const auto& sent = made_calls_.at(call);
-    happen(self_report_received{sent.replica, sent.at, report});
+    deliver(self_report_received{sent.replica, sent.at, report});
   }
   /// Delivers a whole answer to a call together with a self-report of its replica.
   void answer(base::call_id call, const replica_self_report& report, const answer_head& head) {
     deliver_self_report(call, report);
-    happen(call_answered{call, head, ""});
+    deliver(call_answered{call, head, ""});
   }
 
-  void pass(base::duration span) {
+  void advance_time(base::duration span) {
     constexpr base::duration step = std::chrono::milliseconds(5);
     const auto end = now + span;
     while (now < end) {
@@ -211,7 +211,7 @@
     }
   }
 
-  /// @return commands of one type so far, oldest first.
+  /// @return commands of one type that the dispatcher has given so far, oldest first.
   template <typename command_type>
   std::vector<command_type> all() const {
     std::vector<command_type> found;
@@ -241,7 +241,7 @@
       } else if (const auto* pieces = std::get_if<start_stage_call>(&command)) {
         called.push_back(pieces->target.replica);
       } else if (const auto* freed = std::get_if<free_results>(&command)) {
-        called.push_back(freed->maker.replica);
+        called.push_back(freed->producer.replica);
       }
     }
     return called;
@@ -260,7 +260,7 @@
     return head;
   }
 
-  published_world world;
+  published_catalog published;
   base::seeded_random random;
   dispatcher subject;
   base::time_point now{std::chrono::hours(1)};
--- a/tests/engines/engine_directory_test.cc
+++ b/tests/engines/engine_directory_test.cc
@@ -135,7 +135,7 @@
   BOOST_TEST((fleet.wait_at(1, fleet.engine("engine-3")) == milliseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(accounting_moves_to_another_node_if_its_node_is_dead) {
+BOOST_AUTO_TEST_CASE(accounting_moves_to_another_node_if_the_accounting_node_is_dead) {
   directory_fleet fleet(9);
   const auto& busy = fleet.engine("engine-3");
   for (std::size_t dead_node = 0; dead_node < 9; ++dead_node) {
@@ -199,7 +199,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_wait_keeps_prompts_in_the_zone_of_their_stage_results) {
+BOOST_AUTO_TEST_CASE(prompts_that_avoid_a_wait_stay_in_the_zone_of_their_stage_results) {
   directory_fleet fleet(1);
   const distance from_here(fleet.peers[0].zone, two_regions_of_zones());
   least_loaded_chooser fallback(fleet.table.replicas, from_here, fleet.table.random);
@@ -212,7 +212,7 @@
     content.model = "m";
     content.prompt_parts = {{"part" + std::to_string(part), 400}, {"own", 20'000}};
     content.prompt_tokens = 20'400;
-    const replica_demand demand{service, content, everywhere, fleet.no_replicas};
+    const replica_requirements demand{service, content, everywhere, fleet.no_replicas};
     const auto* planned_engine = chooser.choose(demand, fleet.table.now);
     // Other prompts at the first engine make it cheaper to prefill the prefix at another one.
     fleet.nodes[0]->note_sent(*planned_engine, sent_prompt_of(content), fleet.table.now);
@@ -224,7 +224,7 @@
   BOOST_TEST(moved == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(a_hot_prefix_gets_more_engines_alike_on_all_nodes) {
+BOOST_AUTO_TEST_CASE(all_nodes_send_a_hot_prefix_to_the_same_three_or_four_engines) {
   directory_fleet fleet(20);
   request_content content;
   content.model = "m";
@@ -232,7 +232,7 @@
   content.prompt_tokens = 2'400;
   const std::string service = "llm";
   const auto everywhere = model::residency::everywhere();
-  const replica_demand demand{service, content, everywhere, fleet.no_replicas};
+  const replica_requirements demand{service, content, everywhere, fleet.no_replicas};
   std::vector<std::unique_ptr<least_loaded_chooser>> fallbacks;
   std::vector<std::unique_ptr<engine_chooser>> choosers;
   for (std::size_t node = 0; node < fleet.nodes.size(); ++node) {
--- a/tests/node/watch_handover_test.cc
+++ b/tests/node/watch_handover_test.cc
@@ -1,6 +1,7 @@
-/// Handover of the watch of a platform service: another node, which cannot read the service,
-/// requests the node to watch it instead.
-#include "driven_node.h"
+/// Handover of the watch of a platform service: a node that cannot read the service asks this node
+/// to watch the service instead. Guards against messages that name an unknown service or would let
+/// a watch be handed over without end.
+#include "node_driver.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,8 +14,8 @@
 
 namespace {
 
-/// Ready node that gets no answers to its reads after its start.
-struct substitute_node : driven_node {
+/// Ready node whose further reads get no answers.
+struct substitute_node : node_driver {
   substitute_node() {
     node::service_answered replicas;
     replicas.source = node::source_kind::machine_list;
@@ -24,14 +25,14 @@
     commands.clear();
   }
   /// Delivers a handover from a peer.
-  void hand_over(std::uint32_t source, std::uint32_t handovers) {
+  void deliver_handover(std::uint32_t source, std::uint32_t handovers_left) {
     node::peer_message handover;
     handover.message.set_sender("other");
     handover.message.set_sender_zone("a");
     handover.message.set_sender_address("other:1");
     auto& body = *handover.message.mutable_watch_handover();
     body.set_source(source);
-    body.set_handovers_left(handovers);
+    body.set_handovers_left(handovers_left);
     deliver(handover);
   }
   /// @return number of handovers that this node sent to further nodes.
@@ -51,15 +52,15 @@
   substitute_node node;
   BOOST_REQUIRE(node.subject.is_ready());
   for (const std::uint32_t source : {2U, 1'000U, std::numeric_limits<std::uint32_t>::max()}) {
-    node.hand_over(source, 1);
+    node.deliver_handover(source, 1);
   }
   BOOST_TEST(node.subject.is_ready());
 }
 
-BOOST_AUTO_TEST_CASE(the_number_of_handovers_left_is_limited) {
+BOOST_AUTO_TEST_CASE(an_excessive_number_of_handovers_left_from_a_peer_is_limited) {
   substitute_node node;
   for (int attempt = 0; attempt < 100; ++attempt) {
-    node.hand_over(0, std::numeric_limits<std::uint32_t>::max());
+    node.deliver_handover(0, std::numeric_limits<std::uint32_t>::max());
     node.deliver(node::service_failed{node::source_kind::configuration});
   }
   // Each handover leads to at most one further handover.
--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -18,7 +18,6 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Parameters of a simulated fleet.
 struct crash_fleet_settings {
   /// Seed of all random choices.
   std::uint64_t seed = 1;
@@ -30,22 +29,23 @@
   /// under a new id.
   bool keeps_ids_on_restart = false;
   quarantine_limits limits = {};
-  /// Emulates a policy without quarantine: nodes refuse all requests for this time after two
-  /// replicas have crashed within it; 0 to disable the policy.
+  /// Emulates a policy without quarantine: nodes refuse all requests while the latest two crashes
+  /// of replicas are both more recent than this time; 0 to disable the policy.
   base::duration route_pause{};
 };
 
-/// Outcomes of the attempts of a client to send one request.
+/// Number of attempts of clients to send one request, by outcome.
 struct attempt_counts {
   std::size_t attempts = 0;
   std::size_t served = 0;
-  /// Answered with 503, so that the request was not run.
+  /// Attempts that were answered with 503, so that the request was not run.
   std::size_t refused = 0;
-  /// Answered with another status, or with a stream that was cut.
+  /// Attempts that were answered with a status other than 200 or 503, or with a stream that was
+  /// cut.
   std::size_t failed = 0;
-  /// Refused because the request is quarantined.
+  /// Attempts that were refused because the request is quarantined.
   std::size_t quarantined = 0;
-  /// Refused because the request is quarantined, with a Retry-After header.
+  /// Quarantined attempts whose refusal has a Retry-After header.
   std::size_t quarantined_with_retry_after = 0;
 };
 
@@ -53,7 +53,7 @@
   explicit crash_fleet(const crash_fleet_settings& initial = {})
       : settings(initial), random(initial.seed) {
     for (const std::string id : {"llm-a", "llm-b", "pool-a", "pool-b"}) {
-      world.remove_replica(id);
+      published.remove_replica(id);
     }
     for (unsigned index = 0; index < settings.replicas + settings.stage_replicas; ++index) {
       replicas.push_back({});
@@ -80,14 +80,14 @@
     node.subject =
         std::make_unique<dispatcher>(peer_number(index), limits, *node.random, node.incarnation,
                                      [](auto, const auto&, const auto&, const auto&) {});
-    node.subject->update(world.content, now);
+    node.subject->update(published.content, now);
     for (std::size_t other = 0; other < nodes.size(); ++other) {
       update_peers(other);
     }
   }
 
   /// Sends a request to a node. @return id of the client.
-  base::caller_id arrive(std::size_t node, const std::string& path, const std::string& body) {
+  base::caller_id send_request(std::size_t node, const std::string& path, const std::string& body) {
     auto content = std::make_shared<request_content>();
     content->method = "POST";
     content->host = "h";
@@ -115,11 +115,11 @@
     return requests;
   }
 
-  /// Sends the same request to random nodes every 100 to 500 ms, for `span`.
+  /// Sends the same request to a random node every 100 to 500 ms, for `span`.
   void send_repeatedly(const std::string& path, const std::string& body, base::duration span) {
     const auto end = now + span;
     while (now < end) {
-      arrive(random.below(nodes.size()), path, body);
+      send_request(random.below(nodes.size()), path, body);
       run(milliseconds(100 + random.below(400)));
     }
   }
@@ -150,12 +150,12 @@
     }
     const base::replica_id id = replica.id;
     if (!settings.keeps_ids_on_restart) {
-      later(milliseconds(1800), [this, id] {
-        world.remove_replica(id.text());
+      schedule(milliseconds(1800), [this, id] {
+        published.remove_replica(id.text());
         publish();
       });
     }
-    later(milliseconds(1500 + random.below(500)), [this, index] { start_replica(index); });
+    schedule(milliseconds(1500 + random.below(500)), [this, index] { start_replica(index); });
   }
 
   /// Resets all connections to a replica, which keeps running.
@@ -165,11 +165,10 @@
     }
   }
 
-  /// @return the index of a random replica.
   unsigned random_replica() { return static_cast<unsigned>(random.below(replicas.size())); }
 
-  /// @return bodies of the requests that any node refused because they were quarantined.
-  [[nodiscard]] std::set<std::string> quarantined() const {
+  /// @return bodies of the requests of which any node refused an attempt because of quarantine.
+  [[nodiscard]] std::set<std::string> quarantined_bodies() const {
     std::set<std::string> found;
     for (const auto& [body, count] : counts) {
       if (count.quarantined > 0) {
@@ -182,7 +181,7 @@
   [[nodiscard]] dispatcher& node(std::size_t index) { return *nodes[index].subject; }
 
   /// @return number of times that a request reached a replica later than `span` after the third
-  ///         exit under this request.
+  ///         exit under it; 0 if there were fewer exits.
   [[nodiscard]] std::size_t sends_after_third_exit(const std::string& body,
                                                    base::duration span) const {
     const auto exits = exits_under.find(body);
@@ -190,13 +189,13 @@
       return 0;
     }
     const auto since = exits->second[2] + span;
-    const auto& sent = reached.at(body);
+    const auto& sent = replica_arrivals.at(body);
     return static_cast<std::size_t>(
         std::count_if(sent.begin(), sent.end(), [&](auto at) { return at > since; }));
   }
 
   crash_fleet_settings settings;
-  published_world world;
+  published_catalog published;
   base::seeded_random random;
   /// Bodies of requests that crash each replica which runs them.
   std::set<std::string> crashing_bodies;
@@ -214,8 +213,8 @@
   /// Times at which replicas crashed under a request, by its body.
   std::map<std::string, std::vector<base::time_point>> exits_under;
   /// Times at which a request reached replicas, by its body.
-  std::map<std::string, std::vector<base::time_point>> reached;
-  /// Outcomes by body of the request.
+  std::map<std::string, std::vector<base::time_point>> replica_arrivals;
+  /// Outcomes of attempts, by body of the request.
   std::map<std::string, attempt_counts> counts;
   /// Nodes that neither send nor receive messages.
   std::set<std::size_t> partitioned;
@@ -234,7 +233,7 @@
     std::unique_ptr<base::seeded_random> random;
     std::unique_ptr<dispatcher> subject;
     base::incarnation incarnation = 0;
-    /// Calls in flight, with whether the head of the stream has arrived.
+    /// Calls in flight; the value is whether the head of the stream has arrived.
     std::map<base::call_id, bool> calls;
     std::set<base::call_id> stage_calls;
   };
@@ -264,7 +263,7 @@
 
   void publish() {
     for (auto& node : nodes) {
-      node.subject->update(world.content, now);
+      node.subject->update(published.content, now);
     }
   }
 
@@ -277,14 +276,15 @@
     const auto id =
         settings.keeps_ids_on_restart ? name : name + "-" + std::to_string(replica.incarnation);
     replica.id = base::replica_id(id);
-    world.add_incarnation(id, replica.service, index % 2 == 0 ? "a" : "b", replica.address,
-                          settings.keeps_ids_on_restart ? 1000 + replica.incarnation : 0);
+    published.add_incarnation(id, replica.service, index % 2 == 0 ? "a" : "b", replica.address,
+                              settings.keeps_ids_on_restart ? 1000 + replica.incarnation : 0);
     publish();
   }
 
   void send_harmless_requests() {
     if (harmless_per_second > 0 && random.below(1000) < harmless_per_second) {
-      arrive(random.below(nodes.size()), harmless_path, "innocent-" + std::to_string(requests + 1));
+      send_request(random.below(nodes.size()), harmless_path,
+                   "innocent-" + std::to_string(requests + 1));
     }
   }
 
@@ -295,7 +295,7 @@
       std::visit([&](const auto& typed_command) { execute(index, typed_command); }, command);
     }
     for (auto& message : node.subject->take_messages()) {
-      later(milliseconds(2), [this, index, message] { deliver(index, message); });
+      schedule(milliseconds(2), [this, index, message] { deliver(index, message); });
     }
   }
 
@@ -304,7 +304,7 @@
 
   void execute(std::size_t node, const start_call& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, command] {
+    schedule(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation == incarnation) {
         reach_replica(node, command);
       }
@@ -314,7 +314,7 @@
 
   void execute(std::size_t node, const start_stage_call& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, command] {
+    schedule(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation == incarnation) {
         reach_stage_replica(node, command);
       }
@@ -336,12 +336,12 @@
       called_bodies.insert(bodies_by_id.at(item.request));
     }
     for (const auto& body : called_bodies) {
-      reached[body].push_back(now);
+      replica_arrivals[body].push_back(now);
       if (bodies_crashing_in_stages.contains(body)) {
         schedule_crash(index, body);
       }
     }
-    later(milliseconds(200), [this, index, key, count = command.items.size()] {
+    schedule(milliseconds(200), [this, index, key, count = command.items.size()] {
       if (replicas[index].calls.erase(key) > 0) {
         end_stage_call(key, stage_call_ended::result::answered, count);
       }
@@ -364,7 +364,7 @@
   /// Crashes a replica after 20 to 120 ms, unless its current incarnation exits earlier.
   void schedule_crash(unsigned index, const std::string& body) {
     const auto incarnation = replicas[index].incarnation;
-    later(milliseconds(20 + random.below(100)), [this, index, incarnation, body] {
+    schedule(milliseconds(20 + random.below(100)), [this, index, incarnation, body] {
       if (replicas[index].is_up && replicas[index].incarnation == incarnation) {
         exits_under[body].push_back(now);
         crash(index);
@@ -382,7 +382,7 @@
 
   void execute(std::size_t node, const probe_replica& command) {
     const auto incarnation = nodes[node].incarnation;
-    later(milliseconds(1), [this, node, incarnation, command] {
+    schedule(milliseconds(1), [this, node, incarnation, command] {
       if (nodes[node].incarnation != incarnation) {
         return;
       }
@@ -427,8 +427,8 @@
     if (!clients_retry || crashing_bodies.contains(body) || counts[body].attempts >= max_attempts) {
       return;
     }
-    later(milliseconds(50 + random.below(200)), [this, body, path = paths.at(client)] {
-      arrive(random.below(nodes.size()), path, body);
+    schedule(milliseconds(50 + random.below(200)), [this, body, path = paths.at(client)] {
+      send_request(random.below(nodes.size()), path, body);
     });
   }
 
@@ -459,12 +459,12 @@
       return;
     }
     const auto& body = command.content->body;
-    reached[body].push_back(now);
+    replica_arrivals[body].push_back(now);
     const std::pair key{node, command.call};
     replica->calls.insert(key);
     const auto index = static_cast<unsigned>(replica - replicas.data());
-    later(milliseconds(50 + random.below(100)),
-          [this, index, key, body] { begin_run(index, key, body); });
+    schedule(milliseconds(50 + random.below(100)),
+             [this, index, key, body] { begin_run(index, key, body); });
   }
 
   void begin_run(unsigned index, std::pair<std::size_t, base::call_id> key,
@@ -479,7 +479,7 @@
       schedule_crash(index, body);
       return;
     }
-    later(milliseconds(300 + random.below(900)), [this, index, key] { end_run(index, key); });
+    schedule(milliseconds(300 + random.below(900)), [this, index, key] { end_run(index, key); });
   }
 
   void end_run(unsigned index, std::pair<std::size_t, base::call_id> key) {
@@ -515,12 +515,13 @@
       const bool is_lost = sent.message.has_crash_news() && (nodes_of_older_build.contains(from) ||
                                                              nodes_of_older_build.contains(index));
       if (peer_number(index).address == sent.to && is_reached && !is_lost) {
-        deliver_to(*nodes[index].subject, sender, sent.message);
+        handle_message(*nodes[index].subject, sender, sent.message);
       }
     }
   }
 
-  void deliver_to(dispatcher& receiver, const fleet_peer& sender, const wire::envelope& message) {
+  void handle_message(dispatcher& receiver, const fleet_peer& sender,
+                      const wire::envelope& message) {
     if (message.has_stage_work()) {
       receiver.handle_peer(sender.node, message.stage_work(), now);
     } else if (message.has_engine_news()) {
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -1,7 +1,7 @@
 /// Simulated fleet of dispatchers and replicas in virtual time. The replicas report their own state
-/// in their answers: the requests per second that they accept, that they drain, and a backoff.
-/// Requests are counted as they arrive at each replica: from all nodes, and from nodes that had
-/// received such an answer.
+/// in their answers: the requests per second that they accept, whether they drain, and a requested
+/// backoff. Requests are counted as they arrive at each replica: from all nodes, and from nodes
+/// that had received such an answer.
 #pragma once
 
 #include "serving_fixture.h"
@@ -31,11 +31,10 @@
   base::duration message_delay = milliseconds(2);
   /// Fraction of the messages between nodes that are lost.
   double message_loss_rate = 0;
-  /// Step of the virtual time.
   base::duration step = milliseconds(1);
 };
 
-/// Number of requests sent, and of their outcomes.
+/// Number of requests that clients sent, in total and by outcome.
 struct request_counts {
   std::size_t sent = 0;
   std::size_t served = 0;
@@ -49,7 +48,7 @@
     base::time_point at;
     base::time_point sent_at;
     std::size_t node = 0;
-    /// Whether the node had received an answer with the limit half a second before or earlier.
+    /// Whether the node had received an answer with the limit at least half a second before.
     bool node_knows_limit = false;
   };
   struct emulated_replica {
@@ -65,11 +64,11 @@
     base::time_point refuses_until;
     /// Backoff that its refusals request.
     base::duration requested_backoff{};
-    /// Backoff that a node was requested, from the time at which the node received the answer.
+    /// Backoff that this replica requested of a node; begins when the node receives the request.
     struct backoff_request {
       std::size_t node = 0;
-      base::time_point from;
-      base::time_point until;
+      base::time_point begins_at;
+      base::time_point ends_at;
     };
     std::vector<backoff_request> requested_backoffs;
     /// Time at which each node first received an answer that announced the draining.
@@ -93,7 +92,7 @@
   explicit limited_fleet(const limited_fleet_settings& initial = {})
       : settings(initial), random(initial.seed) {
     for (const std::string id : {"llm-a", "llm-b", "pool-a", "pool-b", "plain-a", "plain-b"}) {
-      world.remove_replica(id);
+      published.remove_replica(id);
     }
     for (unsigned index = 0; index < settings.replicas; ++index) {
       replicas.push_back({});
@@ -117,11 +116,11 @@
   void publish(unsigned index) {
     const auto& replica = replicas[index];
     const std::string zone(1, static_cast<char>('a' + index % settings.zones));
-    world.add_incarnation(replica.id.text(), "plain", zone, replica.address,
-                          1000 + replica.incarnation);
+    published.add_incarnation(replica.id.text(), "plain", zone, replica.address,
+                              1000 + replica.incarnation);
   }
 
-  /// Restarts a replica under its id. It announces nothing afterwards.
+  /// Restarts a replica under its id. The new incarnation has no limit and does not drain.
   void restart_replica(unsigned index) {
     auto& replica = replicas[index];
     ++replica.incarnation;
@@ -136,7 +135,7 @@
 
   void update_nodes() {
     for (auto& node : nodes) {
-      node.subject->update(world.content, now);
+      node.subject->update(published.content, now);
       node.wakeup_at = now;
     }
   }
@@ -144,7 +143,7 @@
   /// Has the answers of a replica announce from now on that it drains.
   void begin_draining(unsigned index) { replicas[index].is_draining = true; }
 
-  /// Has a replica refuse all requests for `span`, and request a backoff of each node.
+  /// Has a replica refuse all requests for `span`, and request a backoff with each refusal.
   void refuse_requests(unsigned index, base::duration span, base::duration requested_backoff) {
     replicas[index].refuses_until = now + span;
     replicas[index].requested_backoff = requested_backoff;
@@ -181,8 +180,8 @@
           return std::any_of(replica.requested_backoffs.begin(), replica.requested_backoffs.end(),
                              [&](const auto& backoff) {
                                return backoff.node == request.node &&
-                                      backoff.from < request.sent_at &&
-                                      request.sent_at < backoff.until;
+                                      backoff.begins_at < request.sent_at &&
+                                      request.sent_at < backoff.ends_at;
                              });
         }));
   }
@@ -199,7 +198,7 @@
     const auto incarnation = static_cast<base::incarnation>(now.time_since_epoch().count());
     node.subject = std::make_unique<dispatcher>(peer_of(index), limits, *node.random, incarnation,
                                                 [](auto, const auto&, const auto&, const auto&) {});
-    node.subject->update(world.content, now);
+    node.subject->update(published.content, now);
     node.wakeup_at = now;
     for (auto& replica : replicas) {
       replica.limit_announced_at.erase(index);
@@ -212,8 +211,8 @@
     }
   }
 
-  /// Partitions the fleet: a node reaches the nodes for which `part` returns the same value; the
-  /// others are known to it and considered dead.
+  /// Partitions the fleet: a node reaches the nodes for which `part` returns the same value, and
+  /// knows the other nodes but considers them dead.
   void partition(std::function<std::size_t(std::size_t)> part) {
     partition_of = std::move(part);
     for (std::size_t index = 0; index < nodes.size(); ++index) {
@@ -243,24 +242,24 @@
     }
   }
 
-  /// Sends requests to the nodes that `choose_node` returns, `per_second` of them on average.
-  void load(double per_second, base::duration span,
-            const std::function<std::size_t()>& choose_node) {
+  /// Sends `per_second` requests on average, for `span`, to the nodes that `choose_node` returns.
+  void send_requests(double per_second, base::duration span,
+                     const std::function<std::size_t()>& choose_node) {
     const auto end = now + span;
     double due = 0;
     while (now < end) {
-      due += per_second * base::to_seconds(settings.step) * 2 * random.unit();
+      due += per_second * base::to_seconds(settings.step) * 2 * random.next_fraction();
       for (; due >= 1; due -= 1) {
-        arrive(choose_node());
+        send_request(choose_node());
       }
       step();
     }
   }
-  void load(double per_second, base::duration span) {
-    load(per_second, span, [this] { return random.below(nodes.size()); });
+  void send_requests(double per_second, base::duration span) {
+    send_requests(per_second, span, [this] { return random.below(nodes.size()); });
   }
 
-  void arrive(std::size_t index) {
+  void send_request(std::size_t index) {
     auto& node = nodes[index];
     auto content = std::make_shared<request_content>();
     content->method = "POST";
@@ -309,8 +308,9 @@
     node.wakeup_at = now;
   }
 
-  /// Returns the maximum number of requests in any span of `length` that ends after `since`, from
-  /// nodes that knew the limit, or from all nodes.
+  /// Returns the maximum number of requests that a replica got in any span of `length` that ends
+  /// after `since`.
+  /// @param only_knowing_nodes whether only requests of nodes that knew the limit are counted.
   [[nodiscard]] std::size_t max_arrivals_within(unsigned index, base::duration length,
                                                 base::time_point since,
                                                 bool only_knowing_nodes) const {
@@ -333,21 +333,21 @@
     return most;
   }
 
-  [[nodiscard]] std::size_t arrived_since(unsigned index, base::time_point since) const {
+  [[nodiscard]] std::size_t arrivals_since(unsigned index, base::time_point since) const {
     const auto& all = replicas[index].arrivals;
     return static_cast<std::size_t>(std::count_if(
         all.begin(), all.end(), [&](const auto& arrival) { return arrival.at >= since; }));
   }
 
   limited_fleet_settings settings;
-  published_world world;
+  published_catalog published;
   base::seeded_random random;
   std::vector<emulated_replica> replicas;
   std::vector<emulated_node> nodes;
   request_counts counts;
   std::function<std::size_t(std::size_t)> partition_of = [](std::size_t) { return 0; };
-  /// Values of Retry-After in refusals of the nodes.
-  std::vector<base::duration> return_times;
+  /// Values of Retry-After in the nodes' refusals to clients.
+  std::vector<base::duration> retry_after_values;
 
  private:
   void advance(std::size_t index) {
@@ -359,10 +359,10 @@
     for (auto& message : node.subject->take_messages()) {
       ++node.messages;
       node.message_bytes += message.message.ByteSizeLong();
-      if (random.unit() < settings.message_loss_rate) {
+      if (random.next_fraction() < settings.message_loss_rate) {
         continue;
       }
-      later(settings.message_delay, [this, index, message] { deliver(index, message); });
+      schedule(settings.message_delay, [this, index, message] { deliver(index, message); });
     }
     const auto next = node.subject->next_wakeup(now);
     node.wakeup_at =
@@ -375,7 +375,7 @@
   void execute(std::size_t index, const start_call& command) {
     const auto incarnation = nodes[index].incarnation;
     nodes[index].calls[command.call] = now;
-    later(milliseconds(1), [this, index, incarnation, command, sent_at = now] {
+    schedule(milliseconds(1), [this, index, incarnation, command, sent_at = now] {
       if (nodes[index].incarnation == incarnation) {
         receive_call(index, command, sent_at);
       }
@@ -390,7 +390,7 @@
     const auto is_retry_after = [](const header& field) { return field.name == "Retry-After"; };
     const auto field = std::find_if(answer.headers.begin(), answer.headers.end(), is_retry_after);
     if (answer.status == 503 && field != answer.headers.end()) {
-      return_times.push_back(base::from_seconds(std::stod(field->value)));
+      retry_after_values.push_back(base::from_seconds(std::stod(field->value)));
     }
     if (answer.status == 200) {
       ++counts.served;
@@ -414,7 +414,7 @@
     const auto incarnation = nodes[index].incarnation;
     const bool is_refused = now < replica.refuses_until;
     const auto work = milliseconds(is_refused ? 1 : 20 + random.below(60));
-    later(work, [this, index, incarnation, replica_index, is_refused, call = command.call] {
+    schedule(work, [this, index, incarnation, replica_index, is_refused, call = command.call] {
       answer_call(index, incarnation, replica_index, call, is_refused);
     });
   }
@@ -428,7 +428,7 @@
     self_report.limit.per_second = replica.limit;
     self_report.is_draining = replica.is_draining;
     if (is_refused) {
-      self_report.backoff.span = replica.requested_backoff;
+      self_report.backoff.duration = replica.requested_backoff;
     }
     const auto apply_answer = [this, index, incarnation, replica_index, call, head, self_report] {
       auto& node = nodes[index];
@@ -443,9 +443,9 @@
       if (self_report.is_draining) {
         replicas[replica_index].drain_announced_at.try_emplace(index, now);
       }
-      if (self_report.backoff.span) {
+      if (self_report.backoff.duration) {
         replicas[replica_index].requested_backoffs.push_back(
-            {index, now, now + *self_report.backoff.span});
+            {index, now, now + *self_report.backoff.duration});
       }
       node.subject->handle(self_report_received{replicas[replica_index].id, began, self_report},
                            now);
--- a/tests/replicas/distance_test.cc
+++ b/tests/replicas/distance_test.cc
@@ -85,7 +85,7 @@
     content.model = "m";
     content.prompt_parts = {{prefix, prefix_tokens}, {"own", 10}};
     content.prompt_tokens = prefix_tokens + 10;
-    const replica_demand demand{service_name, content, allowed, excluded};
+    const replica_requirements demand{service_name, content, allowed, excluded};
     return policy.choose(demand, now);
   }
 
@@ -113,7 +113,7 @@
 
 BOOST_AUTO_TEST_SUITE(distance_test)
 
-BOOST_AUTO_TEST_CASE(locality_follows_zones_and_regions) {
+BOOST_AUTO_TEST_CASE(locality_is_same_zone_same_region_or_elsewhere) {
   const distance from_a(base::zone_id("a"), two_regions());
   BOOST_TEST((from_a.locality_of(base::zone_id("a")) == locality::zone));
   BOOST_TEST((from_a.locality_of(base::zone_id("b")) == locality::region));
@@ -144,7 +144,7 @@
   BOOST_TEST(fixture.preferred_zones() == (text_set{"a", "b"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_long_shared_prefix_has_one_preferred_engine_in_the_fleet) {
+BOOST_AUTO_TEST_CASE(a_long_shared_prefix_prefers_engines_of_all_permitted_regions) {
   constexpr std::uint32_t long_prefix = 13'000;
   chooser_fixture fixture(two_regions());
   BOOST_TEST(fixture.preferred_zones(long_prefix) == (text_set{"a", "b", "c", "d"}),
@@ -215,8 +215,7 @@
   BOOST_TEST(two_regions().region_of(preferred->record->zone)->text() == "south");
 }
 
-/// Expected choices in a fleet of one region, in which only this node's zone differs from all other
-/// zones.
+/// Expected choices in a fleet of one region: all zones except this node's have the same cost.
 struct single_region_rule {
   static double cost_of(const replica_state& state) {
     constexpr double other_zone = 0.5;
@@ -235,7 +234,7 @@
   }
 
   /// @return the preferred engine of a shared prefix; null if the load of all engines is at or
-  ///         above the bound.
+  ///         above `load_bound`.
   static const replica_state* preferred_engine_of(const chooser_fixture& fixture,
                                                   const std::string& prefix) {
     constexpr double load_bound = 0.6;
--- a/tests/replicas/region_spill_test.cc
+++ b/tests/replicas/region_spill_test.cc
@@ -1,6 +1,6 @@
-/// Spillover between three regions. The callers know the loads of the replicas late and differ in
-/// what they know. Checks how many calls leave a region, and whether these calls overload one
-/// region or come in bursts.
+/// Spillover between three regions. The nodes that send calls (callers) learn the loads of the
+/// replicas late, and not all callers know the same loads. Checks how many calls leave a region,
+/// and whether these calls overload another region or come in bursts.
 #include "replicas/distance.h"
 #include "replicas/least_loaded_chooser.h"
 
@@ -93,7 +93,9 @@
 
 struct spillover_figures {
   std::uint64_t calls = 0;
+  /// Number of calls to a region other than that of the caller.
   std::uint64_t elsewhere = 0;
+  /// Sum of the times for which calls waited at the replicas.
   double wait_seconds = 0;
   /// Calls from region 0 to other regions, by window of a quarter of a second.
   std::map<std::int64_t, double> spilled;
@@ -152,7 +154,7 @@
     }
   }
 
-  /// @return the figures of the span.
+  /// @return the figures of only this span.
   spillover_figures run_for(base::duration span) {
     figures_ = {};
     for (auto& [id, replica] : simulated_replicas_) {
@@ -177,7 +179,7 @@
   /// Sets the evacuated zones at each caller, at a random time within the next second.
   void spread_evacuation(const std::set<base::zone_id>& evacuated) {
     for (auto& sender : callers_) {
-      at(now_ + base::from_seconds(draws_.unit()),
+      at(now_ + base::from_seconds(draws_.next_fraction()),
          [this, &sender, evacuated] { sender->replicas.set_evacuated(evacuated, now_); });
     }
   }
@@ -198,7 +200,7 @@
 
   void schedule_arrival(int region, const std::array<double, region_count>& loads) {
     const double rate = loads[static_cast<std::size_t>(region)] * region_capacity;
-    const auto gap = base::from_seconds(-std::log(1 - draws_.unit()) / rate);
+    const auto gap = base::from_seconds(-std::log(1 - draws_.next_fraction()) / rate);
     at(now_ + gap, [this, region, loads] {
       const auto& near = in_region_[static_cast<std::size_t>(region)];
       send(near[draws_.below(near.size())]);
@@ -307,8 +309,7 @@
 
 BOOST_AUTO_TEST_CASE(an_overloaded_region_spills_over_its_excess_without_bursts) {
   // A third of the calls that arrive in the first region exceed its capacity: 0.22 of all calls.
-  // These calls must leave the region neither all at once nor to the same replica, whatever each
-  // caller has observed.
+  // The callers must send these calls to other regions neither all at once nor to the same replica.
   constexpr double min_elsewhere = 0.15;
   constexpr double max_elsewhere = 0.3;
   constexpr double max_mean_wait = 0.12;
--- a/tests/simulation/evacuation_spread_test.cc
+++ b/tests/simulation/evacuation_spread_test.cc
@@ -1,5 +1,6 @@
-/// Time from the publication of an evacuation until the evacuation takes effect at all nodes of a
-/// fleet: with and without access to the store, at the start of a node and after a partition.
+/// Simulated fleets: time from the publication of the evacuation of a zone until all nodes apply
+/// the evacuation, with and without access to the store, at the start of a node and after a
+/// partition.
 #include "regional_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Maximum time from the publication of an evacuation until it takes effect at all nodes.
+/// Maximum time from the publication of an evacuation until all nodes apply it.
 constexpr base::duration max_spread_time = seconds(1);
 const std::string key = std::string(model::evacuation_prefix) + "z1";
 
@@ -23,13 +24,13 @@
   return record.SerializeAsString();
 }
 
-/// @return whether all nodes run and the catalog of each node shows the zone `z1` as evacuated; as
-///         not evacuated if `evacuated` is false.
+/// @return whether all nodes run and the zone `z1` is evacuated in the catalog of each node; not
+///         evacuated if `evacuated` is false.
 bool all_have_evacuation_state(const fleet_simulation& fleet, bool evacuated) {
   for (const auto& name : fleet.node_names()) {
     const bool has_expected_state =
-        fleet.is_alive(name) &&
-        fleet.node(name).content().evacuated_zones().contains(base::zone_id("z1")) == evacuated;
+        fleet.is_alive(name) && fleet.node(name).published_catalog().evacuated_zones().contains(
+                                    base::zone_id("z1")) == evacuated;
     if (!has_expected_state) {
       return false;
     }
@@ -74,8 +75,9 @@
   fleet.start_node("node-5");
   // A node becomes ready only after it has the evacuations that are in effect.
   BOOST_TEST(fleet.run_until([&] { return fleet.node("node-5").is_ready(); }, seconds(5)));
-  BOOST_TEST(fleet.node("node-5").content().evacuated_zones().contains(base::zone_id("z1")));
-  BOOST_TEST(fleet.node("node-2").content().evacuated_zones().empty());
+  BOOST_TEST(
+      fleet.node("node-5").published_catalog().evacuated_zones().contains(base::zone_id("z1")));
+  BOOST_TEST(fleet.node("node-2").published_catalog().evacuated_zones().empty());
   fleet.heal_zone("z2");
   BOOST_TEST(fleet.run_until([&] { return all_have_evacuation_state(fleet, true); }, seconds(4)));
 }
--- a/tests/simulation/large_catalog_test.cc
+++ b/tests/simulation/large_catalog_test.cc
@@ -1,5 +1,5 @@
-/// Number of bytes that the nodes of a fleet send to each other to distribute a catalog of up to
-/// 1,000 replicas: after the start of the fleet, and after all nodes exited at once and were
+/// Simulated fleets: number of bytes that nodes send to each other to distribute a catalog of up to
+/// 1,000 replicas, after the start of the fleet, and after all nodes exited at once and were
 /// started again.
 #include "catalog/entry_packing.h"
 #include "serving_fleet.h"
@@ -61,7 +61,7 @@
   const auto names = fleet.node_names();
   const auto size = static_cast<double>(names.size());
   for (const auto& name : names) {
-    const auto& control = fleet.node(name).control();
+    const auto& control = fleet.node(name).message_counters();
     const auto bytes = static_cast<double>(catalog_bytes(control));
     traffic.mean += bytes / size;
     traffic.max = std::max(traffic.max, bytes);
@@ -77,19 +77,20 @@
 double whole_catalog_bytes(const fleet_simulation& fleet) {
   wire::catalog_push message;
   catalog::pack_entries(
-      fleet.node("node-0").content().entries_in(catalog::catalog::bucket_set().set()), message);
+      fleet.node("node-0").published_catalog().entries_in(catalog::catalog::bucket_set().set()),
+      message);
   return static_cast<double>(message.ByteSizeLong());
 }
 
-/// Maximum number of bytes that a node sends to distribute the catalog, as a multiple of the size
-/// of the whole catalog; mean over all nodes.
+/// Maximum of the mean, over all nodes, of the bytes that a node sends to distribute the catalog,
+/// as a multiple of the size of the whole catalog.
 constexpr double max_mean_catalogs_sent = 2.5;
-/// Maximum number of bytes that a single node sends to distribute the catalog, as a multiple of the
+/// Maximum of the bytes that a single node sends to distribute the catalog, as a multiple of the
 /// size of the whole catalog. Higher than the mean because all other nodes request the catalog from
 /// the nodes that received it first.
 constexpr double max_catalogs_sent = 40;
-/// Maximum number of bytes that a node sends to compare its catalog with the catalogs of other
-/// nodes, in addition to the bytes of entries. A comparison has two kilobytes.
+/// Maximum number of bytes that a node sends, besides entries, to compare its catalog with the
+/// catalogs of other nodes. One comparison takes two kilobytes.
 constexpr double comparison_bytes = 10'000;
 
 void check_traffic(const fleet_simulation& fleet, const std::string& label) {
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -1,5 +1,5 @@
-/// Number of reads that a fleet in one region sends to the platform's store, and time until changes
-/// reach all nodes while only some nodes have access to the store.
+/// Simulated fleets in one region: number of reads that a fleet sends to the platform's store, and
+/// time until changes reach all nodes while only some nodes have access to the store.
 #include "serving_fleet.h"
 
 #include "node/node_roles.h"
@@ -36,7 +36,7 @@
   return settings;
 }
 
-/// @return number of reads of the store in 48 s without changes.
+/// @return number of reads that a fleet sends to the store in 48 s without changes.
 std::uint64_t idle_calls(int nodes, int zones) {
   fleet_simulation fleet(region_settings(nodes, zones));
   fleet.start_all_nodes();
@@ -59,7 +59,7 @@
   return fleet.run_until(
       [&] {
         return std::all_of(names.begin(), names.end(), [&](const auto& name) {
-          const auto configuration = fleet.node(name).content().serving();
+          const auto configuration = fleet.node(name).published_catalog().serving();
           return configuration != nullptr && configuration->version >= version;
         });
       },
--- a/tests/stage_work/piece_residency_test.cc
+++ b/tests/stage_work/piece_residency_test.cc
@@ -24,7 +24,7 @@
       : exchange_fleet(node_count, zone_count, residency_settings()) {
     for (const auto& zone : residency_zones) {
       for (int index = 0; index < replicas_per_zone; ++index) {
-        world.add_replica("pool-" + zone + "-" + std::to_string(index), "pool", zone);
+        published.add_replica("pool-" + zone + "-" + std::to_string(index), "pool", zone);
       }
     }
     apply_published();
@@ -34,9 +34,9 @@
   /// Applies the published replicas, evacuations and services at every node.
   void apply_published() {
     for (auto& node : nodes) {
-      node->replicas.update(world.content.replicas(), now);
-      node->replicas.set_evacuated(world.content.evacuated_zones(), now);
-      node->subject.set_configuration(world.content.serving());
+      node->replicas.update(published.content.replicas(), now);
+      node->replicas.set_evacuated(published.content.evacuated_zones(), now);
+      node->subject.set_configuration(published.content.serving());
     }
   }
 
@@ -53,10 +53,10 @@
         pool(
             replicas, residency_settings(), [this] { return next_call++; },
             [](auto, const auto&, const auto&, const auto&) {}) {
-    world.remove_replica("pool-b");
-    world.add_replica("pool-e", "pool", "e");
-    replicas.update(world.content.replicas(), {});
-    pool.set_configuration(world.content.serving());
+    published.remove_replica("pool-b");
+    published.add_replica("pool-e", "pool", "e");
+    replicas.update(published.content.replicas(), {});
+    pool.set_configuration(published.content.serving());
   }
 
   /// Submits a piece with preferred zone `a`; all pieces belong to one request.
@@ -86,7 +86,7 @@
     return zones;
   }
 
-  published_world world;
+  published_catalog published;
   base::seeded_random random;
   replica_table replicas;
   base::call_id next_call = 1;
@@ -138,8 +138,8 @@
     static const std::vector<text_set> sets{{"north"}, {"south"}, {"west"}, {"north", "west"}};
     const auto set = random_.below(sets.size() + 1);
     const auto allowed = set == sets.size() ? model::residency{} : within(sets[set]);
-    // A client may use a request id again after its residency rules changed; here the residency is
-    // part of the id, so that `check` finds the residency of each piece.
+    // A client may reuse a request id after the residency rules of its tenant changed. Here the
+    // residency is part of the id, so that `check` finds the residency of each piece.
     const auto name = "r" + std::to_string(random_.below(4)) + "-" + std::to_string(set);
     residency_by_request_[name] = allowed;
     auto& origin = *nodes[random_.below(nodes.size())];
@@ -151,10 +151,10 @@
   void change_evacuation() {
     const auto zone = random_zone();
     if (evacuated_.erase(zone) > 0) {
-      world.end_evacuation(zone);
+      published.end_evacuation(zone);
     } else {
       evacuated_.insert(zone);
-      world.evacuate(zone);
+      published.evacuate(zone);
     }
     apply_published();
   }
@@ -163,9 +163,9 @@
     const auto zone = random_zone();
     const auto name = "pool-" + zone + "-" + std::to_string(random_.below(2));
     if (random_.below(2) == 0) {
-      world.remove_replica(name);
+      published.remove_replica(name);
     } else {
-      world.add_replica(name, "pool", zone, random_.below(4) == 0);
+      published.add_replica(name, "pool", zone, random_.below(4) == 0);
     }
     apply_published();
   }
@@ -192,7 +192,7 @@
     constexpr std::array<how, 6> outcomes{how::answered, how::answered, how::answered,
                                           how::refused,  how::failed,   how::not_sent};
     stage_call_ended ended{call.call, outcomes[random_.below(outcomes.size())], {}};
-    if (ended.how == how::answered) {
+    if (ended.outcome == how::answered) {
       for (std::size_t index = 0; index < call.items.size(); ++index) {
         const bool fails = random_.below(6) == 0;
         ended.pieces.push_back(
@@ -224,7 +224,7 @@
   BOOST_TEST((text_set{"c", "d"}).contains(zone));
 }
 
-BOOST_FIXTURE_TEST_CASE(pieces_of_one_request_with_different_residencies_are_separate,
+BOOST_FIXTURE_TEST_CASE(pieces_of_one_request_with_different_residencies_run_in_different_zones,
                         restricted_pool) {
   submit(model::residency{});
   submit(within({"west"}));
@@ -237,12 +237,12 @@
 BOOST_FIXTURE_TEST_CASE(piece_does_not_wait_for_a_zone_that_is_not_permitted, restricted_pool) {
   submit(model::residency{});
   submit(within({"west"}));
-  // Zone `a` is the preferred zone of both pieces, and the bytes to transfer to another zone are
-  // worth a wait for the replica of zone `a`. The second piece may not run there.
+  // Zone `a` is the preferred zone of both pieces, and the transfer of their bytes to another zone
+  // costs more than a short wait for the replica of zone `a`. The second piece may not run in `a`.
   BOOST_TEST(zones_of_pieces().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(batcher_of_another_region_calls_for_a_forwarded_piece) {
+BOOST_AUTO_TEST_CASE(batcher_of_another_region_calls_permitted_replicas_for_a_forwarded_piece) {
   restricted_fleet fleet;
   auto& origin = *fleet.nodes[0];
   fleet.submit(origin, base::zone_id("a"), within({"north"}));
@@ -267,7 +267,7 @@
   BOOST_TEST((text_set{"c", "d"}).contains(restricted_fleet::zone_of(batcher.calls.front())));
 }
 
-BOOST_AUTO_TEST_CASE(batcher_of_another_region_calls_for_pieces_of_a_region_without_nodes) {
+BOOST_AUTO_TEST_CASE(pieces_of_a_region_without_nodes_are_called_by_a_batcher_of_another_region) {
   restricted_fleet fleet;
   // All nodes of the region `south` are removed: nodes of other regions call its replicas.
   std::vector<fleet_peer> remaining;
--- a/tests/stage_work/stage_exchange_test.cc
+++ b/tests/stage_work/stage_exchange_test.cc
@@ -9,9 +9,9 @@
 /// Three nodes of one zone.
 struct small_fleet : exchange_fleet {};
 
-/// Three nodes of one region, so that one of them is the batcher of all replicas.
+/// Three nodes, with all replicas in one region, so that one node is the batcher of all replicas.
 struct one_region_fleet : exchange_fleet {
-  one_region_fleet() : exchange_fleet(3, 1, one_region()) {}
+  one_region_fleet() : exchange_fleet(3, 1, one_region_settings()) {}
 };
 
 /// A fleet that is too large for every node to report to all other nodes.
@@ -162,10 +162,10 @@
     received_pieces += call.items.size();
   }
   BOOST_TEST(second.calls.size() == calls_before);
-  BOOST_TEST(received_pieces + returned.subject.waiting("pool") >= 2U);
+  BOOST_TEST(received_pieces + returned.subject.waiting_count("pool") >= 2U);
 }
 
-BOOST_AUTO_TEST_CASE(cancelled_piece_is_not_delivered) {
+BOOST_AUTO_TEST_CASE(result_of_a_cancelled_piece_is_not_delivered) {
   submit(*nodes[0]);
   run(std::chrono::milliseconds(50));
   auto& batcher = *caller();
@@ -215,7 +215,7 @@
   }
   for (int index = 0; index < 60; ++index) {
     nodes[static_cast<std::size_t>(index)] =
-        std::make_unique<exchange_node>(peer(index), world, 2'000'000, one_region());
+        std::make_unique<exchange_node>(peer(index), published, 2'000'000, one_region_settings());
   }
   exchange_peers();
   run(std::chrono::seconds(3));
@@ -235,7 +235,7 @@
   BOOST_TEST(unfinished() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(message_count_grows_linearly_with_the_fleet) {
+BOOST_AUTO_TEST_CASE(a_large_fleet_sends_at_most_80_messages_per_second_per_node) {
   run(std::chrono::seconds(3));
   messages_sent = 0;
   run(std::chrono::seconds(1));
--- a/tests/stage_work/stage_pool_test.cc
+++ b/tests/stage_work/stage_pool_test.cc
@@ -14,8 +14,8 @@
         pool(
             replicas, {}, [this] { return next_call++; },
             [](auto, const auto&, const auto&, const auto&) {}) {
-    replicas.update(world.content.replicas(), {});
-    pool.set_configuration(world.content.serving());
+    replicas.update(published.content.replicas(), {});
+    pool.set_configuration(published.content.serving());
   }
 
   piece_ticket submit(const std::string& request, base::duration due, double bytes = 1000,
@@ -56,7 +56,7 @@
     return ended;
   }
 
-  published_world world;
+  published_catalog published;
   base::seeded_random random;
   replica_table replicas;
   base::call_id next_call = 1;
@@ -78,7 +78,7 @@
   BOOST_TEST(calls.front().items.size() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(one_call_per_replica_and_earliest_due_pieces_first) {
+BOOST_AUTO_TEST_CASE(each_replica_gets_one_call_at_a_time_with_the_earliest_due_pieces) {
   for (int request = 0; request < 10; ++request) {
     submit("r" + std::to_string(request), std::chrono::milliseconds(2000 - 10 * request));
   }
@@ -156,11 +156,11 @@
   BOOST_TEST((finished.front().outcome.fault == piece_fault::expired));
 }
 
-BOOST_AUTO_TEST_CASE(waiting_in_time_excludes_pieces_past_due) {
+BOOST_AUTO_TEST_CASE(waiting_in_time_count_excludes_pieces_past_due) {
   submit("late", std::chrono::milliseconds(-1));
   submit("in time", std::chrono::seconds(1));
-  BOOST_TEST(pool.waiting("pool") == 2U);
-  BOOST_TEST(pool.waiting_in_time("pool", now) == 1U);
+  BOOST_TEST(pool.waiting_count("pool") == 2U);
+  BOOST_TEST(pool.waiting_in_time_count("pool", now) == 1U);
 }
 
 /// A pool whose pieces read a result that replica `pool-b` produced.
@@ -283,12 +283,12 @@
 /// A pool with one replica, `pool-a`, that can restart.
 struct restart_driver : pool_driver {
   restart_driver() {
-    world.remove_replica("pool-b");
+    published.remove_replica("pool-b");
     publish(1000);
   }
   void publish(std::uint64_t started_at) {
-    world.add_incarnation("pool-a", "pool", "a", "10.0.1.1:80", started_at);
-    replicas.update(world.content.replicas(), now);
+    published.add_incarnation("pool-a", "pool", "a", "10.0.1.1:80", started_at);
+    replicas.update(published.content.replicas(), now);
   }
   void restart() {
     publish(2000);
@@ -345,10 +345,10 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(inputs_lost_in_a_restart_do_not_extend_the_fetch_time, input_driver) {
-  world.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 1000);
-  replicas.update(world.content.replicas(), now);
-  world.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 2000);
-  replicas.update(world.content.replicas(), now);
+  published.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 1000);
+  replicas.update(published.content.replicas(), now);
+  published.add_incarnation("pool-b", "pool", "b", "10.0.1.1:80", 2000);
+  replicas.update(published.content.replicas(), now);
   pool.on_replica_restarted(base::replica_id("pool-b"), now);
   fail_with_missing_input(false);
   BOOST_TEST(are_inputs_fetched_after(std::chrono::milliseconds(100)));
--- a/tests/stage_work/zone_shards_test.cc
+++ b/tests/stage_work/zone_shards_test.cc
@@ -13,21 +13,21 @@
 
 /// Thirty nodes in three zones of one region; each zone has enough replicas for a shard of its own.
 struct divided_fleet : exchange_fleet {
-  divided_fleet() : exchange_fleet(node_count, zone_count, one_region()) {
+  divided_fleet() : exchange_fleet(node_count, zone_count, one_region_settings()) {
     for (const std::string zone : {"a", "b", "c"}) {
       for (std::size_t index = 0; index < replicas_per_zone; ++index) {
-        world.add_replica("more-" + zone + std::to_string(index), "pool", zone);
+        published.add_replica("more-" + zone + std::to_string(index), "pool", zone);
       }
     }
     for (auto& node : nodes) {
-      node->replicas.update(world.content.replicas(), now);
-      node->subject.set_configuration(world.content.serving());
+      node->replicas.update(published.content.replicas(), now);
+      node->subject.set_configuration(published.content.serving());
     }
     run(std::chrono::seconds(3));
   }
 
-  /// Answers each call; records the node that made the call, and whether its replica is in another
-  /// zone.
+  /// Answers each call; records the node that made the call, and whether the called replica is in
+  /// another zone than the node.
   void run_and_count_calls(base::duration span) {
     run_answering(span, [this](const auto& caller, const auto& call) { note_call(caller, call); });
   }
@@ -73,7 +73,7 @@
   BOOST_TEST(calls_across_zones == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(pieces_for_another_zone_run_there) {
+BOOST_AUTO_TEST_CASE(piece_that_prefers_another_zone_runs_in_that_zone) {
   auto& origin = *nodes[0];
   submit(origin, base::zone_id("c"));
   run(std::chrono::milliseconds(100));
--- a/tools/experiment.cc
+++ b/tools/experiment.cc
@@ -20,8 +20,7 @@
 
 using namespace spurrack::experiment;
 
-/// Combination of a user, a scenario and a balancing policy, with the result of the run of each
-/// seed.
+/// Combination of a user, a scenario and a balancing policy, with one result for each seed.
 struct experiment_case {
   user_profile user;
   scenario load_scenario;
@@ -30,7 +29,7 @@
 };
 
 /// Formats the mean of a field over all runs as `mean ±deviation`. The deviation is the largest
-/// difference between the field of one run and the mean.
+/// difference between the value of one run and the mean.
 /// @param scale factor by which the mean and the deviation are multiplied, such as 100 for percent.
 /// @param digits number of decimal places.
 std::string format_mean_and_deviation(const std::vector<measurement>& runs,
@@ -58,20 +57,22 @@
     const auto& runs = entry.runs;
     out << "| " << entry.user.name << " | " << entry.load_scenario.name << " | "
         << entry.variant.name << " | "
-        << format_mean_and_deviation(runs, &measurement::attainment, percent, 2) << " | "
+        << format_mean_and_deviation(runs, &measurement::in_time_fraction, percent, 2) << " | "
         << format_mean_and_deviation(runs, &measurement::goodput, percent, 1) << " | "
-        << format_mean_and_deviation(runs, &measurement::smallest_tenant_attainment, percent, 1)
-        << " | " << format_mean_and_deviation(runs, &measurement::wasted_share, percent, 1) << " | "
-        << format_mean_and_deviation(runs, &measurement::refusal_p99, milli, 1) << " | "
-        << format_mean_and_deviation(runs, &measurement::p50, milli, 0) << " | "
-        << format_mean_and_deviation(runs, &measurement::p95, milli, 0) << " | "
-        << format_mean_and_deviation(runs, &measurement::p99, milli, 0) << " | "
-        << format_mean_and_deviation(runs, &measurement::first_token_p95, milli, 0) << " |\n";
+        << format_mean_and_deviation(runs, &measurement::smallest_tenant_in_time_fraction, percent,
+                                     1)
+        << " | " << format_mean_and_deviation(runs, &measurement::wasted_time_fraction, percent, 1)
+        << " | " << format_mean_and_deviation(runs, &measurement::refusal_p99_seconds, milli, 1)
+        << " | " << format_mean_and_deviation(runs, &measurement::latency_p50_seconds, milli, 0)
+        << " | " << format_mean_and_deviation(runs, &measurement::latency_p95_seconds, milli, 0)
+        << " | " << format_mean_and_deviation(runs, &measurement::latency_p99_seconds, milli, 0)
+        << " | " << format_mean_and_deviation(runs, &measurement::first_token_p95_seconds, milli, 0)
+        << " |\n";
   }
 }
 
 /// Writes the data file and the gnuplot script of a plot that shows the goodput of one user by
-/// scenario and policy. This program does not run gnuplot: the script must be run in `folder`.
+/// scenario and policy. This program does not run gnuplot: run the script in `folder`.
 void write_plot(const std::vector<experiment_case>& cases, const std::string& user,
                 const std::filesystem::path& folder) {
   std::ofstream data(folder / (user + ".dat"));
