--- a/tests/platform_fleet/crashing_request_check.cc
+++ b/tests/platform_fleet/crashing_request_check.cc
@@ -14,15 +14,15 @@
 
 /// Number of times that the crashing request is sent.
 constexpr std::size_t max_sends = 16;
-/// Interval between two requests. The interval is longer than the downtime of a crashed replica,
-/// because the fault proxy accepts connections for a replica that is down: nodes detect the crash
-/// only after the restart of the replica.
+/// Interval between two requests. Longer than the downtime of a crashed replica, because the fault
+/// proxy accepts connections for a replica that is down: nodes detect the crash only after the
+/// restart of the replica.
 constexpr milliseconds send_interval{700};
 constexpr milliseconds downtime{400};
 /// Maximum number of replicas that the crashing request may crash.
 constexpr std::size_t max_crashes = 5;
-/// Maximum number of replicas that the crashing request may still crash once all nodes know of the
-/// first three crashes (`known_crashes`).
+/// Maximum number of further replicas that the crashing request may crash once all nodes know of
+/// the first three crashes (`known_crashes`).
 constexpr std::size_t max_late_crashes = 3;
 constexpr std::size_t known_crashes = 3;
 constexpr unsigned not_executed_status = 503;
--- a/tests/platform_fleet/crashing_request_check.h
+++ b/tests/platform_fleet/crashing_request_check.h
@@ -1,6 +1,6 @@
 /// Check of the fault soak (fault_soak.cc) with a crashing request: every replica that starts to
-/// run this request crashes. The check sends the request repeatedly to random nodes. Few replicas
-/// may crash, and the nodes must quarantine the request.
+/// run this request crashes. Few replicas may crash before the nodes quarantine the request, that
+/// is, refuse it.
 #pragma once
 
 #include "soak_fleet.h"
@@ -12,17 +12,16 @@
 
 namespace spurrack::platform_tests {
 
-/// Sends the crashing request and restarts the replicas that crashed. Not thread-safe.
+/// Check with the crashing request. Not thread-safe.
 class crashing_request_check {
  public:
   crashing_request_check(soak_fleet& fleet, soak_recorder& recorder, base::random_source& random);
 
-  /// Sends the crashing request repeatedly, restarts crashed replicas and records violations. Then
-  /// waits for `settle_time`.
+  /// Sends the crashing request repeatedly to random nodes, restarts crashed replicas and records
+  /// violations. Then waits for `settle_time`.
   void check();
 
  private:
-  /// Sends the crashing request once to a random node.
   void send();
   /// Records the crashes since the last call, and restarts each replica whose downtime is over.
   void restart_crashed();
@@ -38,7 +37,7 @@
   std::vector<soak_clock::time_point> crash_times_;
   /// HTTP statuses of the answers, in the order of the requests.
   std::vector<unsigned> answer_statuses_;
-  /// By crashed replica that has not been restarted: time of its crash.
+  /// Time of the crash of each replica that has not been restarted yet.
   std::map<soak_replica*, soak_clock::time_point> crashed_at_;
 };
 
--- a/tests/platform_fleet/event_replica.h
+++ b/tests/platform_fleet/event_replica.h
@@ -18,8 +18,8 @@
 
 namespace spurrack::platform_tests {
 
-/// Answers of the replica. The path of a request selects one of three kinds of answers: a long
-/// stream, a short stream or a whole answer.
+/// Answers of the replica. The path of a request selects a long stream, a short stream or a whole
+/// answer.
 struct event_replica_options {
   /// Long stream, for paths under `/stream/` except `/stream/good/`: number of events, size of an
   /// event, and interval between two events.
@@ -42,8 +42,7 @@
 /// @return text of the event with the id `number` and `bytes` bytes of data.
 std::string event_text(std::size_t number, std::size_t bytes);
 
-/// Replica that serves requests from construction to destruction. The counters can be read from any
-/// thread.
+/// Replica that serves requests from construction to destruction. Any thread may read the counters.
 class event_replica {
  public:
   explicit event_replica(const event_replica_options& options = {});
@@ -65,16 +64,14 @@
   using request = boost::beast::http::request<boost::beast::http::string_body>;
   boost::asio::awaitable<void> accept_all();
   boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
-  /// Answers one request with a stream.
   /// @return whether the whole stream was written.
   boost::asio::awaitable<bool> answer_stream(boost::beast::tcp_stream& stream,
                                              const request& received);
-  /// Answers one request with `whole_bytes` bytes.
   /// @return whether all bytes were written.
   boost::asio::awaitable<bool> answer_whole(boost::beast::tcp_stream& stream,
                                             const request& received);
-  /// Writes bytes to a connection. If the client does not read the bytes within the write timeout,
-  /// counts the answer in `aborted_answers`.
+  /// Writes bytes to a connection. Increments `aborted_answers` if the client does not read the
+  /// bytes within the write timeout.
   /// @return whether all bytes were written.
   boost::asio::awaitable<bool> write(boost::beast::tcp_stream& stream, const std::string& bytes,
                                      std::atomic<std::uint64_t>& aborted_answers);
--- a/tests/platform_fleet/foreign_entries.h
+++ b/tests/platform_fleet/foreign_entries.h
@@ -13,8 +13,8 @@
 
 namespace spurrack::platform_tests {
 
-/// Owns the foreign entries. For each foreign entry with an address, a separate server listens at
-/// this address and records a violation if a node sends a request to the server.
+/// Owns the foreign entries. For each entry with an address, a server listens at this address and
+/// records a violation if a node sends a request to it.
 class foreign_entries {
  public:
   foreign_entries(soak_store& store, soak_recorder& recorder);
@@ -24,7 +24,6 @@
 
   /// Writes all foreign entries to the store, each under a separate key.
   void put_all();
-  /// Deletes all foreign entries from the store.
   void remove_all();
   /// Replaces the store entry of a replica by bytes that cannot be parsed.
   void overwrite(const soak_replica& replica);
@@ -39,9 +38,8 @@
   /// Adds an entry that is valid except for one field.
   /// @param value value of the field; std::nullopt if the entry lacks the field.
   void add_with_field(const std::string& field, const std::optional<boost::json::value>& value);
-  /// Adds an entry whose value is the bytes `value`.
   void add_raw(const std::string& name, const std::string& value);
-  /// Returns a server that records a violation when a node sends the first request to the server.
+  /// Returns a server that records a violation when it receives its first request.
   /// @param description what is invalid in the entry; part of the text of the violation.
   std::unique_ptr<scripted_server> make_call_detector(const std::string& description);
 
--- a/tests/platform_fleet/graceful_stops.cc
+++ b/tests/platform_fleet/graceful_stops.cc
@@ -7,8 +7,8 @@
 
 using std::chrono::milliseconds;
 
-/// Maximum time from SIGTERM to the exit of a process. The platform kills the process after this
-/// time, which includes slack for a busy machine.
+/// Maximum time from SIGTERM to the exit of a process, after which the platform kills the process;
+/// includes slack for a busy machine.
 constexpr milliseconds stop_timeout{9'000};
 
 } // namespace
--- a/tests/platform_fleet/graceful_stops.h
+++ b/tests/platform_fleet/graceful_stops.h
@@ -22,8 +22,7 @@
   /// Sends SIGTERM to a node. Starts the node again after its process has exited. Returns without
   /// waiting for the exit. Does nothing if the node is already stopping.
   void begin(soak_node& node) { begin(node, true); }
-  /// Sends SIGTERM to a node. Does not start the node again. Returns without waiting for the exit.
-  /// Does nothing if the node is already stopping.
+  /// As `begin`, but does not start the node again.
   void begin_final(soak_node& node) { begin(node, false); }
   /// Waits until the processes of all stopping nodes have exited, and until the nodes that `begin`
   /// stopped were started again.
@@ -31,9 +30,9 @@
 
  private:
   void begin(soak_node& node, bool should_restart);
-  /// Waits for the exit of the process of a node. Records a violation if the process exits late or
-  /// with an error. Starts the node again if `should_restart` is true. Runs on a separate thread
-  /// for each stopping node.
+  /// Waits until the process of a node exits, and records a violation if it exits late or with an
+  /// error. Then starts the node again if `should_restart` is true. Runs on a separate thread for
+  /// each stopping node.
   void finish(soak_node& node, bool should_restart);
 
   soak_fleet* fleet_;
--- a/tests/platform_fleet/planned_maintenance.cc
+++ b/tests/platform_fleet/planned_maintenance.cc
@@ -9,18 +9,17 @@
 
 using std::chrono::milliseconds;
 
-/// Interval between two waves of a rolling restart. The nodes of a wave begin to stop together. The
-/// interval is a quarter of the grace period of a stopping node, so that the waves overlap.
+/// Interval between two waves of a rolling restart; the nodes of a wave begin to stop together. A
+/// quarter of the grace period of a stopping node, so that the waves overlap.
 constexpr milliseconds stop_interval{2'000};
-/// Maximum number of waves of a rolling restart. The limit lets the restart of all nodes of a large
-/// fleet take a minute or less.
+/// Maximum number of waves of a rolling restart, so that the restart of a large fleet takes a
+/// minute or less.
 constexpr std::size_t max_waves = 25;
 constexpr milliseconds min_change_interval{150};
 constexpr std::size_t change_interval_spread_milliseconds = 400;
 constexpr std::size_t changes_per_burst = 15;
 constexpr milliseconds burst_interval{60};
-/// Minimum time between the start of a process and the first signal that the platform sends to the
-/// process.
+/// Minimum time from the start of a process to the first signal that the platform sends to it.
 constexpr milliseconds min_uptime_before_signal{1'500};
 
 } // namespace
--- a/tests/platform_fleet/planned_maintenance.h
+++ b/tests/platform_fleet/planned_maintenance.h
@@ -8,8 +8,7 @@
 
 namespace spurrack::platform_tests {
 
-/// Restarts all nodes, and changes settings and configuration while the nodes restart. Not
-/// thread-safe.
+/// Planned maintenance of one fleet. Not thread-safe.
 class planned_maintenance {
  public:
   planned_maintenance(soak_fleet& fleet, soak_recorder& recorder, base::random_source& random)
--- a/tests/platform_fleet/planned_stop_test.cc
+++ b/tests/platform_fleet/planned_stop_test.cc
@@ -3,10 +3,8 @@
 ///
 /// Guards against streams that a stopping node accepts and cannot complete. In a rolling restart
 /// under load, stopping nodes accepted every request for three seconds after SIGTERM, and aborted
-/// unfinished streams at the end of the grace period. A client that sent its request three seconds
-/// after SIGTERM received the head of a stream and then a closed connection. The logs of one run
-/// contained 92 truncated streams. All 92 streams were accepted after SIGTERM, the earliest of them
-/// 0.6 s after SIGTERM, and were aborted at the end of the grace period.
+/// unfinished streams at the end of the grace period. One run truncated 92 streams in this way, the
+/// earliest of them accepted 0.6 s after SIGTERM.
 #include "event_replica.h"
 #include "reading_client.h"
 #include "single_daemon.h"
@@ -36,15 +34,15 @@
 
 /// Grace period in the settings of the daemon: time between SIGTERM and SIGKILL.
 constexpr int short_grace_seconds = 5;
-/// Grace period that is longer than every request.
+/// Grace period that is longer than any request takes.
 constexpr int long_grace_seconds = 20;
-/// A long stream lasts three seconds. This is longer than the rest of the grace period at the time
-/// at which the last requests arrive.
+/// A long stream lasts three seconds, which is longer than the rest of the grace period when the
+/// last requests arrive.
 const event_replica_options replica_options{
     .long_events = 60, .long_event_bytes = 100, .long_interval = milliseconds(50)};
 /// Interval between two requests, or between two connections.
 constexpr milliseconds arrival_interval{100};
-/// Maximum time between sending a request and its refusal. A slower refusal would keep the client
+/// Maximum time from sending a request to its refusal; a slower refusal would keep the client
 /// waiting.
 constexpr milliseconds max_refusal_time{500};
 
@@ -81,12 +79,11 @@
   std::size_t refused = 0;
   /// Number of refusals that took longer than `max_refusal_time`.
   std::size_t refused_late = 0;
-  /// Number of requests whose connection was accepted and which received an incomplete answer or no
-  /// answer.
+  /// Number of requests whose connection was accepted, but whose answer was incomplete or missing.
   std::size_t truncated = 0;
   /// Number of requests whose connection was refused.
   std::size_t not_connected = 0;
-  /// Time from SIGTERM to the moment at which the last completely answered request was sent.
+  /// Time from SIGTERM to the sending of the last request that was answered completely.
   std::chrono::steady_clock::duration latest_completed_offset{};
   /// Time after SIGTERM for which the daemon accepted connections.
   std::chrono::steady_clock::duration listening_time{};
@@ -173,7 +170,7 @@
 
 constexpr std::size_t streams_before_stop = 8;
 
-/// Opens a connection every `arrival_interval`, and sends no bytes on the connection.
+/// Opens a connection every `arrival_interval`, on which no bytes are sent.
 void open_idle_connections(const std::string& address, const std::atomic<bool>& should_stop) {
   asio::io_context io;
   std::vector<asio::ip::tcp::socket> opened;
--- a/tests/platform_fleet/random_faults.cc
+++ b/tests/platform_fleet/random_faults.cc
@@ -160,9 +160,8 @@
   recorder_->count("fault replica restart");
   fleet_->last_fault_at = soak_clock::now();
   replica.crash();
-  // In half of the restarts, the replica stays down longer and its store entry is deleted, because
-  // the entry of a replica expires while the replica stays down. After the restart, the entry is
-  // written again.
+  // In half of the restarts, the replica stays down until its store entry has expired; `unpublish`
+  // emulates the expiry.
   if (random_->below(2) == 0) {
     std::this_thread::sleep_for(milliseconds(random_->below(max_extra_downtime_milliseconds)));
     fleet_->unpublish(replica);
--- a/tests/platform_fleet/random_faults.h
+++ b/tests/platform_fleet/random_faults.h
@@ -8,8 +8,7 @@
 
 namespace spurrack::platform_tests {
 
-/// Injects random faults into nodes, links, the store and replicas, and ends the faults. Not
-/// thread-safe.
+/// Random faults of nodes, links, the store and replicas. Not thread-safe.
 class random_faults {
  public:
   random_faults(soak_fleet& fleet, foreign_entries& foreign, soak_recorder& recorder,
@@ -19,8 +18,9 @@
 
   /// Injects random faults at random intervals until `end`.
   void inject_until(soak_clock::time_point end);
-  /// Ends all faults, then crashes and restarts one replica. Waits until all stopping nodes were
-  /// started again. If a node exited unexpectedly, records a violation and starts the node again.
+  /// Ends all faults, then crashes and restarts one replica. Waits until all stopping nodes have
+  /// been started again. Records a violation for each node that exited unexpectedly, and starts the
+  /// node again.
   /// @return the restarted replica.
   soak_replica& end_faults();
 
@@ -39,13 +39,11 @@
   void resume_suspended();
   /// Makes a node reload its settings; the settings are valid or invalid at random.
   void reload(soak_node& node);
-  /// Injects one of two faults at random: cuts the peer link of a node, or holds back all bytes on
-  /// the link.
+  /// Cuts the connections of other nodes to a node, or holds back all bytes on them, at random.
   void inject_peer_link_fault(const soak_node& node);
-  /// Injects one of three faults at random: cuts the link to a replica, holds back all bytes on the
-  /// link, or delays all bytes on the link.
+  /// Cuts the connections to a replica, or holds back or delays all bytes on them, at random.
   void inject_replica_link_fault(const soak_replica& replica);
-  /// Publishes the store entry of a replica, with the state `draining` or `ready` at random.
+  /// Publishes the store entry of a replica with the state `draining` or `ready`, at random.
   void set_random_draining(soak_replica& replica);
   /// Crashes a replica without a drain announcement and restarts the replica under the same id.
   void restart(soak_replica& replica);
--- a/tests/platform_fleet/rate_limit_check.cc
+++ b/tests/platform_fleet/rate_limit_check.cc
@@ -7,9 +7,8 @@
 namespace spurrack::platform_tests {
 namespace {
 
-/// Length of each time window over which the check counts requests. In each window, the replica may
-/// receive `max_limit_factor` times as many requests as its limit allows, plus `burst_allowance`
-/// requests.
+/// Length of each time window in which the check counts requests. In each window, the replica may
+/// receive `max_limit_factor` times as many requests as its limit allows, plus `burst_allowance`.
 constexpr std::chrono::seconds limit_window{4};
 constexpr double max_limit_factor = 1.5;
 constexpr double burst_allowance = 5;
--- a/tests/platform_fleet/rate_limit_check.h
+++ b/tests/platform_fleet/rate_limit_check.h
@@ -1,6 +1,5 @@
-/// Check of the fault soak: a replica announces a limit, the number of requests per second that all
-/// nodes together may send to the replica. Once all nodes know the limit, the replica must not
-/// receive more requests than the limit allows.
+/// Check of the fault soak for a replica that announces a limit: the number of requests per second
+/// that all nodes together may send to the replica.
 #pragma once
 
 #include "soak_fleet.h"
@@ -10,7 +9,7 @@
 
 namespace spurrack::platform_tests {
 
-/// Checks the limit of one replica. Not thread-safe.
+/// Check of the limit of one replica. Not thread-safe.
 class rate_limit_check {
  public:
   rate_limit_check(soak_replica& replica, soak_recorder& recorder, base::random_source& random)
--- a/tests/platform_fleet/reading_client.cc
+++ b/tests/platform_fleet/reading_client.cc
@@ -27,9 +27,8 @@
 
 /// Size of the receive buffer of a slow client in the kernel.
 constexpr int slow_receive_buffer_bytes = 8'192;
-/// Maximum segment size on the connection of a slow client. On loopback, the maximum segment size
-/// determines the size of the send buffer of the daemon. The default maximum segment size of 64 KB
-/// would make this buffer large.
+/// Maximum TCP segment size on the connection of a slow client. On loopback, this size determines
+/// the size of the daemon's send buffer; the default of 64 KB would make the buffer large.
 constexpr int slow_segment_bytes = 1'400;
 constexpr std::size_t read_bytes = 16'384;
 /// Number of bytes that a pausing client reads before its pause.
@@ -64,7 +63,7 @@
     return !parser_.is_done() && (!error || error == beast_http::error::need_more);
   }
 
-  /// Fills in the fields of `result` that are known only at the end of the answer.
+  /// Sets the fields of `result` that are known only at the end of the answer.
   void finish(request_result& result) const {
     result.status = parser_.is_header_done() ? parser_.get().result_int() : 0;
     result.has_retry_after = parser_.get().count("Retry-After") > 0;
--- a/tests/platform_fleet/reading_client.h
+++ b/tests/platform_fleet/reading_client.h
@@ -32,10 +32,8 @@
   std::chrono::milliseconds pause{10'000};
 };
 
-/// Result of one request.
 struct request_result {
   unsigned status = 0;
-  /// Whether the connection was established.
   bool is_connected = false;
   /// Whether the answer is complete according to its HTTP framing.
   bool is_complete = false;
@@ -50,14 +48,13 @@
   bool was_reset = false;
 };
 
-/// Limits the buffers of the kernel on both sides of a connection, so that bytes that the client
-/// does not read stay in the daemon.
+/// Limits the kernel's buffers on both sides of a connection, so that bytes that the client does
+/// not read stay in the daemon.
 /// @param socket open socket that is not yet connected.
 void prepare_slow_socket(boost::asio::ip::tcp::socket& socket);
 
-/// Sends the request of a plan on a new connection and reads the answer with the read pattern of
-/// the plan.
-/// @param address `IP:port` of the listener of the daemon for clients.
+/// Sends the request of a plan on a new connection and reads the answer as planned.
+/// @param address `IP:port` at which the daemon listens for clients.
 boost::asio::awaitable<request_result> send_and_read(std::string address, request_plan plan);
 
 } // namespace spurrack::platform_tests
--- a/tests/platform_fleet/scripted_server.h
+++ b/tests/platform_fleet/scripted_server.h
@@ -24,7 +24,7 @@
 
 /// Answer of the server to one request.
 struct scripted_answer {
-  /// Bytes that are written unchanged. The bytes include the head of the answer.
+  /// Bytes that are written unchanged, including the head of the answer.
   std::string bytes;
   /// Whether the connection is closed after the answer.
   bool close = false;
@@ -35,8 +35,8 @@
   std::chrono::milliseconds pause{0};
 };
 
-/// Server on 127.0.0.1 that answers each request with the result of a function. The threads of the
-/// connections call the function, so the function must be thread-safe. Thread-safe.
+/// Server on 127.0.0.1 that answers each request with the result of a function. Each connection's
+/// thread calls the function, so the function must be thread-safe. Thread-safe.
 class scripted_server {
  public:
   using script = std::function<scripted_answer(const http_request&)>;
@@ -65,7 +65,7 @@
     return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
   }
 
-  /// Shuts down all connections, even if an answer on the connection is unfinished.
+  /// Shuts down all connections, also those with an unfinished answer.
   void shut_down_connections() {
     const std::lock_guard lock(mutex_);
     for (const auto& open : connections_) {
@@ -114,8 +114,8 @@
     }
   }
 
-  /// Joins the threads that have ended and removes the connections of these threads. A thread keeps
-  /// its stack until the thread is joined, so too many stacks would accumulate in a long run.
+  /// Joins the ended threads and removes their connections. A thread keeps its stack until it is
+  /// joined, so too many stacks would accumulate in a long run.
   void remove_ended_connections() {
     connections_.remove_if([](connection& candidate) {
       const bool ended = *candidate.ended;
@@ -148,8 +148,7 @@
         break;
       }
     }
-    // The lock is needed because another thread may use the socket in `shut_down_connections`,
-    // which holds the same lock.
+    // Another thread may use the socket in `shut_down_connections`, which holds the same lock.
     const std::lock_guard lock(mutex_);
     socket.close(error);
   }
--- a/tests/platform_fleet/self_report_check.cc
+++ b/tests/platform_fleet/self_report_check.cc
@@ -9,31 +9,31 @@
 
 using std::chrono::milliseconds;
 
-/// Maximum time after a drain announcement in which the node that received the announcement informs
-/// the other nodes. After this time, no node may send requests to the draining replica.
+/// Maximum time after a drain announcement for which nodes may still send requests to the replica:
+/// the node that received the announcement must first inform the others.
 constexpr milliseconds drain_timeout{2'000};
-/// Time for which the check then observes whether the draining replica receives requests.
+/// Time for which the check then observes whether the replica receives requests.
 constexpr milliseconds observation_time{1'500};
-/// Time after the first rejected request of a backoff. Requests that arrive within this time are
-/// not counted, because they may have been in flight before any node knew of the backoff.
+/// Time after the first rejected request of a backoff for which further requests are not counted,
+/// because they may have been sent before any node knew of the backoff.
 constexpr milliseconds in_flight_time{500};
 /// Maximum number of requests that each node may send during the backoff: one request whose
 /// rejection informs the node of the backoff, and two more.
 constexpr std::size_t max_requests_per_node = 3;
-/// Maximum time to wait for the first request to the replica. The answer to this request contains
-/// the self-report.
+/// Maximum time to wait for the first request to the replica, whose answer contains the
+/// self-report.
 constexpr milliseconds first_request_timeout{5'000};
 constexpr milliseconds poll_interval{10};
 
-/// @return number of arrivals at or after `from` and before `until`.
+/// @return number of arrivals from `from` (included) to `until` (excluded).
 std::size_t arrived_between(const std::vector<soak_clock::time_point>& arrivals,
                             soak_clock::time_point from, soak_clock::time_point until) {
   return static_cast<std::size_t>(std::count_if(arrivals.begin(), arrivals.end(),
                                                 [&](auto at) { return from <= at && at < until; }));
 }
 
-/// Waits until the replica receives a request, for at most `first_request_timeout`.
-/// @return whether a request arrived in time.
+/// Waits for a request to the replica.
+/// @return whether a request arrived within `first_request_timeout`.
 bool wait_for_request(const soak_replica& replica) {
   const auto started_at = soak_clock::now();
   while (replica.last_arrival_at() < started_at &&
--- a/tests/platform_fleet/self_report_check.h
+++ b/tests/platform_fleet/self_report_check.h
@@ -1,7 +1,6 @@
-/// Checks of the fault soak for self-reports. A self-report is what a replica announces about
-/// itself in the headers of its answers. A replica that has announced a drain must not receive
-/// requests any longer. A replica that has requested a backoff must receive few requests during the
-/// backoff.
+/// Checks of the fault soak for self-reports: what a replica announces about itself in the headers
+/// of its answers. A replica that has announced a drain must not receive requests any longer, and a
+/// replica that has requested a backoff must receive few requests during the backoff.
 #pragma once
 
 #include "soak_fleet.h"
@@ -11,7 +10,7 @@
 
 namespace spurrack::platform_tests {
 
-/// Checks the self-reports of one replica. Not thread-safe.
+/// Checks for one replica. Not thread-safe.
 class self_report_check {
  public:
   self_report_check(soak_replica& replica, soak_fleet& fleet, soak_recorder& recorder,
--- a/tests/platform_fleet/serving_process_test.cc
+++ b/tests/platform_fleet/serving_process_test.cc
@@ -76,7 +76,7 @@
                         body});
   }
 
-  /// Sends bytes to the listener of the daemon for clients.
+  /// Sends bytes to the address at which the daemon listens for clients.
   /// @return bytes of the answer.
   [[nodiscard]] std::string send_raw(const std::string& bytes) const {
     return fleet::exchange_raw(daemon->client_address, bytes, milliseconds(3'000));
@@ -154,6 +154,7 @@
   }
 }
 
+/// An answer without Content-Length ends where the replica closes the connection without a reset.
 BOOST_AUTO_TEST_CASE(an_unframed_answer_that_ends_in_order_is_whole) {
   script_one = script_two = [](const http_request& request) {
     return scripted_answer{"HTTP/1.1 200 OK\r\nX-Response-Seal: s\r\nX-Request-Id: " +
@@ -165,6 +166,7 @@
   BOOST_TEST(answer.body == "hello");
 }
 
+/// Guards against a request that is answered with surplus bytes of an earlier answer.
 BOOST_AUTO_TEST_CASE(a_surplus_answer_belongs_to_no_other_request) {
   script_one = script_two = [](const http_request& request) {
     const auto id = header_of(request, "X-Request-Id");
@@ -179,6 +181,7 @@
   }
 }
 
+/// A request that may be sent only once and that its replica refuses is answered with 503.
 BOOST_AUTO_TEST_CASE(refused_by_every_replica_it_was_not_run) {
   script_one = script_two = [](const http_request& request) {
     return scripted_answer{
@@ -190,6 +193,7 @@
   BOOST_TEST(replica_one.requests().size() + replica_two.requests().size() == 1);
 }
 
+/// The daemon requests the rest of a truncated stream, and the client receives each event once.
 BOOST_AUTO_TEST_CASE(a_broken_stream_goes_on_inside_the_same_answer) {
   std::atomic<int> calls = 0;
   script_one = script_two = [&calls](const http_request& request) {
@@ -244,10 +248,9 @@
   BOOST_TEST(daemon->process().is_running());
 }
 
-/// Guards against a process that exits if SIGHUP arrives a few milliseconds after its start. If the
-/// signal arrives before the process has installed its handler, the signal must stay pending. In
-/// this test, the process inherits a mask that blocks SIGHUP, so that the signal certainly arrives
-/// before the handler is installed.
+/// Guards against a process that exits if SIGHUP arrives a few milliseconds after its start, before
+/// its handler is installed: the signal must stay pending. The process inherits a mask that blocks
+/// SIGHUP, so that the signal certainly arrives before the handler is installed.
 BOOST_AUTO_TEST_CASE(sighup_during_startup_is_handled_after_startup) {
   sigset_t reload;
   sigemptyset(&reload);
@@ -260,6 +263,7 @@
   BOOST_TEST(started.process().is_running());
 }
 
+/// After SIGTERM, the daemon is not ready, completes its running request and exits with code 0.
 BOOST_AUTO_TEST_CASE(a_planned_stop_ends_what_is_under_way) {
   std::atomic<bool> has_reached_replica = false;
   script_one = script_two = [&has_reached_replica](const http_request& request) {
--- a/tests/platform_fleet/single_daemon.h
+++ b/tests/platform_fleet/single_daemon.h
@@ -28,12 +28,11 @@
   BOOST_REQUIRE(is_true());
 }
 
-/// Daemon process. The constructor starts the daemon and waits until the daemon is ready. The
-/// destructor kills the process and removes the folder of the daemon.
+/// Daemon process. The constructor starts the daemon and waits until it is ready. The destructor
+/// kills the process and removes its folder.
 class single_daemon {
  public:
-  /// @param name part of the name of the folder of the daemon; must be unique within the test
-  ///        program.
+  /// @param name part of the name of the daemon's folder; must be unique within the test program.
   /// @param store `IP:port` of the metadata store.
   /// @param serving_settings further lines of the section `serving` of the settings, each indented
   ///        by two spaces.
--- a/tests/platform_fleet/slow_readers_test.cc
+++ b/tests/platform_fleet/slow_readers_test.cc
@@ -38,10 +38,9 @@
 constexpr std::size_t fast_client_count = 50;
 /// Maximum resident memory, in MB, of a daemon that may use the 160 MB of a small machine.
 constexpr double max_resident_mb = 110;
-/// Maximum relative increase of the latency of fast clients (99th percentile) that is caused by
-/// slow clients. The latency is compared with that of the same number of fast clients at a second
-/// daemon without slow clients. Both daemons are measured at the same time, because a busy machine
-/// delays both.
+/// Maximum relative increase of the 99th percentile of the latency of fast clients that is caused
+/// by slow clients, in comparison with the same number of fast clients of a second daemon without
+/// slow clients. Both daemons are measured at the same time, because a busy machine delays both.
 constexpr double max_latency_increase = 0.1;
 constexpr milliseconds arrival_interval{20};
 
@@ -100,7 +99,6 @@
     return position == std::string::npos ? -1 : std::stod(text.substr(position + name.size() + 2));
   }
 
-  /// Sends one request and waits for the result.
   [[nodiscard]] request_result send(request_plan plan) const {
     asio::io_context io;
     request_result result;
@@ -113,13 +111,13 @@
 
   soak_store store;
   event_replica replica;
-  /// Replica that serves only the fast clients, so that work of the replica for slow clients does
-  /// not delay the fast clients.
+  /// Separate replica for the fast clients, so that the other replica's work for slow clients does
+  /// not delay them.
   event_replica fast_replica;
   std::optional<single_daemon> daemon;
 };
 
-/// Results of all clients with one read pattern.
+/// Results of the requests with one read pattern; counts are numbers of requests.
 struct group_result {
   std::size_t started = 0;
   std::size_t finished = 0;
@@ -150,7 +148,7 @@
   }
 };
 
-/// Fast clients on a separate thread. Each client sends one request after another without a pause.
+/// Fast clients on a separate thread. Each sends one request after another without a pause.
 class fast_client_group {
  public:
   explicit fast_client_group(std::string address) : address_(std::move(address)) {
@@ -166,7 +164,7 @@
   fast_client_group(const fast_client_group&) = delete;
   fast_client_group& operator=(const fast_client_group&) = delete;
 
-  /// @return results of the requests that ended since the last call of this function.
+  /// @return results of the requests that ended since the last call.
   group_result take_result() {
     const std::lock_guard lock(mutex_);
     return std::exchange(result_, {});
@@ -197,15 +195,15 @@
  public:
   explicit slow_client_group(const slow_reader_fixture& fleet) : fleet_(&fleet) {}
 
-  /// Starts one client of each read pattern every `arrival_interval`. The interval ensures that the
-  /// slow reading, and not a burst of arrivals, affects the fast clients.
+  /// Starts one client of each read pattern every `arrival_interval`, so that slow reading and not
+  /// a burst of arrivals affects the fast clients.
   void start_slow(std::size_t clients_per_pattern) {
     trickling.started = pausing.started = never.started = clients_per_pattern;
     asio::co_spawn(io_, start_at_intervals(clients_per_pattern), asio::detached);
   }
 
-  /// Runs the clients until all clients with the pattern `pausing` have finished or the timeout has
-  /// passed.
+  /// Runs the clients until all clients with the pattern `pausing` have finished, for at most
+  /// `timeout`.
   void run_until_pausing_end(milliseconds timeout) {
     const auto deadline = std::chrono::steady_clock::now() + timeout;
     while (pausing.finished < pausing.started && std::chrono::steady_clock::now() < deadline) {
@@ -250,6 +248,7 @@
   bool is_running = false;
   double resident_mb = 0;
   group_result fast_clients;
+  /// Results of the fast clients of the second daemon, which has no slow clients.
   group_result fast_clients_alone;
   group_result pausing;
   group_result trickling;
@@ -286,8 +285,7 @@
   return outcome;
 }
 
-/// @return outcome of the mixed load. The mixed load runs only once, and all test cases share the
-///         outcome.
+/// @return outcome of the mixed load, which runs only once for all test cases.
 const mixed_load_outcome& mixed_load_result() {
   static const mixed_load_outcome outcome = run_mixed_load();
   return outcome;
@@ -311,6 +309,7 @@
   BOOST_TEST(outcome.aborted_streams == 0U);
 }
 
+/// Compares fast clients of a daemon that has slow clients with those of a daemon that has none.
 BOOST_AUTO_TEST_CASE(good_clients_wait_no_tenth_longer_beside_slow_ones) {
   const auto& outcome = mixed_load_result();
   BOOST_TEST(outcome.fast_clients.percentile_99() <
--- a/tests/platform_fleet/soak_client.cc
+++ b/tests/platform_fleet/soak_client.cc
@@ -22,8 +22,8 @@
 constexpr milliseconds long_request_timeout{8'000};
 /// Maximum time by which a process may be delayed on a machine that runs many processes.
 constexpr milliseconds scheduling_slack{1'500};
-/// Maximum time after sending a request in which the daemon may close the idle connection without
-/// having read the request. If the connection ends later, the daemon had read the request
+/// Maximum time after sending a request in which the daemon may close the connection as idle,
+/// without having read the request. If the connection ends later, the daemon had read the request
 /// completely.
 constexpr milliseconds close_race_time{200};
 /// Maximum time for which a client keeps its connection idle before a request.
@@ -126,8 +126,8 @@
     outcome.body = answer.get().body();
     outcome.is_complete = !error && answer.is_done();
   }
-  // Surplus bytes are checked only after a complete answer. The bytes that are left after an
-  // incomplete answer belong to this answer.
+  // Surplus bytes are a violation only after a complete answer, because the bytes that are left
+  // after an incomplete answer belong to this answer.
   if (outcome.is_complete && buffer.size() > 0) {
     recorder_->note_violation("MIXED", name_ + " received bytes that belong to no request");
   }
@@ -168,13 +168,13 @@
 
 void soak_client::check_incomplete_answer(const std::string& id, const soak_outcome& outcome,
                                           soak_clock::time_point sent_at) {
-  // A fault during the request or shortly before the request may end the connection, so an
-  // incomplete answer is no violation.
+  // A fault during the request or shortly before it may have ended the connection, so an incomplete
+  // answer is no violation.
   if (sent_at - fleet_->last_fault_at.load() < settle_time) {
     return;
   }
-  // The daemon may close an idle connection while a request is in transit. In this case the daemon
-  // has not read the request, so the missing answer is no violation.
+  // The daemon may close an idle connection while a request is in transit. The daemon has then not
+  // read the request, so the missing answer is no violation.
   const auto waited = std::chrono::duration_cast<milliseconds>(soak_clock::now() - sent_at);
   const bool raced_close =
       outcome.status == 0 && waited < close_race_time && !recorder_->was_forwarded(id);
--- a/tests/platform_fleet/soak_client.h
+++ b/tests/platform_fleet/soak_client.h
@@ -1,5 +1,5 @@
-/// Client of the fault soak. Keeps its connection open until the daemon closes the connection, and
-/// checks every answer.
+/// Client of the fault soak. Keeps its connection until the daemon closes it, and checks every
+/// answer.
 #pragma once
 
 #include "soak_fleet.h"
@@ -19,7 +19,6 @@
   streaming, ///< Requests streams of three to six seconds back to back.
 };
 
-/// Outcome of one request.
 struct soak_outcome {
   /// HTTP status; 0 if the connection ended before the head of the answer was complete.
   unsigned status = 0;
@@ -43,7 +42,7 @@
   /// @return kind of the next request; random, except that a client with the mode `streaming`
   ///         always sends requests of the kind `long`.
   std::string random_kind();
-  /// Sends a request, waits for the answer and checks it.
+  /// Sends a request of a kind, waits for the answer and checks it.
   void send(const std::string& kind);
   /// Writes a request to the connection and reads the answer. Drops the connection if it cannot be
   /// used for another request.
--- a/tests/platform_fleet/soak_fleet.h
+++ b/tests/platform_fleet/soak_fleet.h
@@ -31,9 +31,9 @@
   std::string client_address;
   std::string readiness_address;
   std::string peer_address;
+  /// Address of the fault proxy in front of the peer listener, at which other nodes reach the node.
   std::string advertised_peer_address;
-  /// Whether the process of the node has received SIGTERM and the node has not been started again
-  /// since.
+  /// Whether the node has received SIGTERM and has not been started again since.
   std::atomic<bool> is_stopping = false;
   std::atomic<soak_clock::time_point> started_at{soak_clock::time_point{}};
   /// Guards `process`.
@@ -41,22 +41,19 @@
   std::unique_ptr<fleet::child_process> process;
 };
 
-/// Time after the last fault during which effects of the fault are allowed. Once this time has
-/// passed, the invariants with a time limit must hold, and no request may be lost. Planned
-/// maintenance is not a fault.
+/// Time that the nodes have to react to a fault or a change. Requests that are sent later than this
+/// after the last fault must receive complete answers.
 constexpr std::chrono::milliseconds settle_time{4'000};
 
 struct soak_fleet_options {
-  /// Number of nodes.
   std::size_t nodes = 4;
   /// Whether each zone is a separate region. If so, some requests are confined to the region of the
   /// zone `east`.
   bool two_regions = false;
-  /// Folder that contains the `spurrackd` of another build. Every second start of a node uses the
-  /// other build, so that nodes of each build are replaced by nodes of the other build. Empty if
-  /// only one build is used.
+  /// Folder that contains the `spurrackd` of another build, for a fleet with nodes of both builds:
+  /// every second start of any node uses the other build. Empty if only one build is used.
   std::filesystem::path other_build;
-  /// Folder for the logs, which is kept after the run. If empty, the logs are in a temporary folder
+  /// Folder for the logs, which stays after the run. If empty, the logs go to a temporary folder
   /// that is deleted after the run.
   std::filesystem::path logs;
 };
@@ -83,18 +80,14 @@
   soak_fleet(const soak_fleet&) = delete;
   soak_fleet& operator=(const soak_fleet&) = delete;
 
-  /// Starts a new process for a node.
   void start_node(soak_node& node);
-  /// Sends a signal to the process of a node.
   void signal(soak_node& node, int number);
-  /// Waits for the exit of the process of a node. Kills the process if it does not exit within
-  /// `timeout`.
+  /// Waits until the process of a node exits. Kills the process after `timeout`.
   soak_exit wait_for_exit(soak_node& node, std::chrono::milliseconds timeout);
   [[nodiscard]] bool is_running(soak_node& node);
   /// @return resident memory of the processes of all nodes, in bytes.
   [[nodiscard]] std::size_t resident_bytes();
-  /// Waits until all nodes are ready.
-  /// @return whether all nodes were ready before the timeout.
+  /// @return false if the timeout passed before all nodes were ready.
   [[nodiscard]] bool wait_until_all_ready(std::chrono::milliseconds timeout);
   /// Publishes the next version of the configuration.
   /// @param with_extra_key whether the configuration contains the API key `extra`.
@@ -106,8 +99,8 @@
   /// Writes or deletes the store entry that evacuates a zone. Nodes send no requests to replicas of
   /// an evacuated zone.
   void set_evacuated(const std::string& zone, bool evacuated);
-  /// Sets the fault and the delay of one link: the peer link of a node, or the link to a replica.
-  /// Ends the fault of the link if `fault` is empty and the delay is 0.
+  /// Sets the fault and the delay of the connections that lead through a fault proxy to one node
+  /// (from other nodes) or to one replica. Ends the fault if `fault` is empty and the delay is 0.
   /// @param name name of the node or id of the replica.
   /// @param fault `cut`: open connections are reset, and no connection can be opened; `black_hole`:
   ///        connections stay open, but bytes are held back; empty: no fault.
@@ -121,13 +114,13 @@
   std::vector<std::unique_ptr<soak_node>> nodes;
   std::vector<std::unique_ptr<soak_replica>> replicas;
   soak_store store;
-  /// Time of the last fault. Planned maintenance does not count as a fault.
+  /// Time of the last fault. Planned maintenance is not a fault.
   std::atomic<soak_clock::time_point> last_fault_at{soak_clock::time_point{}};
 
  private:
-  /// Link on which a fault proxy forwards connections.
+  /// Connections that a fault proxy forwards to one node or replica.
   struct proxied_link {
-    /// Name of the node or id of the replica to which the link leads.
+    /// Name of the node or id of the replica.
     std::string name;
     /// Address at which the proxy listens.
     std::string listen;
@@ -139,8 +132,8 @@
   void write_settings(const soak_node& node, bool valid) const;
   void start_proxies();
   void start_proxy(const std::vector<proxied_link>& links);
-  /// @return JSON of the route for requests that are confined to a region, with a leading comma; an
-  ///         empty string if the fleet does not have two regions.
+  /// @return JSON of the route for requests that are confined to a region, with a leading comma;
+  ///         empty if the fleet does not have two regions.
   [[nodiscard]] std::string confined_route() const;
   [[nodiscard]] std::string settings_path(const soak_node& node) const;
 
@@ -151,7 +144,7 @@
   bool should_keep_logs_;
   bool two_regions_;
   std::vector<std::unique_ptr<fleet::child_process>> proxies_;
-  /// By the name of a link: admin address of the proxy of this link.
+  /// Admin address of the fault proxy of each link, by name of the link.
   std::map<std::string, std::string> proxy_of_link_;
   replica_incarnations incarnations_;
   soak_recorder* recorder_;
--- a/tests/platform_fleet/soak_recorder.h
+++ b/tests/platform_fleet/soak_recorder.h
@@ -13,7 +13,7 @@
 
 using soak_clock = std::chrono::steady_clock;
 
-/// Observations, counts and violations of one run of the soak. Thread-safe.
+/// Records of one run of the soak. Thread-safe.
 class soak_recorder {
  public:
   /// Records that a replica started to run a request.
@@ -27,8 +27,8 @@
     const std::lock_guard lock(mutex_);
     forwarded_.insert(request);
   }
-  /// Records that a client received an answer that states that the request has not run and will not
-  /// run.
+  /// Records that a request was refused: its answer states that the request has not run and will
+  /// not run.
   void note_not_run(const std::string& request) {
     const std::lock_guard lock(mutex_);
     not_run_.insert(request);
@@ -38,7 +38,6 @@
     const std::lock_guard lock(mutex_);
     single_run_requests_.insert(request);
   }
-  /// Records a violation of an invariant.
   /// @param rule name of the violated invariant, in capitals.
   void note_violation(const std::string& rule, const std::string& detail) {
     const std::lock_guard lock(mutex_);
@@ -50,9 +49,10 @@
   void count_answer(const std::string& kind, const std::string& status) {
     count(answer_prefix + kind + " " + status);
   }
-  /// @return whether a label of `counts` belongs to a count of answers (see `count_answer`).
+  /// @return whether a label of `counts` was made by `count_answer`.
   static bool is_answer_count(const std::string& label) { return label.starts_with(answer_prefix); }
-  /// Increments the count with a label.
+  /// Counts one more event, such as an injected fault. `label` names the kind of event in the
+  /// output of the soak.
   void count(const std::string& label) {
     const std::lock_guard lock(mutex_);
     ++counts_[label];
@@ -66,15 +66,14 @@
     const std::lock_guard lock(mutex_);
     return runs_.contains(request);
   }
-  /// @return counts by label.
+  /// @return numbers of counted events and answers, by label.
   [[nodiscard]] std::map<std::string, std::size_t> counts() const {
     const std::lock_guard lock(mutex_);
     return counts_;
   }
-  /// @return the recorded violations, and one violation for each single-run request (see
-  ///         `note_single_run`) that ran several times, or that ran although the client received
-  ///         the answer that the request did not run. The list is complete only after the load has
-  ///         ended.
+  /// @return the recorded violations, and one violation for each request that may run at most once
+  ///         (see `note_single_run`) but ran several times, or ran although it was refused.
+  ///         Complete only after all clients have stopped.
   [[nodiscard]] std::vector<std::string> violations() const {
     const std::lock_guard lock(mutex_);
     auto all_violations = violations_;
--- a/tests/platform_fleet/soak_replica.cc
+++ b/tests/platform_fleet/soak_replica.cc
@@ -19,8 +19,8 @@
 constexpr milliseconds slow_work_time{400};
 /// Interval between two events of a long stream.
 constexpr milliseconds long_event_interval{100};
-/// Maximum time after the crash of a replica until callers must know of the crash. After this time,
-/// callers must not send handles of results that the crash lost.
+/// Maximum time after the crash of a replica for which callers may still send handles of results
+/// that were lost in the crash.
 constexpr milliseconds stale_result_timeout{3'000};
 
 std::string header_of(const http_request& request, const char* name) {
@@ -42,13 +42,13 @@
   return parts;
 }
 
-/// @return kind of the request that a path names, such as `safe`.
+/// @return kind of a request, such as `safe`, from its path.
 std::string kind_in(const std::string& target) {
   return target.substr(1, target.find('/', 1) - 1);
 }
 
-/// Parsed handle of a result. The handle names the address and the incarnation of the replica that
-/// produced the result, and the request, stage and piece to which the result belongs.
+/// Parsed handle of a result: address and incarnation of the replica that produced the result, and
+/// request, stage and piece of the result.
 struct result_handle {
   std::string address;
   std::string request;
@@ -62,7 +62,7 @@
   }
 };
 
-/// @return the handle that `text` represents; std::nullopt if `text` is not a handle.
+/// @return std::nullopt if `text` is not a handle.
 std::optional<result_handle> parse_handle(const std::string& text) {
   const auto slash = text.find('/');
   if (slash == std::string::npos) {
@@ -85,7 +85,7 @@
 }
 
 /// Returns an answer whose events are sent one by one.
-/// @param should_break whether the answer is truncated after half of the events.
+/// @param should_break whether the answer ends after half of the events.
 scripted_answer long_stream(const std::string& head, const std::vector<std::string>& events,
                             bool should_break) {
   scripted_answer answer;
--- a/tests/platform_fleet/soak_replica.h
+++ b/tests/platform_fleet/soak_replica.h
@@ -1,10 +1,9 @@
-/// Replicas of the fault soak on loopback. The soak can make a replica misbehave, crash, and
-/// restart under the same id. Replicas check the requests that they receive. The callers of a
-/// replica are the nodes.
+/// Emulated replicas of the fault soak on loopback. A replica can misbehave, crash, and restart
+/// under the same id, and checks the requests that it receives. Its callers are the nodes.
 ///
-/// A stage of a request consists of pieces, and the result of a piece stays at the replica that ran
-/// the piece. The replica answers with a handle, a text that identifies the result. Later stages
-/// receive handles as their inputs.
+/// A stage of a request consists of pieces. The result of a piece stays at the replica that ran the
+/// piece; the caller receives a handle, a text that identifies the result. Later stages receive
+/// handles as their inputs.
 #pragma once
 
 #include "scripted_server.h"
@@ -25,9 +24,9 @@
 /// Behaviour of a replica.
 enum class replica_mode : std::uint8_t {
   normal,
-  failing,        ///< Answers every second plain request with 500.
+  failing,        ///< Answers every second `safe` or `unsafe` request with 500.
   shedding,       ///< Rejects every request without running it.
-  losing_answers, ///< Runs requests, but may reset the connection or truncate the stream.
+  losing_answers, ///< Runs requests, but resets some connections and truncates some streams.
   corrupting,     ///< Appends surplus bytes to answers or truncates answers.
   slow            ///< Takes longer to run each request.
 };
@@ -45,7 +44,6 @@
 
   /// Begins the next incarnation because the replica at an address crashed or restarted.
   void advance(const std::string& address);
-  /// @return current incarnation of the replica at an address.
   [[nodiscard]] incarnation current(const std::string& address) const;
 
  private:
@@ -56,26 +54,25 @@
 /// Emulated replica with its HTTP server. Thread-safe.
 class soak_replica {
  public:
-  /// @param published_address address at which callers reach the replica. The handles of the
-  ///        replica's results contain this address.
+  /// @param published_address address of the fault proxy in front of the replica, at which callers
+  ///        reach the replica; part of the handles of its results.
   soak_replica(std::string id, std::string service, std::string zone, std::string published_address,
                replica_incarnations& incarnations, soak_recorder& recorder);
 
   void set_mode(replica_mode mode) { mode_ = mode; }
-  /// Sets the limit that the answers of the replica announce: the number of requests per second
-  /// that all callers together may send to the replica; 0 if the answers announce no limit.
+  /// Sets the number of requests per second that all callers together may send to the replica, as
+  /// its answers announce; 0 if they announce no limit.
   void set_limit(unsigned per_second) { limit_ = per_second; }
   /// Sets whether the answers of the replica announce that the replica drains.
   void set_drain_announced(bool is_announced) { is_drain_announced_ = is_announced; }
   /// Makes the replica reject all requests and ask the callers for a backoff of this duration; 0
   /// makes the replica accept requests.
   void set_backoff(std::chrono::milliseconds backoff) { backoff_ = backoff; }
-  /// Sets whether the next store entry of the replica has the state `draining`.
+  /// Sets whether the next store entry has the state `draining`.
   void set_draining(bool draining) { is_draining_ = draining; }
-  /// Crashes the replica at once: requests that it is running and all its results are lost.
+  /// Crashes the replica at once: its running requests and its results are lost.
   void crash();
-  /// Starts the replica again after `crash`, under the same id and without any state from before
-  /// the crash.
+  /// Starts the replica again after `crash`, under the same id and without its earlier state.
   void restart();
 
   /// @return whether the crashing request (`soak_request::crashing_path`) has crashed the replica
@@ -89,11 +86,10 @@
   [[nodiscard]] const std::string& zone() const { return zone_; }
   /// @return next store entry of the replica, with the next sequence number.
   [[nodiscard]] std::string next_record();
-  /// @return arrival times of the requests that were received since the last call of this function.
-  ///         Requests that were meant for another replica (X-Expect-Replica) are not included.
+  /// @return arrival times of the requests that were received since the last call of this function,
+  ///         without requests meant for another replica (X-Expect-Replica).
   std::vector<soak_clock::time_point> take_arrivals();
-  /// @return arrival time of the last received request. Requests that were meant for another
-  ///         replica are included.
+  /// @return arrival time of the last received request, also if it was meant for another replica.
   [[nodiscard]] soak_clock::time_point last_arrival_at() const { return last_arrival_at_; }
 
  private:
@@ -102,8 +98,8 @@
   /// @return header lines that announce the limit and the drain; empty if the replica announces
   ///         neither.
   [[nodiscard]] std::string self_report_headers() const;
-  /// @return answer that rejects a request: the answer states that the request was not executed,
-  ///         and contains the requested backoff.
+  /// @return answer that states that the request was not executed, and asks for a backoff if one is
+  ///         set.
   [[nodiscard]] scripted_answer rejection(const std::string& id) const;
   /// Runs the pieces of a call and answers with the handles of the results.
   scripted_answer run_pieces(const http_request& request);
@@ -111,15 +107,15 @@
   scripted_answer stream(const http_request& request, const std::string& id);
   /// Checks the path, the body, the headers and the inputs of a request.
   void check(const http_request& request, const std::string& id);
-  /// Records a violation if a request that is confined to a region, or a piece of such a request,
-  /// runs outside this region.
+  /// Records a violation if a request is confined to a region and this replica is in another
+  /// region.
   void check_region(const std::string& id);
-  /// Checks that the inputs are the handles of the results of all pieces of one stage of a request.
+  /// Checks that the inputs are the handles of the results of all pieces of a stage of a request.
   /// @param stage stage that produced the inputs.
   void check_inputs(const std::vector<std::string>& inputs, const std::string& id,
                     std::size_t stage);
-  /// Records a violation for each input whose result was lost so long ago that callers must know of
-  /// the loss.
+  /// Records a violation for each result that was lost in a crash so long ago that callers must
+  /// know of the crash.
   /// @param inputs handles of results.
   /// @return whether all results still exist.
   bool has_all_results(const std::vector<std::string>& inputs, const std::string& id);
--- a/tests/platform_fleet/soak_request.h
+++ b/tests/platform_fleet/soak_request.h
@@ -1,5 +1,5 @@
-/// Requests of the fault soak. All properties of a request follow from the id of the request, so
-/// that every receiver of a part of the request can check this part.
+/// Requests of the fault soak and the expected answers. All contents follow from the id of the
+/// request, so that replicas and clients can check whatever part they receive.
 #pragma once
 
 #include <cstddef>
@@ -7,10 +7,9 @@
 
 namespace spurrack::platform_tests {
 
-/// Contents of requests and of their answers. The kind of a request is the first part of its path,
-/// such as `safe`.
+/// The kind of a request is the first part of its path, such as `safe`.
 struct soak_request {
-  /// Path of the request that crashes every replica that starts to run it.
+  /// Path of the crashing request: every replica that starts to run this request crashes.
   static constexpr const char* crashing_path = "/stream/crashing";
   /// @return whether requests of a kind have stages.
   static bool has_stages(const std::string& kind) { return kind == "staged" || kind == "held"; }
@@ -31,9 +30,8 @@
   static std::string answer(const std::string& id);
   /// @return number of events of the answer to a request, if the answer is an event stream.
   static std::size_t event_count(const std::string& id);
-  /// @return text of one event of the answer to a request.
-  /// @param number position of the event in the stream, starting at 1. The position is also the id
-  ///        of the event.
+  /// @param number position of the event in the stream of the answer, starting at 1; also the id of
+  ///        the event.
   static std::string event(const std::string& id, std::size_t number);
   /// @return number of pieces of a stage of a request.
   /// @param stage 0 or 1.
--- a/tests/platform_fleet/soak_run.cc
+++ b/tests/platform_fleet/soak_run.cc
@@ -16,8 +16,8 @@
 
 using std::chrono::milliseconds;
 
-/// Maximum times that the platform allows until all nodes have reacted to the drain of a replica, a
-/// configuration change, and the evacuation of a zone. The values include slack for a busy machine.
+/// Maximum times that the platform allows until all nodes have reacted to the drain of a replica,
+/// to a configuration change, and to the evacuation of a zone, plus slack for a busy machine.
 constexpr milliseconds drain_timeout{3'000};
 constexpr milliseconds convergence_timeout{3'000};
 constexpr milliseconds evacuation_timeout{3'000};
@@ -125,8 +125,7 @@
 
 void soak_run::check_rate_limited_replica() {
   std::vector<std::string> services{"plain", "pool", "model"};
-  // This check has a separate random source, so that each seed in seeds.txt still leads to the same
-  // sequence of faults.
+  // A separate random source, so that the seeds in seeds.txt still lead to the same faults.
   base::seeded_random own_random(seed_);
   auto& limited = random_replica_of(base::take_random(services, own_random), own_random);
   rate_limit_check(limited, recorder_, own_random).check();
@@ -136,8 +135,7 @@
 
 void soak_run::check_self_reporting_replicas() {
   std::vector<std::string> services{"plain", "pool", "model"};
-  // This check has a separate random source, so that each seed in seeds.txt still leads to the same
-  // sequence of faults.
+  // A separate random source, so that the seeds in seeds.txt still lead to the same faults.
   base::seeded_random own_random(seed_ + 1);
   auto& backing_off = random_replica_of(base::take_random(services, own_random), own_random);
   self_report_check(backing_off, fleet_, recorder_, own_random).check_requested_backoff();
--- a/tests/platform_fleet/soak_run.h
+++ b/tests/platform_fleet/soak_run.h
@@ -1,5 +1,5 @@
-/// One run of the fault soak (fault_soak.cc) with one seed. The run injects faults, makes checks
-/// while there are no faults, and does planned maintenance, all under load.
+/// One run of the fault soak (fault_soak.cc) with one seed: injects faults, checks the fleet
+/// without faults, and does planned maintenance, all under load.
 #pragma once
 
 #include "foreign_entries.h"
@@ -27,8 +27,7 @@
   std::size_t rolling_restarts = 1;
 };
 
-/// One run of the fault soak. Owns the fleet and the clients that send requests to the fleet. Not
-/// thread-safe.
+/// Run of the fault soak, with its fleet and its clients. Not thread-safe.
 class soak_run {
  public:
   soak_run(const std::filesystem::path& binaries, const soak_options& options, std::uint64_t seed);
@@ -45,19 +44,18 @@
   void start_clients();
   void stop_clients();
   /// Ends all faults. Waits until all nodes are ready and `settle_time` has passed since the last
-  /// fault; then the invariants with a time limit must hold. Checks that the replica that was
-  /// restarted last receives requests.
+  /// fault. Then checks that the replica that was restarted last receives requests.
   void recover();
   /// Checks how the fleet reacts to four changes while there are no faults: a replica drains, the
   /// store entry of another replica cannot be parsed, a zone is evacuated, and an API key is
   /// removed. Then reverts the changes, and checks that both replicas receive requests again and
   /// that the API key is accepted again.
   void check_without_faults();
-  /// Checks that a replica that announces a limit does not receive too many requests, and that the
-  /// replica still receives requests after it has withdrawn the limit.
+  /// Checks that a replica that announces a request rate limit does not receive too many requests,
+  /// and receives requests again after it has withdrawn the limit.
   void check_rate_limited_replica();
-  /// Checks that nodes react to a replica that requests a backoff and to a replica that announces a
-  /// drain. Checks that each of the two replicas receives requests again afterwards.
+  /// Checks that nodes obey a replica that requests a backoff and a replica that announces a drain,
+  /// and that both replicas receive requests again afterwards.
   void check_self_reporting_replicas();
   /// Rolls the store back to a snapshot. After the snapshot was taken, an API key was removed and a
   /// replica began to drain. Checks that these two changes stay in effect after the rollback, and
@@ -75,7 +73,7 @@
   void check_success_rate(const std::map<std::string, std::size_t>& counts_before);
   /// Checks that a replica received no request after `quiet_since`.
   /// @param rule name of the invariant that such a request violates.
-  /// @param why reason for which the replica must not receive requests; part of the text of the
+  /// @param why reason why the replica must not receive requests; part of the text of the
   ///        violation.
   void check_no_request_since(const soak_replica& replica, soak_clock::time_point quiet_since,
                               const std::string& rule, const std::string& why);
@@ -93,8 +91,7 @@
   std::atomic<bool> should_stop_clients_ = false;
   std::list<soak_client> clients_;
   std::vector<std::thread> client_threads_;
-  /// Number of requests that `check_api_key` has sent. This number makes the ids of these requests
-  /// unique.
+  /// Number of requests that `check_api_key` has sent; makes the ids of these requests unique.
   std::size_t probe_count_ = 0;
   std::size_t resident_bytes_ = 0;
 };
--- a/tests/platform_fleet/soak_store.h
+++ b/tests/platform_fleet/soak_store.h
@@ -1,4 +1,4 @@
-/// Emulated metadata store of the platform on loopback. Tests can make the store misbehave.
+/// Emulated metadata store of the platform on loopback, which can misbehave.
 #pragma once
 
 #include "scripted_server.h"
@@ -37,8 +37,8 @@
   void remove(const std::string& key);
   /// Takes a snapshot of the items and of the current revision.
   void take_snapshot();
-  /// Restores the snapshot and begins a new era. Later changes receive revisions that other changes
-  /// had already received after the snapshot was taken.
+  /// Restores the snapshot and begins a new era. Later changes receive revisions that the lost
+  /// changes already had.
   void restore_snapshot();
 
  private:
