--- a/tests/platform_fleet/soak_fleet.h
+++ b/tests/platform_fleet/soak_fleet.h
@@ -82,7 +82,7 @@
 
   void start_node(soak_node& node);
   void signal(soak_node& node, int signal_number);
-  /// Waits until the process of a node exits. Kills the process after `timeout`.
+  /// Waits until the process of a node exits. Kills the process if it still runs after `timeout`.
   soak_exit wait_for_exit(soak_node& node, std::chrono::milliseconds timeout);
   [[nodiscard]] bool is_running(soak_node& node);
   /// @return resident memory of the processes of all nodes, in bytes.
