--- a/src/dispatch/admission_estimate.cc
+++ b/src/dispatch/admission_estimate.cc
@@ -7,8 +7,9 @@
 
 /// Typical number of pieces in a call, as a fraction of a full batch.
 constexpr double typical_batch_fill = 0.6;
-/// Time that a piece waits for a replica under moderate load, as a fraction of the call time. A
-/// piece arrives at a random moment during the preceding call, of which half remains on average.
+/// Time that a piece waits for a replica under moderate load, as a fraction of the call time. The
+/// piece arrives at a random moment while the replica runs another call, and on average half of
+/// that call remains.
 constexpr double typical_wait_fraction = 0.5;
 
 base::duration typical_call_time(const model::piece_capacity& capacity) {
--- a/src/dispatch/admission_estimate.h
+++ b/src/dispatch/admission_estimate.h
@@ -17,15 +17,19 @@
 /// still needs until its first byte. Not thread-safe.
 class admission_estimate {
  public:
-  /// Records the time from a call of a service to the first byte of its answer.
+  /// Records the measured time from the start of a call to a service until the first byte of its
+  /// answer.
   /// @param own_tokens number of tokens of the prompt outside its shared prefix.
   void note_first_byte(const std::string& service, std::uint32_t own_tokens,
                        base::duration duration);
 
-  /// @param final_call call of the request itself, with the zone that needs its stages' results.
-  /// @param order whether the pieces are queued before or after the pieces that are past due.
-  /// @return expected time until the first byte of the answer to a request whose stages have
-  ///         progressed as `graph` shows; std::nullopt if some stage cannot be computed now.
+  /// @param graph progress of the stages of the request.
+  /// @param final_call service of the request itself, zone to which the results of its stages are
+  ///        delivered, and its permitted regions.
+  /// @param order whether the remaining pieces are assumed to be queued before or after all pieces
+  ///        that are past due.
+  /// @return expected time from now until the first byte of the answer to the request; std::nullopt
+  ///         if some stage cannot be computed now.
   [[nodiscard]] std::optional<base::duration>
   time_to_first_byte(const model::serving_configuration& configuration, const model::route& route,
                      const stage_graph& graph, const stage_exchange& stages,
@@ -33,15 +37,16 @@
                      base::time_point now) const;
 
   /// @return conservative estimate of the time from the start of `stage` to the first byte of the
-  ///         answer: a call with a full batch and a typical wait for each stage on the longest
-  ///         path. If a piece of `stage` starts with less time left, its request will probably be
-  ///         late.
+  ///         answer. Each stage on the longest path from `stage` counts as a call with a full batch
+  ///         plus a typical wait for a replica. If a piece of `stage` starts when less than this
+  ///         time is left of the request's target latency, the request will probably be late.
   [[nodiscard]] base::duration
   conservative_time_from(const model::serving_configuration& configuration,
                          const model::route& route, const stage_graph& graph, std::uint32_t stage,
                          const std::string& service, std::uint32_t own_tokens) const;
 
-  /// @return expected time of a call of a service to its first byte.
+  /// @return expected time from the start of a call to a service until the first byte of its
+  ///         answer.
   [[nodiscard]] base::duration first_byte_time_of(const std::string& service,
                                                   std::uint32_t own_tokens) const;
 
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -13,20 +13,22 @@
 
 /// Timeout of a request if neither the client nor the route sets one.
 constexpr base::duration default_request_timeout = std::chrono::minutes(2);
-/// If a client allows a request less than this fraction of the route's timeout, the request counts
-/// as sent again after a refusal, which has used up part of the client's time. Such a request is
-/// refused early only if its first byte is not expected within the time allowed, and not because it
-/// would miss the target latency.
+/// If a client allows a request less than this fraction of the route's timeout, this node assumes
+/// that the request was refused before and sent again: the refusal has used up part of the client's
+/// time. Such a request is refused early only if its first byte is not expected within the time
+/// allowed; it is not refused for missing the target latency.
 constexpr double first_attempt_time_fraction = 0.97;
-/// Fraction of the time allowed by the client after which a node first checks whether the
-/// unfinished stages of a request can still end in time, and fraction between two such checks. The
-/// expected time changes with every replica that goes down. The first check aborts a request alone,
-/// a later check only if the check before it agrees: with seven checks of an inexact estimate, a
-/// single wrong check would abort a request that can still be served.
+/// A request is checked repeatedly for whether its unfinished stages can still end in time, because
+/// the expected time changes with every replica that goes down. The constants are the time from the
+/// arrival of the request to the first check, and the interval between two checks, as fractions of
+/// the time allowed by the client. The first check can abort a request alone. A later check aborts
+/// the request only if the check before it found the same: up to seven checks follow the first, and
+/// one wrong estimate among them must not abort a request that can still be served.
 constexpr double first_check_fraction = 0.42;
 constexpr double check_interval_fraction = 0.08;
 
-/// Interval at which requests that wait for a budget transfer are checked if no answer arrives.
+/// Interval at which this node checks whether requests that wait for a transfer of retry budget can
+/// be retried or must fail. If an answer of another node arrives earlier, they are checked at once.
 constexpr base::duration budget_check_interval = std::chrono::milliseconds(25);
 
 std::string seconds_text(base::duration span) {
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -49,14 +49,15 @@
 ///
 /// An attempt is a call of a request at one replica, and a run is the execution of the request
 /// there. A piece is a part of a stage of the request; all pieces must be computed before the
-/// request itself is sent. A ticket identifies a piece that was submitted to `stage_exchange`. A
-/// request gets a slot when some replica may be sent the request; for a replica that announces a
-/// rate limit, this node needs a permit for each request. An exit is the end of a replica's
-/// process, planned or by a crash; it is an exit under each request that ran there. A call is lost
-/// if it ends without a whole answer, and stalled if it makes no progress in time. A stream is
-/// suspended while its call is cancelled because the client reads too slowly. The digest of a
-/// request identifies the request when a client sends it again. A quarantined request is refused
-/// because replicas exited while they ran it.
+/// request itself is sent to a replica. A ticket identifies a piece that was submitted to
+/// `stage_exchange`. A request gets a slot when it may be sent to some replica; if the replica
+/// announces a rate limit, this node needs a permit for each request that it sends there. An exit
+/// is the end of a replica's process, planned or by a crash; an exit under a request is one that
+/// happened while the replica ran the request. A call is lost if it ends without a whole answer,
+/// and stalled if it makes no progress in time. A stream is suspended while its call is cancelled
+/// because the client reads too slowly. The digest identifies a request: if a client sends the
+/// request again, its digest is the same. A quarantined request is refused because replicas exited
+/// while they ran it.
 class dispatcher {
  public:
   /// @param random must outlive this object.
@@ -68,8 +69,8 @@
   void update(const catalog::catalog& content, base::time_point now);
   /// @param known_peers number of other nodes that are known, including dead nodes.
   void set_peers(std::vector<fleet_peer> alive, std::size_t known_peers);
-  /// Sets the limit on this process's memory that the bytes of incomplete stream events count
-  /// against; by default there is no limit.
+  /// Sets the byte budget of this process, which limits the bytes of incomplete stream events that
+  /// are buffered. By default they are not limited.
   void set_byte_budget(std::shared_ptr<flow::byte_budget> budget) {
     byte_budget_ = std::move(budget);
   }
@@ -81,7 +82,8 @@
   /// Begins a graceful stop: other nodes batch the pieces of stages from now on, and only requests
   /// that are expected to complete by `must_end_at` are accepted or sent to a replica.
   void begin_stop(base::time_point now, base::time_point must_end_at);
-  /// @return whether requests of this node or calls for pieces of any node are under way.
+  /// @return whether requests of this node's clients are active, or this node has calls for pieces
+  ///         under way. The pieces may belong to requests of any node.
   [[nodiscard]] bool is_busy() const { return !active_.empty() || stages_.has_calls_under_way(); }
 
   void handle(const event& input_event, base::time_point now);
@@ -93,14 +95,15 @@
   /// Processes another node's query for a transfer of retry budget, or its answer to such a query.
   void handle_peer(const base::node_id& sender, const base::network_address& address,
                    const wire::retry_lending& message, base::time_point now);
-  /// Records another node's health reports on replicas. Calls at a replica that is then declared
-  /// down are checked at once.
+  /// Records another node's health reports on replicas. If a replica in the message is now declared
+  /// down, this node's calls at that replica are checked for stalls at once.
   void handle_peer(const base::node_id& sender, const wire::replica_news& message,
                    base::time_point now);
   /// Merges another node's records of requests under which replicas exited.
   void handle_peer(const base::network_address& address, const wire::crash_news& message,
                    base::time_point now);
-  /// Processes another node's message about self-reports of replicas and about permits.
+  /// Processes a message of another node, which contains self-reports of replicas, queries for
+  /// permits, issued permits, or several of these.
   void handle_peer(const base::node_id& sender, const wire::rate_limits& message,
                    base::time_point now);
   /// Handles a suspension of this process or its machine: queries other nodes for missed messages,
@@ -113,7 +116,7 @@
   /// Aborts requests whose deadline has passed, runs all other checks that are due, and dispatches
   /// waiting requests and pieces.
   void advance(base::time_point now);
-  /// Aborts all active requests when the time of a graceful stop is over.
+  /// Aborts all active requests. Called when the time allowed for a graceful stop is over.
   void abort_all_requests(base::time_point now);
 
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
@@ -151,24 +154,27 @@
   struct open_call {
     base::call_id id = 0;
     base::replica_id replica;
-    /// Identifies the exit of the called incarnation on all nodes. Known before the exit, and
-    /// recorded if the call is lost.
+    /// Identifies the exit of the called incarnation, with the same value on all nodes, and is
+    /// known before the exit happens. If the replica exits during the call, the exit is recorded
+    /// with this identifier under the request.
     replica_exit incarnation_exit = 0;
     base::time_point started_at;
     /// Time at which the call counts as stalled unless it makes progress before; std::nullopt if
     /// its progress is not watched.
     std::optional<base::time_point> stalls_at;
     /// Time at which the stage results that the call reads are freed, because the replica should
-    /// have fetched them by then; std::nullopt if they were already freed, or are kept until the
-    /// first event or the answer arrives.
+    /// have fetched them by then. std::nullopt if no such time is set: the call reads no stage
+    /// results, they were already freed, or they are kept until the first event or the answer
+    /// arrives.
     std::optional<base::time_point> inputs_fetched_at;
-    /// Time since which each check has found the call stalled and its replica declared down;
-    /// std::nullopt if the latest check did not.
+    /// Time of the check that first found the call stalled and its replica declared down, if every
+    /// check since then found the same; std::nullopt otherwise.
     std::optional<base::time_point> down_since;
     /// Time at which the replica table was last told that the replica sends data for this call.
     base::time_point contact_noted_at;
-    /// Time at which this node learned that the replica restarted after the call began. The request
-    /// then fails if it cannot be retried and no event of its stream arrives soon.
+    /// Set only if the call seems to have been sent to an earlier incarnation of its replica: time
+    /// at which this node learned of the restart. If the request cannot be retried and no event of
+    /// its stream arrives within `restart_confirm_time` after this time, the request fails.
     std::optional<base::time_point> restart_seen_at{};
   };
   /// Entry in an admission queue. Ordered by priority (0 is the most urgent), then by deadline.
@@ -186,7 +192,7 @@
     std::string reason;
     /// Answer of a replica to forward; std::nullopt if this node answers itself.
     std::optional<call_answered> answer;
-    /// Whether no replica has run the request, which this node's answer then states.
+    /// Whether no replica has run the request; if so, the answer of this node says that.
     bool is_not_run = false;
   };
   /// A request that has arrived and whose answer is not complete.
@@ -228,7 +234,8 @@
     /// Time of the next check whether the stages can still end in time; std::nullopt if the request
     /// is not checked.
     std::optional<base::time_point> next_feasibility_check_at;
-    /// Result of the last feasibility check; std::nullopt before the first check.
+    /// Whether the latest feasibility check found that the request cannot be served in time;
+    /// std::nullopt before the first check.
     std::optional<bool> was_infeasible_at_last_check;
     std::optional<answer_head> stream_head;
     /// Times of the first and the latest event of the stream, and the longest time between two
@@ -237,14 +244,16 @@
     base::time_point latest_event_at;
     base::duration longest_event_gap{};
     event_stream events;
-    /// Counts the bytes of an incomplete event that `events` buffers.
+    /// Memory reserved in the byte budget for the bytes of an incomplete event that `events`
+    /// buffers.
     std::optional<flow::byte_reservation> partial_event_reservation;
     /// Whether reading from the replica is paused because the client reads too slowly.
     bool is_window_closed = false;
     /// Time at which the paused stream is suspended, or its remainder is buffered; set only while
     /// `is_window_closed`.
     std::optional<base::time_point> slow_client_check_at;
-    /// Whether the call was cancelled; the request is sent again when the client reads on.
+    /// Whether the stream is suspended: its call was cancelled because the client reads too slowly,
+    /// and the request is sent to a replica again when the client reads on.
     bool is_suspended = false;
     /// Whether the stream was ever suspended or buffered because its client read too slowly.
     bool is_slow_client = false;
@@ -254,7 +263,8 @@
 
   struct residency_refusal {
     std::string reason;
-    /// Whether a retry may succeed because replicas in the permitted regions may accept work later.
+    /// Whether it may help to send the request again later: the permitted regions have replicas,
+    /// but these accept no work now.
     bool is_temporary = false;
   };
 
@@ -274,15 +284,17 @@
 
   void admit(const request_arrived& arrival, std::shared_ptr<const model::route> route,
              const std::optional<model::access_key_holder>& holder, base::time_point now);
-  /// Refuses a request that may run in no region, or only in regions that cannot serve it now. Like
-  /// all `refuse_` and `abort_if_` functions of type bool, returns whether the request was ended.
+  /// Refuses a request that may run in no region, or whose permitted regions lack a replica that
+  /// accepts work of a service that the request needs. Like every function that returns bool and
+  /// whose name begins with `refuse_` or `abort_if_`, it returns whether it ended the request.
   bool refuse_by_residency(active_request& request);
   /// @return reason for which a request cannot be served in its permitted regions; std::nullopt if
   ///         it can be served.
   [[nodiscard]] std::optional<residency_refusal>
   residency_refusal_of(const active_request& request) const;
-  /// Counts a call by the locality of its replica (same zone, same region or elsewhere), and counts
-  /// the request if its permitted regions exclude a nearer replica.
+  /// Counts a call by the locality of its replica: same zone as this node, same region or
+  /// elsewhere. Also counts the request, on its first attempt, if its regions are restricted and a
+  /// replica nearer to this node than the chosen one accepts calls.
   void note_locality(const active_request& request, const replica_state& chosen,
                      base::time_point now);
   /// Submits the pieces that have all inputs, or sends the request if its stages are done.
@@ -294,8 +306,9 @@
   bool refuse_infeasible(active_request& request, base::time_point now);
   /// Refuses a request that a stopping node has no time to complete.
   bool refuse_while_stopping(active_request& request, base::time_point now);
-  /// Aborts a request that is not expected to complete before the end of a graceful stop. If no
-  /// replica may have run the request, the answer states that it was not run.
+  /// Aborts a request that is not expected to complete before the end of a graceful stop. The
+  /// answer states that the request was not run, or that it failed if a replica may have begun to
+  /// run it.
   bool abort_if_late_for_stop(active_request& request, base::time_point now);
   /// @return whether a request that is sent to a replica now is expected to complete before the end
   ///         of a graceful stop; true if no stop has begun.
@@ -304,9 +317,10 @@
   /// @return remaining work of a request, given the progress of its stages and its stream.
   [[nodiscard]] remaining_work remaining_work_of(const active_request& request,
                                                  base::time_point now) const;
-  /// @return time that a stream has already lasted, and that a resumption after its last event does
-  ///         not need again. Zero for a slow client, and if the stream has already lasted longer
-  ///         than expected, because its remaining time is then unknown.
+  /// @return time between the first and the latest event of a stream. A resumption after the latest
+  ///         event does not need this time again. Zero if the stream has not begun or its client is
+  ///         slow; also zero if the stream has already lasted as long as expected, because its
+  ///         remaining time is then unknown.
   [[nodiscard]] static base::duration streamed_time_of(const active_request& request,
                                                        base::duration expected_streaming_time);
   /// Records the duration of a completed run, unless its stream was resumed or its client was slow.
@@ -359,8 +373,9 @@
   static std::string digest_text(const active_request& request);
   /// Removes the open call from the request and from all indexes, and returns it.
   open_call close_call(active_request& request);
-  /// Records that a replica sent an answer, and so is active. Withdraws its recorded exit if the
-  /// answer disproves the exit.
+  /// Records that a replica is active because it sent an answer. If an exit of its current
+  /// incarnation is recorded and the answer shows that this incarnation still runs, withdraws the
+  /// recorded exit.
   void note_answer(const base::replica_id& replica, const answer_head& head, base::time_point now);
   /// Sends due messages about self-reports and permits, and processes the admission queues.
   void advance_self_reports(base::time_point now);
@@ -371,7 +386,8 @@
   find_published(const base::replica_id& id) const;
   /// @return requirements of a request on the replica that runs it.
   [[nodiscard]] static replica_requirements requirements_of(const active_request& request);
-  /// Requests a permit for a replica that could serve the request if this node held a permit.
+  /// Requests a permit for one replica, drawn at random among those that could serve the request
+  /// but for which this node holds no permit.
   void request_permit(const active_request& request, base::time_point now);
   [[nodiscard]] static waiting_request queue_entry_of(const active_request& request);
   /// @return whether the first request of the admission queue precedes this request and could be
@@ -381,7 +397,9 @@
   /// Chooses a replica for the request, or queues or refuses it if no replica accepts it now.
   /// @return the chosen replica; null if the request was queued or refused.
   const replica_state* choose_in_turn(active_request& request, base::time_point now);
-  /// @return time until a replica may accept the request if the refused client sends it again.
+  /// @return time after which a refused client should send the request again: the configured
+  ///         Retry-After time; or the time until the first requested backoff ends, if that is
+  ///         longer and no replica accepts the request now.
   [[nodiscard]] base::duration shortest_retry_after(const active_request& request,
                                                     base::time_point now) const;
   /// Queues a request that no replica accepts now, or refuses it if no slot is expected in time.
@@ -404,8 +422,8 @@
   ///         if no request was queued recently.
   [[nodiscard]] std::optional<double> drain_rate_of(const std::string& service,
                                                     base::time_point now) const;
-  /// @param backoff_wait time until the first of the backoffs that replicas requested ends.
-  /// @return time until the request is expected to be sent.
+  /// @param backoff_wait time until the earliest end of the backoffs that replicas requested.
+  /// @return expected time until the request is sent.
   [[nodiscard]] base::duration expected_backoff_wait(const std::string& service,
                                                      base::duration backoff_wait,
                                                      std::size_t requests_ahead,
@@ -429,8 +447,9 @@
   void retry_or_fail(active_request& request, base::time_point now);
   /// Sends a retry that the retry budget granted. A stream resumes after the last forwarded event.
   void send_retry(active_request& request, base::time_point now);
-  /// Retries a request if attempts, time and retry budget allow it. If only the budget is spent,
-  /// the request waits shortly for a transfer from other nodes. Otherwise it fails with `outcome`.
+  /// Retries a request if attempts, time and retry budget allow it. If only the retry budget does
+  /// not suffice, the request waits briefly for a transfer of retry budget from other nodes. If it
+  /// can neither be retried nor wait, it fails with `outcome`.
   void retry_or_fail_with(active_request& request, failure_outcome outcome, base::time_point now);
   void fail_with(active_request& request, const failure_outcome& outcome, base::time_point now);
   /// Records a lost call, and has its replica probed to find out whether the replica exited.
@@ -443,7 +462,8 @@
   /// Records the exit of a replica as an exit under the request of one lost call.
   void note_exit_under_request(const quarantine::lost_call& call, const base::replica_id& replica,
                                const char* evidence, base::time_point now);
-  /// Drops expired records of exits, begins quarantines that are due, and sends crash reports.
+  /// Drops expired records of exits, begins the quarantines that are due, and sends due crash
+  /// reports to other nodes.
   void advance_crashes(base::time_point now);
   /// Records the exits of replicas that have lost calls and are no longer published.
   void find_exited_replicas(base::time_point now);
@@ -496,17 +516,19 @@
   ///         stalled call or a slow client; std::nullopt if it needs no check.
   [[nodiscard]] static std::optional<base::time_point>
   next_due_check(const active_request& request);
-  /// Schedules the next check of a request, unless an earlier check is already scheduled. That
-  /// check schedules the next one when it runs, so that the events of a stream, which postpone its
-  /// stall timeout, cost no rescheduling.
+  /// Schedules the next check of a request. If an earlier check is already scheduled, nothing is
+  /// changed: that check schedules the next one when it runs. The events of a stream, each of which
+  /// postpones the stall timeout, therefore cost no rescheduling.
   void schedule_check(active_request& request);
   void check_requests(base::time_point now);
   /// Schedules an immediate check of each call at a replica that is declared down, if the call's
   /// route allows retries and the replica is not known to have sent anything since the call began.
   void recheck_calls_at(const base::replica_id& replica, base::time_point now);
-  /// Handles a stalled call: retries it at another replica if that is allowed. If no retry is
-  /// allowed and the replica stays declared down, the request fails; otherwise another check is
-  /// scheduled.
+  /// Handles a stalled call. If the route, the attempts and the deadline allow another attempt,
+  /// calls `retry_stalled_call`. Otherwise the request fails once its replica has stayed declared
+  /// down for `down_confirm_time`; if the replica has restarted,
+  /// `check_call_at_earlier_incarnation` decides instead. Until the request is retried or fails,
+  /// further checks are scheduled.
   void on_stalled(active_request& request, base::time_point now);
   /// @return whether the replica is not known to have sent anything since the call's last progress.
   [[nodiscard]] bool is_replica_unresponsive(const active_request& request) const;
@@ -527,7 +549,8 @@
   void check_call_at_earlier_incarnation(active_request& request, base::time_point now);
   /// Records an event, once per replica and service, for replicas of unconfigured services.
   void report_unknown_services();
-  /// Frees the inputs of a call if its replica should have fetched them by now.
+  /// Frees the stage results that a call reads, once the time by which its replica should have
+  /// fetched them has passed.
   void free_fetched_inputs(active_request& request, base::time_point now);
   void abort_expired_requests(base::time_point now);
 
@@ -541,11 +564,12 @@
   void finish(active_request& request, unsigned http_status, const std::string& reason,
               base::time_point now);
   void release_results(const std::vector<std::string>& handles);
-  /// Sets the preferred zone of a stage's pieces so that few bytes are transferred between zones.
-  /// It is the zone that holds the most bytes of a piece's inputs, if these are more than the bytes
-  /// that the request will read of the piece's result. Otherwise it is the zone in which the
-  /// request is expected to run, because the result is read there. The request reads only results
-  /// of stages that no other stage depends on; the results of other stages count as zero bytes.
+  /// Sets the preferred zone of the pieces of a stage so that few bytes are transferred between
+  /// zones. It is the zone that holds the most bytes of a piece's inputs, if these are more than
+  /// the bytes of the piece's result that the request itself will read. Otherwise it is the zone in
+  /// which the request is expected to run, because the request reads the result there. The request
+  /// itself reads only results of stages on which no other stage depends; of all other results it
+  /// reads zero bytes.
   void choose_zone(const active_request& request, std::uint32_t stage, piece_work& work) const;
   /// @return zone in which a request is expected to run.
   base::zone_id preferred_zone(const active_request& request, base::time_point now);
@@ -585,7 +609,8 @@
   /// By replica, the clients whose request has a call there.
   std::unordered_map<base::replica_id, std::set<base::caller_id>> clients_by_replica_;
   std::unordered_map<piece_ticket, base::caller_id> clients_by_ticket_;
-  /// By replica, the name of its unconfigured service that was last reported.
+  /// For each replica of an unconfigured service: the name of this service in the last event about
+  /// it.
   std::map<base::replica_id, std::string> reported_unknown_services_;
   /// Clients whose request waits for a budget transfer, in the order in which they began to wait.
   std::vector<base::caller_id> clients_awaiting_budget_;
@@ -593,7 +618,8 @@
   std::map<std::string, admission_queue> admission_queues_;
   std::map<std::string, drain_rate> drain_rates_;
   base::time_point next_queue_check_at_;
-  /// Whether the requests of an admission queue are being processed in their order.
+  /// Whether `process_admission_queue` is running. It sends the queued requests in their order, so
+  /// they are not compared with the other queued requests again.
   bool is_processing_queue_ = false;
   /// Total of received permits when the admission queues were last checked for new permits.
   std::uint64_t counted_permits_ = 0;
--- a/src/dispatch/dispatcher_admission_queue.cc
+++ b/src/dispatch/dispatcher_admission_queue.cc
@@ -15,12 +15,13 @@
 
 /// Interval at which the admission queues are processed, besides when permits arrive.
 constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
-/// A queued request is refused only if this fraction of its expected wait exceeds its remaining
-/// time: waits vary by about their own length, and a refusal wastes the time that the request has
-/// already waited.
+/// A queued request is refused only if even this fraction of its expected wait is longer than the
+/// client will still wait. The whole expected wait would be too strict: the actual wait may differ
+/// from it by about its own length, and a refusal wastes the time that the request has already
+/// waited.
 constexpr double certain_wait_fraction = 0.5;
-/// Maximum expected wait for a permit, also used if all limits are zero; no request may wait as
-/// long.
+/// Maximum expected wait for a permit, and the expected wait if all limits are zero. It stands for
+/// an endless wait: no request is meant to wait as long.
 constexpr base::duration unbounded_wait = std::chrono::hours(1);
 
 } // namespace
@@ -50,8 +51,8 @@
   }
   auto limited = replicas_.candidates_without_permit(requirements_of(request), now);
   if (request.graph) {
-    // To another zone the results of the request's stages would have to be transferred, so a permit
-    // of a replica there is of no use.
+    // A permit for a replica in another zone is of no use: the results of the request's stages
+    // would have to be transferred to that zone.
     std::erase_if(limited, [&](const replica_state* state) {
       return state->record->zone != request.expected_zone;
     });
@@ -63,17 +64,18 @@
 
 void dispatcher::request_permits_for_waiting(const std::string& service, base::time_point now) {
   const auto& queue = admission_queues_.at(service);
-  // Permits are requested of the replicas that could serve the first request in the queue. The
-  // other requests could use the same replicas, except for differences in permitted regions and
-  // tried replicas.
+  // Permits are requested for the replicas that could serve the first request in the queue. These
+  // replicas could also serve the other queued requests, unless those have other permitted regions
+  // or have already tried some of the replicas.
   const auto limited =
       replicas_.candidates_without_permit(requirements_of(active_.at(queue.begin()->client)), now);
   if (limited.empty()) {
     return;
   }
-  // A permit for any of the replicas suffices, so no more permits are requested than requests wait.
-  // The replicas that are chosen rotate with time because the node that issues the permits of some
-  // replicas may be down.
+  // A permit for any of the replicas suffices for a request. The permits requested of all replicas
+  // together are therefore as many as the queued requests, apart from rounding up for each replica.
+  // The chosen replicas rotate with time: the nodes that issue the permits of some of them may be
+  // down, and other replicas are then chosen next.
   const auto replica_count = std::min(limited.size(), queue.size());
   const auto permits_per_replica =
       static_cast<std::uint32_t>((queue.size() + replica_count - 1) / replica_count);
@@ -115,8 +117,8 @@
   if (per_second <= 0) {
     return unbounded_wait;
   }
-  // Other nodes get permits too. If requests waited at this node recently, the rate at which this
-  // node got permits is a better estimate than the limits.
+  // Other nodes get permits for these replicas too. If requests were queued at this node recently,
+  // the rate at which they were sent is a better estimate than the sum of the limits.
   const auto rate = std::min(per_second, drain_rate_of(service, now).value_or(per_second));
   return base::from_seconds(
       std::min(static_cast<double>(requests_ahead + 1) / rate, base::to_seconds(unbounded_wait)));
@@ -132,7 +134,9 @@
                                                  base::duration backoff_wait,
                                                  std::size_t requests_ahead,
                                                  base::time_point now) const {
-  // After a backoff calls begin slowly; their rate is known only after some calls have begun.
+  // After a backoff, calls to the replica begin slowly. The rate at which queued requests are sent
+  // is known only after some were sent; until then, the requests ahead are left out of the
+  // estimate.
   const auto recent_rate = drain_rate_of(service, now);
   return recent_rate
              ? backoff_wait + base::from_seconds(static_cast<double>(requests_ahead) / *recent_rate)
@@ -164,7 +168,8 @@
   if (choose_replica_for(demand, now) != nullptr) {
     return false;
   }
-  // Requests whose stages are being computed are also ahead because they need the same slots.
+  // Requests whose stages are still being computed also count as ahead, because they will need the
+  // same slots.
   const auto requests_ahead = std::count_if(active_.begin(), active_.end(), [&](const auto& entry) {
     const auto& other = entry.second;
     return other.client != request.client && other.service == request.service && !other.call;
--- a/src/dispatch/dispatcher_calls.cc
+++ b/src/dispatch/dispatcher_calls.cc
@@ -21,10 +21,10 @@
 /// Minimum interval at which the events of a stream are recorded as contact with its replica;
 /// recording each event would cost a look-up per event.
 constexpr base::duration contact_note_interval = std::chrono::milliseconds(100);
-/// Time after which a call at an engine that has other prompts to read first counts as stalled, as
-/// a multiple of the call's expected time to the first event. An earlier retry would make a second
-/// engine read a long prompt again, and the first event would not arrive sooner
-/// (docs/design/engines.md).
+/// Time after which a call at an engine counts as stalled if the engine must read other prompts
+/// first, as a multiple of the call's expected time to the first event. If the target latency is
+/// longer, it is used instead. An earlier retry would make a second engine read a long prompt
+/// again, and the first event would not arrive sooner (docs/design/engines.md).
 constexpr double engine_stall_factor = 2;
 
 bool is_success(unsigned http_status) {
@@ -384,8 +384,9 @@
   if (is_whole) {
     begin_stream(*request, now);
     if (request->first_event_at == base::time_point{}) {
-      // A resumed stream had no new events: the end of the stream is the first message to the
-      // client.
+      // No new event arrived, for example because the client resumed the stream after its last
+      // event. The end of the stream is then the first message to the client and counts as its
+      // first event.
       request->first_event_at = now;
     }
     replicas_.note_success(call.replica, now);
--- a/src/dispatch/dispatcher_crashes.cc
+++ b/src/dispatch/dispatcher_crashes.cc
@@ -1,6 +1,7 @@
-/// Requests under which replicas exit: detection of exits, quarantine of requests and their
-/// release. A call that ends without a whole answer is a lost call; if its replica turns out to
-/// have exited, the exit is recorded under the request of the call.
+/// Exits of replicas while they run requests: detects the exits, quarantines the requests under
+/// which they happened, and ends quarantines. A call that ends without a whole answer is a lost
+/// call; if its replica turns out to have exited, the exit is recorded under the request of the
+/// call.
 #include "dispatch/dispatcher.h"
 
 #include "dispatch/dispatcher_constants.h"
@@ -10,10 +11,10 @@
 namespace spurrack::serving {
 namespace {
 
-/// Minimum time from the assumed exit of a replica to an answer that disproves the exit. If the
-/// replica had restarted, it would be published with its new incarnation by then: replicas publish
-/// their entries every second or two, and the list of replicas lags by no more than the remainder
-/// of this time.
+/// An answer of a replica disproves a recorded exit only if it arrives at least this long after the
+/// time of the exit. If the replica had exited and restarted, its new incarnation would be
+/// published by then: replicas publish their entries every second or two, and the list of replicas
+/// at this node lags by no more than the remainder of this time.
 constexpr base::duration min_withdrawal_age = std::chrono::seconds(5);
 /// Interval at which expired records of exits are dropped; each record lives for 10 s or longer.
 constexpr base::duration crash_expiry_interval = std::chrono::seconds(1);
--- a/src/dispatch/dispatcher_replica_restarts.cc
+++ b/src/dispatch/dispatcher_replica_restarts.cc
@@ -7,11 +7,11 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time within which an event must arrive for a call that seems to have been sent to an earlier
-/// incarnation of its replica, or the request fails if it cannot be retried. The call may run at
-/// the new incarnation, because the entry of a restarted replica may reach this node after the new
-/// process accepted its first calls. Equal to the time for which a replica must stay declared down
-/// before requests at it fail.
+/// Time for which this node waits for an event of a call that seems to have been sent to an earlier
+/// incarnation of its replica. If no event arrives in this time and the request cannot be retried,
+/// the request fails. The wait is needed because the call may in fact run at the new incarnation:
+/// the entry of a restarted replica may reach this node after the new process accepted its first
+/// calls. Equal to the time for which a replica must stay declared down before requests at it fail.
 constexpr base::duration restart_confirm_time = std::chrono::milliseconds(500);
 
 /// @return replica id given to calls that were sent to an earlier incarnation, so that their
--- a/src/dispatch/dispatcher_retries.cc
+++ b/src/dispatch/dispatcher_retries.cc
@@ -9,12 +9,13 @@
 namespace spurrack::serving {
 namespace {
 
-/// Interval of the checks of a stalled call for which no other replica or no retry budget is
-/// available. Requests at a replica that goes down should be retried within one second; the
-/// interval is a tenth of it.
+/// Interval at which a stalled call is checked again if it cannot be retried now, for example
+/// because no other replica or no retry budget is available. Requests at a replica that goes down
+/// should be retried within one second; the interval is a tenth of it.
 constexpr base::duration stall_check_interval = std::chrono::milliseconds(100);
-/// Interval at which a stalled call that cannot be retried is checked for a replica that is
-/// declared down: a quarter of the second within which its request should be answered.
+/// Interval at which a stalled call that cannot be retried is checked again, to find out whether
+/// its replica is declared down. It is a quarter of the second within which the request should be
+/// answered.
 constexpr base::duration down_check_interval = std::chrono::milliseconds(250);
 /// Time for which a replica must stay declared down before a request at it that cannot be retried
 /// fails. In this time, other nodes that still have contact with the replica can report that it is
--- a/src/dispatch/dispatcher_slow_clients.cc
+++ b/src/dispatch/dispatcher_slow_clients.cc
@@ -82,7 +82,8 @@
 void dispatcher::handle_slow_client(active_request& request, base::time_point now) {
   request.slow_client_check_at.reset();
   if (!request.call) {
-    // The request is between two calls: the next call starts paused and is checked again.
+    // The request has no call now. If its stream is suspended, no check is needed. Otherwise it is
+    // between two calls: the next call starts paused, and the request is checked again later.
     if (!request.is_suspended) {
       request.slow_client_check_at = now + max_call_pause;
     }
--- a/src/dispatch/replica_report_exchange.cc
+++ b/src/dispatch/replica_report_exchange.cc
@@ -7,8 +7,8 @@
 namespace {
 
 /// Maximum number of nodes that receive one message; they are drawn at random if this node's region
-/// has more. In a region of 100 nodes the reports of two nodes reach about half of the other nodes
-/// at once.
+/// has more. In a region of 100 nodes, the first messages of two nodes together reach about half of
+/// the other nodes.
 constexpr std::size_t max_recipients = 32;
 /// Maximum number of health reports in one message, which then has about 300 bytes. Reports on
 /// replicas that answer calls with failures come last.
--- a/src/dispatch/replica_report_exchange.h
+++ b/src/dispatch/replica_report_exchange.h
@@ -22,8 +22,8 @@
 struct replica_report_counts {
   std::uint64_t messages = 0;
   std::uint64_t applied = 0;
-  /// Reports that were ignored because they refer to another incarnation of a replica than the one
-  /// that this node knows.
+  /// Number of reports that were ignored because they refer to another incarnation of a replica
+  /// than the one that this node knows.
   std::uint64_t of_other_incarnations = 0;
 };
 
@@ -42,7 +42,8 @@
 
   /// Replaces the nodes that can be sent reports; only nodes of this node's region are used.
   void set_peers(const std::vector<fleet_peer>& alive);
-  /// Sends the reports that have changed if this node's last message is at least one second old.
+  /// Sends the reports that have changed since they were last sent, if this node's last message is
+  /// at least one second old.
   void advance(base::time_point now);
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
 
--- a/src/dispatch/retry_after.h
+++ b/src/dispatch/retry_after.h
@@ -6,7 +6,8 @@
 
 namespace spurrack::serving {
 
-/// Fraction of the client's remaining time that a Retry-After time may take: less than a third.
+/// Maximum Retry-After time, as a fraction of the client's remaining time. It is kept below a
+/// third.
 inline constexpr double max_retry_after_fraction = 0.3;
 
 /// Adds jitter to a Retry-After time, so that clients that were refused at the same moment do not
--- a/src/dispatch/retry_budget.h
+++ b/src/dispatch/retry_budget.h
@@ -27,11 +27,12 @@
 
 /// Counts requests, retries and transfers of each service over a sliding window. Not thread-safe.
 ///
-/// Transfers keep the fleet-wide budget for this reason: the donor counts a transfer from the
-/// moment at which it grants it, for the window plus `transfer_lifetime`. The recipient can spend
-/// the transfer only between that moment and the end of its lifetime. In every window in which the
-/// transfer is spent, the donor therefore counts it, even if messages are lost, late or duplicated
-/// and nodes are partitioned. A lost transfer is never spent.
+/// Transfers never exceed the fleet-wide budget, for this reason: the donor counts a transfer for
+/// the window plus `transfer_lifetime`, from the moment at which it grants the transfer. The
+/// recipient can spend the transfer only after that moment, and at most `transfer_lifetime` later.
+/// The donor therefore still counts the transfer for at least one whole window after it was spent.
+/// This holds even if messages are lost, late or duplicated and nodes are partitioned. A lost
+/// transfer is never spent.
 class retry_budget {
  public:
   explicit retry_budget(retry_limits limits) : limits_(limits) {}
@@ -50,8 +51,8 @@
   /// @return amount that the budget lacks for one retry; 0 if `try_take` would grant one.
   [[nodiscard]] milli_retries shortfall(const std::string& service, base::time_point now);
   /// Grants another node at most half of the remaining budget, so that this node keeps budget for
-  /// its own retries. Budget that this node's requests earn is not granted because it expires when
-  /// the requests leave the window.
+  /// its own retries. Only budget that does not depend on this node's requests is granted: budget
+  /// that requests earn expires when the requests leave the window.
   /// @return granted part of `requested`, which counts as spent at this node.
   [[nodiscard]] milli_retries donate(const std::string& service, milli_retries requested,
                                      base::time_point now);
--- a/src/dispatch/retry_budget_exchange.cc
+++ b/src/dispatch/retry_budget_exchange.cc
@@ -5,10 +5,11 @@
 namespace spurrack::serving {
 namespace {
 
-/// Numbers of peers in this node's zone and in other zones that one query goes to. If this node's
-/// zone has too few peers, peers of other zones take their places. Each peer transfers at most half
-/// of its remaining budget, so two peers with unspent budgets suffice for a whole retry even if the
-/// budget of a node is little more than one retry.
+/// Numbers of peers to which one query is sent: `nearby_donors` peers in this node's zone and
+/// `remote_donors` peers in other zones. If this node's zone has too few peers, more peers in other
+/// zones are queried instead. Each peer transfers at most half of its remaining budget. Two peers
+/// with unspent budgets therefore suffice for a whole retry, even if the budget of one node is
+/// little more than one retry.
 constexpr std::size_t nearby_donors = 2;
 constexpr std::size_t remote_donors = 1;
 /// Time for which requests wait for answers to a query: three round trips between regions. A
--- a/src/dispatch/run_times.cc
+++ b/src/dispatch/run_times.cc
@@ -17,11 +17,12 @@
 /// Minimum number of recorded runs for an estimate: the longest of fewer runs says too little about
 /// the next run.
 constexpr std::size_t min_runs = 4;
-/// Number of recorded runs for each outlier that the estimate ignores: it ignores the longest of 16
-/// runs and the two longest of 32, so about one run in 16 may last longer than the estimate.
+/// One outlier is ignored for each group of this number of recorded runs. The estimate thus ignores
+/// the longest of 16 runs and the two longest of 32, so about one run in 16 may last longer than
+/// the estimate.
 constexpr std::size_t runs_per_outlier = 16;
-/// Factor that the estimate is multiplied by because the next run may last longer than all recorded
-/// runs: the longest of a few runs is often exceeded by some hundredths.
+/// The estimate is multiplied by this factor because the next run may last longer than all recorded
+/// runs: the longest of a few runs is often exceeded by some hundredths of its length.
 constexpr double headroom_factor = 1.1;
 
 run_time default_run(std::uint32_t output_tokens) {
@@ -29,9 +30,10 @@
   return {default_time_to_first_event, default_time_per_token * tokens};
 }
 
-/// @return longest value without the outliers, plus an allowance that grows with the spread of the
-///         values and shrinks with their number: for streams of three to six seconds, the next
-///         stream exceeded the longest of four recorded ones by a second.
+/// @return `headroom_factor` times the sum of the longest value that is not an outlier and an
+///         allowance. The allowance grows with the spread of the values and shrinks with their
+///         number. It is needed because, for streams of three to six seconds, the next stream
+///         exceeded the longest of four recorded ones by a second.
 double upper_estimate_of(std::vector<double> seconds) {
   std::sort(seconds.begin(), seconds.end());
   const double longest = seconds[seconds.size() - 1 - seconds.size() / runs_per_outlier];
--- a/src/dispatch/run_times.h
+++ b/src/dispatch/run_times.h
@@ -28,10 +28,11 @@
   void note_run(const std::string& route, const std::string& service, std::uint32_t output_tokens,
                 const run_time& observed);
 
-  /// @return times that few of the recent runs of the route exceeded, scaled to `output_tokens` if
-  ///         enough of these runs have a known number of tokens. If too few runs of the route are
-  ///         known, the estimate uses the recent runs of all routes of the service and their times
-  ///         per token; if too few of these are known either, it is a default.
+  /// @return times that few of the recent runs of the route exceeded. The streaming time is scaled
+  ///         to `output_tokens` if that number is known for this request and for enough of the
+  ///         recorded runs. If too few runs of the route are known, the recent runs of all routes
+  ///         of the service are used instead, provided that the streaming time can be scaled. If
+  ///         neither is possible, default times are returned.
   [[nodiscard]] run_time upper_estimate(const std::string& route, const std::string& service,
                                         std::uint32_t output_tokens) const;
 
--- a/src/dispatch/stop_plan.h
+++ b/src/dispatch/stop_plan.h
@@ -2,10 +2,10 @@
 /// complete before the process must end.
 ///
 /// A node that is asked to stop has a fixed time left. A stream that is under way at the end of
-/// that time is broken off after its status promised success, and its client can no longer be sent
-/// an error; a request that is refused costs its client one more connection. Each request is
-/// therefore evaluated individually by the time that it is expected to need, on arrival and again
-/// before it is sent to a replica. No I/O.
+/// that time is broken off: its status has already promised success, so its client can no longer be
+/// sent an error. A refused request, in contrast, costs its client only one more connection. Each
+/// request is therefore evaluated individually by the time that it is expected to need, on arrival
+/// and again before it is sent to a replica. No I/O.
 #pragma once
 
 #include "base/time.h"
@@ -35,9 +35,9 @@
   void begin(base::time_point now, base::time_point must_end_at);
   [[nodiscard]] bool has_begun() const { return times_.has_value(); }
 
-  /// @return whether a request that has just arrived is accepted: its kind (stream or not) is still
-  ///         accepted at this time of the stop, and `may_send` permits it; true if no stop has
-  ///         begun.
+  /// @return whether a request that has just arrived is accepted: the admission window of its kind
+  ///         (stream or not), which starts with the stop, has not passed, and `may_send` permits
+  ///         the request. True if no stop has begun.
   [[nodiscard]] bool accepts(const remaining_work& work, base::time_point now) const;
   /// @return whether an accepted request may still be sent to a replica: it is expected to complete
   ///         before the stop ends, or its deadline is earlier than that; true if no stop has begun.
--- a/tests/dispatch/engine_requests_test.cc
+++ b/tests/dispatch/engine_requests_test.cc
@@ -107,8 +107,8 @@
   const auto calls = all<start_call>();
   BOOST_TEST(calls.size() == 10U);
   const auto& first = calls.front();
-  // Some requests go to the second engine. The test needs the last call that waits behind the first
-  // call at the same engine.
+  // Some requests go to the second engine, so the test looks for the last call that went to the
+  // same engine as the first call and waits behind it.
   const auto last = std::find_if(calls.rbegin(), calls.rend(), [&](const start_call& call) {
     return call.target.replica == first.target.replica;
   });
--- a/tests/dispatch/replica_changes_test.cc
+++ b/tests/dispatch/replica_changes_test.cc
@@ -21,7 +21,8 @@
   }
 
   static std::string replica_name(int number) { return "r" + std::to_string(number); }
-  /// @return number of records that an update compares.
+  /// Updates the dispatcher with the published catalog.
+  /// @return number of replica records that the update compared.
   std::uint64_t records_compared_by_update() {
     const auto before = subject.replicas().records_compared();
     subject.update(published.content, now);
--- a/tests/dispatch/run_times_test.cc
+++ b/tests/dispatch/run_times_test.cc
@@ -79,8 +79,8 @@
   for (const int run : {3000, 4500, 3500, 4000}) {
     note(run);
   }
-  // The longest of the four runs lasted 4.5 seconds. The allowance is half of the spread of 1.5
-  // seconds, because streams like these last up to six seconds.
+  // The longest of the four runs lasted 4.5 seconds, and the spread is 1.5 seconds. The allowance
+  // for four runs is half of the spread, because streams like these last up to six seconds.
   BOOST_TEST(total_seconds(subject.upper_estimate("route", "service", 0)) == headroom_factor * 5.25,
              boost::test_tools::tolerance(0.001));
   for (int round = 0; round < 3; ++round) {
--- a/tests/dispatch/serving_fixture.h
+++ b/tests/dispatch/serving_fixture.h
@@ -230,8 +230,8 @@
   }
 
   /// @param first index of the first command to search.
-  /// @return replicas of all calls, of any kind, and of all freed results among the searched
-  ///         commands.
+  /// @return replicas to which the searched commands are addressed: calls of requests, calls for
+  ///         pieces, and commands that free results.
   [[nodiscard]] std::vector<base::replica_id> called_since(std::size_t first) const {
     std::vector<base::replica_id> called;
     for (std::size_t index = first; index < commands.size(); ++index) {
