--- a/src/stage_work/drain_rate.cc
+++ b/src/stage_work/drain_rate.cc
@@ -3,11 +3,12 @@
 namespace spurrack::serving {
 namespace {
 
-/// Minimum duration of a measuring window, over which dispatched items are counted.
+/// Minimum duration of a measuring window. The drain rate of a window is the number of items
+/// dispatched in it, divided by its duration.
 constexpr base::duration min_window_duration = std::chrono::milliseconds(400);
-/// Time after which a measured rate is no longer valid.
+/// Age from which a measured drain rate is no longer valid.
 constexpr base::duration rate_lifetime = std::chrono::milliseconds(1500);
-/// Weight of the newest window in the smoothed rate.
+/// Weight of the newest window in the smoothed drain rate.
 constexpr double newest_window_weight = 0.5;
 
 } // namespace
--- a/src/stage_work/drain_rate.h
+++ b/src/stage_work/drain_rate.h
@@ -14,8 +14,8 @@
   /// Records that `count` items were dispatched. @param remaining number of items that still wait.
   void note_dispatched(std::size_t count, std::size_t remaining, base::time_point now);
 
-  /// @return items per second; std::nullopt if no rate was measured recently, for example because
-  ///         the queue was empty.
+  /// @return items dispatched per second while further items waited; std::nullopt if this rate was
+  ///         not measured recently, for example because the queue was empty.
   [[nodiscard]] std::optional<double> per_second(base::time_point now) const;
 
  private:
--- a/src/stage_work/shard_map.cc
+++ b/src/stage_work/shard_map.cc
@@ -8,10 +8,12 @@
 namespace spurrack::serving {
 namespace {
 
-/// Target number of replicas per shard; a larger number is divided over several shards.
+/// Target number of replicas per shard. If more replicas are to be divided, they form several
+/// shards.
 constexpr std::size_t target_replicas_per_shard = 16;
-/// Minimum number of replicas with which a zone has shards of its own in a region that needs more
-/// than one shard. With fewer, calls would be sent half empty or wait for the only free replica.
+/// In a region that needs more than one shard, a zone has shards of its own only if it has at least
+/// this number of replicas of the service. With fewer, its calls would be sent half empty or wait
+/// for the only free replica.
 constexpr std::size_t min_replicas_per_zone_shard = 4;
 /// Minimum processor share (cores that a node may use) of a batcher, as a fraction of the largest
 /// processor share in its zone or region.
--- a/src/stage_work/shard_map.h
+++ b/src/stage_work/shard_map.h
@@ -18,7 +18,7 @@
 
 namespace spurrack::serving {
 
-/// Replicas of one service for which one node batches pieces.
+/// A shard: replicas of one service for which the same node, the batcher, batches pieces.
 struct shard {
   std::string service;
   model::effective_region region;
@@ -65,16 +65,16 @@
   }
   /// @return whether this node is the batcher of a shard that is not limited to one zone.
   [[nodiscard]] bool batches_for_other_zones() const;
-  /// @return number of evaluations since construction of whether a replica accepts work, or whether
-  ///         a node may be a batcher.
+  /// @return how often, since construction, this object has checked whether a replica accepts work
+  ///         or whether a node may be a batcher.
   [[nodiscard]] std::uint64_t evaluations() const { return evaluations_; }
 
  private:
   using state_list = std::vector<const replica_state*>;
   /// Replicas of one service in one region, by zone.
   using zone_replicas = std::map<base::zone_id, state_list>;
-  /// Nodes that may be batchers: of the shards of a zone, of the shards of a region, and (`all`) of
-  /// the shards of a region without nodes.
+  /// Nodes that may be batchers: `by_zone` for the shards of a zone, `by_region` for the shards of
+  /// a region, and `all` for the shards of a region in which no node may be a batcher.
   struct candidate_nodes {
     std::map<base::zone_id, std::vector<base::node_id>> by_zone;
     std::map<model::effective_region, std::vector<base::node_id>> by_region;
@@ -88,7 +88,8 @@
   /// Adds the shards of the replicas of one service in one region.
   /// @param common service and region of the shards.
   void divide_into_shards(const shard& common, const zone_replicas& replicas);
-  /// Adds shards of replicas and selects the batcher of each from `candidates`.
+  /// Divides `replicas` into shards, adds these to `shards_`, and selects the batcher of each from
+  /// `candidates`.
   /// @param common service, region and zone of the shards.
   void add_shards(const shard& common, const state_list& replicas,
                   const std::vector<base::node_id>& candidates);
@@ -99,7 +100,7 @@
   model::zone_regions regions_;
   const replica_table* replicas_;
   const peer_directory* peers_;
-  /// std::nullopt if the candidates must be recomputed.
+  /// Nodes that may be batchers; std::nullopt if they must be recomputed.
   std::optional<candidate_nodes> candidates_;
   bool is_stopping_ = false;
   std::vector<shard> shards_;
--- a/src/stage_work/stage_exchange.cc
+++ b/src/stage_work/stage_exchange.cc
@@ -10,27 +10,30 @@
 
 /// Time after which a piece that its receiver did not acknowledge is sent to another node.
 constexpr base::duration acceptance_timeout = std::chrono::milliseconds(250);
-/// Time since the last confirmation after which the holder of a piece is queried whether it still
-/// holds the piece.
+/// If this time has passed since the holder of a piece last confirmed that it has the piece, this
+/// node asks the holder again.
 constexpr base::duration confirmation_interval = std::chrono::milliseconds(700);
-/// Time since the last confirmation after which the holder is assumed to have lost the piece, and
-/// the piece is moved.
+/// If this time has passed since the holder of a piece last confirmed that it has the piece, this
+/// node assumes that the holder lost the piece, and moves the piece.
 constexpr base::duration confirmation_timeout = std::chrono::milliseconds(1500);
-/// Time for which outcomes of pieces of other nodes are kept to answer queries of the origins.
+/// Minimum time for which this node keeps the outcome of a piece that another node forwarded, to
+/// answer queries of that node.
 constexpr base::duration reported_result_lifetime = std::chrono::seconds(3);
-/// Interval between checks of the pieces that other nodes hold: a tenth of `acceptance_timeout`,
-/// the shortest of the times above.
+/// Interval at which this node checks, for the pieces of its requests that other nodes hold,
+/// whether the holder is responsive and has confirmed the piece in time. The interval is a tenth of
+/// `acceptance_timeout`, the shortest of the times above.
 constexpr base::duration placement_check_interval = std::chrono::milliseconds(25);
-/// Maximum number of times that a piece is sent to a batcher again; after that, it is submitted to
-/// this node's pool.
+/// Maximum number of times that a piece is sent to a batcher again after it was first sent. After
+/// that, the piece is submitted to this node's own pool.
 constexpr std::uint32_t max_moves = 3;
 
 std::int64_t milliseconds_until(base::time_point when, base::time_point now) {
   return base::to_milliseconds(when - now);
 }
 
-/// @return residency of a piece that another node forwarded. An empty list of regions means no
-///         restriction, since a piece for which no region is permitted is never sent.
+/// @return residency of a piece that another node forwarded. An empty list of regions in the
+///         message means no restriction, since a piece for which no region is permitted is never
+///         sent.
 model::residency residency_of(const wire::piece_request& request) {
   std::set<base::region_id> regions;
   for (const auto& region : request.permitted_regions()) {
@@ -60,8 +63,8 @@
   if (shards_.own_replicas().contains(replica.record->id)) {
     return true;
   }
-  // If this node is the batcher of no replica that the pieces may use, it calls other replicas:
-  // otherwise the pieces would wait here forever.
+  // If the pieces may use no replica of this node's own shards, this node calls replicas of other
+  // batchers for them: without this rule, the pieces would wait here forever.
   const auto own = shards_.own_services().find(replica.record->service);
   return own == shards_.own_services().end() ||
          std::none_of(own->second.begin(), own->second.end(), [&](const auto& effective_region) {
@@ -248,8 +251,9 @@
     const auto* accounting_peer =
         known == result_accounting_nodes_.end() ? nullptr : peers_.find(known->second);
     if (accounting_peer == nullptr || accounting_peer->unresponsive_since) {
-      // Any node may free a result. If another node accounts for its memory, that node counts the
-      // memory as used until the result expires.
+      // This node frees the result itself, which any node may do. If another node accounts for the
+      // memory of the result, that node is unresponsive or no longer known, and is not told: it
+      // counts the memory as used until the result expires.
       pool_.release(handle);
     } else {
       message_to(accounting_peer->peer.node).add_released(handle);
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -4,11 +4,11 @@
 /// small number of replicas is one shard of its region; a large number is divided by zone, so that
 /// a partitioned zone continues to serve.
 ///
-/// A node sends its pieces to the batcher with the lowest expected wait, the cost of the distance
-/// included. An unresponsive batcher is replaced by the next node in rendezvous order; two batchers
-/// of one shard at the same time do no harm. Batchers of other zones are known from the load that
-/// they report. Because the nodes' views of the fleet differ or change, a node may hold pieces
-/// without being their batcher; it still calls replicas for them.
+/// A node sends the pieces of its requests to the batcher with the lowest sum of expected wait and
+/// cost of the distance. An unresponsive batcher is replaced by the next node in rendezvous order;
+/// two batchers of one shard at the same time do no harm. Batchers of other zones are known from
+/// the load that they report. Because the nodes' views of the fleet differ or change, a node may
+/// hold pieces without being their batcher; it still calls replicas for them.
 ///
 /// Terms: the origin of a piece is the node that serves the request of the piece. Its exchange
 /// returns a ticket, which identifies the piece at the origin. The holder of a piece is the node in
@@ -46,7 +46,8 @@
   past_due, ///< After all other pieces.
 };
 
-/// A service that a request needs, and where the work may run. Refers to objects of the request.
+/// A service that a request needs, and where the work may run. Holds references to objects of the
+/// request, which must outlive it.
 struct service_demand {
   const std::string& service;
   /// Zone to which the results are delivered.
@@ -95,7 +96,8 @@
   /// @return the ticket of each piece, in the order of `pieces`.
   std::vector<piece_ticket> submit(std::vector<piece_work> pieces, const base::zone_id& zone,
                                    base::time_point now);
-  /// Cancels a piece of this node whose result is no longer needed.
+  /// Cancels a submitted piece whose result is no longer needed, also if another node holds the
+  /// piece.
   void cancel(piece_ticket ticket);
   /// Frees results that are no longer needed.
   void release(const std::vector<std::string>& handles);
@@ -108,25 +110,27 @@
 
   /// Updates the batchers of the shards; returns immediately if no update is due.
   void refresh(base::time_point now);
-  /// @return time that a piece submitted now is expected to wait for its call, the cost of the
-  ///         batcher's distance included; std::nullopt if no batcher can call a replica for it.
+  /// @return time for which a piece submitted now is expected to wait for its call, plus the cost
+  ///         of the distance to the batcher; std::nullopt if no batcher has a replica that it can
+  ///         call for the piece, now or when a requested backoff ends.
   [[nodiscard]] std::optional<base::duration>
   expected_wait(const service_demand& demand, piece_order order, base::time_point now) const;
 
-  /// Starts calls for waiting pieces, checks the pieces that other nodes hold, and reports this
-  /// node's load.
+  /// Starts calls for the pieces that wait in this node's pool. Queries the other nodes about the
+  /// pieces of this node's requests that they hold, or moves these pieces (see `check_placements`).
+  /// Sends this node's load report if it is due.
   void dispatch_waiting(base::time_point now);
-  /// @return latest time at which this node's pool needs the next `dispatch_waiting`; std::nullopt
-  ///         if the pool waits for nothing. Checks of pieces at other nodes and load reports are
-  ///         not taken into account.
+  /// @return latest time at which this node's pool needs the next call of `dispatch_waiting`;
+  ///         std::nullopt if the pool waits for nothing. Only the pool is considered: load reports,
+  ///         and checks of the pieces that other nodes hold, may be due earlier.
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   [[nodiscard]] std::vector<finished_piece> take_finished() { return std::exchange(finished_, {}); }
-  /// @return pieces of this node whose inputs were fetched by their replica since the previous
-  ///         `take_fetched`.
+  /// @return tickets of submitted pieces, at any holder, whose replica is assumed to have fetched
+  ///         their inputs since the previous `take_fetched`.
   [[nodiscard]] std::vector<piece_ticket> take_fetched() { return std::exchange(fetched_, {}); }
-  /// @return pieces of this node, at any holder, whose calls ended without an answer since the
-  ///         previous `take_lost`.
+  /// @return submitted pieces, at any holder, whose calls were lost (ended without an answer) since
+  ///         the previous `take_lost`.
   [[nodiscard]] std::vector<lost_piece> take_lost() { return std::exchange(lost_, {}); }
   [[nodiscard]] command_list take_commands() { return pool_.take_commands(); }
   [[nodiscard]] wire::outbox take_messages();
@@ -134,26 +138,27 @@
   [[nodiscard]] const shard_map& shards() const { return shards_; }
 
  private:
-  /// Batcher of the shards of a service in one region or zone.
+  /// Batcher of one or more shards of a service, all of the same region or all of the same zone.
   struct batcher {
     base::node_id node;
     model::effective_region region;
     /// Set if the shards belong to one zone; std::nullopt for shards of a region.
     std::optional<base::zone_id> zone;
-    /// Number of replicas of these shards that can be called now; a replica with a limit on calls
-    /// per second counts as a fraction of one. If no replica can be called now, the number of
-    /// replicas that can be called after their backoffs.
+    /// Number of replicas of these shards that can be called now. If none can be called now, the
+    /// number of replicas that are blocked only by a requested backoff and can be called when it
+    /// ends. A replica with a limit on calls per second counts as a fraction of one.
     double callable_replicas = 0;
-    /// Time at which the first of these backoffs ends; a time in the past if a replica can be
-    /// called now.
+    /// If no replica can be called now, the time at which the first of these backoffs ends;
+    /// otherwise a time in the past.
     base::time_point callable_at;
   };
-  /// A piece of this node and its holder.
+  /// A piece of one of this node's requests, and its holder: the node in whose pool the piece waits
+  /// and from which it is called.
   struct placement {
     piece_work work;
-    /// Empty if this node itself is the holder.
+    /// Node that holds the piece; empty if this node itself holds it.
     base::node_id holder;
-    /// Valid only if this node itself is the holder.
+    /// Ticket of the piece in this node's pool. Valid only if this node itself holds the piece.
     piece_ticket pool_ticket = 0;
     /// Time at which the piece was sent to the holder.
     base::time_point sent_at;
@@ -162,7 +167,7 @@
     std::optional<base::time_point> confirmed_at;
     /// Time at which the holder was last asked whether it still has the piece.
     base::time_point queried_at;
-    /// Number of times that the piece was sent to a holder again.
+    /// Number of times that `move_piece` has placed the piece again.
     std::uint32_t moves = 0;
   };
   /// A piece of another node, the origin, that this node holds.
@@ -187,14 +192,15 @@
   /// Sends an empty message to each new batcher, so that the transport connects to it.
   void connect_to_batchers(const std::vector<base::node_id>& batchers);
   /// Number of replicas of a shard that can be called. A replica without a limit counts as 1. A
-  /// replica that announces a limit on calls per second counts as the fraction of its time in which
-  /// that many calls, each with a full batch of pieces, keep it busy.
+  /// replica that announces a limit on calls per second counts as the fraction of its time for
+  /// which it is busy if it runs as many calls as the limit permits, each with a full batch.
   struct callable_replica_count {
     /// Number of replicas that can be called now.
     double now = 0;
-    /// Number of replicas that can be called after the backoff that they requested from this node.
+    /// Number of replicas that cannot be called now because of a backoff that they requested from
+    /// this node, and that can be called when this backoff ends.
     double after_backoff = 0;
-    /// Time at which the first of these backoffs ends.
+    /// Time at which the first of these backoffs ends; `time_point::max()` if there are none.
     base::time_point callable_at = base::time_point::max();
   };
   [[nodiscard]] callable_replica_count count_callable_replicas_of(const shard& entry,
@@ -207,15 +213,18 @@
   /// Sets, in the load report of a service, the number of callable replicas for which this node is
   /// the batcher, and whether these replicas are in one zone.
   void describe_own_shards(wire::stage_load& load, base::time_point now) const;
-  /// @return the batchers of a service: those of the shards that this node assigned, and batchers
-  ///         of other zones that report to this node. Only batchers that can be reached and whose
-  ///         replicas are in permitted regions.
+  /// @return the batchers to which pieces of a service can be sent, without those whose replicas
+  ///         are in regions that are not permitted. First, the batchers that this node selected for
+  ///         the shards in its shard map, if membership considers them alive. Second, nodes of
+  ///         other zones whose recent load reports say that they are batchers for their own zone,
+  ///         if these nodes are eligible for work and their zone is reachable and not evacuated.
   [[nodiscard]] std::vector<batcher> batchers_of(const std::string& service,
                                                  const model::residency& permitted_regions,
                                                  base::time_point now) const;
   /// @param zone preferred zone of the pieces.
   /// @param result_bytes total size of the results that are transferred to that zone.
-  /// @return cost of the distance to a batcher's replicas, in seconds of waiting.
+  /// @return cost of the distance between that zone and a batcher's replicas, as the wait in
+  ///         seconds that is accepted to avoid the distance.
   [[nodiscard]] double distance_seconds(const batcher& candidate, const base::zone_id& zone,
                                         double result_bytes) const;
   /// @param result_bytes total size of the results of all pieces that are placed together.
@@ -230,7 +239,8 @@
     double waiting_in_time = 0;
     double waiting_past_due = 0;
     double calls_under_way = 0;
-    /// Pieces per second; 0 if no pieces waited recently.
+    /// Pieces per second that the batcher dispatched while further pieces waited; 0 if no pieces
+    /// waited recently.
     double drain_rate = 0;
   };
   [[nodiscard]] batcher_load load_of(const base::node_id& node, const std::string& service,
@@ -243,31 +253,40 @@
   /// std::nullopt.
   void place(piece_ticket ticket, placement& placed, const std::optional<base::node_id>& chosen,
              base::time_point now);
-  /// Moves pieces whose holder is unresponsive or did not acknowledge them, and queries the holders
-  /// of pieces that were not confirmed within `confirmation_interval`.
+  /// Checks the pieces of this node's requests that other nodes hold. Moves a piece if its holder
+  /// is unresponsive, did not acknowledge the piece within `acceptance_timeout`, or has not
+  /// confirmed it for `confirmation_timeout`. Queries the holder of a piece that was not confirmed
+  /// for `confirmation_interval`.
   void check_placements(base::time_point now);
-  /// Queries the holder of an accepted piece, or moves the piece if the holder has not confirmed it
-  /// within `confirmation_timeout`.
+  /// Moves an accepted piece if its holder has not confirmed it for `confirmation_timeout`.
+  /// Otherwise queries the holder if it has not confirmed the piece for `confirmation_interval`.
   void query_or_move(piece_ticket ticket, placement& placed, base::time_point now);
-  /// Passes on fetched inputs, lost pieces and results of this node's pool: to the caller for
-  /// pieces of this node, by message to the origin for other pieces.
+  /// Takes from this node's pool the pieces whose inputs are assumed to be fetched, the pieces
+  /// whose calls were lost, and the outcomes of finished pieces. Keeps those of this node's
+  /// requests for the `take_` functions of this object; reports the others to their origins by
+  /// message.
   void collect_pool_results(base::time_point now);
   void collect_fetched_pieces();
   void collect_lost_pieces();
-  /// Returns the waiting pieces of other nodes to their origins as not run. Ignores pieces of this
-  /// node.
+  /// For the waiting pieces that other nodes forwarded to this node: cancels them here and reports
+  /// them to their origins as not run. Ignores the pieces of this node's own requests.
   /// @param waiting pool tickets of waiting pieces.
   void return_forwarded(const std::vector<piece_ticket>& waiting, base::time_point now);
-  /// Returns or moves the waiting pieces of a service to other nodes after this node stopped being
-  /// a batcher of the service. The pieces would not progress here: this node no longer learns which
-  /// results are freed, and would regard the memory of the replicas as full.
+  /// Called after this node stopped being a batcher of a service. Of the pieces of the service that
+  /// wait here, returns those of other nodes' requests to their origins, and moves those of this
+  /// node's own requests to another batcher if there is one. The pieces would not progress here:
+  /// this node no longer learns which results are freed, and would regard the memory of the
+  /// replicas as full.
   void move_waiting_pieces(const std::string& service, base::time_point now);
-  /// Reports to the origin of a piece that this node still holds the piece, or otherwise the
-  /// outcome of the piece; a piece of unknown outcome is reported as not run.
+  /// Answers the query of a node about a piece that it forwarded to this node: reports that this
+  /// node still holds the piece or, if not, the outcome of the piece. If the outcome is not known
+  /// here, reports the piece as not run.
   /// @param sender origin of the piece, which sent the query.
   /// @param ticket ticket of the piece at the origin.
   void send_piece_state(const base::node_id& sender, piece_ticket ticket);
-  /// @return whether this node may call a replica with pieces of this residency.
+  /// @return whether the division into shards lets this node call `replica` with pieces of this
+  ///         residency. Whether the residency permits the region of the replica is checked
+  ///         separately.
   [[nodiscard]] bool may_call(const replica_state& replica,
                               const model::residency& permitted_regions) const;
   /// @return nodes to which this node reports its load as a batcher.
@@ -281,8 +300,9 @@
   /// Applies the outcome of a piece that another node held. Moves the piece if it was not run.
   void apply_result(const base::node_id& sender, const wire::piece_result& result,
                     base::time_point now);
-  /// Sends a piece of this node to a batcher again, or, after `max_moves` moves, submits it to this
-  /// node's pool. Cancels the piece at the previous holder unless that node stays the holder.
+  /// Places a piece of one of this node's requests again: at a batcher or, after `max_moves` moves,
+  /// in this node's pool. Cancels the piece at the previous holder unless the same node is chosen
+  /// again.
   void move_piece(piece_ticket ticket, placement& placed, base::time_point now);
   /// Cancels a piece that another node forwarded to this node.
   /// @param ticket ticket of the piece at the origin.
@@ -312,16 +332,18 @@
   /// demand.
   mutable std::unordered_map<std::string, std::vector<batcher>> batchers_;
   mutable bool are_batchers_stale_ = true;
-  /// Node that accounts for the memory of a result (the holder of the piece), by handle. Results
-  /// that this node itself accounts for have no entry.
+  /// Node that accounts for the memory of a result, by handle of the result: the node that held the
+  /// piece. Results that this node itself accounts for have no entry.
   std::unordered_map<std::string, base::node_id> result_accounting_nodes_;
   /// Identifier of this incarnation of the node, sent with each message.
   std::uint64_t incarnation_;
   bool is_stopping_ = false;
   piece_ticket next_ticket_;
-  /// Unfinished pieces of this node, by ticket.
+  /// Unfinished pieces of this node's requests, at any holder, by the tickets that `submit`
+  /// returned.
   std::map<piece_ticket, placement> placements_;
-  /// Tickets of the pieces of this node that this node itself holds, by pool ticket.
+  /// For the pieces of this node's requests that are in this node's own pool: the ticket that
+  /// `submit` returned, by pool ticket.
   std::unordered_map<piece_ticket, piece_ticket> own_ticket_by_pool_ticket_;
   /// Pieces that other nodes forwarded to this node, by pool ticket.
   std::unordered_map<piece_ticket, forwarded_piece> forwarded_by_pool_ticket_;
--- a/src/stage_work/stage_exchange_batchers.cc
+++ b/src/stage_work/stage_exchange_batchers.cc
@@ -13,7 +13,8 @@
 namespace spurrack::serving {
 namespace {
 
-/// Interval between checks of which nodes are unresponsive and which replicas can be called.
+/// Interval at which this node checks which nodes are unresponsive and which replicas can be
+/// called.
 constexpr base::duration refresh_interval = std::chrono::milliseconds(50);
 
 } // namespace
@@ -24,7 +25,8 @@
     if (peers_.update_responsiveness(now)) {
       note_peers_changed();
     }
-    // Changes of replicas within one interval are applied together.
+    // The changes of replicas within one `refresh_interval` cause only one new division into
+    // shards.
     are_shards_stale_ = are_shards_stale_ || has_replica_changes_;
     are_batchers_stale_ = true;
   }
@@ -149,8 +151,8 @@
     const bool is_batcher = load != peer.loads.end() && load->second.replicas() > 0 &&
                             load->second.of_zone() && peer_directory::has_fresh_loads(peer, now);
     const auto& zone = peer.peer.zone;
-    // In this node's zone, only batchers that this node assigned are used: otherwise two batchers
-    // would share the replicas.
+    // For this node's own zone, only the batchers that this node itself selected are used, not
+    // nodes that announce themselves: otherwise two batchers might share the replicas.
     if (is_batcher && zone != self_.zone && !is_assigned(node) &&
         peer_directory::is_eligible(peer) && replicas_->is_reachable(zone) &&
         !replicas_->is_evacuated(zone)) {
@@ -203,8 +205,8 @@
   // If the number of callable replicas is not known, the capacity of one replica is assumed.
   const double replicas = candidate.callable_replicas > 0 ? candidate.callable_replicas : 1;
   const double wait_by_capacity = calls_ahead * full_call_time / replicas;
-  // Memory for results may limit a service to far fewer pieces per second than its calls could
-  // compute.
+  // The wait is also estimated from the drain rate: memory for results may limit a service to far
+  // fewer pieces per second than its calls could compute.
   const double wait_by_rate = load.drain_rate > 0 ? pieces_ahead / load.drain_rate : 0;
   const double until_callable = std::max(0.0, base::to_seconds(candidate.callable_at - now));
   return until_callable + std::max(wait_by_capacity, wait_by_rate);
--- a/src/stage_work/stage_graph.cc
+++ b/src/stage_work/stage_graph.cc
@@ -231,7 +231,8 @@
 stage_graph::time_left(const std::function<base::duration(std::uint32_t stage)>& stage_time) const {
   std::vector<base::duration> ends(stages_.size(), base::duration::zero());
   base::duration longest{};
-  // Each pass computes the end of at least one more stage of every path.
+  // The stages may be listed in any order. Each pass computes the correct end of at least one more
+  // stage on every path of dependencies, so that one pass per stage is enough.
   for (std::size_t pass = 0; pass < stages_.size(); ++pass) {
     for (std::uint32_t stage = 0; stage < stages_.size(); ++stage) {
       base::duration start{};
--- a/src/stage_work/stage_graph.h
+++ b/src/stage_work/stage_graph.h
@@ -36,21 +36,22 @@
   /// @param producer address of the replica.
   /// @return whether the graph has any result of that replica that is not freed.
   bool note_lost_results_of(const base::network_address& producer);
-  /// Schedules the recomputation of a piece whose replica found an input missing, of the inputs of
-  /// the piece that are lost, and of the freed results that these inputs were computed from. If
-  /// inputs are being recomputed already, schedules only the piece itself.
-  /// @param is_result_lost whether a result is known to be lost. All inputs of the piece are
-  ///        assumed to be lost if none is known to be, or if results were recomputed before.
+  /// Schedules the recomputation of a piece whose replica found an input missing. If no input of
+  /// the piece is being recomputed already, also schedules those inputs that are lost or freed, and
+  /// the freed results that these inputs were computed from.
+  /// @param is_result_lost whether a result is known to be lost. If no input is known to be lost or
+  ///        freed, or if this graph has recomputed results before, all inputs of the piece are
+  ///        assumed to be lost.
   /// @return handles of the results that the recomputation replaces, for the caller to free.
   std::vector<std::string>
   recompute_inputs_of(piece_position position,
                       const std::function<bool(const std::string&)>& is_result_lost);
-  /// Schedules the recomputation of each final input (see `final_inputs`) that is lost, and of the
-  /// freed results that these final inputs were computed from. Parameter and return value are those
-  /// of `recompute_inputs_of`.
+  /// Schedules the recomputation of each final input (see `final_inputs`) that is lost or freed,
+  /// and of the freed results that these final inputs were computed from. `is_result_lost` and the
+  /// return value are as in `recompute_inputs_of`.
   std::vector<std::string>
   recompute_final_inputs(const std::function<bool(const std::string&)>& is_result_lost);
-  /// @return whether a piece is submitted and not finished.
+  /// @return whether the piece at `position` is submitted and not finished.
   [[nodiscard]] bool is_under_way(piece_position position) const;
 
   /// @return handles of the results that the pieces of `stage` read, ordered by stage and piece.
@@ -100,8 +101,9 @@
   /// @return whether all pieces that read the results of a stage have fetched them.
   [[nodiscard]] bool consumers_have_fetched(std::uint32_t stage) const;
   [[nodiscard]] bool depends_on(std::uint32_t stage, std::uint32_t dependency) const;
-  /// Schedules the recomputation of the lost results of `stages`, or of all their results if none
-  /// is known to be lost or results were recomputed before.
+  /// Schedules the recomputation of those results of `stages` that are lost or freed. Schedules all
+  /// results of `stages` if none is known to be lost or freed, or if this graph has recomputed
+  /// results before.
   /// @return handles of the results that the recomputation replaces.
   std::vector<std::string> recompute(const std::vector<std::uint32_t>& stages,
                                      const std::function<bool(const std::string&)>& is_result_lost);
--- a/src/stage_work/stage_pool.cc
+++ b/src/stage_work/stage_pool.cc
@@ -12,10 +12,10 @@
 /// Maximum number of attempts at a piece: after this number of failed or lost calls, the piece
 /// finishes with its last fault.
 constexpr std::uint32_t max_calls_per_piece = 4;
-/// Factor by which the timeout of a call exceeds its expected duration; `call_timeout_margin` is
-/// added.
+/// The timeout of a call is its expected duration times this factor, plus `call_timeout_margin`.
 constexpr double call_timeout_factor = 4.0;
-/// Interval between checks of the replicas while pieces wait.
+/// Maximum interval at which the pool checks whether replicas can be called, while pieces or
+/// requests to free results wait for a replica.
 constexpr base::duration queue_check_interval = std::chrono::milliseconds(25);
 /// Fixed part of the timeout of a call.
 constexpr base::duration call_timeout_margin = std::chrono::milliseconds(400);
@@ -471,8 +471,9 @@
   cancel_timed_out_calls(now);
   note_fetched_inputs(now);
   drop_expired(now);
-  // A request to free results counts against the limit of a replica like a call. Such requests are
-  // sent before the calls to replicas that are short of memory, and after the calls to all others.
+  // A request to free results counts like a call against the limit on calls of its replica. A
+  // replica that is short of memory is sent its requests to free results before calls; every other
+  // replica is sent them after calls.
   free_deferred_results(true, now);
   for (auto& [name, queue] : queues_) {
     dispatch_service(name, queue, now);
--- a/src/stage_work/stage_pool.h
+++ b/src/stage_work/stage_pool.h
@@ -42,8 +42,8 @@
   std::string service;
   std::uint32_t stage = 0;
   std::uint32_t piece = 0;
-  /// Key that the client sent for the pieces of stages that do not depend on other stages; empty
-  /// for pieces of other stages.
+  /// Key from the client's request. Set for pieces of the stages that do not depend on other
+  /// stages, and sent to the replica; empty for all other pieces.
   std::string piece_key;
   /// Handles of the results that the piece reads.
   std::vector<std::string> inputs;
@@ -76,7 +76,8 @@
   piece_ticket ticket = 0;
   /// Replica that was called.
   base::replica_id replica;
-  /// Identifier of the exit of the called incarnation. Whether that incarnation exited is unknown.
+  /// Identifier that the exit of the called incarnation has, if the incarnation exited. Whether it
+  /// did is unknown.
   replica_exit incarnation_exit = 0;
 };
 
@@ -131,7 +132,8 @@
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   [[nodiscard]] std::vector<finished_piece> take_finished() { return std::exchange(finished_, {}); }
-  /// @return pieces whose inputs were fetched by their replica since the previous `take_fetched`.
+  /// @return tickets of the pieces whose replica is assumed to have fetched their inputs since the
+  ///         previous `take_fetched`.
   [[nodiscard]] std::vector<piece_ticket> take_fetched() { return std::exchange(fetched_, {}); }
   /// @return pieces whose calls were lost since the previous `take_lost`; the pieces are queued
   ///         again or finish as `lost`.
@@ -139,8 +141,8 @@
   [[nodiscard]] command_list take_commands() { return std::exchange(commands_, {}); }
   /// @return number of pieces of a service that wait for a call.
   [[nodiscard]] std::size_t waiting_count(const std::string& service) const;
-  /// @return number of waiting pieces of a service that are not past due: only these pieces are
-  ///         sent before a piece submitted now.
+  /// @return number of waiting pieces of a service that are not past due. Only these pieces can be
+  ///         ahead of a new piece that is not past due itself.
   [[nodiscard]] std::size_t waiting_in_time_count(const std::string& service,
                                                   base::time_point now) const;
   /// @return pieces of a service per second that were dispatched recently while more pieces waited;
@@ -159,8 +161,8 @@
   struct queued_piece {
     piece_work work;
     base::time_point submitted_at;
-    /// Number of calls with this piece; calls that did not run, and calls whose replica had no
-    /// memory for the result, are subtracted again.
+    /// Number of calls with this piece. Calls that no replica ran, and calls whose replica had no
+    /// memory for the piece's result, are subtracted again.
     std::uint32_t attempts = 0;
     /// Number of calls with this piece that were lost.
     std::uint32_t lost_calls = 0;
@@ -180,9 +182,11 @@
     /// Identifier that the exit of the called incarnation of the replica will have.
     replica_exit incarnation_exit = 0;
     base::time_point started_at;
-    /// Whether the inputs of the call were reported as fetched.
+    /// Whether the inputs of the call are assumed to be fetched and its pieces were added to
+    /// `fetched_`.
     bool has_reported_fetch = false;
-    /// Pieces in the order of the call; a cancelled piece has no entry in `pieces_`.
+    /// Tickets of the pieces of the call, in the order of the pieces in the call. If a piece was
+    /// cancelled since, its ticket is still listed but has no entry in `pieces_`.
     std::vector<piece_ticket> tickets;
     /// Size of the result of each piece, in bytes.
     std::vector<double> result_bytes;
@@ -204,14 +208,17 @@
   void drop_expired(base::time_point now);
   /// Cancels calls that timed out and marks their replicas as unreachable.
   void cancel_timed_out_calls(base::time_point now);
-  /// Adds the pieces of calls whose inputs are assumed to be fetched by now to `fetched_`.
+  /// For each call whose inputs are assumed to be fetched by now: adds the pieces of the call to
+  /// `fetched_`, except those cancelled since.
   void note_fetched_inputs(base::time_point now);
-  /// @return whether a piece that is still needed failed because its inputs were freed before its
-  ///         replica fetched them; false if a producer may have lost the inputs by itself.
+  /// @return whether a piece failed because its inputs were freed before its replica fetched them.
+  ///         False if the piece was cancelled, or if the producer of an input may have lost the
+  ///         input without being asked to free it, for example by a restart.
   [[nodiscard]] bool was_freed_too_early(piece_ticket ticket, const piece_outcome& outcome,
                                          base::time_point now) const;
-  /// Doubles `fetch_time_` after a call whose inputs were freed too early; otherwise reduces it
-  /// towards its configured value.
+  /// Adjusts `fetch_time_` after a call whose inputs are assumed to be fetched: doubles it if
+  /// inputs of the call were freed too early, and otherwise reduces it towards its configured
+  /// value.
   void update_fetch_time(const open_call& call, const stage_call_ended& answer,
                          base::time_point now);
   /// @return whether the queue holds a full batch or a piece that has waited for
@@ -238,7 +245,7 @@
                   const model::piece_capacity& capacity, base::time_point now);
   /// Estimate of the time at which the replicas of one zone can accept further calls.
   struct zone_wait_estimate {
-    /// Time at which the first of the replicas is free.
+    /// Time at which the first replica of the zone is free.
     base::time_point free_at;
     /// Duration of a call with a full batch.
     base::duration full_call_time{};
@@ -350,7 +357,8 @@
   std::shared_ptr<const model::serving_configuration> configuration_;
   replica_filter filter_;
   piece_ticket next_ticket_ = 1;
-  /// Time of the next check of the queues; set earlier after a change that may permit a call.
+  /// Time before which `dispatch_waiting` does nothing. Reset after a change that may permit a
+  /// call, so that the next `dispatch_waiting` checks the queues.
   base::time_point next_check_at_;
   std::unordered_map<piece_ticket, queued_piece> pieces_;
   std::map<std::string, service_queue> queues_;
@@ -362,8 +370,8 @@
   base::due_times<piece_ticket> waiting_deadlines_;
   /// Times at which calls without an answer are cancelled.
   base::due_times<base::call_id> call_timeouts_;
-  /// Times at which replicas are assumed to have fetched the inputs of their calls; calls without
-  /// inputs, and calls whose fetch was reported, have no entry.
+  /// Times at which replicas are assumed to have fetched the inputs of their calls. Calls without
+  /// inputs, and calls whose time has passed, have no entry.
   base::due_times<base::call_id> expected_fetches_;
   /// Times at which results expire at their producers.
   base::due_times<std::string> result_expiries_;
@@ -371,8 +379,8 @@
   std::map<base::replica_id, std::uint32_t> call_counts_by_replica_;
   /// Memory of results that are being computed or wait to be fetched, in bytes, by replica.
   std::map<base::replica_id, double> result_bytes_by_replica_;
-  /// Result memory of a replica that results unknown to this pool use; computed when the replica
-  /// had no memory left.
+  /// Result memory of a replica that is assumed to be used by results unknown to this pool.
+  /// Computed when the replica had no memory left for a result.
   struct unaccounted_memory {
     double bytes = 0;
     base::time_point expires_at;
--- a/src/stage_work/stage_pool_limits.h
+++ b/src/stage_work/stage_pool_limits.h
@@ -17,12 +17,13 @@
 /// Fraction of a replica's result memory. A replica with less free memory is short of memory: it is
 /// not expected to accept another call within the duration of a call with a full batch.
 inline constexpr double low_memory_share = 0.2;
-/// Slowdown (time of a call divided by its published time) from which a replica counts as slow: it
-/// receives no piece that would become past due in the additional time of its calls.
+/// Slowdown (time of a call divided by its published time) from which a replica counts as slow. A
+/// slow replica is sent no piece that becomes due within the additional time: the time by which a
+/// call with a full batch there exceeds its published time.
 inline constexpr double slow_replica_slowdown = 1.6;
 /// Number of lost calls (calls that ended without an answer) after which a piece is sent without
-/// pieces of other requests: the first loss is mostly chance, and a separate call for each request
-/// of a lost call would take ten times the calls.
+/// pieces of other requests. One lost call is not enough: the first loss is mostly chance, and a
+/// separate call for each request of a lost call would need ten times as many calls.
 inline constexpr std::uint32_t lost_calls_before_isolation = 2;
 /// Time after a lost call for which pieces with `lost_calls_before_isolation` or more lost calls
 /// are not sent. In this time the node that serves the request learns of the loss, probes the
--- a/src/stage_work/stage_pool_results.cc
+++ b/src/stage_work/stage_pool_results.cc
@@ -10,14 +10,16 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time, after a replica had no memory left, for which results unknown to the pool are assumed to
-/// use the memory of the replica that the pool had counted as free.
+/// Time after a replica had no memory left for a result. Until it has passed, the memory that the
+/// pool had counted as free at the replica is assumed to be used by results unknown to the pool.
 constexpr base::duration unaccounted_memory_lifetime = std::chrono::milliseconds(700);
-/// Maximum of the fetch time (time after the start of a call at which its inputs are assumed to be
-/// fetched), which doubles each time inputs were freed too early. Keeping results for longer than
-/// the time of one or two calls does more harm than good, because producers are short of memory.
+/// Maximum of the fetch time: the time after the start of a call at which the inputs of the call
+/// are assumed to be fetched. The fetch time doubles each time inputs were freed too early. Keeping
+/// results for longer than the time of one or two calls does more harm than good, because producers
+/// are short of memory.
 constexpr base::duration max_fetch_time = std::chrono::milliseconds(640);
-/// Number of calls over which the fetch time decays while no inputs are freed too early.
+/// Each call whose inputs were not freed too early moves the fetch time towards its configured
+/// value by the difference of the two divided by this number.
 constexpr int fetch_time_recovery_calls = 10;
 /// If at least this fraction of the latest calls to a producer failed, the producer may have lost
 /// its results.
@@ -63,7 +65,8 @@
       replicas_->has_announced_drain(*replica)) {
     return;
   }
-  // `dispatch_waiting` checks whether the replica may be called now.
+  // The request to free the result waits until `dispatch_waiting` finds that the replica may be
+  // called.
   if (replicas_->limit_of(*replica) || replica->backoff.was_requested()) {
     deferred_frees_[replica->record->id].push_back(handle);
     return;
--- a/tests/stage_work/exchange_fleet.h
+++ b/tests/stage_work/exchange_fleet.h
@@ -207,7 +207,7 @@
   bool loses_first_messages = false;
   /// Number of messages that all nodes sent.
   std::size_t messages_sent = 0;
-  /// Processor shares of nodes, by index; 1 for all other nodes.
+  /// Processor shares of nodes, by node index. A node without an entry has the share 1.
   std::map<std::size_t, double> processor_shares;
   base::time_point now{std::chrono::hours(1)};
   /// Node that does nothing and receives no messages; empty if there is none.
--- a/tests/stage_work/piece_residency_test.cc
+++ b/tests/stage_work/piece_residency_test.cc
@@ -18,7 +18,7 @@
 constexpr int zone_count = 6;
 using text_set = std::set<std::string>;
 
-/// Two nodes and replicas of service `pool` in each of six zones.
+/// Two nodes in each of six zones; each zone has replicas of service `pool`.
 struct restricted_fleet : exchange_fleet {
   explicit restricted_fleet(int replicas_per_zone = 2)
       : exchange_fleet(node_count, zone_count, residency_settings()) {
@@ -138,8 +138,9 @@
     static const std::vector<text_set> sets{{"north"}, {"south"}, {"west"}, {"north", "west"}};
     const auto set = random_.below(sets.size() + 1);
     const auto allowed = set == sets.size() ? model::residency{} : within(sets[set]);
-    // A client may reuse a request id after the residency rules of its tenant changed. Here the
-    // residency is part of the id, so that `check` finds the residency of each piece.
+    // A client may reuse a request id after the residency rules of its tenant changed. In this
+    // test, each residency has request ids of its own, so that `check` finds the residency of a
+    // piece by its request id.
     const auto name = "r" + std::to_string(random_.below(4)) + "-" + std::to_string(set);
     residency_by_request_[name] = allowed;
     auto& origin = *nodes[random_.below(nodes.size())];
@@ -238,7 +239,7 @@
   submit(model::residency{});
   submit(within({"west"}));
   // Zone `a` is the preferred zone of both pieces, and the transfer of their bytes to another zone
-  // costs more than a short wait for the replica of zone `a`. The second piece may not run in `a`.
+  // costs more than a short wait for the replica of zone `a`. The second piece must not run in `a`.
   BOOST_TEST(zones_of_pieces().size() == 2U);
 }
 
@@ -269,7 +270,8 @@
 
 BOOST_AUTO_TEST_CASE(pieces_of_a_region_without_nodes_are_called_by_a_batcher_of_another_region) {
   restricted_fleet fleet;
-  // All nodes of the region `south` are removed: nodes of other regions call its replicas.
+  // All nodes of the region `south` are removed, so that nodes of other regions must call the
+  // replicas of `south`.
   std::vector<fleet_peer> remaining;
   for (int index = 0; index < node_count; ++index) {
     if (residency_regions().region_of(fleet.peer(index).zone) != base::region_id("south")) {
--- a/tests/stage_work/region_batchers_test.cc
+++ b/tests/stage_work/region_batchers_test.cc
@@ -15,7 +15,7 @@
 constexpr int node_count = 12;
 constexpr int zone_count = 6;
 
-/// Two nodes and three replicas of service `pool` in each of six zones.
+/// Two nodes in each of six zones; each zone has at least three replicas of service `pool`.
 struct regional_fleet : exchange_fleet {
   regional_fleet() : exchange_fleet(node_count, zone_count, residency_settings()) {
     for (const auto& zone : residency_zones) {
--- a/tests/stage_work/shard_map_test.cc
+++ b/tests/stage_work/shard_map_test.cc
@@ -1,5 +1,5 @@
-/// Number of replicas and nodes that a shard map evaluates to divide a large number of replicas
-/// into shards after nodes or replicas changed.
+/// Counts the checks of replicas and nodes that a shard map makes to divide a large number of
+/// replicas into shards again after nodes or replicas changed.
 #include "stage_work/shard_map.h"
 
 #include "exchange_fleet.h"
@@ -53,8 +53,8 @@
 BOOST_AUTO_TEST_CASE(replica_change_evaluates_only_replicas_that_run_pieces) {
   for (const int size : {40, 160}) {
     large_service fleet(size, size);
-    // `published_catalog` starts with two further replicas that run pieces, and this node is
-    // evaluated along with the other nodes.
+    // The shard map also evaluates two replicas of `published_catalog` that run pieces, and this
+    // node itself.
     const auto replicas = static_cast<std::uint64_t>(size) + 2;
     const auto nodes = static_cast<std::uint64_t>(size) + 1;
     BOOST_TEST(fleet.evaluations_of_assignment() == replicas + nodes);
@@ -83,7 +83,8 @@
   }
   now += std::chrono::milliseconds(50);
   node.subject.dispatch_waiting(now);
-  // One assignment: the 40 replicas above and the two that `published_catalog` starts with.
+  // One assignment evaluates at most the 40 replicas above and the two that `published_catalog`
+  // starts with.
   const std::uint64_t max_evaluations = 42;
   BOOST_TEST(node.subject.shards().evaluations() - before <= max_evaluations);
   for (const auto& entry : node.subject.shards().shards()) {
