--- a/src/fleet_view/peer_directory.cc
+++ b/src/fleet_view/peer_directory.cc
@@ -12,28 +12,29 @@
 /// Time without a message after which a peer that reports in every round is marked as unresponsive:
 /// four missed reports.
 constexpr base::duration unresponsive_timeout = std::chrono::milliseconds(900);
-/// Time from the first check of a peer until the peer is marked as unresponsive if it has sent no
-/// message.
+/// Minimum time from the first check of a peer until the peer is marked as unresponsive because it
+/// has never sent a message.
 constexpr base::duration first_contact_timeout = std::chrono::seconds(2);
-/// Time after which an unresponsive peer from which no reports are expected is tried again. Within
-/// this time membership detects whether the peer is dead.
+/// Time for which a silent peer from which no load reports are expected stays marked as
+/// unresponsive. After this time the peer may be sent work again. Within this time membership
+/// detects whether the peer is dead.
 constexpr base::duration retry_delay = std::chrono::seconds(10);
-/// Maximum number of peers in a small fleet, in which all nodes report to all other nodes in every
-/// round: at most 60 messages per second and node.
+/// Maximum number of peers in a small fleet. In a small fleet every node reports to all other nodes
+/// in every round, so that a node sends at most 60 messages per second.
 constexpr std::size_t max_peers_of_small_fleet = 12;
-/// Number of rounds in which every receiver in another zone gets one report; the rounds take about
-/// a second.
+/// A receiver in another zone or region that does not get the report of every round gets one report
+/// in this number of rounds, which together take about a second.
 constexpr std::size_t rounds_per_remote_report = 5;
-/// Maximum number of batchers of one zone whose load reports a node of another zone of the region
-/// gets. Two batchers are enough to send a piece to the less loaded one. In a fleet of 300 nodes in
-/// which every batcher reported to all 225 nodes of other zones once per second, these reports were
-/// most of the bytes between zones.
+/// Maximum number of batchers of one zone that send their load reports to the same node of another
+/// zone of the region. Two batchers are enough: a piece is sent to the less loaded one. In a fleet
+/// of 300 nodes in which every batcher reported to all 225 nodes of other zones once per second,
+/// these reports were most of the bytes between zones.
 constexpr std::size_t batchers_reported_per_zone = 2;
-/// Maximum number of batchers of another region whose load reports a node gets. The batcher is in
-/// one zone of the other region; the zone differs from node to node. Work leaves its region only if
-/// it must, and then one batcher that accepts the work is enough. At 300 nodes in 6 zones of 3
-/// regions, these reports take 65 kB per second between regions; with two batchers of each zone
-/// they took 243 kB (control_traffic test).
+/// Maximum number of batchers of one region that send their load reports to the same node of
+/// another region. The zone of the batcher differs from receiver to receiver. Work leaves its
+/// region only if it must, and then one batcher that accepts the work is enough. At 300 nodes in 6
+/// zones of 3 regions, the load reports between regions take 65 kB per second; with two batchers of
+/// each zone they took 243 kB per second (control_traffic test).
 constexpr std::size_t batchers_reported_per_region = 1;
 /// `unresponsive_timeout` for peers of other regions, which report once per second instead of five
 /// times.
--- a/src/replicas/cold_limit.cc
+++ b/src/replicas/cold_limit.cc
@@ -8,14 +8,15 @@
 namespace spurrack::serving {
 namespace {
 
-/// Maximum number of partitions of the fleet that choose their own callers at the same time.
+/// Maximum number of parts into which the fleet may be partitioned without breaking the bound on
+/// requests to a cold replica; each part chooses its own callers.
 constexpr double max_partitions = 2;
-/// Maximum number of callers of a cold replica. More callers do not spread the load after a restart
-/// any better: at the bounds of the deployments seen so far, 3 callers together send 4 to 5
-/// requests per second, and a warm replica gets 2.
+/// Maximum number of callers of a cold replica. More callers would not spread the load after a
+/// restart any better: with the bounds that the deployments seen so far set for cold replicas, 3
+/// callers together send 4 to 5 requests per second to a cold replica, and a warm replica gets 2.
 constexpr double max_callers = 3;
-/// Minimum rate of a caller in requests per second, for bounds so small that the one saved token
-/// uses up the caller's part.
+/// Minimum rate of a caller in requests per second. Applies if the caller's part of the bound is
+/// little more, or even less, than the one request per second that its saved token permits.
 constexpr double min_requests_per_second = 0.1;
 
 } // namespace
@@ -23,8 +24,8 @@
 cold_call_quota cold_call_quota_of(const cold_bounds& bounds, double requests_per_second,
                                    bool has_single_caller) {
   const double planned = (requests_per_second * bounds.factor + bounds.allowance) / max_partitions;
-  // Within any second a caller sends at most one request for its saved token, plus the requests
-  // that its rate adds.
+  // Within any second a caller may send one request with the token that its bucket has saved, and
+  // further requests at its rate. Therefore its rate is its part of the bound less one.
   const double callers = has_single_caller ? 1 : std::clamp(planned / 2, 1.0, max_callers);
   const auto caller_count = static_cast<std::size_t>(callers);
   const double per_caller = planned / static_cast<double>(caller_count);
--- a/src/replicas/cold_limit.h
+++ b/src/replicas/cold_limit.h
@@ -24,15 +24,15 @@
 
 namespace spurrack::serving {
 
-/// Nodes that may call a cold replica and the rate of each of them.
+/// Number of nodes that may call a cold replica, and the rate at which each of them may call it.
 struct cold_call_quota {
   /// Number of nodes that may call the replica.
   std::size_t callers = 1;
-  /// Requests per second of each caller.
+  /// Requests per second that each caller may send to the replica.
   double requests_per_second = 0;
 };
 
-/// Divides half of the bound on a cold replica among its callers.
+/// Divides half of the bound on requests to a cold replica among the callers of the replica.
 /// @param requests_per_second rate that a cold replica of the service sustains.
 /// @param has_single_caller whether only one node ever calls the replica, warm or cold.
 [[nodiscard]] cold_call_quota
@@ -73,15 +73,16 @@
   /// @return whether this node is one of the callers.
   [[nodiscard]] bool includes_self(const base::replica_id& replica, const base::zone_id& zone,
                                    std::size_t count);
-  /// Clears the cached choices. To be called when the bounds, and therefore the number of callers,
-  /// change.
+  /// Clears the cached choices. To be called when the bounds on requests to cold replicas change,
+  /// because the number of callers depends on them.
   void clear_cache() { includes_self_.clear(); }
 
  private:
   base::node_id self_;
   std::map<base::zone_id, std::vector<base::node_id>> by_zone_;
   std::vector<base::node_id> all_nodes_;
-  /// Cached results of `includes_self` for the current nodes and bounds.
+  /// Cached results of `includes_self`, valid for the current nodes and for the current bounds on
+  /// requests to cold replicas.
   std::unordered_map<base::replica_id, bool> includes_self_;
 };
 
--- a/src/replicas/distance.cc
+++ b/src/replicas/distance.cc
@@ -3,16 +3,19 @@
 namespace spurrack::serving {
 namespace {
 
-/// Load cost of a replica in another zone of the region, relative to its slots.
+/// Load that is added to the load of a replica in another zone of this node's region when replicas
+/// are compared, as a multiple of the replica's slots.
 constexpr double other_zone_load = 0.5;
-/// Load cost of a replica in another region, relative to its slots. An idle replica in another
-/// region is preferred once a nearer replica has all slots taken and half as many requests as slots
-/// waiting: at lower loads the latency and the bytes between regions cost more than the wait.
+/// Load that is added to the load of a replica in another region when replicas are compared, as a
+/// multiple of the replica's slots. An idle replica in another region counts as less loaded than a
+/// replica in this node's zone only if the latter has all slots taken and, in addition, more than
+/// half as many requests waiting as it has slots: at lower loads the latency and the bytes between
+/// regions cost more than the wait.
 constexpr double other_region_load = 1.5;
-/// Fixed cost of work in another zone of the region, in seconds of waiting: the load of the other
-/// zone is known only with a delay of one second.
+/// Fixed part of the cost of work in another zone of this node's region, in seconds of waiting. It
+/// accounts for the delay of one second with which the load of the other zone is known.
 constexpr double other_zone_seconds = 0.2;
-/// Fixed cost of work in another region, in seconds of waiting.
+/// Fixed part of the cost of work in another region, in seconds of waiting.
 constexpr double other_region_seconds = 0.2;
 /// Cost of transferring a megabyte to another zone of the region, in seconds of waiting.
 constexpr double other_zone_seconds_per_megabyte = 0.2;
--- a/src/replicas/distance.h
+++ b/src/replicas/distance.h
@@ -21,7 +21,8 @@
  public:
   distance(const base::zone_id& own_zone, const model::zone_regions& regions);
 
-  /// The locality between two other zones is `zone_regions::locality_between`.
+  /// @return the locality of a zone relative to this node's zone. For the locality of two zones
+  ///         relative to each other see `zone_regions::locality_between`.
   [[nodiscard]] model::locality locality_of(const base::zone_id& zone) const;
 
   /// @return the load, relative to the slots, by which a replica in the locality must be less
--- a/src/replicas/least_loaded_chooser.cc
+++ b/src/replicas/least_loaded_chooser.cc
@@ -5,7 +5,8 @@
 namespace spurrack::serving {
 namespace {
 
-/// Maximum difference between two costs that count as equal, as a fraction of the slots.
+/// Maximum difference between two costs at which they still count as equal, as a fraction of the
+/// slots.
 constexpr double equal_cost_tolerance = 0.02;
 
 } // namespace
--- a/src/replicas/least_loaded_chooser.h
+++ b/src/replicas/least_loaded_chooser.h
@@ -1,4 +1,4 @@
-/// Policy for requests that every replica of their service serves equally well.
+/// Chooses the replica of a request that every replica of its service can serve equally well.
 #pragma once
 
 #include "base/random.h"
@@ -22,7 +22,8 @@
                                             base::time_point now) override;
 
  private:
-  /// @return the load plus the costs of the distance and of recent failures, relative to the slots.
+  /// @return the load of a replica plus the costs of its distance and of its recent failures, as a
+  ///         multiple of its slots.
   [[nodiscard]] double cost_of(const replica_state& state, base::time_point now) const;
   /// @return the candidate with the lowest cost; null if there are no candidates. Chooses at random
   ///         among candidates with nearly equal costs.
--- a/src/replicas/region_spillover.cc
+++ b/src/replicas/region_spillover.cc
@@ -10,12 +10,13 @@
 /// Maximum age of a load report that counts in the mean load of a region. Each of 100 nodes gets
 /// about ten reports within this time from a region whose replicas sustain 320 calls per second.
 constexpr base::duration region_load_lifetime = std::chrono::seconds(3);
-/// The fraction of requests that spill over grows from none to all while the load difference
-/// between the regions grows by this multiple of the slots beyond the load cost of the distance.
-/// The fraction grows gradually so that nodes that see the same load do not all send their requests
-/// to another region at once. In the simulation of region_spill_test with 300 nodes and a region at
-/// 1.5 times its capacity, calls wait 0.09 s on average; they wait 1.4 s if each node decides by
-/// its most recent load reports alone.
+/// The fraction of requests that spill over is zero until the load difference between the regions
+/// exceeds the load cost of the distance. It reaches one when the difference has grown further by
+/// this multiple of the slots, or by more if the replicas of the other regions have more calls than
+/// slots. The fraction grows gradually so that nodes that see the same load do not all send their
+/// requests to another region at once. In the simulation of region_spill_test with 300 nodes and a
+/// region at 1.5 times its capacity, calls wait 0.09 s on average; they wait 1.4 s if each node
+/// decides by its most recent load reports alone.
 constexpr double spillover_load_range = 0.7;
 
 /// Fraction of the requests that is sent to other regions to learn their load, if no load there is
@@ -31,13 +32,13 @@
 /// computed: only one, because few requests are sent there.
 constexpr std::size_t min_known_elsewhere = 1;
 
-/// Share of failed calls above which the load of a replica counts as known without a load report;
-/// only its `failure_load` then counts.
+/// If the share of failed calls of a replica exceeds this value, its load counts as known even
+/// without a load report, and is taken to be its `failure_load` alone.
 constexpr double mostly_failing_share = 0.5;
 
 /// @param min_known number of replicas whose load must be known; all replicas if there are fewer.
-/// @return the mean load of the replicas whose load is known, including the load for their
-///         failures, relative to the slots; std::nullopt if the load of too few replicas is known.
+/// @return the mean load of the replicas whose load is known, including their `failure_load`,
+///         relative to the slots; std::nullopt if the load of too few replicas is known.
 std::optional<double> mean_known_load(const std::vector<const replica_state*>& replicas,
                                       std::size_t min_known, base::time_point now) {
   double sum = 0;
@@ -82,8 +83,8 @@
   }
   const auto elsewhere = mean_known_load(candidates.elsewhere, min_known_elsewhere, now);
   // Differences between long queues are mostly chance, and while all regions queue requests no
-  // region gains by sending its calls to another: the busier the replicas elsewhere are, the less a
-  // difference counts.
+  // region gains by sending its calls to another. Therefore a load difference counts less if the
+  // replicas elsewhere are busier.
   const double spillover_fraction =
       elsewhere ? (excess_load - *elsewhere) /
                       (spillover_load_range * std::max(1.0, *elsewhere * *elsewhere))
--- a/src/replicas/region_spillover.h
+++ b/src/replicas/region_spillover.h
@@ -1,5 +1,5 @@
-/// Decides whether a request is sent to another region, from load reports that are stale and differ
-/// from node to node.
+/// Decides whether a request is sent to another region. The decision is based on load reports that
+/// are stale and differ from node to node.
 #pragma once
 
 #include "base/random.h"
--- a/src/replicas/replica_backoff.h
+++ b/src/replicas/replica_backoff.h
@@ -54,7 +54,7 @@
   struct slow_start {
     /// Number of calls still in flight that were made before the backoff was requested.
     std::uint32_t earlier_calls = 0;
-    /// Number of calls that may be in flight beside the earlier calls.
+    /// Number of calls that may be in flight in addition to `earlier_calls`.
     std::uint32_t allowed_calls = 1;
   };
   base::time_point requested_at_;
--- a/src/replicas/replica_evidence.cc
+++ b/src/replicas/replica_evidence.cc
@@ -6,14 +6,14 @@
 namespace spurrack::serving {
 namespace {
 
-/// Half-life of the counts of a tally. Faults last between some seconds and a minute; the half-life
-/// is short so that a replica that has recovered is used again soon.
+/// Half-life of the counts of a `call_tally`. Faults last between some seconds and a minute; the
+/// half-life is short so that a replica that has recovered is used again soon.
 constexpr base::duration tally_half_life = std::chrono::seconds(5);
 /// Maximum number of reporters whose reports are stored per replica; more would not add
 /// information.
 constexpr std::size_t max_reporters = 32;
-/// Number of successful calls assumed in addition to the counted calls, so that a single failure
-/// has little weight.
+/// Number of successful calls that are added to the counted calls when a failure share is computed,
+/// so that a single failure has little weight.
 constexpr double assumed_good_calls = 4;
 
 } // namespace
--- a/src/replicas/replica_evidence.h
+++ b/src/replicas/replica_evidence.h
@@ -47,14 +47,14 @@
   double bad_calls = 0;
   /// Time of the observation, by the clock of this node.
   base::time_point seen_at;
-  /// Time at which the backoff ends that the replica requested from the reporter; the epoch if it
-  /// requested none.
+  /// End of the backoff that the replica requested from the reporter; the epoch if the replica
+  /// requested no backoff from the reporter.
   base::time_point backoff_ends_at{};
 };
 
 /// Lifetime of a report that a replica is down. A fault that lasts longer is reported again.
 inline constexpr base::duration down_report_lifetime = std::chrono::milliseconds(3000);
-/// Lifetime of the call counts of a report: two half-lives of a tally.
+/// Lifetime of the call counts in a health report: two half-lives of a `call_tally`.
 inline constexpr base::duration failure_report_lifetime = std::chrono::milliseconds(10000);
 
 /// Stores the latest report of each reporter on each replica. Not thread-safe.
@@ -63,8 +63,8 @@
   void record_report(const base::replica_id& replica, const base::node_id& reporter,
                      const replica_health_report& report);
   void forget(const base::replica_id& replica) { reports_.erase(replica); }
-  /// @return the number of nodes whose latest report says that the replica is down, was observed at
-  ///         `since` or later and has not expired.
+  /// @return the number of nodes whose latest report says that the replica is down. Reports that
+  ///         were observed before `since` or have expired do not count.
   [[nodiscard]] std::size_t count_down_reporters(const base::replica_id& replica,
                                                  base::time_point since,
                                                  base::time_point now) const;
@@ -77,9 +77,9 @@
   };
   [[nodiscard]] reported_backoffs reported_backoffs_of(const base::replica_id& replica,
                                                        base::time_point now) const;
-  /// @param own calls of this node.
-  /// @return the share of failed calls, 0 to 1, among the calls of this node and the reported
-  ///         calls. The share stays small while there are few calls.
+  /// @param own counts of this node's calls to the replica.
+  /// @return the share of failed calls to the replica, 0 to 1, among the calls of this node and the
+  ///         calls in reports of other nodes. The share stays small while there are few calls.
   [[nodiscard]] double failure_share(const base::replica_id& replica, const call_tally& own,
                                      base::time_point now) const;
 
--- a/src/replicas/replica_incarnations.h
+++ b/src/replicas/replica_incarnations.h
@@ -14,7 +14,7 @@
 
 namespace spurrack::serving {
 
-/// Restart of a replica under its id.
+/// Restart of a replica that keeps its id.
 struct replica_restart {
   base::replica_id replica;
   /// Address of the earlier incarnation.
--- a/src/replicas/replica_state.h
+++ b/src/replicas/replica_state.h
@@ -45,9 +45,11 @@
   /// Time at which the replica last sent something: an answer, the head of an answer or a stream
   /// event.
   base::time_point last_activity_at;
-  /// Time of the latest activity of the replica that another node reported.
+  /// Latest time at which the replica sent something to another node, according to health reports
+  /// of other nodes.
   base::time_point peer_reported_activity_at;
-  /// Time of the latest observation of another node that the replica is down.
+  /// Latest time at which another node found the replica down, according to health reports of other
+  /// nodes.
   base::time_point peer_reported_down_at;
   /// Latest time at which a call of this node made no progress while the replica sent nothing.
   base::time_point unresponsive_at;
@@ -56,12 +58,13 @@
   /// Excess of `reported_failure_share` over the mean share of the other replicas of the service; 0
   /// if the excess is too small to show a fault of this replica.
   double reported_failure_excess = 0;
-  /// Share of failed calls among this node's calls and the calls that other nodes reported.
+  /// Share of failed calls to the replica among this node's calls and the calls that other nodes
+  /// reported.
   double reported_failure_share = 0;
   /// Time at which `reported_failure_share` and `reported_failure_excess` were computed.
   base::time_point failures_reported_at;
-  /// Load that is added because the replica requested backoffs from other nodes, as a fraction of
-  /// its slots.
+  /// Load that is added to the replica's load because the replica requested backoffs from other
+  /// nodes, as a fraction of its slots.
   double reported_backoff_load = 0;
   /// Time until which `reported_backoff_load` is added.
   base::time_point reported_backoff_until;
@@ -80,7 +83,8 @@
   base::time_point cold_until;
   /// Tokens for the requests that this node may send to the replica while it is cold.
   cold_bucket cold_tokens;
-  /// Time at which this node learned of the latest restart; std::nullopt if it knows of no restart.
+  /// Time at which this node learned of the replica's latest restart; std::nullopt if this node
+  /// knows of no restart of the replica.
   std::optional<base::time_point> restart_seen_at;
   /// Calls that began at this time or earlier were sent to an earlier incarnation. Valid only after
   /// a restart.
--- a/src/replicas/replica_table.cc
+++ b/src/replicas/replica_table.cc
@@ -30,17 +30,17 @@
 constexpr double min_occupied_pause_in_call_times = 0.5;
 /// Time for which a probe holds back further requests if the replica sends nothing.
 constexpr base::duration probe_timeout = std::chrono::milliseconds(1000);
-/// Minimum interval between reports on a replica that stays unresponsive: a third of the lifetime
-/// of a report.
+/// Minimum interval between this node's health reports on a replica that stays unresponsive: a
+/// third of the lifetime of such a report.
 constexpr base::duration unresponsive_report_interval = std::chrono::milliseconds(1000);
 /// Maximum time from a restart until it is published: the store that holds the list of replicas may
-/// be unavailable for this time. If this node found a replica down within this time before its
-/// restart was published, and the replica has sent something since, the replica is assumed to have
-/// restarted when it was found down.
+/// be unavailable for this time. If this node found a replica down within this time before it
+/// learned of the replica's restart, and the replica has sent something after it was found down,
+/// the replica is assumed to have restarted when it was found down.
 constexpr base::duration max_restart_publication_delay = std::chrono::seconds(30);
-/// Time for which a replica is paused whose deleted record reappeared because the store was
-/// restored from an older copy. A record that no replica renews expires after three heartbeats of
-/// about 1.2 s.
+/// Length of the pause of a replica whose deleted record has reappeared because the store was
+/// restored from an older copy. A record that no replica renews expires after three heartbeat
+/// intervals of about 1.2 s each.
 constexpr base::duration reappeared_record_pause = std::chrono::milliseconds(4'000);
 
 } // namespace
@@ -380,7 +380,8 @@
 void replica_table::note_activity(const base::replica_id& id, base::time_point now) {
   if (auto* state = mutable_find(id)) {
     if (state->peer_reported_down_at > state->last_activity_at) {
-      // Other nodes reported the replica down; a health report of this node is to contradict them.
+      // Other nodes reported the replica down although it is active. This node must send a health
+      // report that contradicts their reports.
       changed_health_.insert(id);
     }
     state->last_activity_at = now;
--- a/src/replicas/replica_table.h
+++ b/src/replicas/replica_table.h
@@ -123,10 +123,11 @@
     return !unreachable_zones_.contains(zone);
   }
 
-  /// @return the replicas that may be sent the request now; if one of them announced a limit that
-  ///         is stale, only that replica. If no replica may be sent the request now and none is
-  ///         expected to accept it soon (when a backoff ends or a permit arrives): the replicas
-  ///         that are paused after failures.
+  /// @return usually the replicas that may be sent the request now. If one of them announced a
+  ///         limit that is stale: only that replica. If there are none, but a replica is expected
+  ///         to accept the request soon (when its backoff ends or a permit arrives): no replica. If
+  ///         there are none and no replica is expected to accept the request soon: the replicas
+  ///         that could be sent the request if pauses, probes and unreachable zones were ignored.
   [[nodiscard]] std::vector<const replica_state*> candidates_for(const replica_requirements& demand,
                                                                  base::time_point now) const;
   /// @return the calls of all nodes at a replica, as far as this node knows, divided by the
@@ -135,8 +136,8 @@
   /// @return the load by which a replica counts as busier because calls to it fail, as a multiple
   ///         of its slots.
   [[nodiscard]] static double failure_load(const replica_state& state, base::time_point now);
-  /// @return what `load_of` returns, but computed with a load report of the replica that is up to
-  ///         `span` old.
+  /// @return the same as `load_of`, except that the replica's latest load report is used if it is
+  ///         younger than `span`.
   [[nodiscard]] static double load_reported_within(const replica_state& state, base::duration span,
                                                    base::time_point now);
   /// @return whether a request with the permitted regions `allowed` may be sent to a replica.
@@ -177,18 +178,19 @@
   ///         for which this node holds no permit now.
   [[nodiscard]] std::vector<const replica_state*>
   candidates_without_permit(const replica_requirements& demand, base::time_point now) const;
-  /// @return whether only the requested backoff of a replica, or the slow start after it, prevents
-  ///         a call.
+  /// @return whether two conditions hold. First, a backoff that the replica requested, or the slow
+  ///         start after it, forbids a call now. Second, the replica accepts calls at the end of
+  ///         the backoff, or now if the backoff has ended. Does not check the replica's limit.
   [[nodiscard]] bool is_blocked_only_by_backoff(const replica_state& state,
                                                 base::time_point now) const;
-  /// @return whether a requested backoff or the slow start after it may be in effect at any
-  ///         replica.
+  /// @return whether any replica may now be in a backoff that it requested, or in the slow start
+  ///         after such a backoff.
   [[nodiscard]] bool has_backoffs(base::time_point now) const {
     return now < latest_backoff_end_ + slow_start_duration;
   }
-  /// @return the time until the first backoff ends among the replicas that could serve a request
-  ///         and are blocked only by their backoff; zero during a slow start; std::nullopt if there
-  ///         is no such replica.
+  /// @return the shortest time until a backoff ends. Considers only replicas that could serve a
+  ///         request and are blocked only by their backoff or by the slow start after it. Zero if
+  ///         one of them is in its slow start; std::nullopt if there is no such replica.
   [[nodiscard]] std::optional<base::duration>
   time_until_backoff_ends(const replica_requirements& demand, base::time_point now) const;
   /// Records that `count` calls wait for a permit of a limited replica and cannot be sent to any
@@ -200,19 +202,21 @@
   /// @return null if no replica of the table has the address.
   [[nodiscard]] const replica_state* find_at(const base::network_address& address) const;
 
-  /// Records that this node makes a call; takes the permit that the call needs and, if the replica
-  /// is cold, a token of its bucket.
+  /// Records that this node makes a call to a replica. Takes the permit that the call needs. If the
+  /// replica is cold, also takes a token from the bucket of the replica.
   void call_started(const base::replica_id& id, base::time_point now);
   /// Records the self-report in the head of an answer. Ignores a self-report of an earlier
   /// incarnation.
   void note_self_report(const self_report_received& received, base::time_point now);
   /// @return whether the current process of a replica announced its drain to this node or another.
   [[nodiscard]] bool has_announced_drain(const replica_state& state) const;
-  /// @return the backoffs that replicas requested since the last call of this function.
+  /// @return the backoffs that replicas requested from this node, or extended, since the last call
+  ///         of this function.
   [[nodiscard]] std::vector<backoff_change> take_backoff_changes() {
     return std::exchange(backoff_changes_, {});
   }
-  /// @return the number of backoffs that replicas requested or extended.
+  /// @return how often replicas requested a backoff from this node, or extended one, since the
+  ///         construction of the table.
   [[nodiscard]] std::uint64_t backoffs() const { return backoffs_; }
   /// Records the report of a replica that it stays cold for `cold_for` from `now`.
   void note_cold(const base::replica_id& id, base::duration cold_for, base::time_point now);
@@ -221,11 +225,11 @@
   void note_success(const base::replica_id& id, base::time_point now);
   /// Records that the replica sent something, whether a success or a failure.
   void note_activity(const base::replica_id& id, base::time_point now);
-  /// Records that a call made no progress and that the replica sent nothing since the call began or
-  /// made its last progress.
+  /// Records that a call makes no progress, and that the replica has sent nothing to this node on
+  /// any call since that call began or last made progress.
   void note_unresponsive(const base::replica_id& id, base::time_point now);
-  /// @return whether the replica sent something after `when` to this node, or to another node that
-  ///         reported it.
+  /// @return whether the replica sent something after `when`, either to this node or, according to
+  ///         health reports, to another node.
   [[nodiscard]] bool was_active_after(const base::replica_id& id, base::time_point when) const;
 
   /// Records the health report of another node on a replica. If the replica is then declared down
@@ -235,14 +239,18 @@
   /// @return whether at least two nodes (this node may be one of them) found a replica unresponsive
   ///         or unreachable and this node knows of no activity of the replica since.
   [[nodiscard]] bool is_declared_down(const base::replica_id& id, base::time_point now) const;
-  /// @return the expected share of calls to a replica that fail, 0 to 1: the higher of two values.
-  ///         One is the share of this node's latest calls that failed. The other is the excess of
-  ///         the share that all reporting nodes together saw fail over that share at the other
-  ///         replicas of the service, or 0 if the excess is too small to show a fault of the
-  ///         replica. The result is 0 once the replica is due for a trial call.
+  /// @return the expected share of calls to a replica that fail, 0 to 1: zero once the replica is
+  ///         due for a trial call, otherwise the higher of two values. The first value is the share
+  ///         of this node's latest calls to the replica that failed. The second value compares the
+  ///         replica with the other replicas of its service: it is the share of failed calls to the
+  ///         replica over all nodes that reported calls, less the mean of that share at the other
+  ///         replicas. The second value decays with time, and is 0 if the difference is too small
+  ///         to show a fault of the replica.
   [[nodiscard]] static double failure_share_of(const replica_state& state, base::time_point now);
-  /// @return the health of a replica as this node's calls show it; std::nullopt if no call failed
-  ///         and the calls show neither activity nor a fault within `down_report_lifetime`.
+  /// @return the health of a replica as this node's calls show it. std::nullopt if this node has
+  ///         nothing to report: none of its calls to the replica failed, and within the last
+  ///         `down_report_lifetime` it neither received anything from the replica nor found it
+  ///         down.
   [[nodiscard]] static std::optional<replica_health_report>
   own_health_report(const replica_state& state, base::time_point now);
   /// @return replicas whose health, as this node's calls show it, has changed since the last call
@@ -257,7 +265,7 @@
   /// @param expected call time according to the published capacity.
   void note_call_time(const base::replica_id& id, base::duration call_time, base::duration expected,
                       base::time_point now);
-  /// @return the ratio of the expected call time to the published call time, at least 1. Decays to
+  /// @return the expected call time as a multiple of the published call time, at least 1. Decays to
   ///         1 while the replica gets no calls, so that the replica is tried again.
   [[nodiscard]] static double slowdown_of(const replica_state& state, base::time_point now);
   void note_failure(const base::replica_id& id, base::time_point now);
@@ -309,24 +317,26 @@
   [[nodiscard]] std::vector<const replica_state*>
   usable_replicas(const replica_requirements& demand, base::time_point now,
                   bool ignore_pauses) const;
-  /// Removes candidates with an announced limit on which the request should not depend: those
-  /// outside the zone that stores its results, or all of them if the request is only planned.
-  /// Removes none if all candidates have a limit.
+  /// Removes candidates that announce a limit, if the request should not depend on that limit. For
+  /// a planned request these are all such candidates; for a request that needs stored results they
+  /// are those outside the zone that stores the results. Removes none if all candidates announce a
+  /// limit.
   void exclude_limited(std::vector<const replica_state*>& candidates,
                        const replica_requirements& demand) const;
   /// @return a candidate whose limit no recent answer has confirmed; null if there is none.
   [[nodiscard]] const replica_state*
   find_candidate_with_stale_limit(const std::vector<const replica_state*>& candidates,
                                   const replica_requirements& demand, base::time_point now) const;
-  /// @return whether a replica accepts work, is neither paused nor in an unreachable zone, and may
-  ///         be called while it is cold. Does not check its backoff and limit.
+  /// @return whether a replica accepts work, is neither paused nor in an unreachable zone, and, if
+  ///         it is cold, may get a request of this node now. Does not check its backoff and limit.
   [[nodiscard]] bool accepts_calls(const replica_state& state, base::time_point now) const;
-  /// @return the higher of this node's share of failed calls and the excess share from reports of
-  ///         other nodes, which decays with time.
+  /// @return the higher of two shares: the share of this node's calls that failed, and the excess
+  ///         share computed from reports of other nodes. The excess share decays with time.
   [[nodiscard]] static double known_failure_share(const replica_state& state, base::time_point now);
-  /// @return whether a replica is to get a trial call in spite of its failures: for a time
-  ///         proportional to its failure share this node has sent it no calls and received no
-  ///         health reports on it.
+  /// @return whether a replica is to get a trial call in spite of its failures. Three conditions
+  ///         must have held for a time that is proportional to the replica's failure share: this
+  ///         node has sent the replica no calls, has seen no call to it fail and has received no
+  ///         health reports on it. Also no call of this node may be in flight at the replica.
   [[nodiscard]] static bool is_due_for_trial(const replica_state& state, base::time_point now);
   /// @return whether a replica may get calls at all: it does not drain, no other process answers at
   ///         its address, and its zone is not evacuated.
--- a/src/replicas/replica_table_limits.cc
+++ b/src/replicas/replica_table_limits.cc
@@ -8,12 +8,12 @@
 namespace spurrack::serving {
 namespace {
 
-/// Time after which a limit that no answer has confirmed is stale. Only an answer shows that a
-/// limit is lifted or has changed; therefore a replica with a stale limit gets the next request for
-/// which this node has a permit, before all other candidates.
+/// A limit is stale if no answer has confirmed it for this time. Only an answer shows that a limit
+/// is lifted or has changed; therefore a replica with a stale limit gets the next request for which
+/// this node has a permit, before all other candidates.
 constexpr base::duration limit_stale_time = std::chrono::seconds(2);
-/// `limit_stale_time` for a request with a long prompt: longer, because most of the prompt may be
-/// in the prefix cache of another engine.
+/// `limit_stale_time` for a request with a long prompt. It is longer because another engine may
+/// have most of the prompt in its prefix cache.
 constexpr base::duration limit_stale_time_long_prompt = std::chrono::seconds(10);
 /// Maximum number of tokens of a short prompt.
 constexpr std::uint32_t short_prompt_tokens = 1'000;
--- a/src/replicas/replica_table_reports.cc
+++ b/src/replicas/replica_table_reports.cc
@@ -26,13 +26,13 @@
 /// Maximum number of other replicas of the service whose reported failure shares are averaged for
 /// comparison with a replica.
 constexpr std::size_t max_compared_replicas = 64;
-/// Load added for each node from which a replica requested a backoff, relative to its slots. Small,
-/// because the requests that are kept from the replica must not all go to another replica that then
-/// rejects requests too.
+/// Load that is added to a replica for each other node from which the replica requested a backoff,
+/// as a fraction of the replica's slots. Small, because the requests that are kept from the replica
+/// must not all go to another replica that then rejects requests too.
 constexpr double load_per_reported_backoff = 0.1;
-/// Maximum load added for all nodes together from which a replica requested backoffs, relative to
-/// its slots: a backoff requested from other nodes does not show that the replica would reject
-/// requests of this node.
+/// Maximum load that is added to a replica for all other nodes together from which the replica
+/// requested backoffs, as a fraction of the replica's slots: a backoff requested from other nodes
+/// does not show that the replica would reject requests of this node.
 constexpr double max_reported_backoff_load = 0.5;
 /// Half-life of failure shares computed from health reports; equal to the half-life of the counts
 /// of this node's calls.
--- a/src/replicas/replica_table_self_reports.cc
+++ b/src/replicas/replica_table_self_reports.cc
@@ -36,7 +36,8 @@
 
 bool replica_table::is_blocked_only_by_backoff(const replica_state& state,
                                                base::time_point now) const {
-  // Other pauses, for example after a rejection, may end before the backoff.
+  // Whether the replica accepts calls is checked for the end of the backoff, because another pause
+  // of the replica, for example after a rejection, may end earlier than the backoff.
   const auto backoff_ends_at = std::max(now, state.backoff.ends_at());
   return !state.backoff.permits_call(state.in_flight, now) && accepts_calls(state, backoff_ends_at);
 }
--- a/tests/fleet_view/peer_directory_test.cc
+++ b/tests/fleet_view/peer_directory_test.cc
@@ -136,8 +136,8 @@
     for (const auto& [node, count] : reporters_of) {
       BOOST_TEST(count == std::min(batchers, 2));
     }
-    // The number of messages is rounded up in each round, which adds up to four messages per second
-    // for each batcher.
+    // In each round the number of messages of a batcher is rounded up. This adds at most four
+    // messages per second for each batcher.
     BOOST_TEST(messages <= static_cast<std::size_t>(2 * far_nodes + 4 * batchers));
   }
 }
--- a/tests/replicas/region_spill_test.cc
+++ b/tests/replicas/region_spill_test.cc
@@ -99,17 +99,17 @@
   double wait_seconds = 0;
   /// Calls from region 0 to other regions, by window of a quarter of a second.
   std::map<std::int64_t, double> spilled;
-  /// Maximum number of calls that waited at a replica of region 0.
+  /// Maximum number of calls that waited at one replica of region 0 at the same time.
   std::size_t max_waiting_in_first = 0;
-  /// Maximum number of calls that waited at a replica of another region.
+  /// Maximum number of calls that waited at one replica of another region at the same time.
   std::size_t max_waiting_elsewhere = 0;
 
   [[nodiscard]] double elsewhere_share() const {
     return static_cast<double>(elsewhere) / static_cast<double>(calls);
   }
   [[nodiscard]] double mean_wait() const { return wait_seconds / static_cast<double>(calls); }
-  /// @return the calls from region 0 to other regions in the busiest window, as a multiple of the
-  ///         mean.
+  /// @return the number of calls from region 0 to other regions in the busiest window, as a
+  ///         multiple of the mean number in a window.
   [[nodiscard]] double busiest_window_ratio() const {
     double sum = 0;
     double maximum = 0;
@@ -154,7 +154,8 @@
     }
   }
 
-  /// @return the figures of only this span.
+  /// Simulates the given time.
+  /// @return the figures of only this time, without those of earlier calls of this function.
   spillover_figures run_for(base::duration span) {
     figures_ = {};
     for (auto& [id, replica] : simulated_replicas_) {
@@ -176,7 +177,8 @@
     return figures_;
   }
 
-  /// Sets the evacuated zones at each caller, at a random time within the next second.
+  /// Sets the evacuated zones at every caller. Each caller learns them at its own random time
+  /// within the next second.
   void spread_evacuation(const std::set<base::zone_id>& evacuated) {
     for (auto& sender : callers_) {
       at(now_ + base::from_seconds(draws_.next_fraction()),
