--- a/src/engines/engine_accounting.cc
+++ b/src/engines/engine_accounting.cc
@@ -3,13 +3,14 @@
 namespace spurrack::serving {
 namespace {
 
-/// Shortest backlog that is reported to other nodes, in seconds of prefill. No prompt is sent to
-/// another engine because of a shorter one: it is about three times the time that a long shared
-/// prefix takes to be prefilled again. With 0.5, nodes send 1.9 kB/s on average under a burst and
-/// gain nothing; with 0.8, they send 1.5 kB/s (simulated nodes of placement_test).
+/// A backlog is reported to other nodes only if the engine needs at least this long to prefill it,
+/// in seconds. This is about three times the time in which an engine prefills a long shared prefix:
+/// because of a shorter backlog, no prompt with such a prefix is sent to another engine
+/// (`repeated_prefill_weight` in engine_chooser.cc). With 0.5, nodes send 1.9 kB/s on average under
+/// a burst and gain nothing; with 0.8, they send 1.5 kB/s (simulated nodes of placement_test).
 constexpr double min_reported_seconds = 0.8;
-/// A backlog is reported again once it is longer than the other nodes assume by this many seconds
-/// of prefill.
+/// A backlog is reported, for the first time or again, only if it exceeds the backlog that the
+/// other nodes assume by at least this many seconds of prefill.
 constexpr double min_reported_excess_seconds = 0.2;
 
 } // namespace
--- a/src/engines/engine_accounting.h
+++ b/src/engines/engine_accounting.h
@@ -1,5 +1,5 @@
-/// Estimates the cached prefixes and the prefill backlog of one engine at its accounting node, to
-/// which all nodes report the prompts that they send to the engine.
+/// Estimates the cached prefixes and the prefill backlog of one engine. Runs at the engine's
+/// accounting node, to which all nodes report the long prompts that they send to the engine.
 #pragma once
 
 #include "base/time.h"
@@ -15,11 +15,12 @@
 namespace spurrack::serving {
 
 struct sent_prompt {
-  /// Tokens that no other request shares.
+  /// Number of tokens of the prompt outside its shared prefix.
   std::uint32_t own_tokens = 0;
-  /// Hash of the last shared part, which identifies the prefix; 0 if the prompt shares no part.
+  /// Identifies the shared prefix: the hash of the prompt's last shared part; 0 if the prompt has
+  /// no shared part.
   std::uint64_t shared_prefix = 0;
-  /// Tokens of all shared parts.
+  /// Number of tokens of all shared parts of the prompt together.
   std::uint32_t shared_tokens = 0;
 };
 
@@ -27,11 +28,12 @@
 /// Not thread-safe.
 class prefix_cache_model {
  public:
-  /// @param capacity in tokens, including the tokens of running requests.
+  /// @param capacity number of tokens that the engine can keep, for cached prefixes and running
+  ///        requests together.
   explicit prefix_cache_model(std::uint64_t capacity) : capacity_(capacity) {}
 
-  /// Records a prompt that was sent to the engine, which caches the shared prefix and the own
-  /// tokens of the prompt.
+  /// Records that a prompt was sent to the engine. From then on, the engine counts as having cached
+  /// the prompt's shared prefix and its own tokens.
   /// @return whether the shared prefix was cached before.
   bool use(const sent_prompt& prompt);
   [[nodiscard]] std::uint64_t used_tokens() const { return used_tokens_; }
@@ -44,8 +46,8 @@
 
   std::uint64_t capacity_;
   std::uint64_t used_tokens_ = 0;
-  /// Most recently used first. The own tokens of a prompt are an entry with prefix 0, which no
-  /// lookup finds.
+  /// Most recently used entry first. The own tokens of a prompt are an entry with prefix 0, which
+  /// `entry_by_prefix_` does not contain.
   std::list<entry> lru_;
   std::unordered_map<std::uint64_t, std::list<entry>::iterator> entry_by_prefix_;
 };
@@ -57,11 +59,11 @@
   explicit engine_accounting(std::uint64_t memory_tokens) : prefix_cache_(memory_tokens) {}
 
   /// Records a prompt that a node sent to the engine.
-  /// @param rate tokens that the engine prefills per second, here and below.
-  /// @return tokens of the prompt that the engine has to prefill.
+  /// @param rate tokens that the engine prefills per second; also in the functions below.
+  /// @return number of tokens of the prompt that the engine has to prefill.
   std::uint64_t record_send(const sent_prompt& prompt, double rate, base::time_point now);
-  /// Returns the prefill backlog in tokens if it is long and clearly longer than the other nodes
-  /// assume, so that it has to be reported; std::nullopt otherwise.
+  /// Returns the prefill backlog, in tokens, if it must be reported to the other nodes: if it is
+  /// long, and clearly longer than they assume. Returns std::nullopt otherwise.
   [[nodiscard]] std::optional<std::uint32_t> backlog_to_report(double rate,
                                                                base::time_point now) const;
   /// Records that a backlog was reported to the other nodes.
@@ -70,7 +72,7 @@
  private:
   prefix_cache_model prefix_cache_;
   prefill_backlog backlog_;
-  /// Backlog that the other nodes assume, from the last report.
+  /// Backlog that the other nodes are expected to assume after the last reports.
   prefill_backlog reported_backlog_;
 };
 
--- a/src/engines/engine_chooser.cc
+++ b/src/engines/engine_chooser.cc
@@ -9,31 +9,39 @@
 namespace spurrack::serving {
 namespace {
 
-/// Load, as a fraction of its slots, from which on an engine is not chosen as a preferred engine.
+/// An engine whose load is at least this fraction of its slots is not considered as a preferred
+/// engine.
 constexpr double max_engine_load = 0.6;
-/// Number of preferred engines of a prefix whose expected waits are compared. Each of them may
-/// prefill the prefix again. They are in the zone of the first one if that zone has enough engines:
-/// the stages of a request run for that zone, seconds before the prompt is sent. Otherwise a wait
-/// that is over before the stages end would move the prompt away from its stage results, which then
-/// occupy memory for longer. With 60 engines in five zones and all stage replicas busy, 6 in 100
-/// long prompts were late, compared to 24 in 100 with later preferred engines in any zone.
+/// Maximum number of preferred engines of a prefix whose expected waits are compared. Each of them
+/// may prefill the prefix again.
+///
+/// If the zone of the first preferred engine has enough engines, all of them are in that zone. The
+/// reason is that the zone in which the stages of a request are to run is chosen seconds before the
+/// prompt is sent: it is the zone of the engine that is chosen at that time. If the engines were in
+/// several zones, a wait that is over before the stages end would move the prompt to another zone
+/// than the results of its stages, and these would occupy memory for longer. With 60 engines in
+/// five zones and all stage replicas busy, 6 in 100 long prompts were late; with later preferred
+/// engines in any zone, 24 in 100 were late.
 constexpr std::size_t max_preferred_engines = 4;
-/// The wait at a later preferred engine must be shorter than at the first one by this many times
-/// the prefill time of the shared tokens: the prompts that wait there behind the repeated prefill
-/// lose the time that the moved prompt gains. Simulated in placement_test with 71 nodes and 140
-/// engines, a third of them evacuated under a burst: with a factor of 1, 6.4 M tokens are prefilled
-/// again and 1.7 in 100 long prompts begin after more than 1.3 s; with 3, 5.3 M and 1.0; without
-/// messages between nodes, 4.5 M and 1.6.
+/// A later preferred engine is chosen instead of the first one only if its expected wait is shorter
+/// by more than this many times the prefill time of the shared prefix. The factor is greater than 1
+/// because the prompts that wait behind the repeated prefill at the later engine lose the time that
+/// the moved prompt gains.
+///
+/// Simulated in placement_test with 71 nodes and 140 engines, a third of which are evacuated under
+/// a burst. With a factor of 1, 6.4 M tokens are prefilled again and 1.7 in 100 long prompts wait
+/// for more than 1.3 s for their first event; with 3, 5.3 M tokens and 1.0 in 100 prompts; without
+/// messages between nodes, 4.5 M tokens and 1.6 in 100 prompts.
 constexpr double repeated_prefill_weight = 3.0;
-/// Cost of sending a prompt to another region, as engine time: a round trip of some tens of
-/// milliseconds and the transfer of the prompt. If a shared prefix takes longer to prefill, its
-/// preferred engines are chosen among all engines of the fleet: with preferred engines in each of
-/// three regions, each region prefilled the same 13,300 tokens, a fifth of a second of an engine,
-/// although only a few requests per minute shared them.
+/// Cost of sending a prompt to another region, in time: a round trip of some tens of milliseconds
+/// and the transfer of the prompt. If the shared prefix of a prompt takes longer than this to
+/// prefill, the preferred engines are chosen among all engines of the fleet. When instead each of
+/// three regions had its own preferred engines, each region prefilled the same 13,300 tokens, which
+/// take an engine a fifth of a second, although only a few requests per minute shared them.
 constexpr base::duration other_region_cost = std::chrono::milliseconds(50);
 
-/// Returns the first preferred engine, the next preferred ones of its zone, and preferred engines
-/// of other zones if its zone has too few.
+/// Returns the first preferred engine and the next preferred engines of its zone. If its zone has
+/// fewer than `max_preferred_engines` engines, the preferred engines of other zones follow.
 std::vector<const replica_state*>
 preferred_engines_near_first(const shared_prompt_prefix& prefix,
                              std::vector<const replica_state*> engines) {
@@ -109,9 +117,10 @@
   if (least_loaded == nullptr || !is_in_other_region(*least_loaded)) {
     return least_loaded;
   }
-  // The engines of this node's region are so loaded that the prompt goes to another region. All
-  // nodes that send prompts with this prefix there choose the same engine; otherwise each of them
-  // would have the prefix prefilled by a different engine.
+  // The engines of this node's region are so loaded that the prompt is sent to another region.
+  // There, the engine is chosen by the shared prefix and not by the least load. Otherwise each node
+  // that sends prompts with this prefix to that region would have the prefix prefilled by a
+  // different engine.
   const auto* engine = shortest_wait_engine(prefix, by_region.elsewhere, now);
   return engine != nullptr ? engine : least_loaded;
 }
--- a/src/engines/engine_chooser.h
+++ b/src/engines/engine_chooser.h
@@ -10,13 +10,20 @@
 
 namespace spurrack::serving {
 
-/// All nodes compute the same order of preferred engines for a shared prefix. Chooses the first
-/// one, unless a later one has a shorter expected wait even with the cost of prefilling the prefix
-/// there included. The later ones are in the zone of the first one, as far as that zone has enough
-/// engines. In an idle fleet, only a few engines are preferred for prompts with the same first
-/// part. Prefixes that take long to prefill have their preferred engines anywhere in the fleet; for
-/// shorter prefixes, engines of other regions are considered only if the load of this node's region
-/// exceeds that of other regions by more than the cost of the distance. Not thread-safe.
+/// Chooses an engine by the shared prefix of the prompt. All nodes compute the same order of
+/// preferred engines for a prefix. The first preferred engine is chosen, unless a later one has a
+/// shorter expected wait even if the cost of prefilling the prefix there is added to that wait. The
+/// later ones are in the zone of the first one, as far as that zone has enough engines. In a large
+/// idle fleet, the prompts with the same first part have their preferred engines among only a few
+/// engines.
+///
+/// If a prefix takes long to prefill, its preferred engines are chosen among the engines of all
+/// regions. For shorter prefixes, an engine of another region is chosen only if all engines of this
+/// node's region are too loaded and `fallback` chooses a replica of another region. `fallback` does
+/// so only if the load of this node's region exceeds that of other regions by more than the cost of
+/// the distance, or if this node's region has no candidate.
+///
+/// Not thread-safe.
 class engine_chooser final : public replica_chooser {
  public:
   /// @param replicas, directory must outlive this object.
@@ -31,7 +38,9 @@
 
  private:
   [[nodiscard]] bool is_in_other_region(const replica_state& engine) const;
-  /// Returns the preferred engine with the shortest expected wait; null if all engines are loaded.
+  /// Returns the preferred engine of the prefix, out of `engines`, that has the shortest expected
+  /// wait; null if all of `engines` are too loaded. For all but the first preferred engine, the
+  /// cost of prefilling the prefix there is added to the wait.
   [[nodiscard]] const replica_state*
   shortest_wait_engine(const shared_prompt_prefix& prefix,
                        const std::vector<const replica_state*>& engines,
--- a/src/engines/engine_directory.cc
+++ b/src/engines/engine_directory.cc
@@ -13,24 +13,26 @@
 constexpr std::uint32_t min_reported_tokens = 1'000;
 /// Bytes of a message with one backlog and its envelope, as counted by placement_test, rounded up.
 constexpr double bytes_per_report = 150;
-/// Limit on the backlog reports of a node, in bytes per second on average. Together with its
-/// reports to accounting nodes, some 500 bytes per second at four prompts per second, a node stays
-/// under 2 kB/s.
+/// Limit on the bytes of backlog reports that a node sends per second, on average. The node also
+/// sends reports to accounting nodes: some 500 bytes per second at four prompts per second. With
+/// both kinds of reports it stays under 2 kB/s.
 constexpr double report_bytes_per_second = 1'000;
-/// Largest allowance that a node saves while it sends no backlog reports, in seconds of
-/// `reports_per_second`: enough for one message to each of 130 nodes. In a larger region each
-/// backlog is reported to a part of the nodes, in rotation.
+/// Maximum allowance for backlog reports that a node accumulates while it sends none, in seconds of
+/// `reports_per_second`. It suffices for one report to each of 130 nodes. In a larger region, each
+/// backlog is reported to only a part of the nodes, in rotation.
 constexpr double max_saved_seconds = 20;
 constexpr double reports_per_second = report_bytes_per_second / bytes_per_report;
-/// In an idle fleet, one in this many engines prefills a first part that many prompts share. The
-/// number is the same on all nodes, so that they place a prompt alike.
+/// In a large idle fleet, the prompts that begin with the same first part are distributed among
+/// only a fraction of the engines: one in this many. All nodes use the same number, so that they
+/// choose the same engines for a prompt.
 constexpr std::size_t engines_per_prefix_replica = 32;
-/// If fewer engines than this would prefill a first part, all engines do: so few engines would be
-/// overloaded by prompts that happen to arrive at the same time, and in such a small fleet a first
-/// part is rarely prefilled again anyway.
+/// If the prompts with the same first part would be sent to fewer engines than this, they are
+/// distributed among all engines instead. So few engines would be overloaded by prompts that happen
+/// to arrive at the same time, and in such a small fleet a first part is rarely prefilled again
+/// anyway.
 constexpr std::size_t min_prefix_replicas = 16;
-/// The fleet is idle if the engines that prefill a first part would be busy for at most this
-/// fraction of their time even if all prompts of the fleet began with that part.
+/// The fleet is idle if the engines that are chosen for one first part would be busy for at most
+/// this fraction of their time even if all prompts of the fleet were sent to them.
 constexpr double max_idle_utilization = 0.5;
 /// Memory, in tokens, of an engine whose service does not publish it.
 constexpr std::uint64_t default_memory_tokens = 400'000;
--- a/src/engines/first_byte_model.cc
+++ b/src/engines/first_byte_model.cc
@@ -5,7 +5,7 @@
 namespace spurrack::serving {
 namespace {
 
-/// Expected time to the first byte until enough calls were recorded.
+/// Expected time to the first byte as long as too few calls were recorded.
 constexpr base::duration default_first_byte_time = std::chrono::milliseconds(300);
 /// Factor by which each newer call reduces the weight of a call: about the last fifty calls matter.
 constexpr double decay_per_call = 0.98;
--- a/src/engines/prefill_backlog.h
+++ b/src/engines/prefill_backlog.h
@@ -7,7 +7,7 @@
 
 namespace spurrack::serving {
 
-/// Decreases at the prefill rate of the engine. Not thread-safe.
+/// The backlog decreases at the prefill rate of the engine. Not thread-safe.
 class prefill_backlog {
  public:
   /// Returns the backlog in tokens at `now`.
@@ -20,7 +20,8 @@
     tokens_ = level(rate, now) + tokens;
     updated_at_ = now;
   }
-  /// Applies a report of the accounting node: the backlog is at least `tokens`.
+  /// Raises the backlog to `tokens`, as the accounting node reported it; a longer backlog stays
+  /// unchanged.
   void raise_to(double tokens, double rate, base::time_point now) {
     tokens_ = std::max(level(rate, now), tokens);
     updated_at_ = now;
--- a/src/engines/prefill_rate.h
+++ b/src/engines/prefill_rate.h
@@ -7,8 +7,8 @@
 
 namespace spurrack::serving {
 
-/// Stays near the highest rate that calls have shown, since most calls also wait for other calls at
-/// the engine. Not thread-safe.
+/// The estimate stays near the highest rate that calls have shown: most calls show a lower rate
+/// only because they also wait for other calls at the engine. Not thread-safe.
 class prefill_rate {
  public:
   /// Records a call.
--- a/src/engines/prefix_placement.cc
+++ b/src/engines/prefix_placement.cc
@@ -20,7 +20,8 @@
   return ranked;
 }
 
-/// Order of preference. It is the same on all nodes, also between engines with equal hashes.
+/// Returns whether `left` is preferred to `right`. The order is the same on all nodes, also for
+/// engines with equal hashes.
 bool ranks_before(const ranked_engine& left, const ranked_engine& right) {
   return left.first != right.first ? left.first > right.first
                                    : left.second->record->id < right.second->record->id;
@@ -34,7 +35,8 @@
   if (parts.empty()) {
     return prefix;
   }
-  // The last part belongs to the request alone, or to its session if it is the only part.
+  // The last part is not shared: it belongs to this request alone. The only part of a prompt counts
+  // as shared, because it belongs to the request's session.
   const std::size_t shared = std::max<std::size_t>(parts.size() - 1, 1);
   for (std::size_t index = 0; index < shared; ++index) {
     prefix.tokens += parts[index].tokens;
