--- a/src/engines/engine_directory.h
+++ b/src/engines/engine_directory.h
@@ -69,8 +69,8 @@
   void note_first_event(std::uint32_t own_tokens, base::duration elapsed) {
     prefill_rate_.note(own_tokens, elapsed);
   }
-  /// Applies a message of another node. It contains prompts that were sent to engines whose
-  /// accounting node this node is, and backlogs of engines that their accounting nodes report.
+  /// Applies a message of another node. It reports prompts that were sent to engines whose
+  /// accounting node this node is, and backlogs of engines whose accounting node the sender is.
   void handle(const wire::engine_news& news, base::time_point now);
 
   /// Returns the time in which an engine will have prefilled all prompts that were sent to it, as
@@ -81,10 +81,10 @@
   [[nodiscard]] base::duration prefill_time(double tokens) const;
 
   /// Returns the number of engines among which the prompts with the same first part are
-  /// distributed. In a large fleet that is idle, judging by the recent sends of this node, these
-  /// are only a few engines. If they were all engines, each engine would get such a prompt so
-  /// rarely that it would prefill the first part again nearly every time. Otherwise they are all
-  /// engines, so that the load is even.
+  /// distributed. These are all engines, so that the load is even, or only a few engines in a large
+  /// fleet that is idle, judging by the recent sends of this node. If all engines of an idle fleet
+  /// got such prompts, each would get one so rarely that it would prefill the first part again
+  /// nearly every time.
   /// @param engines number of available engines.
   [[nodiscard]] std::size_t prefix_replica_count(std::size_t engines, base::time_point now) const;
 
--- a/src/engines/prefix_placement.h
+++ b/src/engines/prefix_placement.h
@@ -12,7 +12,7 @@
 
 namespace spurrack::serving {
 
-/// The parts at the beginning of a prompt that other prompts begin with, too.
+/// The leading parts of a prompt that other prompts begin with, too.
 struct shared_prompt_prefix {
   /// Hashes of the first and the last shared part; 0 if the prompt shares no part.
   std::uint64_t first_part_hash = 0;
--- a/src/flow/answer_memory_reservation.h
+++ b/src/flow/answer_memory_reservation.h
@@ -14,8 +14,9 @@
 /// Result of a request for memory.
 enum class memory_request_result : std::uint8_t {
   granted,
-  wait,         ///< Retry later; the memory held so far is kept.
-  abort_answer, ///< Return the memory held: an answer that has waited longer needs it to complete.
+  wait,         ///< The request must be repeated later; the memory held so far is kept.
+  abort_answer, ///< The answer must be aborted: its memory is needed to complete an answer that has
+                ///< waited longer.
 };
 
 class answer_memory_reservation;
@@ -30,10 +31,12 @@
 
  private:
   friend class answer_memory_reservation;
-  /// Returns whether all memory of whole answers is held by answers that wait for more.
+  /// Returns whether all memory that is held for whole answers is held by answers that wait for
+  /// more memory.
   [[nodiscard]] bool is_deadlocked() const;
-  /// Returns whether the memory held by the other waiting answers would be enough for the first
-  /// answer of the queue. If other uses hold the memory, aborting an answer does not help.
+  /// Returns whether the first answer of the queue was refused memory that it would get if all
+  /// other waiting answers returned theirs. If theirs is not enough, other uses hold the memory,
+  /// and aborting an answer does not help.
   [[nodiscard]] bool can_unblock_first() const;
   /// Returns the last answer in the queue that holds memory; null if none does.
   [[nodiscard]] const answer_memory_reservation* last_waiting_answer_with_memory() const;
@@ -42,8 +45,8 @@
   std::list<answer_memory_reservation*> waiting_;
   /// Bytes that the answers in `waiting_` hold.
   std::size_t waiting_bytes_ = 0;
-  /// Bytes that the first waiting answer requested and was refused even within the limit of
-  /// `byte_use::lone_answer`; 0 if it was not refused.
+  /// Bytes that the first answer of the queue requested and was refused, although the limit of
+  /// `byte_use::lone_answer` applied to it; 0 if it was not refused under that limit.
   std::size_t first_unmet_bytes_ = 0;
 };
 
@@ -55,16 +58,17 @@
   answer_memory_reservation(const answer_memory_reservation&) = delete;
   answer_memory_reservation& operator=(const answer_memory_reservation&) = delete;
 
-  /// Acquires more bytes, or appends the answer to the queue of waiting answers. An answer that by
-  /// itself exceeds the limit of `byte_use::whole_answer`, and the first of several answers that
-  /// wait for one another, may use the budget up to the limit of `byte_use::lone_answer`.
+  /// Acquires more bytes, or appends the answer to the queue of waiting answers. Whole answers are
+  /// limited by `byte_use::whole_answer`. The higher limit of `byte_use::lone_answer` applies in
+  /// two cases: to an answer that exceeds the limit of `whole_answer` by itself, and to the first
+  /// answer of the queue if waiting answers hold all memory of whole answers.
   [[nodiscard]] memory_request_result grow(std::size_t additional_bytes);
   [[nodiscard]] std::size_t bytes() const { return bytes_.bytes(); }
 
  private:
   [[nodiscard]] bool is_first() const { return queue_->waiting_.front() == this; }
-  /// Decides whether this answer gets memory, waits or is aborted while waiting answers hold all
-  /// memory of whole answers.
+  /// Decides whether this answer gets memory, waits or is aborted. Called if waiting answers hold
+  /// all memory of whole answers.
   [[nodiscard]] memory_request_result resolve_deadlock(std::size_t additional_bytes);
   /// Acquires more bytes and leaves the queue. @return false, with nothing changed, if refused.
   bool try_grow(byte_use use, std::size_t additional_bytes);
--- a/src/flow/byte_budget.cc
+++ b/src/flow/byte_budget.cc
@@ -6,16 +6,17 @@
 namespace spurrack::flow {
 namespace {
 
-/// Fraction of the capacity up to which each use is granted, in the order of `byte_use`. Uses that
-/// can be refused or can wait leave almost half to the windows of streams: 16 MB of 36 MB, which is
-/// a minimal window of 8 KB and an event of 2 KB for each of 1,500 clients. Events that have been
-/// read have the highest limit, since the refusal of an event breaks its stream off; a tenth of the
-/// capacity is reserved for events, so that a large answer (8 MB of a budget of 10 MB) does not use
-/// the memory of events.
+/// Fraction of the capacity up to which each use is granted bytes, in the order of `byte_use`. The
+/// uses up to `whole_answer` can be refused or can wait. They leave almost half of the capacity to
+/// the windows of streams: 16 MB of 36 MB, enough for a minimal window of 8 KB and an event of 2 KB
+/// for each of 1,500 clients. Events that have been read from a replica have the highest limit,
+/// since the refusal of an event breaks its stream off. No other use is granted the last tenth of
+/// the capacity, so that a large answer (8 MB of a budget of 10 MB) does not use the memory of
+/// events.
 constexpr std::array<double, byte_uses> use_limits{0.3, 0.4, 0.5, 0.55, 0.9, 1.0};
-/// Fraction of the capacity beyond which an event causes a call of the relief callback although the
-/// budget is not exhausted: the slowest readers return their memory only a moment after they were
-/// disconnected.
+/// If an event raises the bytes held above this fraction of the capacity, the relief callback is
+/// called, although the budget is not exhausted yet: the clients that the callback disconnects
+/// return their memory only a moment later.
 constexpr double relief_threshold = 0.9;
 
 } // namespace
@@ -58,7 +59,7 @@
 }
 
 bool byte_budget::ensure_capacity(byte_use use, std::size_t bytes) {
-  // A relief callback that itself acquires bytes must not be called recursively.
+  // The relief callback may acquire bytes itself; it must not be called recursively then.
   if (relief_ && !is_requesting_relief_ && needs_relief(use, bytes)) {
     is_requesting_relief_ = true;
     relief_(use, bytes);
--- a/src/flow/byte_budget.h
+++ b/src/flow/byte_budget.h
@@ -21,15 +21,16 @@
 inline constexpr std::size_t byte_holders = 5;
 std::string_view name_of(byte_holder holder);
 
-/// Purpose for which bytes are acquired, in ascending order of the limits: earlier uses are refused
-/// while later uses are still granted.
+/// Purpose for which bytes are acquired. The uses are in ascending order of their limits: when
+/// memory runs short, the first uses of this list are refused while the last ones are still
+/// granted.
 enum class byte_use : std::uint8_t {
   large_body,      ///< A new request with a large body; can be refused as `not_run`.
-  buffered_stream, ///< A stream that is read from its replica although its client does not read.
+  buffered_stream, ///< Events of a stream, buffered although its client does not read them.
   small_body,      ///< A new request with a small body.
   whole_answer,    ///< A whole answer of a replica.
-  lone_answer,     ///< A whole answer that cannot complete within the limit
-                   ///< (`answer_memory_reservation`).
+  lone_answer,     ///< A whole answer that may exceed the limit of `whole_answer`; see
+                   ///< `answer_memory_reservation::grow`.
   stream_event,    ///< An event that has been read from a replica.
 };
 inline constexpr std::size_t byte_uses = 6;
@@ -40,8 +41,8 @@
 class byte_budget {
  public:
   /// Disconnects the slowest readers to free memory.
-  /// @param use that lacks memory.
-  /// @param bytes that the use requests.
+  /// @param use purpose for which memory is lacking.
+  /// @param bytes number of bytes requested for `use`.
   using relief_callback = std::function<void(byte_use use, std::size_t bytes)>;
 
   explicit byte_budget(std::size_t capacity) : capacity_(capacity) {}
@@ -51,8 +52,9 @@
   /// Sets the callback that frees memory, at once or later.
   void set_relief(relief_callback callback) { relief_ = std::move(callback); }
 
-  /// Returns whether `bytes` more would be granted to `use` now. Calls the relief callback first if
-  /// the bytes would be refused to an answer, or if the budget is almost exhausted for an event.
+  /// Returns whether `bytes` more would be granted to `use` now. May call the relief callback
+  /// first: if `use` is an answer, when the bytes would be refused; if `use` is an event, when the
+  /// budget would be almost exhausted.
   [[nodiscard]] bool ensure_capacity(byte_use use, std::size_t bytes);
   /// Returns whether the limit of `use` allows `bytes` to be held in total.
   [[nodiscard]] bool is_within_limit(byte_use use, std::size_t bytes) const;
@@ -102,7 +104,7 @@
 
   /// Acquires more bytes. @return false, with nothing changed, if the budget refuses them.
   [[nodiscard]] bool grow(byte_use use, std::size_t bytes);
-  /// Returns bytes to the budget. @param bytes limited to the bytes held.
+  /// Returns bytes to the budget, but no more than the reservation holds.
   void shrink(std::size_t bytes);
   /// Moves the bytes held to the account of another holder.
   void move_to(byte_holder holder);
--- a/src/flow/resource_plan.cc
+++ b/src/flow/resource_plan.cc
@@ -5,22 +5,25 @@
 namespace spurrack::flow {
 namespace {
 
-/// Memory of an idle process, and of its state for a fleet of 2,700 nodes (docs/CAPACITY.md: 13 and
-/// 32 MB).
+/// Memory of an idle process (13 MB) and of its state for a fleet of 2,700 nodes (32 MB); both
+/// figures are from docs/CAPACITY.md.
 constexpr std::size_t baseline_bytes = 45'000'000;
-/// Fraction of the remaining memory that the byte budget counts. The other part is overhead that
-/// comes with counted bytes and is not counted: connection buffers, unused memory of the allocator,
-/// data that the kernel has received for this process. With 0.4, a process limited to 160 MB used
-/// 119 MB with 1,398 slow clients; with 0.32, it used 109 MB (slow_readers_test).
+/// Fraction of the memory beyond `baseline_bytes` that becomes the capacity of the byte budget. The
+/// rest is for overhead that comes with the bytes of the budget and is not counted by it:
+/// connection buffers, unused memory of the allocator, data that the kernel has received for this
+/// process. With 0.4, a process limited to 160 MB used 119 MB with 1,398 slow clients; with 0.32,
+/// it used 109 MB (slow_readers_test).
 constexpr double counted_fraction = 0.32;
 /// A smaller budget could not hold one large answer.
 constexpr std::size_t min_budget_bytes = 10'000'000;
 
-/// Descriptors for files, which the platform reserves.
+/// Number of descriptors that the platform reserves for files.
 constexpr std::size_t file_descriptors = 200;
-/// Descriptors for connections to peers, to the store, of operators, and idle ones to replicas.
+/// Number of descriptors for connections that serve no request of a client: to peers, to the store,
+/// of operators, and idle connections to replicas.
 constexpr std::size_t own_descriptors = 900;
-/// A request of a client needs the client's connection and one to a replica.
+/// A request of a client needs two descriptors: for the client's connection and for a connection to
+/// a replica.
 constexpr std::size_t descriptors_per_client = 2;
 constexpr std::size_t min_client_connections = 16;
 
--- a/src/flow/stream_window.h
+++ b/src/flow/stream_window.h
@@ -1,5 +1,6 @@
-/// Flow control window of one stream: the number of bytes that its client may leave unread before
-/// reading from the replica is paused, and the time for which the client has read nothing.
+/// Flow control window of one stream: limits the bytes that the client has not read yet. When they
+/// reach the window size, reading from the replica is paused. Also measures for how long the client
+/// has read nothing.
 #pragma once
 
 #include "base/time.h"
@@ -31,16 +32,18 @@
   window_change add(std::size_t bytes, double utilization, base::time_point now);
   /// Records bytes that the client read.
   window_change consume(std::size_t bytes, base::time_point now);
-  /// Opens the window and keeps it open until `close`, however many bytes are unread: the stream is
-  /// buffered although its client does not read.
+  /// Opens the window and keeps it open until `close` is called, however many bytes are unread: the
+  /// stream is buffered although its client does not read.
   window_change start_read_ahead(base::time_point now);
-  /// Ends reading ahead, for which there is no more memory, and closes the window.
+  /// Closes the window, and ends reading ahead. To be called when there is no more memory for
+  /// reading ahead.
   window_change close(base::time_point now);
 
   [[nodiscard]] bool is_open() const { return is_open_; }
   [[nodiscard]] bool is_reading_ahead() const { return is_reading_ahead_; }
   [[nodiscard]] std::size_t unread() const { return unread_; }
-  /// Returns the time for which bytes have been unread without the client reading any.
+  /// Returns for how long the client has read nothing although there are unread bytes; zero if
+  /// there are no unread bytes.
   [[nodiscard]] base::duration stall_duration(base::time_point now) const;
   /// Returns the total time for which the window was closed, up to `now`.
   [[nodiscard]] base::duration closed_duration(base::time_point now) const;
@@ -52,7 +55,8 @@
   std::size_t size_ = max_window_bytes;
   bool is_open_ = true;
   bool is_reading_ahead_ = false;
-  /// Time at which the client last read bytes, or at which bytes first became unread after that.
+  /// Time at which the client last read bytes. If it had read all bytes by then: the time at which
+  /// the next bytes were added.
   base::time_point last_progress_at_;
   base::time_point closed_at_;
   /// Total time of the periods for which the window was closed, without the current period.
--- a/src/rate_limits/limit_exchange.cc
+++ b/src/rate_limits/limit_exchange.cc
@@ -7,18 +7,19 @@
 namespace spurrack::rate_limits {
 namespace {
 
-/// Fraction of a limit for which permits are issued. The rest is a margin for permits that an
-/// issuer accumulates and for permits that are spent only at the end of their lifetime, so that the
-/// sends of any ten seconds stay below the limit.
+/// Fraction of a replica's limit for which permits are issued. The rest is a margin for two kinds
+/// of permits: those that an issuer accumulates, and those that are spent only at the end of their
+/// lifetime. The margin keeps the sends of any ten seconds below the limit.
 constexpr double issued_fraction_of_limit = 0.97;
-/// Lowest rate of permits per second, also for a replica that accepts fewer requests or none: only
-/// an answer of the replica shows that its limit is lifted.
+/// Lowest rate at which permits are issued, in permits per second. It also applies if the replica
+/// accepts fewer requests or none: only an answer of the replica shows that its limit is lifted.
 constexpr double min_issue_rate = 0.1;
-/// Interval between rounds of queries to issuers, and number of nodes that one round queries: a
-/// node sends at most 4 kB/s of queries, whatever the number of limited replicas.
+/// Interval between rounds of queries to issuers, and maximum number of issuers that a node queries
+/// in one round. They limit the queries of a node to 4 kB/s, whatever the number of limited
+/// replicas.
 constexpr base::duration query_interval = std::chrono::milliseconds(50);
 constexpr std::size_t max_queried_nodes = 4;
-/// Interval between removals of permits for replicas that no longer announce a limit.
+/// Interval at which permits are removed whose replicas no longer announce a limit.
 constexpr base::duration cleanup_interval = std::chrono::milliseconds(1000);
 
 } // namespace
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -1,13 +1,15 @@
 /// Keeps the requests per second that all nodes together send to a replica within the limit that
 /// the replica announces. No I/O: messages are queued until `take_messages`.
 ///
-/// `self_reports` provides the announced limits. One node, chosen by rendezvous hashing among the
-/// nodes of the replica's zone, issues permits for the replica at the announced rate, and each send
-/// spends one permit (leases of a shared rate, as in the paper on sharing networked resources that
-/// docs/design/rate-limits.md cites). In a partitioned fleet, an issuer scales the rate by the
-/// fraction of the fleet that it can reach: if that is more than half, it issues permits for the
-/// whole limit, otherwise for that fraction of the limit, so that the two sides of a partition do
-/// not both issue the whole limit.
+/// `self_reports` provides the announced limits. For each limited replica, one node issues permits
+/// at the announced rate, and each send of any node spends one permit. This node, the issuer, is
+/// chosen by rendezvous hashing among the nodes of the replica's zone. Permits are leases of a
+/// shared rate, as in the paper on sharing networked resources that docs/design/rate-limits.md
+/// cites.
+///
+/// In a partitioned fleet, an issuer that can reach more than half of the fleet issues permits for
+/// the whole limit. Any other issuer multiplies the limit by the fraction of the fleet that it can
+/// reach, so that the two sides of a partition do not both issue the whole limit.
 #pragma once
 
 #include "base/ids.h"
@@ -35,7 +37,8 @@
   std::uint64_t messages = 0;
   std::uint64_t permits_issued = 0;
   std::uint64_t permits_received = 0;
-  /// Permits that arrived too late for the query that they answer.
+  /// Permits that were discarded when they arrived, because they answer no valid query: since the
+  /// query, this node was restarted or suspended, or ceased to keep permits for the replica.
   std::uint64_t permits_expired = 0;
 };
 
@@ -48,10 +51,10 @@
                  self_reports::replica_lookup lookup, base::incarnation incarnation);
 
   /// Replaces the set of live nodes, which excludes this node.
-  /// @param known_peers number of all other nodes of the fleet, including unreachable nodes, which
+  /// @param known_peers number of all other nodes of the fleet, including unreachable nodes: those
   ///        may issue permits on their own.
   void set_peers(const std::vector<serving::fleet_peer>& alive, std::size_t known_peers);
-  /// Returns whether any replica announces a limit or recently did.
+  /// Returns whether any replica announces a limit or recently lifted its limit.
   [[nodiscard]] bool has_limits() const { return !announced_limits().empty(); }
   [[nodiscard]] const self_reports::limit_registry& announced_limits() const {
     return self_reports_->limits();
@@ -69,14 +72,15 @@
   void note_sent(const base::replica_id& replica, base::time_point now);
   /// Records that only the lack of a permit kept a request from being sent to a limited replica.
   void note_unmet_demand(const base::replica_id& replica, base::time_point now);
-  /// Records the number of requests that wait for a limited replica and cannot be sent to any other
-  /// replica now.
+  /// Records the number of requests that wait for a permit of a limited replica and cannot be sent
+  /// to another replica now.
   void note_waiting(const base::replica_id& replica, std::uint32_t count, base::time_point now);
 
-  /// Discards the permits that this node holds or could issue, after a suspension of this process.
+  /// Discards the permits that this node holds, and those that it could issue. To be called after a
+  /// suspension of this process.
   void resume_after_suspension(base::time_point now);
-  /// Processes queries and permits of another node. Requires that `self_report_exchange` has
-  /// processed the limits of the message.
+  /// Processes the queries and permits in a message of another node. Before that,
+  /// `self_report_exchange` must have processed the limits in the message.
   void handle(const base::node_id& sender, const wire::rate_limits& message, base::time_point now);
   /// Sends the queries and issues the permits that are due.
   void advance(base::time_point now);
@@ -84,10 +88,11 @@
 
   [[nodiscard]] wire::outbox take_messages() { return std::exchange(messages_, {}); }
   [[nodiscard]] const limit_counts& counts() const { return counts_; }
-  /// Returns the node that issues permits for a replica, from the view of this node.
+  /// Returns the issuer of a replica's permits, as this node sees the fleet: a live node of the
+  /// replica's zone, or of any zone if that zone has no live node or is not known.
   [[nodiscard]] base::node_id issuer_of(const base::replica_id& replica) const;
-  /// Returns the permits held for a replica; null if this node has needed none since the replica
-  /// announced a limit.
+  /// Returns the stock of permits for a replica; null if this node has needed no permit since the
+  /// replica announced a limit.
   [[nodiscard]] const permit_stock* stock_of(const base::replica_id& replica) const;
 
  private:
@@ -95,21 +100,24 @@
 
   void enqueue_query(const base::replica_id& replica);
   void query_issuers(base::time_point now);
-  /// Adds a query for a replica to the message to its issuer, or records the query if this node is
-  /// the issuer.
-  /// @param count 0 withdraws the pending query.
+  /// Queries the issuer of a replica for permits: adds a query to the message to the issuer, or
+  /// records the query at once if this node is the issuer.
+  /// @param count number of permits; 0 withdraws the pending query.
   void add_query(const base::replica_id& replica, std::uint32_t count, message_map& messages,
                  base::time_point now);
-  /// Withdraws queries for waiting requests that no longer need permits: the permits would expire.
+  /// Withdraws queries that were sent for waiting requests if these requests no longer need
+  /// permits: granted permits would expire unused.
   void withdraw_queries(message_map& messages, base::time_point now);
   /// Issues the permits that are due for the replicas whose issuer this node is.
   void issue_permits(base::time_point now);
-  /// Adds permits to the stock of a replica, or counts them as expired.
+  /// Adds granted permits to the stock of a replica. If they answer no valid query, discards them
+  /// and counts them as `permits_expired`.
   void record_grant(const base::replica_id& replica, const permit_grant& grant,
                     base::time_point now);
   void forget_stocks_without_limit(base::time_point now);
   void send(message_map messages);
-  /// Returns the permits per second that this node issues for a limit.
+  /// Returns the rate, in permits per second, at which this node issues permits for a limit of
+  /// `per_second` requests per second.
   [[nodiscard]] double issue_rate_of(double per_second) const;
 
   serving::fleet_peer self_;
@@ -117,11 +125,11 @@
   self_reports::replica_lookup lookup_;
   std::map<base::replica_id, permit_stock> stocks_;
   std::map<base::replica_id, permit_issuer> issuers_;
-  /// Replicas whose permits are to be queried, in the order of the queries.
+  /// Replicas for which permits are to be queried, in the order of the queries.
   std::deque<base::replica_id> replicas_to_query_;
   /// The elements of `replicas_to_query_`.
   std::set<base::replica_id> queued_replicas_;
-  /// Replicas for which requests waited when their issuer was last queried.
+  /// Replicas whose issuer this node last queried while requests waited for the replica.
   std::set<base::replica_id> replicas_with_waiting_requests_;
   std::map<base::node_id, serving::fleet_peer> peers_;
   std::map<base::zone_id, std::vector<base::node_id>> nodes_by_zone_;
--- a/src/rate_limits/permit_issuer.cc
+++ b/src/rate_limits/permit_issuer.cc
@@ -10,8 +10,8 @@
 /// Time for which a new issuer grants no permits: after it, permits of the earlier issuer have
 /// expired, and most nodes know the new issuer.
 constexpr base::duration handover_duration = std::chrono::milliseconds(1000);
-/// Longest time for which permits accrue while no node queries them: the bursts in which they are
-/// spent stay short compared to the seconds over which the load of a replica is limited.
+/// Longest time for which permits accrue while no node queries them. These permits are spent in
+/// bursts, which must be short compared to the seconds over which the load of a replica is limited.
 constexpr base::duration max_burst_time = std::chrono::milliseconds(100);
 /// Shortest interval between grants, which bounds the number of messages at high rates.
 constexpr base::duration issue_interval = std::chrono::milliseconds(10);
--- a/src/rate_limits/permit_issuer.h
+++ b/src/rate_limits/permit_issuer.h
@@ -1,6 +1,6 @@
-/// Issues permits for one limited replica, at the rate that it announces, to the nodes that ask for
-/// them. Since a single node issues permits for all sends of the fleet, the limit is not split into
-/// fixed shares, and one node may use all of it. No I/O.
+/// Issues permits for one limited replica to the nodes that query them, at the rate that the
+/// replica announces. Since one node issues the permits for the sends of all nodes, the limit is
+/// not split into fixed shares: a single node may use all of it. No I/O.
 #pragma once
 
 #include "base/ids.h"
@@ -13,16 +13,18 @@
 
 namespace spurrack::rate_limits {
 
-/// Time after which a received permit expires: a node that accumulated unused permits would send a
-/// burst later.
+/// Time after which a permit expires, counted from its arrival at the node that queried it. Without
+/// expiry, a node could accumulate unused permits and send a burst later.
 inline constexpr base::duration permit_lifetime = std::chrono::milliseconds(200);
-/// Time after which an unanswered query expires and is sent again: the querying node may have
-/// stopped, or its requests may have gone to other replicas.
+/// Time after which a query expires if it is not answered completely. The querying node then sends
+/// a new query if it still needs permits. The issuer drops the expired query, because the querying
+/// node may have stopped or may have sent its requests to other replicas.
 inline constexpr base::duration query_lifetime = std::chrono::milliseconds(800);
 
 struct permit_query {
   base::node_id node;
-  /// Returned with the permits, so that the querying node can match them to the query.
+  /// Number of this query. The issuer returns it with the permits, so that the querying node can
+  /// match them to the query.
   std::uint64_t number = 0;
   /// Number of permits requested; 0 withdraws the earlier query of the node.
   std::uint32_t count = 1;
@@ -39,8 +41,8 @@
 /// Token bucket and queue of queries for one replica. Not thread-safe.
 class permit_issuer {
  public:
-  /// Starts as the issuer of the replica. Permits of an earlier issuer may still be spent, so none
-  /// are granted at first.
+  /// Begins as the issuer of the replica. Grants no permits at first, because permits of an earlier
+  /// issuer may still be spent.
   explicit permit_issuer(base::time_point now) { restart(now); }
 
   /// Discards pending queries and accrued permits, and grants none for a while: the node was
@@ -63,7 +65,7 @@
   using query_queue = std::deque<pending_query>;
 
   void accrue(base::time_point now);
-  /// Grants permits to the queries of a queue in round-robin order, one permit per turn.
+  /// Grants available permits to the queries in `queue`: in turn, one permit at a time.
   void grant_permits(query_queue& queue, std::map<base::node_id, permit_grant>& grants,
                      base::time_point now);
 
--- a/src/rate_limits/permit_stock.cc
+++ b/src/rate_limits/permit_stock.cc
@@ -5,14 +5,15 @@
 namespace spurrack::rate_limits {
 namespace {
 
-/// Time over which demand (requests that need a permit) is counted, and for which permits are
-/// queried in advance: several one-way delays between nodes, and well within the lifetime of a
-/// permit.
+/// Time over which demand (the number of requests that need a permit) is counted. Permits are
+/// queried in advance for the demand of one such window. It lasts several one-way delays between
+/// nodes, and is well within the lifetime of a permit.
 constexpr base::duration demand_window = std::chrono::milliseconds(100);
-/// Demand per window from which on permits are queried in advance: with less demand most of these
-/// permits would expire unused.
+/// Smallest demand in a window for which permits are queried in advance: at less demand, most of
+/// these permits would expire unused.
 constexpr std::uint32_t min_demand_to_prefetch = 2;
-/// Time for which a report of waiting requests is valid. The dispatcher repeats it more often.
+/// Time for which a reported number of waiting requests is valid. While requests wait, the
+/// dispatcher reports their number at shorter intervals.
 constexpr base::duration waiting_report_lifetime = std::chrono::milliseconds(60);
 /// Time for which the times of sends are kept, to show their number to operators.
 constexpr base::duration recent_window = std::chrono::seconds(4);
--- a/src/rate_limits/permit_stock.h
+++ b/src/rate_limits/permit_stock.h
@@ -1,5 +1,5 @@
-/// Permits for one limited replica that this node holds, and the number of further permits that its
-/// requests need. No I/O.
+/// Permits for one limited replica that this node holds, and the number of further permits that
+/// this node's requests to the replica need. No I/O.
 #pragma once
 
 #include "base/time.h"
@@ -16,16 +16,16 @@
 class permit_stock {
  public:
   [[nodiscard]] bool has_permit(base::time_point now) const;
-  /// Records that a request is sent and spends the permit that expires first. The send counts as
-  /// demand, so that a node that sends many requests queries its next permits in advance.
+  /// Records that a request is sent, and spends the permit that expires first. The request counts
+  /// as demand, so that a node that sends many requests queries further permits in advance.
   void note_sent(base::time_point now);
   /// Records that only the lack of a permit kept a request from being sent to the replica.
   void note_unmet_demand(base::time_point now);
   /// Records the number of requests that wait for this replica and can be sent to no other replica.
   void note_waiting(std::uint32_t count, base::time_point now);
-  /// Returns the number of permits that a query sent now should ask for: the expected demand less
-  /// the permits held. Such a query replaces the pending query. Returns 0 if the pending query
-  /// already asks for enough.
+  /// Returns the number of permits to ask for in a new query, which replaces the pending query: the
+  /// expected demand less the permits held. Returns 0 if no new query is needed: if the pending
+  /// query asks for enough permits and, in case requests wait now, was sent while requests waited.
   [[nodiscard]] std::uint32_t permits_to_request(base::time_point now) const;
   /// Returns whether a query is pending for waiting requests although the permits held cover the
   /// expected demand.
@@ -36,7 +36,8 @@
   /// Returns whether `note_waiting` recently reported waiting requests.
   [[nodiscard]] bool has_waiting_requests(base::time_point now) const;
   /// Adds permits that an issuer granted.
-  /// @return false, with nothing added, if the grant does not answer a valid query of this node.
+  /// @return false, with nothing added, if the permits do not answer a query that this node sent
+  ///         after the last `clear`.
   bool add(const permit_grant& grant, base::time_point now);
   /// Discards the permits held and the pending query, and causes permits in transit to be rejected:
   /// this process was suspended.
@@ -58,7 +59,7 @@
   };
   struct pending_query {
     std::uint64_t number = 0;
-    /// Number of permits that have not been received yet.
+    /// Number of permits of this query that have not arrived yet.
     std::uint32_t outstanding = 0;
     bool has_waiting_requests = false;
     base::time_point expires_at;
--- a/tests/engines/engine_accounting_test.cc
+++ b/tests/engines/engine_accounting_test.cc
@@ -60,7 +60,8 @@
 BOOST_AUTO_TEST_CASE(the_prefill_rate_stays_near_the_highest_observed_rate) {
   prefill_rate estimate;
   for (int call = 0; call < 200; ++call) {
-    // One call in ten finds its engine idle; the others also wait, for one or three prefill times.
+    // One call in ten finds its engine idle. The other calls also wait for other prompts at the
+    // engine, for one prefill time or for three.
     const int factor = call % 10 == 0 ? 1 : 2 + call % 2 * 2;
     estimate.note(5'000, std::chrono::milliseconds(100 * factor));
   }
--- a/tests/engines/engine_directory_test.cc
+++ b/tests/engines/engine_directory_test.cc
@@ -214,7 +214,8 @@
     content.prompt_tokens = 20'400;
     const replica_requirements demand{service, content, everywhere, fleet.no_replicas};
     const auto* planned_engine = chooser.choose(demand, fleet.table.now);
-    // Other prompts at the first engine make it cheaper to prefill the prefix at another one.
+    // The prompt sent to the planned engine makes it busy: the wait there is then longer than the
+    // time to prefill the prefix at another engine.
     fleet.nodes[0]->note_sent(*planned_engine, sent_prompt_of(content), fleet.table.now);
     const auto* chosen = chooser.choose(demand, fleet.table.now);
     BOOST_TEST(chosen->record->zone == planned_engine->record->zone);
--- a/tests/engines/engine_fleet.h
+++ b/tests/engines/engine_fleet.h
@@ -29,8 +29,8 @@
 /// Kind of prompt: its shared parts, its own tokens and the tokens of the answer.
 struct prompt_kind {
   double per_second = 0;
-  /// Position of a shared part in the prompt: number of distinct parts that requests have there,
-  /// and mean and spread of their length in tokens.
+  /// Position of a shared part in the prompt. Each request has one of `distinct` different parts
+  /// there; their lengths in tokens have the mean `tokens` and the spread `spread`.
   struct level {
     std::uint32_t distinct = 1;
     double tokens = 0;
@@ -40,7 +40,7 @@
   double own_tokens = 0;
   double own_spread = 0;
   double output_tokens = 0;
-  /// Fraction of the requests that have the same shared parts.
+  /// Fraction of the requests of this kind that all have the same shared parts.
   double hot_fraction = 0;
 };
 
@@ -53,13 +53,13 @@
   double seconds_per_output_token = 0.0035;
   double duration_seconds = 34;
   std::vector<prompt_kind> kinds;
-  /// Number of engines that one zone has fewer than the others.
+  /// Number of engines by which one zone has fewer engines than each of the other zones.
   std::size_t engines_missing_in_one_zone = 0;
   /// Times, in seconds, between which a third of the engines is evacuated, as every caller knows;
   /// -1 for no evacuation.
   double evacuation_begins_at = -1;
   double evacuation_ends_at = -1;
-  /// Time, in seconds, at which a fraction of the engines is replaced by engines with an empty
+  /// Time, in seconds, at which a fraction of the engines is replaced by new engines with an empty
   /// cache; -1 for no replacement.
   double replaced_at = -1;
   double replaced_fraction = 0;
@@ -77,7 +77,8 @@
   /// Prefill time per engine of the busiest zone, divided by the mean of the zones.
   double max_zone_to_mean_load = 0;
   double mean_first_event_seconds = 0;
-  /// 95th percentile over the prompts of the first kind.
+  /// 95th percentile of the time from sending a prompt to its first event, in seconds, over the
+  /// prompts of the first kind.
   double p95_first_event_seconds = 0;
   /// Largest number of tokens of running requests at an engine, as a fraction of its memory.
   double max_memory_utilization = 0;
@@ -86,11 +87,12 @@
   double mean_bytes_per_second = 0;
   double max_bytes_per_second = 0;
   double max_bytes_in_one_second = 0;
-  /// Fraction of the prompts of the first kind that waited for longer than 1.3 s.
+  /// Fraction of the prompts of the first kind whose first event came later than 1.3 s after they
+  /// were sent.
   double late_fraction = 0;
 };
 
-/// Strategy of a caller: chooses engines and observes its calls.
+/// Strategy by which one caller chooses engines; is told of the caller's calls and messages.
 class caller_strategy {
  public:
   caller_strategy() = default;
@@ -115,7 +117,7 @@
  public:
   explicit engine_memory(std::uint64_t capacity) : capacity_(capacity) {}
 
-  /// Marks a part as used. @return whether the part is cached.
+  /// Marks a part as used if it is cached. @return whether the part is cached.
   bool use(const std::string& part) {
     const auto found = entry_by_part_.find(part);
     if (found == entry_by_part_.end()) {
@@ -526,8 +528,9 @@
   return shape;
 }
 
-/// Region in which twice the usual number of callers sends 1.8 times the usual load all day:
-/// prompts with two shared levels, of which four first parts make up half of the tokens.
+/// Region in which twice the usual number of callers sends 1.8 times the usual load all day. All
+/// prompts have two shared levels. The prompts that begin with one of four first parts make up more
+/// than half of the tokens.
 inline fleet_shape busy_region(std::uint64_t seed) {
   fleet_shape shape;
   shape.seed = seed;
--- a/tests/engines/placement_test.cc
+++ b/tests/engines/placement_test.cc
@@ -89,8 +89,8 @@
   return shape;
 }
 
-/// Very many engines, each of which gets one prompt every 16 seconds: four first parts make up half
-/// of the tokens, and no engine is ever busy.
+/// Very many engines, each of which gets one prompt every 16 seconds, so that no engine is ever
+/// busy. The prompts that begin with one of four first parts make up more than half of the tokens.
 fleet_shape large_and_idle(std::uint64_t seed) {
   auto shape = busy_region(seed);
   shape.callers = 100;
--- a/tests/flow/answer_memory_reservation_test.cc
+++ b/tests/flow/answer_memory_reservation_test.cc
@@ -60,7 +60,7 @@
   BOOST_TEST(is_granted(*first, 500));
   const auto second = begin();
   BOOST_CHECK(second->grow(100) == memory_request_result::wait);
-  // The first answer does not wait and can complete, so there is no deadlock.
+  // There is no deadlock: the answer `first` is not waiting and can complete.
   BOOST_CHECK(second->grow(100) == memory_request_result::wait);
 }
 
@@ -72,7 +72,7 @@
   BOOST_CHECK(first->grow(200) == memory_request_result::wait);
   BOOST_CHECK(second->grow(200) == memory_request_result::wait);
   BOOST_TEST(is_granted(*first, 200));
-  // The first answer can complete; the second one waits and keeps its memory.
+  // The answer `first` can complete now; the answer `second` waits and keeps its memory.
   BOOST_CHECK(second->grow(200) == memory_request_result::wait);
   BOOST_TEST(second->bytes() == 270U);
 }
@@ -132,7 +132,8 @@
   }
   BOOST_TEST(active.empty());
   BOOST_TEST(completed + aborted == answers);
-  // The first answer keeps its memory until it is complete; answers without memory are not aborted.
+  // At least one answer completes: neither the first answer in the queue nor an answer without
+  // memory is ever aborted.
   BOOST_TEST(completed >= 1U);
   BOOST_TEST(budget->held() == 0U);
 }
--- a/tests/flow/byte_budget_test.cc
+++ b/tests/flow/byte_budget_test.cc
@@ -135,7 +135,8 @@
         break;
       default:
         if (!reservations.empty()) {
-          // Moves the last reservation over another one, whose bytes are returned.
+          // Overwrites a random reservation with the last one. The bytes of the overwritten
+          // reservation are returned to the budget.
           reservations[random.below(reservations.size())] = std::move(reservations.back());
           reservations.pop_back();
         }
--- a/tests/rate_limits/limit_exchange_test.cc
+++ b/tests/rate_limits/limit_exchange_test.cc
@@ -1,5 +1,5 @@
-/// Messages between nodes about limited replicas: the time until all nodes know a limit, and the
-/// number of bytes.
+/// Messages between nodes about limited replicas: how long it takes until all nodes know a limit,
+/// and how many bytes the nodes send.
 #include "permit_node.h"
 
 #include "base/random.h"
--- a/tests/rate_limits/limited_calls_test.cc
+++ b/tests/rate_limits/limited_calls_test.cc
@@ -79,7 +79,8 @@
   for (base::caller_id client = 1; node.now - started_at < seconds(30); ++client) {
     node.send_request(client, "/staged/", {3, 1});
     node.advance_time(milliseconds(1000));
-    // The replica answers its stage calls; each result causes one more call, which frees it.
+    // The replica answers its stage calls. Each result later causes one more call, which frees the
+    // result.
     const auto calls = node.all<start_stage_call>();
     for (; answered_calls < calls.size(); ++answered_calls) {
       node.deliver_self_report(calls[answered_calls].call, limited_node::limited(limit));
@@ -173,8 +174,8 @@
       }
     }
   }
-  // Two pieces for each request that is begun. 100 requests arrive in 25 s, and one per second can
-  // be sent.
+  // Each request whose stages are begun has two pieces. 100 requests arrive in 25 s, but only one
+  // request per second can be sent.
   BOOST_TEST_MESSAGE(piece_count << " pieces for " << stream_count << " sent");
   BOOST_TEST(stream_count >= 20U, stream_count << " sent");
   BOOST_TEST(piece_count <= 2 * (stream_count + 10),
--- a/tests/rate_limits/limited_fleet.h
+++ b/tests/rate_limits/limited_fleet.h
@@ -1,7 +1,7 @@
-/// Simulated fleet of dispatchers and replicas in virtual time. The replicas report their own state
-/// in their answers: the requests per second that they accept, whether they drain, and a requested
-/// backoff. Requests are counted as they arrive at each replica: from all nodes, and from nodes
-/// that had received such an answer.
+/// Simulated fleet of dispatchers and replicas in virtual time. The answers of a replica contain
+/// its self-report: how many requests per second it accepts, whether it drains, and the backoff
+/// that it requests. The requests that arrive at a replica are counted in two ways: those of all
+/// nodes, and only those of nodes that had already received such a self-report.
 #pragma once
 
 #include "serving_fixture.h"
@@ -48,7 +48,8 @@
     base::time_point at;
     base::time_point sent_at;
     std::size_t node = 0;
-    /// Whether the node had received an answer with the limit at least half a second before.
+    /// Whether the sending node had received an answer with the replica's limit, at least half a
+    /// second before this arrival.
     bool node_knows_limit = false;
   };
   struct emulated_replica {
@@ -58,7 +59,7 @@
     std::optional<double> limit;
     /// Time at which this incarnation was first given a limit.
     std::optional<base::time_point> limit_set_at;
-    /// Whether its answers announce that it drains.
+    /// Whether the answers of this replica announce that it drains.
     bool is_draining = false;
     /// Time until which it refuses all requests.
     base::time_point refuses_until;
@@ -71,10 +72,11 @@
       base::time_point ends_at;
     };
     std::vector<backoff_request> requested_backoffs;
-    /// Time at which each node first received an answer that announced the draining.
+    /// For each node, the time at which it first received an answer that announced that this
+    /// replica drains.
     std::map<std::size_t, base::time_point> drain_announced_at;
     std::vector<arrival> arrivals;
-    /// Time at which each node first received an answer with the limit.
+    /// For each node, the time at which it first received an answer with this replica's limit.
     std::map<std::size_t, base::time_point> limit_announced_at;
   };
   struct emulated_node {
@@ -211,8 +213,8 @@
     }
   }
 
-  /// Partitions the fleet: a node reaches the nodes for which `part` returns the same value, and
-  /// knows the other nodes but considers them dead.
+  /// Partitions the fleet. A node reaches only the nodes for which `part` returns the same value as
+  /// for the node itself. It knows of the other nodes, but considers them dead.
   void partition(std::function<std::size_t(std::size_t)> part) {
     partition_of = std::move(part);
     for (std::size_t index = 0; index < nodes.size(); ++index) {
@@ -308,9 +310,9 @@
     node.wakeup_at = now;
   }
 
-  /// Returns the maximum number of requests that a replica got in any span of `length` that ends
-  /// after `since`.
-  /// @param only_knowing_nodes whether only requests of nodes that knew the limit are counted.
+  /// Returns the maximum number of requests that a replica got within any span of `length`. Only
+  /// spans that end at or after `since` are considered.
+  /// @param only_knowing_nodes whether to count only requests of nodes that knew the limit.
   [[nodiscard]] std::size_t max_arrivals_within(unsigned index, base::duration length,
                                                 base::time_point since,
                                                 bool only_knowing_nodes) const {
--- a/tests/rate_limits/limited_replica_test.cc
+++ b/tests/rate_limits/limited_replica_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Time after which all nodes that are not partitioned know a limit.
+/// Time within which all nodes learn a new limit, except for nodes that are cut off by a partition.
 constexpr base::duration convergence_time = seconds(3);
 
 /// Returns the number of requests that a replica with a constant limit may get in four seconds.
@@ -19,7 +19,8 @@
   return 1.5 * 4 * limit + 5;
 }
 
-/// Checks the requests that a replica got, after `since`, from nodes that knew its limit.
+/// Checks that nodes that knew the limit of a replica sent it no more requests, after `since`, than
+/// the limit allows.
 void check_limit(const limited_fleet& fleet, unsigned replica, double limit, base::time_point since,
                  const std::string& description) {
   const auto max_arrivals = fleet.max_arrivals_within(replica, seconds(4), since, true);
@@ -67,7 +68,8 @@
     double used_fraction = 0;
     for (const unsigned replica : {0U, 1U}) {
       check_limit(fleet, replica, limit, converged_at, description);
-      // Includes requests of nodes that have not received an answer with the limit.
+      // Counts the requests of all nodes, also of those that have not received an answer with the
+      // limit.
       const auto all_arrivals =
           fleet.max_arrivals_within(replica, seconds(10), converged_at + seconds(10), false);
       BOOST_TEST(static_cast<double>(all_arrivals) <= 10 * (limit + 2),
@@ -191,7 +193,8 @@
 BOOST_AUTO_TEST_CASE(a_replica_whose_limit_changes_often_gets_no_more_than_the_largest_limit) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     limited_fleet fleet({.seed = seed, .nodes = 8, .zones = 2, .replicas = 4});
-    // The largest limit that is in effect within four seconds bounds the requests in that time.
+    // The number of requests in any four seconds is bounded by the largest limit that was in effect
+    // in that time; the test checks it against the largest of all limits.
     const std::vector<std::optional<double>> values{4.0, 2.0, 8.0, 4.0};
     fleet.set_limit(0, 4.0);
     const auto converged_at = fleet.now + convergence_time;
--- a/tests/rate_limits/permit_node.h
+++ b/tests/rate_limits/permit_node.h
@@ -1,4 +1,4 @@
-/// Limits that one node knows of, and the permits that it holds and issues.
+/// A node for tests of limits: the limits that it knows, and the permits that it holds and issues.
 #pragma once
 
 #include "base/random.h"
