--- a/src/engines/first_byte_model.h
+++ b/src/engines/first_byte_model.h
@@ -12,7 +12,7 @@
 class first_byte_model {
  public:
   /// Records a call.
-  /// @param tokens of the prompt that no other request shares.
+  /// @param tokens number of tokens of the prompt that no request of another session shares.
   /// @param elapsed from sending the prompt to the first byte.
   void record_call(std::uint32_t tokens, base::duration elapsed);
   /// Returns the expected time to the first byte; a default while too few calls were recorded.
--- a/src/engines/prefill_rate.cc
+++ b/src/engines/prefill_rate.cc
@@ -7,8 +7,9 @@
 
 /// Shorter prompts are ignored: their time is mostly the fixed cost of a call, not the prefill.
 constexpr std::uint32_t min_tokens = 2'000;
-/// Weights in the moving average of calls that were faster or slower than the average. They differ
-/// because only about one call in ten finds its engine idle and so shows the prefill rate.
+/// Weight of a call in the moving average, if the call was faster than the average and if it was
+/// slower. The weights differ because only about one call in ten finds its engine idle and so shows
+/// the prefill rate.
 constexpr double faster_call_weight = 0.3;
 constexpr double slower_call_weight = 0.03;
 /// Bounds of the estimate, in tokens per second.
--- a/src/engines/prefix_placement.cc
+++ b/src/engines/prefix_placement.cc
@@ -35,8 +35,8 @@
   if (parts.empty()) {
     return prefix;
   }
-  // The last part is not shared: it belongs to this request alone. The only part of a prompt counts
-  // as shared, because it belongs to the request's session.
+  // The last part is not shared: it belongs to this request alone. If a prompt has only one part,
+  // this part counts as shared, because it belongs to the request's session.
   const std::size_t shared = std::max<std::size_t>(parts.size() - 1, 1);
   for (std::size_t index = 0; index < shared; ++index) {
     prefix.tokens += parts[index].tokens;
--- a/src/rate_limits/limit_exchange.cc
+++ b/src/rate_limits/limit_exchange.cc
@@ -19,7 +19,7 @@
 /// replicas.
 constexpr base::duration query_interval = std::chrono::milliseconds(50);
 constexpr std::size_t max_queried_nodes = 4;
-/// Interval at which permits are removed whose replicas no longer announce a limit.
+/// Interval between removals of permits for replicas that no longer announce a limit.
 constexpr base::duration cleanup_interval = std::chrono::milliseconds(1000);
 
 } // namespace
--- a/src/rate_limits/limit_exchange.h
+++ b/src/rate_limits/limit_exchange.h
@@ -1,8 +1,8 @@
 /// Keeps the requests per second that all nodes together send to a replica within the limit that
 /// the replica announces. No I/O: messages are queued until `take_messages`.
 ///
-/// `self_reports` provides the announced limits. For each limited replica, one node issues permits
-/// at the announced rate, and each send of any node spends one permit. This node, the issuer, is
+/// `self_reports` provides the announced limits. For each limited replica, one node, the issuer,
+/// issues permits at the announced rate, and each send of any node spends one permit. The issuer is
 /// chosen by rendezvous hashing among the nodes of the replica's zone. Permits are leases of a
 /// shared rate, as in the paper on sharing networked resources that docs/design/rate-limits.md
 /// cites.
@@ -129,7 +129,7 @@
   std::deque<base::replica_id> replicas_to_query_;
   /// The elements of `replicas_to_query_`.
   std::set<base::replica_id> queued_replicas_;
-  /// Replicas whose issuer this node last queried while requests waited for the replica.
+  /// Replicas for which requests waited when this node last sent a query for the replica's permits.
   std::set<base::replica_id> replicas_with_waiting_requests_;
   std::map<base::node_id, serving::fleet_peer> peers_;
   std::map<base::zone_id, std::vector<base::node_id>> nodes_by_zone_;
--- a/src/rate_limits/permit_issuer.h
+++ b/src/rate_limits/permit_issuer.h
@@ -28,7 +28,7 @@
   std::uint64_t number = 0;
   /// Number of permits requested; 0 withdraws the earlier query of the node.
   std::uint32_t count = 1;
-  /// Whether requests wait at the node that cannot be sent to any other replica now.
+  /// Whether the node has waiting requests that it cannot send to any other replica now.
   bool has_waiting_requests = false;
 };
 
@@ -52,7 +52,7 @@
   void set_rate(double per_second, base::time_point now);
   /// Records a query, which replaces the earlier query of the same node.
   void record_query(permit_query query, base::time_point now);
-  /// Grants the permits that are available to pending queries.
+  /// Grants the available permits to the pending queries.
   std::map<base::node_id, permit_grant> issue(base::time_point now);
   /// Returns the time at which the next permit can be granted; std::nullopt if no query is pending.
   [[nodiscard]] std::optional<base::time_point> next_issue_at() const;
@@ -65,7 +65,8 @@
   using query_queue = std::deque<pending_query>;
 
   void accrue(base::time_point now);
-  /// Grants available permits to the queries in `queue`: in turn, one permit at a time.
+  /// Grants the available permits to the queries in `queue` in round-robin order, one permit per
+  /// turn.
   void grant_permits(query_queue& queue, std::map<base::node_id, permit_grant>& grants,
                      base::time_point now);
 
--- a/tests/engines/engine_fleet.h
+++ b/tests/engines/engine_fleet.h
@@ -68,7 +68,7 @@
 
 struct simulation_result {
   double prefilled_tokens = 0;
-  /// Tokens of shared parts that some engine had prefilled before.
+  /// Prefilled tokens of shared parts that some engine had already prefilled before.
   double repeated_tokens = 0;
   /// Part of `repeated_tokens`: the tokens of shared parts other than the last shared part.
   double repeated_first_part_tokens = 0;
--- a/tests/rate_limits/limited_replica_test.cc
+++ b/tests/rate_limits/limited_replica_test.cc
@@ -1,9 +1,9 @@
 /// Replicas that announce how many requests per second they accept from all nodes together.
 ///
 /// Guards against nodes that ignore such a limit: two of twelve model replicas announced a limit of
-/// one request per second and kept getting as many requests as the others, 12 and 13 in four
-/// seconds from nodes that had received such an answer. Reproduced with twelve replicas and six
-/// nodes under a light load.
+/// one request per second and kept getting as many requests as the others. They got 12 and 13
+/// requests in four seconds, counting only those of nodes that had received an answer with the
+/// limit. Reproduced with twelve replicas and six nodes under a light load.
 #include "limited_fleet.h"
 
 using namespace spurrack;
