--- a/src/quarantine/crash_detector.cc
+++ b/src/quarantine/crash_detector.cc
@@ -8,11 +8,13 @@
 /// Minimum time between a successful probe of a replica and the next probe of it: a replica that
 /// resets some of its connections is probed with at most one new connection per second.
 constexpr base::duration probe_interval = std::chrono::seconds(1);
-/// Time after the last lost call of a replica after which its lost calls are dropped. A replica
-/// that exited disappears from the published list of replicas, or is listed in another incarnation,
-/// within about four seconds; this is two and a half times as long, since the list may lag.
+/// Time for which the lost calls of a replica (calls that ended without a complete answer) are kept
+/// after the last of them. A replica that exited disappears from the published list of replicas, or
+/// is listed in another incarnation, within about four seconds. The calls are kept for two and a
+/// half times as long, since the list may lag.
 constexpr base::duration watch_duration = std::chrono::seconds(10);
-/// Maximum number of lost calls kept for one replica: no replica runs more calls at once.
+/// Maximum number of calls without a complete answer that are kept for one replica: no replica runs
+/// more calls at once.
 constexpr std::size_t max_calls_per_replica = 128;
 
 } // namespace
--- a/src/quarantine/crash_detector.h
+++ b/src/quarantine/crash_detector.h
@@ -21,25 +21,29 @@
 /// A call that ended without a complete answer, and the exit of its replica that may be the reason.
 struct lost_call {
   request_digest digest;
-  /// Assumed exit of the called incarnation; its time is the time at which the call ended.
+  /// Assumed exit of the called incarnation. The time of the exit is set to the time at which the
+  /// call ended.
   exit_observation exit;
 };
 
-/// Lost calls of the replicas whose exit is neither confirmed nor ruled out. Not thread-safe.
+/// Keeps lost calls (calls that ended without a complete answer) of replicas of which it is not
+/// known yet whether they exited. Not thread-safe.
 class crash_detector {
  public:
-  /// Records a lost call. Precondition: the replica was not draining.
+  /// Records a call that ended without a complete answer. Precondition: the replica was not
+  /// draining.
   /// @return whether the caller must probe the replica now.
   bool note_lost_call(const base::replica_id& replica, const lost_call& call, base::time_point now);
   /// Returns and clears the lost calls of a replica. Called when the replica is known to have
   /// exited: it refuses connections, has restarted, or is no longer published.
   std::vector<lost_call> take_lost_calls(const base::replica_id& replica);
-  /// Records that the replica accepted the connection of a probe: it still runs, or it has
-  /// restarted, which its published record will show.
+  /// Records that the replica accepted the connection of a probe. So the replica still runs, or it
+  /// has restarted; its record in the published list will show a restart.
   void note_connected(const base::replica_id& replica, base::time_point now);
   /// Records that a probe failed without showing whether the replica runs.
   void note_probe_failed(const base::replica_id& replica);
-  /// Drops lost calls that are so old that an exit would have been detected by now.
+  /// Drops all lost calls of a replica if the last of them is so old that an exit of the replica
+  /// would have been detected by now.
   void drop_expired(base::time_point now);
   /// @return replicas with lost calls.
   [[nodiscard]] std::vector<base::replica_id> watched_replicas() const;
--- a/src/quarantine/crash_registry.cc
+++ b/src/quarantine/crash_registry.cc
@@ -6,15 +6,17 @@
 namespace spurrack::quarantine {
 namespace {
 
-/// Lifetime, after its last update, of a record with too few exits for quarantine, and lifetime of
-/// indexed and withdrawn exits. Clients send a request again within seconds, scheduled jobs within
-/// minutes.
+/// Lifetime of a record with too few exits for quarantine, counted from the last update of the
+/// record. Also lifetime of an indexed exit, counted from the exit, and of a withdrawn exit,
+/// counted from its withdrawal. A client sends a request again within seconds, a scheduled job
+/// within minutes.
 constexpr base::duration short_record_lifetime = std::chrono::minutes(10);
-/// Time without an arrival of a quarantined request after which the request may be tried once more:
-/// the operators may have repaired the replicas in this time.
+/// Duration of a first quarantine, counted from the latest exit under the request or its latest
+/// refusal. If the request does not arrive for this time, it may be tried again, because the
+/// operators may have repaired the replicas.
 constexpr base::duration first_quarantine_duration = std::chrono::hours(1);
-/// Lifetime of a record with enough exits for quarantine, after its last exit, surviving run or
-/// refusal.
+/// Lifetime of a record with enough exits for quarantine, counted from the latest exit under the
+/// request, its latest run without an exit, or its latest refusal, whichever is last.
 constexpr base::duration quarantine_record_lifetime = std::chrono::hours(24);
 /// Maximum number of exits in one record; more exits would not change the quarantine state.
 constexpr std::size_t max_exits_per_record = 12;
@@ -22,9 +24,10 @@
 /// withdrawn first.
 constexpr std::size_t max_withdrawn_exits = 64;
 
-/// Age up to which exits of replicas that did not run a request raise the number of exits required
-/// for its quarantine: a crashing request that is sent repeatedly has crashed replicas within this
-/// time. Older exits are sent to other nodes and accepted from them only as parts of records.
+/// An exit is recent up to this age. Recent exits of replicas that did not run a request raise the
+/// number of exits at which the request is quarantined. A crashing request that is sent repeatedly
+/// has crashed replicas within this time. Exits that are not recent are sent to other nodes, and
+/// accepted from them, only as parts of records.
 constexpr base::duration recent_exit_window = std::chrono::seconds(30);
 
 /// Maximum number of indexed exits, to limit memory: enough for 30 exits per second over 30 s.
@@ -33,8 +36,8 @@
 /// Withdrawn exits, with the times at which their replicas were found to be running.
 using withdrawn_exit_times = std::map<replica_exit, base::time_point>;
 
-/// @return whether the observed exit was withdrawn. An exit of the same incarnation after the
-///         withdrawal is a new exit, which was not withdrawn.
+/// @return whether the observed exit was withdrawn; false if the incarnation exited only after the
+///         withdrawal, since that is a new exit.
 bool is_withdrawn_exit(const withdrawn_exit_times& withdrawn, const exit_observation& observation) {
   const auto found = withdrawn.find(observation.exit);
   return found != withdrawn.end() && observation.at <= found->second;
@@ -233,11 +236,12 @@
   return found != explaining_exit_counts_.end() && found->second > record.exits.size();
 }
 
-/// Harmless requests share exits with a crashing request: up to 128 requests run at a replica at
-/// the same time, and requests that are retried after an exit may reach the next replica together
-/// with the crashing request. So exits that are explained by a request with more exits are not
-/// counted. But if two or more exits remain unexplained, this request probably causes exits as
-/// well, and all of its exits are counted.
+/// A harmless request may have exits in common with a crashing request: up to 128 requests run at a
+/// replica at the same time, and requests that are retried after an exit may reach the next replica
+/// together with the crashing request. So an exit is not counted if another request explains it,
+/// that is, has this exit and more exits in total (`is_explained`). But if two or more exits in
+/// `record` remain unexplained, the request of `record` probably causes exits as well, and all its
+/// exits are counted.
 std::size_t crash_registry::counted_exits(const crash_record& record) const {
   const auto all = record.exits.size();
   if (all < limits_.single_attempt) {
--- a/src/quarantine/crash_registry.h
+++ b/src/quarantine/crash_registry.h
@@ -61,7 +61,7 @@
   /// Time of the latest surviving run of the request or release by an operator, whichever is
   /// later; std::nullopt if there was neither. `exits` holds only exits after this time.
   std::optional<base::time_point> survived_at;
-  /// Whether the record has ever held two or more exits, so that it is sent to all nodes.
+  /// Whether the record has ever held two or more exits. Such a record is sent to all nodes.
   bool was_broadcast = false;
   /// Time at which this node last refused the request because it was quarantined.
   base::time_point last_refused_at{};
@@ -102,7 +102,8 @@
   bool release(const request_digest& digest, base::time_point now);
   /// Merges a record that another node sent.
   registry_change merge(const crash_record& received, base::time_point now);
-  /// Adds recent exits that another node sent, under any request or none, to the index of exits.
+  /// Adds recent exits that another node sent to the index of exits. Replicas may have exited under
+  /// any request or under none.
   void merge_exits(const std::vector<exit_observation>& received, base::time_point now);
   /// @return up to `most` exits of the last 30 s, the latest first.
   [[nodiscard]] std::vector<exit_observation> latest_exits(std::size_t most,
@@ -137,25 +138,25 @@
   void evict_record_with_fewest_exits();
   registry_change add(crash_record& record, const std::vector<exit_observation>& observations,
                       base::time_point now);
-  /// @return whether an exit in `record` is explained by another request, which is the more likely
-  ///         cause: that request has this exit as well, more exits than `record`, and enough exits
-  ///         for quarantine.
+  /// @return whether another request is the more likely cause of `exit`, an exit in `record`: the
+  ///         other request has this exit as well, has more exits than `record`, and has enough
+  ///         exits for quarantine.
   [[nodiscard]] bool is_explained(replica_exit exit, const crash_record& record) const;
-  /// Recomputes `explaining_exit_counts_`.
+  /// Recomputes `explaining_exit_counts_` from all records.
   void update_explanations() const;
   /// @return whether another request has exactly the exits of `record`, so that either request may
   ///         have caused them.
   [[nodiscard]] bool has_indistinguishable_record(const crash_record& record) const;
   /// @return number of exits in `record`, without those that another request probably caused.
   [[nodiscard]] std::size_t counted_exits(const crash_record& record) const;
-  /// @return number of exits from which the request is quarantined. The number is higher if many
+  /// @return minimum number of exits at which the request is quarantined. It is higher if many
   ///         replicas that did not run the request exited recently.
   [[nodiscard]] std::size_t exits_required(const crash_record& record, base::time_point now) const;
   [[nodiscard]] quarantine_state quarantine_state_of(const crash_record& record,
                                                      base::time_point now) const;
   [[nodiscard]] bool is_expired(const crash_record& record, base::time_point now) const;
-  /// @param exits result of `counted_exits` for the record of a request.
-  /// @return time from the last update of the record to the end of the quarantine of the request.
+  /// @param exits number of exits under the request, as `counted_exits` returns it.
+  /// @return duration of the quarantine of the request, counted from the last update of its record.
   [[nodiscard]] base::duration quarantine_duration(std::size_t exits) const;
 
   serving::quarantine_limits limits_;
@@ -163,9 +164,10 @@
   /// Index of known exits, with their times: exits in present and dropped records, and exits that
   /// other nodes reported without a record.
   std::map<replica_exit, base::time_point> exits_;
-  /// For each exit, the largest number of exits under any one request that has this exit and enough
-  /// exits for quarantine. Recomputed on the first use after a change: without this map, the record
-  /// of each arriving request would be compared with all other records.
+  /// For each exit under a request with enough exits for quarantine: the number of exits under that
+  /// request; the largest such number if several such requests have this exit. Recomputed on the
+  /// first use after a change. Without this map, the record of each arriving request would be
+  /// compared with all other records.
   mutable std::map<replica_exit, std::size_t> explaining_exit_counts_;
   mutable bool explanations_are_stale_ = false;
   /// Withdrawn exits, with the times at which their replicas were found to be running.
--- a/src/quarantine/crash_report_exchange.cc
+++ b/src/quarantine/crash_report_exchange.cc
@@ -7,31 +7,34 @@
 namespace spurrack::quarantine {
 namespace {
 
-/// Number of aggregators of a request. More than one, since an aggregator may be down or
-/// partitioned, and nodes with different views of the fleet choose different aggregators.
+/// Number of aggregators of a request: nodes that combine the exits that all nodes observed under
+/// the request. More than one, since an aggregator may be down or partitioned, and nodes with
+/// different views of the fleet choose different aggregators.
 constexpr std::size_t aggregator_count = 3;
-/// Number of random nodes to which each node forwards a change. In a large fleet one node in 400
-/// misses the change and receives it with a reminder.
+/// Number of random nodes to which each node forwards a change of a record. In a large fleet, one
+/// node in 400 misses the change and receives it with a reminder.
 constexpr std::size_t fanout = 6;
-/// Minimum time between two batches of changed records; the first batch is sent at once. With
-/// `fanout` and `max_records_per_message`, a node sends changes of at most 15 kB per second, and
-/// only while replicas continue to exit.
+/// Minimum time between two batches of changed records that a node sends; after a longer pause, a
+/// change is sent at once. `fanout` and `max_records_per_message` limit the changes that a node
+/// sends to 15 kB per second, and changes are sent only while replicas continue to exit.
 constexpr base::duration change_interval = std::chrono::milliseconds(200);
 /// Maximum number of records, of 50 to 100 bytes each, in one message with changes or one reminder.
 constexpr std::size_t max_records_per_message = 8;
-/// Interval between reminders, each to one random node: a third of the three seconds within which
-/// nodes in contact are to learn of each other's reports.
+/// Time between two reminders of a node, each sent to one random node. It is a third of the three
+/// seconds within which nodes in contact are to learn of each other's crash reports.
 constexpr base::duration reminder_interval = std::chrono::milliseconds(1000);
-/// Number of random nodes that a node queries for missed records in each round of queries.
+/// Number of random nodes that a node queries, in each round of queries, for the records that it
+/// missed.
 constexpr std::size_t query_fanout = 2;
-/// Number of rounds of queries after the start of a node or a suspension.
+/// Number of rounds of queries for missed records after a node started or its process was
+/// suspended.
 constexpr std::size_t query_count = 3;
-/// Time between two rounds of queries.
+/// Time between two rounds of queries for missed records.
 constexpr base::duration query_interval = std::chrono::milliseconds(300);
-/// Maximum number of exits, of 15 bytes each, that a message carries in addition to its records:
-/// the exits of the last six seconds if two replicas exit per second.
+/// Maximum number of exits, of 15 bytes each, that a message carries beside its records. If two
+/// replicas exit per second, these are the exits of the last six seconds.
 constexpr std::size_t max_exits_per_message = 12;
-/// Maximum number of records in the reply to a query.
+/// Maximum number of records in the reply to a node that queries missed records.
 constexpr std::size_t max_records_per_reply = 32;
 
 std::uint32_t age_of(base::time_point when, base::time_point now) {
--- a/src/quarantine/crash_report_exchange.h
+++ b/src/quarantine/crash_report_exchange.h
@@ -29,9 +29,9 @@
 /// Counters of the exchange, for metrics.
 struct crash_report_counts {
   std::uint64_t sent_messages = 0;
-  /// Records received from other nodes that could be parsed.
+  /// Records from other nodes that this node could parse.
   std::uint64_t received_records = 0;
-  /// Records received from other nodes that could not be parsed and were skipped.
+  /// Records from other nodes that this node could not parse and skipped.
   std::uint64_t malformed_records = 0;
 };
 
@@ -51,10 +51,10 @@
   /// @param random must outlive this object.
   crash_report_exchange(crash_registry& registry, base::node_id self, base::random_source& random);
 
-  /// Replaces the peers with the live nodes of all regions, without this node: a client may send a
-  /// request again to any node.
+  /// Replaces the peers with the live nodes of all regions, except this node. All regions are
+  /// included because a client may send a request again to any node.
   void set_peers(const std::vector<serving::fleet_peer>& alive);
-  /// Schedules the record of a request for sending because it changed at this node.
+  /// Schedules the record of a request for sending. To be called after the record changed.
   void note_changed(const request_digest& digest) { changed_digests_.insert(digest); }
   /// Schedules queries to other nodes for the records that this process missed while suspended.
   void resume_after_suspension(base::time_point now) { begin_queries(now); }
@@ -79,7 +79,8 @@
   [[nodiscard]] std::vector<base::network_address> random_peers(std::size_t count) const;
   [[nodiscard]] std::vector<base::network_address>
   aggregators_of(const request_digest& digest) const;
-  /// @return up to `most` of the records that are sent to all nodes, most recently updated first.
+  /// @return the most recently updated records among those that are sent to all nodes, the latest
+  ///         first; no more than `most` records.
   [[nodiscard]] std::vector<const crash_record*> broadcast_records(std::size_t most) const;
   void send(const base::network_address& to, wire::crash_news report, base::time_point now);
 
@@ -97,7 +98,7 @@
   std::optional<base::time_point> next_query_at_;
   /// Number of rounds of queries that are still to be sent.
   std::size_t queries_left_ = 0;
-  /// Whether queries have begun since the start of this process.
+  /// Whether this process has begun to query other nodes for missed records since its start.
   bool has_queried_ = false;
   wire::outbox outgoing_messages_;
   crash_report_counts counts_;
--- a/src/quarantine/request_digest.h
+++ b/src/quarantine/request_digest.h
@@ -33,7 +33,7 @@
   /// @return std::nullopt if the text is not 32 hexadecimal digits.
   static std::optional<request_digest> from_text(std::string_view text);
 
-  /// @return the bytes as messages between nodes carry them.
+  /// @return the bytes of the digest, as messages between nodes carry them.
   [[nodiscard]] std::string bytes() const;
   /// @return 32 hexadecimal digits, for logs and operators.
   [[nodiscard]] std::string text() const;
--- a/src/self_reports/drain_registry.cc
+++ b/src/self_reports/drain_registry.cc
@@ -5,8 +5,9 @@
 namespace spurrack::self_reports {
 namespace {
 
-/// Time after which the announcement of a process that is no longer published is dropped: longer
-/// than an outage of the store, and longer than the age of a copy from which the store is restored.
+/// Time for which the drain announcement of a process is kept after the process was last found
+/// published. It is longer than an outage of the store, and longer than the age of a copy from
+/// which the store is restored.
 constexpr base::duration retention_time = std::chrono::minutes(5);
 
 } // namespace
--- a/src/self_reports/drain_registry.h
+++ b/src/self_reports/drain_registry.h
@@ -22,14 +22,14 @@
 /// process and its address; never 0.
 using process_fingerprint = std::uint32_t;
 
-/// Announcement by one process of a replica that it drains.
+/// Drain announcement of one process of a replica.
 struct drain_announcement {
   /// Earliest known time at which a node received the announcement from the replica.
   base::time_point announced_at;
   /// Sender of the announcement, for logs: the replica, or the node that forwarded it.
   std::string source;
-  /// Time at which this node last found the process published; until then, the time at which this
-  /// node learned of the announcement.
+  /// Time at which this node last found the process published; if it has not found it published
+  /// yet, the time at which this node learned of the announcement.
   base::time_point last_seen_at;
 };
 
@@ -54,9 +54,9 @@
   /// Drops the announcements of processes that have not been published for five minutes.
   void drop_expired(base::time_point now);
 
-  /// @return whether the process has announced that it drains. Called for each replica of a service
-  ///         at each choice of a replica: the lookup of the fingerprint rejects nearly all
-  ///         processes without a search by replica id.
+  /// @return whether the process has announced that it drains. Called for every replica of a
+  ///         service whenever a replica is chosen. So the fingerprint is looked up first: this
+  ///         rejects nearly all processes without a search by replica id.
   [[nodiscard]] bool includes(const key& process) const {
     return fingerprints_.contains(process.process) && announcements_.contains(process);
   }
--- a/src/self_reports/limit_registry.cc
+++ b/src/self_reports/limit_registry.cc
@@ -6,13 +6,13 @@
 namespace spurrack::self_reports {
 namespace {
 
-/// Time after the latest answer without a limit after which the record of a lifted limit is
-/// dropped. Until then a late message of another node cannot restore the limit.
+/// Time for which the record of a lifted limit is kept after the latest answer without a limit.
+/// While the record is kept, a late message of another node cannot restore the limit.
 constexpr base::duration lifted_limit_lifetime = std::chrono::seconds(10);
-/// Assumed maximum delay of a message between nodes. Messages carry the ages of limits, which do
-/// not include this delay, so a time computed from an age is too late by up to this delay. The
-/// known limit is treated as newer than a received limit only if it was reported later by more than
-/// this.
+/// Assumed maximum delay of a message between nodes. Messages carry the age of a limit without this
+/// delay, so the report time that the receiver computes from the age is too late by up to this
+/// delay. Against a received limit with a higher version, the known limit wins only if it was
+/// reported more than this delay later.
 constexpr base::duration message_delay = std::chrono::milliseconds(250);
 
 bool is_stricter(const std::optional<double>& left, const std::optional<double>& right) {
--- a/src/self_reports/limit_registry.h
+++ b/src/self_reports/limit_registry.h
@@ -49,14 +49,16 @@
   bool record_answer(const base::replica_id& replica, incarnation_fingerprint incarnation,
                      const limit_announcement& announcement, base::time_point now);
   /// Merges a record that another node sent.
-  /// @return whether other nodes may not know the merged record yet, so that it must be sent.
+  /// @return whether the merged record must be sent to other nodes, because they possibly do not
+  ///         know it yet.
   bool merge(const base::replica_id& replica, const limit_record& received);
   void forget(const base::replica_id& replica) { records_.erase(replica); }
   /// Drops the records of lifted limits if the latest answer without a limit is so old that all
   /// nodes know that the limit is lifted.
   void drop_lifted(base::time_point now);
 
-  /// @return null if the replica has announced no limit, or lifted its limit long ago.
+  /// @return the record of a replica, also if the replica lifted its limit recently; null if the
+  ///         replica announced no limit or lifted its limit long ago.
   [[nodiscard]] const limit_record* find(const base::replica_id& replica) const;
   /// @return the limit in effect; std::nullopt if there is none.
   [[nodiscard]] std::optional<double> limit_of(const base::replica_id& replica) const;
--- a/src/self_reports/self_report_exchange.cc
+++ b/src/self_reports/self_report_exchange.cc
@@ -6,22 +6,24 @@
 namespace spurrack::self_reports {
 namespace {
 
-/// Number of random nodes to which each node sends a change at a time. With `sends_per_change`
-/// sends, one node in some thousands misses a change in a fleet of 300 nodes if no message is lost.
+/// Number of random nodes that receive a change each time that a node sends it. In a fleet of 300
+/// nodes, one node in some thousands misses a change that each node sends `sends_per_change` times,
+/// if no message is lost.
 constexpr std::size_t fanout = 4;
 /// Number of times that each node sends a change: more than once, since messages may be lost.
 constexpr std::size_t sends_per_change = 2;
-/// Minimum time between two messages with changes.
+/// Minimum time between two batches of changes that a node sends, each to `fanout` nodes.
 constexpr base::duration change_interval = std::chrono::milliseconds(100);
-/// Interval between reminders. With `reminder_fanout` receivers, a node that started or missed a
-/// message receives each report within the three seconds within which nodes in contact are to learn
-/// of each other's reports.
+/// Time between two reminders of a node; a reminder repeats known reports. With `reminder_fanout`
+/// receivers, a node that started or missed a message receives each report within three seconds,
+/// the time within which nodes in contact are to learn of each other's reports.
 constexpr base::duration reminder_interval = std::chrono::milliseconds(1000);
 /// Number of random nodes that receive each reminder.
 constexpr std::size_t reminder_fanout = 3;
 /// Minimum time between two log records about unparsable self-reports of one replica on one topic.
 constexpr base::duration unreadable_report_interval = std::chrono::minutes(1);
-/// Maximum number of limits in one message, and of drain announcements; about 30 bytes each.
+/// Maximum number of limits in one message, and also maximum number of drain announcements in it;
+/// each takes about 30 bytes.
 constexpr std::size_t max_records_per_message = 16;
 
 std::uint32_t age_in_milliseconds(base::time_point earlier, base::time_point now) {
@@ -115,9 +117,9 @@
   if (report.backoff.is_unreadable) {
     note_unreadable(replica, topic::backoff, counts_.unreadable_backoffs, now);
   }
-  // Most answers report nothing that concerns other nodes and skip the lookup below. An answer
-  // without a limit concerns other nodes if a limit of the replica is known, since the answer may
-  // lift that limit.
+  // Most answers report nothing that concerns other nodes; the replica of such an answer is not
+  // looked up in the published list. An answer without a limit concerns other nodes if a limit of
+  // the replica is known, since the answer may lift that limit.
   const bool concerns_limit =
       !report.limit.is_unreadable && (report.limit.per_second || limits_.find(replica) != nullptr);
   if (!concerns_limit && !report.is_draining) {
--- a/src/self_reports/self_report_exchange.h
+++ b/src/self_reports/self_report_exchange.h
@@ -98,20 +98,21 @@
   void advance(base::time_point now);
   /// @return time at which `advance` is due; std::nullopt if nothing is scheduled.
   [[nodiscard]] std::optional<base::time_point> next_wakeup() const;
-  /// @return the limit record of a replica in its wire format, for other messages about this
-  ///         replica; empty if there is no record.
+  /// @return the limit record of a replica in its wire format, to be added to a message that
+  ///         another module sends about this replica; empty if there is no record.
   [[nodiscard]] wire::named_limit limit_message(const base::replica_id& replica,
                                                 base::time_point now) const;
 
   [[nodiscard]] wire::outbox take_messages() { return std::exchange(outgoing_messages_, {}); }
-  /// Returns and clears the changes since the last call.
+  /// Returns and clears the changes that are queued for the log.
   [[nodiscard]] std::vector<self_report_change> take_changes() {
     return std::exchange(unreported_changes_, {});
   }
   [[nodiscard]] const self_report_counts& counts() const { return counts_; }
 
  private:
-  /// Changes that other nodes may not know yet, with the number of times that each is still to be
+  /// Changes that are still to be sent to other nodes: the replica whose limit changed, or the
+  /// process that announced that it drains, with the number of times that the change is still to be
   /// sent.
   using pending_limits = std::map<base::replica_id, std::size_t>;
   using pending_drains = std::map<drain_registry::key, std::size_t>;
@@ -156,8 +157,8 @@
       unreadable_reported_at_;
   base::time_point next_changes_at_;
   base::time_point next_reminder_at_;
-  /// Keys of the last records in the latest reminder; the next reminder begins with the records
-  /// that follow them, since one reminder may be too small for all records.
+  /// Keys of the last limit and of the last drain announcement in the latest reminder. The next
+  /// reminder continues after them, since one reminder may be too small for all records.
   base::replica_id last_reminded_limit_;
   drain_registry::key last_reminded_drain_;
   std::vector<self_report_change> unreported_changes_;
--- a/src/serving/counters.h
+++ b/src/serving/counters.h
@@ -40,9 +40,10 @@
 
 /// Counters of the requests of this node since its start.
 struct serving_counters {
-  /// Requests that ended, by the status of the answer; 0 if the client disconnected before the
-  /// answer was complete. Not counted are streams that this node breaks off after a failure, and
-  /// requests that end with a replica's answer with status 502, 503 or 504.
+  /// Requests that ended, by the status of the answer; the status is 0 if the client disconnected
+  /// before the answer was complete. Two kinds of requests are not counted: streams that this node
+  /// breaks off after a failure, and requests that are answered with a replica's answer of status
+  /// 502, 503 or 504.
   std::map<unsigned, std::uint64_t> answers;
   /// Times from the arrival of a request until this node begins to send a replica's answer to the
   /// client.
@@ -59,7 +60,7 @@
   /// Retries that the retry budget allowed, including those that resume suspended streams of slow
   /// clients.
   std::uint64_t retries = 0;
-  /// Times that a retry was denied because the retry budget was used up.
+  /// Number of times that a retry was denied because the retry budget was used up.
   std::uint64_t retries_denied = 0;
   /// Retries that waited for retry budget transferred by other nodes.
   std::uint64_t retries_on_transferred_budget = 0;
--- a/src/serving/events.h
+++ b/src/serving/events.h
@@ -36,10 +36,11 @@
   base::caller_id client = 0;
   disconnect_reason reason = disconnect_reason::closed;
 };
-/// The client of a stream reads more slowly than the replica sends, or has caught up.
+/// The flow control window of a client's stream closed or opened. The window is closed while the
+/// client has too many unread bytes.
 struct client_window {
   base::caller_id client = 0;
-  /// Whether reading the stream from the replica may continue.
+  /// Whether the window is open, so that the stream may be read from the replica.
   bool open = true;
 };
 
@@ -127,8 +128,8 @@
   std::vector<piece_outcome> pieces;
 };
 
-/// The head of an answer of any kind arrived. Carries what the answer reports of its replica; the
-/// body is not read yet.
+/// The head of an answer of any kind arrived, and its body is not read yet. The event carries what
+/// the head reports of the replica.
 struct self_report_received {
   base::replica_id replica;
   /// Time at which the call was made; the replica wrote the report later.
@@ -164,13 +165,14 @@
   std::string tenant;
   /// Whether the answer is forwarded as it arrives; otherwise it is buffered until complete.
   bool streaming = false;
-  /// Whether the request may run only once. It is then sent only on a connection that was idle
-  /// briefly or not at all: a replica may close a connection after a long idle time, and it would
-  /// then be unknown whether the request ran.
+  /// Whether the request may run only once. Such a request is sent only on a new connection or on
+  /// one that was idle only briefly: a replica may close a connection after a long idle time, and
+  /// it would then be unknown whether the request ran.
   bool runs_at_most_once = false;
   /// Identifier of the last event that the client has received, if the call resumes a stream.
   std::optional<std::uint64_t> resume_after;
-  /// 0 (most urgent) to 9 (least urgent); std::nullopt for the replica's default.
+  /// Urgency of the request, from 0 (most urgent) to 9 (least urgent); std::nullopt for the
+  /// replica's default.
   std::optional<std::uint32_t> urgency;
   /// Handles of the stage results that the request needs, in order.
   std::vector<std::string> inputs;
@@ -193,7 +195,8 @@
   std::uint32_t piece = 0;
   /// Time until the deadline of the piece.
   base::duration time_left{};
-  /// Key from the client's request; empty for stages that need results of other stages.
+  /// Key that the client sent for the pieces of its request. Empty if the stage of the piece needs
+  /// results of other stages.
   std::string piece_key;
   /// Handles of the results of other stages that the piece needs.
   std::vector<std::string> inputs;
--- a/src/serving/replica_self_report.h
+++ b/src/serving/replica_self_report.h
@@ -11,9 +11,9 @@
 
 /// Load that a replica reports in an answer.
 struct replica_load {
-  /// Requests that the replica runs.
+  /// Number of requests that the replica is running.
   std::uint32_t running = 0;
-  /// Requests that wait at the replica.
+  /// Number of requests that wait at the replica.
   std::uint32_t waiting = 0;
   /// Maximum number of requests that the replica runs at the same time.
   std::uint32_t slots = 0;
--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -29,8 +29,8 @@
   /// under a new id.
   bool keeps_ids_on_restart = false;
   quarantine_limits limits = {};
-  /// Emulates a policy without quarantine: nodes refuse all requests while the latest two crashes
-  /// of replicas are both more recent than this time; 0 to disable the policy.
+  /// Emulates a policy without quarantine: nodes refuse all requests while at least two crashes of
+  /// replicas are less than this time ago; 0 to disable the policy.
   base::duration route_pause{};
 };
 
@@ -66,7 +66,7 @@
     }
   }
 
-  /// Starts or restarts a node, without any state.
+  /// Starts or restarts a node with empty state.
   void start_node(std::size_t index) {
     auto& node = nodes[index];
     ++node.incarnation;
@@ -233,7 +233,7 @@
     std::unique_ptr<base::seeded_random> random;
     std::unique_ptr<dispatcher> subject;
     base::incarnation incarnation = 0;
-    /// Calls in flight; the value is whether the head of the stream has arrived.
+    /// Calls in flight; for each call, whether the head of its stream has arrived.
     std::map<base::call_id, bool> calls;
     std::set<base::call_id> stage_calls;
   };
--- a/tests/quarantine/crash_ledger_test.cc
+++ b/tests/quarantine/crash_ledger_test.cc
@@ -35,7 +35,8 @@
   }
 }
 
-/// @return a record of one request as another node sends it; the times of the exits are their ids.
+/// @return a record of one request as another node sends it. The time of each exit is its id, in
+///         seconds after `start`.
 crash_record record_of(unsigned request, const std::vector<replica_exit>& exits) {
   crash_record record;
   record.digest = digest(request);
--- a/tests/quarantine/crash_news_test.cc
+++ b/tests/quarantine/crash_news_test.cc
@@ -83,7 +83,7 @@
                               now);
   }
 
-  /// @return number of nodes that know at least this many exits under a request.
+  /// @return number of nodes that know at least `exits` exits under a request.
   [[nodiscard]] std::size_t nodes_knowing(std::uint8_t request, std::size_t exits) const {
     return static_cast<std::size_t>(
         std::count_if(nodes.begin(), nodes.end(), [&](const auto& node) {
--- a/tests/quarantine/crashing_request_test.cc
+++ b/tests/quarantine/crashing_request_test.cc
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// Time within which nodes in contact learn of each other's reports.
+/// Time within which nodes in contact learn of each other's crash reports.
 constexpr base::duration contact_time = seconds(3);
 /// Maximum number of times that a crashing request may reach a replica later than `contact_time`
 /// after the third exit under it.
 constexpr std::size_t max_late_sends = 3;
-/// Maximum number of replicas that one crashing request may crash: three, and the replicas that run
-/// the request or are being sent it when the third replica exits.
+/// Maximum number of replicas that one crashing request may crash: three, and the replicas that
+/// already run the request, or to which it is on its way, when the third replica exits.
 constexpr std::size_t max_exits = 5;
 
 /// Number of random fleets in each test: the seed determines nodes, times and replicas.
@@ -113,8 +113,8 @@
     const auto first_round = fleet.replica_arrivals["guilty"].size();
     fleet.send_repeatedly("/stream/", "guilty", seconds(10));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      // Two attempts per node: if all exits occur at the same time, no node knows of the exits
-      // that other nodes observed.
+      // Each node may send the request to two replicas: if all exits occur at the same time, no
+      // node knows of the exits that other nodes observed.
       BOOST_TEST(first_round <= 2 * fleet.settings.nodes);
       BOOST_TEST(fleet.replica_arrivals["guilty"].size() == first_round);
     }
@@ -245,7 +245,7 @@
   for (std::size_t node = 0; node < fleet.settings.nodes; ++node) {
     fleet.send_request(node, "/stream/", "guilty");
   }
-  // Longer than a stream that is resumed once at another replica.
+  // Longer than the streams last, even if each of them is resumed once at another replica.
   fleet.run(seconds(5));
   BOOST_TEST(fleet.counts["guilty"].quarantined == quarantined);
   BOOST_TEST(fleet.counts["guilty"].served == fleet.settings.nodes);
--- a/tests/quarantine/quarantine_policies_test.cc
+++ b/tests/quarantine/quarantine_policies_test.cc
@@ -18,12 +18,12 @@
 /// Results of one policy: sums over all seeds, except for the maxima.
 struct policy_outcome {
   std::size_t exits = 0;
-  /// Maximum number of exits with one seed.
+  /// Maximum number of exits under the crashing request in the fleet of one seed.
   std::size_t max_exits = 0;
-  /// Maximum number of times, with one seed, that the crashing request reached a replica later than
-  /// 3 s after the third exit.
+  /// Maximum, over the fleets of all seeds, of the number of times that the crashing request
+  /// reached a replica later than 3 s after the third exit.
   std::size_t late_sends = 0;
-  /// Time from the first to the last exit.
+  /// Time from the first to the last exit under the crashing request, summed over all seeds.
   double seconds_to_last_exit = 0;
   /// Harmless requests that the policy refused in fleets with a crashing request.
   std::size_t refused_beside_crashing_request = 0;
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -91,7 +91,8 @@
     learned += state.reported_backoff_until > fleet.now && state.reported_backoff_load > 0;
   }
   BOOST_TEST(learned >= 4U);
-  // The other nodes do not stop sending to the replica, and drop the reported backoff at its end.
+  // Nodes that learned of the backoff only from such a report still send requests to the replica,
+  // and they drop the report when the backoff ends.
   fleet.send_requests(40, seconds(8));
   const auto begun_at = fleet.now;
   fleet.send_requests(40, seconds(10));
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -91,7 +91,8 @@
     node.send_request(client, "/stream/");
   }
   BOOST_TEST(node.calls_to(call.target.replica, before) == 0U);
-  // The stream at the draining replica continues; a resumed stream goes to another replica.
+  // The stream at the draining replica continues. If the replica breaks it off, the stream is
+  // resumed at another replica.
   BOOST_TEST(node.all<cancel_call>().empty());
   node.deliver(stream_closed{call.call, false});
   BOOST_TEST(node.calls_to(call.target.replica, before) == 0U);
@@ -152,7 +153,8 @@
     node.advance_time(milliseconds(20));
     node.answer_stage_calls();
   }
-  // The second stage runs after the backoff, and then the results that it has fetched are freed.
+  // The second stage runs after the backoff. Then the results of the first stage, which the second
+  // stage has fetched, are freed.
   BOOST_REQUIRE(!node.all<start_call>().empty());
   BOOST_TEST(node.calls_to(maker, before) > 0U);
   node.serve_stream();
@@ -305,7 +307,7 @@
       std::find_if(refused.headers.begin(), refused.headers.end(),
                    [](const header& field) { return field.name == "Retry-After"; });
   BOOST_REQUIRE((retry_after != refused.headers.end()));
-  // Retry-After is at most a third of the five seconds that the client waits.
+  // The client waits five seconds; Retry-After is at most a third of that time.
   BOOST_TEST(std::stod(retry_after->value) >= 1.0);
 }
 
@@ -341,7 +343,7 @@
   auto calls = node.all<start_call>();
   BOOST_REQUIRE(calls.size() == seen + 1);
   BOOST_TEST(calls.back().content->id.text() == "r20");
-  // A request that arrives at this time is queued behind the waiting requests.
+  // A request that arrives after the backoff is queued behind the requests that waited for its end.
   node.send_request(30, "/usual/");
   node.answer(calls.back().call, {}, dispatcher_driver::good_head());
   node.advance_time(milliseconds(30));
