--- a/src/quarantine/crash_registry.cc
+++ b/src/quarantine/crash_registry.cc
@@ -25,9 +25,9 @@
 constexpr std::size_t max_withdrawn_exits = 64;
 
 /// An exit is recent up to this age. Recent exits of replicas that did not run a request raise the
-/// number of exits at which the request is quarantined. A crashing request that is sent repeatedly
-/// has crashed replicas within this time. Exits that are not recent are sent to other nodes, and
-/// accepted from them, only as parts of records.
+/// number of exits at which the request is quarantined. This age suffices, since a crashing request
+/// that is sent repeatedly has crashed replicas within it. Exits that are not recent are sent to
+/// other nodes, and accepted from them, only as parts of records.
 constexpr base::duration recent_exit_window = std::chrono::seconds(30);
 
 /// Maximum number of indexed exits, to limit memory: enough for 30 exits per second over 30 s.
--- a/src/quarantine/crash_registry.h
+++ b/src/quarantine/crash_registry.h
@@ -102,8 +102,8 @@
   bool release(const request_digest& digest, base::time_point now);
   /// Merges a record that another node sent.
   registry_change merge(const crash_record& received, base::time_point now);
-  /// Adds recent exits that another node sent to the index of exits. Replicas may have exited under
-  /// any request or under none.
+  /// Adds recent exits that another node sent to the index of exits. The exits may have occurred
+  /// under any request or under none.
   void merge_exits(const std::vector<exit_observation>& received, base::time_point now);
   /// @return up to `most` exits of the last 30 s, the latest first.
   [[nodiscard]] std::vector<exit_observation> latest_exits(std::size_t most,
--- a/src/quarantine/crash_report_exchange.cc
+++ b/src/quarantine/crash_report_exchange.cc
@@ -14,9 +14,9 @@
 /// Number of random nodes to which each node forwards a change of a record. In a large fleet, one
 /// node in 400 misses the change and receives it with a reminder.
 constexpr std::size_t fanout = 6;
-/// Minimum time between two batches of changed records that a node sends; after a longer pause, a
-/// change is sent at once. `fanout` and `max_records_per_message` limit the changes that a node
-/// sends to 15 kB per second, and changes are sent only while replicas continue to exit.
+/// Minimum time between two batches of changed records that a node sends; a change that follows a
+/// longer pause is sent at once. `fanout` and `max_records_per_message` limit the changes that a
+/// node sends to 15 kB per second, and changes are sent only while replicas continue to exit.
 constexpr base::duration change_interval = std::chrono::milliseconds(200);
 /// Maximum number of records, of 50 to 100 bytes each, in one message with changes or one reminder.
 constexpr std::size_t max_records_per_message = 8;
--- a/src/quarantine/crash_report_exchange.h
+++ b/src/quarantine/crash_report_exchange.h
@@ -98,7 +98,7 @@
   std::optional<base::time_point> next_query_at_;
   /// Number of rounds of queries that are still to be sent.
   std::size_t queries_left_ = 0;
-  /// Whether this process has begun to query other nodes for missed records since its start.
+  /// Whether this process has queried other nodes for missed records at least once.
   bool has_queried_ = false;
   wire::outbox outgoing_messages_;
   crash_report_counts counts_;
--- a/src/self_reports/limit_registry.cc
+++ b/src/self_reports/limit_registry.cc
@@ -10,9 +10,9 @@
 /// While the record is kept, a late message of another node cannot restore the limit.
 constexpr base::duration lifted_limit_lifetime = std::chrono::seconds(10);
 /// Assumed maximum delay of a message between nodes. Messages carry the age of a limit without this
-/// delay, so the report time that the receiver computes from the age is too late by up to this
-/// delay. Against a received limit with a higher version, the known limit wins only if it was
-/// reported more than this delay later.
+/// delay, so the receiver computes a time of the last report that is too late by up to this delay.
+/// If a received limit has a higher version than the known limit, the known limit still wins if it
+/// was reported more than this delay later.
 constexpr base::duration message_delay = std::chrono::milliseconds(250);
 
 bool is_stricter(const std::optional<double>& left, const std::optional<double>& right) {
--- a/src/serving/events.h
+++ b/src/serving/events.h
@@ -36,8 +36,8 @@
   base::caller_id client = 0;
   disconnect_reason reason = disconnect_reason::closed;
 };
-/// The flow control window of a client's stream closed or opened. The window is closed while the
-/// client has too many unread bytes.
+/// The flow control window of a client's stream closed or opened. It normally closes when the
+/// client leaves too many bytes unread.
 struct client_window {
   base::caller_id client = 0;
   /// Whether the window is open, so that the stream may be read from the replica.
--- a/tests/quarantine/crashing_request_test.cc
+++ b/tests/quarantine/crashing_request_test.cc
@@ -245,7 +245,8 @@
   for (std::size_t node = 0; node < fleet.settings.nodes; ++node) {
     fleet.send_request(node, "/stream/", "guilty");
   }
-  // Longer than the streams last, even if each of them is resumed once at another replica.
+  // Longer than the streams of these requests last, even if each is resumed once at another
+  // replica.
   fleet.run(seconds(5));
   BOOST_TEST(fleet.counts["guilty"].quarantined == quarantined);
   BOOST_TEST(fleet.counts["guilty"].served == fleet.settings.nodes);
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -91,8 +91,8 @@
     learned += state.reported_backoff_until > fleet.now && state.reported_backoff_load > 0;
   }
   BOOST_TEST(learned >= 4U);
-  // Nodes that learned of the backoff only from such a report still send requests to the replica,
-  // and they drop the report when the backoff ends.
+  // Nodes that learned of the backoff only from a report of another node still send requests to the
+  // replica, and they drop the report when the backoff ends.
   fleet.send_requests(40, seconds(8));
   const auto begun_at = fleet.now;
   fleet.send_requests(40, seconds(10));
--- a/tests/replica_statements/stated_calls_test.cc
+++ b/tests/replica_statements/stated_calls_test.cc
@@ -343,7 +343,8 @@
   auto calls = node.all<start_call>();
   BOOST_REQUIRE(calls.size() == seen + 1);
   BOOST_TEST(calls.back().content->id.text() == "r20");
-  // A request that arrives after the backoff is queued behind the requests that waited for its end.
+  // A request that arrives after the backoff is queued behind the requests that waited for the end
+  // of the backoff.
   node.send_request(30, "/usual/");
   node.answer(calls.back().call, {}, dispatcher_driver::good_head());
   node.advance_time(milliseconds(30));
