--- a/src/model/errc.h
+++ b/src/model/errc.h
@@ -17,7 +17,7 @@
   unknown_key_space,
 };
 
-/// @return the error code in the error category `model`.
+/// @return `code` as an error code of the category `model`.
 std::error_code make_error_code(errc code);
 
 } // namespace spurrack::model
--- a/src/model/outcome.h
+++ b/src/model/outcome.h
@@ -10,7 +10,7 @@
 /// Outcome of a request as reported to its caller.
 enum class outcome : std::uint8_t {
   completed, ///< The answer is complete.
-  not_run,   ///< No stage call ran: back ends refused all calls of which a byte was sent.
+  not_run,   ///< No stage call ran: each was refused by its back end, or no byte of it was sent.
   failed,    ///< Calls may have run; the answer is incomplete; every non-repeatable call has ended.
   unknown,   ///< A call that must not be repeated may have run, and its end is not known.
 };
--- a/src/model/record_parser.h
+++ b/src/model/record_parser.h
@@ -19,12 +19,13 @@
 
 /// Result of parsing one published value.
 struct parse_result {
-  /// Set if there are no faults.
+  /// The parsed record; std::nullopt if the value has faults.
   std::optional<record> value;
   std::vector<document_fault> faults;
 };
 
-/// Prefixes of the keys of each kind of record; the name of the record follows.
+/// Prefixes of the keys, one for each kind of record. In a key, the name of the record follows the
+/// prefix.
 inline constexpr std::string_view template_prefix = "templates/";
 inline constexpr std::string_view tenant_prefix = "tenants/";
 inline constexpr std::string_view machine_prefix = "machines/";
--- a/src/model/records.h
+++ b/src/model/records.h
@@ -29,10 +29,11 @@
   base::pool_id pool;
   /// Whether a call of the stage may be repeated after an attempt that may have run.
   bool repeatable = true;
-  /// Model, and adapter of the model, that the back end is told to use; may be empty.
+  /// Model that the back end is told to use, and adapter of that model; each may be empty.
   std::string model;
   std::string adapter;
-  /// Maximum number of tokens of a `generate` stage; 0 for other kinds.
+  /// Maximum number of tokens that a `generate` stage produces. For a stage of another kind, 0
+  /// unless the template sets a number.
   std::uint32_t max_tokens = 0;
 };
 
@@ -75,10 +76,11 @@
   machine_state state = machine_state::live;
   base::zone_id zone;
   base::network_address address;
-  /// Number that the platform increases each time the machine returns. A leave notice applies to
-  /// the generation that it names and to earlier generations.
+  /// Number that the platform increases each time the machine returns after it left. A leave notice
+  /// applies to the generation that it names and to earlier generations.
   std::uint64_t generation = 1;
-  /// Pool and maximum number of concurrent calls; only used for back ends.
+  /// Pool of a back end, and maximum number of concurrent calls to the back end; not used for
+  /// nodes.
   base::pool_id pool;
   std::uint32_t concurrency = 1;
 };
--- a/src/model/residency.h
+++ b/src/model/residency.h
@@ -29,9 +29,9 @@
   [[nodiscard]] bool is_restricted() const { return regions_.has_value(); }
   /// @return whether no region is allowed.
   [[nodiscard]] bool is_empty() const { return regions_ && regions_->empty(); }
-  /// @param region region of the work; std::nullopt if the region is not known. Work in an unknown
-  ///        region is permitted only without restriction.
-  /// @return whether work may be done in a region.
+  /// @param region region of the work; std::nullopt if it is not known. If it is not known, work is
+  ///        permitted only if there is no restriction.
+  /// @return whether work may be done in this region.
   [[nodiscard]] bool permits(const std::optional<base::region_id>& region) const;
   /// @return the allowed regions; empty if there is no restriction.
   [[nodiscard]] std::set<base::region_id> regions() const;
@@ -52,8 +52,8 @@
 /// @return the lower-case name for metrics, which stays the same between versions.
 std::string_view name_of(locality value);
 
-/// Region of a zone, or the zone itself as a region of its own if its region is not known. A region
-/// and a zone never compare equal, even if they have the same name.
+/// Region of a zone. A zone whose region is not known is a region of its own, which never compares
+/// equal to another region, even to one with the same name.
 struct effective_region {
   /// std::nullopt if the settings name no region for the zone.
   std::optional<base::region_id> region;
@@ -74,8 +74,8 @@
   /// @return the region of each zone for which the settings name one.
   [[nodiscard]] const std::map<base::zone_id, base::region_id>& all() const { return regions_; }
   [[nodiscard]] effective_region effective_region_of(const base::zone_id& zone) const;
-  /// @return whether both zones are in the same region. A zone whose region is not known is in the
-  ///         same region only as itself.
+  /// @return whether both zones are in the same region. A zone whose region is not known shares a
+  ///         region with no other zone.
   [[nodiscard]] bool are_in_same_region(const base::zone_id& first,
                                         const base::zone_id& second) const;
   /// @return locality of two zones relative to each other.
--- a/src/model/serving_records.h
+++ b/src/model/serving_records.h
@@ -19,9 +19,10 @@
 
 /// Kind of a route: whether its requests may be retried, and how their answers are read.
 enum class route_kind : std::uint8_t {
-  safe,      ///< May run more than once.
-  unsafe,    ///< Runs at most once.
-  streaming, ///< Answers with events; runs at most once unless the route is resumable.
+  safe,      ///< A request may run more than once.
+  unsafe,    ///< A request runs at most once.
+  streaming, ///< Answers are event streams; a request runs at most once unless the route is
+             ///< resumable.
 };
 
 /// Stage of a route: work that must be complete before a request runs.
@@ -30,7 +31,7 @@
   /// Indices of the stages whose results each piece of this stage needs. The stages of a route form
   /// no cycle.
   std::vector<std::uint32_t> start_after;
-  /// Approximate size of one result, in bytes.
+  /// Approximate size of the result of one piece, in bytes.
   double result_bytes = 0;
 };
 
@@ -44,10 +45,10 @@
 struct route {
   std::string name;
   std::string host;
-  /// Begins and ends with a slash.
+  /// Requests match if their path begins with this prefix. Begins and ends with a slash.
   std::string path_prefix;
   route_kind kind = route_kind::unsafe;
-  /// Has at least one entry; the sum of the weights is greater than 0.
+  /// Services that can answer the requests: at least one. The sum of the weights is greater than 0.
   std::vector<weighted_service> services;
   /// Maximum time from the arrival of a request to the end of its answer; std::nullopt if the route
   /// sets no limit.
@@ -56,7 +57,7 @@
   base::duration target_latency{};
   /// Priority of the requests; 0 is the highest.
   std::uint32_t priority = 0;
-  /// Maximum number of replicas that a request is sent to.
+  /// Maximum number of attempts of a request. An attempt that reaches no replica does not count.
   std::uint32_t max_attempts = 1;
   /// Whether requests need no access key.
   bool is_public = false;
@@ -64,8 +65,8 @@
   bool resumable = false;
   /// Interval after the previous event of a stream within which the next event is in time.
   base::duration gap_target{};
-  /// Time after which clients disconnect if they have received nothing; std::nullopt if they wait
-  /// until the deadline of their request.
+  /// Time from the arrival of a request after which its client disconnects if the client has
+  /// received nothing; std::nullopt if the client waits until the deadline of the request.
   std::optional<base::duration> client_patience;
   std::vector<stage_step> stages;
   /// Regions in which requests of the route may be served and their data may be stored.
@@ -79,7 +80,7 @@
 
 /// Capacity of one replica of a service that runs pieces (parts of a stage of one request).
 struct piece_capacity {
-  /// Number of calls that run at the same time.
+  /// Number of calls that the replica can run at the same time.
   std::uint32_t slots = 1;
   /// Number of calls that may wait at the replica for a slot.
   std::uint32_t queue = 0;
@@ -96,13 +97,13 @@
 
 /// Capacity of one replica of a service that generates tokens.
 struct engine_capacity {
-  /// Number of requests that run at the same time.
+  /// Number of requests that the replica can run at the same time.
   std::uint32_t slots = 1;
   /// Memory for the tokens of running requests and of cached prompt prefixes, in tokens; 0 if it is
   /// not published.
   std::uint64_t memory_tokens = 0;
-  /// Size of one token in that memory in bytes, and the bandwidth at which replicas transfer tokens
-  /// to each other in bits per second; 0 if they are not published.
+  /// Size of one token in the memory of a replica, in bytes, and bandwidth at which replicas
+  /// transfer tokens to each other, in bits per second; each is 0 if it is not published.
   double token_bytes = 0;
   double link_bits_per_second = 0;
 };
@@ -127,7 +128,7 @@
 /// Tenant that holds an access key, with the rights of the key.
 struct access_key_holder {
   base::tenant_id tenant;
-  /// If set, replaces the priority of the route.
+  /// Priority of requests with this key; std::nullopt if the priority of the route applies.
   std::optional<std::uint32_t> priority;
   /// Regions in which the tenant's requests may be served and their data may be stored.
   residency permitted_regions;
@@ -146,7 +147,8 @@
  public:
   std::uint64_t version = 0;
   std::unordered_map<std::string, service> services;
-  /// Holders of access keys by the text of the key; empty if requests need no key.
+  /// Tenants that hold an access key, by the text of the key. If there are none, no request needs a
+  /// key.
   std::unordered_map<std::string, access_key_holder> keys;
   client_limits limits;
   /// Routes by host, for each host sorted by length of the path prefix, longest first.
@@ -178,8 +180,8 @@
   /// Number of requests that the replica can run at the same time.
   std::uint32_t slots = 1;
   bool draining = false;
-  /// Whether this node knew the record as deleted before a restore of the store from an older
-  /// backup brought the record back.
+  /// Whether this node knew that the record was deleted, and the record came back because the store
+  /// was restored from an older backup.
   bool may_be_deleted = false;
   /// Time after the publication of the record for which the replica is cold (has not warmed its
   /// caches); 0 if the replica is warm.
--- a/src/model/yaml_reader.h
+++ b/src/model/yaml_reader.h
@@ -55,7 +55,8 @@
   /// @return the value; `fallback`, or `low` without a fallback, if the value is absent or invalid.
   std::int64_t integer(const std::string& name, std::int64_t low, std::int64_t high,
                        std::optional<std::int64_t> fallback);
-  /// Reads a number within [low, high]; returns the same as `integer`.
+  /// Reads a number within [low, high].
+  /// @return the value; `fallback`, or `low` without a fallback, if the value is absent or invalid.
   double number(const std::string& name, double low, double high, std::optional<double> fallback);
   /// @return the value; `fallback` if the value is absent or invalid.
   bool boolean(const std::string& name, bool fallback);
@@ -77,7 +78,8 @@
   void finish();
 
  private:
-  /// Returns a field, undefined if absent, and counts the field as read.
+  /// Counts a field as read.
+  /// @return the field; an undefined YAML node if the field is absent.
   YAML::Node find(const std::string& name);
   [[nodiscard]] std::string path_of(const std::string& name) const;
 
--- a/src/node/events.h
+++ b/src/node/events.h
@@ -75,8 +75,8 @@
 struct seeds_changed {
   std::vector<base::network_address> seeds;
 };
-/// An operator ends the quarantine of a request, which nodes refuse because replicas exited while
-/// they ran the request.
+/// An operator ends the quarantine of a request. Nodes refuse a quarantined request because
+/// replicas exited while they ran it.
 struct release_requested {
   quarantine::request_digest digest;
 };
@@ -90,7 +90,8 @@
 /// answer until an entry changes (long polling).
 struct read_service {
   source_kind source = source_kind::configuration;
-  /// Revision after which entries changed; 0 requests a listing of all entries.
+  /// The service returns the entries that changed after this revision. If the revision is 0, the
+  /// service returns a listing of all entries.
   base::revision after = 0;
   /// Whether the answer may be a listing that is some seconds old.
   bool allow_stale = false;
@@ -108,8 +109,8 @@
   std::string ticket;
   base::duration lifetime{};
 };
-/// Writes a recorded event to the log of the daemon. Returned only by nodes that serve published
-/// routes.
+/// Writes an entry of the node's event log to the log of the daemon. Returned only by nodes that
+/// serve published routes.
 struct log_event {
   base::event entry;
 };
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -7,17 +7,18 @@
 namespace {
 
 constexpr base::duration periodic_interval = std::chrono::milliseconds(100);
-/// Maximum interval between two events that is no gap: a node that runs without interruption
-/// processes an event at least every `periodic_interval`.
+/// Longest regular interval between two events; a longer interval is a gap. A node that runs
+/// without interruption processes an event at least every `periodic_interval`.
 constexpr base::duration max_regular_event_interval = 2 * periodic_interval;
 /// Maximum numbers of members of other zones among the peers that `replication_peers` returns.
 /// Members in the region of this node are near; members in other regions are far, and traffic to
-/// far members is expensive.
+/// far members is expensive. If no far member is known, near members take the places of far
+/// members.
 constexpr std::size_t max_near_replication_peers = 2;
 constexpr std::size_t max_far_replication_peers = 1;
-/// Maximum number of random peers to which a resync request is sent at once. With 10 peers, one
-/// answers even if half of the fleet is starting, and a fleet that starts as a whole is not
-/// overloaded.
+/// Maximum number of random peers to which a resync request is sent at once. With 10 peers, at
+/// least one very likely sends the missed state even if half of the fleet is starting, and the
+/// requests do not overload a fleet that starts as a whole.
 constexpr std::size_t max_resync_peers = 10;
 /// Maximum number of rounds, within one event, in which messages from this node to itself are
 /// processed; prevents endless loops.
@@ -148,7 +149,7 @@
 
 void node::detect_suspension(base::time_point now) {
   // Requests may have waited in sockets during a gap, even if the gap is too short to count as a
-  // suspension.
+  // suspension. Therefore `stop_linger_time` starts again after each gap.
   if (now - last_event_at_ > max_regular_event_interval) {
     quiet_since_ = now;
   }
@@ -368,8 +369,8 @@
   if (!is_stopping_) {
     return;
   }
-  // Requests may still arrive on open connections after `stop_completed` was emitted, so overdue
-  // requests are aborted then as well.
+  // Requests may still arrive on open connections after `stop_completed` was emitted. Therefore
+  // requests that are still active after the maximum duration of the stop are aborted even then.
   abort_overdue_requests(now);
   if (is_stop_reported_) {
     return;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -47,9 +47,10 @@
   /// suspended.
   base::duration suspension_threshold = std::chrono::milliseconds(1000);
   catalog::watch_timing service_timing;
-  /// Time for which a node waits, after its start and after a suspension, for a peer with the same
-  /// catalog to answer. After this time, a starting node becomes ready once both platform services
-  /// have answered, and a resumed node dispatches stage calls again.
+  /// Time for which a node waits, after its start and after a suspension, for a message which shows
+  /// that a peer has the same catalog as this node. After this time, a starting node becomes ready
+  /// as soon as both platform services have answered, and a node that was suspended dispatches
+  /// stage calls again.
   base::duration resync_timeout = std::chrono::milliseconds(1000);
   /// Minimum time from the last new request to the exit of a stopping node. Requests still arrive
   /// during a graceful stop: load balancers learn of the stop late, and requests may have waited in
@@ -108,7 +109,7 @@
 
   /// Processes an event.
   /// @param now time of the event; must not be earlier than the time of the previous event.
-  /// @return commands that the caller must carry out, in this order.
+  /// @return commands that the caller must carry out, in the order of the list.
   command_list handle(const event& input_event, base::time_point now);
 
   /// @return time at which the caller must deliver the event `time_passed` at the latest.
@@ -127,8 +128,9 @@
   [[nodiscard]] const control_counters& message_counters() const { return control_; }
   [[nodiscard]] const store_counters& store_answer_counters() const { return store_; }
   /// @return whether this node should read a platform service now, for one of three reasons: the
-  ///         node has the job to watch the service; the node is starting and has waited for peers
-  ///         for `peer_wait_time`; or the node substitutes for a node that cannot read the service.
+  ///         node is starting and has waited for peers for `peer_wait_time`; the node is ready and
+  ///         has the job to watch the service; or the node is ready and substitutes for a node that
+  ///         cannot read the service.
   [[nodiscard]] bool should_read_service(source_kind source, base::time_point now) const;
   /// Sets the memory budget for incomplete stream events that the serving path buffers. Has no
   /// effect if the node serves no published routes.
@@ -137,7 +139,7 @@
       serving_->set_byte_budget(std::move(budget));
     }
   }
-  /// @return null if the node serves no published routes.
+  /// @return the serving path; null if the node serves no published routes.
   [[nodiscard]] const serving::dispatcher* serving() const {
     return serving_ ? &*serving_ : nullptr;
   }
@@ -163,12 +165,13 @@
   /// Counts and logs a new, outdated, implausible or unreadable era of an answer. Logs a revision
   /// that is earlier than in the previous answer.
   void note_era(const service_answered& answer, const catalog::answer_meaning& meaning);
-  /// Detects from the time since the last event that the process or its machine was suspended, and
-  /// then pauses the dispatch of stage calls and sends resync requests.
+  /// Detects from the time since the last event whether the process or its machine was suspended.
+  /// If so, pauses the dispatch of stage calls and sends resync requests.
   void detect_suspension(base::time_point now);
   void request_resync(base::time_point now);
-  /// If the sender of a message has the same catalog as this node, marks this node as up to date,
-  /// and ends a pause of dispatch if the message answers a resync request.
+  /// If the sender of the message has the same, non-empty catalog as this node, marks this node as
+  /// up to date and updates the readiness of this node. If such a message also answers a resync
+  /// request, ends the pause of dispatch.
   void check_resync(const wire::envelope& message, base::time_point now);
   /// Makes the node ready once the catalog has the content that the node needs and either a peer
   /// has the same catalog or, after `resync_timeout`, both platform services have answered.
@@ -177,10 +180,11 @@
   /// @return whether this node is one of the nodes that watch a platform service for a whole zone
   ///         or region.
   [[nodiscard]] bool has_watch_job(source_kind source, base::time_point now) const;
-  /// Starts the reads and the probes of the platform services that are due.
+  /// Starts the due reads and probes of the platform services.
   void read_services(base::time_point now);
-  /// Asks a random peer to watch a platform service in place of this node, which failed to read the
-  /// service. `max_handovers` and `handover_interval` limit the number of handovers.
+  /// Hands over the watch of a platform service after this node failed to read the service: asks a
+  /// random peer to watch the service in place of this node. `max_handovers` and
+  /// `handover_interval` limit how often a watch is handed over.
   void hand_over_watch(source_kind source, base::time_point now);
   void on_watch_handover(const wire::watch_handover& handover, base::time_point now);
   void apply_machine_changes(base::time_point now);
@@ -192,8 +196,8 @@
   /// @return whether this node has at least `min_strong_node_fraction` times the cores of the
   ///         strongest known node.
   [[nodiscard]] bool is_strong() const;
-  /// @return whether a zone may be in the region of this node: false only if the settings name
-  ///         different regions for this zone and for the node's zone.
+  /// @return whether a zone may be in the region of this node: false only if the settings name a
+  ///         region for that zone and a different region for the zone of this node.
   [[nodiscard]] bool is_near(const base::zone_id& zone) const;
   /// @return locality of a peer relative to this node; `elsewhere` if the peer's zone is unknown.
   [[nodiscard]] model::locality peer_locality(const base::network_address& peer) const;
@@ -204,8 +208,8 @@
                          base::time_point now);
   /// Sends a leave notice for a back end to all nodes of this node's zone.
   void broadcast_leave_notice(const wire::backend_notice& notice);
-  /// Sends to the nodes of this node's zone each leave notice that was not yet sent to these nodes
-  /// or received from one of them.
+  /// Sends the known leave notices to the nodes of this node's zone, except notices that were
+  /// already sent to these nodes or received from one of them.
   void announce_new_leave_notices();
   void on_forwarded_request(const wire::envelope& message, base::time_point now);
   void execute_guard_decisions(base::time_point now);
@@ -226,10 +230,11 @@
   /// request has arrived for `stop_linger_time`, or when the maximum duration of the stop has
   /// passed.
   void check_stop(base::time_point now);
-  /// Aborts the requests on published routes if `must_abort_requests`.
+  /// Aborts all requests on published routes if `must_abort_requests` returns true.
   void abort_overdue_requests(base::time_point now);
-  /// @return whether the maximum duration of a graceful stop has passed; false if the node serves
-  ///         no published routes.
+  /// Call only during a graceful stop.
+  /// @return whether the maximum duration of the stop has passed; false if the node serves no
+  ///         published routes.
   [[nodiscard]] bool must_abort_requests(base::time_point now) const;
   void emit(execution::send_answer&& answer);
   template <typename other_command>
@@ -239,8 +244,8 @@
   /// Adds the known leave notices to a message if the message is a digest or an answer to a resync
   /// request.
   void add_leave_notices(wire::envelope& message) const;
-  /// Adds the fields that describe the sender to the queued messages, and sends the messages or, if
-  /// this node is the receiver, processes them at once.
+  /// Adds the fields that describe the sender to the queued messages and sends each message to its
+  /// receiver. A message to this node itself is processed at once instead.
   void flush_messages(base::time_point now);
   void answer_peer(const execution::remote_caller& peer, const execution::answer& content,
                    bool is_owner);
@@ -265,10 +270,11 @@
   /// State of the substitution for one platform service: this node watches the service in place of
   /// another node that cannot read the service.
   struct watch_substitution {
-    /// End of the substitution; not after the current time if this node replaces no other node.
+    /// End of the substitution. At or before the current time if this node now substitutes for no
+    /// other node.
     base::time_point ends_at;
-    /// Number of further handovers of the watch that this node took over: this node hands over the
-    /// watch to a next node if this node cannot read the service either.
+    /// Number of times that the watch which this node took over may still be handed over. This node
+    /// hands over the watch if this node cannot read the service either.
     std::uint32_t handovers_left = 0;
     /// Earliest time at which this node may again hand over the watch that is its own job.
     base::time_point next_handover_at;
@@ -298,9 +304,10 @@
   /// Whether `stop_completed` has been emitted.
   bool is_stop_reported_ = false;
   base::time_point stop_started_at_;
-  /// Time since which no request has arrived: the latest of the last arrival of a request, the end
-  /// of the last gap between events (`max_regular_event_interval`), in which requests may have
-  /// waited in sockets, and the start of the graceful stop.
+  /// Start of the time without new requests, which is compared with `stop_linger_time`. The latest
+  /// of: the last arrival of a request; the end of the last gap between events
+  /// (`max_regular_event_interval`), because requests may have waited in sockets during the gap;
+  /// and the start of the graceful stop.
   base::time_point quiet_since_;
   /// Random number from 0 to 1 that determines the random part of `peer_wait_time`.
   double peer_wait_fraction_ = 0;
--- a/src/node/node_callers.cc
+++ b/src/node/node_callers.cc
@@ -116,7 +116,8 @@
 }
 
 void node::execute_guard_decisions(base::time_point now) {
-  // Executing a decision may answer a request, and the answer may lead to further decisions.
+  // Executing a decision of the guard may answer a request, and the answer may lead to further
+  // decisions of the guard.
   for (auto decisions = guard_.take_decisions(); !decisions.empty();
        decisions = guard_.take_decisions()) {
     for (auto& decision : decisions) {
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -10,12 +10,12 @@
 namespace spurrack::node {
 namespace {
 
-/// Base time, for each known member, for which a starting node that serves published routes waits
-/// for peers to send the catalog before it reads the platform services itself. A strong node waits
-/// for a random time up to half of the base time, any other node for the base time plus a random
-/// fraction of it. A node that becomes ready during its wait does not read the services. Therefore
-/// only a few nodes read the services if a large fleet starts as a whole, and a small fleet loses
-/// no time.
+/// A starting node that serves published routes waits for peers to send the catalog before it reads
+/// the platform services itself. The base time of this wait is `peer_wait_time_per_member` for each
+/// known member. A strong node waits for a random time up to half of the base time, any other node
+/// for the base time plus a random fraction of it. A node that becomes ready during its wait does
+/// not read the services. Therefore only a few nodes read the services if a large fleet starts as a
+/// whole, and a small fleet loses no time.
 ///
 /// Only a few nodes should read, because each reading node occupies the link of the store for 12
 /// ms, at the expense of all other nodes. Strong nodes read first, because reading 3,000 replicas
@@ -26,21 +26,23 @@
 /// Minimum number of cores of a strong node, as a fraction of the number of cores of the strongest
 /// known node.
 constexpr float min_strong_node_fraction = 0.5F;
-/// Time for which a starting node waits after it has added its first member: two rounds of requests
-/// for members, in which the node learns the size of the fleet and whether it is strong. Without
-/// this time, 178 of 300 nodes that restarted together read the store (control_traffic_test).
+/// Time between the addition of the first member by a starting node and the start of the wait for
+/// peers to send the catalog: two rounds of requests for members. In these rounds, the node learns
+/// the size of the fleet and whether the node itself is strong. Without this time, 178 of 300 nodes
+/// that restarted together read the store (control_traffic_test).
 constexpr base::duration discovery_time = std::chrono::milliseconds(200);
 /// Time for which a starting node that knows no member waits for a seed to send members.
 constexpr base::duration join_timeout = std::chrono::milliseconds(300);
 /// Maximum number of times that a watch is handed over from node to node. If a third of the nodes
-/// cannot read the service, one watch in 27 reaches no node that can read it. This is acceptable
-/// because several nodes watch each service.
+/// cannot read the service, one watch in 27 reaches no node that can read the service. This is
+/// acceptable because several nodes watch each service.
 constexpr std::uint32_t max_handovers = 2;
-/// Time for which a node watches a service in place of another node; a further handover starts the
-/// time again. While the store answers no node, the store receives no more calls than the nodes
-/// with the job to watch would make without handovers.
+/// Time for which a node watches a service in place of another node. If a watch of the service is
+/// handed over to the node again within this time, the time starts again. While the store answers
+/// no node, the store receives no more calls than the nodes with the job to watch would make
+/// without handovers.
 constexpr base::duration substitution_duration = std::chrono::seconds(10);
-/// Minimum interval between two handovers, by one node, of the watch that is its own job.
+/// Minimum interval between two times at which a node hands over the watch that is its own job.
 constexpr base::duration handover_interval = substitution_duration / 2;
 
 constexpr std::array<const char*, source_count> watch_jobs{"watch/configuration", "watch/machines"};
--- a/tests/base/due_times_test.cc
+++ b/tests/base/due_times_test.cc
@@ -38,7 +38,7 @@
   constexpr int operation_count = 1'000;
   base::due_times<counted_key> times;
   for (int number = 0; number < key_count; ++number) {
-    // All keys get the same time, so that every lookup compares keys.
+    // All keys get the same due time, so that every lookup by due time must compare keys.
     times.set({number}, start + milliseconds(1));
   }
   counted_key::comparisons = 0;
@@ -47,7 +47,8 @@
     BOOST_TEST(times.next().has_value());
     BOOST_TEST(times.take_due(start).size() == 1U);
   }
-  // Three lookups in a tree of 17 levels with up to two comparisons each, and the hash lookups.
+  // Each operation takes three lookups in a tree of 17 levels, with up to two comparisons for each
+  // level, and a few comparisons in hash lookups.
   BOOST_TEST(counted_key::comparisons / operation_count < 3 * 17 * 2 + 20U);
 }
 
--- a/tests/node/planned_stop_test.cc
+++ b/tests/node/planned_stop_test.cc
@@ -26,7 +26,8 @@
     return settings;
   }
 
-  /// @return the latest call that the node has sent to a replica; 0 if there is no call.
+  /// Delivers a request to the node.
+  /// @return the latest call that the node has sent to any replica; 0 if the node has sent none.
   base::call_id deliver_request(base::caller_id client, const std::string& path) {
     node_driver::deliver_request(client, path, now, seconds(60));
     return serving_commands<serving::start_call>().empty()
@@ -61,7 +62,8 @@
   deliver(node::stop_requested{});
   advance_time(milliseconds(1'600));
   BOOST_REQUIRE(has_stopped());
-  // This request arrives on a connection that is still open, and its replica does not answer.
+  // This request arrives after `stop_completed`, on a connection that is still open, and its
+  // replica does not answer.
   const auto call = deliver_request(10, "/unsafe/x");
   BOOST_TEST(serving_commands<serving::start_call>().size() == 5U);
   advance_time(milliseconds(5'600));
--- a/tests/node/suspension_test.cc
+++ b/tests/node/suspension_test.cc
@@ -46,7 +46,7 @@
            entries[events_before].kind == base::event_kind::node_resumed_after_pause;
   }
 
-  /// @return number of messages to peers that request all of their crash records.
+  /// @return number of messages in which this node requests all crash records of a peer.
   [[nodiscard]] std::size_t crash_record_queries() const {
     std::size_t queries = 0;
     for (const auto& command : commands) {
@@ -154,8 +154,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_next_wakeup_is_at_most_one_periodic_interval_away) {
-  // The event loop sleeps at most until the next wake-up. After a suspension of any duration,
-  // timers that are due therefore fire within this time after the steady clock continues.
+  // The event loop sleeps at most until the next wake-up. Therefore, when the steady clock
+  // continues after a suspension of any duration, the timers that are due fire within one periodic
+  // interval.
   for (int step = 0; step < 100; ++step) {
     now += milliseconds(7);
     deliver(node::time_passed{});
--- a/tests/node/watch_handover_test.cc
+++ b/tests/node/watch_handover_test.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Ready node whose further reads get no answers.
+/// Ready node whose further reads of the platform services get no answers.
 struct substitute_node : node_driver {
   substitute_node() {
     node::service_answered replicas;
@@ -24,7 +24,7 @@
     advance_time(seconds(2));
     commands.clear();
   }
-  /// Delivers a handover from a peer.
+  /// Delivers a message in which a peer hands over the watch of a platform service to this node.
   void deliver_handover(std::uint32_t source, std::uint32_t handovers_left) {
     node::peer_message handover;
     handover.message.set_sender("other");
@@ -35,7 +35,7 @@
     body.set_handovers_left(handovers_left);
     deliver(handover);
   }
-  /// @return number of handovers that this node sent to further nodes.
+  /// @return number of times that this node handed over a watch to another node.
   [[nodiscard]] std::ptrdiff_t sent_handovers() const {
     return std::count_if(commands.begin(), commands.end(), [](const auto& command) {
       const auto* message = std::get_if<wire::outgoing>(&command);
@@ -63,7 +63,7 @@
     node.deliver_handover(0, std::numeric_limits<std::uint32_t>::max());
     node.deliver(node::service_failed{node::source_kind::configuration});
   }
-  // Each handover leads to at most one further handover.
+  // Each time the node takes over a watch, it hands over the watch at most once.
   BOOST_TEST(node.sent_handovers() <= 100);
   for (const auto& command : node.commands) {
     if (const auto* message = std::get_if<wire::outgoing>(&command);
