--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -9,7 +9,7 @@
 /// Token bucket of one pool: each success adds a fraction of a token, each retry takes one token.
 class retry_budget {
  public:
-  /// Number of tokens that one successful call adds.
+  /// Number of tokens that each successful call adds to the bucket.
   static constexpr double tokens_per_success = 0.1;
   /// Maximum number of tokens in the bucket. The bucket is full at the start.
   static constexpr double max_tokens = 20.0;
--- a/src/admission/stage_queue.h
+++ b/src/admission/stage_queue.h
@@ -1,5 +1,6 @@
-/// Queue of the requests of one node that wait for a back end of one pool: weighted-fair between
-/// tenants (start-time fair queueing), earliest deadline first within a tenant.
+/// Queue, at one node, of the requests that wait for a back end of one pool. Tenants are served in
+/// proportion to their weights (start-time fair queueing). Among the requests of one tenant, the
+/// request with the earliest deadline is served first.
 #pragma once
 
 #include "base/ids.h"
@@ -27,7 +28,8 @@
   void push(const queue_entry& entry);
   /// Removes the next request to dispatch. @return the request; std::nullopt if the queue is empty.
   std::optional<queue_entry> pop();
-  /// Removes a request from any position of the queue. Tenant, deadline and id must match.
+  /// Removes the request that has the tenant, the deadline and the id of `entry`, at any position
+  /// of the queue.
   /// @return whether the request was in the queue.
   bool remove(const queue_entry& entry);
 
@@ -47,7 +49,7 @@
   };
   struct tenant_queue {
     std::set<queue_entry, by_deadline> waiting_requests;
-    /// Virtual time at which the next request of this tenant starts.
+    /// Start time of the next request of this tenant, in the virtual time of fair queueing.
     double virtual_start = 0;
     double weight = 1;
   };
--- a/src/admission/stage_scheduler.cc
+++ b/src/admission/stage_scheduler.cc
@@ -6,10 +6,11 @@
 namespace spurrack::admission {
 namespace {
 
-/// Quantile of the service time from which predictions are computed.
+/// The expected service time of a stage is this quantile of its recorded service times.
 constexpr double predicted_quantile = 0.9;
-/// A call counts as stalled if it makes no progress for longer than almost all calls take:
-/// `stall_factor` times the `stall_quantile` of the service time.
+/// A call counts as stalled if it makes no progress for longer than almost all calls of its stage
+/// take in total: `stall_factor` times the `stall_quantile` of the recorded service times, but at
+/// least `min_stall_timeout`.
 constexpr double stall_quantile = 0.99;
 constexpr double stall_factor = 1.6;
 constexpr std::uint64_t min_stall_samples = 50;
@@ -17,7 +18,8 @@
 constexpr base::duration min_retry_after = std::chrono::milliseconds(50);
 constexpr base::duration no_backend_retry_after = std::chrono::seconds(1);
 
-/// Returns the weight of a request in the fair queue: the tenant's weight scaled by the priority.
+/// Returns the weight of a request in the fair queue: the tenant's weight, raised or lowered
+/// according to the priority. `neutral_priority` leaves the weight unchanged.
 double queue_weight(const model::pipeline_plan& plan) {
   constexpr double neutral_priority = 5.0;
   return plan.weight * (1.0 + plan.priority) / (1.0 + neutral_priority);
@@ -50,9 +52,8 @@
   double ahead = own_count;
   for (const auto& [tenant, count] : state.admitted_stages) {
     if (tenant != plan.tenant) {
-      // With fair queueing every other tenant is served at most as often as the tenant of the plan,
-      // if the weights are equal. Equal weights are assumed here; the queue applies the real
-      // weights.
+      // Fair queueing serves each other tenant of equal weight at most as often as the tenant of
+      // the plan. This estimate assumes equal weights; the queue itself applies the real weights.
       ahead += std::min<double>(count, own_count + 1);
     }
   }
@@ -87,7 +88,8 @@
   if (!settings_.refuse_expected_late) {
     return std::nullopt;
   }
-  // The waits of several stages overlap in time, so only the longest wait is added.
+  // The waits for the pools of the stages overlap in time, so only the longest of the waits is
+  // added to the service time.
   const auto finish = now + wait + expected_service_time(plan, 0);
   if (finish <= deadline) {
     return std::nullopt;
--- a/src/admission/stage_scheduler.h
+++ b/src/admission/stage_scheduler.h
@@ -27,9 +27,10 @@
 };
 
 struct refusal {
-  /// True: a pool of the plan has no back end. False: the request is expected to miss its deadline.
+  /// Reason for the refusal. True: a pool that the request needs has no back end, or only draining
+  /// ones. False: the request is expected to miss its deadline.
   bool no_backend = false;
-  /// Time after which the caller may send the request again.
+  /// Recommended delay before the caller sends the request again.
   base::duration retry_after{};
 };
 
@@ -54,25 +55,26 @@
   [[nodiscard]] std::optional<refusal> check_admission(const model::pipeline_plan& plan,
                                                        base::time_point deadline,
                                                        base::time_point now) const;
-  /// Counts all stages of a plan as admitted work of their pools.
+  /// Adds all stages of an admitted request's plan to the admitted work of their pools.
   void add_admitted(const model::pipeline_plan& plan);
-  /// Removes the stages from `from_stage` on from the admitted work.
+  /// Subtracts `from_stage` and all later stages of a plan from the admitted work of their pools.
   void remove_admitted(const model::pipeline_plan& plan, std::size_t from_stage);
-  /// Removes one completed stage from the admitted work.
+  /// Subtracts one completed stage from the admitted work of its pool.
   void note_stage_completed(const model::pipeline_plan& plan, std::size_t stage);
 
-  /// Adds a request that waits for a call of one stage.
+  /// Adds a request to the queue of the pool that serves `stage`.
   /// @param affinity stable hash of the prompt prefix; 0 if the call has no preferred back end.
   void enqueue(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
                base::time_point deadline, std::uint64_t affinity);
-  /// Removes a request that waits for a call of one stage.
+  /// Removes a request from the queue of the pool that serves `stage`.
   void remove(const model::pipeline_plan& plan, std::size_t stage, const base::request_id& request,
               base::time_point deadline);
   /// Dequeues the next request, of any pool, whose call can be started now.
   /// @return the request and its back end; std::nullopt if no call can be started.
   std::optional<dispatch_choice> take_next(base::time_point now);
-  /// @return earliest time at which the backoff or ejection of a back end ends in a pool with
-  ///         waiting requests; std::nullopt if there is no such back end.
+  /// @return earliest time at which a backoff or ejection ends, among the back ends that do not
+  ///         drain in the pools for which requests wait; std::nullopt if none of these back ends is
+  ///         backing off or ejected.
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   /// Records the service time of a completed call.
--- a/src/execution/answer.h
+++ b/src/execution/answer.h
@@ -77,7 +77,8 @@
   reason failure_reason = reason::none;
   base::request_id request;
   std::vector<stage_output> outputs;
-  /// Time after which the caller may send the request again; zero if none is recommended.
+  /// Recommended delay before the caller sends the request again; zero if there is no
+  /// recommendation.
   base::duration retry_after{};
   std::vector<stage_cost> costs;
 };
--- a/src/execution/commands.h
+++ b/src/execution/commands.h
@@ -1,5 +1,5 @@
-/// Commands that the execution of requests issues. Adapters (the code that does the I/O) carry the
-/// commands out.
+/// Commands that the execution of requests issues instead of doing I/O itself. Adapters, which are
+/// the code that does the I/O, carry the commands out.
 #pragma once
 
 #include "base/ids.h"
--- a/src/execution/counters.h
+++ b/src/execution/counters.h
@@ -26,7 +26,7 @@
   auto operator<=>(const pipeline_key&) const = default;
 };
 
-/// Totals since the node started.
+/// Counts of requests, calls and results at one node since its start.
 struct counters {
   std::map<pipeline_key, pipeline_counters> pipelines;
   /// Number of requests that were not completed, by reason.
@@ -34,7 +34,8 @@
   std::uint64_t retries = 0;
   /// Number of results that arrived for calls that had already ended or been cancelled.
   std::uint64_t late_answers = 0;
-  /// Number of `completed` results that echoed the identity of another call or lacked tokens.
+  /// Number of `completed` results that echoed the identity of another call, or that reported
+  /// another number of generated tokens than this node received.
   std::uint64_t misdirected_answers = 0;
   std::uint64_t cancelled_calls = 0;
 };
--- a/src/execution/effect_guard.cc
+++ b/src/execution/effect_guard.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr base::duration young_witness_retry_after = std::chrono::seconds(5);
-/// Queries to witnesses and forwarded requests are sent again because messages may be lost;
-/// witnesses and owners recognize the duplicates.
+/// Interval at which unanswered queries to witnesses and unanswered forwarded requests are sent
+/// again, because messages may be lost. Witnesses and owners recognize the duplicates.
 constexpr base::duration resend_interval = std::chrono::milliseconds(100);
 constexpr base::duration no_majority_retry_after = std::chrono::seconds(1);
 
@@ -62,9 +62,9 @@
   } else if (!request.ticket.empty()) {
     submit_with_ticket(std::move(request), now);
   } else {
-    // A witness named this node as the holder of the key, but this node has released the key
-    // because its own request could not acquire a majority. Another node may have run an earlier
-    // request with the key.
+    // A witness named this node as the holder of the key. But a majority of the witnesses did not
+    // grant the key to the request of this node, so this node has released the key. Another node
+    // may have run an earlier request with the key.
     refuse(request, {}, model::outcome::unknown, reason::key_in_use, no_majority_retry_after);
   }
 }
@@ -209,7 +209,8 @@
                      base::network_address(holder->address()), holder->incarnation(), now);
     return;
   }
-  // Without a majority, another node may have run an earlier request with the same key.
+  // This node did not get the key from a majority of the witnesses, so another node may have run an
+  // earlier request with the same key.
   if (state == idempotency::acquisition_state::held) {
     refuse(entry.guarded, entry.attached_callers, model::outcome::unknown, reason::key_in_use,
            no_majority_retry_after);
--- a/src/execution/effect_guard.h
+++ b/src/execution/effect_guard.h
@@ -1,8 +1,9 @@
-/// Permission to run requests that may run at most once. The execution of such a request is called
-/// an effect. The request carries a ticket or an idempotency key. The owner of the effect is the
-/// node that issued the ticket, or the node whose request acquired the key from a majority of the
-/// key's witnesses (nodes that record which request holds the key). Only the owner runs a request
-/// with the ticket or key; the other nodes forward such requests to the owner.
+/// Permission to run requests that may run at most once. Such a request carries a ticket or an
+/// idempotency key. The owner of a ticket is the node that issued it. The owner of a key is the
+/// node whose request acquired the key from a majority of the key's witnesses (nodes that record
+/// which request holds the key). Only the owner runs a request with the ticket or key; the other
+/// nodes forward such requests to the owner. In identifiers, `effect` stands for the execution of
+/// such a request.
 #pragma once
 
 #include "base/event_log.h"
@@ -28,13 +29,14 @@
 
 namespace spurrack::execution {
 
-/// Lifetimes of keys and tickets, and time limits of their checks.
+/// Lifetimes of keys, tickets and replaced node lists, and the time limit for acquiring a key.
 struct guard_settings {
   /// Lifetime of an idempotency key, and time for which a witness grants no keys after its start.
   base::duration key_lifetime = std::chrono::minutes(10);
   /// Time from the issue of a ticket within which the ticket must be redeemed.
   base::duration ticket_lifetime = std::chrono::minutes(1);
-  /// Time for which a majority of the witnesses from a replaced node list must grant keys, too.
+  /// Time after the replacement of a node list during which a key must also be granted by a
+  /// majority of the witnesses that are chosen from the replaced list.
   base::duration replaced_list_lifetime = std::chrono::minutes(60);
   /// Longest time that a request waits for the replies of witnesses.
   base::duration witness_timeout = std::chrono::milliseconds(500);
@@ -53,7 +55,8 @@
 struct run_decision {
   admitted_request request;
 };
-/// Decision to let the caller wait for the answer of a running request.
+/// Decision to let the caller wait for the answer to another request, which has the same ticket or
+/// key and already runs at this node.
 struct attach_decision {
   base::request_id running_request;
   caller_ref caller;
@@ -71,8 +74,10 @@
 /// is not listed.
 using address_lookup = std::function<std::optional<base::network_address>(const base::node_id&)>;
 
-/// Decides which guarded requests run at this node. Decisions and messages are collected until
-/// `take_decisions` and `take_messages` are called. Not thread-safe.
+/// Decides on each request that may run at most once: whether it runs at this node, its caller
+/// waits for the answer to a running request, or its caller is answered without running it here.
+/// Decisions and messages are collected until `take_decisions` and `take_messages` are called. Not
+/// thread-safe.
 class effect_guard {
  public:
   effect_guard(guard_settings settings, membership::identity self, base::random_source& random,
@@ -83,7 +88,7 @@
 
   /// Issues a ticket of this node. @return text of the ticket.
   std::string issue_ticket(base::time_point now);
-  /// Requests permission to run. The decision is made during this call or later.
+  /// Asks for the decision on `request`. The decision is made during this call or later.
   void submit(guarded_request request, base::time_point now);
   /// Like `submit`, for a request that a peer forwarded because this node owns its ticket or key.
   /// Never queries witnesses; a request with a key is never forwarded again.
@@ -94,8 +99,8 @@
   /// Stores the answer for later requests with the same ticket or key. Ignores answers to requests
   /// that this guard did not decide to run.
   void on_answer(const answer& content);
-  /// Drops expired records, refuses requests that waited too long for witnesses or for an owner,
-  /// and resends unanswered messages.
+  /// Drops the expired records of tickets and keys. Refuses requests that waited too long for the
+  /// replies of witnesses or for the answer of an owner. Sends unanswered messages again.
   void tick(base::time_point now);
 
   /// @return time at which `tick` next has to refuse a request or resend a message; std::nullopt if
@@ -110,7 +115,7 @@
   [[nodiscard]] bool may_witness(base::time_point now) const {
     return witness_store_.may_grant(now);
   }
-  /// @return number of keys that this node has recorded as a witness.
+  /// @return number of keys of which this node, as a witness, currently keeps a record.
   [[nodiscard]] std::size_t witnessed_keys() const { return witness_store_.size(); }
   [[nodiscard]] const guard_settings& settings() const { return settings_; }
 
@@ -138,17 +143,21 @@
 
   void submit_with_ticket(guarded_request guarded, base::time_point now);
   void submit_with_key(guarded_request guarded, base::time_point now);
-  /// Decides on a request if a request with the same ticket or key runs at this node or was
-  /// answered: lets the caller wait for the running request, or returns the stored answer. If that
-  /// answer was `not_run`, the new request may run; the record of the ticket or key still prevents
-  /// all other nodes from running it.
+  /// Decides on a request if another request with the same ticket or key runs or was answered at
+  /// this node. If the other request still runs, the caller of the new request waits for its
+  /// answer. If it was answered, the caller gets the stored answer, with one exception: if the
+  /// stored answer is `not_run` and the record of the ticket or key expires after the deadline of
+  /// the new request, the new request runs. Until the record expires, no other node runs a request
+  /// with the ticket or key.
   /// @return whether a decision was made.
   bool join_known_effect(const std::string& key, const guarded_request& guarded);
   void query_witnesses(const acquiring_request& acquiring, const std::string& key);
   void on_record_reply(const wire::envelope& message, base::time_point now);
-  /// Runs, forwards or refuses the request if the acquisition of its key has succeeded or failed.
+  /// Once the acquisition of the key has succeeded or failed, runs, forwards or refuses the request
+  /// that acquires it. Does nothing while the acquisition is pending.
   void resolve_acquisition(const std::string& key, base::time_point now);
-  /// Tells all witnesses of the key to drop the record of the request.
+  /// Tells each witness of the key to drop its record of the key if the record names this request
+  /// as the holder.
   void release_key(const acquiring_request& acquiring);
   void forward_to_owner(guarded_request guarded, std::vector<caller_ref> attached_callers,
                         const base::network_address& owner, base::incarnation owner_incarnation,
--- a/src/execution/executor.cc
+++ b/src/execution/executor.cc
@@ -8,7 +8,7 @@
 namespace spurrack::execution {
 namespace {
 
-/// Number of broken calls of one stage after which the request is aborted.
+/// A request is aborted when this number of calls of one stage have ended as `broken`.
 constexpr std::uint32_t max_failures_per_stage = 4;
 /// Length of the prompt prefix, in bytes, that determines the affinity to a back end.
 constexpr std::size_t affinity_prefix_bytes = 64;
@@ -336,7 +336,7 @@
       stalled.push_back(id);
     }
   }
-  // `active_` is unordered, and simulation runs must be reproducible.
+  // Sorted because `active_` is unordered and simulation runs must be reproducible.
   std::sort(stalled.begin(), stalled.end());
   for (const auto& id : stalled) {
     auto& active = active_.at(id);
--- a/src/execution/executor.h
+++ b/src/execution/executor.h
@@ -21,8 +21,8 @@
 
 namespace spurrack::execution {
 
-/// Request that was resolved against the catalog. It may be passed to `executor::start` after it
-/// was admitted and, if it may run at most once, `effect_guard` has permitted it to run.
+/// Request that was resolved against the catalog. Before it is passed to `executor::start`, it must
+/// be admitted. If it may run at most once, `effect_guard` must also have permitted it to run.
 struct admitted_request {
   base::request_id id;
   std::shared_ptr<const model::pipeline_plan> plan;
@@ -48,7 +48,8 @@
            event_recorder record, completion_observer report_completion,
            base::safety_switches switches);
 
-  /// Starts a request. The first stage waits until the next call of `dispatch_waiting`.
+  /// Starts a request. The call of its first stage is not started before the next call of
+  /// `dispatch_waiting`.
   void start(admitted_request request, base::time_point now);
   /// Adds a caller that waits for the answer of a running request.
   /// @return false if the request is no longer active; the caller is not added then.
@@ -60,8 +61,8 @@
   /// Appends a token to the generated text and sends it to a streaming caller. Ignores tokens of
   /// calls that are no longer in flight and tokens out of order.
   void on_token(const call_token& token, base::time_point now);
-  /// Removes a caller that disconnected, and aborts its request unless other callers wait for it or
-  /// a non-repeatable call is in flight.
+  /// Removes a caller that disconnected. Aborts its request unless other callers wait for the same
+  /// request or a non-repeatable call of the request is in flight.
   void on_caller_gone(base::caller_id caller, base::time_point now);
 
   /// Aborts the requests whose deadline has passed.
@@ -91,7 +92,8 @@
     base::call_id id = 0;
     base::backend_id backend;
     base::time_point started_at;
-    /// Time of the dispatch or of the last token.
+    /// Time at which the call was dispatched or, if tokens have arrived since, time of the last
+    /// token.
     base::time_point last_progress_at;
   };
   struct active_request {
@@ -105,7 +107,7 @@
     std::string generated;
     std::uint32_t tokens_received = 0;
     std::uint32_t next_attempt = 1;
-    /// Number of broken calls of the current stage.
+    /// Number of calls of the current stage that ended as `broken`.
     std::uint32_t failures = 0;
     std::optional<call_in_flight> call;
     std::vector<stage_output> outputs;
--- a/src/execution/stage_call.h
+++ b/src/execution/stage_call.h
@@ -19,8 +19,8 @@
   bool operator==(const call_identity&) const = default;
 };
 
-/// Call to start. The adapter, which writes the call to the connection, must not begin to write at
-/// or after `not_after`. It checks the boot clock right before the write.
+/// Call to start. The adapter is the code that writes the call to the connection. It must not begin
+/// to write at or after `not_after`, and checks the boot clock right before the write.
 struct stage_call {
   base::call_id call = 0;
   call_identity identity;
@@ -47,7 +47,7 @@
   refused_overloaded, ///< The back end was at capacity and did not run the call.
   refused_leaving,    ///< The back end is draining and did not run the call.
   rejected,           ///< The back end reported that the call is invalid.
-  broken, ///< Any other failure after the first byte: reset, truncation, malformed answer.
+  broken, ///< Any other failure after the first written byte: reset, truncation, malformed answer.
 };
 
 /// @return the name of the status; it never changes between versions.
--- a/src/idempotency/effect_registry.h
+++ b/src/idempotency/effect_registry.h
@@ -1,6 +1,7 @@
-/// Effects that this node owns by a ticket or an idempotency key. An effect is the execution of a
-/// request that may run at most once; each ticket and each key allows one effect. Its record is
-/// kept in memory until the lifetime of the ticket or key ends.
+/// Tickets and idempotency keys that this node owns: the tickets that it issued, and the keys that
+/// its requests acquired. Each ticket and each key allows one execution of a request that may run
+/// at most once; in identifiers, `effect` stands for such an execution. The record of a ticket or
+/// key is kept in memory at least until the lifetime of the ticket or key ends.
 #pragma once
 
 #include "base/ids.h"
@@ -14,15 +15,15 @@
 
 namespace spurrack::idempotency {
 
-/// State of an effect at its owner.
+/// State of a ticket or an idempotency key at the node that owns it.
 enum class effect_state : std::uint8_t {
   issued,  ///< The ticket was issued and has not been redeemed.
   running, ///< A request with the ticket or key runs at this node.
   answered ///< The request that ran with the ticket or key was answered.
 };
 
-/// Registry of the effects that this node owns, by a text that identifies the ticket or the
-/// idempotency key. Not thread-safe.
+/// Records of the tickets and idempotency keys that this node owns, indexed by a text that
+/// identifies the ticket or key. Not thread-safe.
 /// @tparam answer_type final answer to a request.
 template <typename answer_type>
 class effect_registry {
@@ -32,11 +33,11 @@
     /// Request that runs or ran with the ticket or key; empty if the state is `issued`.
     base::request_id request;
     base::time_point expires_at;
-    /// Set if the state is `answered`.
+    /// Answer to the request if the state is `answered`, otherwise null.
     std::shared_ptr<const answer_type> answer;
   };
 
-  /// Adds a new ticket, which no request has redeemed.
+  /// Records a new ticket in state `issued`.
   void add_ticket(const std::string& key, base::time_point expires_at) {
     records_[key] = {effect_state::issued, {}, expires_at, nullptr};
   }
--- a/src/idempotency/key_acquisition.h
+++ b/src/idempotency/key_acquisition.h
@@ -47,7 +47,8 @@
 
  private:
   [[nodiscard]] bool has_all_majorities() const;
-  /// @return whether refusals make a majority of some set impossible.
+  /// @return whether so many witnesses of some set have refused the key that a majority of the set
+  ///         can no longer grant it.
   [[nodiscard]] bool is_any_majority_lost() const;
   static std::size_t count_members_in(const witness_set& group,
                                       const std::set<base::node_id>& nodes);
--- a/src/idempotency/witness_lists.h
+++ b/src/idempotency/witness_lists.h
@@ -32,8 +32,8 @@
   explicit witness_lists(base::duration replaced_list_lifetime)
       : replaced_list_lifetime_(replaced_list_lifetime) {}
 
-  /// Replaces the current list by the nodes in `machines` if they differ from the list and there is
-  /// at least one node.
+  /// Makes the nodes in `machines` the current list. Does nothing if `machines` contains no nodes,
+  /// or the same nodes as the current list.
   void update(const catalog::machine_map& machines, base::time_point now);
 
   /// @return hash of the current list; 0 if there is none.
--- a/src/idempotency/witness_store.h
+++ b/src/idempotency/witness_store.h
@@ -1,6 +1,7 @@
-/// Witness side of at-most-once execution: records which request owns an idempotency key, in
-/// memory, until the lifetime of the key ends. A restarted witness has lost its records, so it
-/// grants no key for the longest lifetime of a key.
+/// Witness side of at-most-once execution: records in memory which request holds an idempotency
+/// key, until the lifetime of the key ends. A restart erases the records of a witness. To grant no
+/// key that another request still holds, a witness grants no keys until its process has run for the
+/// longest lifetime of a key.
 #pragma once
 
 #include "base/ids.h"
@@ -22,16 +23,18 @@
   witness_store(base::time_point started_at, base::duration max_key_lifetime)
       : started_at_(started_at), max_key_lifetime_(max_key_lifetime) {}
 
-  /// Grants a key if the key is free or held by the request in `query`, this witness has been up
-  /// long enough, and the node that sent the query has the same node list as this witness.
+  /// Grants a key to the request in `query` if three conditions hold: no other request holds the
+  /// key; this witness has been up long enough; the node that sent the query has the same node list
+  /// as this witness.
   /// @param own_list_hash hash of this witness's node list.
-  /// @return whether the key is granted or why not; also the holder if another request holds it.
+  /// @return whether the key is granted, or the reason why not; names the holder if another request
+  ///         holds the key.
   wire::record_key_reply record(const wire::record_key& query, std::uint64_t own_list_hash,
                                 base::time_point now);
-  /// Drops the record of a key if the request in `message` holds the key. Requests release a key
-  /// only if they have not been dispatched.
+  /// Drops the record of a key if the request that `message` names holds the key. A node releases
+  /// the key of a request only if it has not started the request.
   void release(const wire::key_release& message);
-  /// Drops expired records.
+  /// Drops the records of keys whose lifetime has ended.
   void expire(base::time_point now);
 
   /// @return number of recorded keys.
--- a/src/routing/backend_table.cc
+++ b/src/routing/backend_table.cc
@@ -79,7 +79,8 @@
   if (now - target.reported_at > limits_.load_report_lifetime) {
     return fair_quota;
   }
-  // This node may also use the part of the back end's limit that the other nodes leave unused.
+  // The back end reported its load recently, so this node may also use the part of the back end's
+  // limit that the other nodes leave unused.
   const auto in_flight_from_other_nodes = target.reported_in_flight > target.in_flight
                                               ? target.reported_in_flight - target.in_flight
                                               : 0;
--- a/src/routing/backend_table.h
+++ b/src/routing/backend_table.h
@@ -27,19 +27,19 @@
   std::uint64_t generation = 0;
   /// Whether the state in the machine list is `leaving`.
   bool is_listed_as_draining = false;
-  /// Number of calls in flight that this node sent.
+  /// Number of calls of this node that are in flight at the back end.
   std::uint32_t in_flight = 0;
   /// Time before which this node sends no calls to the back end, because of failed calls, overload
   /// answers or ejection.
   base::time_point avoid_until;
-  /// Latest backoff after a failed call; zero after a completed call.
+  /// Duration of the latest backoff after a failed call; each completed call resets it to zero.
   base::duration failure_backoff{};
   /// Moving average of the service time; zero before the first sample.
   base::duration average_latency{};
   /// Number of service times averaged since the last ejection.
   std::uint64_t samples = 0;
-  /// Number of calls in flight from all nodes that the back end last reported, and time of the
-  /// report.
+  /// Latest load report of the back end: number of calls of all nodes that are in flight there, and
+  /// the time at which the report arrived.
   std::uint32_t reported_in_flight = 0;
   base::time_point reported_at;
 };
@@ -51,23 +51,25 @@
   std::uint32_t call_quota = 1;
 };
 
-/// Limits and thresholds. Durations are measured by the boot clock.
+/// Limits and thresholds of backoff, ejection and the use of load reports. Durations are measured
+/// by the boot clock.
 struct routing_limits {
   base::duration overload_backoff = std::chrono::milliseconds(20);
   base::duration min_failure_backoff = std::chrono::milliseconds(100);
   base::duration max_failure_backoff = std::chrono::seconds(5);
   base::duration ejection_duration = std::chrono::seconds(3);
-  /// A back end is ejected at this ratio of its latency to the mean latency of the other back ends
-  /// of its pool.
+  /// A back end is ejected if its average latency is at least this multiple of the mean latency of
+  /// the other back ends of its pool. For ejection, the back ends of this node's zone and those of
+  /// all other zones count as two pools.
   double ejection_latency_ratio = 3.0;
   /// Minimum number of latency samples of a back end before it can be ejected or other back ends
   /// are compared with it.
   std::uint64_t min_ejection_samples = 8;
-  /// Maximum fraction of the back ends of a pool that are ejected or backing off; no back end is
-  /// ejected beyond this fraction.
+  /// No back end is ejected if then more than this fraction of the back ends of its pool would be
+  /// ejected or backing off.
   double max_ejected_fraction = 0.34;
-  /// Maximum age of a back end's load report. With a younger report, this node may exceed its fair
-  /// part of the back end's limit.
+  /// While the latest load report of a back end is at most this old, this node may use more than
+  /// its fair part of the back end's limit.
   base::duration load_report_lifetime = std::chrono::milliseconds(200);
   base::safety_switches switches;
 };
@@ -83,12 +85,13 @@
   /// longer listed are still counted.
   void update(const catalog::machine_map& machines);
 
-  /// Records that a back end drains at every published generation up to `generation`.
+  /// Records that a back end drains at its generation `generation` and at all earlier ones. The
+  /// platform increases the generation of a back end each time the back end returns.
   /// @return false if this was already known.
   bool mark_draining(const base::backend_id& id, std::uint64_t generation);
   [[nodiscard]] bool is_draining(const backend& target) const;
-  /// @return the drain notices: for each back end the latest generation at which it drains. States
-  ///         in the machine list are not included.
+  /// @return for each back end with a drain notice, the latest generation at which the back end
+  ///         drains. Back ends that drain only according to the machine list are not included.
   [[nodiscard]] const std::map<base::backend_id, std::uint64_t>& drain_notices() const {
     return draining_generations_;
   }
@@ -99,14 +102,15 @@
   ///        of the division.
   void set_sharing_nodes(std::uint32_t sharing_nodes, std::uint32_t own_rank);
 
-  /// @param ignore_limits whether to include back ends whose call quota is used up, for policies
-  ///        that enforce no limits.
-  /// @return usable back ends of this node's zone with a free slot; if there are none, usable back
-  ///         ends of other zones with a free slot.
+  /// @param ignore_limits whether back ends without a free slot are included as well; true for
+  ///        policies that enforce no limits.
+  /// @return the usable back ends of this node's zone that have a free slot; if there are none, the
+  ///         usable back ends of other zones that have a free slot.
   [[nodiscard]] std::vector<candidate> candidates(const base::pool_id& pool, base::time_point now,
                                                   bool ignore_limits) const;
-  /// @return number of calls that this node may have in flight in the pool: at the back ends of
-  ///         this node's zone that do not drain; if there are none, at those of other zones.
+  /// @return number of calls that this node may have in flight in the pool at the back ends that do
+  ///         not drain: at those of this node's zone or, if its zone has none, at those of other
+  ///         zones.
   [[nodiscard]] std::uint32_t slots(const base::pool_id& pool, base::time_point now) const;
   /// @return whether the pool has a back end that does not drain, including back ends that are
   ///         backing off or ejected.
@@ -132,8 +136,9 @@
                                                                base::time_point now) const;
 
  private:
-  /// Back ends of one pool. The two lists are separate because this node searches the thousands of
-  /// back ends of other zones only if its zone has no candidate.
+  /// Back ends of one pool, in one list for this node's zone and one for all other zones. The lists
+  /// are separate because this node searches the thousands of back ends of other zones only if its
+  /// own zone has no candidate.
   struct pool_members {
     std::vector<base::backend_id> own_zone;
     std::vector<base::backend_id> other_zones;
@@ -142,9 +147,11 @@
   /// @return number of calls that this node may have in flight at a back end.
   [[nodiscard]] std::uint32_t call_quota_of(const backend& target, base::time_point now) const;
   [[nodiscard]] bool is_usable(const backend& target, base::time_point now) const;
-  /// Ejects a back end that is much slower than its pool. @return whether it was ejected.
+  /// Ejects a back end if it is much slower than the other back ends of its pool.
+  /// @return whether it was ejected.
   bool eject_if_slow(backend& target, base::time_point now);
-  /// @return the usable back ends of a list that have a free slot.
+  /// @return the usable back ends of `members` that have a free slot; all usable ones if
+  ///         `ignore_limits` is set.
   [[nodiscard]] std::vector<candidate>
   members_with_free_slot(const std::vector<base::backend_id>& members, base::time_point now,
                          bool ignore_limits) const;
--- a/src/routing/balancing_policy.cc
+++ b/src/routing/balancing_policy.cc
@@ -66,9 +66,10 @@
   base::random_source* random_;
 };
 
-/// Chooses by the expected wait, computed from the calls of this node in flight and the latency.
-/// Calls with a prompt prefix go to the candidate that rendezvous hashing prefers for the prefix.
-/// Every candidate has a free slot, so the preference overloads no back end.
+/// For a call with a prompt prefix, chooses the candidate that rendezvous hashing prefers for the
+/// prefix. For any other call, draws two random candidates and chooses the one with the shorter
+/// expected wait, which is computed from the calls of this node in flight and the latency. Every
+/// candidate has a free slot, so the preference overloads no back end.
 class adaptive final : public balancing_policy {
  public:
   explicit adaptive(base::random_source& random) : random_(&random) {}
--- a/src/routing/balancing_policy.h
+++ b/src/routing/balancing_policy.h
@@ -25,13 +25,13 @@
   adaptive,
 };
 
-/// Properties of the call that a policy may use.
+/// Properties of a call by which a policy may choose its back end.
 struct call_hint {
   /// Stable hash of the prompt prefix; 0 if the call has no preferred back end.
   std::uint64_t affinity = 0;
 };
 
-/// Chooses among candidates. Not thread-safe.
+/// Chooses one of several candidate back ends for a call. Not thread-safe.
 class balancing_policy {
  public:
   balancing_policy() = default;
--- a/src/routing/latency_estimator.cc
+++ b/src/routing/latency_estimator.cc
@@ -6,7 +6,7 @@
 namespace spurrack::routing {
 namespace {
 
-/// Upper bound of the first bucket.
+/// Upper bound of the first bucket of the histogram.
 constexpr double first_bucket_microseconds = 50.0;
 /// Natural logarithm of the ratio between the upper bounds of adjacent buckets.
 const double log_bucket_growth = std::log(1.1);
--- a/tests/admission/scheduling_test.cc
+++ b/tests/admission/scheduling_test.cc
@@ -1,5 +1,5 @@
-/// Fair queueing, retry budgets, latency estimates, call quotas, ejection, drain notices,
-/// admission.
+/// Tests of fair queueing, retry budgets, latency estimates, call quotas, ejection, drain notices
+/// and admission.
 #include "admission/retry_budget.h"
 #include "admission/stage_queue.h"
 #include "admission/stage_scheduler.h"
--- a/tests/idempotency/witness_test.cc
+++ b/tests/idempotency/witness_test.cc
@@ -1,4 +1,4 @@
-/// Key grants of witnesses, key acquisitions, witness lists and tickets.
+/// Tests of key grants of witnesses, key acquisitions, witness lists and tickets.
 #include "idempotency/key_acquisition.h"
 #include "idempotency/ticket.h"
 #include "idempotency/witness_lists.h"
