--- a/src/backends/call_codec.h
+++ b/src/backends/call_codec.h
@@ -31,7 +31,8 @@
   explicit event_stream_decoder(base::call_id call) : call_(call) {}
 
   /// Decodes the next bytes of the stream; incomplete events are buffered.
-  /// @return the items that these bytes complete; std::nullopt if an event is malformed.
+  /// @return the contents of the events that these bytes complete; std::nullopt if an event is
+  ///         malformed.
   std::optional<std::vector<stream_item>> feed(std::string_view bytes);
 
  private:
--- a/src/backends/http_backend_client.cc
+++ b/src/backends/http_backend_client.cc
@@ -90,8 +90,8 @@
   }
 
   asio::awaitable<bool> connect(call_state& state) {
-    // If an idle connection closes during the write, it is unknown whether the call ran. Therefore
-    // calls that must not be repeated use a new connection.
+    // If a back end closes an idle connection while a call is being written to it, it is unknown
+    // whether the call ran. Therefore calls that must not be repeated use a new connection.
     if (state.call.repeatable) {
       state.stream = take_idle(state.call.address);
       if (state.stream) {
@@ -184,8 +184,8 @@
   }
 
   /// Reads the next bytes of the body.
-  /// @return std::nullopt on an error; may be empty at the end of the body or if only framing
-  /// arrived.
+  /// @return the bytes, which may be none at the end of the body or if only framing arrived;
+  ///         std::nullopt on an error.
   static asio::awaitable<std::optional<std::string>>
   read_chunk(call_state& state, beast::flat_buffer& buffer,
              http::response_parser<http::buffer_body>& parser) {
--- a/src/base/due_times.h
+++ b/src/base/due_times.h
@@ -1,4 +1,4 @@
-/// Schedule of items with due times, which finds the due items without checking all items.
+/// Schedule of keys with due times, which finds the keys that are due without checking all keys.
 #pragma once
 
 #include "base/time.h"
--- a/src/base/event_log.cc
+++ b/src/base/event_log.cc
@@ -6,7 +6,7 @@
 namespace spurrack::base {
 namespace {
 
-/// Names of the kinds, in the order of `event_kind`.
+/// Names of the kinds of events, in the order of `event_kind`.
 constexpr std::array<std::string_view, event_kind_count> names{"node_started",
                                                                "node_ready",
                                                                "node_stopping",
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -1,4 +1,4 @@
-/// Events of one node for the timeline of the fleet, in a ring buffer of typed entries.
+/// Ring buffer in which a node records its events, as typed entries, for the timeline of the fleet.
 #pragma once
 
 #include "base/hybrid_clock.h"
@@ -12,7 +12,7 @@
 
 namespace spurrack::base {
 
-/// Kind of an event. The names that `name_of` returns are stable because tools parse them.
+/// Kind of an event. The names that `name_of` returns must not change because tools parse them.
 enum class event_kind : std::uint8_t {
   node_started,
   node_ready,
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -47,9 +47,9 @@
 using call_id = std::uint64_t;
 /// Number of a request of a caller or a client, unique within one incarnation of a node.
 using caller_id = std::uint64_t;
-/// Incarnation of a node's process; a higher number is a later incarnation. Taken from the wall
-/// clock at the start of the process, and increased to refute gossip that reports the node as
-/// suspected or dead.
+/// Number of an incarnation of a node; a later incarnation has a higher number. The number is taken
+/// from the wall clock at the start of the process. The process increases its number to refute
+/// gossip that reports the node as suspected or dead.
 using incarnation = std::uint64_t;
 /// Revision of a published record, assigned by the service that publishes it.
 using revision = std::uint64_t;
--- a/src/base/safety_switches.h
+++ b/src/base/safety_switches.h
@@ -7,11 +7,11 @@
 
 struct safety_switches {
   /// A request with an idempotency key runs only if a majority of the key's witnesses, the nodes
-  /// that record the key, granted the key.
+  /// that record the key, granted the key to this request.
   bool witness_majority = true;
   /// A witness grants no key until its process has run for the maximum lifetime of a key.
   bool young_witness_wait = true;
-  /// Only the incarnation of a node that issued a ticket redeems the ticket.
+  /// Only the node that issued a ticket redeems the ticket, and only in the same incarnation.
   bool ticket_binds_process = true;
   /// A call that must not run twice is not retried once it may have been sent.
   bool no_repeat_after_send = true;
--- a/src/http/caller_request_parser.cc
+++ b/src/http/caller_request_parser.cc
@@ -16,8 +16,8 @@
 constexpr std::string_view pipelines_path = "/v1/pipelines/";
 constexpr std::string_view tickets_path = "/v1/tickets";
 constexpr std::string_view bearer_prefix = "Bearer ";
-/// Maximum number of bytes of an idempotency key or a ticket, and of a path that is quoted in an
-/// error.
+/// Maximum number of bytes of an idempotency key and of a ticket. An error quotes at most as many
+/// bytes of an unknown path.
 constexpr std::size_t max_value_bytes = 256;
 constexpr std::size_t max_json_depth = 8;
 
--- a/src/http/caller_request_parser.h
+++ b/src/http/caller_request_parser.h
@@ -14,7 +14,7 @@
 
 using http_request = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// Request for a ticket, which permits one later request to run once.
+/// Request for a ticket. The ticket is the permission to run one later request once.
 struct ticket_request {
   std::string token_sha256;
 };
--- a/src/http/caller_server.cc
+++ b/src/http/caller_server.cc
@@ -235,7 +235,7 @@
     if (exchange->is_disconnected || !keep_serving) {
       observer_.on_disconnected({caller});
     }
-    // Ends `watch_for_disconnect`, which must not outlive the stream.
+    // Ends `watch_for_disconnect`, which must not outlive `stream`.
     boost::system::error_code ignored;
     stream.socket().cancel(ignored);
     co_await wait_for_watch(*exchange);
--- a/src/http/caller_server.h
+++ b/src/http/caller_server.h
@@ -38,8 +38,8 @@
   virtual void send_answer(base::caller_id caller, execution::answer content) = 0;
   virtual void send_token(base::caller_id caller, std::uint32_t offset, std::string text) = 0;
   virtual void send_ticket(base::caller_id caller, std::string ticket, base::duration lifetime) = 0;
-  /// Accepts the connections that are already established, then stops accepting. Open connections
-  /// are closed after their next answer.
+  /// Accepts the connections that are already established, then stops accepting. From now on, a
+  /// connection is closed after the next request that arrives on it has been answered.
   virtual void stop_accepting() = 0;
   /// @return number of connections on which a request has begun to arrive and is not answered yet;
   ///         during a graceful stop also connections whose first request may still arrive.
--- a/src/http/ingress_server.cc
+++ b/src/http/ingress_server.cc
@@ -67,10 +67,11 @@
 constexpr base::duration min_stall_duration = std::chrono::seconds(2);
 /// Minimum interval between two searches for the slowest clients; a search checks all clients.
 constexpr base::duration min_relief_interval = std::chrono::milliseconds(100);
-/// Divisor of the byte budget: a search for the slowest clients frees at least the fraction 1 /
-/// `relief_divisor` of the budget, if the answers of slow clients hold as much.
+/// A search for the slowest clients frees at least the fraction 1 / `relief_divisor` of the byte
+/// budget, if the answers that may be aborted hold as much.
 constexpr std::size_t relief_divisor = 20;
-/// Retry-After of requests that are refused for lack of memory or connections.
+/// Value of Retry-After, in seconds, in the answer to a request that is refused for lack of memory,
+/// or to a connection that is refused because too many connections are open.
 constexpr const char* retry_after_seconds = "0.500";
 
 /// Bytes of an answer to write to a client (a head, a body or a chunk), and their memory
@@ -120,7 +121,7 @@
   /// Whether an asynchronous write is in progress; later bytes must wait until it ends.
   bool is_writing = false;
   bool head_only = false;
-  /// Whether the answer is a stream, and its head was queued.
+  /// Whether the answer is a stream whose head was queued.
   bool is_streaming = false;
   after_answer connection = after_answer::keep_open;
 };
@@ -459,7 +460,7 @@
       co_return false;
     }
     stream.expires_never();
-    // The connection needs no buffer while it waits for the answer.
+    // The connection needs no read buffer while its client waits for the answer.
     buffer.shrink_to_fit();
     co_return co_await answer(stream, parser, arrived_at, std::move(body_reservation));
   }
@@ -475,9 +476,9 @@
     return required <= reservation.bytes() || reservation.grow(use, required - reservation.bytes());
   }
 
-  /// Reads a body as far as memory allows.
+  /// Reads a body until it is complete or memory runs out.
   /// @param has_memory set to false if memory ran out.
-  /// @return the error, if any.
+  /// @return the error of the read, if any.
   static asio::awaitable<boost::system::error_code>
   read_body(beast::tcp_stream& stream, beast::flat_buffer& buffer,
             beast_http::request_parser<beast_http::string_body>& parser,
@@ -529,7 +530,7 @@
       observer_.on_disconnected(
           {client, exchange->abort_reason.value_or(serving::disconnect_reason::closed)});
     }
-    // Ends `watch_for_disconnect`, which must not outlive the stream.
+    // Ends `watch_for_disconnect`, which must not outlive `stream`.
     boost::system::error_code ignored;
     stream.socket().cancel(ignored);
     while (!exchange->has_watch_ended) {
@@ -568,7 +569,7 @@
     exchange->has_watch_ended = true;
     exchange->wake.cancel();
     if (exchange->is_disconnected) {
-      // A write that is blocked by a full send buffer would delay the end of the exchange.
+      // Cancels a write that a full send buffer blocks: it would delay the end of the exchange.
       stream.socket().cancel(error);
     }
   }
--- a/src/http/ingress_server.h
+++ b/src/http/ingress_server.h
@@ -41,8 +41,8 @@
   base::duration closed_window_time{};
   /// Number of answers aborted because the client read nothing for too long.
   std::uint64_t aborted_unread = 0;
-  /// Number of answers aborted because the client was the slowest reader when memory for answers
-  /// ran out, or because there was no memory for an event of its stream.
+  /// Number of answers aborted because the client was one of the slowest readers when memory for
+  /// answers ran short, or because there was no memory for an event of its stream.
   std::uint64_t aborted_for_memory = 0;
   /// Number of requests refused because there was no memory for their body.
   std::uint64_t refused_for_memory = 0;
@@ -67,7 +67,8 @@
 
   /// Sets the limits on size and time for requests that begin to arrive from now on.
   virtual void set_limits(const model::client_limits& limits) = 0;
-  /// Begins a graceful stop: from now on, answers announce that their connection closes.
+  /// Begins a graceful stop: from now on, each answer announces that the connection will be closed
+  /// after this answer.
   virtual void begin_stop() = 0;
   /// Accepts the connections that are already established, then stops accepting.
   virtual void stop_accepting() = 0;
--- a/src/http/read_deadline.h
+++ b/src/http/read_deadline.h
@@ -1,4 +1,4 @@
-/// Deadline for reads that leaves the connection open when it passes.
+/// Deadline for reads from a connection. The connection stays open when the deadline passes.
 #pragma once
 
 #include "base/time.h"
--- a/src/http/socket_options.cc
+++ b/src/http/socket_options.cc
@@ -15,9 +15,10 @@
   const auto timeout_milliseconds = static_cast<unsigned>(tcp_user_timeout.count());
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_milliseconds,
                sizeof(timeout_milliseconds));
-  // A peer that lost power sends no reset: only unacknowledged data or probes reveal the loss.
+  // A peer that lost power sends no reset: only data or keep-alive probes that it does not
+  // acknowledge reveal the loss.
   socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
-  constexpr int probe_seconds = 1; // The minimum that the kernel accepts.
+  constexpr int probe_seconds = 1; // The kernel accepts no shorter keep-alive times.
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_KEEPIDLE, &probe_seconds,
                sizeof(probe_seconds));
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_KEEPINTVL, &probe_seconds,
--- a/src/peers/zmq_transport.cc
+++ b/src/peers/zmq_transport.cc
@@ -21,17 +21,18 @@
 /// catalog holds several values.
 constexpr std::int64_t max_message_bytes = 64'000'000;
 constexpr int connect_retry_interval_milliseconds = 100;
-/// Time after which an attempt to connect is abandoned and retried: five times the longest round
-/// trip between regions. The kernel retransmits a lost SYN only after a second, and the first SYNs
-/// of nodes that restart together reach machines that are not up yet: after a power loss of all
-/// machines, 86 nodes knew no other node for 1.5 s, and each node batched stage calls on its own.
+/// Time after which an attempt to connect is abandoned and another one follows: five times the
+/// longest round trip between regions. The kernel retransmits a lost SYN only after a second, which
+/// is too late for nodes that restart together, whose first SYNs reach machines that are not up
+/// yet. After a power loss of all machines, 86 nodes knew no other node for 1.5 s, and each of them
+/// batched stage calls on its own.
 constexpr int connect_timeout_milliseconds = 200;
 constexpr int max_connect_retry_interval_milliseconds = 1'000;
-/// TCP closes a connection whose peer does not respond: an idle connection after a second and two
-/// probes a second apart, a connection with unacknowledged bytes after two seconds. ZeroMQ
-/// heartbeats are not used: they cost two messages per second and connection, and their processor
-/// time grows with the square of the number of connections, since libzmq searches all its timers to
-/// cancel one timer.
+/// TCP closes a connection whose peer does not respond. It closes an idle connection after a second
+/// without traffic and two unanswered probes, sent a second apart; it closes a connection with
+/// unacknowledged bytes after two seconds. ZeroMQ heartbeats are not used: on each connection they
+/// cost two messages per second, and their processor time grows with the square of the number of
+/// connections, since libzmq searches all its timers to cancel one timer.
 constexpr int keepalive_idle_seconds = 1;
 constexpr int keepalive_interval_seconds = 1;
 constexpr int keepalive_probes = 2;
--- a/src/publication/http_publication_client.h
+++ b/src/publication/http_publication_client.h
@@ -1,5 +1,6 @@
-/// Reads the platform's services over HTTP: `GET /v1/entries?after=R&wait_ms=W`. docs/PLATFORM.md
-/// describes the protocol.
+/// Reads the platform's services over HTTP: `GET /v1/entries?after=R&wait_ms=W` asks for the
+/// entries that changed after revision R. While there are none, the service may delay its answer
+/// for up to W milliseconds. docs/PLATFORM.md describes the protocol.
 #pragma once
 
 #include "publication/publication_client.h"
--- a/src/publication/publication_client.h
+++ b/src/publication/publication_client.h
@@ -1,6 +1,6 @@
 /// Reads from the two read-only services of the platform: the configuration and the machine list
 /// (`node::source_kind`). The interface is narrow so that the protocol of the real services can
-/// replace the protocol of the emulated service with changes to this folder only.
+/// replace the protocol of the emulated services with changes to this folder only.
 #pragma once
 
 #include "node/events.h"
@@ -9,9 +9,9 @@
 
 namespace spurrack::publication {
 
-/// Callbacks, called on the thread of the io_context. For each read exactly one of the two is
-/// called, unless a later read of the same service cancels the earlier read. A failed probe calls
-/// `on_failure`.
+/// Callbacks, called on the thread of the io_context. For each read, either `on_answer` or
+/// `on_failure` is called, exactly once; neither is called if a later read of the same service
+/// cancels the read. `on_failure` is also called for each probe that fails.
 struct read_observer {
   std::function<void(node::service_answered)> on_answer;
   std::function<void(node::service_failed)> on_failure;
@@ -28,8 +28,8 @@
   /// Begins a read. The service may hold the read, that is, delay its answer until the service has
   /// a revision later than `command.after` (long polling).
   virtual void read(const node::read_service& command) = 0;
-  /// Sends a small query to the service, to check that it still answers. Reports only a failure,
-  /// with `on_failure`.
+  /// Sends a small query to the service, to check that the service still answers. If it does not,
+  /// `on_failure` is called; if it does, no callback is called.
   virtual void probe(const node::probe_service& command) = 0;
 };
 
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -136,9 +136,9 @@
   section->finish();
 }
 
-/// Time between the end of a graceful stop, at which the remaining requests are aborted, and the
-/// time at which the process is killed: half a second to write the last answers and 0.2 s for a
-/// delayed process.
+/// Time from the end of a graceful stop until the process is killed: half a second to write the
+/// last answers, and 0.2 s for a delayed process. At the end of the stop, the remaining requests
+/// are aborted.
 constexpr double stop_margin_seconds = 0.7;
 
 /// Time within which a published change that one node has read reaches all other nodes.
@@ -153,8 +153,8 @@
 /// Reads the time limits within which changes must be in effect, and derives the timing of watches
 /// from them. A watch is a long poll: the store holds it, that is, delays its answer, until there
 /// is a change or the hold time has passed. If a watch is lost when a disturbance such as a
-/// partition begins, the loss is detected only after the hold time; a change that is published
-/// after the disturbance must be in effect within its limit nevertheless.
+/// partition begins, the loss is detected only after the hold time. Nevertheless, a change that is
+/// published after the disturbance must be in effect within its time limit.
 catalog::watch_timing read_watch_timing(mapping_reader& section) {
   constexpr std::int64_t max_milliseconds = 60'000;
   constexpr std::int64_t default_milliseconds = 2'000;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -58,7 +58,7 @@
 };
 
 struct settings_result {
-  /// std::nullopt if there are any faults.
+  /// std::nullopt if the settings have any faults.
   std::optional<daemon_settings> value;
   std::vector<model::document_fault> faults;
 };
--- a/src/upstream/replica_client.cc
+++ b/src/upstream/replica_client.cc
@@ -131,8 +131,9 @@
   return raw;
 }
 
-/// @return the idle timeout that the replica announces in Keep-Alive, or `default_idle_timeout` if
-///         it announces no timeout, minus `idle_timeout_margin`.
+/// @return the idle timeout of the replica's connection, shortened by `idle_timeout_margin`. The
+///         idle timeout is the one that the replica announces in Keep-Alive; if it announces none,
+///         `default_idle_timeout`.
 base::duration idle_timeout_of(const response_parser& parser) {
   const auto text = parser.get()[beast_http::field::keep_alive];
   const auto position = text.find("timeout=");
@@ -235,7 +236,7 @@
     }
   }
 
-  /// Waits until the call is not paused, or is cancelled.
+  /// Waits while the call is paused; stops waiting if the call is cancelled.
   static asio::awaitable<void> wait_while_paused(const std::shared_ptr<call_state>& state) {
     boost::system::error_code ignored;
     while (state->is_paused && !state->is_cancelled) {
@@ -274,7 +275,8 @@
     co_return !state->is_cancelled;
   }
 
-  /// Removes a call and reports its final event, unless the call was cancelled.
+  /// Does nothing if the call was cancelled. Otherwise, removes the call and reports its final
+  /// event.
   void report(const std::shared_ptr<call_state>& state, base::call_id id,
               serving::event final_event) {
     if (!state->is_cancelled) {
@@ -400,8 +402,8 @@
                                                           : max_low_memory_read_bytes;
   }
 
-  /// Reads the rest of the body, waiting for memory as needed. @return whether the body is
-  /// complete.
+  /// Reads the rest of the body of an answer; waits until memory is available as needed. @return
+  /// whether the body is complete.
   asio::awaitable<bool> read_body(const std::shared_ptr<call_state>& state, response_parser& parser,
                                   buffered_answer& answer) {
     auto& body = answer.body;
@@ -448,7 +450,7 @@
     }
   }
 
-  /// Decodes the head of an answer, and passes what the answer reports of its replica to the event
+  /// Decodes the head of an answer, and passes what the head reports about the replica to the event
   /// handler.
   serving::answer_head head_of(const response_parser& parser, const outgoing_call& call) {
     auto raw = raw_answer_of(parser);
--- a/tests/http/planned_stop_test.cc
+++ b/tests/http/planned_stop_test.cc
@@ -103,7 +103,8 @@
   std::atomic<int> disconnected = 0;
 };
 
-/// Stops a server while clients connect to it in a loop until their connections are refused.
+/// Stops a server under load: meanwhile, each client connects and sends a request, again and again,
+/// until its connection is refused.
 void stop_under_load(exchange_counts& counts) {
   constexpr int clients = 6;
   server_on_own_thread server;
@@ -131,8 +132,8 @@
 BOOST_AUTO_TEST_SUITE(planned_stop)
 
 BOOST_AUTO_TEST_CASE(connections_established_while_the_listener_closes_are_answered) {
-  // Several servers at once compete for the processor, so that connections arrive between two steps
-  // of a stop.
+  // Several servers run at once and compete for the processor, so that connections arrive between
+  // two steps of a stop.
   constexpr int repetitions = 6;
   constexpr int servers_at_once = 10;
   exchange_counts counts;
--- a/tests/upstream/connection_pool_test.cc
+++ b/tests/upstream/connection_pool_test.cc
@@ -1,5 +1,6 @@
-/// Reuse and removal of idle connections. The connections to an address are closed when the replica
-/// at the address has restarted, so that calls use new connections. The sockets are not connected.
+/// Reuse and removal of idle connections. When the replica at an address has restarted, the idle
+/// connections to this address are closed, so that calls use new connections. The sockets in these
+/// tests are not connected.
 #include "upstream/connection_pool.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/wire/older_builds_test.cc
+++ b/tests/wire/older_builds_test.cc
@@ -1,7 +1,7 @@
 /// Messages between nodes of this build and of older builds, which run side by side while machines
 /// are replaced. `recorded/` holds the message descriptors of earlier builds and, for each kind of
-/// message, one message with all fields set, as the earlier build sends it. With
-/// SPURRACK_RECORD_MESSAGES=1 the test writes the messages of an added descriptor.
+/// message, one message with all fields set, as the earlier build sends it. After a descriptor was
+/// added, a run of the test with SPURRACK_RECORD_MESSAGES=1 writes its messages.
 #include "wire/peer.pb.h"
 
 #include <google/protobuf/descriptor.pb.h>
