--- a/src/ctl/check.h
+++ b/src/ctl/check.h
@@ -1,4 +1,4 @@
-/// Offline validation of published records and of settings.
+/// Offline validation of files: records to be published, and settings of spurrackd.
 #pragma once
 
 #include <ostream>
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -46,7 +46,7 @@
     "Exit codes: 0 success, 1 something is refused or not ready, 2 bad usage, 3 a node did not "
     "answer.\n";
 
-/// Reads log files. Prints the numbers of unreadable and dropped lines to standard error.
+/// Reads log files. If lines were unreadable or dropped, prints how many of each to standard error.
 /// @return std::nullopt if a file cannot be read.
 std::optional<spurrack::ctl::request_log> read_logs(const std::vector<std::string>& files) {
   spurrack::ctl::request_log log;
--- a/src/ctl/reports.cc
+++ b/src/ctl/reports.cc
@@ -181,8 +181,8 @@
   out << json::serialize(body) << "\n";
 }
 
-/// @return whether the nodes of a `status` report are ready and have no rejected entries; true for
-///         all other commands.
+/// @return whether each node that answered `status` is ready and has no rejected entries; true if
+///         the command is not `status`.
 bool all_healthy(const std::string& command, const std::vector<node_document>& documents) {
   if (command != "status") {
     return true;
--- a/src/ctl/reports.h
+++ b/src/ctl/reports.h
@@ -11,7 +11,7 @@
 
 /// Fetches the document for a command from each node and prints the documents. If a node does not
 /// answer, the documents of the other nodes are printed nevertheless.
-/// @param arguments for `explain`, the request id.
+/// @param arguments the request id if the command is `explain`; not used by any other command.
 /// @param nodes operator listeners, `IP:port`.
 /// @return `unreachable` if any node did not answer; `problem_found` if `status` shows a node that
 ///         is not ready or has rejected entries; `bad_usage` if the command is unknown.
--- a/src/ctl/request_log.cc
+++ b/src/ctl/request_log.cc
@@ -66,8 +66,8 @@
   std::string route;
   std::uint64_t received_us = 0;
   std::uint64_t answered_us = 0;
-  /// Status of the answer, or `broken off` if its stream was aborted; empty if the log has no
-  /// answer.
+  /// Status of the answer, `0` if the client disconnected, or `broken off` if the answer was a
+  /// stream that was aborted; empty if the log has no answer.
   std::string answer;
   std::string reason;
   std::size_t retries = 0;
@@ -120,7 +120,8 @@
   return !outcome.answer.empty() && !is_served(outcome) && outcome.answer != "0";
 }
 
-/// Sets the median and the maximum time of the refused and failed requests of a route.
+/// Sets the median and the maximum of the times from arrival to answer, over the refused and failed
+/// requests of a route.
 void set_unserved_times(std::vector<std::uint64_t> unserved_ms, route_summary& summary) {
   if (unserved_ms.empty()) {
     return;
--- a/src/ctl/request_log.h
+++ b/src/ctl/request_log.h
@@ -13,7 +13,8 @@
 
 /// One log line about a request.
 struct request_event {
-  /// Wall clock time of the node in microseconds; the clocks of nodes differ.
+  /// Time of the event in microseconds, by the wall clock of the node that logged it; the clocks of
+  /// nodes differ.
   std::uint64_t at_us = 0;
   std::string node;
   /// Name of a `base::event_kind`.
@@ -37,7 +38,8 @@
 /// line is ignored, since some log collectors add a prefix.
 void read_log(std::istream& lines, request_log& log);
 
-/// @return the events of one request, ordered by the clocks of their nodes.
+/// @return the events of one request, ordered by time (`at_us`), although the clocks of nodes
+///         differ.
 std::vector<request_event> events_of(const request_log& log, const std::string& request);
 
 /// Outcomes of the requests of one route.
@@ -47,7 +49,8 @@
   std::size_t served = 0;
   /// Requests answered with status 429 or 503, which means that they were not run.
   std::size_t refused = 0;
-  /// Requests that failed in any other way, including aborted streams.
+  /// Requests whose answer was an aborted stream, or had a status other than 2xx, 429, 503 and 0
+  /// (client disconnected).
   std::size_t failed = 0;
   std::size_t client_disconnected = 0;
   /// Requests without an answer in the log.
@@ -62,7 +65,7 @@
   [[nodiscard]] double nines() const;
 };
 
-/// Number of requests of a route that were refused or failed for one reason.
+/// Reason for which requests of a route were refused or failed, and the number of these requests.
 struct failure_cause {
   std::string route;
   /// Status and reason of the answer, with each run of digits replaced by `#`.
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -70,8 +70,8 @@
         io, std::move(*settings),
         {spurrack::platform::make_http_codec(), spurrack::platform::make_store_client},
         [path] { return read_settings(path); });
-    // A SIGHUP that arrived during the start takes effect now: the settings file may have changed
-    // after it was read.
+    // Unblocking delivers a SIGHUP that arrived during the start, so that the settings file is read
+    // again: the file may have changed since its first reading.
     mask_reload_signal(SIG_UNBLOCK);
     io.run();
   } catch (const std::exception& error) {
--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -99,7 +99,7 @@
   add_counter(registry, name, help, static_cast<double>(value));
 }
 
-/// @return a function that adds a counter to a registry.
+/// @return a function that adds one counter, given by its name, help text and value, to `registry`.
 auto count_adder(Registry& registry) {
   return [&registry](const char* name, const char* help, std::uint64_t value) {
     add_count(registry, name, help, value);
@@ -248,7 +248,7 @@
             static_cast<double>(dispatcher.crashes().all().size()));
 }
 
-/// Adds the metrics of the self-reports that replicas send in their answers.
+/// Adds to `registry` the metrics about the self-reports that replicas send in their answers.
 void add_self_reports(Registry& registry, const serving::dispatcher& dispatcher) {
   const auto& counts = dispatcher.replica_self_reports().counts();
   const auto add = count_adder(registry);
--- a/src/daemon/operator_documents.cc
+++ b/src/daemon/operator_documents.cc
@@ -207,8 +207,8 @@
   return {{"replicas", std::move(replicas)}};
 }
 
-/// Returns the replicas that are sent no requests because they announced their drain or requested a
-/// backoff from this node.
+/// Returns the replicas to which this node sends no requests, because they announced their drain or
+/// because a backoff that they requested from this node has not ended yet.
 json::object unavailable_document(const node::node& subject, base::time_point now) {
   json::array replicas;
   if (const auto* serving = subject.serving()) {
--- a/src/daemon/operator_documents.h
+++ b/src/daemon/operator_documents.h
@@ -11,7 +11,7 @@
 
 namespace spurrack::daemon {
 
-/// State of the network adapters of the process, which the node itself does not know.
+/// State of the network adapters of the process. The node itself does not know this state.
 struct process_stats {
   std::uint64_t dropped_peer_messages = 0;
   std::size_t busy_connections = 0;
--- a/src/daemon/runtime.cc
+++ b/src/daemon/runtime.cc
@@ -19,10 +19,11 @@
 /// Minimum time from the end of a graceful stop to the exit of the process. In this time requests
 /// can still arrive on the connections that were accepted last.
 constexpr std::chrono::milliseconds min_exit_delay{200};
-/// Time for which a stopping process writes answers after its node has aborted the remaining
-/// requests. After this time the process exits even if some clients have not read their answers or
-/// some connections have no request: the process is killed 0.7 s after the requests are aborted,
-/// and the kill would also cut off the clients that do read.
+/// Time that a stopping process has to write the remaining answers, after its node has aborted the
+/// remaining requests. After this time the process exits, even if some clients have not read their
+/// answers or no request has arrived yet on some new connections. The process must exit by itself,
+/// since it is killed 0.7 s after the requests are aborted, and the kill would also cut off the
+/// clients that do read.
 constexpr std::chrono::milliseconds last_answers_timeout{500};
 
 std::uint64_t random_seed() {
@@ -144,8 +145,9 @@
   const auto now = base::boot_clock::now();
   const auto next_wakeup = node_.next_wakeup();
   if (wakeup_at_ && *wakeup_at_ > now && *wakeup_at_ <= next_wakeup) {
-    // Each event of a stream postpones the next wakeup time. The pending timer is kept and set
-    // again when it has fired, instead of being set again for each event.
+    // Each event of a streamed answer moves the node's next wakeup time to a later time. The timer
+    // is not set again for each such event: the pending timer stays, fires too early, and is then
+    // set to the node's wakeup time at that moment.
     return;
   }
   wakeup_at_ = next_wakeup;
@@ -257,7 +259,8 @@
     logging::write(logging::severity::warning, "settings not reloaded", {{"reason", fault}});
     return;
   }
-  // Addresses and limits of connections keep their values until the process is restarted.
+  // Only the seeds are applied. Changes of other settings, such as addresses and connection limits,
+  // take effect when the process is restarted.
   post(node::seeds_changed{loaded.value->node.seeds});
   logging::write(logging::severity::info, "settings reloaded",
                  {{"seeds", std::to_string(loaded.value->node.seeds.size())}});
--- a/src/daemon/runtime.h
+++ b/src/daemon/runtime.h
@@ -24,7 +24,8 @@
 
 namespace spurrack::daemon {
 
-/// Adapters for the protocols of the users' platform, used by the serving path.
+/// Adapters of the serving path to the protocols of the users' platform: the codec for requests,
+/// and the factory for clients of the platform's store.
 struct platform_adapters {
   std::unique_ptr<serving::request_codec> codec;
   std::function<std::unique_ptr<publication::publication_client>(
@@ -47,7 +48,7 @@
 
  private:
   /// Queues an event for the node. The node receives the event in a later handler of the
-  /// io_context, so never while it handles another event.
+  /// io_context, never while the node is handling another event.
   void post(node::event input_event);
   /// Handles the events that are queued at the time of the call, in order.
   void handle_queued_events();
@@ -72,7 +73,9 @@
   /// the latest at `exit_deadline_`.
   void exit_when_idle();
   void log_answer(const execution::answer& content);
-  /// Writes the last log line of a graceful stop, with the outcomes of requests during the stop.
+  /// Writes the last log line of a graceful stop. If the node serves published routes, the line
+  /// shows how many requests the node accepted, refused, ended without sending them to a replica,
+  /// and aborted during the stop.
   void log_stopped() const;
 
   boost::asio::io_context* io_;
@@ -91,15 +94,15 @@
   /// Published configuration whose limits on clients are in effect.
   std::shared_ptr<const model::serving_configuration> applied_configuration_;
   std::unique_ptr<http::operator_server> operators_;
-  /// Events that have not been handled yet.
+  /// Posted events that the next `handle_queued_events` will handle, in order.
   std::vector<node::event> queued_events_;
   boost::asio::steady_timer wakeup_;
   /// Time at which `wakeup_` fires; std::nullopt if it is not armed.
   std::optional<base::time_point> wakeup_at_;
   boost::asio::steady_timer exit_timer_;
   base::time_point earliest_exit_at_;
-  /// Time from which a stopping process exits even if connections are busy; unlimited if the node
-  /// does not serve published routes.
+  /// Time from which a stopping process exits even if connections are busy. `time_point::max()`
+  /// before the stop begins, and always if the node does not serve published routes.
   base::time_point exit_deadline_ = base::time_point::max();
   boost::asio::signal_set signals_;
 };
--- a/src/simulation/emulated_backend.cc
+++ b/src/simulation/emulated_backend.cc
@@ -88,7 +88,8 @@
   if (!profile_.has_early_first_token || call.kind != model::stage_kind::generate) {
     return;
   }
-  // The prompt takes the same fraction of the sampled call time as of the mean call time.
+  // Processing the prompt takes the same fraction of the sampled call time as of the mean call
+  // time.
   const double prompt_seconds = base::to_seconds(profile_.service_time);
   const double token_seconds = call.max_tokens * base::to_seconds(profile_.time_per_token);
   const auto delay = base::from_seconds(base::to_seconds(call_time) * prompt_seconds /
--- a/src/simulation/emulated_platform.h
+++ b/src/simulation/emulated_platform.h
@@ -31,7 +31,8 @@
   /// Publishes a value, or deletes the key if `value` is std::nullopt.
   /// @return revision of the change.
   base::revision publish(const std::string& key, std::optional<std::string> value);
-  /// Sets the revision back to `revision` and removes the entries that were published later.
+  /// Sets the latest revision back to `revision` and removes each entry whose last change has a
+  /// later revision. The earlier value of such an entry is not restored.
   void restore(base::revision revision);
   void set_mode(platform_mode mode);
 
@@ -48,12 +49,13 @@
     ++probes_;
     return mode_ != platform_mode::down;
   }
-  /// @return number of probes. A probe costs the platform a tenth of a read.
+  /// @return number of probes. A probe costs the platform a tenth of what a read costs.
   [[nodiscard]] std::uint64_t probes() const { return probes_; }
   [[nodiscard]] base::revision revision() const { return revision_; }
-  /// @return number of reads, without probes.
+  /// @return number of reads that the platform received; probes are not counted.
   [[nodiscard]] std::uint64_t calls() const { return calls_; }
-  /// @return number of reads from the beginning, which return all entries.
+  /// @return number of reads whose `request.after` is 0; such a read asks for all entries of a
+  ///         source.
   [[nodiscard]] std::uint64_t listings() const { return listings_; }
 
  private:
--- a/src/simulation/fleet_simulation.cc
+++ b/src/simulation/fleet_simulation.cc
@@ -331,8 +331,8 @@
   const auto is_reachable = [this, name] { return can_reach_platform(nodes_.at(name)); };
   const auto source = static_cast<std::size_t>(request.source);
   const auto read_number = ++instance.service_reads_started[source];
-  // Answers to earlier reads of the source are ignored, as in the client of the store that the
-  // daemon uses.
+  // If the node has started a later read of the same source before the platform answers, the result
+  // of this read is dropped, as in the daemon's client of the platform's store.
   const auto is_latest = [this, name, source, read_number] {
     return nodes_.at(name).service_reads_started[source] == read_number;
   };
--- a/src/simulation/fleet_simulation.h
+++ b/src/simulation/fleet_simulation.h
@@ -38,8 +38,8 @@
 };
 
 /// Simulated transfer of answers from the platform's store to nodes. An answer is sent in pages. If
-/// one page takes longer than `page_timeout`, the whole read fails, as it does in the client of the
-/// store that the daemon uses.
+/// one page takes longer than `page_timeout`, the whole read fails, as in the daemon's client of
+/// the store.
 struct store_profile {
   /// Rate at which the store sends, for all answers together; 0 for an unlimited rate.
   double bytes_per_second = 0;
@@ -91,7 +91,8 @@
   std::optional<base::time_point> first_token_at;
   /// Number of received answers. More than one answer violates an invariant.
   unsigned answer_count = 0;
-  /// Whether the node was not running when the request was sent, or was killed before it answered.
+  /// Whether the node was not running when the request was sent, or was killed or exited before it
+  /// answered the request.
   bool is_connection_lost = false;
   /// Whether the request reached the node.
   bool has_arrived = false;
@@ -131,8 +132,8 @@
   void start_node(const std::string& name);
   void start_all_nodes();
   void kill_node(const std::string& name);
-  /// Freezes a node: suspends its process for `duration`. The node receives events that occur
-  /// meanwhile at the end of the suspension.
+  /// Freezes a node: suspends its process for `duration`. Events that occur during the suspension
+  /// are delivered to the node when the suspension ends.
   void freeze_node(const std::string& name, base::duration duration);
   /// Freezes a node for `duration` between its next decision to make a non-repeatable call (an
   /// effect) and the sending of the call.
@@ -192,12 +193,12 @@
   void disconnect_caller(base::caller_id caller);
   [[nodiscard]] const std::map<base::caller_id, caller_record>& callers() const { return callers_; }
   [[nodiscard]] const std::vector<execution_record>& executions() const { return executions_; }
-  /// Removes the records of answered callers and of all executions, to limit the memory of long
-  /// measurements.
+  /// Removes the records of all callers whose requests were answered, and the records of all
+  /// executions, to limit the memory of long measurements.
   void clear_settled_records();
 
-  /// @return number of control messages and bytes that all nodes sent, including earlier
-  ///         incarnations.
+  /// @return number and total bytes of the control messages that all nodes have sent, in their
+  ///         current and in their earlier incarnations.
   [[nodiscard]] node::control_counters control_totals() const;
 
  private:
@@ -210,16 +211,18 @@
     bool is_alive = false;
     bool has_exited = false;
     base::time_point frozen_until;
-    /// Duration of the suspension before the next non-repeatable call is sent.
+    /// Duration for which the node is to be frozen before it sends its next non-repeatable call;
+    /// std::nullopt if no such freeze is pending.
     std::optional<base::duration> freeze_before_effect;
     /// Time at which the node's next scheduled wakeup is due.
     base::time_point wakeup_at;
-    /// Number of reads of each platform service that the node has started, by `source_kind`.
+    /// Number of reads that the node has started, one count for each platform service; the index is
+    /// the `source_kind`.
     std::array<std::uint64_t, node::source_count> service_reads_started{};
     link uplink;
     link downlink;
   };
-  /// Answer of the store that is being transferred to a node in pages.
+  /// Transfer of an answer of the store to a node, in pages.
   struct store_transfer {
     std::string node;
     std::uint64_t incarnation = 0;
@@ -279,7 +282,7 @@
   std::map<base::caller_id, caller_record> callers_;
   std::map<base::caller_id, std::string> tickets_;
   std::vector<execution_record> executions_;
-  /// Sums of the counters of all incarnations that have ended.
+  /// Sums of the counters of control messages, over all ended incarnations of all nodes.
   node::control_counters earlier_control_totals_;
   link store_link_;
   traffic_counters traffic_;
--- a/src/simulation/invariant_checker.cc
+++ b/src/simulation/invariant_checker.cc
@@ -204,8 +204,8 @@
                        record.answer->request);
     }
   }
-  // A request that callers send several times under one key is one request. If it was executed
-  // before any node answered one of the callers with 'not run', that answer is false.
+  // Requests that callers send under the same key or ticket are one request. If a non-repeatable
+  // call of this request was executed before a caller is answered `not_run`, that answer is false.
   for (const auto& [id, record] : fleet_->callers()) {
     const auto expected = expectations_.find(id);
     const bool is_refused = record.answer && record.answer->outcome == model::outcome::not_run &&
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -14,7 +14,7 @@
 struct violation {
   std::string invariant;
   std::string detail;
-  /// Request concerned; empty if the violation concerns no single request.
+  /// Id of the request that the violation concerns; empty if the violation names no request.
   base::request_id request;
 };
 
@@ -25,7 +25,8 @@
   /// Time, after the first node learned that a back end drains, in which nodes may still send calls
   /// to the back end.
   static constexpr base::duration drain_grace_period = std::chrono::milliseconds(2500);
-  /// Maximum time from the deadline of a request to its answer: one wakeup of the node's driver.
+  /// Maximum time from the deadline of a request to its answer: the time for one wakeup of the node
+  /// by its driver.
   static constexpr base::duration answer_slack = std::chrono::milliseconds(50);
 
   /// Maximum time after the expiry of a call at which the call may still reach a back end: one
@@ -53,9 +54,9 @@
 
  private:
   struct expectation {
-    /// Output of each stage of the answer, by name.
+    /// Expected outputs in the answer, by name of the stage that computes the output.
     std::map<std::string, std::string> outputs;
-    /// Text that a streaming caller receives.
+    /// Expected text of the stream that a streaming caller receives.
     std::string generated;
     std::string key_or_ticket;
   };
@@ -77,16 +78,20 @@
   /// completed answer comes from a call that ran.
   void check_effects();
   void check_convergence();
-  /// Records which nodes are now partitioned, frozen, not running or not ready.
+  /// Sets `disturbed_at_` to the current time for each node that is now partitioned, frozen, not
+  /// running or not ready.
   void note_disturbances();
   [[nodiscard]] bool was_disturbed_since(const std::string& node, base::time_point since) const;
 
   fleet_simulation* fleet_;
   std::map<base::caller_id, expectation> expectations_;
   std::map<std::string, drain_observation> draining_;
-  /// Last time at which a node was partitioned, frozen, not running or not ready.
+  /// Last time at which each node was partitioned, frozen, not running or not ready, by name of the
+  /// node.
   std::map<std::string, base::time_point> disturbed_at_;
-  /// Last accepted revision by node and key, within the current incarnation of the node.
+  /// Revision of each pipeline template in the catalog of a node at the last check, by name of the
+  /// node and key of the template. The revisions of a node are cleared when a check finds a new
+  /// incarnation of the node.
   std::map<std::string, std::map<std::string, base::revision>> seen_revisions_;
   std::map<std::string, base::incarnation> seen_incarnations_;
   /// Number of executions that `check_calls_to_draining` has checked.
--- a/src/simulation/random_faults.cc
+++ b/src/simulation/random_faults.cc
@@ -12,12 +12,12 @@
 constexpr base::duration key_lifetime = std::chrono::seconds(4);
 /// Duration of the last part of a run, in which there are no faults and no new requests.
 constexpr base::duration settle_duration = std::chrono::seconds(6);
-/// Time after its first send within which a request may be sent again.
+/// A request may be sent again until this time has passed since the request was first sent.
 constexpr base::duration resend_window = std::chrono::milliseconds(2500);
 constexpr base::duration request_deadline = std::chrono::milliseconds(1000);
 /// Probability, per step, that a request that ended without the outcome `completed` is sent again.
 constexpr double resend_probability = 0.5;
-/// Probability, per step, that any other request is sent again, as a duplicate.
+/// Probability, per step, that a request is sent again as a duplicate, whatever its outcome.
 constexpr double duplicate_probability = 0.15;
 constexpr const char* answer_template = R"(name: answer
 deadline_ms: 1000
--- a/src/simulation/random_faults.h
+++ b/src/simulation/random_faults.h
@@ -38,10 +38,10 @@
 struct run_options {
   std::uint64_t seed = 1;
   base::safety_switches switches;
-  /// Faults of the run; drawn at random from the seed if empty.
+  /// Kinds of faults to inject. If empty, one or two kinds are drawn at random from the seed.
   std::vector<fault_kind> faults;
-  /// Time for which the fleet is under load and faults are injected, without the start of the fleet
-  /// and the settling at the end.
+  /// Time for which the fleet is under load and faults are injected. Does not include the start of
+  /// the fleet and the settling at the end.
   base::duration load_duration = std::chrono::seconds(15);
 };
 
--- a/standins/platform_stand_in.cc
+++ b/standins/platform_stand_in.cc
@@ -1,7 +1,7 @@
 /// Emulates the platform, the service that publishes the configuration and the list of machines.
 /// Serves `GET /v1/entries` for nodes, which only read, and `/admin/...` for tests. Counts the
-/// calls of nodes. Tests can make the platform slow, stale (it answers without new entries) or
-/// down, and can restore it to an earlier revision.
+/// calls of `GET /v1/entries`. Tests can make the platform slow, stale (it answers without new
+/// entries) or down, and can set it back to an earlier revision.
 #include "http_service.h"
 
 #include "logging/guarded_main.h"
@@ -166,8 +166,9 @@
     co_await exchange.reply(200, json::object());
   }
 
-  /// Sets the current revision back to an earlier revision and removes all entries that were
-  /// published later, as if the platform had been restored from a backup.
+  /// Sets the current revision back to an earlier revision and removes each entry whose last change
+  /// has a later revision. Imitates a platform that was restored from a backup, except that the
+  /// earlier value of a removed entry is not restored.
   asio::awaitable<void> restore(service_exchange& exchange) {
     const auto body = exchange.body();
     revision_ = static_cast<std::uint64_t>(body.at("revision").as_int64());
--- a/tests/fleet/disturbance_test.cc
+++ b/tests/fleet/disturbance_test.cc
@@ -292,7 +292,7 @@
     const std::string name = "\nspurrack_control_sent_bytes_total ";
     return std::stod(body.substr(body.find(name) + name.size()));
   };
-  // Number of bytes that entry-north2 has sent once several of its membership probes were sent. The
+  // Once entry-north2 has sent this number of bytes, it has sent several membership probes. The
   // node entry-north1 has a different key pair, so it must accept none of these probes.
   constexpr double several_probes_bytes = 600;
   bool was_seen_alive = false;
--- a/tests/fleet/effects_test.cc
+++ b/tests/fleet/effects_test.cc
@@ -3,7 +3,8 @@
 ///
 /// Each request has a ticket or an idempotency key, as described in tools/fleet/local_fleet.h: a
 /// request runs only if a node permits it to run once, or if a majority of the key's witnesses
-/// grant it the key. The owner of a key is the node that runs this request.
+/// grant it the key. The owner of a key is the node that runs the request to which the key was
+/// granted.
 #include "fleet_fixture.h"
 
 #include <csignal>
@@ -75,8 +76,9 @@
       std::async(std::launch::async, [this] { return pay(fleet, "entry-north1", "k4", 300); });
   const auto other_answer = pay(fleet, "entry-south1", "k4");
   BOOST_TEST(string_field(other_answer, "outcome") == "completed");
-  // Waits until the witnesses' records of the key have expired. They can then no longer prevent a
-  // second payout when entry-north1 resumes; only the age of its waiting request can.
+  // Waits until the witnesses' records of the key have expired. When entry-north1 resumes, the
+  // witnesses can therefore no longer prevent a second payout. Only the age of the request that has
+  // waited at entry-north1 can still prevent it.
   BOOST_TEST(local_fleet::wait_until(
       [&, until = std::chrono::steady_clock::now() + std::chrono::milliseconds(3'500)] {
         return std::chrono::steady_clock::now() >= until;
@@ -120,8 +122,8 @@
 
 BOOST_AUTO_TEST_CASE(refused_connection_is_retried_at_another_back_end) {
   auto description = describe();
-  // Without the fault proxy, which would accept the connection to the killed back end, the kernel
-  // refuses it.
+  // Without the fault proxy, the kernel refuses the connection to the killed back end. The proxy
+  // would accept the connection.
   description.uses_proxy = false;
   local_fleet direct(binaries(), description);
   direct.start_all_nodes();
--- a/tests/simulation/control_traffic_test.cc
+++ b/tests/simulation/control_traffic_test.cc
@@ -37,8 +37,8 @@
       : fleet_(&fleet), measured_seconds_(measured_seconds),
         node_count_(fleet.node_names().size()) {}
 
-  /// @return kilobytes per second that each node sends and receives together, with the name of the
-  ///         node; in ascending order.
+  /// @return for each node, the sum of its sent and received bytes in kilobytes per second, and its
+  ///         name; in ascending order of the sums.
   [[nodiscard]] std::vector<std::pair<double, std::string>> by_node() const {
     std::map<std::string, std::uint64_t> sums;
     for (const auto& [flow, bytes] : fleet_->traffic().flows()) {
@@ -175,8 +175,8 @@
   return timeline;
 }
 
-/// Checks that the sent bytes that a node counts by kind of message and locality of the receiver
-/// add up to its total, for each node.
+/// Checks for each node that its counts of sent bytes, one for each kind of message and locality of
+/// the receiver, add up to its total count of sent bytes.
 void check_counters(const fleet_simulation& fleet) {
   for (const auto& name : fleet.node_names()) {
     const auto& control = fleet.node(name).message_counters();
--- a/tests/simulation/evacuation_spread_test.cc
+++ b/tests/simulation/evacuation_spread_test.cc
@@ -24,8 +24,8 @@
   return record.SerializeAsString();
 }
 
-/// @return whether all nodes run and the zone `z1` is evacuated in the catalog of each node; not
-///         evacuated if `evacuated` is false.
+/// @return whether all nodes run and, in the catalog of each node, the zone `z1` is evacuated (if
+///         `evacuated` is true) or not evacuated (if `evacuated` is false).
 bool all_have_evacuation_state(const fleet_simulation& fleet, bool evacuated) {
   for (const auto& name : fleet.node_names()) {
     const bool has_expected_state =
--- a/tests/simulation/large_catalog_test.cc
+++ b/tests/simulation/large_catalog_test.cc
@@ -82,12 +82,12 @@
   return static_cast<double>(message.ByteSizeLong());
 }
 
-/// Maximum of the mean, over all nodes, of the bytes that a node sends to distribute the catalog,
-/// as a multiple of the size of the whole catalog.
+/// Limit on the mean, over all nodes, of the bytes that a node sends to distribute the catalog, as
+/// a multiple of the size of the whole catalog.
 constexpr double max_mean_catalogs_sent = 2.5;
-/// Maximum of the bytes that a single node sends to distribute the catalog, as a multiple of the
-/// size of the whole catalog. Higher than the mean because all other nodes request the catalog from
-/// the nodes that received it first.
+/// Limit on the bytes that any single node sends to distribute the catalog, as a multiple of the
+/// size of the whole catalog. Higher than the limit on the mean, because all other nodes request
+/// the catalog from the nodes that received it first.
 constexpr double max_catalogs_sent = 40;
 /// Maximum number of bytes that a node sends, besides entries, to compare its catalog with the
 /// catalogs of other nodes. One comparison takes two kilobytes.
--- a/tests/simulation/regional_fleet.h
+++ b/tests/simulation/regional_fleet.h
@@ -12,7 +12,7 @@
 inline constexpr int regional_zone_count = 6;
 inline constexpr int regional_region_count = 3;
 inline constexpr int regional_replicas_per_node = 10;
-/// One of this many nodes of a zone has a strong processor and a fast link.
+/// In each zone, one node out of this many has a strong processor and a fast link.
 inline constexpr int nodes_per_strong_node = 8;
 inline constexpr double fast_link_bytes_per_second = 25e6;   // 200 Mbit/s
 inline constexpr double slow_link_bytes_per_second = 1.25e6; // 10 Mbit/s
@@ -32,13 +32,13 @@
 /// Service of the regional fleet.
 struct regional_service {
   const char* name;
-  /// Percentage of all replicas that belong to the service.
+  /// Percentage of the fleet's replicas that belong to this service.
   int percentage;
   /// Whether the replicas execute pieces of stages instead of requests.
   bool has_pieces;
 };
-/// Two services whose replicas execute requests, one of which has few replicas, and three services
-/// whose replicas execute pieces.
+/// Two services whose replicas execute requests (the second service has few replicas), and three
+/// services whose replicas execute pieces.
 inline constexpr regional_service regional_services[] = {{"chat", 60, false},
                                                          {"bookings", 4, false},
                                                          {"assets", 13, true},
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -163,8 +163,10 @@
     calls[size] = fleet.platform().calls() - calls_before;
   }
   BOOST_TEST_MESSAGE("calls in 10 s: " << calls[0] << ", " << calls[1]);
-  // In 10 s each of the eight watches is tried six times, at intervals that grow from 0.25 s to 8
-  // s, and is handed over to another node twice, in two steps each.
+  // There are eight watches. In 10 s the node responsible for a watch tries to read the store six
+  // times, at intervals that grow from 0.25 s to 8 s. It also hands the watch over twice: each time
+  // a second node tries one read and hands the watch over to a third node, which also tries one
+  // read.
   constexpr std::uint64_t max_calls = 80;
   BOOST_TEST(calls[0] <= max_calls);
   BOOST_TEST(calls[1] <= max_calls);
--- a/tools/capacity.cc
+++ b/tools/capacity.cc
@@ -43,7 +43,7 @@
 struct fleet_size {
   /// Number of simulated nodes.
   int nodes = 8;
-  /// Number of further zones, and total number of listed nodes in these zones.
+  /// Number of zones besides `z0`, and total number of listed nodes in these other zones.
   int other_zones = 0;
   int other_nodes = 0;
   int replicas = 0;
--- a/tools/fleet/local_fleet.h
+++ b/tools/fleet/local_fleet.h
@@ -119,7 +119,8 @@
   void publish(const std::map<std::string, std::optional<std::string>>& records) const;
   /// Publishes the machine record of a back end again.
   /// @param state `live` or `leaving`.
-  /// @param generation number that the platform increases each time a back end that left returns.
+  /// @param generation number that the platform increases each time the back end returns after it
+  ///        left.
   void publish_backend(const std::string& name, const std::string& state, int generation) const;
   /// Sets how the emulated platform answers nodes.
   /// @param mode `up` (normally), `down` (resets the connection), `slow` (after a delay) or `stale`
--- a/tools/load_scenario.h
+++ b/tools/load_scenario.h
@@ -69,8 +69,8 @@
   /// Number of requests that completed within their deadline, divided by the smaller of the number
   /// of sent requests and the number that `user_profile::capacity` allows in the measured time.
   double goodput = 0;
-  /// Fraction of the sent requests that completed within their deadline, of the tenant that sends
-  /// the fewest requests.
+  /// Fraction of the sent requests that completed within their deadline, counting only the requests
+  /// of the tenant that sends the fewest requests.
   double smallest_tenant_in_time_fraction = 0;
   /// Fraction of the time of back ends that was spent on calls whose result no completed request
   /// used. The time of an aborted call begins at its dispatch, so it includes the time in the
