--- a/tests/platform_fleet/crashing_request_check.cc
+++ b/tests/platform_fleet/crashing_request_check.cc
@@ -12,11 +12,12 @@
 
 using std::chrono::milliseconds;
 
-/// Number of times that the crashing request is sent.
+/// Number of times that the check sends the crashing request.
 constexpr std::size_t max_sends = 16;
-/// Interval between two requests. Longer than the downtime of a crashed replica, because the fault
-/// proxy accepts connections for a replica that is down: nodes detect the crash only after the
-/// restart of the replica.
+/// Interval between two sends of the crashing request. Longer than the downtime of a crashed
+/// replica, so that the replica has been restarted and nodes can detect its crash before the next
+/// send. Nodes detect a crash only after the restart, because the fault proxy accepts connections
+/// for a replica that is down.
 constexpr milliseconds send_interval{700};
 constexpr milliseconds downtime{400};
 /// Maximum number of replicas that the crashing request may crash.
--- a/tests/platform_fleet/event_replica.cc
+++ b/tests/platform_fleet/event_replica.cc
@@ -18,8 +18,8 @@
 using asio::ip::tcp;
 using http::await_into;
 
-/// Size of the send buffer of a connection in the kernel; limits how many bytes of an unread answer
-/// are buffered outside the daemon.
+/// Size of the kernel's send buffer for each connection of the replica. While the daemon does not
+/// read an answer, this size limits how many bytes of the answer are buffered outside the daemon.
 constexpr int send_buffer_bytes = 65'536;
 
 std::string chunk_text(const std::string& bytes) {
--- a/tests/platform_fleet/event_replica.h
+++ b/tests/platform_fleet/event_replica.h
@@ -1,5 +1,6 @@
-/// Emulated replica on loopback. Streams events at fixed intervals, and aborts an answer that its
-/// client does not read. Serves any number of connections on one thread.
+/// Emulated replica on loopback. Streams events at fixed intervals. Aborts an answer if the daemon,
+/// which is the client of the replica, does not read it. Serves any number of connections on one
+/// thread.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
--- a/tests/platform_fleet/fault_soak.cc
+++ b/tests/platform_fleet/fault_soak.cc
@@ -1,7 +1,7 @@
 /// Fault soak: a randomized test of real daemons under load. The soak injects faults from outside
-/// the daemons, in series and overlapping. The soak checks what clients and replicas observe
-/// against the invariants, and exits with code 1 if an invariant was violated. The seed determines
-/// the faults; the scheduling of processes and threads differs from run to run.
+/// the daemons; several faults can be in effect at the same time. The soak checks what clients and
+/// replicas observe against the invariants, and exits with code 1 if an invariant was violated. The
+/// seed determines the faults; the scheduling of processes and threads differs from run to run.
 #include "machine_limits.h"
 #include "soak_run.h"
 
@@ -22,7 +22,7 @@
 using std::chrono::milliseconds;
 
 /// Returns options with as many daemons as the machine can run, one client per daemon, and more
-/// time for the start.
+/// time for nodes to become ready (`ready_timeout`).
 soak_options with_max_nodes(soak_options options) {
   options.fleet.nodes = max_daemons();
   options.clients_per_node = 1;
--- a/tests/platform_fleet/graceful_stops.cc
+++ b/tests/platform_fleet/graceful_stops.cc
@@ -7,8 +7,8 @@
 
 using std::chrono::milliseconds;
 
-/// Maximum time from SIGTERM to the exit of a process, after which the platform kills the process;
-/// includes slack for a busy machine.
+/// Maximum time from SIGTERM to the exit of a process: the grace period and slack for a busy
+/// machine. A process that still runs after this time is killed, as the platform would do.
 constexpr milliseconds stop_timeout{9'000};
 
 } // namespace
--- a/tests/platform_fleet/graceful_stops.h
+++ b/tests/platform_fleet/graceful_stops.h
@@ -19,8 +19,9 @@
   graceful_stops(const graceful_stops&) = delete;
   graceful_stops& operator=(const graceful_stops&) = delete;
 
-  /// Sends SIGTERM to a node. Starts the node again after its process has exited. Returns without
-  /// waiting for the exit. Does nothing if the node is already stopping.
+  /// Sends SIGTERM to a node and returns without waiting for the exit of its process. A separate
+  /// thread waits for the exit and then starts the node again. Does nothing if the node is already
+  /// stopping.
   void begin(soak_node& node) { begin(node, true); }
   /// As `begin`, but does not start the node again.
   void begin_final(soak_node& node) { begin(node, false); }
--- a/tests/platform_fleet/machine_limits.cc
+++ b/tests/platform_fleet/machine_limits.cc
@@ -10,11 +10,13 @@
 
 constexpr std::size_t daemon_limit = 150;
 constexpr std::size_t memory_limit_bytes = 16'000'000'000;
-/// Memory that is planned for one daemon of a soak, including the memory that this process uses for
-/// the daemon's clients and replicas. In a soak with 149 other daemons, a daemon used 27 MB.
+/// Memory that is planned for one daemon of a soak, including the memory that the soak's own
+/// process uses for the daemon's clients and replicas. In a soak with 149 other daemons, a daemon
+/// used 27 MB.
 constexpr std::size_t bytes_per_daemon = 100'000'000;
-/// Descriptors and threads of this process that are planned for one daemon: for its client and for
-/// its connections to replicas and store. Each daemon needed 11 descriptors and 8 threads.
+/// Descriptors and threads that are planned for one daemon in the soak's own process: for the
+/// daemon's client, and for the connections of the daemon to replicas and store. The soak's process
+/// needed 11 descriptors and 8 threads for each daemon.
 constexpr std::size_t descriptors_per_daemon = 60;
 constexpr std::size_t threads_per_daemon = 60;
 
--- a/tests/platform_fleet/planned_maintenance.cc
+++ b/tests/platform_fleet/planned_maintenance.cc
@@ -9,8 +9,9 @@
 
 using std::chrono::milliseconds;
 
-/// Interval between two waves of a rolling restart; the nodes of a wave begin to stop together. A
-/// quarter of the grace period of a stopping node, so that the waves overlap.
+/// Interval between the starts of two waves of a rolling restart. A wave is a group of nodes that
+/// begin to stop together. The interval is a quarter of the grace period of a stopping node, so
+/// that the waves overlap.
 constexpr milliseconds stop_interval{2'000};
 /// Maximum number of waves of a rolling restart, so that the restart of a large fleet takes a
 /// minute or less.
@@ -72,8 +73,8 @@
   }
   recorder_->count("planned reload");
   if (node.is_stopping) {
-    // The settings file is not rewritten here, because the node may be starting again and reading
-    // the file.
+    // A stopping node receives only the signal. Its settings file is not rewritten, because the
+    // node may be starting again and reading the file.
     fleet_->signal(node, SIGHUP);
   } else {
     fleet_->reload(node, random_->below(2) == 0);
--- a/tests/platform_fleet/planned_stop_test.cc
+++ b/tests/platform_fleet/planned_stop_test.cc
@@ -36,11 +36,11 @@
 constexpr int short_grace_seconds = 5;
 /// Grace period that is longer than any request takes.
 constexpr int long_grace_seconds = 20;
-/// A long stream lasts three seconds, which is longer than the rest of the grace period when the
-/// last requests arrive.
+/// A long stream lasts three seconds. When the last requests for streams arrive, less than three
+/// seconds of the short grace period are left, so these streams could not be completed.
 const event_replica_options replica_options{
     .long_events = 60, .long_event_bytes = 100, .long_interval = milliseconds(50)};
-/// Interval between two requests, or between two connections.
+/// Interval at which requests are sent, and at which idle connections are opened.
 constexpr milliseconds arrival_interval{100};
 /// Maximum time from sending a request to its refusal; a slower refusal would keep the client
 /// waiting.
@@ -205,8 +205,8 @@
   const auto outcome = stop_under_load("/stream/slow/", short_grace_seconds);
   BOOST_TEST(outcome.truncated == 0U);
   BOOST_TEST(outcome.refused_late == 0U);
-  // A daemon that refuses all requests would be wrong as well: requests that arrive early can still
-  // be completed.
+  // The daemon must not refuse all requests either: streams that are requested soon after SIGTERM
+  // can still be completed.
   BOOST_TEST(outcome.completed > 0U);
   BOOST_TEST(outcome.refused > 0U);
 }
@@ -227,7 +227,8 @@
   std::atomic<bool> should_stop = false;
   std::thread idle_clients(
       [&] { open_idle_connections(subject.daemon->client_address, should_stop); });
-  // The accepted streams end shortly before the end of the grace period.
+  // The daemon accepts streams during the stop; they keep it busy until shortly before the end of
+  // the grace period.
   clients.send_during_stop("/stream/slow/");
   subject.daemon->process().wait();
   const auto duration = std::chrono::steady_clock::now() - clients.stop_started_at();
--- a/tests/platform_fleet/random_faults.h
+++ b/tests/platform_fleet/random_faults.h
@@ -1,4 +1,5 @@
-/// Random faults that the fault soak injects into a fleet from outside, in series and overlapping.
+/// Random faults that the fault soak injects into a fleet from outside. Several faults can be in
+/// effect at the same time.
 #pragma once
 
 #include "foreign_entries.h"
@@ -54,7 +55,8 @@
   base::random_source* random_;
   graceful_stops stops_;
   std::vector<soak_node*> suspended_nodes_;
-  /// Names of links that may have a fault.
+  /// Names of the links that were given a fault or a delay since the last `end_faults`. A name may
+  /// be listed several times.
   std::vector<std::string> faulty_links_;
 };
 
--- a/tests/platform_fleet/scripted_server.h
+++ b/tests/platform_fleet/scripted_server.h
@@ -35,8 +35,9 @@
   std::chrono::milliseconds pause{0};
 };
 
-/// Server on 127.0.0.1 that answers each request with the result of a function. Each connection's
-/// thread calls the function, so the function must be thread-safe. Thread-safe.
+/// Server on 127.0.0.1 that answers each request with the result of a function. Each connection has
+/// its own thread, which calls the function, so the function must be thread-safe. The server is
+/// thread-safe.
 class scripted_server {
  public:
   using script = std::function<scripted_answer(const http_request&)>;
@@ -115,7 +116,7 @@
   }
 
   /// Joins the ended threads and removes their connections. A thread keeps its stack until it is
-  /// joined, so too many stacks would accumulate in a long run.
+  /// joined; without the joins, the stacks of all ended threads would accumulate in a long run.
   void remove_ended_connections() {
     connections_.remove_if([](connection& candidate) {
       const bool ended = *candidate.ended;
@@ -148,7 +149,8 @@
         break;
       }
     }
-    // Another thread may use the socket in `shut_down_connections`, which holds the same lock.
+    // The lock is needed because another thread may be using the socket in `shut_down_connections`,
+    // which holds the same lock.
     const std::lock_guard lock(mutex_);
     socket.close(error);
   }
--- a/tests/platform_fleet/self_report_check.cc
+++ b/tests/platform_fleet/self_report_check.cc
@@ -12,16 +12,18 @@
 /// Maximum time after a drain announcement for which nodes may still send requests to the replica:
 /// the node that received the announcement must first inform the others.
 constexpr milliseconds drain_timeout{2'000};
-/// Time for which the check then observes whether the replica receives requests.
+/// Time for which the check observes whether the replica receives requests. Begins `drain_timeout`
+/// after the first announcement.
 constexpr milliseconds observation_time{1'500};
-/// Time after the first rejected request of a backoff for which further requests are not counted,
-/// because they may have been sent before any node knew of the backoff.
+/// Length of the first part of a backoff, measured from the arrival of the first request that the
+/// replica rejects with the backoff. Requests in this part are not counted, because they may have
+/// been sent before any node knew of the backoff.
 constexpr milliseconds in_flight_time{500};
 /// Maximum number of requests that each node may send during the backoff: one request whose
 /// rejection informs the node of the backoff, and two more.
 constexpr std::size_t max_requests_per_node = 3;
-/// Maximum time to wait for the first request to the replica, whose answer contains the
-/// self-report.
+/// Maximum time to wait for the first request to the replica. The answer to this request contains
+/// the self-report.
 constexpr milliseconds first_request_timeout{5'000};
 constexpr milliseconds poll_interval{10};
 
@@ -46,8 +48,9 @@
 } // namespace
 
 void self_report_check::check_drain_announcement() {
-  // This check counts as a fault: requests that fail because the store is down or because the
-  // replica crashes are not violations.
+  // The start and the end of this check are recorded as faults, because the store is down during
+  // the check and the replica crashes at its end. An incomplete answer to a request that was sent
+  // less than `settle_time` after a fault is no violation.
   fleet_->last_fault_at = soak_clock::now();
   fleet_->store.set_mode(store_mode::refusing);
   replica_->set_drain_announced(true);
--- a/tests/platform_fleet/self_report_check.h
+++ b/tests/platform_fleet/self_report_check.h
@@ -1,6 +1,6 @@
 /// Checks of the fault soak for self-reports: what a replica announces about itself in the headers
-/// of its answers. A replica that has announced a drain must not receive requests any longer, and a
-/// replica that has requested a backoff must receive few requests during the backoff.
+/// of its answers. A replica that has announced a drain must not receive requests any longer. A
+/// replica that has requested a backoff must receive only a few requests during the backoff.
 #pragma once
 
 #include "soak_fleet.h"
--- a/tests/platform_fleet/serving_process_test.cc
+++ b/tests/platform_fleet/serving_process_test.cc
@@ -181,7 +181,8 @@
   }
 }
 
-/// A request that may be sent only once and that its replica refuses is answered with 503.
+/// If a request may be sent to only one replica (`max_attempts` is 1) and that replica refuses the
+/// request, the daemon answers the client with 503.
 BOOST_AUTO_TEST_CASE(refused_by_every_replica_it_was_not_run) {
   script_one = script_two = [](const http_request& request) {
     return scripted_answer{
--- a/tests/platform_fleet/slow_readers_test.cc
+++ b/tests/platform_fleet/slow_readers_test.cc
@@ -36,7 +36,8 @@
 /// SPURRACK_SLOW_READERS sets another number, such as 466 for 1,400 clients in total.
 constexpr std::size_t default_slow_clients_per_pattern = 150;
 constexpr std::size_t fast_client_count = 50;
-/// Maximum resident memory, in MB, of a daemon that may use the 160 MB of a small machine.
+/// Maximum resident memory, in MB, of a daemon whose setting `memory_mb` is 160, as on a small
+/// machine.
 constexpr double max_resident_mb = 110;
 /// Maximum relative increase of the 99th percentile of the latency of fast clients that is caused
 /// by slow clients, in comparison with the same number of fast clients of a second daemon without
--- a/tests/platform_fleet/soak_fleet.cc
+++ b/tests/platform_fleet/soak_fleet.cc
@@ -19,9 +19,9 @@
 constexpr milliseconds proxy_start_timeout{5'000};
 constexpr milliseconds poll_interval{50};
 constexpr milliseconds exit_poll_interval{5};
-/// Maximum number of links of one fault proxy. Each node that uses a link takes two descriptors of
-/// the proxy: with 150 nodes, 32 links took 9,600 of the 20,000 descriptors that a process may
-/// have. Descriptors run out before memory.
+/// Maximum number of links of one fault proxy. For each node that connects through a link, the
+/// proxy needs two descriptors: with 150 nodes, 32 links took 9,600 of the 20,000 descriptors that
+/// a process may have. A proxy with more links would run out of descriptors before memory.
 constexpr std::size_t max_links_per_proxy = 32;
 constexpr const char* east_region = "north";
 
--- a/tests/platform_fleet/soak_fleet.h
+++ b/tests/platform_fleet/soak_fleet.h
@@ -50,8 +50,9 @@
   /// Whether each zone is a separate region. If so, some requests are confined to the region of the
   /// zone `east`.
   bool two_regions = false;
-  /// Folder that contains the `spurrackd` of another build, for a fleet with nodes of both builds:
-  /// every second start of any node uses the other build. Empty if only one build is used.
+  /// Folder that contains the `spurrackd` of another build, for a fleet with nodes of both builds.
+  /// The starts of all nodes are counted together, and every second start uses the other build.
+  /// Empty if only one build is used.
   std::filesystem::path other_build;
   /// Folder for the logs, which stays after the run. If empty, the logs go to a temporary folder
   /// that is deleted after the run.
--- a/tests/platform_fleet/soak_replica.cc
+++ b/tests/platform_fleet/soak_replica.cc
@@ -19,8 +19,8 @@
 constexpr milliseconds slow_work_time{400};
 /// Interval between two events of a long stream.
 constexpr milliseconds long_event_interval{100};
-/// Maximum time after the crash of a replica for which callers may still send handles of results
-/// that were lost in the crash.
+/// Results of a replica are lost when it crashes. Callers may still send handles of lost results
+/// until this time has passed since the last crash or restart of the replica.
 constexpr milliseconds stale_result_timeout{3'000};
 
 std::string header_of(const http_request& request, const char* name) {
--- a/tests/platform_fleet/soak_replica.h
+++ b/tests/platform_fleet/soak_replica.h
@@ -110,12 +110,14 @@
   /// Records a violation if a request is confined to a region and this replica is in another
   /// region.
   void check_region(const std::string& id);
-  /// Checks that the inputs are the handles of the results of all pieces of a stage of a request.
+  /// Records a violation unless the inputs are the handles of the results of a stage of a request:
+  /// one result for each piece of the stage, in the order of the pieces.
   /// @param stage stage that produced the inputs.
   void check_inputs(const std::vector<std::string>& inputs, const std::string& id,
                     std::size_t stage);
-  /// Records a violation for each result that was lost in a crash so long ago that callers must
-  /// know of the crash.
+  /// Checks whether the results that a request takes as inputs still exist. A lost result is
+  /// recorded as a violation if the last crash or restart of its replica was longer than
+  /// `stale_result_timeout` ago, because callers must know of the crash by then.
   /// @param inputs handles of results.
   /// @return whether all results still exist.
   bool has_all_results(const std::vector<std::string>& inputs, const std::string& id);
--- a/tests/platform_fleet/soak_run.cc
+++ b/tests/platform_fleet/soak_run.cc
@@ -47,7 +47,8 @@
     faults_.inject_until(soak_clock::now() + options_.fault_duration);
     recover();
     check_without_faults();
-    // Older builds lack the features that these checks test.
+    // These checks are omitted in a fleet with nodes of two builds, because older builds lack the
+    // features that the checks test.
     if (!fleet_.mixes_builds()) {
       check_rate_limited_replica();
       check_self_reporting_replicas();
@@ -125,7 +126,8 @@
 
 void soak_run::check_rate_limited_replica() {
   std::vector<std::string> services{"plain", "pool", "model"};
-  // A separate random source, so that the seeds in seeds.txt still lead to the same faults.
+  // This check has its own random source, so that its random choices do not change the faults to
+  // which the seeds in seeds.txt lead.
   base::seeded_random separate_random(seed_);
   auto& limited = random_replica_of(base::take_random(services, separate_random), separate_random);
   rate_limit_check(limited, recorder_, separate_random).check();
@@ -135,7 +137,8 @@
 
 void soak_run::check_self_reporting_replicas() {
   std::vector<std::string> services{"plain", "pool", "model"};
-  // A separate random source, so that the seeds in seeds.txt still lead to the same faults.
+  // This check has its own random source, so that its random choices do not change the faults to
+  // which the seeds in seeds.txt lead.
   base::seeded_random separate_random(seed_ + 1);
   auto& backing_off =
       random_replica_of(base::take_random(services, separate_random), separate_random);
