--- a/tests/platform_fleet/soak_run.h
+++ b/tests/platform_fleet/soak_run.h
@@ -46,10 +46,10 @@
   /// Ends all faults. Waits until all nodes are ready and `settle_time` has passed since the last
   /// fault. Then checks that the replica that was restarted last receives requests.
   void recover();
-  /// Checks how the fleet reacts to changes while there are no faults: a replica drains, the store
-  /// entry of another replica cannot be parsed, foreign entries are put into the store, a zone is
-  /// evacuated, and an API key is removed. Then reverts these changes except for the foreign
-  /// entries, and checks that both replicas receive requests again and that the API key is accepted
+  /// Checks how the fleet reacts to four changes while there are no faults: a replica drains, the
+  /// store entry of another replica cannot be parsed, a zone is evacuated, and an API key is
+  /// removed. At the same time, puts the foreign entries into the store. Then reverts the four
+  /// changes, and checks that both replicas receive requests again and that the API key is accepted
   /// again.
   void check_without_faults();
   /// Checks that a replica that announces a request rate limit does not receive too many requests,
@@ -58,9 +58,9 @@
   /// Checks that nodes obey a replica that requests a backoff and a replica that announces a drain,
   /// and that both replicas receive requests again afterwards.
   void check_self_reporting_replicas();
-  /// Takes a snapshot of the store, removes an API key, lets a replica drain, and rolls the store
-  /// back to the snapshot. Checks that the removal and the drain stay in effect after the rollback,
-  /// and that nodes apply entries that are written after the rollback.
+  /// Takes a snapshot of the store, makes two changes (removes an API key and lets a replica drain),
+  /// and rolls the store back to the snapshot. Checks that both changes stay in effect after the
+  /// rollback, and that nodes apply entries that are written after the rollback.
   void check_store_rollback();
   /// Runs the rolling restarts and checks that all nodes become ready again.
   void check_planned_maintenance();
