--- a/src/self_reports/self_report_exchange.h
+++ b/src/self_reports/self_report_exchange.h
@@ -54,11 +54,11 @@
 /// Counters of the exchange, for metrics.
 struct self_report_counts {
   std::uint64_t sent_messages = 0;
-  /// Answers with a limit that cannot be parsed.
+  /// Number of answers whose limit cannot be parsed.
   std::uint64_t unreadable_limits = 0;
-  /// Answers with a drain announcement that cannot be parsed.
+  /// Number of answers whose drain announcement cannot be parsed.
   std::uint64_t unreadable_drain_announcements = 0;
-  /// Answers with a requested backoff that cannot be parsed.
+  /// Number of answers whose requested backoff cannot be parsed.
   std::uint64_t unreadable_backoffs = 0;
   /// Limits received from other nodes for a replica that is not published, or for another
   /// incarnation than the published incarnation; they are ignored.
--- a/tests/replica_statements/statement_ways_test.cc
+++ b/tests/replica_statements/statement_ways_test.cc
@@ -1,6 +1,6 @@
-/// Compares two policies for self-reports of replicas on the same random fleets. With messages,
-/// nodes forward the self-reports to each other; without messages (all messages between nodes are
-/// lost), each node knows only the self-reports in answers to its own calls.
+/// Compares two kinds of nodes on the same random fleets: nodes that send each other the
+/// self-reports of replicas, and nodes that learn the self-reports only from the answers to their
+/// own calls, because all messages between nodes are lost.
 #include "limited_fleet.h"
 
 #include <iomanip>
