--- a/tests/platform_fleet/soak_run.h
+++ b/tests/platform_fleet/soak_run.h
@@ -58,9 +58,9 @@
   /// Checks that nodes obey a replica that requests a backoff and a replica that announces a drain,
   /// and that both replicas receive requests again afterwards.
   void check_self_reporting_replicas();
-  /// Takes a snapshot of the store, makes two changes (removes an API key and lets a replica drain),
-  /// and rolls the store back to the snapshot. Checks that both changes stay in effect after the
-  /// rollback, and that nodes apply entries that are written after the rollback.
+  /// Takes a snapshot of the store, makes two changes (removes an API key and lets a replica
+  /// drain), and rolls the store back to the snapshot. Checks that both changes stay in effect
+  /// after the rollback, and that nodes apply entries that are written after the rollback.
   void check_store_rollback();
   /// Runs the rolling restarts and checks that all nodes become ready again.
   void check_planned_maintenance();
