--- a/tests/platform_fleet/soak_replica.h
+++ b/tests/platform_fleet/soak_replica.h
@@ -24,7 +24,7 @@
 /// Behaviour of a replica.
 enum class replica_mode : std::uint8_t {
   normal,
-  failing,        ///< Answers every second `safe` or `unsafe` request with 500.
+  failing,        ///< Answers every other `safe` or `unsafe` request with 500.
   shedding,       ///< Rejects every request without running it.
   losing_answers, ///< Runs requests, but resets some connections and truncates some streams.
   corrupting,     ///< Appends surplus bytes to answers or truncates answers.
