--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -455,7 +455,8 @@
   /// Records a lost call, and has its replica probed to find out whether the replica exited.
   void note_lost_call(const active_request& request, const base::replica_id& replica,
                       replica_exit incarnation_exit, base::time_point now);
-  /// Records the exit of a replica as an exit under the request of each of its lost calls.
+  /// Counts the exit of a replica against each request that had a lost call (one that ended without
+  /// a complete answer) at this replica.
   /// @param evidence observation that showed the exit, for the log.
   void note_replica_exit(const base::replica_id& replica, const char* evidence,
                          base::time_point now);
@@ -609,8 +610,8 @@
   /// By replica, the clients whose request has a call there.
   std::unordered_map<base::replica_id, std::set<base::caller_id>> clients_by_replica_;
   std::unordered_map<piece_ticket, base::caller_id> clients_by_ticket_;
-  /// For each replica of an unconfigured service: the name of this service in the last event about
-  /// it.
+  /// For each replica of an unconfigured service: the name of the service in the last
+  /// `entry_rejected` event about the replica.
   std::map<base::replica_id, std::string> reported_unknown_services_;
   /// Clients whose request waits for a budget transfer, in the order in which they began to wait.
   std::vector<base::caller_id> clients_awaiting_budget_;
--- a/src/dispatch/retry_after.h
+++ b/src/dispatch/retry_after.h
@@ -6,8 +6,8 @@
 
 namespace spurrack::serving {
 
-/// Maximum Retry-After time, as a fraction of the client's remaining time. It is kept below a
-/// third.
+/// Maximum Retry-After time, as a fraction of the client's remaining time. A value below a third
+/// leaves the client most of its time for the next attempt.
 inline constexpr double max_retry_after_fraction = 0.3;
 
 /// Adds jitter to a Retry-After time, so that clients that were refused at the same moment do not
--- a/src/execution/stage_call.h
+++ b/src/execution/stage_call.h
@@ -1,4 +1,4 @@
-/// Call of one stage at one back end: its request, its tokens and its result.
+/// Call of one stage at one back end: the call to start, its output tokens and its result.
 #pragma once
 
 #include "base/ids.h"
--- a/src/membership/membership_contacts.cc
+++ b/src/membership/membership_contacts.cc
@@ -23,7 +23,7 @@
 /// Number of relays of a zone. If one relay fails, the other zones of the region still receive the
 /// digests of the other relay.
 constexpr std::size_t relays_per_zone = 2;
-/// Number of relays of a region.
+/// Number of relays of a region: the nodes that send digests of the region to the other regions.
 constexpr std::size_t relays_per_region = 2;
 /// Minimum number of cores of a relay, as a fraction of the highest number of cores of a node in
 /// the same zone.
--- a/src/node/node_store.cc
+++ b/src/node/node_store.cc
@@ -10,12 +10,13 @@
 namespace spurrack::node {
 namespace {
 
-/// A starting node that serves published routes waits for peers to send the catalog before it reads
-/// the platform services itself. The base time of this wait is `peer_wait_time_per_member` for each
-/// known member. A strong node waits for a random time up to half of the base time, any other node
-/// for the base time plus a random fraction of it. A node that becomes ready during its wait does
-/// not read the services. Therefore only a few nodes read the services if a large fleet starts as a
-/// whole, and a small fleet loses no time.
+/// A starting node that serves published routes first waits for peers to send the catalog. If it is
+/// not ready when the wait ends, it reads the platform services itself. The base time of the wait
+/// is `peer_wait_time_per_member` for each known member. A strong node, which has at least
+/// `min_strong_node_fraction` of the cores of the strongest known node, waits for a random time up
+/// to half of the base time. Any other node waits for the base time plus a random fraction of it.
+/// Therefore only a few nodes read the services if a large fleet starts as a whole, and a small
+/// fleet loses little time.
 ///
 /// Only a few nodes should read, because each reading node occupies the link of the store for 12
 /// ms, at the expense of all other nodes. Strong nodes read first, because reading 3,000 replicas
--- a/src/replicas/cold_limit.cc
+++ b/src/replicas/cold_limit.cc
@@ -11,9 +11,10 @@
 /// Maximum number of parts into which the fleet may be partitioned without breaking the bound on
 /// requests to a cold replica; each part chooses its own callers.
 constexpr double max_partitions = 2;
-/// Maximum number of callers of a cold replica. More callers would not spread the load after a
-/// restart any better: with the bounds that the deployments seen so far set for cold replicas, 3
-/// callers together send 4 to 5 requests per second to a cold replica, and a warm replica gets 2.
+/// Maximum number of callers of a cold replica. With the bounds that the deployments seen so far
+/// set for cold replicas, 3 callers together may send 4 to 5 requests per second to a cold replica.
+/// That is more than the 2 that a warm replica gets there, so more callers would not spread the
+/// load after a restart any better.
 constexpr double max_callers = 3;
 /// Minimum rate of a caller in requests per second. Applies if the caller's part of the bound is
 /// little more, or even less, than the one request per second that its saved token permits.
--- a/src/replicas/region_spillover.cc
+++ b/src/replicas/region_spillover.cc
@@ -7,8 +7,10 @@
 namespace spurrack::serving {
 namespace {
 
-/// Maximum age of a load report that counts in the mean load of a region. Each of 100 nodes gets
-/// about ten reports within this time from a region whose replicas sustain 320 calls per second.
+/// Maximum age of a load report that counts in the mean load of a region: an older report does not
+/// show the present load. Within this time, each of 100 nodes gets about ten reports from a region
+/// whose replicas sustain 320 calls per second. That is enough for a mean, which needs the load of
+/// only `min_known_near` replicas.
 constexpr base::duration region_load_lifetime = std::chrono::seconds(3);
 /// The fraction of requests that spill over is zero until the load difference between the regions
 /// exceeds the load cost of the distance. It reaches one when the difference has grown further by
--- a/src/stage_work/stage_exchange.h
+++ b/src/stage_work/stage_exchange.h
@@ -126,8 +126,10 @@
   [[nodiscard]] std::optional<base::time_point> next_wakeup(base::time_point now) const;
 
   [[nodiscard]] std::vector<finished_piece> take_finished() { return std::exchange(finished_, {}); }
-  /// @return tickets of submitted pieces, at any holder, whose replica is assumed to have fetched
-  ///         their inputs since the previous `take_fetched`.
+  /// @return tickets of submitted pieces, whichever node holds them, whose inputs are assumed to
+  ///         have been fetched since the previous `take_fetched`. The replica of a piece is assumed
+  ///         to have fetched the inputs when the expected fetch time has passed since the start of
+  ///         its call (`serving_settings::input_fetch_time`, adapted by the pool of the holder).
   [[nodiscard]] std::vector<piece_ticket> take_fetched() { return std::exchange(fetched_, {}); }
   /// @return submitted pieces, at any holder, whose calls were lost (ended without an answer) since
   ///         the previous `take_lost`.
--- a/src/stage_work/stage_graph.h
+++ b/src/stage_work/stage_graph.h
@@ -36,12 +36,14 @@
   /// @param producer address of the replica.
   /// @return whether the graph has any result of that replica that is not freed.
   bool note_lost_results_of(const base::network_address& producer);
-  /// Schedules the recomputation of a piece whose replica found an input missing. If no input of
-  /// the piece is being recomputed already, also schedules those inputs that are lost or freed, and
-  /// the freed results that these inputs were computed from.
-  /// @param is_result_lost whether a result is known to be lost. If no input is known to be lost or
-  ///        freed, or if this graph has recomputed results before, all inputs of the piece are
-  ///        assumed to be lost.
+  /// Schedules the recomputation of a piece whose replica found an input missing, of those inputs
+  /// of the piece that are lost or freed, and of the freed results that these inputs were computed
+  /// from. If an input of the piece is being recomputed already, schedules only the piece itself:
+  /// the loss was found before, and the lost inputs were scheduled then.
+  /// @param is_result_lost whether a result is known to be lost. All inputs of the piece are
+  ///        assumed to be lost if none is known to be lost or freed. The same applies if this graph
+  ///        has recomputed results before: if results are missing again, more were lost than is
+  ///        known.
   /// @return handles of the results that the recomputation replaces, for the caller to free.
   std::vector<std::string>
   recompute_inputs_of(piece_position position,
--- a/src/stage_work/stage_pool.h
+++ b/src/stage_work/stage_pool.h
@@ -4,8 +4,8 @@
 /// Terms: a piece is a part of one stage of one request; one replica computes it. A call sends a
 /// batch of pieces to a replica. A call is lost if it ends without an answer: the replica may have
 /// exited while it ran the call. The result of a piece stays in the memory of its producer (the
-/// replica that computed it) until it is freed or expires. The residency of a piece is the set of
-/// regions in which it may be computed (`model::residency`).
+/// replica that computed it) until it is freed or expires. A residency (`model::residency`) is the
+/// set of regions to which a request, its pieces and their results are confined, or no restriction.
 #pragma once
 
 #include "base/due_times.h"
@@ -228,14 +228,15 @@
   using residency_list = std::vector<model::residency>;
   /// @return the distinct residencies of the pieces of a queue.
   [[nodiscard]] residency_list residencies_in(const service_queue& queue) const;
-  /// @return whether a replica may be called with a piece of this residency.
+  /// @return whether a replica may be called with a piece that is confined to `residency`.
   [[nodiscard]] bool may_serve(const replica_state& replica,
                                const model::residency& residency) const;
-  /// @return whether a replica may be called with a piece of at least one of the residencies.
+  /// @return whether, for at least one of `residencies`, a replica may be called with a piece that
+  ///         is confined to it.
   [[nodiscard]] bool may_serve_any(const replica_state& replica,
                                    const residency_list& residencies) const;
-  /// @return replicas that can be called now with a piece of at least one of the residencies, slow
-  ///         replicas last.
+  /// @return replicas that can be called now with a piece that is confined to one of `residencies`,
+  ///         slow replicas last.
   [[nodiscard]] std::vector<const replica_state*>
   replicas_with_free_slot(const std::string& name, const model::piece_capacity& capacity,
                           const residency_list& residencies, base::time_point now) const;
@@ -295,7 +296,7 @@
   [[nodiscard]] bool may_run_in(const piece_group& group, const base::zone_id& zone,
                                 const zone_wait_estimates& estimates, base::time_point now) const;
   /// @return for each zone, the estimated time at which its replicas can accept further calls; only
-  ///         zones with a replica that may serve a piece of at least one of the residencies.
+  ///         zones with a replica that may serve a piece that is confined to one of `residencies`.
   [[nodiscard]] zone_wait_estimates estimate_zone_waits(const std::string& name,
                                                         const model::piece_capacity& capacity,
                                                         const residency_list& residencies,
--- a/tests/engines/engine_fleet.h
+++ b/tests/engines/engine_fleet.h
@@ -299,7 +299,8 @@
     const bool is_hot = random_.next_fraction() < kind.hot_fraction;
     for (const auto& level : kind.shared) {
       path += "/" + std::to_string(is_hot ? 0 : random_.below(level.distinct));
-      // A part of a later level always follows the same part of the level before.
+      // The shared parts of a prompt are drawn one per level (position in the prompt). A part of a
+      // level with more than 100 different parts always follows the same part of the first level.
       if (level.distinct > 100 && kind.shared.size() > 1) {
         const auto part_number = is_hot ? 0 : random_.below(level.distinct);
         const auto parent = std::to_string(kind_index) + "/" +
--- a/tests/flow/stream_window_test.cc
+++ b/tests/flow/stream_window_test.cc
@@ -33,7 +33,7 @@
 
 BOOST_AUTO_TEST_CASE(a_window_closes_once_and_reopens_at_half_its_size) {
   BOOST_CHECK(add(max_bytes) == window_change::closed);
-  // Bytes that are already in transit when the window closes are still added.
+  // Bytes that were in transit from the replica when the window closed still count as unread.
   BOOST_CHECK(add(1'000) == window_change::none);
   BOOST_CHECK(window.consume(1'000 + max_bytes / 2 - 1, now) == window_change::none);
   now += milliseconds(300);
--- a/tests/node/watch_handover_test.cc
+++ b/tests/node/watch_handover_test.cc
@@ -24,7 +24,9 @@
     advance_time(seconds(2));
     commands.clear();
   }
-  /// Delivers a message in which a peer hands over the watch of a platform service to this node.
+  /// Delivers a message in which a peer hands over the watch of a platform service to this node:
+  /// the peer, which cannot read the service, asks this node to read it and follow its changes for
+  /// a while.
   void deliver_handover(std::uint32_t source, std::uint32_t handovers_left) {
     node::peer_message handover;
     handover.message.set_sender("other");
--- a/tests/platform_fleet/soak_store.h
+++ b/tests/platform_fleet/soak_store.h
@@ -15,7 +15,7 @@
 
 namespace spurrack::platform_tests {
 
-/// Behaviour of the store.
+/// How the store answers requests: normally, or with the fault that a test has chosen.
 enum class store_mode : std::uint8_t {
   normal,
   refusing,       ///< Answers every request with 503.
--- a/tests/quarantine/crash_fleet.h
+++ b/tests/quarantine/crash_fleet.h
@@ -180,8 +180,8 @@
 
   [[nodiscard]] dispatcher& node(std::size_t index) { return *nodes[index].subject; }
 
-  /// @return number of times that a request reached a replica later than `span` after the third
-  ///         exit under it; 0 if there were fewer exits.
+  /// @return number of times that a request reached a replica later than `span` after it had
+  ///         crashed its third replica; 0 if it crashed fewer.
   [[nodiscard]] std::size_t sends_after_third_exit(const std::string& body,
                                                    base::duration span) const {
     const auto exits = exits_under.find(body);
--- a/tests/quarantine/crashing_request_test.cc
+++ b/tests/quarantine/crashing_request_test.cc
@@ -1,9 +1,11 @@
 /// Guards against a request that crashes every replica which runs it, and that clients send
-/// repeatedly, to any node and under new ids. 45 replicas exited under one such request, two per
-/// second, and each exit interrupted up to ten other requests: nodes recorded exits per replica and
-/// not per request, so each node sent each attempt to as many replicas as its route allows. Unless
-/// a test says otherwise, nothing else crashes replicas in these fleets; without the crash registry
-/// 60 to 90 replicas exit in 20 seconds.
+/// repeatedly, to any node and under new ids. In an observed incident, one such request crashed 45
+/// replicas, two per second, and each exit interrupted up to ten other requests. The cause: nodes
+/// recorded exits per replica and not per request, so each node sent each attempt to as many
+/// replicas as its route allows.
+///
+/// In the simulated fleets of these tests, 60 to 90 replicas exit in 20 seconds if there is no
+/// crash registry. Unless a test says otherwise, nothing else crashes replicas in these fleets.
 #include "crash_fleet.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/replica_statements/replica_pauses_test.cc
+++ b/tests/replica_statements/replica_pauses_test.cc
@@ -1,9 +1,10 @@
 /// Replicas that refuse requests and request a backoff from the node.
 ///
-/// Guards against requests to a replica during a backoff that it requested: four of twelve model
-/// replicas requested a backoff of 3 s, and during it received 3 to 5 requests from nodes that had
-/// forwarded an answer with the backoff to a client. One of the four received more requests than
-/// any replica that served requests.
+/// Guards against a past defect: a node forwarded the refusal of a replica to its client, but
+/// ignored the backoff that the refusal requested. When four of twelve model replicas requested a
+/// backoff of 3 s, they received 3 to 5 requests during it from nodes that had forwarded such a
+/// refusal. One of the four received more requests than any replica that served requests. So a node
+/// must send nothing to a replica during a backoff that the replica requested of this node.
 #include "limited_fleet.h"
 
 using namespace spurrack;
--- a/tests/replicas/replica_incarnations_test.cc
+++ b/tests/replicas/replica_incarnations_test.cc
@@ -207,7 +207,8 @@
   BOOST_TEST(!is_candidate(r0));
   now += seconds(3);
   BOOST_TEST(is_candidate(r0));
-  // After another restart, the token that was saved for the earlier incarnation cannot be used.
+  // Another restart empties the token bucket that limits the calls to the cold replica: the token
+  // that was saved for the earlier incarnation cannot be used.
   auto record = record_of("r0", 3000, "10.0.0.0:80");
   record.cold_for = seconds(4);
   publish(record);
